--- a/internal/lab/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -6,11 +6,11 @@
 	"math/rand/v2"
 	"time"
 
-	"brackenbend/choice"
 	"brackenbend/internal/audit"
-	"brackenbend/internal/lab/scene"
-	"brackenbend/internal/standin/model"
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/simulation/scenario"
 	"brackenbend/roles"
+	"brackenbend/routing"
 )
 
 // engine is one engine: the stand-ins' model behind links in place of sockets, with the stand-in's faults.
@@ -21,11 +21,11 @@
 	rnd   *rand.Rand
 	index int
 	name  string
-	kind  *scene.Kind // at the day's beginning
+	kind  *scenario.Kind // at the day's beginning
 	cell  int
-	par   model.Params
+	par   enginemodel.Params
 
-	m       *model.Engine
+	m       *enginemodel.Engine
 	up      bool
 	deaf    bool // refuses connections
 	faults  map[string]harm
@@ -38,7 +38,7 @@
 	moved         float64
 	coming        coming // by oracles
 
-	byRole    map[roles.Role]model.Params // where it may change; nil = it stays
+	byRole    map[roles.Role]enginemodel.Params // where it may change; nil = it stays
 	seat      roles.Seat
 	switching bool
 	turn      int // of its switches; those of an earlier one, or an earlier process, are passed over
@@ -47,7 +47,7 @@
 
 // job is one attempt at this engine.
 type job struct {
-	model.Job
+	enginemodel.Job
 	msg            sends
 	begun, fetched bool
 	token          bool // the first is out
@@ -61,7 +61,7 @@
 	sends struct {
 		front   int32
 		run     int
-		request choice.RequestID
+		request routing.RequestID
 		attempt int
 		id      string
 		name    string // of the front, for the record
@@ -80,15 +80,15 @@
 	// ended is how an attempt ended, firsts its first token.
 	ended struct {
 		run     int
-		request choice.RequestID
+		request routing.RequestID
 		attempt int
-		result  choice.Result
+		result  routing.Result
 		noState bool
 		kept    float64
 	}
 	firsts struct {
 		run     int
-		request choice.RequestID
+		request routing.RequestID
 		attempt int
 	}
 )
@@ -111,7 +111,7 @@
 	}
 )
 
-func newEngine(f *fleet, k *scene.Kind, n int) *engine {
+func newEngine(f *fleet, k *scenario.Kind, n int) *engine {
 	e := &engine{f: f, index: len(f.engines), name: fmt.Sprintf("%s-%d", k.Name, n+1), kind: k, cell: 1 + n%2, par: f.d.Params(k),
 		rnd: f.rnd(1000 + uint64(len(f.engines))), up: true, faults: map[string]harm{}, tap: tap{taped: f.o.Audit}}
 	e.fresh(0, false)
@@ -119,7 +119,7 @@
 }
 
 func (e *engine) fresh(now time.Duration, cold bool) {
-	e.m = model.New(e.par, now, cold)
+	e.m = enginemodel.New(e.par, now, cold)
 	e.m.SetSlow(cmp.Or(e.faults["slow"].factor, 1))
 	e.jobs, e.held, e.letGo = map[string]*job{}, map[string]bool{}, map[string]time.Duration{}
 }
@@ -179,12 +179,12 @@
 	}
 }
 
-func (e *engine) reply(s *sends, result choice.Result, noState bool, kept float64) {
+func (e *engine) reply(s *sends, result routing.Result, noState bool, kept float64) {
 	e.send(s.front, e.f.hop(e.rnd), ended{s.run, s.request, s.attempt, result, noState, kept})
 }
 
 // through ends a job's connection with a result.
-func (e *engine) through(j *job, result choice.Result, noState bool, kept float64) {
+func (e *engine) through(j *job, result routing.Result, noState bool, kept float64) {
 	if e.jobs[j.ID] != j {
 		return
 	}
@@ -202,11 +202,11 @@
 
 func (e *engine) arrive(s sends) {
 	if !e.up || e.deaf {
-		e.reply(&s, choice.ConnectFailed, false, 0)
+		e.reply(&s, routing.ConnectFailed, false, 0)
 		return
 	}
 	if e.leaving() {
-		e.reply(&s, choice.Turned, false, 0)
+		e.reply(&s, routing.Turned, false, 0)
 		return
 	}
 	e.record(e.now(), audit.Event{Kind: audit.Arrive, Engine: e.name, Front: s.name, Request: s.id, Write: s.write, Try: s.work.id})
@@ -215,7 +215,7 @@
 	} else {
 		e.reads++
 	}
-	j := &job{msg: s, Job: model.Job{ID: s.id, Prompt: s.work.prompt, Prefix: s.work.prefix, PrefixLen: s.work.prefixLen, Session: s.work.session,
+	j := &job{msg: s, Job: enginemodel.Job{ID: s.id, Prompt: s.work.prompt, Prefix: s.work.prefix, PrefixLen: s.work.prefixLen, Session: s.work.session,
 		Out: s.work.out, ReadOnly: !s.write, Quiet: true}}
 	if s.write && s.state.reader >= 0 {
 		j.FetchState = max(j.Prompt, 1)
@@ -228,13 +228,13 @@
 	case stalls:
 		return
 	case fails && h.class == s.work.class, e.strikes("fail-fast", 1):
-		e.through(j, choice.Errored, false, 0)
+		e.through(j, routing.Errored, false, 0)
 		return
 	case e.strikes("reset-after-request", 1):
-		e.through(j, choice.Reset, false, 0)
+		e.through(j, routing.Reset, false, 0)
 		return
 	case j.ReadOnly && !e.par.Reads || !j.ReadOnly && !e.par.Writes || j.FetchState == 0 && !j.ReadOnly && !e.par.Reads:
-		e.through(j, choice.Turned, j.FetchState == 0 && !j.ReadOnly && e.par.Writes, 0)
+		e.through(j, routing.Turned, j.FetchState == 0 && !j.ReadOnly && e.par.Writes, 0)
 		return
 	}
 	if e.strikes("reset-mid-stream", 1) && s.write {
@@ -243,9 +243,9 @@
 	j.Begun = func() { e.begun(j) }
 	j.Token = func(n int) { e.tokens(j, n) }
 	j.Done = func(kept float64) { e.done(j, kept) }
-	j.Lost = func() { e.through(j, choice.Reset, false, 0) }
+	j.Lost = func() { e.through(j, routing.Reset, false, 0) }
 	if !e.m.Submit(e.now(), &j.Job) {
-		e.through(j, choice.Turned, false, 0)
+		e.through(j, routing.Turned, false, 0)
 	}
 }
 
@@ -263,7 +263,7 @@
 	case j == nil || j.fetched:
 	case !m.ok:
 		e.m.Cancel(e.now(), &j.Job)
-		e.through(j, choice.Turned, true, 0)
+		e.through(j, routing.Turned, true, 0)
 	default:
 		j.fetched = true
 		e.moved += j.Prompt
@@ -281,7 +281,7 @@
 		}
 	}
 	if j.breakAt == n && e.jobs[j.ID] == j && j.fetched {
-		e.through(j, choice.Reset, false, 0)
+		e.through(j, routing.Reset, false, 0)
 		e.drop(j)
 	}
 }
@@ -308,10 +308,10 @@
 			}
 			switch fault {
 			case "reset-after-effect":
-				e.through(j, choice.Reset, false, 0)
+				e.through(j, routing.Reset, false, 0)
 				e.drop(j)
 			case "fail-after-effect":
-				e.through(j, choice.Errored, false, 0)
+				e.through(j, routing.Errored, false, 0)
 				e.drop(j)
 			}
 			return
@@ -326,7 +326,7 @@
 			j.fetched = true
 			e.first(j)
 		}
-		e.through(j, choice.Served, false, kept)
+		e.through(j, routing.Served, false, kept)
 		return
 	}
 	e.held[j.ID] = true
@@ -334,7 +334,7 @@
 	if _, unwanted := e.letGo[j.ID]; unwanted {
 		e.m.Drop(j.ID)
 	}
-	e.through(j, choice.ReadDone, false, kept)
+	e.through(j, routing.ReadDone, false, kept)
 }
 
 // cancel is the end of an attempt's connection.
@@ -379,12 +379,12 @@
 func (e *engine) lose() {
 	for _, id := range keys(e.jobs) {
 		if j := e.jobs[id]; j != nil && !j.begun { // waits, or stalled: the model may not know of it
-			e.through(j, choice.Reset, false, 0)
+			e.through(j, routing.Reset, false, 0)
 		}
 	}
 	e.m.Reset()
 	for _, id := range keys(e.jobs) {
-		e.through(e.jobs[id], choice.Reset, false, 0)
+		e.through(e.jobs[id], routing.Reset, false, 0)
 	}
 }
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet plays a scripted day (internal/lab/scene) in simulated time: the fronts' decisions are those of the same
-// choice.Router with the same settings and mappings as the daemon's, engines are the model that the stand-ins run
+// routing.Router with the same settings and mappings as the daemon's, engines are the model that the stand-ins run
 // (internal/standin/model), clients draw as those of a day on sockets do, and the five rules are judged by the same judge
 // (internal/audit). Engines change role by package roles and the view of internal/planner. It opens no sockets and reads
 // no clock.
@@ -18,15 +18,15 @@
 	"slices"
 	"time"
 
-	"brackenbend/choice"
 	"brackenbend/internal/audit"
 	"brackenbend/internal/config"
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/routing"
 )
 
-// Decider is what decides for a front: choice.Router, or for comparisons something simpler.
+// Decider is what decides for a front: routing.Router, or for comparisons something simpler.
 type Decider interface {
-	Step(now time.Duration, events []choice.Event) []choice.Action
+	Step(now time.Duration, events []routing.Event) []routing.Action
 }
 
 // Options say how a day is played.
@@ -37,18 +37,18 @@
 	Shards int           // parts that are played side by side; the result is the same; 0 = 1
 	Audit  bool          // judge the rules, which keeps a record of all that passes
 	// Traffic is played in place of the day's drawn sessions, where it is given.
-	Traffic []scene.Recorded
+	Traffic []scenario.Recorded
 	// Oracles tell fronts what they can't know.
 	Oracles Oracles
 	// Settings are the fronts', in place of those that the day makes; kinds and classes must have the day's names.
 	Settings *config.Settings
-	// Decider makes what decides for a front; nil = choice.New.
-	Decider func(s choice.Settings, seed uint64) (Decider, error)
+	// Decider makes what decides for a front; nil = routing.New.
+	Decider func(s routing.Settings, seed uint64) (Decider, error)
 }
 
 // Result is what came of a day.
 type Result struct {
-	Score    *scene.Score
+	Score    *scenario.Score
 	Rules    []audit.Verdict // where they were judged
 	Attempts map[string]int  // reads and writes that reached engines
 	Ends     map[string]int  // of attempts by what they were and how they ended, as "read timed out"
@@ -58,11 +58,11 @@
 }
 
 // Run plays a day.
-func Run(d *scene.Day, o Options) (*Result, error) {
+func Run(d *scenario.Day, o Options) (*Result, error) {
 	o.Link, o.Jitter = cmp.Or(o.Link, 250*time.Microsecond), cmp.Or(o.Jitter, 50*time.Microsecond)
 	f := &fleet{d: d, o: o, k: newKernel(max(o.Shards, 1), o.Link)}
 	if f.o.Decider == nil {
-		f.o.Decider = func(s choice.Settings, seed uint64) (Decider, error) { return choice.New(s, seed) }
+		f.o.Decider = func(s routing.Settings, seed uint64) (Decider, error) { return routing.New(s, seed) }
 	}
 	var err error
 	if f.set, err = d.Settings(0); err != nil {
@@ -147,11 +147,11 @@
 }
 
 type fleet struct {
-	d        *scene.Day
+	d        *scenario.Day
 	o        Options
 	k        *kernel
 	set      *config.Settings
-	cs       choice.Settings
+	cs       routing.Settings
 	clients  *clients
 	register *register
 	engines  []*engine
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -8,20 +8,20 @@
 	"testing"
 	"time"
 
-	"brackenbend/choice"
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/routing"
 )
 
-func bad(t *testing.T) *scene.Day {
+func bad(t *testing.T) *scenario.Day {
 	t.Helper()
-	d, err := scene.Default()
+	d, err := scenario.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-func play(t *testing.T, d *scene.Day, o Options) *Result {
+func play(t *testing.T, d *scenario.Day, o Options) *Result {
 	t.Helper()
 	r, err := Run(d, o)
 	if err != nil {
@@ -77,9 +77,9 @@
 // careless decides as the module does and never lets go of a state.
 type careless struct{ Decider }
 
-func (c careless) Step(now time.Duration, events []choice.Event) (out []choice.Action) {
+func (c careless) Step(now time.Duration, events []routing.Event) (out []routing.Action) {
 	for _, a := range c.Decider.Step(now, events) {
-		if _, lets := a.(choice.Release); !lets {
+		if _, lets := a.(routing.Release); !lets {
 			out = append(out, a)
 		}
 	}
@@ -89,8 +89,8 @@
 // TestACarelessDeciderIsSeen: what the judge is shown is enough to see a broken rule.
 func TestACarelessDeciderIsSeen(t *testing.T) {
 	d := bad(t)
-	r := play(t, d, Options{Seed: 1, Audit: true, Decider: func(s choice.Settings, seed uint64) (Decider, error) {
-		r, err := choice.New(s, seed)
+	r := play(t, d, Options{Seed: 1, Audit: true, Decider: func(s routing.Settings, seed uint64) (Decider, error) {
+		r, err := routing.New(s, seed)
 		return careless{r}, err
 	}})
 	if v := r.Rules[4]; len(v.Breaches) == 0 {
@@ -99,8 +99,8 @@
 }
 
 func TestAnEmptyHouse(t *testing.T) {
-	day := func(more string) *scene.Day {
-		d, err := scene.Parse("x.xml", []byte(strings.Replace(`<day length="5s" rate="20/s" fronts="2" seed="3">
+	day := func(more string) *scenario.Day {
+		d, err := scenario.Parse("x.xml", []byte(strings.Replace(`<day length="5s" rate="20/s" fronts="2" seed="3">
   <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s" overload-factor="4" tip-after="2s" cancel="true"/>
   <engines kind="r" role="reader" count="2" slots="4" queue="8" memory="100000tokens" read-rate="20000/s"/>
   <engines kind="w" role="writer" count="2" slots="8" queue="8" memory="100000tokens" read-rate="5000/s" step="10ms" fetch-rate="250000/s"/>
@@ -137,7 +137,7 @@
 // of package roles; with all fronts killed on the way, planners stopped and engines forced, every order is settled.
 func TestEnginesChangeRole(t *testing.T) {
 	for file, readers := range map[string]int{"roles-shift": 7, "roles-restart": 8, "roles-two": 1} {
-		d, err := scene.Load("../../../days/" + file + ".xml")
+		d, err := scenario.Load("../../../scenarios/" + file + ".xml")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -229,7 +229,7 @@
 	reg.flap(0, 1)
 	for range 4 {
 		seen = append(seen, reg.lines[0].unlisted)
-		f.k.shards[0].play(f.k.shards[0].now + scene.FlapEvery + 1)
+		f.k.shards[0].play(f.k.shards[0].now + scenario.FlapEvery + 1)
 	}
 	reg.lines[0].flaps++
 	reg.flap(0, 2)
@@ -256,7 +256,7 @@
 	f := &fleet{d: d, k: newKernel(1, time.Millisecond), fronts: []*front{{}}}
 	c := &clients{f: f, score: d.Score(), tries: map[uint64]*try{}}
 	f.k.add(c)
-	s := d.Arrivals().Next(&scene.Mood{Surge: 1})
+	s := d.Arrivals().Next(&scenario.Mood{Surge: 1})
 	s.Slow, s.Stream = true, true
 	c.open = 1
 	c.tries[1] = &try{n: 1, t: &talk{s: s}, out: 40, first: 1}
@@ -264,7 +264,7 @@
 	if len(c.tries) != 1 {
 		t.Fatal("its answer had ended before it was read")
 	}
-	f.k.shards[0].play(40*scene.ReadsSlowly + 2)
+	f.k.shards[0].play(40*scenario.ReadsSlowly + 2)
 	if len(c.tries) != 0 {
 		t.Fatal("its answer never ended")
 	}
--- a/internal/lab/fleet/front.go
+++ b/internal/simulation/fleet/front.go
@@ -7,10 +7,10 @@
 	"strconv"
 	"time"
 
-	"brackenbend/choice"
 	"brackenbend/internal/api"
 	"brackenbend/internal/audit"
-	reg "brackenbend/internal/register"
+	reg "brackenbend/internal/endpointslice"
+	"brackenbend/routing"
 )
 
 // epoch is the router's time at the day's beginning, so that engines may have started before.
@@ -36,12 +36,12 @@
 	draining bool
 	stopped  time.Duration // when it was told to end
 	d        Decider
-	next     choice.RequestID
-	flights  map[choice.RequestID]*flight
+	next     routing.RequestID
+	flights  map[routing.RequestID]*flight
 	byTry    map[uint64]*flight
-	touched  []*flight         // answered in this step
-	ids      []choice.ServerID // by engine
-	engines  map[choice.ServerID]int
+	touched  []*flight          // answered in this step
+	ids      []routing.ServerID // by engine
+	engines  map[routing.ServerID]int
 	known    []listed // by engine: as last told
 	ends     map[endOf]int
 	lost     [2]float64 // requests that reading, and writing, were short of; since the process began
@@ -49,7 +49,7 @@
 
 // flight is a request until its last attempt has ended.
 type flight struct {
-	id       choice.RequestID
+	id       routing.RequestID
 	msg      asks
 	due      time.Duration // by the simulation's clock
 	state    answerState
@@ -63,11 +63,11 @@
 // endOf is how an attempt ended.
 type endOf struct {
 	write  bool
-	result choice.Result
+	result routing.Result
 }
 
-var resultNames = map[choice.Result]string{choice.Served: "served", choice.Errored: "failed", choice.Turned: "turned away", choice.TimedOut: "timed out",
-	choice.ConnectFailed: "not connected", choice.Reset: "reset", choice.Cancelled: "called off", choice.NotSent: "not sent", choice.ReadDone: "done", choice.Broken: "broken before it was whole"}
+var resultNames = map[routing.Result]string{routing.Served: "served", routing.Errored: "failed", routing.Turned: "turned away", routing.TimedOut: "timed out",
+	routing.ConnectFailed: "not connected", routing.Reset: "reset", routing.Cancelled: "called off", routing.NotSent: "not sent", routing.ReadDone: "done", routing.Broken: "broken before it was whole"}
 
 func (e endOf) String() string {
 	if e.write {
@@ -104,12 +104,12 @@
 	}
 	limit struct {
 		run     int
-		request choice.RequestID
+		request routing.RequestID
 		attempt int
 	}
 	lastLook struct {
 		run     int
-		request choice.RequestID
+		request routing.RequestID
 		whole   bool // an answer that streams to the front is due whole; else any first token is
 	}
 	listens struct{ run int }
@@ -123,9 +123,9 @@
 func (x *front) start() error {
 	if x.rnd == nil {
 		x.rnd, x.taped = x.f.rnd(1<<20+uint64(x.index)), x.f.o.Audit
-		x.engines, x.ends = map[choice.ServerID]int{}, map[endOf]int{}
+		x.engines, x.ends = map[routing.ServerID]int{}, map[endOf]int{}
 		for i, e := range x.f.engines {
-			id := reg.ServerID(e.name, func(id choice.ServerID) bool { _, taken := x.engines[id]; return taken })
+			id := reg.ServerID(e.name, func(id routing.ServerID) bool { _, taken := x.engines[id]; return taken })
 			x.ids, x.engines[id] = append(x.ids, id), i
 		}
 	}
@@ -136,10 +136,10 @@
 	}
 	x.run++
 	x.up, x.draining, x.next, x.lost = true, false, 0, [2]float64{}
-	x.flights, x.byTry = map[choice.RequestID]*flight{}, map[uint64]*flight{}
+	x.flights, x.byTry = map[routing.RequestID]*flight{}, map[uint64]*flight{}
 	x.record(x.now(), audit.Event{Kind: audit.FrontUp, Front: x.name})
 	if x.known != nil { // the list on disk
-		x.list(news{choice.Cached, slices.Clone(x.known)})
+		x.list(news{routing.Cached, slices.Clone(x.known)})
 	}
 	return nil
 }
@@ -180,7 +180,7 @@
 		}
 	case timer:
 		if m.run == x.run {
-			x.step(choice.Timer{Tag: m.tag})
+			x.step(routing.Timer{Tag: m.tag})
 		}
 	case limit:
 		x.limit(m)
@@ -248,7 +248,7 @@
 }
 
 func (x *front) unsafe(fl *flight) bool {
-	return x.f.cs.Classes[fl.msg.traits.Class].Effect != choice.Safe
+	return x.f.cs.Classes[fl.msg.traits.Class].Effect != routing.Safe
 }
 
 // finish is a flight's final answer.
@@ -300,7 +300,7 @@
 		x.cancelAll(fl)
 	}
 	fl.state = answered
-	x.step(choice.ClientGone{Request: fl.id})
+	x.step(routing.ClientGone{Request: fl.id})
 	x.tidy(fl)
 }
 
@@ -312,8 +312,8 @@
 	}
 }
 
-func (x *front) step(ev choice.Event) {
-	for _, a := range x.d.Step(x.now()+epoch, []choice.Event{ev}) {
+func (x *front) step(ev routing.Event) {
+	for _, a := range x.d.Step(x.now()+epoch, []routing.Event{ev}) {
 		x.act(a)
 	}
 	for _, fl := range x.touched { // not before all actions are carried out: a release may follow the answer
@@ -322,48 +322,48 @@
 	x.touched = x.touched[:0]
 }
 
-func (x *front) act(a choice.Action) {
+func (x *front) act(a routing.Action) {
 	switch a := a.(type) {
-	case choice.Send:
+	case routing.Send:
 		x.launch(a)
-	case choice.Refuse:
+	case routing.Refuse:
 		if fl := x.flights[a.Request]; fl != nil {
 			x.finish(fl, "refused", a.Wait, a.HandUp)
 			x.touched = append(x.touched, fl)
 		}
-	case choice.Fail:
+	case routing.Fail:
 		if fl := x.flights[a.Request]; fl != nil {
 			x.finish(fl, "failed", 0, a.Earlier || x.unsafe(fl))
 			x.touched = append(x.touched, fl)
 		}
-	case choice.Cancel:
+	case routing.Cancel:
 		if fl := x.flights[a.Request]; fl != nil && a.Attempt < len(fl.attempts) {
 			x.callOff(fl, a.Attempt)
 		}
-	case choice.Release:
+	case routing.Release:
 		if fl := x.flights[a.Request]; fl != nil && !fl.writeWaits() {
 			for _, at := range fl.attempts {
 				x.letGo(at)
 			}
 		}
-	case choice.Wake:
+	case routing.Wake:
 		x.later(a.After, timer{x.run, a.Tag})
 	}
 }
 
 // launch starts an attempt.
-func (x *front) launch(a choice.Send) {
+func (x *front) launch(a routing.Send) {
 	fl, picked := x.flights[a.Request], x.engines[a.Server]
 	engine := x.better(fl, picked)
 	e := x.f.engines[engine]
 	n := len(fl.attempts)
-	at := &attempt{engine: engine, picked: picked, write: x.f.cs.Kinds[x.known[engine].kind].Role != choice.Reader, began: x.now(),
+	at := &attempt{engine: engine, picked: picked, write: x.f.cs.Kinds[x.known[engine].kind].Role != routing.Reader, began: x.now(),
 		id: "f" + strconv.Itoa(x.index+1) + "r" + strconv.Itoa(x.run) + "-" + strconv.FormatUint(uint64(fl.id), 16) + "-" + strconv.Itoa(n)}
 	fl.attempts = append(fl.attempts, at)
 	fl.out++
-	if x.known[engine].state != choice.Ready { // told to drain between the decision and the first byte
+	if x.known[engine].state != routing.Ready { // told to drain between the decision and the first byte
 		at.unsent = true
-		x.later(0, deed{x.run, func() { x.over(fl, n, choice.NotSent, false, 0) }})
+		x.later(0, deed{x.run, func() { x.over(fl, n, routing.NotSent, false, 0) }})
 		return
 	}
 	s := sends{front: x.id, run: x.run, request: fl.id, attempt: n, id: at.id, name: x.name, write: at.write, state: stateAt{reader: -1}, work: fl.msg.work}
@@ -373,7 +373,7 @@
 		fl.at = stateAt{reader: -1}
 	}
 	after := x.f.hop(x.rnd)
-	if at.write && x.f.cs.Classes[fl.msg.traits.Class].Effect == choice.Unsafe { // a connection of its own
+	if at.write && x.f.cs.Classes[fl.msg.traits.Class].Effect == routing.Unsafe { // a connection of its own
 		after += 2 * x.f.o.Link
 	}
 	x.send(e.id, after, s)
@@ -391,7 +391,7 @@
 		return
 	}
 	x.cut(fl, m.attempt)
-	x.over(fl, m.attempt, choice.TimedOut, false, 0)
+	x.over(fl, m.attempt, routing.TimedOut, false, 0)
 }
 
 // cut ends an attempt's connection.
@@ -404,7 +404,7 @@
 	if !fl.attempts[n].over && !fl.attempts[n].unsent {
 		fl.attempts[n].off = true
 		x.cut(fl, n)
-		x.later(0, deed{x.run, func() { x.over(fl, n, choice.Cancelled, false, 0) }})
+		x.later(0, deed{x.run, func() { x.over(fl, n, routing.Cancelled, false, 0) }})
 	}
 }
 
@@ -443,7 +443,7 @@
 	}
 	if fl.state != open { // another answer was given
 		x.cut(fl, m.attempt)
-		x.over(fl, m.attempt, choice.Cancelled, false, 0)
+		x.over(fl, m.attempt, routing.Cancelled, false, 0)
 		return
 	}
 	fl.state, fl.owner = streaming, m.attempt
@@ -451,7 +451,7 @@
 	if fl.msg.stream {
 		x.send(x.f.clients.id, x.f.hop(x.rnd), begins{fl.msg.try})
 	}
-	x.step(choice.First{Request: fl.id, Attempt: m.attempt, Server: x.ids[at.picked], Elapsed: x.now() - at.began})
+	x.step(routing.First{Request: fl.id, Attempt: m.attempt, Server: x.ids[at.picked], Elapsed: x.now() - at.began})
 }
 
 func (x *front) ended(m ended) {
@@ -461,7 +461,7 @@
 }
 
 // over is the end of an attempt.
-func (x *front) over(fl *flight, n int, result choice.Result, noState bool, kept float64) {
+func (x *front) over(fl *flight, n int, result routing.Result, noState bool, kept float64) {
 	at := fl.attempts[n]
 	if at.over {
 		return
@@ -473,7 +473,7 @@
 	over := fl.state == streaming && fl.owner == n
 	if over {
 		switch {
-		case result == choice.Served:
+		case result == routing.Served:
 			x.finish(fl, "served", 0, false)
 		case fl.msg.stream:
 			x.finish(fl, "broken", 0, false)
@@ -481,14 +481,14 @@
 			x.finish(fl, "failed", 0, x.unsafe(fl))
 		}
 	}
-	if result == choice.ReadDone {
+	if result == routing.ReadDone {
 		fl.at, fl.read = stateAt{at.engine, at.id}, true
 	}
-	if !at.write && (at.released || result != choice.ReadDone) { // a state that it may have left is known to nobody
+	if !at.write && (at.released || result != routing.ReadDone) { // a state that it may have left is known to nobody
 		at.released = true
 		x.release(at)
 	}
-	x.step(choice.Outcome{Request: fl.id, Attempt: n, Server: x.ids[at.picked], Elapsed: x.now() - at.began, Over: over, Result: result,
+	x.step(routing.Outcome{Request: fl.id, Attempt: n, Server: x.ids[at.picked], Elapsed: x.now() - at.began, Over: over, Result: result,
 		NoState: noState, Kept: kept})
 	x.tidy(fl)
 }
@@ -498,11 +498,11 @@
 	if x.known == nil {
 		x.known = make([]listed, len(x.f.engines))
 	}
-	ev := choice.ServerList{Scope: n.scope}
+	ev := routing.ServerList{Scope: n.scope}
 	for _, l := range n.engines {
 		x.known[l.engine] = l
 		e := x.f.engines[l.engine]
-		s := choice.Server{ID: x.ids[l.engine], Kind: l.kind, Cell: e.cell, State: l.state}
+		s := routing.Server{ID: x.ids[l.engine], Kind: l.kind, Cell: e.cell, State: l.state}
 		if l.started > 0 {
 			s.ReadyAt = epoch + l.started
 		}
--- a/internal/lab/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -4,9 +4,9 @@
 	"errors"
 	"slices"
 
-	"brackenbend/choice"
-	"brackenbend/internal/lab/scene"
-	"brackenbend/internal/standin/model"
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/routing"
 )
 
 // Oracles give fronts what no front can know, each of them one thing, so that what is lost for want of it can be counted.
@@ -31,7 +31,7 @@
 }
 
 // settings are what the module is told where oracles take its care away.
-func (o Oracles) settings(s *choice.Settings) {
+func (o Oracles) settings(s *routing.Settings) {
 	if o.Cold {
 		s.ColdFor = 0
 	}
@@ -57,25 +57,25 @@
 	role := x.f.cs.Kinds[x.known[picked].kind].Role
 	p := x.f.engines[picked]
 	cold := p.m.Present() < 1
-	if !o.any() || role == choice.Mixed || !p.sound() || role == choice.Writer && x.unsafe(fl) && x.wrote(fl) {
+	if !o.any() || role == routing.Mixed || !p.sound() || role == routing.Writer && x.unsafe(fl) && x.wrote(fl) {
 		return picked
 	}
-	if cold && !o.Cold || !cold && (role == choice.Reader && !o.Reads || role == choice.Writer && !o.Writes) {
+	if cold && !o.Cold || !cold && (role == routing.Reader && !o.Reads || role == routing.Writer && !o.Writes) {
 		return picked
 	}
 	w := &fl.msg.work
-	j := &model.Job{Prompt: w.prompt, Prefix: w.prefix, PrefixLen: w.prefixLen, Session: w.session, Out: w.out, ReadOnly: role == choice.Reader}
-	if role == choice.Writer && fl.at.reader >= 0 {
+	j := &enginemodel.Job{Prompt: w.prompt, Prefix: w.prefix, PrefixLen: w.prefixLen, Session: w.session, Out: w.out, ReadOnly: role == routing.Reader}
+	if role == routing.Writer && fl.at.reader >= 0 {
 		j.FetchState = max(j.Prompt, 1)
 	}
 	best, least := picked, 0.0
 	for i, l := range x.known {
 		e := x.f.engines[i]
-		if l.state != choice.Ready || x.f.cs.Kinds[l.kind].Role != role || !e.sound() || e.m.Present() < 1 && !o.Cold || e.m.Near(j, coldMost) {
+		if l.state != routing.Ready || x.f.cs.Kinds[l.kind].Role != role || !e.sound() || e.m.Present() < 1 && !o.Cold || e.m.Near(j, coldMost) {
 			continue
 		}
 		cost := float64(e.m.Working()+e.coming.streams+1) / e.m.Present()
-		if role == choice.Reader {
+		if role == routing.Reader {
 			cost = (e.m.Ahead(j) + e.coming.seconds) / e.m.Present()
 		}
 		if least == 0 || cost < least || cost == least && i == picked {
@@ -83,7 +83,7 @@
 		}
 	}
 	e := x.f.engines[best]
-	own := e.m.Ahead(j) - e.m.Ahead(&model.Job{FetchState: 1, ReadOnly: true})
+	own := e.m.Ahead(j) - e.m.Ahead(&enginemodel.Job{FetchState: 1, ReadOnly: true})
 	e.coming.seconds += own
 	e.coming.streams++
 	e.later(2*x.f.o.Link, arrived{own})
@@ -104,13 +104,13 @@
 // wrote tells whether an attempt of a flight went to a writer.
 func (x *front) wrote(fl *flight) bool {
 	return slices.ContainsFunc(fl.attempts, func(a *attempt) bool {
-		return x.f.cs.Kinds[x.known[a.engine].kind].Role == choice.Writer
+		return x.f.cs.Kinds[x.known[a.engine].kind].Role == routing.Writer
 	})
 }
 
 // tellsHarm tells whether the health oracle takes the engines of a happening off the list: where they do harm, and others
 // of their kind are left.
-func (r *register) tellsHarm(h *scene.Happening, struck int) bool {
+func (r *register) tellsHarm(h *scenario.Happening, struck int) bool {
 	if !r.f.o.Oracles.Health {
 		return false
 	}
--- a/internal/lab/fleet/oracle_test.go
+++ b/internal/simulation/fleet/oracle_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // small is a day of 12 fronts at 9 engines, whose shared beginnings crowd some readers.
@@ -18,9 +18,9 @@
   <class name="order" effect="unsafe" share="0.3" aim="800ms" deadline="8s" worth="2" late-worth="0.3" prompt="1200tokens" answer="40tokens"/>
   `
 
-func smallDay(t *testing.T, happens string) *scene.Day {
+func smallDay(t *testing.T, happens string) *scenario.Day {
 	t.Helper()
-	d, err := scene.Parse("small.xml", []byte(small+happens+"</day>"))
+	d, err := scenario.Parse("small.xml", []byte(small+happens+"</day>"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fleet/register.go
+++ b/internal/simulation/fleet/register.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"brackenbend/choice"
 	"brackenbend/internal/audit"
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/scenario"
 	"brackenbend/roles"
+	"brackenbend/routing"
 )
 
 // register lists the engines to the fronts, and carries out what the day's script does to engines and fronts: it is the
@@ -44,13 +44,13 @@
 type (
 	// news is a list: of one engine (Changes), or of all.
 	news struct {
-		scope   choice.ListScope
+		scope   routing.ListScope
 		engines []listed
 	}
 	listed struct {
 		engine  int
 		kind    int
-		state   choice.State
+		state   routing.State
 		started time.Duration
 	}
 	// harm changes what is wrong with an engine.
@@ -93,10 +93,10 @@
 		r.tell(i)
 	}
 	hs := slices.Clone(r.f.d.Happens)
-	slices.SortStableFunc(hs, func(a, b scene.Happening) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(hs, func(a, b scenario.Happening) int { return cmp.Compare(a.At, b.At) })
 	for i := range hs {
 		h := &hs[i]
-		calm := scene.Calm()
+		calm := scenario.Calm()
 		if calm.Change(h) != nil { // the clients' own
 			continue
 		}
@@ -131,8 +131,8 @@
 	out := listed{i, r.f.set.KindIndex(e.kind.Name), r.state(i), l.started}
 	if b, ok := r.book.Entries[e.name]; ok {
 		out.kind = r.kinds[b.Role]
-		if out.state == choice.Ready && !b.Open {
-			out.state = choice.Draining
+		if out.state == routing.Ready && !b.Open {
+			out.state = routing.Draining
 		}
 		if b.Began > 0 {
 			out.started = max(out.started, b.Began-epoch)
@@ -141,14 +141,14 @@
 	return out
 }
 
-func (r *register) state(i int) choice.State {
+func (r *register) state(i int) routing.State {
 	switch l := &r.lines[i]; {
 	case l.unlisted || !l.up:
-		return choice.Gone
+		return routing.Gone
 	case l.draining || l.harmful:
-		return choice.Draining
+		return routing.Draining
 	}
-	return choice.Ready
+	return routing.Ready
 }
 
 // changed tells every front of one engine.
@@ -156,7 +156,7 @@
 	if r.cut {
 		return
 	}
-	n := news{choice.Changes, []listed{r.listed(engine)}}
+	n := news{routing.Changes, []listed{r.listed(engine)}}
 	for i := range r.f.fronts {
 		if !r.down[i] {
 			r.give(i, n)
@@ -169,7 +169,7 @@
 	if r.cut || r.down[front] {
 		return
 	}
-	n := news{scope: choice.Full}
+	n := news{scope: routing.Full}
 	for i := range r.lines {
 		n.engines = append(n.engines, r.listed(i))
 	}
@@ -183,7 +183,7 @@
 	heard := r.wrote[front] + r.f.hop(r.links)
 	heard = max(heard, r.heard[front])
 	for _, l := range n.engines { // drains count once they were heard, readiness from when it was written
-		if l.state == choice.Ready {
+		if l.state == routing.Ready {
 			r.record(r.wrote[front], audit.Event{Kind: audit.ToldReady, Front: x.name, Engine: r.f.engines[l.engine].name})
 		} else {
 			r.record(heard, audit.Event{Kind: audit.Told, Front: x.name, Engine: r.f.engines[l.engine].name})
@@ -194,18 +194,18 @@
 }
 
 // pick draws engines for a happening as a day on sockets does.
-func (r *register) pick(h *scene.Happening) []int {
+func (r *register) pick(h *scenario.Happening) []int {
 	var all []int
 	for i, e := range r.f.engines {
 		if l := &r.lines[i]; (h.Kind == "" || e.kind.Name == h.Kind) && l.up && l.faulty == 0 && !l.draining {
 			all = append(all, i)
 		}
 	}
-	return scene.Draw(h, r.rnd, all)
+	return scenario.Draw(h, r.rnd, all)
 }
 
 // strike begins a happening and gives what ends it.
-func (r *register) strike(h *scene.Happening) (undo func()) {
+func (r *register) strike(h *scenario.Happening) (undo func()) {
 	switch h.What {
 	case "front-kill", "front-stop":
 		return r.fronts(h)
@@ -257,7 +257,7 @@
 	}
 }
 
-func (r *register) harm(i int, h *scene.Happening, on bool) {
+func (r *register) harm(i int, h *scenario.Happening, on bool) {
 	l := &r.lines[i]
 	switch h.What {
 	case "drain":
@@ -293,13 +293,13 @@
 		l.unlisted = false
 	default:
 		l.unlisted = !l.unlisted
-		r.later(scene.FlapEvery, strike{func() { r.flap(i, of) }})
+		r.later(scenario.FlapEvery, strike{func() { r.flap(i, of) }})
 	}
 	r.changed(i)
 }
 
 // fronts kills or stops some.
-func (r *register) fronts(h *scene.Happening) func() {
+func (r *register) fronts(h *scenario.Happening) func() {
 	var picked []int
 	for _, i := range r.rnd.Perm(len(r.f.fronts)) {
 		if !r.down[i] && len(picked) < max(h.Count, 1) {
--- a/internal/lab/fleet/roles.go
+++ b/internal/simulation/fleet/roles.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"brackenbend/internal/fake/enginemodel"
 	"brackenbend/internal/planner"
-	"brackenbend/internal/standin/model"
 	"brackenbend/roles"
 )
 
@@ -127,7 +127,7 @@
 		e.par = was
 	}
 	w := e.m.Work()
-	e.m = model.New(e.par, e.now(), true)
+	e.m = enginemodel.New(e.par, e.now(), true)
 	e.m.Resume(w)
 }
 
--- a/internal/lab/forecast/forecast.go
+++ b/internal/simulation/forecast/forecast.go
@@ -15,9 +15,9 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"brackenbend/internal/lab/batch"
-	"brackenbend/internal/lab/fleet"
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/replication"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Model is how far real runs were off from the mean of simulated ones: a standard deviation of Floor, and of Part of what
@@ -46,13 +46,13 @@
 func (f *Forecast) Holds(service float64) bool { return service >= f.Low && service <= f.High }
 
 // Predict plays a day so many times.
-func Predict(name string, d *scene.Day, runs, atOnce int, level float64, m Model) (*Forecast, error) {
+func Predict(name string, d *scenario.Day, runs, atOnce int, level float64, m Model) (*Forecast, error) {
 	if runs < 3 {
 		return nil, errors.New("forecast: 3 runs at least are needed for error bars")
 	}
 	f := &Forecast{Day: name, Level: level, Services: make([]float64, runs)}
 	worst, breaches := make([]float64, runs), make([]int, runs)
-	err := batch.Each(runs, atOnce, func(i int) error {
+	err := replication.Each(runs, atOnce, func(i int) error {
 		r, err := fleet.Run(d, fleet.Options{Seed: uint64(i) + 1, Audit: true})
 		if err != nil {
 			return err
@@ -118,13 +118,13 @@
 // Side is one of two fleets to compare. Days must agree on clients and length.
 type Side struct {
 	Name string
-	Day  *scene.Day
+	Day  *scenario.Day
 	Make func(seed uint64) fleet.Options
 	// Play plays a course in place of fleet.Run with Make's options, as by another version of the program.
-	Play func(d *scene.Day, seed uint64) (*Summary, error)
+	Play func(d *scenario.Day, seed uint64) (*Summary, error)
 }
 
-func (s *Side) play(d *scene.Day, seed uint64) (*Summary, error) {
+func (s *Side) play(d *scenario.Day, seed uint64) (*Summary, error) {
 	if s.Play != nil {
 		return s.Play(d, seed)
 	}
@@ -137,14 +137,14 @@
 
 // Summary is what a comparison needs of one course.
 type Summary struct {
-	Service  float64        `json:"service"`
-	Worst    float64        `json:"worst_10s"`
-	Requests int            `json:"requests"`
-	Refused  int            `json:"refused"`
-	Attempts int            `json:"attempts"`
-	Moved    float64        `json:"state_tokens"`
-	Breaches int            `json:"breaches"`
-	Course   []scene.Second `json:"course"`
+	Service  float64           `json:"service"`
+	Worst    float64           `json:"worst_10s"`
+	Requests int               `json:"requests"`
+	Refused  int               `json:"refused"`
+	Attempts int               `json:"attempts"`
+	Moved    float64           `json:"state_tokens"`
+	Breaches int               `json:"breaches"`
+	Course   []scenario.Second `json:"course"`
 }
 
 // Sum sums a course up.
@@ -190,7 +190,7 @@
 	Heaps    bool       `json:"two_heaps"` // differences fall into two heaps: the mean says little
 	Verdict  Verdict    `json:"verdict"`
 
-	Courses [2][]scene.Second `json:"-"` // summed up over all courses
+	Courses [2][]scenario.Second `json:"-"` // summed up over all courses
 }
 
 // Rules of a comparison.
@@ -217,7 +217,7 @@
 	for c.Looks = 1; c.Looks <= looks; c.Looks++ {
 		more := min(r.Batch, r.Most-n)
 		results := make([][2]*Summary, more)
-		err := batch.Each(2*more, r.AtOnce, func(i int) error {
+		err := replication.Each(2*more, r.AtOnce, func(i int) error {
 			side := []Side{a, b}[i%2]
 			seed := uint64(n + i/2 + 1)
 			res, err := side.play(side.Day.Course(int(seed)), seed)
@@ -256,7 +256,7 @@
 	c.Breaches[k] += s.Breaches
 	for i, x := range s.Course {
 		if i == len(c.Courses[k]) {
-			c.Courses[k] = append(c.Courses[k], scene.Second{})
+			c.Courses[k] = append(c.Courses[k], scenario.Second{})
 		}
 		c.Courses[k][i].Worth += x.Worth
 		c.Courses[k][i].Asked += x.Asked
--- a/internal/lab/forecast/forecast_test.go
+++ b/internal/simulation/forecast/forecast_test.go
@@ -6,16 +6,16 @@
 	"strings"
 	"testing"
 
-	"brackenbend/choice"
-	"brackenbend/internal/lab/baseline"
-	"brackenbend/internal/lab/fleet"
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/baseline"
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/routing"
 )
 
 // small is a quick day in which engines die.
-func small(t *testing.T, rate string) *scene.Day {
+func small(t *testing.T, rate string) *scenario.Day {
 	t.Helper()
-	d, err := scene.Parse("x.xml", []byte(strings.Replace(`<day length="6s" rate="RATE" fronts="2" seed="3">
+	d, err := scenario.Parse("x.xml", []byte(strings.Replace(`<day length="6s" rate="RATE" fronts="2" seed="3">
   <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s" overload-factor="4" tip-after="2s" cancel="true"/>
   <engines kind="r" role="reader" count="2" slots="4" queue="8" memory="100000tokens" read-rate="20000/s"/>
   <engines kind="w" role="writer" count="3" slots="8" queue="8" memory="100000tokens" read-rate="5000/s" step="10ms" fetch-rate="250000/s"/>
@@ -27,11 +27,11 @@
 	return d
 }
 
-func side(name string, d *scene.Day, way baseline.Way) Side {
+func side(name string, d *scenario.Day, way baseline.Way) Side {
 	return Side{Name: name, Day: d, Make: func(seed uint64) fleet.Options {
 		o := fleet.Options{Seed: seed}
 		if way != "" {
-			o.Decider = func(s choice.Settings, seed uint64) (fleet.Decider, error) { return baseline.New(way, s, seed) }
+			o.Decider = func(s routing.Settings, seed uint64) (fleet.Decider, error) { return baseline.New(way, s, seed) }
 		}
 		return o
 	}}
--- a/internal/lab/forecast/report.go
+++ b/internal/simulation/forecast/report.go
@@ -9,8 +9,8 @@
 	"slices"
 	"text/tabwriter"
 
-	"brackenbend/internal/lab/chart"
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/chart"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // row is one line of a comparison.
@@ -92,7 +92,7 @@
 	return err
 }
 
-func course(s []scene.Second) []float64 {
+func course(s []scenario.Second) []float64 {
 	out := make([]float64, len(s))
 	for i, v := range s {
 		out[i] = math.NaN()
--- a/internal/lab/overload/overload.go
+++ b/internal/simulation/overload/overload.go
@@ -14,38 +14,38 @@
 	"gonum.org/v1/gonum/stat"
 
 	"brackenbend/internal/config"
-	"brackenbend/internal/lab/batch"
-	"brackenbend/internal/lab/fleet"
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/replication"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Loop is a way in which overload feeds itself, and what cuts it.
 type Loop struct {
 	Name string
-	cut  func(d *scene.Day, o *fleet.Options)
+	cut  func(d *scenario.Day, o *fleet.Options)
 }
 
 // Loops are those that can be cut from outside the module.
 var Loops = []Loop{
-	{"as it is", func(*scene.Day, *fleet.Options) {}},
-	{"no retries by clients", func(d *scene.Day, _ *fleet.Options) {
+	{"as it is", func(*scenario.Day, *fleet.Options) {}},
+	{"no retries by clients", func(d *scenario.Day, _ *fleet.Options) {
 		s := *d.Service
 		s.Retries = 0
 		d.Service = &s
 	}},
-	{"one attempt a request", func(d *scene.Day, _ *fleet.Options) { // a read and a write
+	{"one attempt a request", func(d *scenario.Day, _ *fleet.Options) { // a read and a write
 		s := *d.Service
 		s.MaxAttempts = 2
 		d.Service = &s
 	}},
-	{"no refusing or calling off", func(_ *scene.Day, o *fleet.Options) { o.Oracles.Refuses = true }},
-	{"no time-outs at sound engines", func(_ *scene.Day, o *fleet.Options) { o.Oracles.Waits = true }},
-	{"readers known to all fronts", func(_ *scene.Day, o *fleet.Options) { o.Oracles.Reads = true }},
+	{"no refusing or calling off", func(_ *scenario.Day, o *fleet.Options) { o.Oracles.Refuses = true }},
+	{"no time-outs at sound engines", func(_ *scenario.Day, o *fleet.Options) { o.Oracles.Waits = true }},
+	{"readers known to all fronts", func(_ *scenario.Day, o *fleet.Options) { o.Oracles.Reads = true }},
 }
 
 // Plan says what is played.
 type Plan struct {
-	Day    *scene.Day
+	Day    *scenario.Day
 	Base   float64   // part of the day's rate before and after; 0 = 1
 	Loads  []float64 // times the day's rate, while it is overloaded
 	Before time.Duration
@@ -86,7 +86,7 @@
 	for i := range courses {
 		courses[i] = make([]course, p.Runs)
 	}
-	err := batch.Each(len(points)*p.Runs, p.AtOnce, func(n int) (err error) {
+	err := replication.Each(len(points)*p.Runs, p.AtOnce, func(n int) (err error) {
 		i, run := n/p.Runs, n%p.Runs
 		courses[i][run], err = p.play(p.Loops[i/len(p.Loads)], p.Loads[i%len(p.Loads)], run)
 		return err
@@ -111,7 +111,7 @@
 	d := p.Day.Course(run + 1)
 	d.Length = p.Before + p.For + p.After
 	from, to := p.Before, p.Before+p.For
-	d.Happens = append(slices.Clone(d.Happens), scene.Happening{At: from, For: p.For, What: "surge", Factor: load / p.Base})
+	d.Happens = append(slices.Clone(d.Happens), scenario.Happening{At: from, For: p.For, What: "surge", Factor: load / p.Base})
 	d.Rate *= config.Rate(p.Base)
 	o := fleet.Options{}
 	if p.Make != nil {
--- a/internal/lab/overload/overload_test.go
+++ b/internal/simulation/overload/overload_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"brackenbend/internal/lab/fleet"
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/scenario"
 )
 
-func day(t *testing.T, happens string) *scene.Day {
+func day(t *testing.T, happens string) *scenario.Day {
 	t.Helper()
-	d, err := scene.Parse("day.xml", []byte(`<day length="30s" rate="90/s" fronts="8" seed="3">
+	d, err := scenario.Parse("day.xml", []byte(`<day length="30s" rate="90/s" fronts="8" seed="3">
   <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s" overload-factor="4"
     tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
   <engines kind="prefill" role="reader" count="4" slots="8" queue="40" memory="250000tokens" read-rate="20000/s"/>
@@ -27,7 +27,7 @@
 	return d
 }
 
-func plan(d *scene.Day, loads ...float64) Plan {
+func plan(d *scenario.Day, loads ...float64) Plan {
 	return Plan{Day: d, Loads: loads, Before: 5 * time.Second, For: 8 * time.Second, After: 10 * time.Second, Runs: 2, AtOnce: 2}
 }
 
--- a/internal/lab/batch/batch.go
+++ b/internal/simulation/replication/replication.go
@@ -1,5 +1,5 @@
-// Package batch plays many courses side by side, a few at once.
-package batch
+// Package replication plays many courses side by side, a few at once.
+package replication
 
 import (
 	"errors"
--- a/internal/lab/batch/batch_test.go
+++ b/internal/simulation/replication/replication_test.go
@@ -1,4 +1,4 @@
-package batch
+package replication
 
 import (
 	"errors"
--- a/internal/lab/rolesim/compare.go
+++ b/internal/simulation/rolesim/compare.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"brackenbend/internal/lab/chart"
+	"brackenbend/internal/simulation/chart"
 	"brackenbend/roles"
 )
 
--- a/internal/lab/scene/replay.go
+++ b/internal/simulation/scenario/replay.go
@@ -1,4 +1,4 @@
-package scene
+package scenario
 
 import (
 	"cmp"
--- a/internal/lab/scene/scene.go
+++ b/internal/simulation/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package scene is what a scripted day says: the fleet, its clients, and the list of things that go wrong. It reads and
+// Package scenario is what a scripted day says: the fleet, its clients, and the list of things that go wrong. It reads and
 // checks day files, makes fronts' settings of them, draws what clients do and scores what comes of it. It plays nothing:
 // internal/day plays it on sockets, internal/lab/fleet in simulated time, both with the same draws.
-package scene
+package scenario
 
 import (
 	"bytes"
--- a/internal/lab/scene/scene_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package scene
+package scenario
 
 import (
 	"math"
@@ -20,7 +20,7 @@
 
 // TestHappeningsAsTheyWere: each day file, written again from what was read, reads the same.
 func TestHappeningsAsTheyWere(t *testing.T) {
-	files, err := filepath.Glob("../../../days/*.xml")
+	files, err := filepath.Glob("../../../scenarios/*.xml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
--- a/internal/lab/scene/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -1,4 +1,4 @@
-package scene
+package scenario
 
 import (
 	"encoding/xml"
@@ -7,7 +7,7 @@
 	"time"
 
 	"brackenbend/internal/config"
-	"brackenbend/internal/standin/model"
+	"brackenbend/internal/fake/enginemodel"
 	"brackenbend/roles"
 )
 
@@ -15,9 +15,9 @@
 const KindBoth = "both-for-need"
 
 // Params are an engine's of a kind.
-func (d *Day) Params(k *Kind) model.Params {
+func (d *Day) Params(k *Kind) enginemodel.Params {
 	s := d.Service
-	return model.Params{Reads: k.Role != "writer" || s.WritersRead, Writes: k.Role != "reader", Slots: k.Slots, Queue: k.Queue,
+	return enginemodel.Params{Reads: k.Role != "writer" || s.WritersRead, Writes: k.Role != "reader", Slots: k.Slots, Queue: k.Queue,
 		Memory: float64(k.Memory), ReadRate: max(float64(k.ReadRate), 1), Chunk: 512, Step: k.Step, StepStream: k.PerStream,
 		FetchRate: max(float64(k.FetchRate), 1), Kept: float64(k.Memory) / 2, ColdFrom: s.ColdFrom, ColdFor: s.ColdFor,
 		Overload: s.Overload, TipAfter: s.TipAfter, StateLife: 30 * time.Second}
@@ -71,14 +71,14 @@
 }
 
 // Shifting is what engines that change role are in each of them, and the kind that they are listed as; nil where none do.
-func (d *Day) Shifting() (params map[roles.Role]model.Params, kinds map[roles.Role]string) {
+func (d *Day) Shifting() (params map[roles.Role]enginemodel.Params, kinds map[roles.Role]string) {
 	for i := range d.Kinds {
 		k := &d.Kinds[i]
 		if !k.Shifts {
 			continue
 		}
 		if kinds == nil {
-			params, kinds = map[roles.Role]model.Params{}, map[roles.Role]string{roles.Both: KindBoth}
+			params, kinds = map[roles.Role]enginemodel.Params{}, map[roles.Role]string{roles.Both: KindBoth}
 		}
 		role, p := k.Serves(), d.Params(k)
 		if role == roles.Writer {
--- a/internal/lab/trace/fit.go
+++ b/internal/simulation/trace/fit.go
@@ -11,7 +11,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Fitted is a synthetic day's clients as a recording shows them, with how well they fit.
@@ -153,15 +153,15 @@
 }
 
 // Recorded makes requests of a trace what a day replays; classes and tenants go by name.
-func (t *Trace) Recorded(d *scene.Day) ([]scene.Recorded, error) {
-	out := make([]scene.Recorded, 0, len(t.Requests))
+func (t *Trace) Recorded(d *scenario.Day) ([]scenario.Recorded, error) {
+	out := make([]scenario.Recorded, 0, len(t.Requests))
 	for i, q := range t.Requests {
-		r := scene.Recorded{At: q.At, Tenant: -1, Session: q.Session, Prefix: q.Prefix, Prompt: q.Prompt, PrefixLen: min(q.PrefixLen, q.Prompt), Out: q.Out, Stream: q.Stream}
-		if r.Class = slices.IndexFunc(d.Classes, func(c scene.Class) bool { return c.Name == q.Class }); r.Class < 0 {
+		r := scenario.Recorded{At: q.At, Tenant: -1, Session: q.Session, Prefix: q.Prefix, Prompt: q.Prompt, PrefixLen: min(q.PrefixLen, q.Prompt), Out: q.Out, Stream: q.Stream}
+		if r.Class = slices.IndexFunc(d.Classes, func(c scenario.Class) bool { return c.Name == q.Class }); r.Class < 0 {
 			return nil, fmt.Errorf("trace: request %d is of the class %q, the day has no such <class>", i+1, q.Class)
 		}
 		if len(d.Tenants) > 0 {
-			if r.Tenant = slices.IndexFunc(d.Tenants, func(x scene.Tenant) bool { return x.Name == q.Tenant }); r.Tenant < 0 {
+			if r.Tenant = slices.IndexFunc(d.Tenants, func(x scenario.Tenant) bool { return x.Name == q.Tenant }); r.Tenant < 0 {
 				return nil, fmt.Errorf("trace: request %d is of the tenant %q, the day has no such <tenant>", i+1, q.Tenant)
 			}
 		}
--- a/internal/lab/trace/trace_test.go
+++ b/internal/simulation/trace/trace_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"brackenbend/internal/lab/fleet"
-	"brackenbend/internal/lab/scene"
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/scenario"
 )
 
 var begin = time.Date(2026, 11, 2, 6, 0, 0, 0, time.UTC)
@@ -176,9 +176,9 @@
   <class name="b" effect="unsafe" share="0.4" aim="1s" deadline="5s" prompt="500tokens" answer="15tokens" not-streamed-part="0.5"/></day>`
 
 // recordedHouse is what a front would have recorded of the house's own clients.
-func recordedHouse(t *testing.T) (*scene.Day, *Trace) {
+func recordedHouse(t *testing.T) (*scenario.Day, *Trace) {
 	t.Helper()
-	d, err := scene.Parse("house.xml", []byte(house))
+	d, err := scenario.Parse("house.xml", []byte(house))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 		t.Fatal(err)
 	}
 	var all []Request
-	a, calm, now := d.Arrivals(), scene.Calm(), time.Duration(0)
+	a, calm, now := d.Arrivals(), scenario.Calm(), time.Duration(0)
 	for now < d.Length {
 		now += a.Gap(&calm)
 		s := a.Next(&calm)
@@ -267,7 +267,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	count := func(list []scene.Recorded) int {
+	count := func(list []scenario.Recorded) int {
 		r, err := fleet.Run(d, fleet.Options{Traffic: list, Audit: true})
 		if err != nil {
 			t.Fatal(err)
@@ -293,12 +293,12 @@
 	if n := count(list); n != within {
 		t.Errorf("%d requests were played, %d recorded in the day's time", n, within)
 	}
-	three := scene.Blend(1, [][]scene.Recorded{list}, []float64{3})
+	three := scenario.Blend(1, [][]scenario.Recorded{list}, []float64{3})
 	d.Length = three[len(three)-1].At
 	if n := count(three); n != 3*len(list) {
 		t.Errorf("three times: %d of %d", n, 3*len(list))
 	}
-	half := scene.Blend(1, [][]scene.Recorded{list, list}, []float64{1, 0.5})
+	half := scenario.Blend(1, [][]scenario.Recorded{list, list}, []float64{1, 0.5})
 	if n := float64(len(half)) / float64(len(list)); n < 1.4 || n > 1.6 {
 		t.Errorf("one and a half: %v", n)
 	}
--- a/internal/obs/obs.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package obs makes the front's logger and metrics. What is measured is named here once; labels come from the
+// Package telemetry makes the front's logger and metrics. What is measured is named here once; labels come from the
 // settings (classes) or are fixed words, so their number is bounded.
-package obs
+package telemetry
 
 import (
 	"fmt"
--- a/choice/admission.go
+++ b/routing/admission.go
@@ -1,4 +1,4 @@
-package choice
+package routing
 
 import (
 	"cmp"
--- a/choice/order_test.go
+++ b/routing/order_test.go
@@ -1,4 +1,4 @@
-package choice
+package routing
 
 import (
 	"container/heap"
@@ -237,7 +237,7 @@
 // name of a type or field, so a digest that differs is a decision that differs: a change that is not meant to change decisions must
 // never write the file anew. One that does mean to uses -update.
 func TestRecordedOrders(t *testing.T) {
-	const file = "../routing/testdata/orders.txt"
+	const file = "testdata/orders.txt"
 	if *update {
 		var b strings.Builder
 		for _, c := range storms() {
--- a/choice/reason.go
+++ b/routing/reason.go
@@ -1,4 +1,4 @@
-package choice
+package routing
 
 // Reason tells why a request was given up. It is for logs and metrics; nothing is decided by it.
 type Reason uint8
--- a/choice/choice.go
+++ b/routing/router.go
@@ -1,9 +1,9 @@
-// Package choice decides for one front of a service with separate readers (prefill) and writers (decode):
+// Package routing decides for one front of a service with separate readers (prefill) and writers (decode):
 // where a request is read and answered, when it is held, repeated or given up. Interface: api.go; what is
 // remembered: state.go. The decisions: here the step, attempts and final answers; in admission.go what is
 // held, released and refused; in placing.go where a request is read and written; in room.go caps, memory and
 // cold budgets; in health.go the list of servers and which of them are put aside.
-package choice
+package routing
 
 import (
 	"cmp"
