--- a/cmd/brackenbend/broken_test.go
+++ b/cmd/brackenbend/broken_test.go
@@ -22,23 +22,23 @@
 // calls off only what belongs to a request that has its answer.
 var broken = map[string]struct {
 	rule int
-	seam gateway.Seam
+	seam gateway.TestHooks
 }{
-	"reset is never ran":                 {1, gateway.Seam{Outcome: misread(routing.Reset, routing.ConnectFailed)}},
-	"error is never ran":                 {1, gateway.Seam{Outcome: misread(routing.Errored, routing.Turned)}},
-	"time-out is never sent":             {1, gateway.Seam{Outcome: misread(routing.TimedOut, routing.NotSent)}},
-	"a stream's early end is served":     {0, gateway.Seam{Outcome: misread(routing.Reset, routing.Served)}},
-	"deaf to drains":                     {2, gateway.Seam{List: deaf}},
-	"repeats unsafe requests":            {1, gateway.Seam{Settings: unsafeIsSafe}},
-	"runs its clients' repeats":          {1, gateway.Seam{Request: func(q *routing.Request) { q.Doubtful = false }}},
-	"loses the key":                      {1, gateway.Seam{Key: func(string) string { return "" }}},
-	"refuses what may have run":          {1, gateway.Seam{Action: failIsRefuse}},
-	"answers late":                       {0, gateway.Seam{Wait: func(d time.Duration) time.Duration { return d + 3*time.Second }}},
-	"answers twice":                      {0, gateway.Seam{Answer: twice}},
-	"loses one answer in eight":          {0, gateway.Seam{Answer: oneInEight[[]byte](nil)}},
-	"forgets one release in eight":       {4, gateway.Seam{Action: forgetful}},
-	"takes cold engines for warm":        {3, gateway.Seam{Settings: func(s *routing.Settings) { s.ColdFor = 0 }}},
-	"sends on to engines that were shut": {2, gateway.Seam{List: deaf, Gate: (*engine.Server).Open}},
+	"reset is never ran":                 {1, gateway.TestHooks{Outcome: misread(routing.ConnectionReset, routing.ConnectFailed)}},
+	"error is never ran":                 {1, gateway.TestHooks{Outcome: misread(routing.EngineError, routing.Rejected)}},
+	"time-out is never sent":             {1, gateway.TestHooks{Outcome: misread(routing.TimedOut, routing.NotSent)}},
+	"a stream's early end is served":     {0, gateway.TestHooks{Outcome: misread(routing.ConnectionReset, routing.Served)}},
+	"deaf to drains":                     {2, gateway.TestHooks{List: deaf}},
+	"repeats unsafe requests":            {1, gateway.TestHooks{Settings: unsafeIsSafe}},
+	"runs its clients' repeats":          {1, gateway.TestHooks{Request: func(q *routing.Request) { q.PossibleDuplicate = false }}},
+	"loses the key":                      {1, gateway.TestHooks{Key: func(string) string { return "" }}},
+	"refuses what may have run":          {1, gateway.TestHooks{Action: failIsRefuse}},
+	"answers late":                       {0, gateway.TestHooks{Wait: func(d time.Duration) time.Duration { return d + 3*time.Second }}},
+	"answers twice":                      {0, gateway.TestHooks{Answer: twice}},
+	"loses one answer in eight":          {0, gateway.TestHooks{Answer: oneInEight[[]byte](nil)}},
+	"forgets one release in eight":       {4, gateway.TestHooks{Action: forgetful}},
+	"takes cold engines for warm":        {3, gateway.TestHooks{Settings: func(s *routing.Config) { s.SlowStartFor = 0 }}},
+	"sends on to engines that were shut": {2, gateway.TestHooks{List: deaf, Gate: (*engine.Endpoint).Open}},
 }
 
 func misread(from, to routing.Result) func(bool, *engine.Outcome) {
@@ -50,25 +50,25 @@
 }
 
 func deaf(u *endpointslice.Update) {
-	u.Engines = slices.Clone(u.Engines)
-	for i := range u.Engines {
-		if u.Engines[i].State == routing.Draining {
-			u.Engines[i].State = routing.Ready
+	u.Endpoints = slices.Clone(u.Endpoints)
+	for i := range u.Endpoints {
+		if u.Endpoints[i].State == routing.EndpointDraining {
+			u.Endpoints[i].State = routing.EndpointReady
 		}
 	}
 }
 
-func unsafeIsSafe(s *routing.Settings) {
+func unsafeIsSafe(s *routing.Config) {
 	for i := range s.Classes {
-		if s.Classes[i].Effect == routing.Unsafe {
-			s.Classes[i].Effect = routing.Safe
+		if s.Classes[i].Idempotency == routing.NotIdempotent {
+			s.Classes[i].Idempotency = routing.Idempotent
 		}
 	}
 }
 
 func failIsRefuse(a routing.Action) []routing.Action {
-	if f, ok := a.(routing.Fail); ok && !f.Earlier {
-		return []routing.Action{routing.Refuse{Request: f.Request, Wait: 200 * time.Millisecond}}
+	if f, ok := a.(routing.Fail); ok && !f.PossibleDuplicate {
+		return []routing.Action{routing.Reject{Request: f.Request, RetryAfter: 200 * time.Millisecond}}
 	}
 	return []routing.Action{a}
 }
@@ -90,7 +90,7 @@
 var eighthAction = oneInEight[routing.Action](nil)
 
 func forgetful(a routing.Action) []routing.Action {
-	if _, ok := a.(routing.Release); ok && eighthAction(a) == nil {
+	if _, ok := a.(routing.ReleaseState); ok && eighthAction(a) == nil {
 		return nil
 	}
 	return []routing.Action{a}
--- a/cmd/brackenbend/check.go
+++ b/cmd/brackenbend/check.go
@@ -22,7 +22,7 @@
 			if err != nil {
 				return configError(err)
 			}
-			if err := set.Choice().Validate(); err != nil {
+			if err := set.RoutingConfig().Validate(); err != nil {
 				return coded{fmt.Errorf("%s: %w", args[0], err), exitConfig}
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: in order: %d classes, %d tenants, %d kinds of engine, %d models\n", args[0],
--- a/cmd/brackenbend/lab.go
+++ b/cmd/brackenbend/lab.go
@@ -20,7 +20,7 @@
 
 func labRolesCommand() *cobra.Command {
 	engines, seeds := 16, 3
-	var set roles.Settings
+	var set roles.Config
 	var plots string
 	cmd := &cobra.Command{
 		Use:   "roles",
@@ -53,8 +53,8 @@
 	f.IntVar(&engines, "engines", engines, "size of the fleet")
 	f.IntVar(&seeds, "seeds", seeds, "courses of traffic for each scenario")
 	f.StringVar(&plots, "plots", "", "folder for plots of readers and losses over time (SVG)")
-	f.DurationVar(&set.MinStay, "min-stay", time.Minute, "no engine changes sooner after its last change")
-	f.Float64Var(&set.AtOnce, "at-once", 0.1, "part of the engines that may be on their way at once; one at least")
+	f.DurationVar(&set.MinDwell, "min-stay", time.Minute, "no engine changes sooner after its last change")
+	f.Float64Var(&set.MaxConcurrent, "at-once", 0.1, "part of the engines that may be on their way at once; one at least")
 	f.DurationVar(&set.ChangeTime, "change-time", 10*time.Second, "what a change takes by and large")
 	return cmd
 }
--- a/cmd/brackenbend/lab_forecast.go
+++ b/cmd/brackenbend/lab_forecast.go
@@ -133,7 +133,7 @@
 	switch {
 	case what == "choice":
 	case slices.Contains(baseline.Ways, baseline.Way(what)):
-		o.Decider = func(s routing.Settings, seed uint64) (fleet.Decider, error) {
+		o.Decider = func(s routing.Config, seed uint64) (fleet.Decider, error) {
 			return baseline.New(baseline.Way(what), s, seed)
 		}
 	case executable(what) && recorded != nil:
--- a/cmd/brackenbend/main_test.go
+++ b/cmd/brackenbend/main_test.go
@@ -28,7 +28,7 @@
 func TestMain(m *testing.M) {
 	if os.Getenv("BRACKENBEND_TEST_MAIN") == "1" {
 		if name := os.Getenv("BRACKENBEND_TEST_BROKEN"); name != "" {
-			gateway.Bend = broken[name].seam
+			gateway.Hooks = broken[name].seam
 		}
 		os.Exit(run(os.Args[1:]))
 	}
--- a/cmd/brackenbend/serve.go
+++ b/cmd/brackenbend/serve.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func reload(f *gateway.Front, file string) error {
+func reload(f *gateway.Gateway, file string) error {
 	set, err := config.Load(file)
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 
 // daemon is a running front with its list of engines and its admin listener.
 type daemon struct {
-	front  *gateway.Front
+	front  *gateway.Gateway
 	addr   string
 	failed chan error
 	stop   func()
@@ -104,7 +104,7 @@
 // startFront wires a front: listeners, the list of engines, metrics.
 func startFront(set *config.Settings, log *zap.Logger) (*daemon, error) {
 	m := telemetry.NewMetrics()
-	f, err := gateway.New(set, log, m)
+	f, err := gateway.NewFromSettings(set, log, m)
 	if err != nil {
 		return nil, err
 	}
@@ -152,13 +152,13 @@
 }
 
 // follow gives the front its list: once from the settings, or by watching the register until ctx ends.
-func follow(ctx context.Context, set *config.Settings, f *gateway.Front, log *zap.Logger, watched chan struct{}) error {
+func follow(ctx context.Context, set *config.Settings, f *gateway.Gateway, log *zap.Logger, watched chan struct{}) error {
 	if set.Register == nil {
-		var list []endpointslice.Engine
+		var list []endpointslice.Endpoint
 		for _, s := range set.Servers {
-			list = append(list, endpointslice.Engine{Name: s.Name, Address: s.Address, Kind: s.Kind, Zone: s.Zone, Cell: s.Cell, State: routing.Ready})
+			list = append(list, endpointslice.Endpoint{Name: s.Name, Address: s.Address, Kind: s.Kind, Zone: s.Zone, Cell: s.Cell, State: routing.EndpointReady})
 		}
-		f.Deliver(endpointslice.Update{Scope: routing.Full, Engines: list})
+		f.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: list})
 		close(watched)
 		return nil
 	}
@@ -176,8 +176,8 @@
 		transport.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 	}
 	w := &endpointslice.Watcher{URL: r.URL, Namespace: r.Namespace, Selector: r.Selector, KindLabel: r.Kinds, CellLabel: r.Cells,
-		TokenFile: r.TokenFile, Cache: r.Cache, Client: &http.Client{Transport: transport}, Agent: gateway.Agent(set), Deliver: f.Deliver,
-		First: 100 * time.Millisecond, Most: 5 * time.Second, Silence: 90 * time.Second,
+		TokenFile: r.TokenFile, CacheFile: r.Cache, Client: &http.Client{Transport: transport}, UserAgent: gateway.UserAgent(set), Deliver: f.UpdateEndpoints,
+		MinBackoff: 100 * time.Millisecond, MaxBackoff: 5 * time.Second, WatchTimeout: 90 * time.Second,
 		Log: func(msg string, err error) { log.Warn(msg, zap.Error(err)) }}
 	go func() {
 		defer close(watched)
--- a/cmd/brackenbend/standins.go
+++ b/cmd/brackenbend/standins.go
@@ -52,9 +52,9 @@
 			}
 			cfg := engine.Config{Name: name, Kind: role, Params: engineParams(role), Plain: plain, CancelStops: true}
 			if shifts {
-				r := map[string]roles.Role{"reader": roles.Reader, "writer": roles.Writer, "mixed": roles.Both}[role]
-				cfg.Seat, cfg.Switch = roles.Seat{Role: r, To: r}, time.Second
-				cfg.Roles = map[roles.Role]enginemodel.Params{roles.Reader: engineParams("reader"), roles.Writer: engineParams("writer"), roles.Both: engineParams("mixed")}
+				r := map[string]roles.Role{"reader": roles.Prefill, "writer": roles.Decode, "mixed": roles.Both}[role]
+				cfg.Seat, cfg.Switch = roles.EngineState{Role: r, Target: r}, time.Second
+				cfg.Roles = map[roles.Role]enginemodel.Params{roles.Prefill: engineParams("reader"), roles.Decode: engineParams("writer"), roles.Both: engineParams("mixed")}
 			}
 			s, err := engine.Start(cfg, listen, cold)
 			if err != nil {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -381,8 +381,8 @@
 // set is a field that the front writes.
 type set struct{ name, value string }
 
-// ReadBody is the body for a reader: one token at most, not streamed, state kept for another engine.
-func (r *Request) ReadBody() []byte {
+// PrefillBody is the body for a reader: one token at most, not streamed, state kept for another engine.
+func (r *Request) PrefillBody() []byte {
 	most := "max_tokens"
 	if _, ok := r.get(most); !ok {
 		if _, ok := r.get("max_completion_tokens"); ok {
@@ -393,9 +393,9 @@
 		"max_tokens", "max_completion_tokens", "stream_options", "min_tokens")
 }
 
-// WriteBody is the body for a writer, always streamed; kv is what the reader answered, nil for a request that
+// DecodeBody is the body for a writer, always streamed; kv is what the reader answered, nil for a request that
 // runs whole. usage asks for the token counts at the end, which a whole answer owes its client.
-func (r *Request) WriteBody(kv json.RawMessage, usage bool) []byte {
+func (r *Request) DecodeBody(kv json.RawMessage, usage bool) []byte {
 	put := append(make([]set, 0, 3), set{"stream", "true"})
 	if usage {
 		put = append(put, set{"stream_options", `{"include_usage":true}`})
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -65,19 +65,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := fields(t, r.ReadBody())
+	read := fields(t, r.PrefillBody())
 	if read["max_completion_tokens"] != 1.0 || read["stream"] != false || read["stream_options"] != nil || read["temperature"] != 0.25 {
 		t.Errorf("read: %v", read)
 	}
 	if kv := read["kv_transfer_params"].(map[string]any); kv["do_remote_decode"] != true || kv["do_remote_prefill"] != false {
 		t.Errorf("read: %v", kv)
 	}
-	write := fields(t, r.WriteBody(json.RawMessage(`{"remote_port":5}`), false))
+	write := fields(t, r.DecodeBody(json.RawMessage(`{"remote_port":5}`), false))
 	if write["max_completion_tokens"] != 50.0 || write["stream"] != true || write["kv_transfer_params"].(map[string]any)["remote_port"] != 5.0 ||
 		write["stream_options"] == nil {
 		t.Errorf("write: %v", write)
 	}
-	if _, has := fields(t, r.WriteBody(nil, true))["kv_transfer_params"]; has {
+	if _, has := fields(t, r.DecodeBody(nil, true))["kv_transfer_params"]; has {
 		t.Error("a whole request carries transfer parameters")
 	}
 	reply, rerr := ParseReadReply([]byte(`{"kv_transfer_params":{"a":1},"usage":{"prompt_tokens_details":{"cached_tokens":12}}}`))
--- a/internal/api/classify.go
+++ b/internal/api/classify.go
@@ -76,8 +76,8 @@
 
 // Event is the request as the decision module is told of it; due is by the module's clock.
 func (t *Traits) Event(id routing.RequestID, due time.Duration) routing.Request {
-	return routing.Request{ID: id, Class: t.Class, Tenant: t.Tenant, Session: t.Session, Prefix: t.Prefix, PromptLen: t.PromptLen,
-		PrefixLen: t.PrefixLen, MaxOut: t.MaxOut, Due: due, Repeat: t.Repeat, Doubtful: t.Repeat}
+	return routing.Request{ID: id, Class: t.Class, Tenant: t.Tenant, Session: t.Session, Prefix: t.Prefix, PromptTokens: t.PromptLen,
+		PrefixTokens: t.PrefixLen, MaxOutputTokens: t.MaxOut, Deadline: due, Retry: t.Repeat, PossibleDuplicate: t.Repeat}
 }
 
 // Wait is how long a client waits: its class's time, or what it told if that is sooner (0 = it told nothing).
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -275,27 +275,27 @@
 }
 
 var (
-	effects = map[string]routing.Effect{"safe": routing.Safe, "keyed": routing.Keyed, "unsafe": routing.Unsafe}
-	groups  = map[string]routing.Group{"": routing.GroupAll, "all": routing.GroupAll, "zone": routing.GroupZone, "cell": routing.GroupCell}
-	roles   = map[string]routing.Role{"reader": routing.Reader, "writer": routing.Writer, "mixed": routing.Mixed}
+	effects = map[string]routing.Idempotency{"safe": routing.Idempotent, "keyed": routing.IdempotentWithKey, "unsafe": routing.NotIdempotent}
+	groups  = map[string]routing.DedupScope{"": routing.DedupAll, "all": routing.DedupAll, "zone": routing.DedupZone, "cell": routing.DedupCell}
+	roles   = map[string]routing.Role{"reader": routing.RolePrefill, "writer": routing.RoleDecode, "mixed": routing.RoleMixed}
 	sources = map[string]api.Source{"path": api.FromPath, "model": api.FromModel, "header": api.FromHeader,
 		"api-key-sha256": api.FromAPIKey, "user": api.FromUser, "system-messages": api.FromLeading,
 		"first-message": api.FromFirst, "opening": api.FromOpening}
 )
 
-// Choice is what the decision module is told.
-func (s *Settings) Choice() routing.Settings {
+// RoutingConfig is what the decision module is told.
+func (s *Settings) RoutingConfig() routing.Config {
 	v := s.Service
-	c := routing.Settings{Fronts: v.Fronts, MaxAttempts: v.MaxAttempts, MaxWait: v.MaxWait, ReleaseWithin: v.Release,
-		DrainGrace: v.DrainGrace, ColdFrom: v.ColdFrom, ColdFor: v.ColdFor, OverloadFactor: v.Overload, TipAfter: v.TipAfter,
-		WritersRead: v.WritersRead, CanCancel: v.CancelStops, OverShareWorth: v.OverShare,
-		WorthByWork: v.WorthBy == "work"}
+	c := routing.Config{Replicas: v.Fronts, MaxAttempts: v.MaxAttempts, MaxRetryAfter: v.MaxWait, StateTTL: v.Release,
+		DrainGrace: v.DrainGrace, SlowStartFrom: v.ColdFrom, SlowStartFor: v.ColdFor, OverloadFactor: v.Overload, OverloadAfter: v.TipAfter,
+		DecodeCanPrefill: v.WritersRead, CanCancel: v.CancelStops, OverQuotaWeight: v.OverShare,
+		WeightByWork: v.WorthBy == "work"}
 	if s.Engines != nil {
-		c.ReportFields = strings.Fields(s.Engines.Report)
+		c.LoadReportFields = strings.Fields(s.Engines.Report)
 	}
 	for _, k := range s.Classes {
-		c.Classes = append(c.Classes, routing.Class{Name: k.Name, Aim: k.Aim, AimPer1000: k.AimPer1000, TokenAim: k.TokenAim,
-			Deadline: k.Deadline, Worth: k.Worth, LateWorth: k.LateWorth, Effect: effects[k.Effect], Group: groups[k.Group], Window: k.Window})
+		c.Classes = append(c.Classes, routing.Class{Name: k.Name, LatencyObjective: k.Aim, LatencyObjectivePer1000: k.AimPer1000, TokenLatencyObjective: k.TokenAim,
+			Deadline: k.Deadline, PriorityWeight: k.Worth, LateWeight: k.LateWorth, Idempotency: effects[k.Effect], DedupScope: groups[k.Group], DedupWindow: k.Window})
 	}
 	for _, t := range s.Tenants {
 		c.Tenants = append(c.Tenants, routing.Tenant{QuotaPerS: float64(t.Quota), Share: t.Share})
@@ -480,9 +480,9 @@
 	}
 }
 
-// SameButRoutes tells whether two settings differ only in what a running front can take: models, rules,
+// CheckReload tells whether two settings differ only in what a running front can take: models, rules,
 // sessions and prefixes. The error names the first element that differs elsewhere.
-func SameButRoutes(a, b *Settings) error {
+func CheckReload(a, b *Settings) error {
 	x, y := reflect.ValueOf(*a), reflect.ValueOf(*b)
 	for i := range x.NumField() {
 		tag, ok := parseTag(x.Type().Field(i))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := s.Choice()
-	if len(c.Classes) != 3 || c.Classes[2].Window != 30*time.Second || c.Kinds[1].Memory != 180000 || c.Tenants[0].QuotaPerS != 100 || c.Fronts != 4 {
+	c := s.RoutingConfig()
+	if len(c.Classes) != 3 || c.Classes[2].DedupWindow != 30*time.Second || c.Kinds[1].Memory != 180000 || c.Tenants[0].QuotaPerS != 100 || c.Replicas != 4 {
 		t.Errorf("%+v", c)
 	}
 	if err := c.Validate(); err != nil {
@@ -92,7 +92,7 @@
 			for l := line; l > line-3 && !onLine; l-- { // an attribute is placed by its element's first line
 				onLine = p.Line == l && strings.Contains(strings.Split(bad, "\n")[l-1], "<")
 			}
-			found = found || strings.Contains(p.What, c.what) && strings.Contains(p.Mend, c.mend) && onLine
+			found = found || strings.Contains(p.What, c.what) && strings.Contains(p.Fix, c.mend) && onLine
 		}
 		if c.what == "" {
 			c.what, found = "twice", err != nil // the XML parser's own complaint will do
@@ -114,7 +114,7 @@
 		if err != nil {
 			return
 		}
-		if err := s.Choice().Validate(); err != nil {
+		if err := s.RoutingConfig().Validate(); err != nil {
 			t.Fatalf("checked settings that the module refuses: %v", err)
 		}
 		s.Classifier()
--- a/internal/config/xml.go
+++ b/internal/config/xml.go
@@ -17,11 +17,11 @@
 type Problem struct {
 	File         string
 	Line, Column int
-	What, Mend   string
+	What, Fix    string
 }
 
 func (p Problem) Error() string {
-	return fmt.Sprintf("%s:%d:%d: %s; %s", p.File, p.Line, p.Column, p.What, p.Mend)
+	return fmt.Sprintf("%s:%d:%d: %s; %s", p.File, p.Line, p.Column, p.What, p.Fix)
 }
 
 // Problems are all that a check found, in the file's order.
--- a/internal/endpointslice/slice.go
+++ b/internal/endpointslice/slice.go
@@ -19,22 +19,22 @@
 	"brackenbend/routing"
 )
 
-// Engine is one engine of the list.
-type Engine struct {
-	Name    string        `json:"name"`
-	Address string        `json:"address"` // host:port
-	Kind    string        `json:"kind"`
-	Zone    string        `json:"zone,omitempty"`
-	Cell    string        `json:"cell,omitempty"`
-	UID     string        `json:"uid,omitempty"` // changes when the process is another
-	State   routing.State `json:"state"`
-	Started time.Time     `json:"started,omitzero"` // zero = long ago
+// Endpoint is one engine of the list.
+type Endpoint struct {
+	Name    string                `json:"name"`
+	Address string                `json:"address"` // host:port
+	Kind    string                `json:"kind"`
+	Zone    string                `json:"zone,omitempty"`
+	Cell    string                `json:"cell,omitempty"`
+	UID     string                `json:"uid,omitempty"` // changes when the process is another
+	State   routing.EndpointState `json:"state"`
+	Started time.Time             `json:"started,omitzero"` // zero = long ago
 }
 
 // Update is news of the list. In one of scope Changes an engine that left has the state Gone.
 type Update struct {
-	Scope   routing.ListScope
-	Engines []Engine
+	Scope     routing.ListScope
+	Endpoints []Endpoint
 }
 
 // The part of discovery.k8s.io/v1 that is used.
@@ -47,13 +47,13 @@
 	}
 	// EndpointSlice is a discovery.k8s.io/v1 EndpointSlice.
 	EndpointSlice struct {
-		Metadata    meta       `json:"metadata"`
-		AddressType string     `json:"addressType"`
-		Endpoints   []Endpoint `json:"endpoints"`
-		Ports       []Port     `json:"ports"`
+		Metadata    meta            `json:"metadata"`
+		AddressType string          `json:"addressType"`
+		Endpoints   []SliceEndpoint `json:"endpoints"`
+		Ports       []Port          `json:"ports"`
 	}
-	// Endpoint is one endpoint of a slice.
-	Endpoint struct {
+	// SliceEndpoint is one endpoint of a slice.
+	SliceEndpoint struct {
 		Addresses  []string   `json:"addresses"`
 		Conditions Conditions `json:"conditions"`
 		Zone       *string    `json:"zone,omitempty"`
@@ -86,7 +86,7 @@
 	slices               map[string]*EndpointSlice
 	versions             map[string]string // newest seen of each name, also of names deleted of late
 	floor                string            // newest of the names that were deleted and then forgotten; "" = none
-	engines              map[string]Engine
+	engines              map[string]Endpoint
 	complete             bool // the first list was taken
 	now                  func() time.Time
 }
@@ -101,7 +101,7 @@
 
 // apply takes one watch event and returns what changed. Events older than what is known of their slice are
 // passed over: a resumed watch may tell of a slice that was removed meanwhile.
-func (t *table) apply(kind string, s *EndpointSlice) []Engine {
+func (t *table) apply(kind string, s *EndpointSlice) []Endpoint {
 	m := &s.Metadata
 	last, known := t.versions[m.Name]
 	if !known {
@@ -141,7 +141,7 @@
 }
 
 // replace takes a whole list.
-func (t *table) replace(list []*EndpointSlice) []Engine {
+func (t *table) replace(list []*EndpointSlice) []Endpoint {
 	t.slices, t.versions, t.floor = map[string]*EndpointSlice{}, map[string]string{}, ""
 	for _, s := range list {
 		t.slices[s.Metadata.Name] = s
@@ -152,16 +152,16 @@
 	return slices.SortedFunc(maps.Values(t.engines), byName)
 }
 
-func byName(a, b Engine) int { return cmp.Compare(a.Name, b.Name) }
+func byName(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) }
 
 // derive makes the engines of all slices and returns those that differ from before, the lost ones as Gone.
-func (t *table) derive() []Engine {
+func (t *table) derive() []Endpoint {
 	was := t.engines
-	t.engines = map[string]Engine{}
+	t.engines = map[string]Endpoint{}
 	for _, name := range slices.Sorted(maps.Keys(t.slices)) {
 		t.fromSlice(t.slices[name], was)
 	}
-	var changed []Engine
+	var changed []Endpoint
 	for name, e := range t.engines {
 		if old, ok := was[name]; !ok || old != e {
 			changed = append(changed, e)
@@ -169,7 +169,7 @@
 	}
 	for name, e := range was {
 		if _, ok := t.engines[name]; !ok {
-			e.State = routing.Gone
+			e.State = routing.EndpointGone
 			changed = append(changed, e)
 		}
 	}
@@ -177,7 +177,7 @@
 	return changed
 }
 
-func (t *table) fromSlice(s *EndpointSlice, was map[string]Engine) {
+func (t *table) fromSlice(s *EndpointSlice, was map[string]Endpoint) {
 	port := 0
 	for _, p := range s.Ports {
 		if p.Port != nil && (port == 0 || p.Name != nil && *p.Name == "http") {
@@ -195,8 +195,8 @@
 		if _, err := netip.ParseAddr(p.Addresses[0]); err != nil {
 			continue
 		}
-		e := Engine{Address: net.JoinHostPort(p.Addresses[0], strconv.Itoa(port)), Kind: s.Metadata.Labels[t.kindLabel],
-			Cell: s.Metadata.Labels[t.cellLabel], State: routing.Ready}
+		e := Endpoint{Address: net.JoinHostPort(p.Addresses[0], strconv.Itoa(port)), Kind: s.Metadata.Labels[t.kindLabel],
+			Cell: s.Metadata.Labels[t.cellLabel], State: routing.EndpointReady}
 		e.Name = e.Address
 		if p.TargetRef != nil && p.TargetRef.Name != "" {
 			e.Name, e.UID = p.TargetRef.Name, p.TargetRef.UID
@@ -206,20 +206,20 @@
 		}
 		switch c := p.Conditions; {
 		case c.Terminating != nil && *c.Terminating:
-			e.State = routing.Draining
+			e.State = routing.EndpointDraining
 		case c.Ready != nil && !*c.Ready:
-			e.State = routing.Gone
+			e.State = routing.EndpointGone
 		}
 		t.start(&e, started, was)
 		// an endpoint may stand in two slices while it moves between them: a drain told by either counts
-		if other, ok := t.engines[e.Name]; ok && other.State != routing.Ready {
+		if other, ok := t.engines[e.Name]; ok && other.State != routing.EndpointReady {
 			e.State = other.State
 		}
 		t.engines[e.Name] = e
 	}
 }
 
-func (t *table) start(e *Engine, told map[string]time.Time, was map[string]Engine) {
+func (t *table) start(e *Endpoint, told map[string]time.Time, was map[string]Endpoint) {
 	now := t.now()
 	if at, ok := told[e.Name]; ok {
 		if at.After(now) { // the other clock is ahead
@@ -233,9 +233,9 @@
 	}
 	old, known := was[e.Name]
 	switch {
-	case known && old.UID == e.UID && (old.State != routing.Gone || e.State == routing.Gone):
+	case known && old.UID == e.UID && (old.State != routing.EndpointGone || e.State == routing.EndpointGone):
 		e.Started = old.Started
-	case t.complete && e.State != routing.Gone:
+	case t.complete && e.State != routing.EndpointGone:
 		e.Started = now
 	}
 }
@@ -248,11 +248,11 @@
 	return nil
 }
 
-// ServerID gives the same id to the same name in every front, since prefixes are hashed with it; only where two names of
+// EndpointID gives the same id to the same name in every front, since prefixes are hashed with it; only where two names of
 // one list collide (about 1 in 16,000 lists of 740) may fronts differ. taken tells which ids are in use.
-func ServerID(name string, taken func(routing.ServerID) bool) routing.ServerID {
+func EndpointID(name string, taken func(routing.EndpointID) bool) routing.EndpointID {
 	for i := 0; ; i++ {
-		id := routing.ServerID(xxhash.Sum64String(name + "#" + strconv.Itoa(i)))
+		id := routing.EndpointID(xxhash.Sum64String(name + "#" + strconv.Itoa(i)))
 		if id != 0 && !taken(id) {
 			return id
 		}
--- a/internal/endpointslice/watch.go
+++ b/internal/endpointslice/watch.go
@@ -27,21 +27,21 @@
 	KindLabel string
 	CellLabel string
 	TokenFile string // bearer token, may be empty
-	Cache     string // file of the last list, may be empty
+	CacheFile string // file of the last list, may be empty
 	Client    *http.Client
-	Agent     string       // User-Agent
+	UserAgent string       // User-Agent
 	Deliver   func(Update) // called from Run's goroutine only
 	Log       func(msg string, err error)
 
 	// BackOff bounds the pause after a failed call: it doubles from First to Most, drawn evenly from half of it
 	// to the whole, so that fronts cut off together do not come back together.
-	First, Most time.Duration
-	// Silence ends a watch on which not even a bookmark came; the API sends one about every minute.
-	Silence time.Duration
+	MinBackoff, MaxBackoff time.Duration
+	// WatchTimeout ends a watch on which not even a bookmark came; the API sends one about every minute.
+	WatchTimeout time.Duration
 
 	table   table
 	version string
-	toDisk  chan []Engine // the newest list that is not on disk yet
+	toDisk  chan []Endpoint // the newest list that is not on disk yet
 }
 
 const (
@@ -55,28 +55,28 @@
 // Run follows the register until ctx ends. It begins with the list on disk, as Cached.
 func (w *Watcher) Run(ctx context.Context) {
 	w.table = table{kindLabel: w.KindLabel, cellLabel: w.CellLabel, slices: map[string]*EndpointSlice{},
-		versions: map[string]string{}, engines: map[string]Engine{}, now: time.Now}
-	if list, err := ReadCache(w.Cache); err != nil {
+		versions: map[string]string{}, engines: map[string]Endpoint{}, now: time.Now}
+	if list, err := ReadCache(w.CacheFile); err != nil {
 		w.Log("the list on disk can't be used", err)
 	} else if len(list) > 0 {
 		for _, e := range list { // what started within the last run keeps its start
 			w.table.engines[e.Name] = e
 		}
-		w.Deliver(Update{routing.Cached, list})
+		w.Deliver(Update{routing.ListCached, list})
 	}
-	w.toDisk = make(chan []Engine, 1)
+	w.toDisk = make(chan []Endpoint, 1)
 	saved := make(chan struct{})
 	go w.saver(saved)
 	defer func() { close(w.toDisk); <-saved }()
-	pause := w.First
+	pause := w.MinBackoff
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := w.follow(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil || time.Since(began) > w.Most { // it worked for a while
-			pause = w.First
+		if err == nil || time.Since(began) > w.MaxBackoff { // it worked for a while
+			pause = w.MinBackoff
 		}
 		if err == nil {
 			continue
@@ -86,13 +86,13 @@
 			w.Log("listing anew", err)
 		} else {
 			w.Log("register lost, the last list stays", err)
-			w.Deliver(Update{Scope: routing.Failed})
+			w.Deliver(Update{Scope: routing.ListFailed})
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause/2 + rand.N(pause/2+1)):
 		}
-		pause = min(2*pause, w.Most)
+		pause = min(2*pause, w.MaxBackoff)
 	}
 }
 
@@ -104,7 +104,7 @@
 			return err
 		}
 		w.version = version
-		w.Deliver(Update{routing.Full, w.table.replace(list)})
+		w.Deliver(Update{routing.ListFull, w.table.replace(list)})
 		w.save()
 	}
 	return w.watch(ctx)
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	req.Header.Set("Accept", "application/json")
-	req.Header.Set("User-Agent", w.Agent)
+	req.Header.Set("User-Agent", w.UserAgent)
 	if w.TokenFile != "" {
 		token, err := os.ReadFile(w.TokenFile)
 		if err != nil {
@@ -144,7 +144,7 @@
 }
 
 func (w *Watcher) list(ctx context.Context) ([]*EndpointSlice, string, error) {
-	ctx, stop := context.WithTimeout(ctx, w.Silence)
+	ctx, stop := context.WithTimeout(ctx, w.WatchTimeout)
 	defer stop()
 	var all []*EndpointSlice
 	next := ""
@@ -188,7 +188,7 @@
 func (w *Watcher) watch(ctx context.Context) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	silence := time.AfterFunc(w.Silence, func() { stop(errors.New("register: the watch fell silent")) })
+	silence := time.AfterFunc(w.WatchTimeout, func() { stop(errors.New("register: the watch fell silent")) })
 	defer silence.Stop()
 	resp, err := w.get(ctx, url.Values{"watch": {"1"}, "resourceVersion": {w.version}, "allowWatchBookmarks": {"true"}})
 	if err != nil {
@@ -198,7 +198,7 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, maxEvent)
 	for lines.Scan() {
-		silence.Reset(w.Silence)
+		silence.Reset(w.WatchTimeout)
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
 		}
@@ -251,7 +251,7 @@
 		return err
 	}
 	if changed := w.table.apply(ev.Type, &s); len(changed) > 0 {
-		w.Deliver(Update{routing.Changes, changed})
+		w.Deliver(Update{routing.ListChanges, changed})
 		w.save()
 	}
 	return nil
@@ -259,12 +259,12 @@
 
 // save hands the list to the saver; one that waits there is replaced, so a slow disk holds up no news.
 func (w *Watcher) save() {
-	if w.Cache == "" {
+	if w.CacheFile == "" {
 		return
 	}
-	list := make([]Engine, 0, len(w.table.engines))
+	list := make([]Endpoint, 0, len(w.table.engines))
 	for _, e := range w.table.engines {
-		if e.State != routing.Gone {
+		if e.State != routing.EndpointGone {
 			list = append(list, e)
 		}
 	}
@@ -279,19 +279,19 @@
 func (w *Watcher) saver(done chan<- struct{}) {
 	defer close(done)
 	for list := range w.toDisk {
-		if err := WriteCache(w.Cache, list); err != nil {
+		if err := WriteCache(w.CacheFile, list); err != nil {
 			w.Log("the list can't be kept on disk", err)
 		}
 	}
 }
 
 type cacheFile struct {
-	Version int      `json:"version"`
-	Engines []Engine `json:"engines"`
+	Version int        `json:"version"`
+	Engines []Endpoint `json:"engines"`
 }
 
 // ReadCache reads a list that WriteCache kept; no path or no file gives none.
-func ReadCache(path string) ([]Engine, error) {
+func ReadCache(path string) ([]Endpoint, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -313,7 +313,7 @@
 }
 
 // WriteCache keeps a list so that a crash at any moment leaves the old or the new one.
-func WriteCache(path string, list []Engine) error {
+func WriteCache(path string, list []Endpoint) error {
 	text, err := json.Marshal(cacheFile{1, list})
 	if err != nil {
 		return err
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -76,7 +76,7 @@
 
 // ended is the outcome of an attempt that broke with err, by what is known to have been sent.
 func (a *Attempt) ended(err error) Outcome {
-	out := Outcome{Err: err, Result: routing.Reset}
+	out := Outcome{Err: err, Result: routing.ConnectionReset}
 	var proto *http1.Error
 	switch {
 	case a.Cancelled() && !a.sent:
@@ -84,13 +84,13 @@
 	case a.Cancelled():
 		out.Result = routing.Cancelled
 	case !a.sent && a.up:
-		out.Result = routing.Broken
+		out.Result = routing.RequestIncomplete
 	case !a.sent:
 		out.Result = routing.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		out.Result = routing.TimedOut
 	case errors.As(err, &proto): // it did answer: a writer has fetched its state, which is gone with the answer
-		out.Result, out.NoState = routing.Errored, true
+		out.Result, out.StateMissing = routing.EngineError, true
 	}
 	return out
 }
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -9,21 +9,21 @@
 
 // Call is one attempt's request.
 type Call struct {
-	Path     string
-	ID       string // of this attempt, unique over fronts and restarts
-	Key      string // Idempotency-Key, empty = none
-	Body     []byte
-	Once     bool          // may run only once: rides on a connection of its own
-	Fresh    bool          // rides on a new connection
-	Connect  time.Duration // for a new connection to come up; 0 = Client.DialTime
-	Deadline time.Time     // for the first token, or the whole of a read
-	SendBy   time.Time     // for the last byte to be written; zero = no bound but Deadline
-	// Over tells, at the moment of writing, that nobody waits for the request any more; nil = somebody does.
-	Over func() bool
+	Path           string
+	ID             string // of this attempt, unique over fronts and restarts
+	IdempotencyKey string // Idempotency-Key, empty = none
+	Body           []byte
+	SingleUseConn  bool          // may run only once: rides on a connection of its own
+	NewConn        bool          // rides on a new connection
+	ConnectTimeout time.Duration // for a new connection to come up; 0 = Client.DialTime
+	Deadline       time.Time     // for the first token, or the whole of a read
+	SendBy         time.Time     // for the last byte to be written; zero = no bound but Deadline
+	// Abandoned tells, at the moment of writing, that nobody waits for the request any more; nil = somebody does.
+	Abandoned func() bool
 }
 
 // over tells that the request must not be sent any more.
-func (c *Call) over() bool { return c.Over != nil && c.Over() || c.late() }
+func (c *Call) over() bool { return c.Abandoned != nil && c.Abandoned() || c.late() }
 
 // late tells that the time to send the request has passed.
 func (c *Call) late() bool { return !c.SendBy.IsZero() && !time.Now().Before(c.SendBy) }
@@ -41,14 +41,14 @@
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	Result  routing.Result
-	NoState bool
-	Kept    float64
-	Report  []float64
-	KV      json.RawMessage // of a read: what the writer needs to fetch the state
-	Events  int             // of a stream, that were tokens by their place; the last event is none
-	Reply   *Reply          // an answer about the request itself, to be passed on
-	Err     error           // for logs
+	Result           routing.Result
+	StateMissing     bool
+	CachedTokens     float64
+	LoadReport       []float64
+	KVTransferParams json.RawMessage // of a read: what the writer needs to fetch the state
+	Events           int             // of a stream, that were tokens by their place; the last event is none
+	Reply            *Reply          // an answer about the request itself, to be passed on
+	Err              error           // for logs
 }
 
 // Reply is an engine's answer that blames the request.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -15,12 +15,12 @@
 )
 
 func testClient() *Client {
-	return &Client{Dialect: VLLM{Extended: true}, Load: FieldLoad, DialTime: time.Second, Connections: 4, Idle: 4, IdleTime: time.Minute,
-		StreamIdle: 20 * time.Second, Event: 16 << 10, Reply: 1 << 16, Limits: http1.Limits{Head: 4096, Fields: 30}, Report: []string{"kv", "none"}}
+	return &Client{Protocol: VLLM{Extended: true}, LoadReportHeader: HeaderLoadReport, DialTimeout: time.Second, MaxConnsPerEndpoint: 4, MaxIdlePerEndpoint: 4, IdleTimeout: time.Minute,
+		StreamIdleTimeout: 20 * time.Second, MaxEventBytes: 16 << 10, MaxReplyBytes: 1 << 16, Limits: http1.Limits{Head: 4096, Fields: 30}, LoadReportFields: []string{"kv", "none"}}
 }
 
 // peer accepts connections one after another and hands each, with its number, to serve.
-func peer(t *testing.T, serve func(i int, c *net.TCPConn)) *Server {
+func peer(t *testing.T, serve func(i int, c *net.TCPConn)) *Endpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +38,7 @@
 			go func() { serve(i, c.(*net.TCPConn)); c.Close() }()
 		}
 	}()
-	return &Server{ID: 1, Name: "e", Address: l.Addr().String()}
+	return &Endpoint{ID: 1, Name: "e", Address: l.Addr().String()}
 }
 
 // request takes one whole request off c.
@@ -90,48 +90,48 @@
 				io.WriteString(c, ok[i:i+1])
 			}
 		}, routing.Served, 1},
-		"closed after accept":  {func(c *net.TCPConn, br *bufio.Reader) {}, routing.Reset, 0},
-		"reset after request":  {func(c *net.TCPConn, br *bufio.Reader) { request(c, br); reset(c) }, routing.Reset, 0},
-		"closed after request": {func(c *net.TCPConn, br *bufio.Reader) { request(c, br) }, routing.Reset, 0},
-		"closed within head":   {func(c *net.TCPConn, br *bufio.Reader) { request(c, br); io.WriteString(c, ok[:30]) }, routing.Reset, 0},
-		"closed within stream": {func(c *net.TCPConn, br *bufio.Reader) { request(c, br); io.WriteString(c, ok[:len(head200)+20]) }, routing.Reset, 1},
+		"closed after accept":  {func(c *net.TCPConn, br *bufio.Reader) {}, routing.ConnectionReset, 0},
+		"reset after request":  {func(c *net.TCPConn, br *bufio.Reader) { request(c, br); reset(c) }, routing.ConnectionReset, 0},
+		"closed after request": {func(c *net.TCPConn, br *bufio.Reader) { request(c, br) }, routing.ConnectionReset, 0},
+		"closed within head":   {func(c *net.TCPConn, br *bufio.Reader) { request(c, br); io.WriteString(c, ok[:30]) }, routing.ConnectionReset, 0},
+		"closed within stream": {func(c *net.TCPConn, br *bufio.Reader) { request(c, br); io.WriteString(c, ok[:len(head200)+20]) }, routing.ConnectionReset, 1},
 		"ended without [DONE]": {func(c *net.TCPConn, br *bufio.Reader) {
 			request(c, br)
 			io.WriteString(c, head200+chunked("data: {}\n\n")+http1.LastChunk)
-		}, routing.Reset, 1},
-		"garbage": {func(c *net.TCPConn, br *bufio.Reader) { request(c, br); io.WriteString(c, "SSH-2.0-x\r\n\r\n") }, routing.Errored, 0},
+		}, routing.ConnectionReset, 1},
+		"garbage": {func(c *net.TCPConn, br *bufio.Reader) { request(c, br); io.WriteString(c, "SSH-2.0-x\r\n\r\n") }, routing.EngineError, 0},
 		"head too large": {func(c *net.TCPConn, br *bufio.Reader) {
 			request(c, br)
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 9000)+"\r\n\r\n")
-		}, routing.Errored, 0},
+		}, routing.EngineError, 0},
 		"broken chunk": {func(c *net.TCPConn, br *bufio.Reader) {
 			request(c, br)
 			io.WriteString(c, head200+chunked("data: {}\n\n")+"zz\r\n")
-		}, routing.Errored, 1},
+		}, routing.EngineError, 1},
 		"event too large": {func(c *net.TCPConn, br *bufio.Reader) {
 			request(c, br)
 			io.WriteString(c, head200+chunked("data: "+strings.Repeat("x", 20000)))
-		}, routing.Errored, 0},
+		}, routing.EngineError, 0},
 		"error event": {func(c *net.TCPConn, br *bufio.Reader) {
 			request(c, br)
 			io.WriteString(c, head200+chunked("data: {\"error\":{}}\n\n"))
-		}, routing.Errored, 0},
+		}, routing.EngineError, 0},
 		"error event in stream": {func(c *net.TCPConn, br *bufio.Reader) {
 			request(c, br)
 			io.WriteString(c, head200+chunked("data: {}\n\ndata: {\"error\":{}}\n\n"))
-		}, routing.Errored, 1},
+		}, routing.EngineError, 1},
 		"500": {func(c *net.TCPConn, br *bufio.Reader) {
 			request(c, br)
 			io.WriteString(c, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
-		}, routing.Errored, 0},
+		}, routing.EngineError, 0},
 		"503, may have run": {func(c *net.TCPConn, br *bufio.Reader) {
 			request(c, br)
 			io.WriteString(c, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
-		}, routing.Errored, 0},
+		}, routing.EngineError, 0},
 		"503, never ran": {func(c *net.TCPConn, br *bufio.Reader) {
 			request(c, br)
 			io.WriteString(c, "HTTP/1.1 503 x\r\nContent-Length: 0\r\nX-Brackenbend-Never-Ran: 1\r\n\r\n")
-		}, routing.Turned, 0},
+		}, routing.Rejected, 0},
 		"no answer in time": {func(c *net.TCPConn, br *bufio.Reader) { request(c, br); io.Copy(io.Discard, c) }, routing.TimedOut, 0},
 		"early 413": {func(c *net.TCPConn, br *bufio.Reader) {
 			io.WriteString(c, "HTTP/1.1 413 x\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}")
@@ -140,7 +140,7 @@
 		"100 forever": {func(c *net.TCPConn, br *bufio.Reader) {
 			request(c, br)
 			io.WriteString(c, strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9))
-		}, routing.Errored, 0},
+		}, routing.EngineError, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -150,15 +150,15 @@
 				limit = 100 * time.Millisecond
 			}
 			var to sink
-			out := testClient().Write(&Attempt{}, s, Call{Path: "/v1/chat/completions", ID: "a", Body: []byte("{}"), Deadline: time.Now().Add(limit)}, &to)
+			out := testClient().Decode(&Attempt{}, s, Call{Path: "/v1/chat/completions", ID: "a", Body: []byte("{}"), Deadline: time.Now().Add(limit)}, &to)
 			if out.Result != c.want || to.begun != c.begun {
 				t.Errorf("result %d (%v), want %d; begun %d, want %d", out.Result, out.Err, c.want, to.begun, c.begun)
 			}
 			if c.begun == 1 && to.last != (c.want == routing.Served) {
 				t.Errorf("last told: %v", to.last)
 			}
-			if c.want == routing.Served && c.begun == 1 && (to.got.String() != "data: {}\n\ndata: [DONE]\n\n" || len(out.Report) != 2 || out.Report[0] != 0.5 || out.Report[1] == out.Report[1]) {
-				t.Errorf("relayed %q, report %v", to.got.String(), out.Report)
+			if c.want == routing.Served && c.begun == 1 && (to.got.String() != "data: {}\n\ndata: [DONE]\n\n" || len(out.LoadReport) != 2 || out.LoadReport[0] != 0.5 || out.LoadReport[1] == out.LoadReport[1]) {
+				t.Errorf("relayed %q, report %v", to.got.String(), out.LoadReport)
 			}
 		})
 	}
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	out := testClient().Read(&Attempt{}, &Server{Address: l.Addr().String()}, Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(5 * time.Second)})
+	out := testClient().Prefill(&Attempt{}, &Endpoint{Address: l.Addr().String()}, Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(5 * time.Second)})
 	if out.Result != routing.ConnectFailed {
 		t.Errorf("%+v", out)
 	}
@@ -182,11 +182,11 @@
 	c := testClient()
 	a := &Attempt{}
 	a.Cancel()
-	if out := c.Read(a, s, Call{Path: "/v1/x", ID: "a"}); out.Result != routing.NotSent {
+	if out := c.Prefill(a, s, Call{Path: "/v1/x", ID: "a"}); out.Result != routing.NotSent {
 		t.Errorf("called off: %+v", out)
 	}
-	s.Shut()
-	if out := c.Read(&Attempt{}, s, Call{Path: "/v1/x", ID: "a"}); out.Result != routing.NotSent {
+	s.Close()
+	if out := c.Prefill(&Attempt{}, s, Call{Path: "/v1/x", ID: "a"}); out.Result != routing.NotSent {
 		t.Errorf("shut: %+v", out)
 	}
 	// a drain that is told while the connection is being made
@@ -199,9 +199,9 @@
 	if !(&Attempt{}).hold(k.Conn) {
 		t.Fatal("a fresh attempt can't hold its connection")
 	}
-	s.Shut()
-	if s.Connections() != 0 {
-		t.Errorf("%d connections stay to a server that drains", s.Connections())
+	s.Close()
+	if s.Conns() != 0 {
+		t.Errorf("%d connections stay to a server that drains", s.Conns())
 	}
 	select {
 	case sent := <-got:
@@ -223,7 +223,7 @@
 	})
 	a := &Attempt{}
 	go func() { <-reached; a.Cancel() }()
-	if out := testClient().Read(a, s, Call{Path: "/v1/x", ID: "a"}); out.Result != routing.Cancelled {
+	if out := testClient().Prefill(a, s, Call{Path: "/v1/x", ID: "a"}); out.Result != routing.Cancelled {
 		t.Errorf("%+v", out)
 	}
 	<-gone // the engine sees that nobody waits
@@ -243,8 +243,8 @@
 	c := testClient()
 	call := Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(10 * time.Second)}
 	for i, once := range []bool{false, false, true} {
-		call.Once = once
-		if out := c.Read(&Attempt{}, s, call); out.Result != routing.ReadDone {
+		call.SingleUseConn = once
+		if out := c.Prefill(&Attempt{}, s, call); out.Result != routing.PrefillDone {
 			t.Fatalf("%+v", out)
 		}
 		if used := <-conns; used != []int{0, 0, 1}[i] {
@@ -264,11 +264,11 @@
 	})
 	c := testClient()
 	for range 3 {
-		if out := c.Read(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(10 * time.Second)}); out.Result != routing.ReadDone {
+		if out := c.Prefill(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(10 * time.Second)}); out.Result != routing.PrefillDone {
 			t.Fatalf("%+v", out)
 		}
 		<-closed
-		for s.Connections() == 1 { // until the close has come through
+		for s.Conns() == 1 { // until the close has come through
 			s.mu.Lock()
 			if len(s.idle) == 1 && !quiet(s.idle[0].Conn) {
 				s.mu.Unlock()
@@ -282,20 +282,20 @@
 func TestConnectionsAreCapped(t *testing.T) {
 	s := peer(t, func(_ int, c *net.TCPConn) { request(c, bufio.NewReader(c)); io.Copy(io.Discard, c) })
 	c := testClient()
-	c.Connections = 1
+	c.MaxConnsPerEndpoint = 1
 	a := &Attempt{}
 	done := make(chan Outcome)
-	go func() { done <- c.Read(a, s, Call{Path: "/v1/x", ID: "a"}) }()
-	for s.Connections() == 0 {
+	go func() { done <- c.Prefill(a, s, Call{Path: "/v1/x", ID: "a"}) }()
+	for s.Conns() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if out := c.Read(&Attempt{}, s, Call{Path: "/v1/x", ID: "b"}); out.Result != routing.NotSent || !errors.Is(out.Err, errTooMany) {
+	if out := c.Prefill(&Attempt{}, s, Call{Path: "/v1/x", ID: "b"}); out.Result != routing.NotSent || !errors.Is(out.Err, errTooMany) {
 		t.Errorf("%+v", out)
 	}
 	a.Cancel()
 	<-done
-	if s.Connections() != 0 {
-		t.Errorf("%d connections left", s.Connections())
+	if s.Conns() != 0 {
+		t.Errorf("%d connections left", s.Conns())
 	}
 }
 
@@ -335,7 +335,7 @@
 	f.Add("TEXT a=0.1, named_metrics.b=2")
 	f.Add(`JSON {"cpu_utilization":0.3,"named_metrics":{"a":1}}`)
 	f.Fuzz(func(t *testing.T, s string) {
-		for name, v := range ParseLoad(s) {
+		for name, v := range ParseLoadReport(s) {
 			if v-v != 0 {
 				t.Fatalf("%s is not finite", name)
 			}
@@ -359,28 +359,28 @@
 	})
 	c := testClient()
 	read := func() routing.Result {
-		return c.Read(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(10 * time.Second)}).Result
+		return c.Prefill(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(10 * time.Second)}).Result
 	}
-	if got := read(); got != routing.Reset || c.distrusts() {
+	if got := read(); got != routing.ConnectionReset || c.distrusts() {
 		t.Errorf("a new connection: %v, distrusts %v", got, c.distrusts())
 	}
-	for i, want := range []routing.Result{routing.ReadDone, routing.Reset, routing.ReadDone, routing.ReadDone, routing.ReadDone} {
+	for i, want := range []routing.Result{routing.PrefillDone, routing.ConnectionReset, routing.PrefillDone, routing.PrefillDone, routing.PrefillDone} {
 		if got := read(); got != want {
 			t.Errorf("request %d: %v, want %v", i, got, want)
 		}
 	}
-	if s.Connections() != 0 {
-		t.Errorf("%d connections are kept", s.Connections())
+	if s.Conns() != 0 {
+		t.Errorf("%d connections are kept", s.Conns())
 	}
-	c.broke.Add(-int64(c.IdleTime)) // they are past their time
-	if got := read(); got != routing.ReadDone || s.Connections() != 1 {
-		t.Errorf("later: %v, %d connections kept", got, s.Connections())
+	c.broke.Add(-int64(c.IdleTimeout)) // they are past their time
+	if got := read(); got != routing.PrefillDone || s.Conns() != 1 {
+		t.Errorf("later: %v, %d connections kept", got, s.Conns())
 	}
 }
 
 // platform is a dialect like VLLM whose engines begin with a request's last byte.
 func platform(c *Client) *Client {
-	c.WholeSent = true
+	c.RunsWhenComplete = true
 	return c
 }
 
@@ -393,10 +393,10 @@
 		reset(c)
 	})
 	call := Call{Path: "/v1/x", ID: "a", Body: make([]byte, 64<<20), Deadline: time.Now().Add(10 * time.Second)}
-	if out := platform(testClient()).Read(&Attempt{}, s, call); out.Result != routing.Broken {
+	if out := platform(testClient()).Prefill(&Attempt{}, s, call); out.Result != routing.RequestIncomplete {
 		t.Errorf("the last byte decides: %+v", out)
 	}
-	if out := testClient().Read(&Attempt{}, s, call); out.Result != routing.Reset {
+	if out := testClient().Prefill(&Attempt{}, s, call); out.Result != routing.ConnectionReset {
 		t.Errorf("the first byte decides: %+v", out)
 	}
 }
@@ -418,45 +418,45 @@
 	for _, k := range []struct {
 		name   string
 		settle time.Duration
-		serve  func(c *net.TCPConn, s *Server)
+		serve  func(c *net.TCPConn, s *Endpoint)
 		want   routing.Result
 	}{
-		{"reset at the first byte", time.Minute, func(c *net.TCPConn, _ *Server) {
+		{"reset at the first byte", time.Minute, func(c *net.TCPConn, _ *Endpoint) {
 			_, _ = c.Read(make([]byte, 1)) // else it may be reset before the dial has seen that it is up
 			reset(c)
-		}, routing.Broken},
-		{"reset while the request came", time.Minute, func(c *net.TCPConn, _ *Server) { short(c); reset(c) }, routing.Broken},
-		{"closed while the request came", time.Minute, func(c *net.TCPConn, _ *Server) { short(c) }, routing.Broken},
-		{"failed while the request came", time.Minute, func(c *net.TCPConn, _ *Server) {
+		}, routing.RequestIncomplete},
+		{"reset while the request came", time.Minute, func(c *net.TCPConn, _ *Endpoint) { short(c); reset(c) }, routing.RequestIncomplete},
+		{"closed while the request came", time.Minute, func(c *net.TCPConn, _ *Endpoint) { short(c) }, routing.RequestIncomplete},
+		{"failed while the request came", time.Minute, func(c *net.TCPConn, _ *Endpoint) {
 			short(c)
 			_, _ = c.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
 			_, _ = io.Copy(io.Discard, c)
-		}, routing.Broken},
-		{"served while the request came", time.Minute, func(c *net.TCPConn, _ *Server) {
+		}, routing.RequestIncomplete},
+		{"served while the request came", time.Minute, func(c *net.TCPConn, _ *Endpoint) {
 			short(c)
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 			_, _ = io.Copy(io.Discard, c)
-		}, routing.Broken},
-		{"told to drain meanwhile", 50 * time.Millisecond, func(c *net.TCPConn, s *Server) {
+		}, routing.RequestIncomplete},
+		{"told to drain meanwhile", 50 * time.Millisecond, func(c *net.TCPConn, s *Endpoint) {
 			short(c)
-			s.Shut()
+			s.Close()
 			if n, _ := c.Read(make([]byte, 1)); n > 0 {
 				t.Error("the last byte came to an engine that drains")
 			}
 		}, routing.NotSent},
-		{"reset after the whole request", time.Millisecond, func(c *net.TCPConn, _ *Server) {
+		{"reset after the whole request", time.Millisecond, func(c *net.TCPConn, _ *Endpoint) {
 			request(c, bufio.NewReader(c))
 			reset(c)
-		}, routing.Reset},
+		}, routing.ConnectionReset},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			c := platform(testClient())
-			c.Settle = k.settle
-			var s *Server
+			c.SettleDelay = k.settle
+			var s *Endpoint
 			ready := make(chan struct{})
 			s = peer(t, func(_ int, c *net.TCPConn) { <-ready; k.serve(c, s) })
 			close(ready)
-			out := c.Write(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Once: true, Body: body, Deadline: time.Now().Add(time.Minute)}, &sink{})
+			out := c.Decode(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", SingleUseConn: true, Body: body, Deadline: time.Now().Add(time.Minute)}, &sink{})
 			if out.Result != k.want {
 				t.Errorf("%+v, want %v", out, k.want)
 			}
@@ -475,10 +475,10 @@
 			got <- b
 		})
 		c := platform(testClient())
-		c.Settle = time.Millisecond
+		c.SettleDelay = time.Millisecond
 		n := 0
-		out := c.Write(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Once: true, Body: body, Deadline: time.Now().Add(time.Minute),
-			Over: func() bool { n++; return n > looks }}, &sink{})
+		out := c.Decode(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", SingleUseConn: true, Body: body, Deadline: time.Now().Add(time.Minute),
+			Abandoned: func() bool { n++; return n > looks }}, &sink{})
 		if out.Result != routing.NotSent {
 			t.Errorf("left at look %d: %+v", looks, out)
 		}
@@ -500,19 +500,19 @@
 		}
 	}
 	c := testClient()
-	c.Total = 2
-	servers := []*Server{peer(t, serve), peer(t, serve), peer(t, serve)}
+	c.MaxConns = 2
+	servers := []*Endpoint{peer(t, serve), peer(t, serve), peer(t, serve)}
 	for i, s := range servers {
-		out := c.Read(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(10 * time.Second)})
-		if out.Result != routing.ReadDone {
+		out := c.Prefill(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(10 * time.Second)})
+		if out.Result != routing.PrefillDone {
 			t.Fatalf("engine %d: %+v", i, out)
 		}
 	}
-	if n := [3]int{servers[0].Connections(), servers[1].Connections(), servers[2].Connections()}; n != [3]int{0, 1, 1} || c.all.Load() != 2 {
+	if n := [3]int{servers[0].Conns(), servers[1].Conns(), servers[2].Conns()}; n != [3]int{0, 1, 1} || c.all.Load() != 2 {
 		t.Errorf("%v connections, %d in all", n, c.all.Load())
 	}
-	c.IdleTime = 0 // all that rest are past their time
-	c.Sweep()
+	c.IdleTimeout = 0 // all that rest are past their time
+	c.CloseExpiredIdle()
 	if n := c.all.Load(); n != 0 || len(c.resting) != 0 {
 		t.Errorf("%d connections after the sweep, %d servers with some", n, len(c.resting))
 	}
--- a/internal/engine/exchange.go
+++ b/internal/engine/exchange.go
@@ -13,13 +13,13 @@
 
 // exchange dials or reuses, checks that the server is still open, sends, and reads the response's head. On
 // failure it returns the outcome and no connection.
-func (c *Client) exchange(a *Attempt, s *Server, call *Call) (*conn, *http1.Response, *Outcome) {
+func (c *Client) exchange(a *Attempt, s *Endpoint, call *Call) (*conn, *http1.Response, *Outcome) {
 	fail := func(k *conn, out Outcome) (*conn, *http1.Response, *Outcome) {
 		if k != nil {
 			a.drop()
 			c.give(s, k, false)
 		}
-		if out.Result.NeverRan() && call.late() { // the server is not to blame
+		if out.Result.NeverExecuted() && call.late() { // the server is not to blame
 			out.Result = routing.NotSent
 		}
 		return nil, nil, &out
@@ -29,10 +29,10 @@
 	}
 	a.start()
 	up := call.sendBy()
-	if call.Connect > 0 {
-		up = soon(call.Connect, up)
+	if call.ConnectTimeout > 0 {
+		up = soon(call.ConnectTimeout, up)
 	}
-	k, err := c.take(a, s, call.Once || call.Fresh, up)
+	k, err := c.take(a, s, call.SingleUseConn || call.NewConn, up)
 	if errors.Is(err, errTooMany) {
 		return fail(nil, Outcome{Result: routing.NotSent, Err: err})
 	}
@@ -49,9 +49,9 @@
 		return fail(k, a.ended(err))
 	}
 	a.up = true
-	a.advance(func(p *Progress, since time.Duration) { p.Kept, p.Connected = k.reused, since })
+	a.advance(func(p *Progress, since time.Duration) { p.ReusedConn, p.Connected = k.reused, since })
 	n, err := c.transmit(a, s, k, call)
-	a.sent = n > 0 && (!c.WholeSent || err == nil)
+	a.sent = n > 0 && (!c.RunsWhenComplete || err == nil)
 	if err == nil {
 		a.advance(func(p *Progress, since time.Duration) { p.Written = since })
 	}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return fail(k, a.ended(err))
 	}
-	a.advance(func(p *Progress, since time.Duration) { p.Answered = since })
+	a.advance(func(p *Progress, since time.Duration) { p.ResponseStarted = since })
 	s.lastAnswer.Store(time.Now().UnixNano())
 	return k, resp, nil
 }
@@ -97,7 +97,7 @@
 // head reads the head of the answer, passing over interim ones. Each may be waited for until deadline, but must be
 // whole soon after its first byte.
 func (c *Client) head(k *conn, deadline time.Time) (*http1.Response, error) {
-	if c.HeadTime == 0 {
+	if c.HeaderTimeout == 0 {
 		return http1.ReadResponse(k.br, c.Limits)
 	}
 	for i := range http1.MostInterim {
@@ -105,7 +105,7 @@
 			return nil, err
 		}
 		if !http1.HeadBuffered(k.br) {
-			if err := k.SetReadDeadline(soon(c.HeadTime, deadline)); err != nil {
+			if err := k.SetReadDeadline(soon(c.HeaderTimeout, deadline)); err != nil {
 				return nil, err
 			}
 		}
@@ -133,9 +133,9 @@
 
 // transmit sends a call's request. The last byte of what may run only once waits until the connection has stood for
 // Settle with all the rest.
-func (c *Client) transmit(a *Attempt, s *Server, k *conn, call *Call) (int64, error) {
+func (c *Client) transmit(a *Attempt, s *Endpoint, k *conn, call *Call) (int64, error) {
 	m, last := c.message(s, call), len(call.Body)-1
-	if !call.Once || c.Settle <= 0 || !c.WholeSent || last < 0 {
+	if !call.SingleUseConn || c.SettleDelay <= 0 || !c.RunsWhenComplete || last < 0 {
 		return m.WriteTo(k.Conn)
 	}
 	(*m)[1] = call.Body[:last]
@@ -143,7 +143,7 @@
 	if err != nil {
 		return n, err
 	}
-	if err := k.SetReadDeadline(soon(c.Settle, call.Deadline)); err != nil {
+	if err := k.SetReadDeadline(soon(c.SettleDelay, call.Deadline)); err != nil {
 		return n, err
 	}
 	switch _, err := k.br.Peek(1); {
@@ -162,51 +162,51 @@
 }
 
 // message is a call's request; the body is not copied.
-func (c *Client) message(s *Server, call *Call) *net.Buffers {
+func (c *Client) message(s *Endpoint, call *Call) *net.Buffers {
 	b := make([]byte, 0, 512)
-	b = append(c.Dialect.Head(b, s, call), "\r\n"...)
+	b = append(c.Protocol.AppendHead(b, s, call), "\r\n"...)
 	return &net.Buffers{b, call.Body}
 }
 
 // whole reads the rest of an answer and gives the connection back; alive is false when the attempt was called off.
-func (c *Client) whole(a *Attempt, s *Server, k *conn, resp *http1.Response) (text []byte, alive bool, err error) {
+func (c *Client) whole(a *Attempt, s *Endpoint, k *conn, resp *http1.Response) (text []byte, alive bool, err error) {
 	var body http1.Body
 	body.Reset(k.br, &resp.Message, c.Limits)
-	text, err = http1.ReadAll(&body, c.Reply)
+	text, err = http1.ReadAll(&body, c.MaxReplyBytes)
 	alive = a.drop()
 	c.give(s, k, alive && err == nil && body.Done() && !resp.Close)
 	return text, alive, err
 }
 
 // answered reads an answer that is no stream.
-func (c *Client) answered(a *Attempt, s *Server, k *conn, resp *http1.Response, read bool) Outcome {
+func (c *Client) answered(a *Attempt, s *Endpoint, k *conn, resp *http1.Response, read bool) Outcome {
 	text, alive, err := c.whole(a, s, k, resp)
 	if resp.Status < 300 && (err != nil || !alive) {
 		return a.ended(err)
 	}
-	out := c.Dialect.Whole(read, resp, text, err)
-	if out.Result == routing.Errored && !a.sent { // it has not begun, whatever it says
-		out.Result = routing.Broken
+	out := c.Protocol.ParseReply(read, resp, text, err)
+	if out.Result == routing.EngineError && !a.sent { // it has not begun, whatever it says
+		out.Result = routing.RequestIncomplete
 	}
-	out.Report = c.report(resp.Header.Get(c.Load))
+	out.LoadReport = c.report(resp.Header.Get(c.LoadReportHeader))
 	return out
 }
 
-// Part waits for Settle after an attempt that was given up: its connection is closed, and the engine has to know before
+// AwaitSettled waits for Settle after an attempt that was given up: its connection is closed, and the engine has to know before
 // another engine or the client is told anything that follows from it. What the engine ended itself needs no wait.
-func (c *Client) Part(out *Outcome) {
+func (c *Client) AwaitSettled(out *Outcome) {
 	switch out.Result {
-	case routing.TimedOut, routing.Cancelled, routing.Errored, routing.Broken:
-		if c.Pause != nil {
-			c.Pause(c.Settle)
+	case routing.TimedOut, routing.Cancelled, routing.EngineError, routing.RequestIncomplete:
+		if c.Sleep != nil {
+			c.Sleep(c.SettleDelay)
 			return
 		}
-		time.Sleep(c.Settle)
+		time.Sleep(c.SettleDelay)
 	}
 }
 
-// Read runs the reading stage at s.
-func (c *Client) Read(a *Attempt, s *Server, call Call) Outcome {
+// Prefill runs the reading stage at s.
+func (c *Client) Prefill(a *Attempt, s *Endpoint, call Call) Outcome {
 	k, resp, failed := c.exchange(a, s, &call)
 	if failed != nil {
 		return *failed
--- a/internal/engine/orca.go
+++ b/internal/engine/orca.go
@@ -9,15 +9,15 @@
 
 // report reads the load figures that the module asked for, in its order; nil when the answer has none.
 func (c *Client) report(text string) []float64 {
-	if len(c.Report) == 0 {
+	if len(c.LoadReportFields) == 0 {
 		return nil
 	}
-	figures := ParseLoad(text)
+	figures := ParseLoadReport(text)
 	if figures == nil {
 		return nil
 	}
-	out := make([]float64, len(c.Report))
-	for i, name := range c.Report {
+	out := make([]float64, len(c.LoadReportFields))
+	for i, name := range c.LoadReportFields {
 		v, ok := figures[name]
 		if !ok {
 			v = math.NaN() // missing is not zero
@@ -27,10 +27,10 @@
 	return out
 }
 
-// ParseLoad reads an ORCA load report as it stands in the endpoint-load-metrics header, in its TEXT and JSON
+// ParseLoadReport reads an ORCA load report as it stands in the endpoint-load-metrics header, in its TEXT and JSON
 // forms (Envoy, "Open Request Cost Aggregation"). What is malformed or not finite is left out; the binary form
 // gives nil.
-func ParseLoad(v string) map[string]float64 {
+func ParseLoadReport(v string) map[string]float64 {
 	form, rest, _ := strings.Cut(v, " ")
 	out := map[string]float64{}
 	put := func(name string, f float64) {
--- a/internal/engine/pending_test.go
+++ b/internal/engine/pending_test.go
@@ -46,16 +46,16 @@
 		}
 	}
 	c := testClient()
-	c.DialTime = 20 * time.Second
-	s := &Server{Address: addr}
+	c.DialTimeout = 20 * time.Second
+	s := &Endpoint{Address: addr}
 	done := make(chan Outcome, 1)
 	go func() {
-		done <- c.Write(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Once: true, Body: []byte("{}")}, &sink{})
+		done <- c.Decode(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", SingleUseConn: true, Body: []byte("{}")}, &sink{})
 	}()
-	for s.Connections() == 0 {
+	for s.Conns() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	s.Shut()
+	s.Close()
 	go func() { // room in the backlog: the dial goes through at its next try
 		for range len(fill) + 1 {
 			nfd, _, err := syscall.Accept(fd)
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -15,9 +15,9 @@
 	"brackenbend/routing"
 )
 
-// Server is one engine as this front speaks to it.
-type Server struct {
-	ID      routing.ServerID
+// Endpoint is one engine as this front speaks to it.
+type Endpoint struct {
+	ID      routing.EndpointID
 	Name    string
 	Address string
 	Role    routing.Role
@@ -32,27 +32,27 @@
 	all   *atomic.Int64 // connections to all servers; set with the first
 }
 
-// Shut stops everything new to the server, also what was decided but has not sent its first byte. Idle
+// Close stops everything new to the server, also what was decided but has not sent its first byte. Idle
 // connections are closed.
-func (s *Server) Shut() {
+func (s *Endpoint) Close() {
 	s.closed.Store(true)
-	s.Forget()
+	s.DiscardIdleConns()
 }
 
 // Open lets new work through again.
-func (s *Server) Open() { s.closed.Store(false) }
+func (s *Endpoint) Open() { s.closed.Store(false) }
 
 // IsOpen tells whether new work may go to the server.
-func (s *Server) IsOpen() bool { return !s.closed.Load() }
+func (s *Endpoint) IsOpen() bool { return !s.closed.Load() }
 
-// LastAnswer is when the server last answered anything, as Unix time in nanoseconds; 0 = never.
-func (s *Server) LastAnswer() int64 { return s.lastAnswer.Load() }
+// LastResponse is when the server last answered anything, as Unix time in nanoseconds; 0 = never.
+func (s *Endpoint) LastResponse() int64 { return s.lastAnswer.Load() }
 
-// Forget closes idle connections, as after a restart of the process behind the address.
-func (s *Server) Forget() { s.retire(func(*conn) bool { return true }) }
+// DiscardIdleConns closes idle connections, as after a restart of the process behind the address.
+func (s *Endpoint) DiscardIdleConns() { s.retire(func(*conn) bool { return true }) }
 
 // retire closes the idle connections that old names.
-func (s *Server) retire(old func(*conn) bool) {
+func (s *Endpoint) retire(old func(*conn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.idle = slices.DeleteFunc(s.idle, func(k *conn) bool {
@@ -65,7 +65,7 @@
 }
 
 // closed1 closes a connection that is off the idle ones and books it out; s.mu is held.
-func (s *Server) closed1(k net.Conn) {
+func (s *Endpoint) closed1(k net.Conn) {
 	if k != nil {
 		k.Close()
 	}
@@ -73,8 +73,8 @@
 	s.all.Add(-1)
 }
 
-// Connections is the number of connections open or being opened.
-func (s *Server) Connections() int {
+// Conns is the number of connections open or being opened.
+func (s *Endpoint) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
@@ -91,24 +91,24 @@
 
 // take gets a connection: an idle one that is alive, unless fresh is asked for, else a new one until deadline
 // (zero = none). a, where given, can call the dial off.
-func (c *Client) take(a *Attempt, s *Server, fresh bool, deadline time.Time) (*conn, error) {
+func (c *Client) take(a *Attempt, s *Endpoint, fresh bool, deadline time.Time) (*conn, error) {
 	fresh = fresh || c.distrusts()
 	s.mu.Lock()
 	s.all = &c.all
 	for i := len(s.idle) - 1; !fresh && i >= 0; i-- {
 		k := s.idle[i]
-		if time.Since(k.since) < c.Rest {
+		if time.Since(k.since) < c.ReuseDelay {
 			continue
 		}
 		s.idle = slices.Delete(s.idle, i, i+1)
-		if time.Since(k.since) < c.IdleTime && quiet(k.Conn) {
+		if time.Since(k.since) < c.IdleTimeout && quiet(k.Conn) {
 			s.mu.Unlock()
 			k.reused = true
 			return k, nil
 		}
 		s.closed1(k)
 	}
-	if s.total >= c.Connections {
+	if s.total >= c.MaxConnsPerEndpoint {
 		if len(s.idle) == 0 {
 			s.mu.Unlock()
 			return nil, errTooMany
@@ -120,7 +120,7 @@
 	s.mu.Unlock()
 	var nc net.Conn
 	err := errTooMany
-	if n := c.all.Add(1); c.Total <= 0 || n <= int64(c.Total) || c.makeRoom() {
+	if n := c.all.Add(1); c.MaxConns <= 0 || n <= int64(c.MaxConns) || c.makeRoom() {
 		nc, err = c.dial(a, s, deadline)
 	}
 	if err != nil {
@@ -132,14 +132,14 @@
 	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, 4096)}, nil
 }
 
-// Connected is the number of connections to engines that are open or being opened.
-func (c *Client) Connected() int64 { return c.all.Load() }
+// OpenConns is the number of connections to engines that are open or being opened.
+func (c *Client) OpenConns() int64 { return c.all.Load() }
 
 // makeRoom closes the connection that has been idle longest at any server.
 func (c *Client) makeRoom() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var at *Server
+	var at *Endpoint
 	var since time.Time
 	for s := range c.resting {
 		s.mu.Lock()
@@ -172,26 +172,26 @@
 // lostOnKept draws the conclusions from a request that was written on a kept connection and of which nothing was heard. One that broke
 // says something of all; one on which nothing came in time may have been forgotten on the way, or its engine may be slow,
 // so the others to that engine are not trusted with a request.
-func (c *Client) lostOnKept(s *Server, err error) {
+func (c *Client) lostOnKept(s *Endpoint, err error) {
 	switch {
 	case broken(err):
 		c.distrust()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		s.Forget()
+		s.DiscardIdleConns()
 	}
 }
 
 func (c *Client) distrusts() bool {
 	at := c.broke.Load()
-	return at != 0 && time.Now().UnixNano()-at < int64(c.IdleTime)
+	return at != 0 && time.Now().UnixNano()-at < int64(c.IdleTimeout)
 }
 
-// Sweep closes connections that have been idle for IdleTime, so that engines need not.
-func (c *Client) Sweep() {
+// CloseExpiredIdle closes connections that have been idle for IdleTime, so that engines need not.
+func (c *Client) CloseExpiredIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for s := range c.resting {
-		s.retire(func(k *conn) bool { return time.Since(k.since) >= c.IdleTime })
+		s.retire(func(k *conn) bool { return time.Since(k.since) >= c.IdleTimeout })
 		s.mu.Lock()
 		if len(s.idle) == 0 {
 			delete(c.resting, s)
@@ -200,20 +200,20 @@
 	}
 }
 
-func (c *Client) dial(a *Attempt, s *Server, deadline time.Time) (net.Conn, error) {
+func (c *Client) dial(a *Attempt, s *Endpoint, deadline time.Time) (net.Conn, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	if a != nil && !a.stops(stop) {
 		return nil, errShut
 	}
-	d := net.Dialer{Timeout: c.DialTime, Deadline: deadline}
+	d := net.Dialer{Timeout: c.DialTimeout, Deadline: deadline}
 	return d.DialContext(ctx, "tcp", s.Address)
 }
 
 // give returns a connection after use; only one whose last message ended cleanly is kept.
-func (c *Client) give(s *Server, k *conn, clean bool) {
+func (c *Client) give(s *Endpoint, k *conn, clean bool) {
 	s.mu.Lock()
-	if !clean || !s.IsOpen() || c.distrusts() || len(s.idle) >= c.Idle || k.br.Buffered() > 0 || k.SetDeadline(time.Time{}) != nil {
+	if !clean || !s.IsOpen() || c.distrusts() || len(s.idle) >= c.MaxIdlePerEndpoint || k.br.Buffered() > 0 || k.SetDeadline(time.Time{}) != nil {
 		s.closed1(k)
 		s.mu.Unlock()
 		return
@@ -223,7 +223,7 @@
 	s.mu.Unlock()
 	c.mu.Lock()
 	if c.resting == nil {
-		c.resting = map[*Server]struct{}{}
+		c.resting = map[*Endpoint]struct{}{}
 	}
 	c.resting[s] = struct{}{}
 	c.mu.Unlock()
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -8,21 +8,23 @@
 
 // Progress is how far an attempt came, for logs. Times count from the attempt's start; 0 = it did not come so far.
 type Progress struct {
-	Kept      bool          // it was sent on a connection that had been used before
-	Connected time.Duration // a connection was there
-	Written   time.Duration // the request's last byte was handed to the system, which does not tell that it arrived
-	Answered  time.Duration // the head of an answer was here
+	ReusedConn      bool          // it was sent on a connection that had been used before
+	Connected       time.Duration // a connection was there
+	Written         time.Duration // the request's last byte was handed to the system, which does not tell that it arrived
+	ResponseStarted time.Duration // the head of an answer was here
 }
 
-// LostOnKept tells that the request was written on a kept connection and nothing came back: the connection may be dead with no sign.
-func (p Progress) LostOnKept() bool { return p.Kept && p.Written > 0 && p.Answered == 0 }
+// LostOnReusedConn tells that the request was written on a kept connection and nothing came back: the connection may be dead with no sign.
+func (p Progress) LostOnReusedConn() bool {
+	return p.ReusedConn && p.Written > 0 && p.ResponseStarted == 0
+}
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
 func (p Progress) MarshalLogObject(enc zapcore.ObjectEncoder) error {
-	enc.AddBool("kept_connection", p.Kept)
+	enc.AddBool("kept_connection", p.ReusedConn)
 	enc.AddDuration("connected", p.Connected)
 	enc.AddDuration("written", p.Written)
-	enc.AddDuration("answered", p.Answered)
+	enc.AddDuration("answered", p.ResponseStarted)
 	return nil
 }
 
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -7,13 +7,13 @@
 	"brackenbend/internal/http1"
 )
 
-// Releases tells that engines are told to let go of state.
-func (c *Client) Releases() bool { return c.Dialect.Release(&Server{}, "") != nil }
+// ReleasesState tells that engines are told to let go of state.
+func (c *Client) ReleasesState() bool { return c.Protocol.ReleaseMessage(&Endpoint{}, "") != nil }
 
-// Release lets go of what id holds at s, trying while there is time and a was not cancelled; fresh asks for a new connection. Without
+// ReleaseState lets go of what id holds at s, trying while there is time and a was not cancelled; fresh asks for a new connection. Without
 // such a call in the dialect it does nothing: engines let go by their own time-out.
-func (c *Client) Release(a *Attempt, s *Server, id string, fresh bool, deadline time.Time) error {
-	message := c.Dialect.Release(s, id)
+func (c *Client) ReleaseState(a *Attempt, s *Endpoint, id string, fresh bool, deadline time.Time) error {
+	message := c.Protocol.ReleaseMessage(s, id)
 	if message == nil {
 		return nil
 	}
@@ -29,7 +29,7 @@
 	return last
 }
 
-func (c *Client) release(a *Attempt, s *Server, message []byte, fresh bool, deadline time.Time) error {
+func (c *Client) release(a *Attempt, s *Endpoint, message []byte, fresh bool, deadline time.Time) error {
 	k, err := c.take(a, s, fresh, deadline)
 	if err != nil {
 		return err
@@ -52,9 +52,9 @@
 	s.lastAnswer.Store(time.Now().UnixNano())
 	var b http1.Body
 	b.Reset(k.br, &resp.Message, c.Limits)
-	_, err = http1.ReadAll(&b, c.Reply)
+	_, err = http1.ReadAll(&b, c.MaxReplyBytes)
 	clean = err == nil && b.Done() && !resp.Close
-	if !c.Dialect.Released(resp.Status) {
+	if !c.Protocol.ReleaseAccepted(resp.Status) {
 		return fmt.Errorf("engine: release answered %d", resp.Status)
 	}
 	return err
--- a/internal/engine/rest_test.go
+++ b/internal/engine/rest_test.go
@@ -29,7 +29,7 @@
 					return
 				}
 				_, _ = io.Copy(io.Discard, req.Body)
-				event := fmt.Sprintf("data: {\"choices\":[{\"delta\":{\"content\":\"%s\"}}]}\n\ndata: [DONE]\n\n", req.Header.Get(FieldID))
+				event := fmt.Sprintf("data: {\"choices\":[{\"delta\":{\"content\":\"%s\"}}]}\n\ndata: [DONE]\n\n", req.Header.Get(HeaderRequestID))
 				answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(event), event)
 				fmt.Fprint(c, late+answer)
 				if rest == time.Hour {
@@ -38,10 +38,10 @@
 			}
 		})
 		c := testClient()
-		c.Rest = rest
+		c.ReuseDelay = rest
 		for _, id := range []string{"one", "two"} {
 			got := &sink{}
-			c.Write(&Attempt{}, s, Call{Path: "/v1/x", ID: id, Body: []byte("{}"), Deadline: time.Now().Add(20 * time.Second)}, got)
+			c.Decode(&Attempt{}, s, Call{Path: "/v1/x", ID: id, Body: []byte("{}"), Deadline: time.Now().Add(20 * time.Second)}, got)
 			if !strings.Contains(got.got.String(), id) {
 				t.Errorf("rest %v: request %s got %q", rest, id, got.got.String())
 			}
@@ -49,19 +49,19 @@
 		if want := map[bool]int64{true: 2, false: 1}[rest == time.Hour]; connections.Load() != want {
 			t.Errorf("rest %v: %d connections, want %d", rest, connections.Load(), want)
 		}
-		s.Shut()
+		s.Close()
 	}
 }
 
 // TestOnlyWhatWasGivenUpIsWaitedFor: before anything follows from an attempt of unsafe work that this side ended, its engine gets time
 // to see that. What the engine ended itself, or never got, needs none.
 func TestOnlyWhatWasGivenUpIsWaitedFor(t *testing.T) {
-	for result, waits := range map[routing.Result]bool{routing.TimedOut: true, routing.Cancelled: true, routing.Errored: true, routing.Broken: true,
-		routing.Served: false, routing.ReadDone: false, routing.Turned: false, routing.Reset: false, routing.ConnectFailed: false, routing.NotSent: false} {
+	for result, waits := range map[routing.Result]bool{routing.TimedOut: true, routing.Cancelled: true, routing.EngineError: true, routing.RequestIncomplete: true,
+		routing.Served: false, routing.PrefillDone: false, routing.Rejected: false, routing.ConnectionReset: false, routing.ConnectFailed: false, routing.NotSent: false} {
 		var waited time.Duration
-		c := &Client{Settle: 3 * time.Millisecond, Pause: func(d time.Duration) { waited = d }}
-		c.Part(&Outcome{Result: result})
-		if waited != map[bool]time.Duration{true: c.Settle}[waits] {
+		c := &Client{SettleDelay: 3 * time.Millisecond, Sleep: func(d time.Duration) { waited = d }}
+		c.AwaitSettled(&Outcome{Result: result})
+		if waited != map[bool]time.Duration{true: c.SettleDelay}[waits] {
 			t.Errorf("result %d: waited %v", result, waited)
 		}
 	}
@@ -86,17 +86,17 @@
 	})
 	c := testClient()
 	ask := func(wait time.Duration) Outcome {
-		return c.Read(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Body: []byte("{}"), Deadline: time.Now().Add(wait)})
+		return c.Prefill(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Body: []byte("{}"), Deadline: time.Now().Add(wait)})
 	}
 	first := make(chan Outcome)
 	go func() { first <- ask(20 * time.Second) }()
-	if a, b := ask(20*time.Second), <-first; a.Result != routing.Turned || b.Result != routing.Turned || s.Connections() != 2 {
-		t.Fatalf("%+v, %+v, %d connections", a, b, s.Connections())
+	if a, b := ask(20*time.Second), <-first; a.Result != routing.Rejected || b.Result != routing.Rejected || s.Conns() != 2 {
+		t.Fatalf("%+v, %+v, %d connections", a, b, s.Conns())
 	}
 	if out := ask(50 * time.Millisecond); out.Result != routing.TimedOut {
 		t.Errorf("%+v", out)
 	}
-	if n := s.Connections(); n != 0 {
+	if n := s.Conns(); n != 0 {
 		t.Errorf("%d connections are kept", n)
 	}
 }
--- a/internal/engine/split_test.go
+++ b/internal/engine/split_test.go
@@ -43,7 +43,7 @@
 	heads := []string{"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"HTTP/1.1 200 Fine\r\ncontent-type:text/event-stream\r\nTRANSFER-ENCODING:  Chunked \r\n\r\n", "HTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n"}
 	c := testClient()
-	c.ToLastChunk, c.WholeSent, c.HeadTime, c.Load = true, true, time.Minute, "Srv-Load"
+	c.RequireLastChunk, c.RunsWhenComplete, c.HeaderTimeout, c.LoadReportHeader = true, true, time.Minute, "Srv-Load"
 	play := func(name, want string, pieces io.Reader) {
 		t.Helper()
 		k := &conn{Conn: scriptConn{Reader: pieces}}
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -20,8 +20,8 @@
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, relayBuf); return &b }}
 
-// Write runs the writing stage, or the whole request, at s and passes its events to sink.
-func (c *Client) Write(a *Attempt, s *Server, call Call, sink Sink) Outcome {
+// Decode runs the writing stage, or the whole request, at s and passes its events to sink.
+func (c *Client) Decode(a *Attempt, s *Endpoint, call Call, sink Sink) Outcome {
 	k, resp, failed := c.exchange(a, s, &call)
 	if failed != nil {
 		return *failed
@@ -29,15 +29,15 @@
 	if resp.Status != 200 {
 		return c.answered(a, s, k, resp, false)
 	}
-	if c.HeadTime > 0 { // the first event comes with the head, in time or not at all
-		_ = k.SetReadDeadline(soon(c.StreamIdle, call.Deadline))
+	if c.HeaderTimeout > 0 { // the first event comes with the head, in time or not at all
+		_ = k.SetReadDeadline(soon(c.StreamIdleTimeout, call.Deadline))
 	}
 	var body http1.Body
 	body.Reset(k.br, &resp.Message, c.Limits)
 	out := c.relay(a, k, &body, sink)
-	out.Events, out.Kept = a.seen, a.kept
-	if out.Report = a.load; out.Report == nil {
-		out.Report = c.report(resp.Header.Get(c.Load))
+	out.Events, out.CachedTokens = a.seen, a.kept
+	if out.LoadReport = a.load; out.LoadReport == nil {
+		out.LoadReport = c.report(resp.Header.Get(c.LoadReportHeader))
 	}
 	clean := out.Result == routing.Served && !resp.Close
 	if clean && !body.Done() { // the last chunk comes right behind the last event
@@ -64,9 +64,9 @@
 	defer free()
 	var quietFrom time.Time
 	for {
-		if now := time.Now(); a.begun && now.Sub(quietFrom) > c.StreamIdle/8 {
+		if now := time.Now(); a.begun && now.Sub(quietFrom) > c.StreamIdleTimeout/8 {
 			quietFrom = now
-			if err := k.SetReadDeadline(now.Add(c.StreamIdle)); err != nil {
+			if err := k.SetReadDeadline(now.Add(c.StreamIdleTimeout)); err != nil {
 				return a.ended(err)
 			}
 		}
@@ -77,8 +77,8 @@
 			buf = *pooled
 		}
 		if have == len(buf) {
-			if len(buf) >= c.Event {
-				return Outcome{Result: routing.Errored, Err: fmt.Errorf("engine: an event of over %d bytes", c.Event)}
+			if len(buf) >= c.MaxEventBytes {
+				return Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: an event of over %d bytes", c.MaxEventBytes)}
 			}
 			buf = append(buf, make([]byte, len(buf))...) // leaves the pooled one as it was
 		}
@@ -88,11 +88,11 @@
 			n, err = body.Read(buf[have:])
 			have, all = have+n, all+int64(n)
 		}
-		if c.Stream > 0 && all > c.Stream {
-			return Outcome{Result: routing.Errored, Err: fmt.Errorf("engine: a stream of over %d bytes", c.Stream)}
+		if c.MaxStreamBytes > 0 && all > c.MaxStreamBytes {
+			return Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: a stream of over %d bytes", c.MaxStreamBytes)}
 		}
 		from, end, out := a.scan(c, buf[:have], sink)
-		if out == nil && c.ToLastChunk && err == io.EOF && a.done {
+		if out == nil && c.RequireLastChunk && err == io.EOF && a.done {
 			end, out = have, &Outcome{Result: routing.Served} // with what may follow the last event
 		}
 		if end > from {
@@ -105,7 +105,7 @@
 		}
 		have = copy(buf, buf[end:have])
 		if err == io.EOF {
-			return Outcome{Result: routing.Reset, Err: errors.New("engine: the stream ended without its last event")}
+			return Outcome{Result: routing.ConnectionReset, Err: errors.New("engine: the stream ended without its last event")}
 		}
 		if err != nil {
 			return a.ended(err)
@@ -117,7 +117,7 @@
 
 // comment takes the load report that a stream's comment may hold.
 func (a *Attempt) comment(c *Client, text []byte) {
-	if rest, ok := bytes.CutPrefix(text, []byte(": "+c.Load+": ")); ok && c.ToLastChunk {
+	if rest, ok := bytes.CutPrefix(text, []byte(": "+c.LoadReportHeader+": ")); ok && c.RequireLastChunk {
 		a.load = c.report(string(bytes.TrimSpace(rest)))
 	}
 }
@@ -135,8 +135,8 @@
 			from = end + n
 		case data == nil:
 			a.comment(c, buf[end:end+n])
-		case bytes.HasPrefix(data, errorEvent) && !c.ToLastChunk:
-			return from, end, &Outcome{Result: routing.Errored, Err: fmt.Errorf("engine: error within the stream: %.200s", data)}
+		case bytes.HasPrefix(data, errorEvent) && !c.RequireLastChunk:
+			return from, end, &Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: error within the stream: %.200s", data)}
 		case !a.begun:
 			if a.begun = sink.Begin(); !a.begun {
 				return from, from, &Outcome{Result: routing.Cancelled, Err: errors.New("engine: another answer was given before")}
@@ -144,7 +144,7 @@
 		}
 		end += n
 		if string(data) == sse.Done {
-			if a.done = true; !c.ToLastChunk {
+			if a.done = true; !c.RequireLastChunk {
 				return from, end, &Outcome{Result: routing.Served}
 			}
 			continue
--- a/internal/engine/vllm.go
+++ b/internal/engine/vllm.go
@@ -13,46 +13,46 @@
 
 // The extension that an engine may speak beside vLLM's convention; docs/front.md has it in full.
 const (
-	PathRelease   = "/v1/brackenbend/release" // POST {"request_id": ...}: let go of a read state
-	FieldNeverRan = "X-Brackenbend-Never-Ran" // on 429 and 503: turned away before it ran
-	FieldNoState  = "X-Brackenbend-No-State"  // beside it: there was no read state to fetch
-	FieldLoad     = "endpoint-load-metrics"   // ORCA load report
-	fieldLoadAsk  = "endpoint-load-metrics-format"
-	FieldID       = "X-Request-Id"
-	FieldKey      = "Idempotency-Key"
+	PathRelease          = "/v1/brackenbend/release" // POST {"request_id": ...}: let go of a read state
+	HeaderNeverRan       = "X-Brackenbend-Never-Ran" // on 429 and 503: turned away before it ran
+	HeaderNoState        = "X-Brackenbend-No-State"  // beside it: there was no read state to fetch
+	HeaderLoadReport     = "endpoint-load-metrics"   // ORCA load report
+	fieldLoadAsk         = "endpoint-load-metrics-format"
+	HeaderRequestID      = "X-Request-Id"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // VLLM is vLLM's published convention, with this product's extension where engines speak it.
 type VLLM struct {
-	Extended bool
-	Agent    string // User-Agent
+	Extended  bool
+	UserAgent string // User-Agent
 }
 
-// Head implements Dialect.
-func (d VLLM) Head(b []byte, s *Server, call *Call) []byte {
+// AppendHead implements Dialect.
+func (d VLLM) AppendHead(b []byte, s *Endpoint, call *Call) []byte {
 	b = append(b, "POST "...)
 	b = append(b, call.Path...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = http1.AppendField(b, "Host", s.Address)
-	b = http1.AppendField(b, "User-Agent", d.Agent)
+	b = http1.AppendField(b, "User-Agent", d.UserAgent)
 	b = http1.AppendField(b, "Content-Type", "application/json")
 	b = http1.AppendField(b, "Content-Length", strconv.Itoa(len(call.Body)))
-	b = http1.AppendField(b, FieldID, call.ID)
-	if call.Key != "" {
-		b = http1.AppendField(b, FieldKey, call.Key)
+	b = http1.AppendField(b, HeaderRequestID, call.ID)
+	if call.IdempotencyKey != "" {
+		b = http1.AppendField(b, HeaderIdempotencyKey, call.IdempotencyKey)
 	}
 	return http1.AppendField(b, fieldLoadAsk, "TEXT")
 }
 
-// Whole implements Dialect.
-func (d VLLM) Whole(read bool, resp *http1.Response, text []byte, err error) Outcome {
-	out := Outcome{Result: routing.Errored, Err: fmt.Errorf("engine: answered %d", resp.Status)}
+// ParseReply implements Dialect.
+func (d VLLM) ParseReply(read bool, resp *http1.Response, text []byte, err error) Outcome {
+	out := Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: answered %d", resp.Status)}
 	switch resp.Status {
 	case 200:
 		return readReply(text)
 	case 429, 503:
-		if d.Extended && resp.Header.Get(FieldNeverRan) == "1" {
-			out.Result, out.NoState = routing.Turned, resp.Header.Get(FieldNoState) == "1"
+		if d.Extended && resp.Header.Get(HeaderNeverRan) == "1" {
+			out.Result, out.StateMissing = routing.Rejected, resp.Header.Get(HeaderNoState) == "1"
 		}
 	case 400, 413, 422:
 		if err == nil {
@@ -67,15 +67,15 @@
 	reply, err := api.ParseReadReply(text)
 	switch {
 	case err != nil:
-		return Outcome{Result: routing.Errored, Err: err}
+		return Outcome{Result: routing.EngineError, Err: err}
 	case reply.KV == nil:
-		return Outcome{Result: routing.Errored, Err: errors.New("engine: a reader answered without kv_transfer_params")}
+		return Outcome{Result: routing.EngineError, Err: errors.New("engine: a reader answered without kv_transfer_params")}
 	}
-	return Outcome{Result: routing.ReadDone, KV: reply.KV, Kept: reply.Cached}
+	return Outcome{Result: routing.PrefillDone, KVTransferParams: reply.KV, CachedTokens: reply.Cached}
 }
 
-// Release implements Dialect.
-func (d VLLM) Release(s *Server, id string) []byte {
+// ReleaseMessage implements Dialect.
+func (d VLLM) ReleaseMessage(s *Endpoint, id string) []byte {
 	if !d.Extended {
 		return nil
 	}
@@ -83,9 +83,9 @@
 	if err != nil { // a string always marshals
 		panic(err)
 	}
-	b := d.Head(nil, s, &Call{Path: PathRelease, ID: id, Body: body})
+	b := d.AppendHead(nil, s, &Call{Path: PathRelease, ID: id, Body: body})
 	return append(append(b, "\r\n"...), body...)
 }
 
-// Released implements Dialect; 404: nothing is held.
-func (VLLM) Released(status int) bool { return status == 200 || status == 404 }
+// ReleaseAccepted implements Dialect; 404: nothing is held.
+func (VLLM) ReleaseAccepted(status int) bool { return status == 200 || status == 404 }
--- a/internal/engine/window_test.go
+++ b/internal/engine/window_test.go
@@ -54,17 +54,17 @@
 		"half of it sent": {body: 32 << 20, left: 200 * time.Millisecond, hook: func(int, time.Time) {}},
 	} {
 		c := testClient()
-		c.WholeSent = true
+		c.RunsWhenComplete = true
 		calls, by := 0, time.Now().Add(k.left)
 		call := Call{Path: "/v1/x", ID: "a", Body: bytes.Repeat([]byte("x"), k.body), SendBy: by, Deadline: time.Now().Add(time.Minute)}
-		call.Over = func() bool { calls++; k.hook(calls, by); return false }
-		out := c.Write(&Attempt{}, &Server{Address: l.Addr().String()}, call, &sink{})
+		call.Abandoned = func() bool { calls++; k.hook(calls, by); return false }
+		out := c.Decode(&Attempt{}, &Endpoint{Address: l.Addr().String()}, call, &sink{})
 		if out.Result != routing.NotSent {
 			t.Errorf("%s: %+v", name, out)
 		}
 	}
 	over := Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(-time.Millisecond)} // it waited for something else
-	if out := testClient().Write(&Attempt{}, &Server{Address: l.Addr().String()}, over, &sink{}); out.Result != routing.NotSent {
+	if out := testClient().Decode(&Attempt{}, &Endpoint{Address: l.Addr().String()}, over, &sink{}); out.Result != routing.NotSent {
 		t.Errorf("past its deadline: %+v", out)
 	}
 	close(stalled)
--- a/internal/fake/apiserver/apiserver.go
+++ b/internal/fake/apiserver/apiserver.go
@@ -55,7 +55,7 @@
 	news     chan struct{} // closed and replaced at each change
 	delay    time.Duration
 	cut      bool
-	book     roles.Book
+	book     roles.Assignments
 	kinds    map[roles.Role]string
 	bookFile string
 	memory   []byte // what planners left, as JSON
@@ -72,8 +72,8 @@
 		versOf: map[string]int{}, known: map[string]bool{}, news: make(chan struct{}), watches: map[context.Context]context.CancelFunc{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /apis/discovery.k8s.io/v1/namespaces/{ns}/endpointslices", s.serve)
-	mux.HandleFunc("GET "+planner.PathBook, s.serveBook)
-	mux.HandleFunc("PUT "+planner.PathBook, s.serveBook)
+	mux.HandleFunc("GET "+planner.PathAssignments, s.serveBook)
+	mux.HandleFunc("PUT "+planner.PathAssignments, s.serveBook)
 	mux.HandleFunc("GET "+planner.PathMemory, s.serveMemory)
 	mux.HandleFunc("PUT "+planner.PathMemory, s.serveMemory)
 	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
--- a/internal/fake/apiserver/book.go
+++ b/internal/fake/apiserver/book.go
@@ -20,11 +20,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Entries == nil {
-		s.book.Entries = map[string]roles.Entry{}
+		s.book.Entries = map[string]roles.Assignment{}
 	}
 	s.kinds = kinds
 	if _, known := s.book.Entries[name]; !known {
-		s.book.Entries[name] = roles.Entry{Role: role, To: role, Open: true, Reads: true, Writes: true}
+		s.book.Entries[name] = roles.Assignment{Role: role, Target: role, Serving: true, CanPrefill: true, CanDecode: true}
 	}
 }
 
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	var b roles.Book
+	var b roles.Assignments
 	if err := json.Unmarshal(text, &b); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -52,7 +52,7 @@
 }
 
 // Book is the book as it stands.
-func (s *Server) Book() roles.Book {
+func (s *Server) Book() roles.Assignments {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book
@@ -65,17 +65,17 @@
 		return e
 	}
 	e.Kind = s.kinds[b.Role]
-	if !b.Open {
+	if !b.Serving {
 		e.Draining = true
 	}
-	if at := time.Unix(0, int64(b.Began)); b.Began > 0 && at.After(e.Started) {
+	if at := time.Unix(0, int64(b.ReopenedAt)); b.ReopenedAt > 0 && at.After(e.Started) {
 		e.Started = at
 	}
 	return e
 }
 
 // keep writes the book so that a crash at any moment leaves the old or the new one.
-func keep(path string, b roles.Book) error {
+func keep(path string, b roles.Assignments) error {
 	if path == "" {
 		return nil
 	}
@@ -135,7 +135,7 @@
 		return
 	}
 	if r.Method == http.MethodPut {
-		var b roles.Book
+		var b roles.Assignments
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 16<<20)).Decode(&b); err != nil {
 			status(w, http.StatusBadRequest, "BadRequest", "the body is no book: "+err.Error())
 			return
@@ -160,7 +160,7 @@
 		_ = json.NewEncoder(w).Encode(held)
 		return
 	}
-	v := planner.View{Book: s.book, Listings: map[string]planner.Listing{}}
+	v := planner.View{Assignments: s.book, Listings: map[string]planner.Listing{}}
 	for name := range s.book.Entries {
 		if e, ok := s.entries[name]; ok {
 			v.Listings[name] = planner.Listing{Address: e.Address, Place: e.Zone + "/" + e.Cell, Up: e.usable()}
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -37,7 +37,7 @@
 	Changed                func(*Server) // its process started or ended; may be nil
 
 	Roles  map[roles.Role]enginemodel.Params // that it can take; empty = it keeps its Params
-	Seat   roles.Seat                        // as its disk has it at its first start
+	Seat   roles.EngineState                 // as its disk has it at its first start
 	Switch time.Duration                     // from empty to serving in another role
 }
 
@@ -100,7 +100,7 @@
 	held    map[string]bool      // states told to the record
 	letGo   map[string]time.Time // reads whose state is not wanted any more, though they may still run or come
 
-	seat      roles.Seat // on its disk: outlives crashes
+	seat      roles.EngineState // on its disk: outlives crashes
 	switching bool
 	liar      bool // says that it changed, and did not
 
@@ -150,7 +150,7 @@
 	s.mu.Lock()
 	s.addr, s.lis, s.up = l.Addr().String(), l, true
 	s.uid++
-	s.seat, s.switching = s.seat.Empty(), false // a crash emptied it
+	s.seat, s.switching = s.seat.FinishDraining(), false // a crash emptied it
 	s.m = enginemodel.New(s.params(), s.now(), cold)
 	s.m.SetSlow(cmp.Or(s.faults.Slow, 1))
 	s.started = time.Time{}
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -26,15 +26,15 @@
 }
 
 // turned tells the same. s.mu is held.
-func (s *Server) turned() bool { return !s.seat.Takes(s.seat.Role) || s.switching && !s.adds() }
+func (s *Server) turned() bool { return !s.seat.Serves(s.seat.Role) || s.switching && !s.adds() }
 
 // adds tells that the engine is only to take on a stage more. s.mu is held.
-func (s *Server) adds() bool { return s.seat.To == roles.Both && s.seat.Role != roles.Both }
+func (s *Server) adds() bool { return s.seat.Target == roles.Both && s.seat.Role != roles.Both }
 
 // emptied begins the switch once nothing is left of the old role. s.mu is held.
 func (s *Server) emptied() {
 	busy := s.m.Working() > 0 || s.m.States() > 0
-	if s.switching || s.seat.Word().Serves || busy && !s.adds() || !s.up {
+	if s.switching || s.seat.StatusReport().Serving || busy && !s.adds() || !s.up {
 		return
 	}
 	s.switching = true
@@ -51,7 +51,7 @@
 			return
 		}
 		was := s.params()
-		s.seat, s.switching = s.seat.Empty(), false
+		s.seat, s.switching = s.seat.FinishDraining(), false
 		if added {
 			s.m.Become(s.now(), s.params())
 			s.plan()
@@ -77,7 +77,7 @@
 }
 
 // Seat is the engine's part in a change of role.
-func (s *Server) Seat() roles.Seat {
+func (s *Server) Seat() roles.EngineState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.seat
@@ -85,24 +85,24 @@
 
 // role answers a planner: it takes an order where one comes, and tells how the engine stands.
 func (s *Server) role(w http.ResponseWriter, r *http.Request) {
-	var t roles.Tell
+	var t roles.Command
 	if r.Method == http.MethodPost {
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&t); err != nil || t.To > roles.Both {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&t); err != nil || t.Target > roles.Both {
 			http.Error(w, `{"error":{"message":"an order is {\"id\":...,\"order\":...,\"to\":...}","type":"invalid_request_error"}}`, http.StatusBadRequest)
 			return
 		}
 	}
 	s.mu.Lock()
-	if _, can := s.cfg.Roles[t.To]; r.Method == http.MethodPost && can && t.ID == s.cfg.Name {
-		s.seat = s.seat.Take(t)
+	if _, can := s.cfg.Roles[t.Target]; r.Method == http.MethodPost && can && t.ID == s.cfg.Name {
+		s.seat = s.seat.Accept(t)
 	}
 	s.m.Advance(s.now())
 	s.plan()
 	k := s.m.Work()
-	reply := planner.Status{Word: s.seat.Word(), Held: s.m.Working() + s.m.States(),
+	reply := planner.Status{StatusReport: s.seat.StatusReport(), Held: s.m.Working() + s.m.States(),
 		Read:  planner.Stage{Done: k.ReadDone, Waiting: k.ReadWaiting, Lost: k.ReadLost, Count: k.Reads},
 		Write: planner.Stage{Done: k.WriteDone, Waiting: k.WriteWaiting, Lost: k.WriteLost, Count: k.Writes}}
-	reply.Serves = reply.Serves && !s.switching
+	reply.Serving = reply.Serving && !s.switching
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(reply)
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -25,7 +25,7 @@
 // while a request is open it waits in a read, which ends when the client hangs up, or when kick moves the read
 // deadline into the past.
 type client struct {
-	f         *Front
+	f         *Gateway
 	nc        net.Conn
 	br        *bufio.Reader
 	idleSince atomic.Int64 // between requests since, as Unix time in nanoseconds; 0 = it is not; or evicted
@@ -58,7 +58,7 @@
 	return true
 }
 
-func newClient(f *Front, nc net.Conn) *client {
+func newClient(f *Gateway, nc net.Conn) *client {
 	return &client{f: f, nc: nc, made: time.Now(), br: bufio.NewReaderSize(nc, 2048)}
 }
 
@@ -220,7 +220,7 @@
 // within is the end of a wait for a part of a request: that of a connection's first must be here soon.
 func (c *client) within(wait time.Duration) time.Time {
 	at := time.Now().Add(wait)
-	if first := c.made.Add(c.f.FirstTime); c.f.FirstTime > 0 && !c.used && first.Before(at) {
+	if first := c.made.Add(c.f.FirstRequestTimeout); c.f.FirstRequestTimeout > 0 && !c.used && first.Before(at) {
 		return first
 	}
 	return at
@@ -238,25 +238,25 @@
 	}
 	c.f.m.Turned.WithLabelValues("malformed").Inc()
 	a := &api.Error{Status: e.Status, Type: "invalid_request_error", Code: "malformed", Message: e.Reason}
-	_ = c.send(Answer{Status: e.Status, Body: a.JSON()}, false)
+	_ = c.send(Response{Status: e.Status, Body: a.JSON()}, false)
 }
 
 // send writes an answer that is not a stream.
-func (c *client) send(a Answer, keep bool) error {
+func (c *client) send(a Response, keep bool) error {
 	b := make([]byte, 0, 256+len(a.Body))
 	b = http1.AppendStatus(b, a.Status)
 	b = http1.AppendField(b, "Content-Type", "application/json")
 	b = http1.AppendField(b, "Content-Length", strconv.Itoa(len(a.Body)))
-	if a.wait > 0 && c.f.Waits {
+	if a.wait > 0 && c.f.SendRetryAfter {
 		seconds := strconv.Itoa(int(math.Ceil(a.wait.Seconds())))
-		if c.f.Fractions {
+		if c.f.FractionalRetryAfter {
 			seconds = strconv.FormatFloat(a.wait.Seconds(), 'f', 3, 64)
 		}
 		b = http1.AppendField(b, "Retry-After", seconds)
 		b = http1.AppendField(b, "retry-after-ms", strconv.FormatInt(a.wait.Milliseconds(), 10))
 	}
 	if a.id != "" {
-		b = http1.AppendField(b, engine.FieldID, a.id)
+		b = http1.AppendField(b, engine.HeaderRequestID, a.id)
 	}
 	if a.noRetry {
 		b = http1.AppendField(b, "x-should-retry", "false")
@@ -276,18 +276,18 @@
 func (c *client) handle(req *http1.Request) bool {
 	var body http1.Body
 	body.Reset(c.br, &req.Message, c.f.limits)
-	if a := c.f.Way.Plain(req); a != nil {
+	if a := c.f.Protocol.RespondDirectly(req); a != nil {
 		return c.simple(req, &body, *a)
 	}
 	return c.completion(req, &body)
 }
 
 func (c *client) reject(req *http1.Request, body *http1.Body, e *api.Error) bool {
-	return c.simple(req, body, Answer{Status: e.Status, Body: e.JSON()})
+	return c.simple(req, body, Response{Status: e.Status, Body: e.JSON()})
 }
 
 // simple answers without a flight. A body that was not read ends the connection.
-func (c *client) simple(req *http1.Request, body *http1.Body, a Answer) bool {
+func (c *client) simple(req *http1.Request, body *http1.Body, a Response) bool {
 	keep := !req.Close && body.Done() && !c.f.parting()
 	return c.send(a, keep) == nil && keep
 }
@@ -296,12 +296,12 @@
 func (c *client) turn(req *http1.Request, body *http1.Body, reason, message string) bool {
 	c.f.m.Turned.WithLabelValues(reason).Inc()
 	e := &api.Error{Status: 503, Type: "server_error", Code: "overloaded", Message: message}
-	return c.simple(req, body, Answer{Status: 503, Body: e.JSON(), wait: time.Second})
+	return c.simple(req, body, Response{Status: 503, Body: e.JSON(), wait: time.Second})
 }
 
 func (c *client) completion(req *http1.Request, body *http1.Body) bool {
 	f := c.f
-	if f.parting() && f.Linger == 0 {
+	if f.parting() && f.AcceptWhileDraining == 0 {
 		return c.turn(req, body, "draining", "this front is going down; nothing was done")
 	}
 	if f.open.Add(1) > int64(f.Limits.Open) {
@@ -345,7 +345,7 @@
 		f.m.Turned.WithLabelValues("invalid").Inc()
 		return c.reject(req, body, e)
 	}
-	if f.OneByOne && c.br.Buffered() > 0 { // the client may have given up on the one before it
+	if f.RejectPipelining && c.br.Buffered() > 0 { // the client may have given up on the one before it
 		f.m.Turned.WithLabelValues("pipelined").Inc()
 		return c.reject(&http1.Request{Message: http1.Message{Close: true}}, body, oneByOne)
 	}
@@ -367,7 +367,7 @@
 // flight reads a request's traits and makes its flight.
 func (c *client) flight(req *http1.Request, body []byte) (*flight, *api.Error) {
 	f := c.f
-	t, e := f.Way.Take(req, body)
+	t, e := f.Protocol.ParseRequest(req, body)
 	if e != nil {
 		return nil, e
 	}
@@ -378,15 +378,15 @@
 		return nil, &api.Error{Status: 503, Type: "server_error", Message: "this front must be restarted; nothing was done"}
 	}
 	now := time.Now()
-	fl := &flight{id: routing.RequestID(n), name: t.ID, ask: t.Event, prompt: t.Prompt, path: t.Path, key: t.Key, class: &f.classes[t.Event.Class],
-		to: c, chunks: req.Minor == 1, taken: now, keep: !req.Close && req.Minor == 1 && !f.parting(), done: make(chan struct{}), whole: t.Whole}
-	wait := t.Wait
+	fl := &flight{id: routing.RequestID(n), name: t.ClientID, ask: t.Routing, prompt: t.Prompt, path: t.Path, key: t.IdempotencyKey, class: &f.classes[t.Routing.Class],
+		to: c, chunks: req.Minor == 1, taken: now, keep: !req.Close && req.Minor == 1 && !f.parting(), done: make(chan struct{}), whole: t.Collector}
+	wait := t.FirstTokenTimeout
 	if bend := f.seam.Wait; bend != nil {
 		wait = bend(wait)
 	}
-	fl.due = now.Add(api.Within(wait, f.Margin))
-	if t.Last > 0 {
-		fl.last = now.Add(api.Within(t.Last, f.Margin))
+	fl.due = now.Add(api.Within(wait, f.AnswerMargin))
+	if t.AnswerTimeout > 0 {
+		fl.last = now.Add(api.Within(t.AnswerTimeout, f.AnswerMargin))
 	}
 	return fl, nil
 }
@@ -394,7 +394,7 @@
 var oneByOne = &api.Error{Status: 400, Type: "invalid_request_error", Code: "pipelined", Message: "one request at a time on a connection"}
 
 // claim takes the client's own id of a request for it; false: an open one has it.
-func (f *Front) claim(name string) bool {
+func (f *Gateway) claim(name string) bool {
 	if name == "" {
 		return true
 	}
@@ -407,7 +407,7 @@
 	return true
 }
 
-func (f *Front) unclaim(name string) {
+func (f *Gateway) unclaim(name string) {
 	if name != "" {
 		f.mu.Lock()
 		delete(f.names, name)
@@ -418,7 +418,7 @@
 // fly hands a flight to the loop and sees it to its end.
 func (c *client) fly(fl *flight) bool {
 	f := c.f
-	backstop := fl.due.Add(f.Margin / 2)
+	backstop := fl.due.Add(f.AnswerMargin / 2)
 	if c.setReadDeadline(backstop) != nil {
 		return false
 	}
@@ -435,7 +435,7 @@
 		return false
 	}
 	if fl.answer.Status == 0 { // it was a stream
-		return fl.keep && !c.flooded && fl.result != "gone" && (fl.result != "broken" || !f.CutBroken)
+		return fl.keep && !c.flooded && fl.result != "gone" && (fl.result != "broken" || !f.CutBrokenStreams)
 	}
 	keep := fl.keep && !c.flooded && !f.parting()
 	fl.answer.id = fl.title()
@@ -450,10 +450,10 @@
 		case err == nil && fl.over(): // the whole answer may be with the client already: this is its next request
 			<-fl.done
 			return false
-		case err == nil && c.f.OneByOne: // no client that waits for its answer sends this
-			if fl.finish(Answer{Status: oneByOne.Status, Body: oneByOne.JSON(), reason: reasonPipelined}) {
+		case err == nil && c.f.RejectPipelining: // no client that waits for its answer sends this
+			if fl.finish(Response{Status: oneByOne.Status, Body: oneByOne.JSON(), reason: reasonPipelined}) {
 				fl.keep = false
-				c.f.loop.post(item{ev: routing.ClientGone{Request: fl.id}})
+				c.f.loop.post(item{ev: routing.ClientDisconnected{Request: fl.id}})
 				return false
 			}
 			c.flooded = true
@@ -502,14 +502,14 @@
 	switch {
 	case fl.state.Load() == streaming && !fl.last.IsZero() && !now.Before(fl.last):
 		if fl.settle(streaming, failure(fl, reasonLateWhole)) { // a whole answer that is not whole in the client's time
-			c.f.loop.post(item{ev: routing.ClientGone{Request: fl.id}})
+			c.f.loop.post(item{ev: routing.ClientDisconnected{Request: fl.id}})
 			c.callOff(fl)
 		}
 	case fl.state.Load() == open && !now.Before(backstop):
 		if fl.finish(failure(fl, reasonBackstop)) {
 			c.f.m.Backstops.Inc()
 			c.f.log.Error("no decision came in the client's time", zap.String("id", fl.title()))
-			c.f.loop.post(item{ev: routing.ClientGone{Request: fl.id}})
+			c.f.loop.post(item{ev: routing.ClientDisconnected{Request: fl.id}})
 		}
 	}
 	return false
@@ -518,11 +518,11 @@
 // hangUp ends a flight whose client has left.
 func (c *client) hangUp(fl *flight) bool {
 	if fl.state.CompareAndSwap(open, gone) {
-		c.f.loop.post(item{ev: routing.ClientGone{Request: fl.id}})
+		c.f.loop.post(item{ev: routing.ClientDisconnected{Request: fl.id}})
 		return true
 	}
 	if fl.state.CompareAndSwap(streaming, gone) {
-		c.f.loop.post(item{ev: routing.ClientGone{Request: fl.id}})
+		c.f.loop.post(item{ev: routing.ClientDisconnected{Request: fl.id}})
 		c.callOff(fl)
 		if fl.whole == nil {
 			<-fl.done // the attempt writes to this connection until it ends
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -72,7 +72,7 @@
 // that chunk has returned. It is the next request on that connection, and not one sent beside the first.
 func TestARequestAtTheEndOfAStream(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
-	r.f.OneByOne = true
+	r.f.RejectPipelining = true
 	next, lastChunk := make(chan struct{}), make(chan struct{})
 	requests, streams := 0, 0
 	c := r.connect(&hookedConn{
@@ -164,7 +164,7 @@
 	l := &scarceListener{TCPListener: listenOn(t), failed: make(chan struct{})}
 	r := newRigOn(t, l, "", "reader", "writer")
 	r.eventually("it listens", func() bool { r.f.mu.Lock(); defer r.f.mu.Unlock(); return r.f.listener != nil })
-	r.f.Linger = 20 * time.Second
+	r.f.AcceptWhileDraining = 20 * time.Second
 	l.short.Store(true)
 	ended := make(chan struct{})
 	go func() { r.f.Shutdown(t.Context()); close(ended) }()
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -31,7 +31,7 @@
 	id     routing.RequestID
 	name   string          // by its client; "" = none
 	ask    routing.Request // as the module is told, but for ID and Due
-	prompt Prompt
+	prompt RequestBodies
 	path   string // towards engines
 	key    string // Idempotency-Key
 	class  *routing.Class
@@ -45,7 +45,7 @@
 
 	state  atomic.Int32
 	done   chan struct{} // closed once the answer is set or the stream has ended
-	answer Answer        // set before done is closed, by the owner of the answer
+	answer Response      // set before done is closed, by the owner of the answer
 	result string        // for the log, as answer
 	reason string        // why it was not served, for the log, as answer
 	events atomic.Int64  // of the stream
@@ -59,15 +59,15 @@
 	out     int
 	kv      json.RawMessage
 	held    readState // what a reader holds for it, as far as is known
-	after   *Answer   // set once out is 0: see refuse
+	after   *Response // set once out is 0: see refuse
 	mayHold bool      // the module wants what it may hold released
 	release *release  // the last one that was given for it
 	// releasing is closed once what an attempt may have left was released; the next one waits for it. nil: nothing is.
 	releasing <-chan struct{}
 }
 
-// Answer is what a client gets that is not a stream.
-type Answer struct {
+// Response is what a client gets that is not a stream.
+type Response struct {
 	Status  int
 	Body    []byte
 	wait    time.Duration // with a refusal
@@ -76,28 +76,28 @@
 	reason  string // why it is not served, for the log and metrics; "" where it is
 }
 
-func refusal(a routing.Refuse) Answer {
+func refusal(a routing.Reject) Response {
 	e := &api.Error{Status: 429, Type: "rate_limit_error", Code: "busy", Message: "not now; trying again after the told wait is harmless"}
-	return Answer{Status: 429, Body: e.JSON(), wait: a.Wait, noRetry: a.HandUp, reason: a.Reason.String()}
+	return Response{Status: 429, Body: e.JSON(), wait: a.RetryAfter, noRetry: a.NoAutoRetry, reason: a.Reason.String()}
 }
 
 // repeated answers a repeat that was not begun.
-func repeated() Answer {
+func repeated() Response {
 	e := &api.Error{Status: 502, Type: "server_error", Code: "earlier_try_may_have_run", Message: "the client repeated this request by itself " +
 		"(X-Stainless-Retry-Count), and an earlier try may have run; this one did not. Find out whether it ran before asking anew"}
-	return Answer{Status: e.Status, Body: e.JSON(), noRetry: true, reason: routing.EarlierTry.String()}
+	return Response{Status: e.Status, Body: e.JSON(), noRetry: true, reason: routing.ReasonPossibleDuplicate.String()}
 }
 
 // failure promises nothing about effects: where one may have happened, SDKs are told not to retry by themselves.
-func failure(fl *flight, reason string) Answer {
+func failure(fl *flight, reason string) Response {
 	e := &api.Error{Status: 502, Type: "server_error", Code: "failed", Message: "the request failed; it may have run"}
-	if fl.class.Effect == routing.Safe {
+	if fl.class.Idempotency == routing.Idempotent {
 		e.Message = "the request failed; it is safe to try again"
 	}
 	if !time.Now().Before(fl.due) {
 		e.Status, e.Code = 504, "timeout"
 	}
-	return Answer{Status: e.Status, Body: e.JSON(), noRetry: fl.class.Effect != routing.Safe, reason: reason}
+	return Response{Status: e.Status, Body: e.JSON(), noRetry: fl.class.Idempotency != routing.Idempotent, reason: reason}
 }
 
 // Reasons that the front itself finds; those of the module are routing.Reason's.
@@ -132,19 +132,19 @@
 }
 
 // finish sets the final answer if there is none yet.
-func (fl *flight) finish(a Answer) bool { return fl.settle(open, a) }
+func (fl *flight) finish(a Response) bool { return fl.settle(open, a) }
 
 // refuse refuses fl. What is unsafe and has an attempt out, which the module calls off, is refused when that has ended: its engine
 // knows first that nobody waits for it (engine.Client.Part). Called by the loop.
-func (fl *flight) refuse(a Answer) {
-	if fl.out > 0 && fl.class.Effect == routing.Unsafe && fl.to.f.Choice.CanCancel {
+func (fl *flight) refuse(a Response) {
+	if fl.out > 0 && fl.class.Idempotency == routing.NotIdempotent && fl.to.f.Routing.CanCancel {
 		fl.after = &a
 		return
 	}
 	fl.finish(a)
 }
 
-func (fl *flight) settle(from int32, a Answer) bool {
+func (fl *flight) settle(from int32, a Response) bool {
 	if !fl.state.CompareAndSwap(from, answered) {
 		return false
 	}
@@ -166,7 +166,7 @@
 type attempt struct {
 	fl       *flight
 	n        int
-	srv      *engine.Server
+	srv      *engine.Endpoint
 	write    bool
 	id       string
 	kv       json.RawMessage
@@ -197,8 +197,8 @@
 func (a *attempt) run(l *loop) {
 	a.began, a.post = time.Now(), l.post
 	out := a.perform(l)
-	if a.fl.class.Effect == routing.Unsafe {
-		l.client.Part(&out)
+	if a.fl.class.Idempotency == routing.NotIdempotent {
+		l.client.AwaitSettled(&out)
 	}
 	a.conclude(l, &out)
 }
@@ -210,17 +210,17 @@
 	if a.waitFor != nil {
 		<-a.waitFor
 	}
-	call := engine.Call{Path: a.fl.path, ID: a.id, Key: a.fl.key, Deadline: a.limit, SendBy: a.sendBy, Connect: a.connect, Fresh: a.fresh, Over: a.fl.abandoned}
+	call := engine.Call{Path: a.fl.path, ID: a.id, IdempotencyKey: a.fl.key, Deadline: a.limit, SendBy: a.sendBy, ConnectTimeout: a.connect, NewConn: a.fresh, Abandoned: a.fl.abandoned}
 	if bend := l.f.seam.Key; bend != nil {
-		call.Key = bend(call.Key)
+		call.IdempotencyKey = bend(call.IdempotencyKey)
 	}
 	if a.write {
-		call.Body = a.fl.prompt.WriteBody(a.kv, a.fl.whole != nil)
-		call.Once = a.fl.class.Effect == routing.Unsafe
-		return l.client.Write(&a.handle, a.srv, call, a)
+		call.Body = a.fl.prompt.DecodeBody(a.kv, a.fl.whole != nil)
+		call.SingleUseConn = a.fl.class.Idempotency == routing.NotIdempotent
+		return l.client.Decode(&a.handle, a.srv, call, a)
 	}
-	call.Body = a.fl.prompt.ReadBody()
-	return l.client.Read(&a.handle, a.srv, call)
+	call.Body = a.fl.prompt.PrefillBody()
+	return l.client.Prefill(&a.handle, a.srv, call)
 }
 
 // conclude tells everyone how the attempt ended.
@@ -234,29 +234,29 @@
 	a.resultMu.Lock()
 	a.result, a.took = resultNames[out.Result], took
 	a.resultMu.Unlock()
-	if out.Result != routing.Served && out.Result != routing.ReadDone {
+	if out.Result != routing.Served && out.Result != routing.PrefillDone {
 		a.logAttempt(l, out, took)
 	}
 	over := a.finish(out)
-	a.unsent = out.Result.NeverRan()
-	a.unclear = !a.write && !a.unsent && out.Result != routing.ReadDone
+	a.unsent = out.Result.NeverExecuted()
+	a.unclear = !a.write && !a.unsent && out.Result != routing.PrefillDone
 	a.givenUp = a.write && (out.Result == routing.TimedOut || out.Result == routing.Cancelled)
 	close(a.ended)
-	if !a.write && out.Result != routing.ReadDone && !l.client.ByRequest { // a state that it may have left is known to nobody
+	if !a.write && out.Result != routing.PrefillDone && !l.client.StateByRequestID { // a state that it may have left is known to nobody
 		l.work.Add(1)
 		go func() {
 			defer l.work.Done()
 			a.release(l, readState{})
 		}()
 	}
-	l.post(item{kv: out.KV, ev: routing.Outcome{Request: a.fl.id, Attempt: a.n, Server: a.srv.ID, Elapsed: took, Over: over,
-		Result: out.Result, NoState: out.NoState, Kept: out.Kept, Report: out.Report}})
+	l.post(item{kv: out.KVTransferParams, ev: routing.Outcome{Request: a.fl.id, Attempt: a.n, Endpoint: a.srv.ID, Elapsed: took, RequestDone: over,
+		Result: out.Result, StateMissing: out.StateMissing, CachedTokens: out.CachedTokens, LoadReport: out.LoadReport}})
 }
 
 // release tells the reader to release the state of this attempt, which has ended.
 func (a *attempt) release(l *loop, held readState) {
 	if !a.unsent && l.releases {
-		r := &release{id: a.id, servers: []*engine.Server{a.srv}, held: held}
+		r := &release{id: a.id, servers: []*engine.Endpoint{a.srv}, held: held}
 		if l.releaseAtOne(r) != nil {
 			l.stateEnded(held, stateReleaseFailed)
 		}
@@ -267,7 +267,7 @@
 func (a *attempt) finish(out *engine.Outcome) (over bool) {
 	fl := a.fl
 	if out.Reply != nil { // the engine blames the request; its word is the answer
-		return fl.finish(Answer{Status: out.Reply.Status, Body: out.Reply.Body})
+		return fl.finish(Response{Status: out.Reply.Status, Body: out.Reply.Body})
 	}
 	if !a.owns {
 		return false
@@ -279,7 +279,7 @@
 			fl.settle(streaming, failure(fl, reasonBroken))
 			return true
 		}
-		fl.settle(streaming, Answer{Status: 200, Body: body})
+		fl.settle(streaming, Response{Status: 200, Body: body})
 		return true
 	}
 	a.endStream(out)
@@ -297,12 +297,12 @@
 	if out.Result != routing.Served {
 		fl.result, fl.reason = "broken", reasonBroken
 	}
-	if out.Result != routing.Served && !fl.to.f.CutBroken {
+	if out.Result != routing.Served && !fl.to.f.CutBrokenStreams {
 		e := &api.Error{Type: "server_error", Code: "stream_broken", Message: "the stream broke; it may have run on"}
 		ev := append(append([]byte("data: "), e.JSON()...), "\n\n"...)
 		b = a.frame(b, ev)
 	}
-	if a.broken == nil && (fl.result == "served" || !fl.to.f.CutBroken) {
+	if a.broken == nil && (fl.result == "served" || !fl.to.f.CutBrokenStreams) {
 		if fl.chunks {
 			b = append(b, http1.LastChunk...)
 		}
@@ -352,13 +352,13 @@
 	since := time.Since(fl.taken)
 	fl.first.Store(int64(since))
 	fl.to.streams(fl.last)
-	a.post(item{ev: routing.First{Request: fl.id, Attempt: a.n, Server: a.srv.ID, Elapsed: time.Since(a.began)}})
+	a.post(item{ev: routing.FirstToken{Request: fl.id, Attempt: a.n, Endpoint: a.srv.ID, Elapsed: time.Since(a.began)}})
 	if fl.whole == nil {
 		a.takeFrame()
 		b := http1.AppendStatus(a.out, 200)
 		b = http1.AppendField(b, "Content-Type", "text/event-stream; charset=utf-8")
 		b = http1.AppendField(b, "Cache-Control", "no-cache")
-		b = http1.AppendField(b, engine.FieldID, fl.title())
+		b = http1.AppendField(b, engine.HeaderRequestID, fl.title())
 		if fl.chunks {
 			b = http1.AppendField(b, "Transfer-Encoding", "chunked")
 		}
@@ -414,7 +414,7 @@
 	defer fl.mu.Unlock()
 	for _, a := range fl.attempts {
 		a.resultMu.Lock()
-		read := a.result == resultNames[routing.ReadDone]
+		read := a.result == resultNames[routing.PrefillDone]
 		a.resultMu.Unlock()
 		if read {
 			return "write"
@@ -424,7 +424,7 @@
 }
 
 // report is the one log line of a request's final answer.
-func (fl *flight) report(f *Front) {
+func (fl *flight) report(f *Gateway) {
 	f.m.Answers.WithLabelValues(fl.class.Name, fl.result).Inc()
 	if fl.reason != "" {
 		f.m.NotServed.WithLabelValues(fl.result, fl.reason).Inc()
@@ -452,11 +452,11 @@
 	}
 	fl.mu.Unlock()
 	ce.Write(zap.String("id", fl.title()), zap.String("class", fl.class.Name), zap.Int("status", fl.answer.Status), zap.String("reason", fl.reason),
-		zap.Int("prompt_tokens", int(math.Round(fl.ask.PromptLen))), zap.Duration("first_token", time.Duration(fl.first.Load())),
+		zap.Int("prompt_tokens", int(math.Round(fl.ask.PromptTokens))), zap.Duration("first_token", time.Duration(fl.first.Load())),
 		zap.Duration("took", time.Since(fl.taken)), zap.Strings("attempts", trail),
 		zap.String("tenant", f.tenant(fl.ask.Tenant)), zap.String("session", strconv.FormatUint(fl.ask.Session, 16)),
-		zap.String("prefix", prefixName(fl.ask.Prefix)), zap.Int("prefix_tokens", int(math.Round(fl.ask.PrefixLen))),
-		zap.Int("max_out", int(fl.ask.MaxOut)), zap.Int64("events", fl.events.Load()), zap.Bool("stream", fl.whole == nil))
+		zap.String("prefix", prefixName(fl.ask.Prefix)), zap.Int("prefix_tokens", int(math.Round(fl.ask.PrefixTokens))),
+		zap.Int("max_out", int(fl.ask.MaxOutputTokens)), zap.Int64("events", fl.events.Load()), zap.Bool("stream", fl.whole == nil))
 }
 
 // prefixName is how a shared beginning goes by in the log; "" = none.
--- a/internal/gateway/forget_test.go
+++ b/internal/gateway/forget_test.go
@@ -16,11 +16,11 @@
 func TestEnginesThatAreGoneAreForgotten(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	for i := range 3000 {
-		pod := endpointslice.Engine{Name: fmt.Sprintf("pod-%d", i), Kind: "writer", Zone: fmt.Sprintf("z%d", i), Cell: fmt.Sprintf("c%d", i),
-			Address: "127.0.0.1:1", State: routing.Draining}
-		r.f.Deliver(endpointslice.Update{Scope: routing.Changes, Engines: []endpointslice.Engine{pod}})
-		pod.State = routing.Gone
-		r.f.Deliver(endpointslice.Update{Scope: routing.Changes, Engines: []endpointslice.Engine{pod}})
+		pod := endpointslice.Endpoint{Name: fmt.Sprintf("pod-%d", i), Kind: "writer", Zone: fmt.Sprintf("z%d", i), Cell: fmt.Sprintf("c%d", i),
+			Address: "127.0.0.1:1", State: routing.EndpointDraining}
+		r.f.UpdateEndpoints(endpointslice.Update{Scope: routing.ListChanges, Endpoints: []endpointslice.Endpoint{pod}})
+		pod.State = routing.EndpointGone
+		r.f.UpdateEndpoints(endpointslice.Update{Scope: routing.ListChanges, Endpoints: []endpointslice.Endpoint{pod}})
 	}
 	if resp, text := r.post("ask", `{"model":"m","messages":[{"role":"user","content":"x"}]}`); resp.StatusCode != http.StatusOK {
 		t.Fatalf("%d %s", resp.StatusCode, text)
@@ -46,14 +46,14 @@
 	defer stop()
 	r.f.Shutdown(ctx) // the loop is over: lists may be given to it from here
 	l := r.f.loop
-	tell := func(address string, started time.Time) routing.Server {
+	tell := func(address string, started time.Time) routing.Endpoint {
 		t.Helper()
-		e := endpointslice.Engine{Name: "pod", Kind: "writer", Zone: "z", Cell: "c", Address: address, State: routing.Ready, Started: started}
-		ev, ok := l.list(&endpointslice.Update{Scope: routing.Changes, Engines: []endpointslice.Engine{e}}).(routing.ServerList)
-		if !ok || len(ev.Servers) != 1 {
+		e := endpointslice.Endpoint{Name: "pod", Kind: "writer", Zone: "z", Cell: "c", Address: address, State: routing.EndpointReady, Started: started}
+		ev, ok := l.list(&endpointslice.Update{Scope: routing.ListChanges, Endpoints: []endpointslice.Endpoint{e}}).(routing.EndpointList)
+		if !ok || len(ev.Endpoints) != 1 {
 			t.Fatalf("%+v", ev)
 		}
-		return ev.Servers[0]
+		return ev.Endpoints[0]
 	}
 	first := tell("127.0.0.1:1", time.Time{})
 	for _, k := range []struct {
@@ -66,7 +66,7 @@
 		{"after the front", l.start.Add(7 * time.Second), epoch + 7*time.Second},
 		{"days before the front", l.start.Add(-72 * time.Hour), 0},
 	} {
-		if got := tell("127.0.0.1:1", k.started); got.ReadyAt != k.want || got.ID != first.ID {
+		if got := tell("127.0.0.1:1", k.started); got.StartedAt != k.want || got.ID != first.ID {
 			t.Errorf("%s: %+v, want it ready at %v", k.name, got, k.want)
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,62 +30,62 @@
 	"brackenbend/routing"
 )
 
-// Way is a way in: the protocol that clients speak. OpenAI's is this product's own; a platform may bring another.
-type Way interface {
-	// Plain answers what needs neither body nor decision; nil: the body is to be read, and Take asked.
-	Plain(req *http1.Request) *Answer
-	// Take reads a request for an answer.
-	Take(req *http1.Request, body []byte) (*Taken, *api.Error)
+// ClientProtocol is a way in: the protocol that clients speak. OpenAI's is this product's own; a platform may bring another.
+type ClientProtocol interface {
+	// RespondDirectly answers what needs neither body nor decision; nil: the body is to be read, and Take asked.
+	RespondDirectly(req *http1.Request) *Response
+	// ParseRequest reads a request for an answer.
+	ParseRequest(req *http1.Request, body []byte) (*ParsedRequest, *api.Error)
 }
 
-// Taken is a request as its way in read it.
-type Taken struct {
-	Event  routing.Request // but for ID and Due
-	Prompt Prompt
-	Path   string        // towards engines
-	ID     string        // the client's own id of the request, not to be used by two at once; "" = none
-	Key    string        // Idempotency-Key
-	Wait   time.Duration // how long the client waits for the first token
-	Whole  *api.Whole    // collects the answer for a client that does not stream
-	Last   time.Duration // how long it waits for a whole answer; 0 = not told
+// ParsedRequest is a request as its way in read it.
+type ParsedRequest struct {
+	Routing           routing.Request // but for ID and Due
+	Prompt            RequestBodies
+	Path              string        // towards engines
+	ClientID          string        // the client's own id of the request, not to be used by two at once; "" = none
+	IdempotencyKey    string        // Idempotency-Key
+	FirstTokenTimeout time.Duration // how long the client waits for the first token
+	Collector         *api.Whole    // collects the answer for a client that does not stream
+	AnswerTimeout     time.Duration // how long it waits for a whole answer; 0 = not told
 }
 
-// Prompt makes the bodies of a request's calls.
-type Prompt interface {
-	ReadBody() []byte
-	WriteBody(kv json.RawMessage, usage bool) []byte
+// RequestBodies makes the bodies of a request's calls.
+type RequestBodies interface {
+	PrefillBody() []byte
+	DecodeBody(kv json.RawMessage, usage bool) []byte
 }
 
 // Options are what a front is made of.
 type Options struct {
-	Choice  routing.Settings
-	Kinds   []string // names, as lists give them
-	Tenants []string
-	Seed    uint64
-	Way     Way
-	Engines *engine.Client
-	Limits  config.Limits // all are set
-	Margin  time.Duration // final answers are due so long before the client's time is up
-	// FirstTime is how long a new connection has for its first request; 0 = as later ones.
-	FirstTime time.Duration
-	// IdleLeast is how long an idle connection stays at least when connections are short; 0 = none is closed for that.
-	IdleLeast time.Duration
-	// Linger is how long a front that ends still takes in new connections and requests as before; 0 = it refuses them, and
+	Routing      routing.Config
+	Kinds        []string // names, as lists give them
+	Tenants      []string
+	Seed         uint64
+	Protocol     ClientProtocol
+	Engines      *engine.Client
+	Limits       config.Limits // all are set
+	AnswerMargin time.Duration // final answers are due so long before the client's time is up
+	// FirstRequestTimeout is how long a new connection has for its first request; 0 = as later ones.
+	FirstRequestTimeout time.Duration
+	// MinIdleTime is how long an idle connection stays at least when connections are short; 0 = none is closed for that.
+	MinIdleTime time.Duration
+	// AcceptWhileDraining is how long a front that ends still takes in new connections and requests as before; 0 = it refuses them, and
 	// waits lastLook for those that are on their way.
-	Linger time.Duration
-	// CutBroken: a stream that broke ends with its connection, else with an error event.
-	CutBroken bool
-	// OneByOne: a client has one request at a time on a connection; what sends more is answered with an error.
-	OneByOne bool
+	AcceptWhileDraining time.Duration
+	// CutBrokenStreams: a stream that broke ends with its connection, else with an error event.
+	CutBrokenStreams bool
+	// RejectPipelining: a client has one request at a time on a connection; what sends more is answered with an error.
+	RejectPipelining bool
 	// Waits: refusals say when to come back, in fractions of seconds where Fractions is set.
-	Waits, Fractions bool
+	SendRetryAfter, FractionalRetryAfter bool
 }
 
-// Front is one front. Make it with New or Make, give it lists with Deliver, run it with Serve.
-type Front struct {
+// Gateway is one front. Make it with New or Make, give it lists with Deliver, run it with Serve.
+type Gateway struct {
 	Options
 	set     *config.Settings // of New
-	seam    Seam
+	seam    TestHooks
 	classes []routing.Class
 	kinds   []routing.Kind
 	limits  http1.Limits
@@ -108,28 +108,28 @@
 	wait     sync.WaitGroup
 }
 
-// New makes a front for OpenAI's API and vLLM engines from checked settings.
-func New(set *config.Settings, log *zap.Logger, m *telemetry.Metrics) (*Front, error) {
+// NewFromSettings makes a front for OpenAI's API and vLLM engines from checked settings.
+func NewFromSettings(set *config.Settings, log *zap.Logger, m *telemetry.Metrics) (*Gateway, error) {
 	e := set.Engines
-	o := Options{Choice: set.Choice(), Seed: uint64(set.Front.Seed), Way: newOpenAI(set), Limits: *set.Limits, Margin: set.Front.Margin, Waits: true,
-		Engines: &engine.Client{Dialect: engine.VLLM{Extended: e.Dialect == "extended", Agent: Agent(set)}, Load: engine.FieldLoad,
-			DialTime: e.DialTime, Connections: e.Connections, Idle: e.Idle, IdleTime: e.IdleTime, StreamIdle: set.Limits.StreamIdle,
-			Event: int(set.Limits.Event), Reply: int64(set.Limits.Whole), Limits: http1.Limits{Head: 64 << 10, Fields: 200}}}
+	o := Options{Routing: set.RoutingConfig(), Seed: uint64(set.Front.Seed), Protocol: newOpenAI(set), Limits: *set.Limits, AnswerMargin: set.Front.Margin, SendRetryAfter: true,
+		Engines: &engine.Client{Protocol: engine.VLLM{Extended: e.Dialect == "extended", UserAgent: UserAgent(set)}, LoadReportHeader: engine.HeaderLoadReport,
+			DialTimeout: e.DialTime, MaxConnsPerEndpoint: e.Connections, MaxIdlePerEndpoint: e.Idle, IdleTimeout: e.IdleTime, StreamIdleTimeout: set.Limits.StreamIdle,
+			MaxEventBytes: int(set.Limits.Event), MaxReplyBytes: int64(set.Limits.Whole), Limits: http1.Limits{Head: 64 << 10, Fields: 200}}}
 	for _, k := range set.Kinds {
 		o.Kinds = append(o.Kinds, k.Name)
 	}
 	for _, t := range set.Tenants {
 		o.Tenants = append(o.Tenants, t.Name)
 	}
-	f, err := Make(o, log, m)
+	f, err := New(o, log, m)
 	if err == nil {
 		f.set = set
 	}
 	return f, err
 }
 
-// Make makes a front.
-func Make(o Options, log *zap.Logger, m *telemetry.Metrics) (*Front, error) {
+// New makes a front.
+func New(o Options, log *zap.Logger, m *telemetry.Metrics) (*Gateway, error) {
 	var random [16]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, err
@@ -137,40 +137,40 @@
 	if o.Seed == 0 {
 		o.Seed = binary.LittleEndian.Uint64(random[:8])
 	}
-	seam := Bend
+	seam := Hooks
 	if seam.Settings != nil {
-		seam.Settings(&o.Choice)
+		seam.Settings(&o.Routing)
 	}
-	router, err := routing.New(o.Choice, o.Seed)
+	router, err := routing.New(o.Routing, o.Seed)
 	if err != nil {
 		return nil, err
 	}
-	f := &Front{Options: o, seam: seam, classes: o.Choice.Classes, kinds: o.Choice.Kinds, log: log, m: m, conns: map[*client]struct{}{},
+	f := &Gateway{Options: o, seam: seam, classes: o.Routing.Classes, kinds: o.Routing.Kinds, log: log, m: m, conns: map[*client]struct{}{},
 		limits: http1.Limits{Head: int(o.Limits.Head), Fields: o.Limits.Fields}, names: map[string]struct{}{},
 		run: fmt.Sprintf("%x", random[8:]), lastLook: lastLook}
-	o.Engines.Report = o.Choice.ReportFields
+	o.Engines.LoadReportFields = o.Routing.LoadReportFields
 	f.loop = newLoop(f, router, o.Engines)
 	return f, nil
 }
 
-// Agent is the User-Agent of a front towards engines and the register.
-func Agent(set *config.Settings) string { return "brackenbend/" + set.Front.Name }
+// UserAgent is the User-Agent of a front towards engines and the register.
+func UserAgent(set *config.Settings) string { return "brackenbend/" + set.Front.Name }
 
-// Deliver takes news of the list of engines. It may be called from any goroutine.
-func (f *Front) Deliver(u endpointslice.Update) { f.loop.post(item{list: &u}) }
+// UpdateEndpoints takes news of the list of engines. It may be called from any goroutine.
+func (f *Gateway) UpdateEndpoints(u endpointslice.Update) { f.loop.post(item{list: &u}) }
 
 // Reload takes new settings into a running front: models, rules, sessions and prefixes. All else needs a
 // restart; what differs there is named in the error and nothing is taken.
-func (f *Front) Reload(set *config.Settings) error {
-	if err := config.SameButRoutes(f.set, set); err != nil {
+func (f *Gateway) Reload(set *config.Settings) error {
+	if err := config.CheckReload(f.set, set); err != nil {
 		return err
 	}
-	f.Way.(*openAI).routes.Store(set.Classifier())
+	f.Protocol.(*openAI).routes.Store(set.Classifier())
 	return nil
 }
 
 // NotReady tells why the front should get no traffic; "" when it should.
-func (f *Front) NotReady() string {
+func (f *Gateway) NotReady() string {
 	switch {
 	case f.draining.Load():
 		return "draining"
@@ -181,7 +181,7 @@
 }
 
 // Serve accepts clients until Shutdown or a failure of the listener.
-func (f *Front) Serve(l net.Listener) error {
+func (f *Gateway) Serve(l net.Listener) error {
 	f.mu.Lock()
 	if f.draining.Load() { // Shutdown came first, and may be waiting already
 		f.mu.Unlock()
@@ -223,7 +223,7 @@
 const lastLook = 50 * time.Millisecond
 
 // look is how long a draining front waits for what may still come: until it leaves, and at least for the last look.
-func (f *Front) look() time.Time {
+func (f *Gateway) look() time.Time {
 	at := time.Now().Add(f.lastLook)
 	if leaves := time.Unix(0, f.leaves.Load()); leaves.After(at) {
 		return leaves
@@ -232,11 +232,11 @@
 }
 
 // parting tells that answers end their connections.
-func (f *Front) parting() bool {
+func (f *Gateway) parting() bool {
 	return f.draining.Load() && time.Now().UnixNano() >= f.leaves.Load()
 }
 
-func (f *Front) accept(nc net.Conn) {
+func (f *Gateway) accept(nc net.Conn) {
 	f.mu.Lock()
 	if len(f.conns) >= f.Limits.Connections && !f.makeRoom() {
 		f.mu.Unlock()
@@ -262,8 +262,8 @@
 
 // makeRoom ends the connection that has been idle longest, where that is long enough; one that has not sent anything
 // yet owes its request at once and goes first. f.mu is held.
-func (f *Front) makeRoom() bool {
-	if f.IdleLeast == 0 {
+func (f *Gateway) makeRoom() bool {
+	if f.MinIdleTime == 0 {
 		return false
 	}
 	now := time.Now().UnixNano()
@@ -272,7 +272,7 @@
 		var rested int64
 		for c := range f.conns {
 			since := c.idleSince.Load()
-			if since <= 0 || c.used && now-since < int64(f.IdleLeast) || oldest != nil && !oldest.used && c.used {
+			if since <= 0 || c.used && now-since < int64(f.MinIdleTime) || oldest != nil && !oldest.used && c.used {
 				continue
 			}
 			if oldest == nil || oldest.used && !c.used || since < rested {
@@ -291,8 +291,8 @@
 
 // Shutdown stops accepting, lets what is held be answered until ctx ends, then fails the rest, which promises
 // nothing about effects. It returns when no connection and no attempt is left.
-func (f *Front) Shutdown(ctx context.Context) {
-	f.leaves.Store(time.Now().Add(f.Linger).UnixNano())
+func (f *Gateway) Shutdown(ctx context.Context) {
+	f.leaves.Store(time.Now().Add(f.AcceptWhileDraining).UnixNano())
 	f.mu.Lock()
 	f.draining.Store(true)
 	if l, ok := f.listener.(interface{ SetDeadline(time.Time) error }); ok { // those in the backlog are taken in and told
@@ -321,20 +321,20 @@
 }
 
 // connections is the number of clients' connections open.
-func (f *Front) connections() int {
+func (f *Gateway) connections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
 // wideID names an attempt over all fronts and restarts.
-func (f *Front) wideID(id routing.RequestID, attempt int) string {
+func (f *Gateway) wideID(id routing.RequestID, attempt int) string {
 	b := append(make([]byte, 0, len(f.run)+16), f.run...)
 	b = strconv.AppendUint(append(b, '-'), uint64(id), 16)
 	return string(strconv.AppendInt(append(b, '-'), int64(attempt), 10))
 }
 
-func (f *Front) tenant(i int) string {
+func (f *Gateway) tenant(i int) string {
 	if i >= 0 && i < len(f.Tenants) {
 		return f.Tenants[i]
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -40,10 +40,10 @@
 // rig is a front with stand-in engines.
 type rig struct {
 	t       *testing.T
-	f       *Front
+	f       *Gateway
 	addr    string
 	engines map[string]*standin.Server
-	list    []endpointslice.Engine
+	list    []endpointslice.Endpoint
 	served  chan error
 }
 
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, engines: map[string]*standin.Server{}, served: make(chan error, 1)}
-	if r.f, err = New(set, zap.NewNop(), telemetry.NewMetrics()); err != nil {
+	if r.f, err = NewFromSettings(set, zap.NewNop(), telemetry.NewMetrics()); err != nil {
 		t.Fatal(err)
 	}
 	for i, role := range roles {
@@ -100,9 +100,9 @@
 			t.Fatal(err)
 		}
 		r.engines[name] = s
-		r.list = append(r.list, endpointslice.Engine{Name: name, Kind: role, Address: s.Info().Address, State: routing.Ready})
+		r.list = append(r.list, endpointslice.Endpoint{Name: name, Kind: role, Address: s.Info().Address, State: routing.EndpointReady})
 	}
-	r.f.Deliver(endpointslice.Update{Scope: routing.Full, Engines: r.list})
+	r.f.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: r.list})
 	r.addr = l.Addr().String()
 	go func() { r.served <- r.f.Serve(l) }()
 	t.Cleanup(func() {
@@ -434,15 +434,15 @@
 func TestDeadlineOutcomeAndHangUpAtOnce(t *testing.T) {
 	for range 2000 {
 		a, b := net.Pipe()
-		f := &Front{set: &config.Settings{Limits: &config.Limits{StallTime: time.Second}}}
+		f := &Gateway{set: &config.Settings{Limits: &config.Limits{StallTime: time.Second}}}
 		fl := &flight{to: newClient(f, a), class: &routing.Class{}, done: make(chan struct{}), chunks: true, taken: time.Now()}
-		att := &attempt{fl: fl, srv: &engine.Server{}, post: func(item) {}}
+		att := &attempt{fl: fl, srv: &engine.Endpoint{}, post: func(item) {}}
 		go io.Copy(io.Discard, b)
 		var wg sync.WaitGroup
 		var won [3]bool
 		start := make(chan struct{})
 		for i, act := range []func() bool{
-			func() bool { return fl.finish(refusal(routing.Refuse{Wait: time.Second})) },
+			func() bool { return fl.finish(refusal(routing.Reject{RetryAfter: time.Second})) },
 			att.Begin,
 			func() bool { return fl.state.CompareAndSwap(open, gone) },
 		} {
@@ -556,10 +556,10 @@
 					list := slices.Clone(r.list) // the loop may still read the one before
 					for i := range list {
 						if strings.HasPrefix(list[i].Name, "writer") {
-							list[i].State = routing.Draining
+							list[i].State = routing.EndpointDraining
 						}
 					}
-					r.f.Deliver(endpointslice.Update{Scope: routing.Full, Engines: list})
+					r.f.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: list})
 				})
 			})
 		}
@@ -607,7 +607,7 @@
 		r := newRig(t, "", "reader", "writer")
 		r.engines["reader-0"].SetFaults(standin.Faults{Stall: true})
 		var waits atomic.Int64
-		r.f.loop.client.Pause = func(time.Duration) { waits.Add(1) }
+		r.f.loop.client.Sleep = func(time.Duration) { waits.Add(1) }
 		resp, text := r.post(class, chat(true, 3))
 		came := int64(r.engines["reader-0"].Arrivals()) // each was given up
 		want := map[string]int64{"quick": came}[class]
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -79,7 +79,7 @@
 	}
 	l.status = time.Now()
 	l.f.log.Info("status", zap.Int("open_requests", len(l.flights)), zap.Int("attempts_out", out), zap.Int("states_held", held),
-		zap.Duration("oldest_state", oldest), zap.Int("client_connections", l.f.connections()), zap.Int64("engine_connections", l.client.Connected()))
+		zap.Duration("oldest_state", oldest), zap.Int("client_connections", l.f.connections()), zap.Int64("engine_connections", l.client.OpenConns()))
 }
 
 // logAttempt logs how an attempt ended that was not served: with the module's next action it tells why a request was repeated, refused
@@ -94,6 +94,6 @@
 		stage = "write"
 	}
 	ce.Write(zap.String("id", a.fl.title()), zap.Int("attempt", a.n), zap.String("engine", a.srv.Name), zap.String("stage", stage),
-		zap.String("result", resultNames[out.Result]), zap.Bool("no_state", out.NoState), zap.Duration("took", took),
+		zap.String("result", resultNames[out.Result]), zap.Bool("no_state", out.StateMissing), zap.Duration("took", took),
 		zap.Object("progress", a.handle.Progress()), zap.Error(out.Err))
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -31,7 +31,7 @@
 // goroutines of their own and post items. The queue needs no bound of its own: a request open has a handful of
 // items at most in it, and open requests are bounded.
 type loop struct {
-	f        *Front
+	f        *Gateway
 	router   *routing.Router
 	client   *engine.Client
 	releases bool // engines are told to release state
@@ -50,7 +50,7 @@
 	// owned by the loop's goroutine
 	flights map[routing.RequestID]*flight
 	servers map[string]*listed
-	byID    map[routing.ServerID]*listed
+	byID    map[routing.EndpointID]*listed
 	places  map[string]int // numbers of the zones and cells of known servers; a number never comes again
 	placed  int            // numbers given
 	stepped time.Time      // when the module was last asked: the times in its actions count from then
@@ -62,16 +62,16 @@
 }
 
 type listed struct {
-	endpointslice.Engine
-	srv *engine.Server
+	endpointslice.Endpoint
+	srv *engine.Endpoint
 }
 
 // epoch is the loop's time at its start. It is not 0, so that engines may have started before the front did.
 const epoch = 24 * time.Hour
 
-func newLoop(f *Front, r *routing.Router, c *engine.Client) *loop {
-	l := &loop{f: f, router: r, client: c, releases: c.Releases(), start: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{}), tasks: make(chan *attempt),
-		flights: map[routing.RequestID]*flight{}, servers: map[string]*listed{}, byID: map[routing.ServerID]*listed{}, places: map[string]int{}}
+func newLoop(f *Gateway, r *routing.Router, c *engine.Client) *loop {
+	l := &loop{f: f, router: r, client: c, releases: c.ReleasesState(), start: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{}), tasks: make(chan *attempt),
+		flights: map[routing.RequestID]*flight{}, servers: map[string]*listed{}, byID: map[routing.EndpointID]*listed{}, places: map[string]int{}}
 	for i, stage := range []string{"read", "write"} {
 		for r, name := range resultNames {
 			l.ends[i][r] = f.m.Attempts.WithLabelValues(stage, name)
@@ -102,7 +102,7 @@
 //go:noinline
 func (l *loop) tell(fl *flight) {
 	ev := fl.ask
-	ev.ID, ev.Due = fl.id, l.now()+time.Until(fl.due)
+	ev.ID, ev.Deadline = fl.id, l.now()+time.Until(fl.due)
 	if bend := l.f.seam.Request; bend != nil {
 		bend(&ev)
 	}
@@ -112,7 +112,7 @@
 // giveUp has the module answer what has no answer yet.
 func (l *loop) giveUp() {
 	done := make(chan struct{})
-	l.post(item{ev: routing.Ending{}, done: done})
+	l.post(item{ev: routing.Shutdown{}, done: done})
 	<-done
 }
 
@@ -122,7 +122,7 @@
 	<-l.done
 	l.work.Wait()
 	for _, s := range l.servers {
-		s.srv.Shut()
+		s.srv.Close()
 	}
 }
 
@@ -194,9 +194,9 @@
 	case routing.Request:
 		l.flights[ev.ID] = it.fl
 		l.touched = append(l.touched, it.fl)
-	case routing.ClientGone:
+	case routing.ClientDisconnected:
 		l.flight(ev.Request)
-	case routing.First:
+	case routing.FirstToken:
 		if fl := l.flights[ev.Request]; fl != nil {
 			l.endsState(fl, stateFetched)
 			fl.mayHold = false // what engines hold for it goes with the stream's beginning
@@ -240,11 +240,11 @@
 func (l *loop) ended(fl *flight, ev *routing.Outcome, it *item) {
 	fl.out--
 	fl.attempts[ev.Attempt].pending = false
-	if ev.Result == routing.ReadDone {
+	if ev.Result == routing.PrefillDone {
 		fl.kv = it.kv
 		l.holds(fl, fl.attempts[ev.Attempt].srv.Name)
 	}
-	if ev.NoState {
+	if ev.StateMissing {
 		l.endsState(fl, stateGone)
 	}
 	if fl.out == 0 && fl.after != nil {
@@ -257,23 +257,23 @@
 	stage[ev.Result].Inc()
 }
 
-var resultNames = [...]string{routing.Served: "served", routing.Errored: "errored", routing.Turned: "turned", routing.TimedOut: "timed out",
-	routing.ConnectFailed: "connect failed", routing.Reset: "reset", routing.Cancelled: "cancelled", routing.NotSent: "not sent",
-	routing.ReadDone: "read", routing.Broken: "broke unsent"}
+var resultNames = [...]string{routing.Served: "served", routing.EngineError: "errored", routing.Rejected: "turned", routing.TimedOut: "timed out",
+	routing.ConnectFailed: "connect failed", routing.ConnectionReset: "reset", routing.Cancelled: "cancelled", routing.NotSent: "not sent",
+	routing.PrefillDone: "read", routing.RequestIncomplete: "broke unsent"}
 
-var roleNames = [...]string{routing.Reader: "reader", routing.Writer: "writer", routing.Mixed: "mixed"}
+var roleNames = [...]string{routing.RolePrefill: "reader", routing.RoleDecode: "writer", routing.RoleMixed: "mixed"}
 
 func (l *loop) act(a routing.Action) {
 	switch a := a.(type) {
 	case routing.Send:
 		l.send(a)
-	case routing.Refuse:
+	case routing.Reject:
 		if fl := l.flight(a.Request); fl != nil {
 			fl.refuse(refusal(a))
 		}
 	case routing.Fail:
 		if fl := l.flight(a.Request); fl != nil {
-			if a.Earlier {
+			if a.PossibleDuplicate {
 				fl.finish(repeated())
 			} else {
 				fl.finish(failure(fl, a.Reason.String()))
@@ -283,11 +283,11 @@
 		if fl := l.flights[a.Request]; fl != nil && a.Attempt < len(fl.attempts) {
 			fl.attempts[a.Attempt].handle.Cancel()
 		}
-	case routing.Release:
+	case routing.ReleaseState:
 		if fl := l.flights[a.Request]; fl != nil {
 			l.release(fl)
 		}
-	case routing.Wake:
+	case routing.SetTimer:
 		time.AfterFunc(a.After, func() { l.post(item{ev: routing.Timer{Tag: a.Tag}}) })
 	case routing.Log:
 		l.f.log.Info("module", zap.String("text", a.Text))
@@ -296,16 +296,16 @@
 
 // send starts an attempt in a goroutine of its own.
 func (l *loop) send(a routing.Send) {
-	fl, s := l.flights[a.Request], l.byID[a.Server]
+	fl, s := l.flights[a.Request], l.byID[a.Endpoint]
 	if fl == nil || s == nil { // the module sends for requests it was told of, to servers it was told of
-		l.f.log.Error("send for an unknown request or server", zap.Uint32("request", uint32(a.Request)), zap.Uint32("server", uint32(a.Server)))
-		l.post(item{ev: routing.Outcome{Request: a.Request, Server: a.Server, Result: routing.NotSent}})
+		l.f.log.Error("send for an unknown request or server", zap.Uint32("request", uint32(a.Request)), zap.Uint32("server", uint32(a.Endpoint)))
+		l.post(item{ev: routing.Outcome{Request: a.Request, Endpoint: a.Endpoint, Result: routing.NotSent}})
 		return
 	}
 	l.releaseUnclear(fl)
 	n := len(fl.attempts)
-	att := &attempt{fl: fl, n: n, srv: s.srv, write: s.srv.Role != routing.Reader, id: fl.name, connect: a.Connect, ended: make(chan struct{}), waitFor: fl.releasing}
-	att.fresh = slices.ContainsFunc(fl.attempts, func(a *attempt) bool { return a.handle.Progress().LostOnKept() })
+	att := &attempt{fl: fl, n: n, srv: s.srv, write: s.srv.Role != routing.RolePrefill, id: fl.name, connect: a.ConnectTimeout, ended: make(chan struct{}), waitFor: fl.releasing}
+	att.fresh = slices.ContainsFunc(fl.attempts, func(a *attempt) bool { return a.handle.Progress().LostOnReusedConn() })
 	if att.id == "" {
 		att.id = l.f.wideID(fl.id, n)
 	}
@@ -313,8 +313,8 @@
 	if a.Timeout > 0 {
 		att.limit = minTime(att.limit, l.stepped.Add(a.Timeout))
 	}
-	if a.Window > 0 {
-		att.sendBy = l.stepped.Add(a.Window)
+	if a.SendWindow > 0 {
+		att.sendBy = l.stepped.Add(a.SendWindow)
 	}
 	if att.write {
 		att.kv = fl.kv
@@ -369,7 +369,7 @@
 	for {
 		select {
 		case <-t.C:
-			l.client.Sweep()
+			l.client.CloseExpiredIdle()
 			l.post(item{look: true})
 		case <-l.done:
 			return
@@ -380,17 +380,17 @@
 // list turns an update into the module's terms. Servers that drain or are gone are shut before the module hears
 // of them, so that what it decided a moment ago is not sent either.
 func (l *loop) list(u *endpointslice.Update) routing.Event {
-	scopes := map[routing.ListScope]string{routing.Changes: "changes", routing.Full: "full", routing.Cached: "cached", routing.Failed: "failed"}
+	scopes := map[routing.ListScope]string{routing.ListChanges: "changes", routing.ListFull: "full", routing.ListCached: "cached", routing.ListFailed: "failed"}
 	l.f.m.Lists.WithLabelValues(scopes[u.Scope]).Inc()
-	ev := routing.ServerList{Scope: u.Scope}
-	if u.Scope == routing.Failed {
+	ev := routing.EndpointList{Scope: u.Scope}
+	if u.Scope == routing.ListFailed {
 		return ev
 	}
 	if bend := l.f.seam.List; bend != nil {
 		bend(u)
 	}
 	named := map[string]bool{}
-	for _, e := range u.Engines {
+	for _, e := range u.Endpoints {
 		kind := slices.Index(l.f.Kinds, e.Kind)
 		if kind < 0 {
 			l.f.log.Warn("engine of a kind that the settings don't name", zap.String("engine", e.Name), zap.String("kind", e.Kind))
@@ -402,14 +402,14 @@
 		if !e.Started.IsZero() {
 			ready = max(epoch+e.Started.Sub(l.start), 0)
 		}
-		ev.Servers = append(ev.Servers, routing.Server{ID: s.srv.ID, Kind: kind, Zone: l.intern("zone " + e.Zone),
-			Cell: l.intern("cell " + e.Cell), State: e.State, ReadyAt: ready})
+		ev.Endpoints = append(ev.Endpoints, routing.Endpoint{ID: s.srv.ID, Kind: kind, Zone: l.intern("zone " + e.Zone),
+			Cell: l.intern("cell " + e.Cell), State: e.State, StartedAt: ready})
 	}
-	if u.Scope != routing.Changes {
+	if u.Scope != routing.ListChanges {
 		for name, s := range l.servers {
-			if !named[name] && s.State != routing.Gone {
-				s.State = routing.Gone
-				s.srv.Shut()
+			if !named[name] && s.State != routing.EndpointGone {
+				s.State = routing.EndpointGone
+				s.srv.Close()
 			}
 		}
 	}
@@ -426,7 +426,7 @@
 	l.sweep = false
 	used := map[string]bool{}
 	for name, s := range l.servers {
-		if s.State == routing.Gone && s.srv.Connections() == 0 {
+		if s.State == routing.EndpointGone && s.srv.Conns() == 0 {
 			delete(l.servers, name)
 			delete(l.byID, s.srv.ID)
 			continue
@@ -438,26 +438,26 @@
 
 // server finds or makes the server of e and opens or shuts it. Another process under the same name gets a
 // handle of its own: what was decided for the old one is not sent to the new.
-func (l *loop) server(e endpointslice.Engine, kind int) *listed {
+func (l *loop) server(e endpointslice.Endpoint, kind int) *listed {
 	s := l.servers[e.Name]
 	role := l.f.kinds[kind].Role
 	if s == nil || s.UID != e.UID || s.Address != e.Address || s.srv.Role != role {
 		id := l.freeID(e.Name)
 		if s != nil {
 			id = s.srv.ID
-			s.srv.Shut()
+			s.srv.Close()
 		}
-		s = &listed{srv: &engine.Server{ID: id, Name: e.Name, Address: e.Address, Role: role}}
+		s = &listed{srv: &engine.Endpoint{ID: id, Name: e.Name, Address: e.Address, Role: role}}
 		l.servers[e.Name], l.byID[id] = s, s
 	}
 	if !e.Started.Equal(s.Started) {
-		s.srv.Forget()
+		s.srv.DiscardIdleConns()
 	}
-	s.Engine = e
-	if e.State == routing.Ready {
+	s.Endpoint = e
+	if e.State == routing.EndpointReady {
 		s.srv.Open()
 	} else {
-		s.srv.Shut()
+		s.srv.Close()
 	}
 	if bend := l.f.seam.Gate; bend != nil {
 		bend(s.srv)
@@ -465,8 +465,8 @@
 	return s
 }
 
-func (l *loop) freeID(name string) routing.ServerID {
-	return endpointslice.ServerID(name, func(id routing.ServerID) bool { return l.byID[id] != nil })
+func (l *loop) freeID(name string) routing.EndpointID {
+	return endpointslice.EndpointID(name, func(id routing.EndpointID) bool { return l.byID[id] != nil })
 }
 
 func (l *loop) intern(s string) int {
@@ -481,9 +481,9 @@
 
 func (l *loop) countEngines() {
 	l.f.m.Engines.Reset()
-	states := [...]string{routing.Gone: "gone", routing.Ready: "ready", routing.Draining: "draining"}
+	states := [...]string{routing.EndpointGone: "gone", routing.EndpointReady: "ready", routing.EndpointDraining: "draining"}
 	for _, s := range l.servers {
-		if s.State != routing.Gone {
+		if s.State != routing.EndpointGone {
 			l.f.m.Engines.WithLabelValues(roleNames[s.srv.Role], states[s.State]).Inc()
 		}
 	}
--- a/internal/gateway/openai.go
+++ b/internal/gateway/openai.go
@@ -18,18 +18,18 @@
 }
 
 func newOpenAI(set *config.Settings) *openAI {
-	o := &openAI{classes: set.Choice().Classes, limits: set.Limits}
+	o := &openAI{classes: set.RoutingConfig().Classes, limits: set.Limits}
 	o.routes.Store(set.Classifier())
 	return o
 }
 
-func wrong(status int, code, message string) *Answer {
+func wrong(status int, code, message string) *Response {
 	e := &api.Error{Status: status, Type: "invalid_request_error", Code: code, Message: message}
-	return &Answer{Status: status, Body: e.JSON()}
+	return &Response{Status: status, Body: e.JSON()}
 }
 
-// Plain implements Way.
-func (o *openAI) Plain(req *http1.Request) *Answer {
+// RespondDirectly implements Way.
+func (o *openAI) RespondDirectly(req *http1.Request) *Response {
 	path := req.Path()
 	switch {
 	case path == api.PathChat || path == api.PathCompletions:
@@ -43,15 +43,15 @@
 		}
 		text, e := o.routes.Load().ModelList(strings.TrimPrefix(strings.TrimPrefix(path, api.PathModels), "/"))
 		if e != nil {
-			return &Answer{Status: e.Status, Body: e.JSON()}
+			return &Response{Status: e.Status, Body: e.JSON()}
 		}
-		return &Answer{Status: 200, Body: text}
+		return &Response{Status: 200, Body: text}
 	}
 	return wrong(404, "not_found", "nothing is served at this path")
 }
 
-// Take implements Way.
-func (o *openAI) Take(req *http1.Request, body []byte) (*Taken, *api.Error) {
+// ParseRequest implements Way.
+func (o *openAI) ParseRequest(req *http1.Request, body []byte) (*ParsedRequest, *api.Error) {
 	r, e := api.Parse(req.Path(), body)
 	if e != nil {
 		return nil, e
@@ -61,17 +61,17 @@
 		return nil, e
 	}
 	class := &o.classes[t.Class]
-	if class.Effect == routing.Keyed && t.IdempotencyKey == "" {
+	if class.Idempotency == routing.IdempotentWithKey && t.IdempotencyKey == "" {
 		return nil, &api.Error{Status: 400, Type: "invalid_request_error", Code: "idempotency_key_missing",
 			Message: "requests of the class " + class.Name + " need an Idempotency-Key header"}
 	}
-	if class.Effect != routing.Keyed {
+	if class.Idempotency != routing.IdempotentWithKey {
 		t.IdempotencyKey = ""
 	}
 	told := api.ClientTime(req.Header)
-	taken := &Taken{Event: t.Event(0, 0), Prompt: r, Path: r.Path, Key: t.IdempotencyKey, Wait: api.Wait(class.Deadline, told)}
+	taken := &ParsedRequest{Routing: t.Event(0, 0), Prompt: r, Path: r.Path, IdempotencyKey: t.IdempotencyKey, FirstTokenTimeout: api.Wait(class.Deadline, told)}
 	if !r.Stream {
-		taken.Whole, taken.Last = api.NewWhole(r.Chat, int(o.limits.Whole)), told
+		taken.Collector, taken.AnswerTimeout = api.NewWhole(r.Chat, int(o.limits.Whole)), told
 	}
 	return taken, nil
 }
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -31,7 +31,7 @@
 	if !l.releases {
 		return
 	}
-	if fl.mayHold = true; l.client.ByRequest {
+	if fl.mayHold = true; l.client.StateByRequestID {
 		if !fl.endsSoon() {
 			l.releaseNow(fl, 0)
 		}
@@ -94,7 +94,7 @@
 
 // holders are the readers that may hold state for fl, the latest first: those that said so, and those of which nobody knows how the
 // read ended. The latter may be out of reach.
-func (fl *flight) holders() (told, unclear []*engine.Server) {
+func (fl *flight) holders() (told, unclear []*engine.Endpoint) {
 	for _, a := range slices.Backward(fl.attempts) {
 		switch {
 		case a.write || a.unsent || slices.Contains(told, a.srv) || slices.Contains(unclear, a.srv):
@@ -111,7 +111,7 @@
 // request may wait for long before it is read again, or that read may be sent and never arrive, and what it holds must not wait
 // for either. The next attempt begins when the release has ended, which would take the state of the read that follows, too.
 func (l *loop) releaseUnclear(fl *flight) {
-	if !l.client.ByRequest || !l.releases || len(fl.attempts) == 0 {
+	if !l.client.StateByRequestID || !l.releases || len(fl.attempts) == 0 {
 		return
 	}
 	last := fl.attempts[len(fl.attempts)-1]
@@ -125,7 +125,7 @@
 // releaseAll releases what a flight that ends may have left anywhere: the module asked for it, or a read of which nobody knows
 // how it ended came before the one that was written from.
 func (l *loop) releaseAll(fl *flight) {
-	if !l.client.ByRequest || !l.releases {
+	if !l.client.StateByRequestID || !l.releases {
 		l.endsState(fl, stateLeft)
 		return
 	}
@@ -143,31 +143,31 @@
 
 // releaseOrder is in which order engines are asked to release: those that hold the state, then the open ones that answered anything
 // last. What nothing was heard of goes by its last answer, too: any engine that runs passes the release on.
-func (l *loop) releaseOrder(fl *flight) []*engine.Server {
+func (l *loop) releaseOrder(fl *flight) []*engine.Endpoint {
 	told, others := fl.holders()
 	for _, s := range l.byID {
 		if s.srv.IsOpen() && !slices.Contains(told, s.srv) && !slices.Contains(others, s.srv) {
 			others = append(others, s.srv)
 		}
 	}
-	slices.SortStableFunc(others, func(a, b *engine.Server) int { return cmp.Compare(b.LastAnswer(), a.LastAnswer()) })
+	slices.SortStableFunc(others, func(a, b *engine.Endpoint) int { return cmp.Compare(b.LastResponse(), a.LastResponse()) })
 	order := append(told, others...)
 	return order[:min(len(order), releaseTargets)]
 }
 
 // release is what engines are asked to release.
 type release struct {
-	id      string           // of the request, or of the attempt
-	servers []*engine.Server // in the order in which they are asked
-	held    readState        // what is known of it
-	flight  *flight          // whose state it is
-	rounds  int              // that have failed
-	repeat  bool             // it is given a second time, since it may overtake the end of a write that was given up
+	id      string             // of the request, or of the attempt
+	servers []*engine.Endpoint // in the order in which they are asked
+	held    readState          // what is known of it
+	flight  *flight            // whose state it is
+	rounds  int                // that have failed
+	repeat  bool               // it is given a second time, since it may overtake the end of a write that was given up
 }
 
 // releaseCall is one engine to be asked.
 type releaseCall struct {
-	server *engine.Server
+	server *engine.Endpoint
 	fresh  bool // on a new connection
 }
 
@@ -196,7 +196,7 @@
 	go func() {
 		defer l.work.Done()
 		if r.repeat {
-			time.Sleep(l.client.Settle)
+			time.Sleep(l.client.SettleDelay)
 		}
 		err := l.releaseAtOne(r)
 		done()
@@ -241,7 +241,7 @@
 		if asked < len(calls) {
 			attempt, call := &attempts[asked], calls[asked]
 			asked, out = asked+1, out+1
-			go func() { results <- l.client.Release(attempt, call.server, r.id, call.fresh, deadline) }()
+			go func() { results <- l.client.ReleaseState(attempt, call.server, r.id, call.fresh, deadline) }()
 		}
 		wait := time.Until(deadline) + time.Second // Release ends by itself
 		if asked < len(calls) {
@@ -284,7 +284,7 @@
 }
 
 func (l *loop) releaseTime() time.Duration {
-	if d := l.f.Choice.ReleaseWithin; d > 0 {
+	if d := l.f.Routing.StateTTL; d > 0 {
 		return d
 	}
 	return 300 * time.Millisecond // choice.Settings.ReleaseWithin's own default
--- a/internal/gateway/release_test.go
+++ b/internal/gateway/release_test.go
@@ -15,7 +15,7 @@
 	} {
 		r := newRig(t, "", "reader", "writer")
 		l := r.f.loop
-		read, write := &attempt{srv: &engine.Server{}, unsent: true, ended: make(chan struct{})}, &attempt{write: true, pending: true}
+		read, write := &attempt{srv: &engine.Endpoint{}, unsent: true, ended: make(chan struct{})}, &attempt{write: true, pending: true}
 		close(read.ended)
 		fl := &flight{attempts: []*attempt{read, write}, out: 1}
 		if l.release(fl); read.released {
--- a/internal/gateway/testhooks.go
+++ b/internal/gateway/testhooks.go
@@ -8,10 +8,10 @@
 	"brackenbend/routing"
 )
 
-// Seam is where tests bend a front, to see whether days and their auditor notice it. Each function may change what
+// TestHooks is where tests bend a front, to see whether days and their auditor notice it. Each function may change what
 // passes; nil changes nothing. The program sets none of them.
-type Seam struct {
-	Settings func(*routing.Settings)
+type TestHooks struct {
+	Settings func(*routing.Config)
 	Request  func(*routing.Request) // as told to the module
 	Wait     func(time.Duration) time.Duration
 	List     func(*endpointslice.Update)
@@ -19,8 +19,8 @@
 	Action   func(routing.Action) []routing.Action
 	Key      func(string) string       // Idempotency-Key towards engines
 	Answer   func(whole []byte) []byte // an answer that is not a stream, as it goes out
-	Gate     func(*engine.Server)      // after a server was opened or shut
+	Gate     func(*engine.Endpoint)    // after a server was opened or shut
 }
 
-// Bend is the seam of the fronts made from now on. Tests set it in the process of a front, before the front is made.
-var Bend Seam
+// Hooks is the seam of the fronts made from now on. Tests set it in the process of a front, before the front is made.
+var Hooks TestHooks
--- a/internal/node/discovery/discovery.go
+++ b/internal/node/discovery/discovery.go
@@ -39,7 +39,7 @@
 	UpSince  int64   `json:"up_since_ms"` // Unix time; 0 = long ago
 }
 
-var states = map[string]routing.State{"Ready": routing.Ready, "Terminating": routing.Draining, "Gone": routing.Gone}
+var states = map[string]routing.EndpointState{"Ready": routing.EndpointReady, "Terminating": routing.EndpointDraining, "Gone": routing.EndpointGone}
 
 const (
 	membersMost = 20000
@@ -49,14 +49,14 @@
 // Update is the list in the register's terms. An entry that can't be understood makes the whole list unreadable:
 // taking the rest would tell that its engine is gone.
 func (l *List) Update() (endpointslice.Update, error) {
-	u := endpointslice.Update{Scope: routing.Changes}
+	u := endpointslice.Update{Scope: routing.ListChanges}
 	if l.Complete {
-		u.Scope = routing.Full
+		u.Scope = routing.ListFull
 	}
 	if len(l.Members) > membersMost {
 		return u, fmt.Errorf("discovery: %d members, %d at most", len(l.Members), membersMost)
 	}
-	u.Engines = make([]endpointslice.Engine, 0, len(l.Members))
+	u.Endpoints = make([]endpointslice.Endpoint, 0, len(l.Members))
 	for i, m := range l.Members {
 		state, known := states[m.Phase]
 		switch _, _, err := net.SplitHostPort(m.HostPort); {
@@ -64,16 +64,16 @@
 			return u, fmt.Errorf("discovery: members[%d]: no id, or names of over %d bytes", i, textMost)
 		case !known:
 			return u, fmt.Errorf("discovery: members[%d] (%s): unknown phase %q", i, m.ID, m.Phase)
-		case err != nil && state != routing.Gone:
+		case err != nil && state != routing.EndpointGone:
 			return u, fmt.Errorf("discovery: members[%d] (%s): host_port: %w", i, m.ID, err)
 		case m.UpSince < 0:
 			return u, fmt.Errorf("discovery: members[%d] (%s): negative up_since_ms", i, m.ID)
 		}
-		e := endpointslice.Engine{Name: m.ID, Address: m.HostPort, Kind: m.Flavor, Zone: m.Locality, Cell: strconv.FormatInt(m.Cell, 10), State: state}
+		e := endpointslice.Endpoint{Name: m.ID, Address: m.HostPort, Kind: m.Flavor, Zone: m.Locality, Cell: strconv.FormatInt(m.Cell, 10), State: state}
 		if m.UpSince > 0 {
 			e.Started = time.UnixMilli(m.UpSince)
 		}
-		u.Engines = append(u.Engines, e)
+		u.Endpoints = append(u.Endpoints, e)
 	}
 	return u, nil
 }
--- a/internal/node/discovery/discovery_test.go
+++ b/internal/node/discovery/discovery_test.go
@@ -21,14 +21,14 @@
 		t.Fatal(err)
 	}
 	u, err := l.Update()
-	if err != nil || u.Scope != routing.Full || len(u.Engines) != 2 {
+	if err != nil || u.Scope != routing.ListFull || len(u.Endpoints) != 2 {
 		t.Fatalf("%+v, %v", u, err)
 	}
-	e := u.Engines[0]
-	if e.Name != "s-1" || e.Address != "10.1.0.18:8000" || e.Kind != "m2" || e.Zone != "a" || e.Cell != "3" || e.State != routing.Ready || e.Started.UnixMilli() != 1700000000123 {
+	e := u.Endpoints[0]
+	if e.Name != "s-1" || e.Address != "10.1.0.18:8000" || e.Kind != "m2" || e.Zone != "a" || e.Cell != "3" || e.State != routing.EndpointReady || e.Started.UnixMilli() != 1700000000123 {
 		t.Errorf("%+v", e)
 	}
-	if g := u.Engines[1]; g.State != routing.Gone || !g.Started.IsZero() {
+	if g := u.Endpoints[1]; g.State != routing.EndpointGone || !g.Started.IsZero() {
 		t.Errorf("%+v", g)
 	}
 }
@@ -65,7 +65,7 @@
 			return
 		}
 		u, err := l.Update()
-		if err == nil && len(u.Engines) != len(l.Members) {
+		if err == nil && len(u.Endpoints) != len(l.Members) {
 			t.Error("members were dropped")
 		}
 	})
@@ -108,10 +108,10 @@
 	for i, want := range []struct {
 		scope routing.ListScope
 		n     int
-		state routing.State
-	}{{routing.Full, 1, routing.Ready}, {routing.Changes, 1, routing.Draining}, {routing.Full, 0, 0}} {
+		state routing.EndpointState
+	}{{routing.ListFull, 1, routing.EndpointReady}, {routing.ListChanges, 1, routing.EndpointDraining}, {routing.ListFull, 0, 0}} {
 		u := <-news
-		if u.Scope != want.scope || len(u.Engines) != want.n || want.n > 0 && u.Engines[0].State != want.state {
+		if u.Scope != want.scope || len(u.Endpoints) != want.n || want.n > 0 && u.Endpoints[0].State != want.state {
 			t.Errorf("news %d: %+v", i, u)
 		}
 	}
--- a/internal/node/discovery/trouble_test.go
+++ b/internal/node/discovery/trouble_test.go
@@ -132,7 +132,7 @@
 			s := newScript(t, k.steps...)
 			last := make(chan int, 100)
 			// the waits are short where a step lets them pass, and long enough for a whole list in pieces
-			w := &Watcher{Deliver: func(u endpointslice.Update) { last <- len(u.Engines) }, Log: func(string, error) {}, Hold: 10 * time.Millisecond,
+			w := &Watcher{Deliver: func(u endpointslice.Update) { last <- len(u.Endpoints) }, Log: func(string, error) {}, Hold: 10 * time.Millisecond,
 				Connect: time.Minute, Begin: time.Minute, Answer: time.Minute, Pause: time.Millisecond, Most: 1 << 20}
 			if slices.ContainsFunc(k.want[1:], func(q string) bool { return q == "+" }) {
 				w.Begin, w.Answer = 200*time.Millisecond, 500*time.Millisecond
@@ -231,7 +231,7 @@
 	second := make(chan struct{})
 	s := newScript(t, func(nc net.Conn) { <-second; says(listOf(2, 41))(nc) }, func(net.Conn) { close(second) })
 	news := make(chan int, 10)
-	w := &Watcher{Deliver: func(u endpointslice.Update) { news <- len(u.Engines) }, Log: func(string, error) {}, Hold: time.Hour, Connect: time.Minute,
+	w := &Watcher{Deliver: func(u endpointslice.Update) { news <- len(u.Endpoints) }, Log: func(string, error) {}, Hold: time.Hour, Connect: time.Minute,
 		Begin: 500 * time.Millisecond, Answer: time.Minute, Pause: time.Millisecond, Most: 1 << 20}
 	w.Move(s.l.Addr().String())
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,7 +23,7 @@
 
 // Node is a running front node.
 type Node struct {
-	front  *gateway.Front
+	front  *gateway.Gateway
 	watch  *discovery.Watcher
 	log    *zap.Logger
 	file   string
@@ -49,7 +49,7 @@
 	}
 	n := &Node{log: log, file: file, env: env, failed: make(chan error, 1)}
 	clients := &protocol.Clients{Classes: c.Site.Choice.Classes, Tenants: c.Site.Tenants, NotReady: func() string { return n.front.NotReady() }}
-	if n.front, err = gateway.Make(options(c, b, clients), log, telemetry.NewMetrics()); err != nil {
+	if n.front, err = gateway.New(options(c, b, clients), log, telemetry.NewMetrics()); err != nil {
 		return nil, err
 	}
 	known := endpointslice.Update{}
@@ -59,8 +59,8 @@
 			known = endpointslice.Update{}
 		}
 	}
-	known.Scope = routing.Cached
-	n.front.Deliver(known) // also when it is empty: a node that is not ready gets no clients, and discovery may be down
+	known.Scope = routing.ListCached
+	n.front.UpdateEndpoints(known) // also when it is empty: a node that is not ready gets no clients, and discovery may be down
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		n.front.Shutdown(context.Background())
@@ -69,7 +69,7 @@
 	n.addr = l.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	watched := make(chan struct{})
-	n.watch = &discovery.Watcher{Deliver: func(u endpointslice.Update) { n.front.Deliver(u) }, Hold: watchHold, Connect: watchConnect, Begin: c.watchBegin(), Answer: watchAnswer, Pause: watchPause,
+	n.watch = &discovery.Watcher{Deliver: func(u endpointslice.Update) { n.front.UpdateEndpoints(u) }, Hold: watchHold, Connect: watchConnect, Begin: c.watchBegin(), Answer: watchAnswer, Pause: watchPause,
 		Most: listMost, Seed: c.Seed, Log: func(msg string, err error) { log.Warn(msg, zap.Error(err)) }}
 	n.watch.Move(c.Discovery)
 	go func() {
@@ -98,7 +98,7 @@
 // listMost bounds a list, in bytes.
 const listMost = 8 << 20
 
-func options(c *Config, b Budget, way gateway.Way) gateway.Options {
+func options(c *Config, b Budget, way gateway.ClientProtocol) gateway.Options {
 	site := c.Site
 	idle := site.ConnIdle
 	if idle <= 0 {
@@ -109,11 +109,11 @@
 		dial = dialTime
 	}
 	linger, _ := c.drain()
-	return gateway.Options{Choice: site.Choice, Kinds: site.Kinds, Tenants: site.Tenants, Seed: c.Seed, Way: way, Limits: b.limits(), Margin: margin,
-		FirstTime: firstTime, IdleLeast: idleLeast, Linger: linger, CutBroken: true, OneByOne: true, Waits: site.RetryAfter, Fractions: true,
-		Engines: &engine.Client{Dialect: protocol.Engines{}, Load: protocol.FieldLoad, ByRequest: true, ToLastChunk: true, WholeSent: true, Settle: settle,
-			DialTime: dial, HeadTime: headTime, Stream: bodyMost, Connections: b.PerEngine, Total: b.Engines, Idle: b.PerEngine,
-			IdleTime: idle * 2 / 3, Rest: rest, StreamIdle: streamQuiet, Event: 64 << 10, Reply: bodyMost, Limits: http1.Limits{Head: 16 << 10, Fields: 100}}}
+	return gateway.Options{Routing: site.Choice, Kinds: site.Kinds, Tenants: site.Tenants, Seed: c.Seed, Protocol: way, Limits: b.limits(), AnswerMargin: margin,
+		FirstRequestTimeout: firstTime, MinIdleTime: idleLeast, AcceptWhileDraining: linger, CutBrokenStreams: true, RejectPipelining: true, SendRetryAfter: site.RetryAfter, FractionalRetryAfter: true,
+		Engines: &engine.Client{Protocol: protocol.Engines{}, LoadReportHeader: protocol.HeaderLoadReport, StateByRequestID: true, RequireLastChunk: true, RunsWhenComplete: true, SettleDelay: settle,
+			DialTimeout: dial, HeaderTimeout: headTime, MaxStreamBytes: bodyMost, MaxConnsPerEndpoint: b.PerEngine, MaxConns: b.Engines, MaxIdlePerEndpoint: b.PerEngine,
+			IdleTimeout: idle * 2 / 3, ReuseDelay: rest, StreamIdleTimeout: streamQuiet, MaxEventBytes: 64 << 10, MaxReplyBytes: bodyMost, Limits: http1.Limits{Head: 16 << 10, Fields: 100}}}
 }
 
 // drain is how long after SIGTERM requests are still taken in, and when what is open is cut short. Clients that ask for the
@@ -129,7 +129,7 @@
 	longest = min(longest, killMost)
 	kill := longest + killAfter
 	linger, cut = min(lingerMost, kill/2), kill-cutBefore
-	if c.Site.Choice.Resume {
+	if c.Site.Choice.ResumeStreams {
 		linger = max(linger, longest*2/3)
 		cut = max(longest-cutBefore, linger)
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -496,7 +496,7 @@
 	r := newStub(t, "r1", "prefill", func(s *stub, w http.ResponseWriter, q *http.Request) { <-held; reads(s, w, q) })
 	w := newStub(t, "w1", "decode", writes)
 	n, _ := start(t, setup{deadline: time.Hour}, r, w)
-	n.front.Linger = 2 * time.Second // the clients below may be scheduled late
+	n.front.AcceptWhileDraining = 2 * time.Second // the clients below may be scheduled late
 	c, quiet := dial(t, n), dial(t, n)
 	c.send(t, message("aa01", "order"))
 	r.await("POST aa01")
@@ -569,7 +569,7 @@
 		{200 * ms, false, 450 * ms, 750 * ms},
 	} {
 		var c Config
-		c.Site.Choice.Resume = k.resume
+		c.Site.Choice.ResumeStreams = k.resume
 		c.Site.Choice.Classes = []routing.Class{{Deadline: 100 * ms}, {Deadline: k.longest}}
 		if linger, cut := c.drain(); linger != k.linger || cut != k.cut {
 			t.Errorf("longest deadline %v, resume %t: takes in for %v, cuts after %v", k.longest, k.resume, linger, cut)
--- a/internal/node/protocol/protocol.go
+++ b/internal/node/protocol/protocol.go
@@ -36,8 +36,8 @@
 	fieldRetry    = "Req-Retry"
 	fieldDeclined = "Srv-Declined"
 
-	// FieldLoad names load reports.
-	FieldLoad = "Srv-Load"
+	// HeaderLoadReport names load reports.
+	HeaderLoadReport = "Srv-Load"
 )
 
 // Bounds on what a request may say of itself.
@@ -54,25 +54,27 @@
 	NotReady func() string // why the front node should get no clients; "" when it should
 }
 
-var _ gateway.Way = (*Clients)(nil)
+var _ gateway.ClientProtocol = (*Clients)(nil)
 
-func answer(e *api.Error) *gateway.Answer { return &gateway.Answer{Status: e.Status, Body: e.JSON()} }
+func answer(e *api.Error) *gateway.Response {
+	return &gateway.Response{Status: e.Status, Body: e.JSON()}
+}
 
 func invalid(status int, format string, a ...any) *api.Error {
 	return &api.Error{Status: status, Type: "invalid_request_error", Message: fmt.Sprintf(format, a...)}
 }
 
-// Plain implements gateway.Way.
-func (c *Clients) Plain(req *http1.Request) *gateway.Answer {
+// RespondDirectly implements gateway.Way.
+func (c *Clients) RespondDirectly(req *http1.Request) *gateway.Response {
 	switch path := req.Path(); {
 	case path == pathHealth && (req.Method == "GET" || req.Method == "HEAD"):
 		if why := c.NotReady(); why != "" {
 			return answer(&api.Error{Status: 503, Type: "server_error", Message: why})
 		}
 		if req.Method == "HEAD" {
-			return &gateway.Answer{Status: 200}
+			return &gateway.Response{Status: 200}
 		}
-		return &gateway.Answer{Status: 200, Body: []byte("{\"status\":\"ready\"}\n")}
+		return &gateway.Response{Status: 200, Body: []byte("{\"status\":\"ready\"}\n")}
 	case path != api.PathChat:
 		return answer(invalid(404, "nothing is served at this path"))
 	case req.Method != "POST":
@@ -83,12 +85,12 @@
 	return nil
 }
 
-// Take implements gateway.Way. Nothing that an engine could not use passes.
-func (c *Clients) Take(req *http1.Request, body []byte) (*gateway.Taken, *api.Error) {
+// ParseRequest implements gateway.Way. Nothing that an engine could not use passes.
+func (c *Clients) ParseRequest(req *http1.Request, body []byte) (*gateway.ParsedRequest, *api.Error) {
 	h, once := req.Header, map[string]string{}
 	for _, f := range h {
 		name := strings.ToLower(f.Name)
-		if !strings.HasPrefix(name, "req-") && name != strings.ToLower(engine.FieldKey) {
+		if !strings.HasPrefix(name, "req-") && name != strings.ToLower(engine.HeaderIdempotencyKey) {
 			continue
 		}
 		if _, twice := once[name]; twice {
@@ -98,11 +100,11 @@
 	}
 	get := func(name string) string { return once[strings.ToLower(name)] }
 
-	t := &gateway.Taken{ID: get(fieldID), Path: req.Target, Key: get(engine.FieldKey), Prompt: prompt(body)}
-	if !plainID(t.ID) {
+	t := &gateway.ParsedRequest{ClientID: get(fieldID), Path: req.Target, IdempotencyKey: get(engine.HeaderIdempotencyKey), Prompt: prompt(body)}
+	if !plainID(t.ClientID) {
 		return nil, invalid(400, "%s must be 1 to %d letters, digits, dots, dashes and underscores", fieldID, idMost)
 	}
-	ev := &t.Event
+	ev := &t.Routing
 	if ev.Class = slices.IndexFunc(c.Classes, func(k routing.Class) bool { return k.Name == get(fieldClass) }); ev.Class < 0 {
 		return nil, invalid(400, "%s %.64q is no class", fieldClass, get(fieldClass))
 	}
@@ -110,7 +112,7 @@
 		return nil, invalid(400, "%s %.64q is no tenant", fieldTenant, get(fieldTenant))
 	}
 	ms, err := strconv.ParseUint(get(fieldDeadline), 10, 32)
-	if t.Wait = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || t.Wait > deadlineMost {
+	if t.FirstTokenTimeout = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || t.FirstTokenTimeout > deadlineMost {
 		return nil, invalid(400, "%s must be a whole number of milliseconds, it is %.64q", fieldDeadline, get(fieldDeadline))
 	}
 	if k := get(fieldKey); k != "" {
@@ -119,9 +121,9 @@
 	switch v := get(fieldRetry); v {
 	case "", "0":
 	case "1":
-		ev.Repeat = true
+		ev.Retry = true
 	case "again":
-		ev.Resumed = true
+		ev.ResumedStream = true
 	default:
 		return nil, invalid(400, "%s must be 1 or again, it is %.64q", fieldRetry, v)
 	}
@@ -154,11 +156,11 @@
 			}
 			continue
 		case "prompt_len":
-			into = &ev.PromptLen
+			into = &ev.PromptTokens
 		case "prefix_len":
-			into = &ev.PrefixLen
+			into = &ev.PrefixTokens
 		case "max_out":
-			into = &ev.MaxOut
+			into = &ev.MaxOutputTokens
 		default:
 			continue
 		}
@@ -191,16 +193,16 @@
 // prompt passes on unchanged, to readers and writers alike.
 type prompt []byte
 
-func (p prompt) ReadBody() []byte                       { return p }
-func (p prompt) WriteBody(json.RawMessage, bool) []byte { return p }
+func (p prompt) PrefillBody() []byte                     { return p }
+func (p prompt) DecodeBody(json.RawMessage, bool) []byte { return p }
 
 // Engines is what engines are told and how their answers are read.
 type Engines struct{}
 
-var _ engine.Dialect = Engines{}
+var _ engine.Protocol = Engines{}
 
-// Head implements engine.Dialect. The deadline is the time for which the front node will wait.
-func (Engines) Head(b []byte, s *engine.Server, call *engine.Call) []byte {
+// AppendHead implements engine.Dialect. The deadline is the time for which the front node will wait.
+func (Engines) AppendHead(b []byte, s *engine.Endpoint, call *engine.Call) []byte {
 	b = append(b, "POST "...)
 	b = append(b, call.Path...)
 	b = append(b, " HTTP/1.1\r\n"...)
@@ -208,38 +210,38 @@
 	b = http1.AppendField(b, "Content-Type", "application/json")
 	b = http1.AppendField(b, "Content-Length", strconv.Itoa(len(call.Body)))
 	b = http1.AppendField(b, fieldID, call.ID)
-	if call.Key != "" { // engines know repeats of a request by it
-		b = http1.AppendField(b, engine.FieldKey, call.Key)
+	if call.IdempotencyKey != "" { // engines know repeats of a request by it
+		b = http1.AppendField(b, engine.HeaderIdempotencyKey, call.IdempotencyKey)
 	}
 	return http1.AppendField(b, fieldDeadline, strconv.FormatInt(max(time.Until(call.Deadline).Milliseconds(), 1), 10))
 }
 
-// Whole implements engine.Dialect.
-func (Engines) Whole(read bool, resp *http1.Response, text []byte, _ error) engine.Outcome {
-	out := engine.Outcome{Result: routing.Errored}
+// ParseReply implements engine.Dialect.
+func (Engines) ParseReply(read bool, resp *http1.Response, text []byte, _ error) engine.Outcome {
+	out := engine.Outcome{Result: routing.EngineError}
 	declined := resp.Header.Get(fieldDeclined) == "1"
 	switch {
 	case read && resp.Status == 202:
-		out.Result = routing.ReadDone
+		out.Result = routing.PrefillDone
 		if n := gjson.GetBytes(text, "cached_tokens"); gjson.ValidBytes(text) && n.Type == gjson.Number && n.Num >= 0 && n.Num <= tokensMost {
-			out.Kept = n.Num
+			out.CachedTokens = n.Num
 		}
 		return out
 	case declined && (resp.Status == 503 || resp.Status == 504):
-		out.Result = routing.Turned
+		out.Result = routing.Rejected
 	case declined && resp.Status == 410:
-		out.Result, out.NoState = routing.Turned, true
+		out.Result, out.StateMissing = routing.Rejected, true
 	}
 	out.Err = fmt.Errorf("engine: answered %d", resp.Status)
 	return out
 }
 
-// Release implements engine.Dialect.
-func (Engines) Release(s *engine.Server, id string) []byte {
+// ReleaseMessage implements engine.Dialect.
+func (Engines) ReleaseMessage(s *engine.Endpoint, id string) []byte {
 	b := append(make([]byte, 0, 96), "DELETE "+pathState...)
 	b = append(append(b, id...), " HTTP/1.1\r\n"...)
 	return append(http1.AppendField(b, "Host", s.Address), "\r\n"...)
 }
 
-// Released implements engine.Dialect.
-func (Engines) Released(status int) bool { return status/100 == 2 }
+// ReleaseAccepted implements engine.Dialect.
+func (Engines) ReleaseAccepted(status int) bool { return status/100 == 2 }
--- a/internal/node/protocol/protocol_test.go
+++ b/internal/node/protocol/protocol_test.go
@@ -11,7 +11,7 @@
 	"brackenbend/routing"
 )
 
-var clients = &Clients{Classes: []routing.Class{{Name: "enquiry"}, {Name: "order", Effect: routing.Unsafe}}, Tenants: []string{"a", "b"},
+var clients = &Clients{Classes: []routing.Class{{Name: "enquiry"}, {Name: "order", Idempotency: routing.NotIdempotent}}, Tenants: []string{"a", "b"},
 	NotReady: func() string { return "" }}
 
 func parse(t testing.TB, head string) *http1.Request {
@@ -38,20 +38,20 @@
 )
 
 func TestTakeReadsEveryField(t *testing.T) {
-	got, e := clients.Take(parse(t, good), []byte(body))
+	got, e := clients.ParseRequest(parse(t, good), []byte(body))
 	if e != nil {
 		t.Fatal(e)
 	}
-	want := routing.Request{Class: 1, Tenant: 1, Session: hash("7f3a9c21e0b4d655"), Prefix: hash("5c0f6e1a2b3d4c59"), PromptLen: 5120, PrefixLen: 2048,
-		MaxOut: 800, Repeat: true}
-	if got.Event != want || got.ID != "9b1f03aa5c7e2d41" || got.Wait != 4800*time.Millisecond || got.Path != "/v1/chat/completions?x=1" || got.Key != "fad03ed3-01" {
+	want := routing.Request{Class: 1, Tenant: 1, Session: hash("7f3a9c21e0b4d655"), Prefix: hash("5c0f6e1a2b3d4c59"), PromptTokens: 5120, PrefixTokens: 2048,
+		MaxOutputTokens: 800, Retry: true}
+	if got.Routing != want || got.ClientID != "9b1f03aa5c7e2d41" || got.FirstTokenTimeout != 4800*time.Millisecond || got.Path != "/v1/chat/completions?x=1" || got.IdempotencyKey != "fad03ed3-01" {
 		t.Errorf("taken %+v", got)
 	}
-	if string(got.Prompt.ReadBody()) != body || string(got.Prompt.WriteBody(nil, false)) != body {
+	if string(got.Prompt.PrefillBody()) != body || string(got.Prompt.DecodeBody(nil, false)) != body {
 		t.Error("the body was changed")
 	}
-	again, e := clients.Take(parse(t, strings.Replace(good, "Req-Retry: 1", "Req-Retry: again", 1)), []byte(body))
-	if e != nil || again.Event.Repeat || !again.Event.Resumed || again.Event.Doubtful {
+	again, e := clients.ParseRequest(parse(t, strings.Replace(good, "Req-Retry: 1", "Req-Retry: again", 1)), []byte(body))
+	if e != nil || again.Routing.Retry || !again.Routing.ResumedStream || again.Routing.PossibleDuplicate {
 		t.Errorf("asked again: %+v, %v", again, e)
 	}
 }
@@ -85,12 +85,12 @@
 		if !strings.Contains(good, change[0]) {
 			t.Fatalf("%s changes nothing", name)
 		}
-		if got, e := clients.Take(parse(t, strings.Replace(good, change[0], change[1], 1)), []byte(body)); e == nil || e.Status != 400 {
+		if got, e := clients.ParseRequest(parse(t, strings.Replace(good, change[0], change[1], 1)), []byte(body)); e == nil || e.Status != 400 {
 			t.Errorf("%s: taken as %+v, error %v", name, got, e)
 		}
 	}
 	for _, text := range []string{"", "x", "[]", `"a"`, `{"a":`, "\x00"} {
-		if _, e := clients.Take(parse(t, good), []byte(text)); e == nil || e.Status != 400 {
+		if _, e := clients.ParseRequest(parse(t, good), []byte(text)); e == nil || e.Status != 400 {
 			t.Errorf("body %q: error %v", text, e)
 		}
 	}
@@ -111,13 +111,13 @@
 				req.Header[i].Value = extra
 			}
 		}
-		got, e := clients.Take(req, []byte(body))
+		got, e := clients.ParseRequest(req, []byte(body))
 		if e != nil {
 			return
 		}
-		ev := got.Event
-		if got.Wait <= 0 || got.Wait > deadlineMost || !(ev.PromptLen >= 0 && ev.PromptLen <= tokensMost) || !(ev.MaxOut >= 0 && ev.MaxOut <= tokensMost) ||
-			!(ev.PrefixLen >= 0 && ev.PrefixLen <= tokensMost) {
+		ev := got.Routing
+		if got.FirstTokenTimeout <= 0 || got.FirstTokenTimeout > deadlineMost || !(ev.PromptTokens >= 0 && ev.PromptTokens <= tokensMost) || !(ev.MaxOutputTokens >= 0 && ev.MaxOutputTokens <= tokensMost) ||
+			!(ev.PrefixTokens >= 0 && ev.PrefixTokens <= tokensMost) {
 			t.Errorf("taken out of bounds: %+v", got)
 		}
 	})
@@ -138,7 +138,7 @@
 		{"GET /healthz HTTP/1.1\nHost: x", 200},
 	} {
 		got := 0
-		if a := c.Plain(parse(t, tt.head)); a != nil {
+		if a := c.RespondDirectly(parse(t, tt.head)); a != nil {
 			got = a.Status
 		}
 		if got != tt.want {
@@ -146,7 +146,7 @@
 		}
 	}
 	why = "no list"
-	if a := c.Plain(parse(t, "GET /healthz HTTP/1.1\nHost: x")); a.Status != 503 {
+	if a := c.RespondDirectly(parse(t, "GET /healthz HTTP/1.1\nHost: x")); a.Status != 503 {
 		t.Errorf("not ready: %d", a.Status)
 	}
 }
@@ -162,49 +162,49 @@
 		noState  bool
 		kept     float64
 	}{
-		{true, 202, "", `{"cached_tokens":4096}`, routing.ReadDone, false, 4096},
-		{true, 202, "", `{"cached_tokens":-1}`, routing.ReadDone, false, 0},
-		{true, 202, "", `garbage`, routing.ReadDone, false, 0},
-		{false, 202, "", `{"cached_tokens":4096}`, routing.Errored, false, 0},
-		{true, 500, "", "", routing.Errored, false, 0},
-		{false, 500, "1", "", routing.Errored, false, 0},
-		{true, 503, "1", "", routing.Turned, false, 0},
-		{false, 503, "1", "", routing.Turned, false, 0},
-		{false, 504, "1", "", routing.Turned, false, 0},
-		{false, 503, "", "", routing.Errored, false, 0},
-		{false, 504, "", "", routing.Errored, false, 0},
-		{false, 503, "0", "", routing.Errored, false, 0},
-		{false, 410, "1", "", routing.Turned, true, 0},
-		{false, 410, "", "", routing.Errored, false, 0},
-		{false, 400, "", "", routing.Errored, false, 0},
-		{false, 404, "", "", routing.Errored, false, 0},
-		{false, 429, "1", "", routing.Errored, false, 0},
-		{true, 200, "", "{}", routing.Errored, false, 0},
+		{true, 202, "", `{"cached_tokens":4096}`, routing.PrefillDone, false, 4096},
+		{true, 202, "", `{"cached_tokens":-1}`, routing.PrefillDone, false, 0},
+		{true, 202, "", `garbage`, routing.PrefillDone, false, 0},
+		{false, 202, "", `{"cached_tokens":4096}`, routing.EngineError, false, 0},
+		{true, 500, "", "", routing.EngineError, false, 0},
+		{false, 500, "1", "", routing.EngineError, false, 0},
+		{true, 503, "1", "", routing.Rejected, false, 0},
+		{false, 503, "1", "", routing.Rejected, false, 0},
+		{false, 504, "1", "", routing.Rejected, false, 0},
+		{false, 503, "", "", routing.EngineError, false, 0},
+		{false, 504, "", "", routing.EngineError, false, 0},
+		{false, 503, "0", "", routing.EngineError, false, 0},
+		{false, 410, "1", "", routing.Rejected, true, 0},
+		{false, 410, "", "", routing.EngineError, false, 0},
+		{false, 400, "", "", routing.EngineError, false, 0},
+		{false, 404, "", "", routing.EngineError, false, 0},
+		{false, 429, "1", "", routing.EngineError, false, 0},
+		{true, 200, "", "{}", routing.EngineError, false, 0},
 	} {
 		resp := &http1.Response{Status: tt.status}
 		if tt.declined != "" {
 			resp.Header = http1.Header{{Name: "srv-declined", Value: tt.declined}}
 		}
-		got := Engines{}.Whole(tt.read, resp, []byte(tt.text), nil)
-		if got.Result != tt.want || got.NoState != tt.noState || got.Kept != tt.kept || got.Reply != nil {
+		got := Engines{}.ParseReply(tt.read, resp, []byte(tt.text), nil)
+		if got.Result != tt.want || got.StateMissing != tt.noState || got.CachedTokens != tt.kept || got.Reply != nil {
 			t.Errorf("%+v: %+v", tt, got)
 		}
 	}
 }
 
 func TestEngineMessages(t *testing.T) {
-	s := &engine.Server{Address: "10.0.0.1:8000"}
-	head := string(Engines{}.Head(nil, s, &engine.Call{Path: "/v1/chat/completions?x=1", ID: "abc", Body: []byte(body), Deadline: time.Now().Add(time.Hour)}))
+	s := &engine.Endpoint{Address: "10.0.0.1:8000"}
+	head := string(Engines{}.AppendHead(nil, s, &engine.Call{Path: "/v1/chat/completions?x=1", ID: "abc", Body: []byte(body), Deadline: time.Now().Add(time.Hour)}))
 	for _, want := range []string{"POST /v1/chat/completions?x=1 HTTP/1.1\r\n", "Req-Id: abc\r\n", "Content-Length: 30\r\n", "Req-Deadline-Ms: 35"} {
 		if !strings.Contains(head, want) {
 			t.Errorf("%q lacks %q", head, want)
 		}
 	}
-	keyed := string(Engines{}.Head(nil, s, &engine.Call{ID: "abc", Key: "fad03ed3-01"}))
+	keyed := string(Engines{}.AppendHead(nil, s, &engine.Call{ID: "abc", IdempotencyKey: "fad03ed3-01"}))
 	if !strings.Contains(keyed, "\r\nIdempotency-Key: fad03ed3-01\r\n") || strings.Contains(head, "Idempotency-Key") {
 		t.Errorf("with a key %q, without one %q", keyed, head)
 	}
-	if got := string(Engines{}.Release(s, "abc")); got != "DELETE /state/abc HTTP/1.1\r\nHost: 10.0.0.1:8000\r\n\r\n" {
+	if got := string(Engines{}.ReleaseMessage(s, "abc")); got != "DELETE /state/abc HTTP/1.1\r\nHost: 10.0.0.1:8000\r\n\r\n" {
 		t.Errorf("release %q", got)
 	}
 }
--- a/internal/planner/fronts.go
+++ b/internal/planner/fronts.go
@@ -60,13 +60,13 @@
 }
 
 // askFronts reads the fronts' counters; those that do not answer are left out.
-func (r *Runner) askFronts(ctx context.Context) []roles.Front {
-	ctx, stop := context.WithTimeout(ctx, 2*r.Every)
+func (r *Runner) askFronts(ctx context.Context) []roles.Replica {
+	ctx, stop := context.WithTimeout(ctx, 2*r.Interval)
 	defer stop()
-	counts := make([]*[2]float64, len(r.Fronts))
-	room := make(chan struct{}, r.AtOnce)
+	counts := make([]*[2]float64, len(r.Replicas))
+	room := make(chan struct{}, r.MaxConcurrentPolls)
 	var wg sync.WaitGroup
-	for i, addr := range r.Fronts {
+	for i, addr := range r.Replicas {
 		room <- struct{}{}
 		wg.Add(1)
 		go func() {
@@ -78,11 +78,11 @@
 	}
 	wg.Wait()
 	read, write := Mean(r.words)
-	var out []roles.Front
-	for i, addr := range r.Fronts {
+	var out []roles.Replica
+	for i, addr := range r.Replicas {
 		if counts[i] != nil {
 			report := *r.lost.Add(addr, *counts[i], r.now(), read, write)
-			out = append(out, roles.Front{ID: addr, Report: &report})
+			out = append(out, roles.Replica{ID: addr, Report: &report})
 		}
 	}
 	return out
--- a/internal/planner/fronts_test.go
+++ b/internal/planner/fronts_test.go
@@ -20,7 +20,7 @@
 	go func() { served <- m.Serve(l, func() string { return "" }) }()
 	defer func() { l.Close(); <-served }()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 20 * time.Second}
-	r := &Runner{Register: Client{HTTP: client}, Fronts: []string{l.Addr().String(), "127.0.0.1:1"}, Every: 10 * time.Second, AtOnce: 2,
+	r := &Runner{Register: Client{HTTP: client}, Replicas: []string{l.Addr().String(), "127.0.0.1:1"}, Interval: 10 * time.Second, MaxConcurrentPolls: 2,
 		lost: NewLostWork(), start: time.Now(), words: map[string]Status{
 			"r": {Read: Stage{Done: 10, Count: 100}}, "w": {Write: Stage{Done: 40, Count: 80}}}}
 	first := r.askFronts(t.Context())
@@ -34,7 +34,7 @@
 		t.Errorf("%+v", got[0].Report)
 	}
 	// a front that starts anew begins from nothing, and takes nothing back
-	if again := r.lost.Add(r.Fronts[0], [2]float64{1, 0}, 0, 1, 1); again.Read.Lost != 2 || again.Write.Lost != 12 {
+	if again := r.lost.Add(r.Replicas[0], [2]float64{1, 0}, 0, 1, 1); again.Read.Lost != 2 || again.Write.Lost != 12 {
 		t.Errorf("%+v", again)
 	}
 }
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -47,21 +47,21 @@
 }
 
 // plan books a look that was planned.
-func (m *Metrics) plan(p roles.Plan, b roles.Book) {
+func (m *Metrics) plan(p roles.Plan, b roles.Assignments) {
 	m.asked.WithLabelValues("reading").Set(p.Reading)
 	m.asked.WithLabelValues("writing").Set(p.Writing)
 	m.wanted.Set(float64(p.Readers))
-	m.memory.Set(p.Memory.Seconds())
+	m.memory.Set(p.Lookback.Seconds())
 	m.changeTime.Set(p.ChangeTime.Seconds())
-	m.unbelieved.Set(float64(p.Unbelieved))
+	m.unbelieved.Set(float64(p.UntrustedReports))
 	m.believed.Set(0)
-	if p.Believed {
+	if p.Trusted {
 		m.believed.Set(1)
 	}
 	m.engines.Reset()
 	for _, e := range b.Entries {
 		state := "serves"
-		if !e.Open {
+		if !e.Serving {
 			state = "changing"
 		}
 		m.engines.WithLabelValues(e.Role.String(), state).Inc()
