--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -22,8 +22,8 @@
 
 // Path is where engines are asked and told (GET and POST), and PathBook where the register keeps the book (GET, PUT).
 const (
-	Path     = "/v1/brackenbend/role"
-	PathBook = "/v1/brackenbend/roles"
+	Path            = "/v1/brackenbend/role"
+	PathAssignments = "/v1/brackenbend/roles"
 	// PathMemory is where the register keeps what planners learned (GET and PUT; 404 before the first), so that one that is
 	// started again, or elsewhere, goes on from there. Nothing depends on it: the newest write stands.
 	PathMemory = "/v1/brackenbend/roles/memory"
@@ -49,7 +49,7 @@
 
 // Status is an engine's answer.
 type Status struct {
-	roles.Word
+	roles.StatusReport
 	Held  int   `json:"held"` // requests and states that it holds
 	Read  Stage `json:"read"`
 	Write Stage `json:"write"`
@@ -64,8 +64,8 @@
 
 // View is what the register answers: the book, and where the engines are.
 type View struct {
-	Book     roles.Book         `json:"book"`
-	Listings map[string]Listing `json:"listings"`
+	Assignments roles.Assignments  `json:"book"`
+	Listings    map[string]Listing `json:"listings"`
 }
 
 // Client speaks to a register's book.
@@ -103,7 +103,7 @@
 	case err != nil:
 		return err
 	case resp.StatusCode == http.StatusConflict:
-		return roles.ErrStale
+		return roles.ErrConflict
 	case resp.StatusCode == http.StatusNotFound:
 		return errNone
 	case resp.StatusCode != http.StatusOK:
@@ -114,18 +114,18 @@
 
 // View reads the book.
 func (c *Client) View(ctx context.Context) (v View, err error) {
-	err = c.do(ctx, http.MethodGet, strings.TrimSuffix(c.URL, "/")+PathBook, nil, &v)
+	err = c.do(ctx, http.MethodGet, strings.TrimSuffix(c.URL, "/")+PathAssignments, nil, &v)
 	return v, err
 }
 
 // Write writes a book made from the version that it names; roles.ErrStale if the register has moved on.
-func (c *Client) Write(ctx context.Context, b roles.Book) (held roles.Book, err error) {
-	err = c.do(ctx, http.MethodPut, strings.TrimSuffix(c.URL, "/")+PathBook, b, &held)
+func (c *Client) Write(ctx context.Context, b roles.Assignments) (held roles.Assignments, err error) {
+	err = c.do(ctx, http.MethodPut, strings.TrimSuffix(c.URL, "/")+PathAssignments, b, &held)
 	return held, err
 }
 
-// Remember gives what a planner last left; nothing, and no error, where none did.
-func (c *Client) Remember(ctx context.Context) (s Saved, ok bool, err error) {
+// LoadMemory gives what a planner last left; nothing, and no error, where none did.
+func (c *Client) LoadMemory(ctx context.Context) (s Saved, ok bool, err error) {
 	err = c.do(ctx, http.MethodGet, strings.TrimSuffix(c.URL, "/")+PathMemory, nil, &s)
 	if errors.Is(err, errNone) {
 		return Saved{}, false, nil
@@ -133,26 +133,26 @@
 	return s, err == nil, err
 }
 
-// Leave leaves a memory for planners to come.
-func (c *Client) Leave(ctx context.Context, s Saved) error {
+// SaveMemory leaves a memory for planners to come.
+func (c *Client) SaveMemory(ctx context.Context, s Saved) error {
 	var held struct{}
 	return c.do(ctx, http.MethodPut, strings.TrimSuffix(c.URL, "/")+PathMemory, s, &held)
 }
 
 // Update reads the book, lets change make another of it and writes that, again from the start where another writer came
 // first, a few times. It is what operators' commands use.
-func (c *Client) Update(ctx context.Context, change func(roles.Book) (roles.Book, error)) (roles.Book, error) {
+func (c *Client) Update(ctx context.Context, change func(roles.Assignments) (roles.Assignments, error)) (roles.Assignments, error) {
 	for try := 0; ; try++ {
 		v, err := c.View(ctx)
 		if err != nil {
-			return v.Book, err
+			return v.Assignments, err
 		}
-		b, err := change(v.Book)
+		b, err := change(v.Assignments)
 		if err != nil {
-			return v.Book, err
+			return v.Assignments, err
 		}
 		held, err := c.Write(ctx, b)
-		if !errors.Is(err, roles.ErrStale) || try == 5 {
+		if !errors.Is(err, roles.ErrConflict) || try == 5 {
 			return held, err
 		}
 	}
@@ -160,21 +160,21 @@
 
 // Policy is what decides: roles.Planner, or in comparisons another.
 type Policy interface {
-	Step(now time.Duration, engines []roles.Engine, fronts []roles.Front) roles.Plan
+	Step(now time.Duration, engines []roles.Engine, fronts []roles.Replica) roles.Plan
 }
 
 // Runner is a planner at work.
 type Runner struct {
-	Register Client
-	Settings roles.Settings
-	Fronts   []string      // admin addresses, host:port, of fronts that are asked what they refused; may be empty
-	Every    time.Duration // between looks; 0 = 1 s
-	AtOnce   int           // engines asked at once; 0 = 32
-	Keep     time.Duration // between two times that what was learned is left at the register; 0 = 30 s
-	Log      *zap.Logger
-	Policy   Policy           // decides in place of roles.Planner, for comparisons; nil = roles.Planner
-	Planned  func(roles.Plan) // after each look; may be nil
-	Metrics  *Metrics         // may be nil
+	Register           Client
+	Settings           roles.Config
+	Replicas           []string      // admin addresses, host:port, of fronts that are asked what they refused; may be empty
+	Interval           time.Duration // between looks; 0 = 1 s
+	MaxConcurrentPolls int           // engines asked at once; 0 = 32
+	SaveInterval       time.Duration // between two times that what was learned is left at the register; 0 = 30 s
+	Log                *zap.Logger
+	Policy             Policy           // decides in place of roles.Planner, for comparisons; nil = roles.Planner
+	OnPlan             func(roles.Plan) // after each look; may be nil
+	Metrics            *Metrics         // may be nil
 
 	p      *roles.Planner
 	start  time.Time
@@ -198,20 +198,20 @@
 	if r.p, err = roles.New(r.Settings); err != nil {
 		return err
 	}
-	if r.Every == 0 {
-		r.Every = time.Second
+	if r.Interval == 0 {
+		r.Interval = time.Second
 	}
-	if r.AtOnce == 0 {
-		r.AtOnce = 32
+	if r.MaxConcurrentPolls == 0 {
+		r.MaxConcurrentPolls = 32
 	}
-	if r.Keep == 0 {
-		r.Keep = 30 * time.Second
+	if r.SaveInterval == 0 {
+		r.SaveInterval = 30 * time.Second
 	}
 	if r.Metrics == nil {
 		r.Metrics = NewMetrics()
 	}
 	r.start, r.places, r.lost = time.Now(), map[string]int{}, NewLostWork()
-	tick := time.NewTicker(r.Every)
+	tick := time.NewTicker(r.Interval)
 	defer tick.Stop()
 	for {
 		result := "done"
@@ -230,7 +230,7 @@
 
 // look is one round: read, ask, hear, plan, write, tell.
 func (r *Runner) look(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, 5*r.Every)
+	ctx, stop := context.WithTimeout(ctx, 5*r.Interval)
 	defer stop()
 	v, err := r.Register.View(ctx)
 	if err != nil {
@@ -240,11 +240,11 @@
 		r.recall(ctx)
 	}
 	at := r.ask(ctx, v)
-	book, settled := v.Book, false
+	book, settled := v.Assignments, false
 	for _, id := range book.Names() {
 		if st, ok := r.words[id]; ok {
 			var changed bool
-			book, changed = book.Heard(id, st.Word, wall())
+			book, changed = book.ApplyStatus(id, st.StatusReport, wall())
 			settled = settled || changed
 		}
 	}
@@ -253,23 +253,23 @@
 		policy = r.p
 	}
 	plan := policy.Step(r.now(), r.engines(v, at), r.askFronts(ctx))
-	if r.Planned != nil {
-		r.Planned(plan)
+	if r.OnPlan != nil {
+		r.OnPlan(plan)
 	}
 	r.Metrics.plan(plan, book)
-	book, done, refused := book.Carry(plan)
-	for _, id := range done.CallOff {
+	book, done, refused := book.ApplyPlan(plan)
+	for _, id := range done.Reverts {
 		r.Metrics.calledOff.Inc()
 		r.Log.Info("called off", zap.String("engine", id))
 	}
 	for _, c := range done.Changes {
-		r.Metrics.changes.WithLabelValues(c.To.String()).Inc()
-		r.Log.Info("change", zap.String("engine", c.ID), zap.Stringer("to", c.To), zap.String("why", c.Why))
+		r.Metrics.changes.WithLabelValues(c.Target.String()).Inc()
+		r.Log.Info("change", zap.String("engine", c.ID), zap.Stringer("to", c.Target), zap.String("why", c.Reason))
 	}
 	for id, err := range refused {
 		r.Log.Warn("change refused", zap.String("engine", id), zap.Error(err))
 	}
-	if settled || len(done.CallOff)+len(done.Changes) > 0 {
+	if settled || len(done.Reverts)+len(done.Changes) > 0 {
 		if book, err = r.Register.Write(ctx, book); err != nil {
 			return err // nothing is told that is not written
 		}
@@ -282,7 +282,7 @@
 // recall takes what a planner before this one left. Without it the planner learns anew, which is safe and slower.
 func (r *Runner) recall(ctx context.Context) {
 	r.asked, r.kept = true, time.Now()
-	s, ok, err := r.Register.Remember(ctx)
+	s, ok, err := r.Register.LoadMemory(ctx)
 	if err == nil && ok {
 		err = r.p.Recall(s.Memory, time.Since(s.At), r.now())
 	}
@@ -295,7 +295,7 @@
 }
 
 func (r *Runner) leave(ctx context.Context) {
-	if r.Policy != nil || time.Since(r.kept) < r.Keep {
+	if r.Policy != nil || time.Since(r.kept) < r.SaveInterval {
 		return
 	}
 	r.kept = time.Now()
@@ -303,7 +303,7 @@
 	if !ok {
 		return
 	}
-	if err := r.Register.Leave(ctx, Saved{time.Now(), m}); err != nil {
+	if err := r.Register.SaveMemory(ctx, Saved{time.Now(), m}); err != nil {
 		r.Log.Info("what was learned could not be left at the register", zap.Error(err))
 	}
 }
@@ -320,21 +320,21 @@
 // wall the book's; places keeps numbers for places.
 func Engines(v View, words map[string]Status, places map[string]int, at, now, wall time.Duration) []roles.Engine {
 	var out []roles.Engine
-	for _, id := range v.Book.Names() {
-		b, l := v.Book.Entries[id], v.Listings[id]
+	for _, id := range v.Assignments.Names() {
+		b, l := v.Assignments.Entries[id], v.Listings[id]
 		if _, ok := places[l.Place]; !ok {
 			places[l.Place] = len(places)
 		}
-		e := roles.Engine{ID: id, Role: b.Role, To: b.To, Ready: l.Up && b.Open, CanRead: b.Reads, CanWrite: b.Writes, Pinned: b.Pinned,
-			Place: places[l.Place]}
-		if !b.Open && b.To == b.Role { // on its way back
+		e := roles.Engine{ID: id, Role: b.Role, Target: b.Target, Ready: l.Up && b.Serving, CanPrefill: b.CanPrefill, CanDecode: b.CanDecode, Pinned: b.Pinned,
+			Cell: places[l.Place]}
+		if !b.Serving && b.Target == b.Role { // on its way back
 			e.Ready = false
 		}
-		if b.Changed > 0 {
-			e.Changed = max(now-max(wall-b.Changed, 0), 1)
+		if b.ChangedAt > 0 {
+			e.ChangedAt = max(now-max(wall-b.ChangedAt, 0), 1)
 		}
 		if st, ok := words[id]; ok && l.Up {
-			e.Held = st.Held
+			e.Outstanding = st.Held
 			e.Report = &roles.Report{At: at, Read: st.Read.plain(), Write: st.Write.plain()}
 		}
 		out = append(out, e)
@@ -344,7 +344,7 @@
 
 // ask asks every engine that is up how it stands; it gives the time of the answers.
 func (r *Runner) ask(ctx context.Context, v View) time.Duration {
-	ctx, stop := context.WithTimeout(ctx, 2*r.Every)
+	ctx, stop := context.WithTimeout(ctx, 2*r.Interval)
 	defer stop()
 	var mu sync.Mutex
 	words := map[string]Status{}
@@ -364,9 +364,9 @@
 
 // each calls f for the engines that are up, a few at once.
 func (r *Runner) each(v View, f func(id, url string)) {
-	room := make(chan struct{}, r.AtOnce)
+	room := make(chan struct{}, r.MaxConcurrentPolls)
 	var wg sync.WaitGroup
-	for _, id := range v.Book.Names() {
+	for _, id := range v.Assignments.Names() {
 		l := v.Listings[id]
 		if !l.Up {
 			continue
@@ -382,9 +382,9 @@
 }
 
 // tell repeats every order that is not settled.
-func (r *Runner) tell(ctx context.Context, v View, b roles.Book) {
-	tells := map[string]roles.Tell{}
-	for _, t := range b.Tells() {
+func (r *Runner) tell(ctx context.Context, v View, b roles.Assignments) {
+	tells := map[string]roles.Command{}
+	for _, t := range b.PendingCommands() {
 		tells[t.ID] = t
 	}
 	if len(tells) == 0 {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -23,10 +23,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var kinds = map[roles.Role]string{roles.Reader: "prefill", roles.Writer: "decode", roles.Both: "mixed"}
+var kinds = map[roles.Role]string{roles.Prefill: "prefill", roles.Decode: "decode", roles.Both: "mixed"}
 
 func params(r roles.Role) enginemodel.Params {
-	return enginemodel.Params{Reads: r.Reads(), Writes: r.Writes(), Slots: 16, Queue: 32, Memory: 200000, ReadRate: 50000, Chunk: 512,
+	return enginemodel.Params{Reads: r.Prefills(), Writes: r.Decodes(), Slots: 16, Queue: 32, Memory: 200000, ReadRate: 50000, Chunk: 512,
 		Step: 2 * time.Millisecond, FetchRate: 1e6, Kept: 100000, StateLife: 30 * time.Second}
 }
 
@@ -51,7 +51,7 @@
 		}
 		name := fmt.Sprint("e", i)
 		f.reg.Shift(name, r, kinds)
-		s, err := engine.Start(engine.Config{Name: name, Params: params(r), Roles: all, Seat: roles.Seat{Role: r, To: r}, Switch: 5 * time.Millisecond,
+		s, err := engine.Start(engine.Config{Name: name, Params: params(r), Roles: all, Seat: roles.EngineState{Role: r, Target: r}, Switch: 5 * time.Millisecond,
 			CancelStops: true, Changed: f.list}, "127.0.0.1:0", false)
 		if err != nil {
 			t.Fatal(err)
@@ -81,11 +81,11 @@
 }
 
 // run starts a planner; the function that it returns ends it as a crash does.
-func (f *fleet) run(s roles.Settings) (kill func()) {
+func (f *fleet) run(s roles.Config) (kill func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	f.metrics = planner.NewMetrics()
-	r := &planner.Runner{Metrics: f.metrics, Register: f.client, Settings: s, Every: 10 * time.Millisecond, Keep: 20 * time.Millisecond, Log: zap.NewNop()}
+	r := &planner.Runner{Metrics: f.metrics, Register: f.client, Settings: s, Interval: 10 * time.Millisecond, SaveInterval: 20 * time.Millisecond, Log: zap.NewNop()}
 	go func() {
 		defer close(done)
 		if err := r.Run(ctx); err != nil {
@@ -99,12 +99,12 @@
 
 func (f *fleet) force(id string, to roles.Role) {
 	f.t.Helper()
-	if _, err := f.client.Update(f.t.Context(), func(b roles.Book) (roles.Book, error) { return b.Begin(id, to, "test") }); err != nil {
+	if _, err := f.client.Update(f.t.Context(), func(b roles.Assignments) (roles.Assignments, error) { return b.Start(id, to, "test") }); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *fleet) eventually(what string, ok func(b roles.Book) bool) {
+func (f *fleet) eventually(what string, ok func(b roles.Assignments) bool) {
 	f.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(f.reg.Book()); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -114,20 +114,20 @@
 }
 
 // is tells whether an engine is settled in a role, by the book and by itself.
-func (f *fleet) is(id string, r roles.Role) func(roles.Book) bool {
-	return func(b roles.Book) bool {
+func (f *fleet) is(id string, r roles.Role) func(roles.Assignments) bool {
+	return func(b roles.Assignments) bool {
 		e, s := b.Entries[id], f.engines[id].Seat()
-		return e.Open && e.Role == r && s.Role == r && s.To == r
+		return e.Serving && e.Role == r && s.Role == r && s.Target == r
 	}
 }
 
-var quiet = roles.Settings{MinStay: time.Hour}
+var quiet = roles.Config{MinDwell: time.Hour}
 
 func TestAnOrderIsCarriedOut(t *testing.T) {
-	f := newFleet(t, roles.Reader, roles.Reader, roles.Writer)
+	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	f.run(quiet)
-	f.force("e0", roles.Writer)
-	f.eventually("settled", f.is("e0", roles.Writer))
+	f.force("e0", roles.Decode)
+	f.eventually("settled", f.is("e0", roles.Decode))
 	serves := func() (n float64) {
 		all, err := f.metrics.Registry.Gather()
 		if err != nil {
@@ -142,7 +142,7 @@
 		}
 		return n
 	}
-	f.eventually("shown by the metrics", func(roles.Book) bool { return serves() == 2 })
+	f.eventually("shown by the metrics", func(roles.Assignments) bool { return serves() == 2 })
 	if e, _ := f.reg.Entry("e1"); e.Name != "e1" {
 		t.Errorf("%+v", e)
 	}
@@ -160,7 +160,7 @@
 // TestHeldStateIsTakenFirst: an engine that is ordered away while it holds a state for a writer takes nothing new, keeps
 // the state until it is taken, and switches then.
 func TestHeldStateIsTakenFirst(t *testing.T) {
-	f := newFleet(t, roles.Reader, roles.Reader, roles.Writer)
+	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	reader := "http://" + f.engines["e0"].Info().Address
 	post := func(url, id, body string) *http.Response {
 		req, _ := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
@@ -177,8 +177,8 @@
 		t.Fatalf("%d, %d states", resp.StatusCode, f.engines["e0"].States())
 	}
 	f.run(quiet)
-	f.force("e0", roles.Writer)
-	for end := time.Now().Add(20 * time.Second); f.engines["e0"].Seat().To != roles.Writer; time.Sleep(time.Millisecond) {
+	f.force("e0", roles.Decode)
+	for end := time.Now().Add(20 * time.Second); f.engines["e0"].Seat().Target != roles.Decode; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the order was not heard")
 		}
@@ -186,26 +186,26 @@
 	if resp := post(reader+"/v1/chat/completions", "r2", read); resp.StatusCode != 503 || resp.Header.Get("X-Brackenbend-Never-Ran") != "1" {
 		t.Errorf("new work was answered %d while it drains", resp.StatusCode)
 	}
-	if s := f.engines["e0"].Seat(); s.Role != roles.Reader || f.engines["e0"].States() != 1 {
+	if s := f.engines["e0"].Seat(); s.Role != roles.Prefill || f.engines["e0"].States() != 1 {
 		t.Errorf("it switched to %v with a state held", s.Role)
 	}
 	if resp := post(reader+"/standin/take", "", `{"id":"r1"}`); resp.StatusCode != 200 {
 		t.Errorf("the state was lost: %d", resp.StatusCode)
 	}
-	f.eventually("settled", f.is("e0", roles.Writer))
+	f.eventually("settled", f.is("e0", roles.Decode))
 }
 
 // TestCrashesOnTheWay: the planner dies with the order written and not told, the engine dies with the order heard, the
 // register restarts from its disk; whoever comes next goes on.
 func TestCrashesOnTheWay(t *testing.T) {
-	f := newFleet(t, roles.Reader, roles.Reader, roles.Writer)
+	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	book := filepath.Join(t.TempDir(), "book.json")
 	if err := f.reg.KeepBook(book); err != nil {
 		t.Fatal(err)
 	}
-	f.force("e0", roles.Writer) // written; nobody tells it
+	f.force("e0", roles.Decode) // written; nobody tells it
 	kill := f.run(quiet)
-	f.eventually("told by the next planner", f.is("e0", roles.Writer))
+	f.eventually("told by the next planner", f.is("e0", roles.Decode))
 	kill()
 
 	f.force("e1", roles.Both)
@@ -234,28 +234,28 @@
 
 // TestOldNewsIsRefused: a planner that was paused writes from the book that it read before another wrote.
 func TestOldNewsIsRefused(t *testing.T) {
-	f := newFleet(t, roles.Reader, roles.Reader, roles.Writer)
+	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	old, err := f.client.View(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.force("e0", roles.Writer)
-	b, err := old.Book.Begin("e1", roles.Writer, "old news")
+	f.force("e0", roles.Decode)
+	b, err := old.Assignments.Start("e1", roles.Decode, "old news")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.client.Write(t.Context(), b); !errors.Is(err, roles.ErrStale) {
+	if _, err := f.client.Write(t.Context(), b); !errors.Is(err, roles.ErrConflict) {
 		t.Errorf("%v", err)
 	}
-	if _, err := f.client.Update(t.Context(), func(b roles.Book) (roles.Book, error) { return b.Begin("e1", roles.Writer, "") }); !errors.Is(err, roles.ErrLast) {
+	if _, err := f.client.Update(t.Context(), func(b roles.Assignments) (roles.Assignments, error) { return b.Start("e1", roles.Decode, "") }); !errors.Is(err, roles.ErrLastOfStage) {
 		t.Errorf("the last reader was given away: %v", err)
 	}
 }
 
 // TestNoRegisterNoChange: while the register is cut off a planner does nothing, and goes on after.
 func TestNoRegisterNoChange(t *testing.T) {
-	f := newFleet(t, roles.Reader, roles.Reader, roles.Writer)
-	f.force("e0", roles.Writer)
+	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
+	f.force("e0", roles.Decode)
 	f.reg.Cut(true)
 	f.run(quiet)
 	if _, err := f.client.View(t.Context()); err == nil {
@@ -265,21 +265,21 @@
 		t.Error("an engine was told without the book")
 	}
 	f.reg.Cut(false)
-	f.eventually("settled", f.is("e0", roles.Writer))
+	f.eventually("settled", f.is("e0", roles.Decode))
 }
 
 // TestWhatWasLearnedOutlivesThePlanner, and the register that keeps it; what can't be right is passed over.
 func TestWhatWasLearnedOutlivesThePlanner(t *testing.T) {
 	book := filepath.Join(t.TempDir(), "book.json")
-	f := newFleet(t, roles.Reader, roles.Writer)
+	f := newFleet(t, roles.Prefill, roles.Decode)
 	if err := f.reg.KeepBook(book); err != nil {
 		t.Fatal(err)
 	}
 	left := func(after time.Time) (s planner.Saved) {
-		f.eventually("a memory is left", func(roles.Book) bool {
+		f.eventually("a memory is left", func(roles.Assignments) bool {
 			var ok bool
 			var err error
-			s, ok, err = f.client.Remember(t.Context())
+			s, ok, err = f.client.LoadMemory(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -287,7 +287,7 @@
 		})
 		return s
 	}
-	if _, ok, err := f.client.Remember(t.Context()); ok || err != nil {
+	if _, ok, err := f.client.LoadMemory(t.Context()); ok || err != nil {
 		t.Fatalf("%v %v before there was a planner", ok, err)
 	}
 	kill := f.run(quiet)
@@ -307,7 +307,7 @@
 		t.Errorf("the second planner knows nothing of the time before it: oldest %v, it began %v before", oldest(s), s.At.Sub(began))
 	}
 	kill()
-	if err := f.client.Leave(t.Context(), planner.Saved{At: time.Now(), Memory: roles.Memory{Lead: 99}}); err != nil {
+	if err := f.client.SaveMemory(t.Context(), planner.Saved{At: time.Now(), Memory: roles.Memory{Lead: 99}}); err != nil {
 		t.Fatal(err)
 	}
 	began = time.Now()
--- a/internal/scenariorun/roles.go
+++ b/internal/scenariorun/roles.go
@@ -37,7 +37,7 @@
 
 // join makes an engine one of those that shift.
 func (s *shift) join(cfg *engine.Config, r roles.Role) {
-	cfg.Roles, cfg.Seat, cfg.Switch = s.params, roles.Seat{Role: r, To: r}, s.swap
+	cfg.Roles, cfg.Seat, cfg.Switch = s.params, roles.EngineState{Role: r, Target: r}, s.swap
 	s.r.reg.Shift(cfg.Name, r, s.kinds)
 }
 
@@ -94,7 +94,7 @@
 }
 
 // Step implements planner.Policy.
-func (f *foreseen) Step(_ time.Duration, engines []roles.Engine, _ []roles.Front) roles.Plan {
+func (f *foreseen) Step(_ time.Duration, engines []roles.Engine, _ []roles.Replica) roles.Plan {
 	return f.course.Step(f.r.rec.Now()-f.begins+f.ahead, engines)
 }
 
@@ -112,9 +112,9 @@
 	}
 	for i := range max(p.r.d.Planner.Count, 1) {
 		run := &planner.Runner{Register: planner.Client{URL: p.r.reg.URL(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
-			Settings: p.r.d.Planner.Settings(), Fronts: fronts, Every: p.r.d.Planner.Every, Log: log}
+			Settings: p.r.d.Planner.Settings(), Replicas: fronts, Interval: p.r.d.Planner.Every, Log: log}
 		if i == 0 {
-			run.Planned = p.note
+			run.OnPlan = p.note
 		}
 		if seen := p.r.o.Foreseen; len(seen) > 0 {
 			run.Policy = newForeseen(p.r, seen)
@@ -139,21 +139,21 @@
 func (p *planners) note(plan roles.Plan) {
 	b := p.r.reg.Book()
 	s := RoleSecond{At: p.r.rec.Now().Seconds(), Orders: b.Orders, Reading: plan.Reading, Writing: plan.Writing}
-	open, changing := b.Count()
-	s.Readers, s.Writers, s.Both, s.Changing = open[roles.Reader], open[roles.Writer], open[roles.Both], changing
+	open, changing := b.CountServing()
+	s.Readers, s.Writers, s.Both, s.Changing = open[roles.Prefill], open[roles.Decode], open[roles.Both], changing
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.seen = append(p.seen, s)
 	for _, c := range plan.Changes {
-		p.r.logf("role: %s to %v (%s)", c.ID, c.To, c.Why)
+		p.r.logf("role: %s to %v (%s)", c.ID, c.Target, c.Reason)
 	}
 }
 
 // force is an operator who forces an engine into the other role, whatever the planner thinks.
 func (r *run) force(name string) {
 	c := planner.Client{URL: r.reg.URL(), HTTP: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	b, err := c.Update(context.Background(), func(b roles.Book) (roles.Book, error) {
-		return b.Turn(name, "forced by the day")
+	b, err := c.Update(context.Background(), func(b roles.Assignments) (roles.Assignments, error) {
+		return b.SwitchStage(name, "forced by the day")
 	})
-	r.logf("%s forced to %v: %v", name, b.Entries[name].To, err)
+	r.logf("%s forced to %v: %v", name, b.Entries[name].Target, err)
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -47,15 +47,15 @@
 }
 
 var (
-	roles   = map[string]routing.Role{"read": routing.Reader, "write": routing.Writer, "both": routing.Mixed}
-	effects = map[string]routing.Effect{"free": routing.Safe, "guarded": routing.Keyed, "single_shot": routing.Unsafe}
-	groups  = map[string]routing.Group{"": routing.GroupAll, "all": routing.GroupAll, "zone": routing.GroupZone,
-		"cell": routing.GroupCell}
+	roles   = map[string]routing.Role{"read": routing.RolePrefill, "write": routing.RoleDecode, "both": routing.RoleMixed}
+	effects = map[string]routing.Idempotency{"free": routing.Idempotent, "guarded": routing.IdempotentWithKey, "single_shot": routing.NotIdempotent}
+	groups  = map[string]routing.DedupScope{"": routing.DedupAll, "all": routing.DedupAll, "zone": routing.DedupZone,
+		"cell": routing.DedupCell}
 )
 
 // Site is all of the settings that the program uses: what the module is told, and what a front node needs beside it.
 type Site struct {
-	Choice         routing.Settings
+	Choice         routing.Config
 	Kinds, Tenants []string
 	ConnIdle, Dial time.Duration // an idle connection's life, and the wait for one to come up
 	MaxOpen        int
@@ -63,7 +63,7 @@
 }
 
 // ParseSettings maps the settings text to the module's terms.
-func ParseSettings(text []byte) (routing.Settings, error) {
+func ParseSettings(text []byte) (routing.Config, error) {
 	s, err := ParseSite(text)
 	return s.Choice, err
 }
@@ -83,15 +83,15 @@
 	return site, err
 }
 
-func (b *boot) choice() (routing.Settings, error) {
+func (b *boot) choice() (routing.Config, error) {
 	f, inv := b.FamilyInfo, b.Invariants
-	s := routing.Settings{
-		Fronts: b.Balancers, Zone: b.Zone, OverShareWorth: b.OverShareWorth, WorthByWork: b.WorthBy == "work",
-		MaxAttempts: b.Caps.AttemptsCap, CanCancel: b.Caps.Cancel, SecondCopies: b.Caps.SecondCopies,
-		MaxWait: micro(b.Caps.MaxRetryAfter), Ahead: f.Ahead, WritersRead: f.LocalRead, Resume: f.Resume,
-		ReleaseWithin: micro(f.Release), AnswerSlack: micro(inv.GraceToAnswer), DrainGrace: micro(inv.StopSendingWithin),
-		ColdFrom: inv.ColdFrom, ColdFor: micro(inv.Cold), OverloadFactor: inv.OverloadFactor, TipAfter: micro(inv.TipAfter),
-		AskForList: b.Discovery == "ask", AskWithin: micro(inv.AskWithin), ReportFields: b.Report.Fields,
+	s := routing.Config{
+		Replicas: b.Balancers, Zone: b.Zone, OverQuotaWeight: b.OverShareWorth, WeightByWork: b.WorthBy == "work",
+		MaxAttempts: b.Caps.AttemptsCap, CanCancel: b.Caps.Cancel, Hedging: b.Caps.SecondCopies,
+		MaxRetryAfter: micro(b.Caps.MaxRetryAfter), ReserveAhead: f.Ahead, DecodeCanPrefill: f.LocalRead, ResumeStreams: f.Resume,
+		StateTTL: micro(f.Release), AnswerSlack: micro(inv.GraceToAnswer), DrainGrace: micro(inv.StopSendingWithin),
+		SlowStartFrom: inv.ColdFrom, SlowStartFor: micro(inv.Cold), OverloadFactor: inv.OverloadFactor, OverloadAfter: micro(inv.TipAfter),
+		PollEndpoints: b.Discovery == "ask", PollInterval: micro(inv.AskWithin), LoadReportFields: b.Report.Fields,
 	}
 	for _, t := range b.Tenants {
 		s.Tenants = append(s.Tenants, routing.Tenant{QuotaPerS: t.QuotaPerS, Share: t.Share})
@@ -102,9 +102,9 @@
 	return s, addClasses(&s, b)
 }
 
-func addKinds(s *routing.Settings, b *boot) error {
+func addKinds(s *routing.Config, b *boot) error {
 	for i := range max(len(b.Kinds), len(b.FamilyInfo.KindRole)) {
-		k := routing.Kind{Role: routing.Mixed}
+		k := routing.Kind{Role: routing.RoleMixed}
 		if i < len(b.FamilyInfo.KindRole) {
 			role, ok := roles[b.FamilyInfo.KindRole[i]]
 			if !ok {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func addClasses(s *routing.Settings, b *boot) error {
+func addClasses(s *routing.Config, b *boot) error {
 	for i, c := range b.Classes {
 		effect, ok := effects[c.Repeat]
 		if !ok {
@@ -128,9 +128,9 @@
 		if !ok {
 			return fmt.Errorf("settings: Classes[%d].Group: unknown %q", i, c.Group)
 		}
-		s.Classes = append(s.Classes, routing.Class{Name: c.Name, Aim: micro(c.Promise), Deadline: micro(c.Deadline),
-			AimPer1000: micro(at(b.FamilyInfo.AimUsPer1000PromptTokens, i)), TokenAim: micro(at(b.FamilyInfo.TokenAim, i)),
-			Worth: c.Importance, LateWorth: c.LateWorth, Effect: effect, Group: group, Window: micro(c.Window)})
+		s.Classes = append(s.Classes, routing.Class{Name: c.Name, LatencyObjective: micro(c.Promise), Deadline: micro(c.Deadline),
+			LatencyObjectivePer1000: micro(at(b.FamilyInfo.AimUsPer1000PromptTokens, i)), TokenLatencyObjective: micro(at(b.FamilyInfo.TokenAim, i)),
+			PriorityWeight: c.Importance, LateWeight: c.LateWorth, Idempotency: effect, DedupScope: group, DedupWindow: micro(c.Window)})
 	}
 	return nil
 }
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -48,7 +48,7 @@
 type Decoder struct {
 	r     io.Reader
 	buf   []byte
-	lists [16][]routing.Server
+	lists [16][]routing.Endpoint
 	known [16]bool
 }
 
@@ -136,7 +136,7 @@
 	if c.err != nil {
 		return
 	}
-	rows := make([]routing.Server, n)
+	rows := make([]routing.Endpoint, n)
 	for i := range rows {
 		rows[i].Weight = c.f32()
 		rows[i].Kind = int(c.u8())
@@ -145,19 +145,19 @@
 			c.err = fmt.Errorf("entry %d: unknown state %d", i, state)
 			return
 		}
-		rows[i].State = routing.State(state)
-		rows[i].ID = routing.ServerID(c.u32())
+		rows[i].State = routing.EndpointState(state)
+		rows[i].ID = routing.EndpointID(c.u32())
 		rows[i].Zone = int(c.u16())
-		rows[i].ReadyAt = micros(c.u64())
+		rows[i].StartedAt = micros(c.u64())
 		rows[i].Cell = int(c.u16())
 	}
 	d.lists[slot], d.known[slot] = rows, true
 }
 
-var scopes = map[byte]routing.ListScope{4: routing.Changes, 1: routing.Full, 3: routing.Cached, 0: routing.Failed}
+var scopes = map[byte]routing.ListScope{4: routing.ListChanges, 1: routing.ListFull, 3: routing.ListCached, 0: routing.ListFailed}
 
-var results = map[uint16]routing.Result{10: routing.Served, 20: routing.Errored, 30: routing.Turned, 40: routing.TimedOut,
-	50: routing.ConnectFailed, 60: routing.Reset, 70: routing.Cancelled, 80: routing.NotSent, 102: routing.ReadDone}
+var results = map[uint16]routing.Result{10: routing.Served, 20: routing.EngineError, 30: routing.Rejected, 40: routing.TimedOut,
+	50: routing.ConnectFailed, 60: routing.ConnectionReset, 70: routing.Cancelled, 80: routing.NotSent, 102: routing.PrefillDone}
 
 func (d *Decoder) event(c *cursor, code byte) any {
 	switch code {
@@ -168,13 +168,13 @@
 	case 2:
 		return order(c)
 	case 3:
-		f := routing.First{Request: routing.RequestID(c.u32()), Server: routing.ServerID(c.u32())}
+		f := routing.FirstToken{Request: routing.RequestID(c.u32()), Endpoint: routing.EndpointID(c.u32())}
 		f.Elapsed, f.Attempt = micros(uint64(c.u32())), int(c.u16())
 		return f
 	case 4:
 		return completed(c)
 	case 5:
-		return routing.ClientGone{Request: routing.RequestID(c.u32())}
+		return routing.ClientDisconnected{Request: routing.RequestID(c.u32())}
 	case 6:
 		return routing.Timer{Tag: c.u64()}
 	case 7: // HealthResult: nothing is probed
@@ -188,9 +188,9 @@
 	case 9:
 		return Stop{}
 	case 10:
-		h := routing.Held{Request: routing.RequestID(c.u32())}
+		h := routing.Reserved{Request: routing.RequestID(c.u32())}
 		c.u16()
-		h.Server, h.OK = routing.ServerID(c.u32()), c.u8() == 1
+		h.Endpoint, h.OK = routing.EndpointID(c.u32()), c.u8() == 1
 		c.f32()
 		return h
 	}
@@ -204,16 +204,16 @@
 	scope, ok := scopes[c.u8()]
 	c.u32()
 	slot := c.u8()
-	l := routing.ServerList{Scope: scope}
+	l := routing.EndpointList{Scope: scope}
 	switch {
 	case c.err != nil:
 	case !ok:
 		c.err = errors.New("unknown list scope")
-	case scope == routing.Failed:
+	case scope == routing.ListFailed:
 	case int(slot) >= len(d.lists) || !d.known[slot]:
 		c.err = fmt.Errorf("list %d was never defined", slot)
 	default:
-		l.Servers = d.lists[slot]
+		l.Endpoints = d.lists[slot]
 	}
 	return l
 }
@@ -221,16 +221,16 @@
 func order(c *cursor) any {
 	q := routing.Request{ID: routing.RequestID(c.u32())}
 	bits := c.u8()
-	q.Repeat, q.Resumed = bits&2 != 0, bits&16 != 0
-	q.Due, q.Session, q.Tenant, q.PromptLen = micros(c.u64()), c.u64(), int(c.u32()), c.f32()
+	q.Retry, q.ResumedStream = bits&2 != 0, bits&16 != 0
+	q.Deadline, q.Session, q.Tenant, q.PromptTokens = micros(c.u64()), c.u64(), int(c.u32()), c.f32()
 	c.u32()
-	q.PrefixLen, q.MaxOut, q.Class, q.Prefix = c.f32(), c.f32(), int(c.u16()), c.u64()
+	q.PrefixTokens, q.MaxOutputTokens, q.Class, q.Prefix = c.f32(), c.f32(), int(c.u16()), c.u64()
 	return q
 }
 
 func completed(c *cursor) any {
-	o := routing.Outcome{Request: routing.RequestID(c.u32()), Attempt: int(c.u16()), Server: routing.ServerID(c.u32())}
-	o.Elapsed, o.Over = micros(uint64(c.u32())), c.u8() != 0
+	o := routing.Outcome{Request: routing.RequestID(c.u32()), Attempt: int(c.u16()), Endpoint: routing.EndpointID(c.u32())}
+	o.Elapsed, o.RequestDone = micros(uint64(c.u32())), c.u8() != 0
 	remark := c.u32()
 	how := c.u16()
 	res, ok := results[how]
@@ -238,11 +238,11 @@
 		c.err = fmt.Errorf("unknown outcome %d", how)
 	}
 	o.Result = res
-	o.NoState = res == routing.Turned && remark == 1
-	if res == routing.ReadDone || res == routing.Served {
-		o.Kept = float64(remark)
+	o.StateMissing = res == routing.Rejected && remark == 1
+	if res == routing.PrefillDone || res == routing.Served {
+		o.CachedTokens = float64(remark)
 	}
-	o.Report = c.report()
+	o.LoadReport = c.report()
 	return o
 }
 
@@ -348,23 +348,23 @@
 func (r *Reply) action(a routing.Action) error {
 	switch a := a.(type) {
 	case routing.Send:
-		r.pair(1, uint32(a.Request), uint32(a.Server))
+		r.pair(1, uint32(a.Request), uint32(a.Endpoint))
 		r.u32(delay(a.Timeout))
-	case routing.Refuse:
-		r.pair(6, uint32(a.Request), delay(a.Wait))
+	case routing.Reject:
+		r.pair(6, uint32(a.Request), delay(a.RetryAfter))
 	case routing.Fail:
 		r.single(13, uint32(a.Request))
 	case routing.Cancel:
 		r.single(7, uint32(a.Request))
 		r.u16(uint16(a.Attempt))
-	case routing.Release:
+	case routing.ReleaseState:
 		r.single(14, uint32(a.Request))
-	case routing.Ahead:
-		r.pair(15, uint32(a.Request), uint32(a.Server))
-	case routing.Wake:
+	case routing.Reserve:
+		r.pair(15, uint32(a.Request), uint32(a.Endpoint))
+	case routing.SetTimer:
 		r.single(10, max(1, delay(a.After)))
 		r.buf = binary.BigEndian.AppendUint64(r.buf, a.Tag)
-	case routing.Watch:
+	case routing.FetchEndpoints:
 		r.head(11)
 		r.buf = append(r.buf, 1)
 	case routing.Log:
--- a/internal/simulation/baseline/baseline.go
+++ b/internal/simulation/baseline/baseline.go
@@ -29,17 +29,17 @@
 // Decider decides so for one front.
 type Decider struct {
 	way     Way
-	s       routing.Settings
+	s       routing.Config
 	rnd     *rand.Rand
 	now     time.Duration
 	servers []*server // in the order in which they were first named
-	byID    map[routing.ServerID]*server
+	byID    map[routing.EndpointID]*server
 	open    map[routing.RequestID]*request
 	out     []routing.Action
 }
 
 type server struct {
-	id    routing.ServerID
+	id    routing.EndpointID
 	role  routing.Role
 	ready bool
 	out   int
@@ -56,7 +56,7 @@
 }
 
 // New makes one.
-func New(way Way, s routing.Settings, seed uint64) (*Decider, error) {
+func New(way Way, s routing.Config, seed uint64) (*Decider, error) {
 	if !slices.Contains(Ways, way) {
 		return nil, fmt.Errorf("baseline: no way %q: %v", way, Ways)
 	}
@@ -66,7 +66,7 @@
 	if s.MaxAttempts == 0 {
 		s.MaxAttempts = 2
 	}
-	return &Decider{way: way, s: s, rnd: rand.New(rand.NewPCG(seed, 77)), byID: map[routing.ServerID]*server{}, open: map[routing.RequestID]*request{}}, nil
+	return &Decider{way: way, s: s, rnd: rand.New(rand.NewPCG(seed, 77)), byID: map[routing.EndpointID]*server{}, open: map[routing.RequestID]*request{}}, nil
 }
 
 // Step takes what happened and gives what is to be done.
@@ -74,20 +74,20 @@
 	d.now, d.out = now, nil
 	for _, ev := range events {
 		switch ev := ev.(type) {
-		case routing.ServerList:
+		case routing.EndpointList:
 			d.list(ev)
 		case routing.Request:
 			r := &request{ev: ev}
 			d.open[ev.ID] = r
-			if ev.Doubtful && d.s.Classes[ev.Class].Effect == routing.Unsafe {
+			if ev.PossibleDuplicate && d.s.Classes[ev.Class].Idempotency == routing.NotIdempotent {
 				d.fail(r, true)
 				break
 			}
-			d.act(routing.Wake{After: ev.Due - now, Tag: uint64(ev.ID)})
+			d.act(routing.SetTimer{After: ev.Deadline - now, Tag: uint64(ev.ID)})
 			d.place(r)
 		case routing.Outcome:
 			d.outcome(ev)
-		case routing.ClientGone:
+		case routing.ClientDisconnected:
 			if r := d.open[ev.Request]; r != nil {
 				d.end(r)
 			}
@@ -95,7 +95,7 @@
 			if r := d.open[routing.RequestID(ev.Tag)]; r != nil && !r.answered {
 				d.fail(r, false)
 			}
-		case routing.First:
+		case routing.FirstToken:
 			if r := d.open[ev.Request]; r != nil {
 				r.answered = true // the stream is the answer
 			}
@@ -106,23 +106,23 @@
 
 func (d *Decider) act(a routing.Action) { d.out = append(d.out, a) }
 
-func (d *Decider) list(ev routing.ServerList) {
-	if ev.Scope == routing.Failed {
+func (d *Decider) list(ev routing.EndpointList) {
+	if ev.Scope == routing.ListFailed {
 		return
 	}
-	if ev.Scope != routing.Changes {
+	if ev.Scope != routing.ListChanges {
 		for _, s := range d.servers {
 			s.ready = false
 		}
 	}
-	for _, l := range ev.Servers {
+	for _, l := range ev.Endpoints {
 		s := d.byID[l.ID]
 		if s == nil {
 			s = &server{id: l.ID}
 			d.byID[l.ID] = s
 			d.servers = append(d.servers, s)
 		}
-		s.role, s.ready = d.s.Kinds[l.Kind].Role, l.State == routing.Ready
+		s.role, s.ready = d.s.Kinds[l.Kind].Role, l.State == routing.EndpointReady
 	}
 }
 
@@ -130,7 +130,7 @@
 func (d *Decider) pick(write bool) *server {
 	var all []*server
 	for _, s := range d.servers {
-		if s.ready && (s.role == routing.Mixed && !write || s.role == routing.Writer && write || s.role == routing.Reader && !write) {
+		if s.ready && (s.role == routing.RoleMixed && !write || s.role == routing.RoleDecode && write || s.role == routing.RolePrefill && !write) {
 			all = append(all, s)
 		}
 	}
@@ -164,24 +164,24 @@
 	r.tries++
 	r.at = s
 	s.out++
-	d.act(routing.Send{Request: r.ev.ID, Server: s.id})
+	d.act(routing.Send{Request: r.ev.ID, Endpoint: s.id})
 }
 
 // giveUp refuses what surely has not run, and fails the rest.
 func (d *Decider) giveUp(r *request) {
 	class := &d.s.Classes[r.ev.Class]
-	if r.ran && class.Effect != routing.Safe {
+	if r.ran && class.Idempotency != routing.Idempotent {
 		d.fail(r, false)
 		return
 	}
 	r.answered = true
-	d.act(routing.Refuse{Request: r.ev.ID, Wait: time.Second, HandUp: class.Effect == routing.Unsafe})
+	d.act(routing.Reject{Request: r.ev.ID, RetryAfter: time.Second, NoAutoRetry: class.Idempotency == routing.NotIdempotent})
 	d.end(r)
 }
 
 func (d *Decider) fail(r *request, earlier bool) {
 	r.answered = true
-	d.act(routing.Fail{Request: r.ev.ID, Earlier: earlier})
+	d.act(routing.Fail{Request: r.ev.ID, PossibleDuplicate: earlier})
 	d.end(r)
 }
 
@@ -191,7 +191,7 @@
 	if r.at != nil {
 		d.act(routing.Cancel{Request: r.ev.ID, Attempt: r.sends - 1})
 	}
-	d.act(routing.Release{Request: r.ev.ID})
+	d.act(routing.ReleaseState{Request: r.ev.ID})
 	if r.at == nil {
 		delete(d.open, r.ev.ID)
 	}
@@ -205,33 +205,33 @@
 	s := r.at
 	s.out--
 	r.at = nil
-	if ev.Over || r.answered {
+	if ev.RequestDone || r.answered {
 		r.answered = true
-		d.act(routing.Release{Request: ev.Request})
+		d.act(routing.ReleaseState{Request: ev.Request})
 		delete(d.open, ev.Request)
 		return
 	}
-	never := ev.Result.NeverRan()
+	never := ev.Result.NeverExecuted()
 	switch {
-	case ev.Result == routing.ReadDone:
+	case ev.Result == routing.PrefillDone:
 		r.read = true
 		r.tries-- // the read is no try of the whole
 		d.place(r)
 		return
-	case s.role != routing.Reader && !never: // reading has no effect
+	case s.role != routing.RolePrefill && !never: // reading has no effect
 		r.ran = true
 	}
-	if ev.NoState || s.role == routing.Reader {
+	if ev.StateMissing || s.role == routing.RolePrefill {
 		r.read = false
-		d.act(routing.Release{Request: ev.Request})
+		d.act(routing.ReleaseState{Request: ev.Request})
 	}
-	if r.ran && d.s.Classes[r.ev.Class].Effect != routing.Safe {
+	if r.ran && d.s.Classes[r.ev.Class].Idempotency != routing.Idempotent {
 		d.fail(r, false)
 		return
 	}
-	if s.role != routing.Reader {
+	if s.role != routing.RolePrefill {
 		r.read = false // the state was fetched, or went with its writer
-		d.act(routing.Release{Request: ev.Request})
+		d.act(routing.ReleaseState{Request: ev.Request})
 	}
 	d.place(r)
 }
--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	for _, way := range baseline.Ways {
-		r, err := fleet.Run(d, fleet.Options{Seed: 2, Audit: true, Decider: func(s routing.Settings, seed uint64) (fleet.Decider, error) {
+		r, err := fleet.Run(d, fleet.Options{Seed: 2, Audit: true, Decider: func(s routing.Config, seed uint64) (fleet.Decider, error) {
 			return baseline.New(way, s, seed)
 		}})
 		if err != nil {
@@ -32,7 +32,7 @@
 			t.Errorf("%s: service %.3f", way, s)
 		}
 	}
-	if _, err := baseline.New("guess", routing.Settings{}, 1); err == nil {
+	if _, err := baseline.New("guess", routing.Config{}, 1); err == nil {
 		t.Error("an unknown way was taken")
 	}
 }
--- a/internal/simulation/faultsearch/faultsearch_test.go
+++ b/internal/simulation/faultsearch/faultsearch_test.go
@@ -34,12 +34,12 @@
 
 func (f *forgetful) Step(now time.Duration, events []routing.Event) (out []routing.Action) {
 	for _, ev := range events {
-		if o, ok := ev.(routing.Outcome); ok && o.Result != routing.Served && o.Result != routing.ReadDone && o.Result != routing.Cancelled {
+		if o, ok := ev.(routing.Outcome); ok && o.Result != routing.Served && o.Result != routing.PrefillDone && o.Result != routing.Cancelled {
 			f.met[o.Request] = true
 		}
 	}
 	for _, a := range f.Decider.Step(now, events) {
-		if r, lets := a.(routing.Release); !lets || !f.met[r.Request] {
+		if r, lets := a.(routing.ReleaseState); !lets || !f.met[r.Request] {
 			out = append(out, a)
 		}
 	}
@@ -52,7 +52,7 @@
 
 func subject(wrap func(fleet.Decider) fleet.Decider) func(uint64) fleet.Options {
 	return func(seed uint64) fleet.Options {
-		return fleet.Options{Seed: seed, Decider: func(s routing.Settings, seed uint64) (fleet.Decider, error) {
+		return fleet.Options{Seed: seed, Decider: func(s routing.Config, seed uint64) (fleet.Decider, error) {
 			r, err := routing.New(s, seed)
 			return wrap(r), err
 		}}
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -39,7 +39,7 @@
 	coming        coming // by oracles
 
 	byRole    map[roles.Role]enginemodel.Params // where it may change; nil = it stays
-	seat      roles.Seat
+	seat      roles.EngineState
 	switching bool
 	turn      int // of its switches; those of an earlier one, or an earlier process, are passed over
 	liar      bool
@@ -144,8 +144,8 @@
 	case arrived:
 		e.hasArrived(m)
 	case tellsRole:
-		if _, can := e.byRole[m.tell.To]; can && e.up {
-			e.seat = e.seat.Take(m.tell)
+		if _, can := e.byRole[m.tell.Target]; can && e.up {
+			e.seat = e.seat.Accept(m.tell)
 		}
 	case asksStatus:
 		e.tellStatus(m.from)
@@ -206,7 +206,7 @@
 		return
 	}
 	if e.leaving() {
-		e.reply(&s, routing.Turned, false, 0)
+		e.reply(&s, routing.Rejected, false, 0)
 		return
 	}
 	e.record(e.now(), audit.Event{Kind: audit.Arrive, Engine: e.name, Front: s.name, Request: s.id, Write: s.write, Try: s.work.id})
@@ -228,13 +228,13 @@
 	case stalls:
 		return
 	case fails && h.class == s.work.class, e.strikes("fail-fast", 1):
-		e.through(j, routing.Errored, false, 0)
+		e.through(j, routing.EngineError, false, 0)
 		return
 	case e.strikes("reset-after-request", 1):
-		e.through(j, routing.Reset, false, 0)
+		e.through(j, routing.ConnectionReset, false, 0)
 		return
 	case j.ReadOnly && !e.par.Reads || !j.ReadOnly && !e.par.Writes || j.FetchState == 0 && !j.ReadOnly && !e.par.Reads:
-		e.through(j, routing.Turned, j.FetchState == 0 && !j.ReadOnly && e.par.Writes, 0)
+		e.through(j, routing.Rejected, j.FetchState == 0 && !j.ReadOnly && e.par.Writes, 0)
 		return
 	}
 	if e.strikes("reset-mid-stream", 1) && s.write {
@@ -243,9 +243,9 @@
 	j.Begun = func() { e.begun(j) }
 	j.Token = func(n int) { e.tokens(j, n) }
 	j.Done = func(kept float64) { e.done(j, kept) }
-	j.Lost = func() { e.through(j, routing.Reset, false, 0) }
+	j.Lost = func() { e.through(j, routing.ConnectionReset, false, 0) }
 	if !e.m.Submit(e.now(), &j.Job) {
-		e.through(j, routing.Turned, false, 0)
+		e.through(j, routing.Rejected, false, 0)
 	}
 }
 
@@ -263,7 +263,7 @@
 	case j == nil || j.fetched:
 	case !m.ok:
 		e.m.Cancel(e.now(), &j.Job)
-		e.through(j, routing.Turned, true, 0)
+		e.through(j, routing.Rejected, true, 0)
 	default:
 		j.fetched = true
 		e.moved += j.Prompt
@@ -281,7 +281,7 @@
 		}
 	}
 	if j.breakAt == n && e.jobs[j.ID] == j && j.fetched {
-		e.through(j, routing.Reset, false, 0)
+		e.through(j, routing.ConnectionReset, false, 0)
 		e.drop(j)
 	}
 }
@@ -308,10 +308,10 @@
 			}
 			switch fault {
 			case "reset-after-effect":
-				e.through(j, routing.Reset, false, 0)
+				e.through(j, routing.ConnectionReset, false, 0)
 				e.drop(j)
 			case "fail-after-effect":
-				e.through(j, routing.Errored, false, 0)
+				e.through(j, routing.EngineError, false, 0)
 				e.drop(j)
 			}
 			return
@@ -334,7 +334,7 @@
 	if _, unwanted := e.letGo[j.ID]; unwanted {
 		e.m.Drop(j.ID)
 	}
-	e.through(j, routing.ReadDone, false, kept)
+	e.through(j, routing.PrefillDone, false, kept)
 }
 
 // cancel is the end of an attempt's connection.
@@ -379,12 +379,12 @@
 func (e *engine) lose() {
 	for _, id := range keys(e.jobs) {
 		if j := e.jobs[id]; j != nil && !j.begun { // waits, or stalled: the model may not know of it
-			e.through(j, routing.Reset, false, 0)
+			e.through(j, routing.ConnectionReset, false, 0)
 		}
 	}
 	e.m.Reset()
 	for _, id := range keys(e.jobs) {
-		e.through(e.jobs[id], routing.Reset, false, 0)
+		e.through(e.jobs[id], routing.ConnectionReset, false, 0)
 	}
 }
 
@@ -400,7 +400,7 @@
 			e.end()
 		case !h.on && !e.up:
 			e.up = true
-			e.seat, e.switching = e.seat.Empty(), false // the crash emptied it
+			e.seat, e.switching = e.seat.FinishDraining(), false // the crash emptied it
 			e.becomes(e.seat.Role)
 			e.fresh(e.now(), true)
 			e.record(e.now(), audit.Event{Kind: audit.EngineUp, Engine: e.name})
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -43,7 +43,7 @@
 	// Settings are the fronts', in place of those that the day makes; kinds and classes must have the day's names.
 	Settings *config.Settings
 	// Decider makes what decides for a front; nil = routing.New.
-	Decider func(s routing.Settings, seed uint64) (Decider, error)
+	Decider func(s routing.Config, seed uint64) (Decider, error)
 }
 
 // Result is what came of a day.
@@ -62,7 +62,7 @@
 	o.Link, o.Jitter = cmp.Or(o.Link, 250*time.Microsecond), cmp.Or(o.Jitter, 50*time.Microsecond)
 	f := &fleet{d: d, o: o, k: newKernel(max(o.Shards, 1), o.Link)}
 	if f.o.Decider == nil {
-		f.o.Decider = func(s routing.Settings, seed uint64) (Decider, error) { return routing.New(s, seed) }
+		f.o.Decider = func(s routing.Config, seed uint64) (Decider, error) { return routing.New(s, seed) }
 	}
 	var err error
 	if f.set, err = d.Settings(0); err != nil {
@@ -74,7 +74,7 @@
 		}
 		f.set = o.Settings
 	}
-	f.cs = f.set.Choice()
+	f.cs = f.set.RoutingConfig()
 	if err := o.Oracles.check(o.Shards); err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 	o        Options
 	k        *kernel
 	set      *config.Settings
-	cs       routing.Settings
+	cs       routing.Config
 	clients  *clients
 	register *register
 	engines  []*engine
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -79,7 +79,7 @@
 
 func (c careless) Step(now time.Duration, events []routing.Event) (out []routing.Action) {
 	for _, a := range c.Decider.Step(now, events) {
-		if _, lets := a.(routing.Release); !lets {
+		if _, lets := a.(routing.ReleaseState); !lets {
 			out = append(out, a)
 		}
 	}
@@ -89,7 +89,7 @@
 // TestACarelessDeciderIsSeen: what the judge is shown is enough to see a broken rule.
 func TestACarelessDeciderIsSeen(t *testing.T) {
 	d := bad(t)
-	r := play(t, d, Options{Seed: 1, Audit: true, Decider: func(s routing.Settings, seed uint64) (Decider, error) {
+	r := play(t, d, Options{Seed: 1, Audit: true, Decider: func(s routing.Config, seed uint64) (Decider, error) {
 		r, err := routing.New(s, seed)
 		return careless{r}, err
 	}})
--- a/internal/simulation/fleet/front.go
+++ b/internal/simulation/fleet/front.go
@@ -39,9 +39,9 @@
 	next     routing.RequestID
 	flights  map[routing.RequestID]*flight
 	byTry    map[uint64]*flight
-	touched  []*flight          // answered in this step
-	ids      []routing.ServerID // by engine
-	engines  map[routing.ServerID]int
+	touched  []*flight            // answered in this step
+	ids      []routing.EndpointID // by engine
+	engines  map[routing.EndpointID]int
 	known    []listed // by engine: as last told
 	ends     map[endOf]int
 	lost     [2]float64 // requests that reading, and writing, were short of; since the process began
@@ -66,8 +66,8 @@
 	result routing.Result
 }
 
-var resultNames = map[routing.Result]string{routing.Served: "served", routing.Errored: "failed", routing.Turned: "turned away", routing.TimedOut: "timed out",
-	routing.ConnectFailed: "not connected", routing.Reset: "reset", routing.Cancelled: "called off", routing.NotSent: "not sent", routing.ReadDone: "done", routing.Broken: "broken before it was whole"}
+var resultNames = map[routing.Result]string{routing.Served: "served", routing.EngineError: "failed", routing.Rejected: "turned away", routing.TimedOut: "timed out",
+	routing.ConnectFailed: "not connected", routing.ConnectionReset: "reset", routing.Cancelled: "called off", routing.NotSent: "not sent", routing.PrefillDone: "done", routing.RequestIncomplete: "broken before it was whole"}
 
 func (e endOf) String() string {
 	if e.write {
@@ -123,9 +123,9 @@
 func (x *front) start() error {
 	if x.rnd == nil {
 		x.rnd, x.taped = x.f.rnd(1<<20+uint64(x.index)), x.f.o.Audit
-		x.engines, x.ends = map[routing.ServerID]int{}, map[endOf]int{}
+		x.engines, x.ends = map[routing.EndpointID]int{}, map[endOf]int{}
 		for i, e := range x.f.engines {
-			id := reg.ServerID(e.name, func(id routing.ServerID) bool { _, taken := x.engines[id]; return taken })
+			id := reg.EndpointID(e.name, func(id routing.EndpointID) bool { _, taken := x.engines[id]; return taken })
 			x.ids, x.engines[id] = append(x.ids, id), i
 		}
 	}
@@ -139,7 +139,7 @@
 	x.flights, x.byTry = map[routing.RequestID]*flight{}, map[uint64]*flight{}
 	x.record(x.now(), audit.Event{Kind: audit.FrontUp, Front: x.name})
 	if x.known != nil { // the list on disk
-		x.list(news{routing.Cached, slices.Clone(x.known)})
+		x.list(news{routing.ListCached, slices.Clone(x.known)})
 	}
 	return nil
 }
@@ -248,7 +248,7 @@
 }
 
 func (x *front) unsafe(fl *flight) bool {
-	return x.f.cs.Classes[fl.msg.traits.Class].Effect != routing.Safe
+	return x.f.cs.Classes[fl.msg.traits.Class].Idempotency != routing.Idempotent
 }
 
 // finish is a flight's final answer.
@@ -300,7 +300,7 @@
 		x.cancelAll(fl)
 	}
 	fl.state = answered
-	x.step(routing.ClientGone{Request: fl.id})
+	x.step(routing.ClientDisconnected{Request: fl.id})
 	x.tidy(fl)
 }
 
@@ -326,42 +326,42 @@
 	switch a := a.(type) {
 	case routing.Send:
 		x.launch(a)
-	case routing.Refuse:
+	case routing.Reject:
 		if fl := x.flights[a.Request]; fl != nil {
-			x.finish(fl, "refused", a.Wait, a.HandUp)
+			x.finish(fl, "refused", a.RetryAfter, a.NoAutoRetry)
 			x.touched = append(x.touched, fl)
 		}
 	case routing.Fail:
 		if fl := x.flights[a.Request]; fl != nil {
-			x.finish(fl, "failed", 0, a.Earlier || x.unsafe(fl))
+			x.finish(fl, "failed", 0, a.PossibleDuplicate || x.unsafe(fl))
 			x.touched = append(x.touched, fl)
 		}
 	case routing.Cancel:
 		if fl := x.flights[a.Request]; fl != nil && a.Attempt < len(fl.attempts) {
 			x.callOff(fl, a.Attempt)
 		}
-	case routing.Release:
+	case routing.ReleaseState:
 		if fl := x.flights[a.Request]; fl != nil && !fl.writeWaits() {
 			for _, at := range fl.attempts {
 				x.letGo(at)
 			}
 		}
-	case routing.Wake:
+	case routing.SetTimer:
 		x.later(a.After, timer{x.run, a.Tag})
 	}
 }
 
 // launch starts an attempt.
 func (x *front) launch(a routing.Send) {
-	fl, picked := x.flights[a.Request], x.engines[a.Server]
+	fl, picked := x.flights[a.Request], x.engines[a.Endpoint]
 	engine := x.better(fl, picked)
 	e := x.f.engines[engine]
 	n := len(fl.attempts)
-	at := &attempt{engine: engine, picked: picked, write: x.f.cs.Kinds[x.known[engine].kind].Role != routing.Reader, began: x.now(),
+	at := &attempt{engine: engine, picked: picked, write: x.f.cs.Kinds[x.known[engine].kind].Role != routing.RolePrefill, began: x.now(),
 		id: "f" + strconv.Itoa(x.index+1) + "r" + strconv.Itoa(x.run) + "-" + strconv.FormatUint(uint64(fl.id), 16) + "-" + strconv.Itoa(n)}
 	fl.attempts = append(fl.attempts, at)
 	fl.out++
-	if x.known[engine].state != routing.Ready { // told to drain between the decision and the first byte
+	if x.known[engine].state != routing.EndpointReady { // told to drain between the decision and the first byte
 		at.unsent = true
 		x.later(0, deed{x.run, func() { x.over(fl, n, routing.NotSent, false, 0) }})
 		return
@@ -373,7 +373,7 @@
 		fl.at = stateAt{reader: -1}
 	}
 	after := x.f.hop(x.rnd)
-	if at.write && x.f.cs.Classes[fl.msg.traits.Class].Effect == routing.Unsafe { // a connection of its own
+	if at.write && x.f.cs.Classes[fl.msg.traits.Class].Idempotency == routing.NotIdempotent { // a connection of its own
 		after += 2 * x.f.o.Link
 	}
 	x.send(e.id, after, s)
@@ -451,7 +451,7 @@
 	if fl.msg.stream {
 		x.send(x.f.clients.id, x.f.hop(x.rnd), begins{fl.msg.try})
 	}
-	x.step(routing.First{Request: fl.id, Attempt: m.attempt, Server: x.ids[at.picked], Elapsed: x.now() - at.began})
+	x.step(routing.FirstToken{Request: fl.id, Attempt: m.attempt, Endpoint: x.ids[at.picked], Elapsed: x.now() - at.began})
 }
 
 func (x *front) ended(m ended) {
@@ -468,7 +468,7 @@
 	}
 	at.over = true
 	x.ends[endOf{at.write, result}]++
-	at.unsent = at.unsent || result.NeverRan()
+	at.unsent = at.unsent || result.NeverExecuted()
 	fl.out--
 	over := fl.state == streaming && fl.owner == n
 	if over {
@@ -481,15 +481,15 @@
 			x.finish(fl, "failed", 0, x.unsafe(fl))
 		}
 	}
-	if result == routing.ReadDone {
+	if result == routing.PrefillDone {
 		fl.at, fl.read = stateAt{at.engine, at.id}, true
 	}
-	if !at.write && (at.released || result != routing.ReadDone) { // a state that it may have left is known to nobody
+	if !at.write && (at.released || result != routing.PrefillDone) { // a state that it may have left is known to nobody
 		at.released = true
 		x.release(at)
 	}
-	x.step(routing.Outcome{Request: fl.id, Attempt: n, Server: x.ids[at.picked], Elapsed: x.now() - at.began, Over: over, Result: result,
-		NoState: noState, Kept: kept})
+	x.step(routing.Outcome{Request: fl.id, Attempt: n, Endpoint: x.ids[at.picked], Elapsed: x.now() - at.began, RequestDone: over, Result: result,
+		StateMissing: noState, CachedTokens: kept})
 	x.tidy(fl)
 }
 
@@ -498,15 +498,15 @@
 	if x.known == nil {
 		x.known = make([]listed, len(x.f.engines))
 	}
-	ev := routing.ServerList{Scope: n.scope}
+	ev := routing.EndpointList{Scope: n.scope}
 	for _, l := range n.engines {
 		x.known[l.engine] = l
 		e := x.f.engines[l.engine]
-		s := routing.Server{ID: x.ids[l.engine], Kind: l.kind, Cell: e.cell, State: l.state}
+		s := routing.Endpoint{ID: x.ids[l.engine], Kind: l.kind, Cell: e.cell, State: l.state}
 		if l.started > 0 {
-			s.ReadyAt = epoch + l.started
+			s.StartedAt = epoch + l.started
 		}
-		ev.Servers = append(ev.Servers, s)
+		ev.Endpoints = append(ev.Endpoints, s)
 	}
 	x.step(ev)
 }
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -31,13 +31,13 @@
 }
 
 // settings are what the module is told where oracles take its care away.
-func (o Oracles) settings(s *routing.Settings) {
+func (o Oracles) settings(s *routing.Config) {
 	if o.Cold {
-		s.ColdFor = 0
+		s.SlowStartFor = 0
 	}
 	if o.Refuses {
 		for i := range s.Classes {
-			s.Classes[i].LateWorth = 1
+			s.Classes[i].LateWeight = 1
 		}
 	}
 }
@@ -57,25 +57,25 @@
 	role := x.f.cs.Kinds[x.known[picked].kind].Role
 	p := x.f.engines[picked]
 	cold := p.m.Present() < 1
-	if !o.any() || role == routing.Mixed || !p.sound() || role == routing.Writer && x.unsafe(fl) && x.wrote(fl) {
+	if !o.any() || role == routing.RoleMixed || !p.sound() || role == routing.RoleDecode && x.unsafe(fl) && x.wrote(fl) {
 		return picked
 	}
-	if cold && !o.Cold || !cold && (role == routing.Reader && !o.Reads || role == routing.Writer && !o.Writes) {
+	if cold && !o.Cold || !cold && (role == routing.RolePrefill && !o.Reads || role == routing.RoleDecode && !o.Writes) {
 		return picked
 	}
 	w := &fl.msg.work
-	j := &enginemodel.Job{Prompt: w.prompt, Prefix: w.prefix, PrefixLen: w.prefixLen, Session: w.session, Out: w.out, ReadOnly: role == routing.Reader}
-	if role == routing.Writer && fl.at.reader >= 0 {
+	j := &enginemodel.Job{Prompt: w.prompt, Prefix: w.prefix, PrefixLen: w.prefixLen, Session: w.session, Out: w.out, ReadOnly: role == routing.RolePrefill}
+	if role == routing.RoleDecode && fl.at.reader >= 0 {
 		j.FetchState = max(j.Prompt, 1)
 	}
 	best, least := picked, 0.0
 	for i, l := range x.known {
 		e := x.f.engines[i]
-		if l.state != routing.Ready || x.f.cs.Kinds[l.kind].Role != role || !e.sound() || e.m.Present() < 1 && !o.Cold || e.m.Near(j, coldMost) {
+		if l.state != routing.EndpointReady || x.f.cs.Kinds[l.kind].Role != role || !e.sound() || e.m.Present() < 1 && !o.Cold || e.m.Near(j, coldMost) {
 			continue
 		}
 		cost := float64(e.m.Working()+e.coming.streams+1) / e.m.Present()
-		if role == routing.Reader {
+		if role == routing.RolePrefill {
 			cost = (e.m.Ahead(j) + e.coming.seconds) / e.m.Present()
 		}
 		if least == 0 || cost < least || cost == least && i == picked {
@@ -104,7 +104,7 @@
 // wrote tells whether an attempt of a flight went to a writer.
 func (x *front) wrote(fl *flight) bool {
 	return slices.ContainsFunc(fl.attempts, func(a *attempt) bool {
-		return x.f.cs.Kinds[x.known[a.engine].kind].Role == routing.Writer
+		return x.f.cs.Kinds[x.known[a.engine].kind].Role == routing.RoleDecode
 	})
 }
 
--- a/internal/simulation/fleet/register.go
+++ b/internal/simulation/fleet/register.go
@@ -26,7 +26,7 @@
 	down   map[int]bool    // fronts
 	wrote  []time.Duration // by front: when the newest word was written to it, and when it is heard
 	heard  []time.Duration
-	book   roles.Book
+	book   roles.Assignments
 	kinds  map[roles.Role]int // where engines change role
 	memory left
 }
@@ -50,7 +50,7 @@
 	listed struct {
 		engine  int
 		kind    int
-		state   routing.State
+		state   routing.EndpointState
 		started time.Duration
 	}
 	// harm changes what is wrong with an engine.
@@ -131,24 +131,24 @@
 	out := listed{i, r.f.set.KindIndex(e.kind.Name), r.state(i), l.started}
 	if b, ok := r.book.Entries[e.name]; ok {
 		out.kind = r.kinds[b.Role]
-		if out.state == routing.Ready && !b.Open {
-			out.state = routing.Draining
+		if out.state == routing.EndpointReady && !b.Serving {
+			out.state = routing.EndpointDraining
 		}
-		if b.Began > 0 {
-			out.started = max(out.started, b.Began-epoch)
+		if b.ReopenedAt > 0 {
+			out.started = max(out.started, b.ReopenedAt-epoch)
 		}
 	}
 	return out
 }
 
-func (r *register) state(i int) routing.State {
+func (r *register) state(i int) routing.EndpointState {
 	switch l := &r.lines[i]; {
 	case l.unlisted || !l.up:
-		return routing.Gone
+		return routing.EndpointGone
 	case l.draining || l.harmful:
-		return routing.Draining
+		return routing.EndpointDraining
 	}
-	return routing.Ready
+	return routing.EndpointReady
 }
 
 // changed tells every front of one engine.
@@ -156,7 +156,7 @@
 	if r.cut {
 		return
 	}
-	n := news{routing.Changes, []listed{r.listed(engine)}}
+	n := news{routing.ListChanges, []listed{r.listed(engine)}}
 	for i := range r.f.fronts {
 		if !r.down[i] {
 			r.give(i, n)
@@ -169,7 +169,7 @@
 	if r.cut || r.down[front] {
 		return
 	}
-	n := news{scope: routing.Full}
+	n := news{scope: routing.ListFull}
 	for i := range r.lines {
 		n.engines = append(n.engines, r.listed(i))
 	}
@@ -183,7 +183,7 @@
 	heard := r.wrote[front] + r.f.hop(r.links)
 	heard = max(heard, r.heard[front])
 	for _, l := range n.engines { // drains count once they were heard, readiness from when it was written
-		if l.state == routing.Ready {
+		if l.state == routing.EndpointReady {
 			r.record(r.wrote[front], audit.Event{Kind: audit.ToldReady, Front: x.name, Engine: r.f.engines[l.engine].name})
 		} else {
 			r.record(heard, audit.Event{Kind: audit.Told, Front: x.name, Engine: r.f.engines[l.engine].name})
--- a/internal/simulation/fleet/roles.go
+++ b/internal/simulation/fleet/roles.go
@@ -36,13 +36,13 @@
 		front string
 		lost  [2]float64
 	}
-	tellsRole struct{ tell roles.Tell }
+	tellsRole struct{ tell roles.Command }
 	writes    struct {
 		from int32
-		book roles.Book
+		book roles.Assignments
 	}
 	wrote struct {
-		book roles.Book
+		book roles.Assignments
 		ok   bool
 	}
 	// left is what a planner learned, and when.
@@ -69,14 +69,14 @@
 	for role, name := range names {
 		kinds[role] = f.set.KindIndex(name)
 	}
-	f.register.kinds, f.register.book.Entries = kinds, map[string]roles.Entry{}
+	f.register.kinds, f.register.book.Entries = kinds, map[string]roles.Assignment{}
 	for _, e := range f.engines {
 		if e.kind.Shifts {
 			r := e.kind.Serves()
-			e.byRole, e.seat = params, roles.Seat{Role: r, To: r}
+			e.byRole, e.seat = params, roles.EngineState{Role: r, Target: r}
 			e.becomes(r)
 			e.fresh(0, false)
-			f.register.book.Entries[e.name] = roles.Entry{Role: r, To: r, Open: true, Reads: true, Writes: true}
+			f.register.book.Entries[e.name] = roles.Assignment{Role: r, Target: r, Serving: true, CanPrefill: true, CanDecode: true}
 		}
 	}
 }
@@ -89,17 +89,17 @@
 }
 
 // adds tells that the engine is only to take on a stage more.
-func (e *engine) adds() bool { return e.seat.To == roles.Both && e.seat.Role != roles.Both }
+func (e *engine) adds() bool { return e.seat.Target == roles.Both && e.seat.Role != roles.Both }
 
 // leaving tells that it takes no new work, since it is on its way to another role.
 func (e *engine) leaving() bool {
-	return e.byRole != nil && (!e.seat.Takes(e.seat.Role) || e.switching && !e.adds())
+	return e.byRole != nil && (!e.seat.Serves(e.seat.Role) || e.switching && !e.adds())
 }
 
 // emptied begins the switch once nothing is left of the old role.
 func (e *engine) emptied() {
 	busy := e.m.Working() > 0 || e.m.States() > 0
-	if e.byRole == nil || e.switching || e.seat.Word().Serves || busy && !e.adds() || !e.up {
+	if e.byRole == nil || e.switching || e.seat.StatusReport().Serving || busy && !e.adds() || !e.up {
 		return
 	}
 	e.switching = true
@@ -117,7 +117,7 @@
 		return
 	}
 	was := e.par
-	e.seat = e.seat.Empty()
+	e.seat = e.seat.FinishDraining()
 	e.becomes(e.seat.Role)
 	if m.added {
 		e.m.Become(e.now(), e.par)
@@ -137,10 +137,10 @@
 	}
 	e.m.Advance(e.now())
 	k := e.m.Work()
-	st := planner.Status{Word: e.seat.Word(), Held: e.m.Working() + e.m.States(),
+	st := planner.Status{StatusReport: e.seat.StatusReport(), Held: e.m.Working() + e.m.States(),
 		Read:  planner.Stage{Done: k.ReadDone, Waiting: k.ReadWaiting, Lost: k.ReadLost, Count: k.Reads},
 		Write: planner.Stage{Done: k.WriteDone, Waiting: k.WriteWaiting, Lost: k.WriteLost, Count: k.Writes}}
-	st.Serves = st.Serves && !e.switching
+	st.Serving = st.Serving && !e.switching
 	e.send(to, 3*e.f.hop(e.rnd), status{e.name, st})
 }
 
@@ -151,7 +151,7 @@
 		if r.cut {
 			return
 		}
-		v := planner.View{Book: r.book, Listings: map[string]planner.Listing{}}
+		v := planner.View{Assignments: r.book, Listings: map[string]planner.Listing{}}
 		for i, e := range r.f.engines {
 			if l := &r.lines[i]; e.byRole != nil && !l.unlisted {
 				v.Listings[e.name] = planner.Listing{Place: fmt.Sprint(e.cell), Up: l.up && !l.draining}
@@ -173,7 +173,7 @@
 }
 
 // write takes a book, and tells the fronts of what it changes.
-func (r *register) write(b roles.Book) {
+func (r *register) write(b roles.Assignments) {
 	was := r.book
 	r.book = b
 	for i, e := range r.f.engines {
@@ -185,7 +185,7 @@
 
 // force is an operator who forces an engine into the other role, whatever a planner thinks.
 func (r *register) force(name string) {
-	if b, err := r.book.Turn(name, "forced by the day"); err == nil {
+	if b, err := r.book.SwitchStage(name, "forced by the day"); err == nil {
 		b.Version++
 		r.write(b)
 	}
@@ -287,23 +287,23 @@
 			_ = p.p.Recall(m.memory, p.now()-m.at, now) // what can't be right is passed over, as by the process
 		}
 	}
-	book, changed := p.view.view.Book, false
+	book, changed := p.view.view.Assignments, false
 	for _, id := range book.Names() {
 		if st, ok := p.words[id]; ok {
 			var heard bool
-			book, heard = book.Heard(id, st.Word, now)
+			book, heard = book.ApplyStatus(id, st.StatusReport, now)
 			changed = changed || heard
 		}
 	}
 	read, write := planner.Mean(p.words)
-	var fronts []roles.Front
+	var fronts []roles.Replica
 	for _, name := range slices.Sorted(maps.Keys(p.counts)) {
 		report := *p.lost.Add(name, p.counts[name], now, read, write)
-		fronts = append(fronts, roles.Front{ID: name, Report: &report})
+		fronts = append(fronts, roles.Replica{ID: name, Report: &report})
 	}
 	plan := p.p.Step(now, planner.Engines(p.view.view, p.words, p.places, now, now, now), fronts)
-	book, done, _ := book.Carry(plan)
-	if changed || len(done.CallOff)+len(done.Changes) > 0 {
+	book, done, _ := book.ApplyPlan(plan)
+	if changed || len(done.Reverts)+len(done.Changes) > 0 {
 		p.send(p.f.register.id, p.f.hop(p.rnd), writes{p.id, book})
 	} else {
 		p.tell(book)
@@ -318,9 +318,9 @@
 }
 
 // tell repeats every order that is not settled.
-func (p *planners) tell(b roles.Book) {
-	tells := map[string]roles.Tell{}
-	for _, t := range b.Tells() {
+func (p *planners) tell(b roles.Assignments) {
+	tells := map[string]roles.Command{}
+	for _, t := range b.PendingCommands() {
 		tells[t.ID] = t
 	}
 	for _, e := range p.f.engines {
@@ -330,9 +330,9 @@
 	}
 }
 
-func (p *planners) note(plan roles.Plan, b roles.Book) {
+func (p *planners) note(plan roles.Plan, b roles.Assignments) {
 	s := Standing{At: p.now(), Reading: plan.Reading, Writing: plan.Writing, Orders: b.Orders}
-	open, changing := b.Count()
-	s.Readers, s.Writers, s.Changing = open[roles.Reader], open[roles.Writer], changing
+	open, changing := b.CountServing()
+	s.Readers, s.Writers, s.Changing = open[roles.Prefill], open[roles.Decode], changing
 	p.seen = append(p.seen, s)
 }
--- a/internal/simulation/forecast/forecast_test.go
+++ b/internal/simulation/forecast/forecast_test.go
@@ -31,7 +31,7 @@
 	return Side{Name: name, Day: d, Make: func(seed uint64) fleet.Options {
 		o := fleet.Options{Seed: seed}
 		if way != "" {
-			o.Decider = func(s routing.Settings, seed uint64) (fleet.Decider, error) { return baseline.New(way, s, seed) }
+			o.Decider = func(s routing.Config, seed uint64) (fleet.Decider, error) { return baseline.New(way, s, seed) }
 		}
 		return o
 	}}
--- a/internal/simulation/rolesim/compare.go
+++ b/internal/simulation/rolesim/compare.go
@@ -44,7 +44,7 @@
 }
 
 // Compare plays the scenarios with every policy, side by side on the same traffic; several at once.
-func Compare(scenarios []Scenario, seeds, atOnce int, set roles.Settings) []Row {
+func Compare(scenarios []Scenario, seeds, atOnce int, set roles.Config) []Row {
 	rows := make([]Row, len(scenarios))
 	room := make(chan struct{}, max(atOnce, 1))
 	var wg sync.WaitGroup
@@ -61,7 +61,7 @@
 	return rows
 }
 
-func compare(s Scenario, seeds int, set roles.Settings) Row {
+func compare(s Scenario, seeds int, set roles.Config) Row {
 	r := Row{Scenario: s.Name}
 	var gains []float64
 	for seed := range seeds {
--- a/internal/simulation/rolesim/policy.go
+++ b/internal/simulation/rolesim/policy.go
@@ -14,12 +14,12 @@
 func (f Fixed) Start(*Scenario) int { return int(f) }
 
 // Step implements Policy.
-func (Fixed) Step(time.Duration, []roles.Engine, []roles.Front) roles.Plan { return roles.Plan{} }
+func (Fixed) Step(time.Duration, []roles.Engine, []roles.Replica) roles.Plan { return roles.Plan{} }
 
 // Planned runs the planner of package roles, from a given number of readers.
 type Planned struct {
 	Readers  int
-	Settings roles.Settings
+	Settings roles.Config
 	Restart  time.Duration // it is started anew so often; 0 = never
 	Forgets  bool          // then, what it had learned, rather than to go on from it
 	p        *roles.Planner
@@ -52,7 +52,7 @@
 }
 
 // Step implements Policy.
-func (p *Planned) Step(now time.Duration, engines []roles.Engine, fronts []roles.Front) roles.Plan {
+func (p *Planned) Step(now time.Duration, engines []roles.Engine, fronts []roles.Replica) roles.Plan {
 	if p.Restart > 0 && now%p.Restart == 0 {
 		p.restart(now)
 	}
@@ -85,7 +85,7 @@
 }
 
 // Step implements Policy.
-func (p *Seeing) Step(now time.Duration, engines []roles.Engine, _ []roles.Front) roles.Plan {
+func (p *Seeing) Step(now time.Duration, engines []roles.Engine, _ []roles.Replica) roles.Plan {
 	return p.course.Step(now+p.Ahead, engines)
 }
 
@@ -138,13 +138,13 @@
 func (c Course) Step(at time.Duration, engines []roles.Engine) roles.Plan {
 	want := c[min(max(int(math.Ceil(at.Seconds())), 0), len(c)-1)]
 	for _, e := range engines {
-		if e.To == roles.Reader {
+		if e.Target == roles.Prefill {
 			want--
 		}
 	}
-	from, to := roles.Writer, roles.Reader
+	from, to := roles.Decode, roles.Prefill
 	if want < 0 {
-		from, to, want = roles.Reader, roles.Writer, -want
+		from, to, want = roles.Prefill, roles.Decode, -want
 	}
 	var plan roles.Plan
 	taken := map[string]bool{}
@@ -152,7 +152,7 @@
 		best := -1
 		for i := range engines {
 			e := &engines[i]
-			if e.Role == from && e.To == from && e.Ready && !taken[e.ID] && (best < 0 || e.Held < engines[best].Held) {
+			if e.Role == from && e.Target == from && e.Ready && !taken[e.ID] && (best < 0 || e.Outstanding < engines[best].Outstanding) {
 				best = i
 			}
 		}
@@ -160,7 +160,7 @@
 			break
 		}
 		taken[engines[best].ID] = true
-		plan.Changes = append(plan.Changes, roles.Change{ID: engines[best].ID, To: to})
+		plan.Changes = append(plan.Changes, roles.Change{ID: engines[best].ID, Target: to})
 	}
 	return plan
 }
--- a/internal/simulation/rolesim/pool.go
+++ b/internal/simulation/rolesim/pool.go
@@ -34,7 +34,7 @@
 	if e.state != up {
 		return
 	}
-	for stage, does := range [2]bool{e.role.Reads(), e.role.Writes()} {
+	for stage, does := range [2]bool{e.role.Prefills(), e.role.Decodes()} {
 		if does {
 			x.pools[stage].add(e, stage)
 		}
@@ -45,7 +45,7 @@
 	if e.state != up {
 		return
 	}
-	for stage, does := range [2]bool{e.role.Reads(), e.role.Writes()} {
+	for stage, does := range [2]bool{e.role.Prefills(), e.role.Decodes()} {
 		if does {
 			x.pools[stage].remove(e, stage)
 		}
@@ -64,7 +64,7 @@
 // has less room than its slots.
 func (x *sim) free(role roles.Role) *engine {
 	stage, room := 0, 1
-	if role == roles.Writer {
+	if role == roles.Decode {
 		stage, room = 1, x.s.Slots
 	}
 	for n, row := range x.pools[stage].by {
@@ -72,7 +72,7 @@
 			return nil
 		}
 		for _, e := range row {
-			if role == roles.Reader || float64(n) < math.Floor(float64(x.s.Slots)*x.present(e)) {
+			if role == roles.Prefill || float64(n) < math.Floor(float64(x.s.Slots)*x.present(e)) {
 				return e
 			}
 		}
--- a/internal/simulation/rolesim/scenarios.go
+++ b/internal/simulation/rolesim/scenarios.go
@@ -49,7 +49,7 @@
 // MassRestart loses half of the readers as the mix shifts to long prompts.
 func MassRestart(engines int) Scenario {
 	s := Scenario{Name: "half of the readers lost as the mix shifts", Engines: engines, Length: 10 * time.Minute,
-		Deaths: []Death{{At: 5 * time.Minute, For: 90 * time.Second, Role: roles.Reader, Part: 0.5}}}
+		Deaths: []Death{{At: 5 * time.Minute, For: 90 * time.Second, Role: roles.Prefill, Part: 0.5}}}
 	s.Asked = func(at time.Duration) (float64, float64) {
 		if at > 5*time.Minute {
 			return mix(0.6, 0.6)
--- a/internal/simulation/rolesim/sim.go
+++ b/internal/simulation/rolesim/sim.go
@@ -62,7 +62,7 @@
 // Policy shares engines out. It is asked once a simulated second.
 type Policy interface {
 	Start(s *Scenario) (readers int)
-	Step(now time.Duration, engines []roles.Engine, fronts []roles.Front) roles.Plan
+	Step(now time.Duration, engines []roles.Engine, fronts []roles.Replica) roles.Plan
 }
 
 // Result is what came of a run.
@@ -183,9 +183,9 @@
 	x.asked, x.lost = make([]float64, seconds), make([]float64, seconds)
 	readers := p.Start(&s)
 	for i := range s.Engines {
-		e := &engine{id: string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676)), role: roles.Writer, start: math.Inf(-1), changed: math.Inf(-1)}
+		e := &engine{id: string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676)), role: roles.Decode, start: math.Inf(-1), changed: math.Inf(-1)}
 		if i < readers {
-			e.role = roles.Reader
+			e.role = roles.Prefill
 		}
 		e.to = e.role
 		x.engines = append(x.engines, e)
@@ -261,7 +261,7 @@
 	if e.state == switches || e.state == down {
 		return
 	}
-	if e.role == roles.Reader {
+	if e.role == roles.Prefill {
 		e.read += dt * float64(e.n)
 	} else {
 		e.write += dt * float64(e.n) / float64(x.s.Slots)
@@ -285,7 +285,7 @@
 			x.lose(x.reads.pop(readWork), true)
 			continue
 		}
-		e := x.free(roles.Reader)
+		e := x.free(roles.Prefill)
 		if e == nil {
 			break
 		}
@@ -298,7 +298,7 @@
 			x.lose(x.writes.pop(writeWork), false)
 			continue
 		}
-		e := x.free(roles.Writer)
+		e := x.free(roles.Decode)
 		if e == nil {
 			break
 		}
@@ -373,7 +373,7 @@
 	now := time.Duration(x.now * float64(time.Second))
 	readers, writers := 0, 0
 	for _, e := range x.engines {
-		if e.state == up && e.role == roles.Reader {
+		if e.state == up && e.role == roles.Prefill {
 			readers++
 		} else if e.state == up {
 			writers++
@@ -388,15 +388,15 @@
 		x.count(e)
 		byID[e.id] = e
 		r := roles.Report{At: now, Read: roles.Stage{Done: e.read}, Write: roles.Stage{Done: e.write}}
-		if e.state == up && e.role == roles.Reader {
+		if e.state == up && e.role == roles.Prefill {
 			r.Read.Waiting = waitR
 		} else if e.state == up {
 			r.Write.Waiting = waitW
 		}
 		e.lateTo = append(e.lateTo, r)
-		line := roles.Engine{ID: e.id, Role: e.role, To: e.to, Ready: e.state == up, CanRead: true, CanWrite: true, Held: e.n}
+		line := roles.Engine{ID: e.id, Role: e.role, Target: e.to, Ready: e.state == up, CanPrefill: true, CanDecode: true, Outstanding: e.n}
 		if !math.IsInf(e.changed, -1) {
-			line.Changed = time.Duration(e.changed * float64(time.Second))
+			line.ChangedAt = time.Duration(e.changed * float64(time.Second))
 		}
 		if i := len(e.lateTo) - 1 - int(x.s.LateReport.Seconds()); i >= 0 && e.state != down {
 			line.Report = &e.lateTo[i]
@@ -406,12 +406,12 @@
 		}
 		list = append(list, line)
 	}
-	var fronts []roles.Front
+	var fronts []roles.Replica
 	if !x.s.Blind {
-		fronts = []roles.Front{{ID: "f", Report: &roles.Report{At: now, Read: roles.Stage{Lost: x.res.LostRead}, Write: roles.Stage{Lost: x.res.LostWrite}}}}
+		fronts = []roles.Replica{{ID: "f", Report: &roles.Report{At: now, Read: roles.Stage{Lost: x.res.LostRead}, Write: roles.Stage{Lost: x.res.LostWrite}}}}
 	}
 	plan := p.Step(now, list, fronts)
-	for _, id := range plan.CallOff {
+	for _, id := range plan.Reverts {
 		if e := byID[id]; e.state == drains {
 			e.state, e.to, e.changed = up, e.role, x.now
 			x.in(e)
@@ -419,7 +419,7 @@
 	}
 	for _, c := range plan.Changes {
 		e := byID[c.ID]
-		if e.state != up || e.to == c.To {
+		if e.state != up || e.to == c.Target {
 			continue
 		}
 		x.res.Changes++
@@ -429,12 +429,12 @@
 			}
 		}
 		x.out(e)
-		e.to, e.state = c.To, drains
+		e.to, e.state = c.Target, drains
 		x.drained(e)
 	}
 	wanted := 0
 	for _, e := range x.engines {
-		if e.to == roles.Reader {
+		if e.to == roles.Prefill {
 			wanted++
 		}
 	}
--- a/internal/simulation/rolesim/sim_test.go
+++ b/internal/simulation/rolesim/sim_test.go
@@ -51,7 +51,7 @@
 func TestDeadFleetServesNothing(t *testing.T) {
 	s := Steady(8)
 	s.Length = 30 * time.Second
-	s.Deaths = []Death{{At: 0, For: time.Hour, Role: roles.Writer, Part: 1}}
+	s.Deaths = []Death{{At: 0, For: time.Hour, Role: roles.Decode, Part: 1}}
 	if r := Run(s, Fixed(4)); r.Served != 0 || r.Asked == 0 {
 		t.Errorf("%d of %d were served without a writer", r.Served, r.Asked)
 	}
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -70,8 +70,8 @@
 }
 
 // Settings are the planner's.
-func (p *Planner) Settings() roles.Settings {
-	return roles.Settings{MinStay: p.MinStay, AtOnce: p.AtOnce, ChangeTime: p.ChangeTime, Warm: p.Warm, TurnTime: p.TurnTime}
+func (p *Planner) Settings() roles.Config {
+	return roles.Config{MinDwell: p.MinStay, MaxConcurrent: p.AtOnce, ChangeTime: p.ChangeTime, WarmUp: p.Warm, ChangeTimeout: p.TurnTime}
 }
 
 // Kind is a group of engines that are alike.
--- a/internal/simulation/scenario/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -81,14 +81,14 @@
 			params, kinds = map[roles.Role]enginemodel.Params{}, map[roles.Role]string{roles.Both: KindBoth}
 		}
 		role, p := k.Serves(), d.Params(k)
-		if role == roles.Writer {
+		if role == roles.Decode {
 			p.Reads = d.Service.WritersRead
 		}
 		params[role], kinds[role] = p, k.Name
 	}
 	if kinds != nil {
-		both := params[roles.Writer]
-		both.Reads, both.ReadRate = true, params[roles.Reader].ReadRate
+		both := params[roles.Decode]
+		both.Reads, both.ReadRate = true, params[roles.Prefill].ReadRate
 		params[roles.Both] = both
 	}
 	return params, kinds
@@ -98,9 +98,9 @@
 func (k *Kind) Serves() roles.Role {
 	switch k.Role {
 	case "reader":
-		return roles.Reader
+		return roles.Prefill
 	case "writer":
-		return roles.Writer
+		return roles.Decode
 	}
 	return roles.Both
 }
--- a/roles/expert.go
+++ b/roles/expert.go
@@ -42,7 +42,7 @@
 func (x *expert) wanted() int {
 	n := x.readers
 	for _, c := range x.coming {
-		if c.to == Reader {
+		if c.to == Prefill {
 			n++
 		}
 	}
@@ -57,7 +57,7 @@
 		x.past = []work{{at: now, reading: per * float64(f.readers) * seconds, writing: per * float64(f.writers) * seconds, seconds: seconds}}
 	}
 	for len(x.coming) > 0 && x.coming[0].at <= now {
-		if x.coming[0].to == Reader {
+		if x.coming[0].to == Prefill {
 			x.readers++
 		} else {
 			x.writers++
@@ -77,7 +77,7 @@
 		return
 	}
 	for ; have != want && len(x.coming) < atOnce; have += sign(want - have) {
-		c := comes{now + time.Duration(takes*float64(time.Second)), Reader}
+		c := comes{now + time.Duration(takes*float64(time.Second)), Prefill}
 		if want > have {
 			if x.writers == 0 {
 				return
@@ -88,7 +88,7 @@
 				return
 			}
 			x.readers--
-			c.to = Writer
+			c.to = Decode
 		}
 		x.coming = append(x.coming, c)
 	}
--- a/roles/life_test.go
+++ b/roles/life_test.go
@@ -13,17 +13,17 @@
 // world is one state of a small fleet: the book, the engines, and two planners with the book as each last read it. Words
 // on their way are sets from which any may be taken at any time, again and again (late, repeated) or never (lost).
 type world struct {
-	book     Book
-	cache    [2]Book
-	seats    map[string]Seat
-	tells    map[Tell]bool
-	words    map[string]map[Word]bool // by engine
-	amnesias int                      // disks lost so far
+	book     Assignments
+	cache    [2]Assignments
+	seats    map[string]EngineState
+	tells    map[Command]bool
+	words    map[string]map[StatusReport]bool // by engine
+	amnesias int                              // disks lost so far
 }
 
 func (w world) clone() world {
 	w.seats, w.tells = maps.Clone(w.seats), maps.Clone(w.tells)
-	words := map[string]map[Word]bool{}
+	words := map[string]map[StatusReport]bool{}
 	for id, set := range w.words {
 		words[id] = maps.Clone(set)
 	}
@@ -31,12 +31,12 @@
 	return w
 }
 
-func show(b Book) string {
+func show(b Assignments) string {
 	var s strings.Builder
 	fmt.Fprint(&s, b.Version, " ", b.Orders)
 	for _, id := range slices.Sorted(maps.Keys(b.Entries)) {
 		e := b.Entries[id]
-		fmt.Fprint(&s, "|", e.Role, e.Order, e.To, e.Open)
+		fmt.Fprint(&s, "|", e.Role, e.Order, e.Target, e.Serving)
 	}
 	return s.String()
 }
@@ -46,11 +46,11 @@
 	s.WriteString(show(w.book) + "#" + show(w.cache[0]) + "#" + show(w.cache[1]))
 	for _, id := range slices.Sorted(maps.Keys(w.seats)) {
 		fmt.Fprint(&s, "#", w.seats[id])
-		for _, x := range slices.SortedFunc(maps.Keys(w.words[id]), func(a, b Word) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }) {
+		for _, x := range slices.SortedFunc(maps.Keys(w.words[id]), func(a, b StatusReport) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }) {
 			fmt.Fprint(&s, x)
 		}
 	}
-	for _, x := range slices.SortedFunc(maps.Keys(w.tells), func(a, b Tell) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }) {
+	for _, x := range slices.SortedFunc(maps.Keys(w.tells), func(a, b Command) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }) {
 		fmt.Fprint(&s, x)
 	}
 	fmt.Fprint(&s, w.amnesias)
@@ -61,8 +61,8 @@
 type explorer struct {
 	orders                     uint64
 	amnesias                   int
-	take                       func(Seat, Tell) Seat
-	put                        func(held, b Book) (Book, error)
+	take                       func(EngineState, Command) EngineState
+	put                        func(held, b Assignments) (Assignments, error)
 	broken                     string // the first state that breaks an invariant
 	seen                       map[string]int
 	all                        []world
@@ -94,28 +94,28 @@
 
 // invariants hold in every state.
 func (x *explorer) invariants(w world) {
-	if m := w.book.meant(); !m[0] || !m[1] {
+	if m := w.book.stagesCovered(); !m[0] || !m[1] {
 		x.fail("a stage is left without an engine", w)
 	}
 	for id, e := range w.book.Entries {
 		s := w.seats[id]
-		if e.Open && !e.To.covers(e.Role) {
+		if e.Serving && !e.Target.covers(e.Role) {
 			x.fail(id+" is open while it is ordered elsewhere", w)
 		}
 		if s.Order > e.Order {
 			x.fail(id+" obeys an order that the book does not know", w)
 		}
-		if e.Open && w.amnesias == 0 && (!s.Takes(e.Role) || e.To == e.Role && s.Word() != (Word{e.Order, e.Role, true})) {
+		if e.Serving && w.amnesias == 0 && (!s.Serves(e.Role) || e.Target == e.Role && s.StatusReport() != (StatusReport{e.Order, e.Role, true})) {
 			x.fail(id+" is listed open as what it is not", w)
 		}
 	}
 }
 
 // write lets a planner write what it made from its cache.
-func (x *explorer) write(i int, w world, p int, b Book) (ok bool) {
+func (x *explorer) write(i int, w world, p int, b Assignments) (ok bool) {
 	n := w.clone()
 	held, err := x.put(w.book, b)
-	if errors.Is(err, ErrStale) {
+	if errors.Is(err, ErrConflict) {
 		x.staleRefused = true
 		return false
 	}
@@ -136,19 +136,19 @@
 		c := w.cache[p]
 		for id := range c.Entries {
 			if c.Orders < x.orders {
-				for to := Reader; to <= Both; to++ {
-					b, err := c.Begin(id, to, "")
+				for to := Prefill; to <= Both; to++ {
+					b, err := c.Start(id, to, "")
 					if err == nil {
 						x.write(i, w, p, b)
 					}
-					x.lastRefused = x.lastRefused || errors.Is(err, ErrLast)
+					x.lastRefused = x.lastRefused || errors.Is(err, ErrLastOfStage)
 				}
-				if b, err := c.CallOff(id, ""); err == nil && x.write(i, w, p, b) {
+				if b, err := c.Revert(id, ""); err == nil && x.write(i, w, p, b) {
 					x.calledOff = true
 				}
 			}
 			for word := range w.words[id] {
-				if b, changed := c.Heard(id, word, 0); changed && (b.Orders == c.Orders || c.Orders < x.orders+2) {
+				if b, changed := c.ApplyStatus(id, word, 0); changed && (b.Orders == c.Orders || c.Orders < x.orders+2) {
 					if x.write(i, w, p, b) {
 						x.settled = x.settled || b.Orders == c.Orders
 						x.healed = x.healed || b.Orders > c.Orders
@@ -156,7 +156,7 @@
 				}
 			}
 		}
-		for _, t := range c.Tells() {
+		for _, t := range c.PendingCommands() {
 			if !w.tells[t] {
 				n := w.clone()
 				n.tells[t] = true
@@ -165,7 +165,7 @@
 		}
 	}
 	for id, s := range w.seats {
-		if word := s.Word(); !w.words[id][word] {
+		if word := s.StatusReport(); !w.words[id][word] {
 			n := w.clone()
 			n.words[id][word] = true
 			x.add(i, n)
@@ -177,15 +177,15 @@
 				x.add(i, n)
 			}
 		}
-		if s.To != s.Role { // it runs empty, or crashes and comes back empty
+		if s.Target != s.Role { // it runs empty, or crashes and comes back empty
 			n := w.clone()
-			n.seats[id] = s.Empty()
+			n.seats[id] = s.FinishDraining()
 			x.add(i, n)
 		}
 		if w.amnesias < x.amnesias && s.Order > 0 { // it loses its disk and starts as it was first installed
 			n := w.clone()
 			n.amnesias++
-			n.seats[id] = Seat{Role: Reader, To: Reader}
+			n.seats[id] = EngineState{Role: Prefill, Target: Prefill}
 			x.add(i, n)
 		}
 	}
@@ -199,7 +199,7 @@
 		done := true
 		for id, e := range w.book.Entries {
 			s := w.seats[id]
-			done = done && e.Open && s.Role == e.Role && s.To == e.Role
+			done = done && e.Serving && s.Role == e.Role && s.Target == e.Role
 		}
 		if good[i] = done; done {
 			todo = append(todo, i)
@@ -230,12 +230,12 @@
 		orders   uint64
 		amnesias int
 	}{
-		"two engines":                     {[]Role{Reader, Writer}, 2, 0},
-		"two engines, one loses its disk": {[]Role{Reader, Writer}, 1, 1},
-		"three engines":                   {[]Role{Reader, Reader, Writer}, 1, 0},
+		"two engines":                     {[]Role{Prefill, Decode}, 2, 0},
+		"two engines, one loses its disk": {[]Role{Prefill, Decode}, 1, 1},
+		"three engines":                   {[]Role{Prefill, Prefill, Decode}, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := explore(c.fleet, c.orders, c.amnesias, Seat.Take, Book.Write)
+			x := explore(c.fleet, c.orders, c.amnesias, EngineState.Accept, Assignments.Write)
 			if x.broken != "" {
 				t.Fatal(x.broken)
 			}
@@ -248,16 +248,16 @@
 }
 
 // explore walks all courses from a fleet at rest, until an invariant breaks.
-func explore(fleet []Role, orders uint64, amnesias int, take func(Seat, Tell) Seat, put func(held, b Book) (Book, error)) *explorer {
-	w := world{seats: map[string]Seat{}, tells: map[Tell]bool{}, words: map[string]map[Word]bool{}}
-	w.book.Entries = map[string]Entry{}
+func explore(fleet []Role, orders uint64, amnesias int, take func(EngineState, Command) EngineState, put func(held, b Assignments) (Assignments, error)) *explorer {
+	w := world{seats: map[string]EngineState{}, tells: map[Command]bool{}, words: map[string]map[StatusReport]bool{}}
+	w.book.Entries = map[string]Assignment{}
 	for i, r := range fleet {
 		id := fmt.Sprint("e", i)
-		w.book.Entries[id] = Entry{Role: r, To: r, Open: true, Reads: true, Writes: true}
-		w.seats[id] = Seat{Role: r, To: r}
-		w.words[id] = map[Word]bool{}
+		w.book.Entries[id] = Assignment{Role: r, Target: r, Serving: true, CanPrefill: true, CanDecode: true}
+		w.seats[id] = EngineState{Role: r, Target: r}
+		w.words[id] = map[StatusReport]bool{}
 	}
-	w.cache = [2]Book{w.book, w.book}
+	w.cache = [2]Assignments{w.book, w.book}
 	x := &explorer{orders: orders, amnesias: amnesias, take: take, put: put, seen: map[string]int{}}
 	x.add(-1, w)
 	for i := 0; i < len(x.all) && x.broken == ""; i++ {
@@ -273,13 +273,13 @@
 func TestExplorerSeesABrokenLife(t *testing.T) {
 	for name, c := range map[string]struct {
 		fleet []Role
-		take  func(Seat, Tell) Seat
-		put   func(held, b Book) (Book, error)
+		take  func(EngineState, Command) EngineState
+		put   func(held, b Assignments) (Assignments, error)
 		says  string
 	}{
-		"an engine that obeys old orders": {[]Role{Reader, Writer}, func(s Seat, t Tell) Seat { s.Order, s.To = t.Order, t.To; return s }, Book.Write, "is listed open as what it is not"},
-		"an engine that obeys nothing":    {[]Role{Reader, Writer}, func(s Seat, _ Tell) Seat { return s }, Book.Write, "no order is ever settled"},
-		"a register that takes old news": {[]Role{Reader, Reader, Writer}, Seat.Take, func(held, b Book) (Book, error) {
+		"an engine that obeys old orders": {[]Role{Prefill, Decode}, func(s EngineState, t Command) EngineState { s.Order, s.Target = t.Order, t.Target; return s }, Assignments.Write, "is listed open as what it is not"},
+		"an engine that obeys nothing":    {[]Role{Prefill, Decode}, func(s EngineState, _ Command) EngineState { return s }, Assignments.Write, "no order is ever settled"},
+		"a register that takes old news": {[]Role{Prefill, Prefill, Decode}, EngineState.Accept, func(held, b Assignments) (Assignments, error) {
 			b.Version = held.Version + 1
 			entries := maps.Clone(held.Entries) // each engine's entry by itself, as where every one is an object of its own
 			for id, e := range b.Entries {
@@ -298,64 +298,64 @@
 }
 
 func TestBookRefuses(t *testing.T) {
-	b := Book{Entries: map[string]Entry{"a": {Role: Reader, To: Reader, Open: true, Reads: true, Writes: true},
-		"pinned": {Role: Reader, To: Reader, Open: true, Pinned: true, Reads: true, Writes: true},
-		"reader": {Role: Reader, To: Reader, Open: true, Reads: true}, "w": {Role: Writer, To: Writer, Open: true, Writes: true}}}
+	b := Assignments{Entries: map[string]Assignment{"a": {Role: Prefill, Target: Prefill, Serving: true, CanPrefill: true, CanDecode: true},
+		"pinned": {Role: Prefill, Target: Prefill, Serving: true, Pinned: true, CanPrefill: true, CanDecode: true},
+		"reader": {Role: Prefill, Target: Prefill, Serving: true, CanPrefill: true}, "w": {Role: Decode, Target: Decode, Serving: true, CanDecode: true}}}
 	for _, c := range []struct {
 		id   string
 		to   Role
 		want error
-	}{{"none", Writer, ErrUnknown}, {"a", Reader, ErrSame}, {"pinned", Writer, ErrCant}, {"reader", Writer, ErrCant}, {"reader", Both, ErrCant}, {"w", Reader, ErrCant}} {
-		if _, err := b.Begin(c.id, c.to, ""); !errors.Is(err, c.want) {
+	}{{"none", Decode, ErrUnknownEngine}, {"a", Prefill, ErrSameRole}, {"pinned", Decode, ErrRoleNotAllowed}, {"reader", Decode, ErrRoleNotAllowed}, {"reader", Both, ErrRoleNotAllowed}, {"w", Prefill, ErrRoleNotAllowed}} {
+		if _, err := b.Start(c.id, c.to, ""); !errors.Is(err, c.want) {
 			t.Errorf("%s to %v: %v, want %v", c.id, c.to, err, c.want)
 		}
 	}
-	busy, err := b.Begin("a", Writer, "why")
-	if err != nil || b.Entries["a"].To != Reader {
+	busy, err := b.Start("a", Decode, "why")
+	if err != nil || b.Entries["a"].Target != Prefill {
 		t.Fatalf("the book that was read was changed, or %v", err)
 	}
-	if _, err := busy.Begin("a", Both, ""); !errors.Is(err, ErrBusy) {
+	if _, err := busy.Start("a", Both, ""); !errors.Is(err, ErrChangePending) {
 		t.Error(err)
 	}
-	if _, err := b.CallOff("a", ""); !errors.Is(err, ErrSame) {
+	if _, err := b.Revert("a", ""); !errors.Is(err, ErrSameRole) {
 		t.Error(err)
 	}
-	wider, err := b.Begin("a", Both, "more")
-	if e := wider.Entries["a"]; err != nil || !e.Open || e.Role != Reader || len(wider.Tells()) != 1 {
+	wider, err := b.Start("a", Both, "more")
+	if e := wider.Entries["a"]; err != nil || !e.Serving || e.Role != Prefill || len(wider.PendingCommands()) != 1 {
 		t.Errorf("an engine that only adds a stage is closed meanwhile: %+v %v", e, err)
 	}
-	if s := (Seat{Role: Reader, To: Both}); !s.Takes(Reader) || s.Takes(Writer) || s.Takes(Both) || s.Word().Serves {
+	if s := (EngineState{Role: Prefill, Target: Both}); !s.Serves(Prefill) || s.Serves(Decode) || s.Serves(Both) || s.StatusReport().Serving {
 		t.Errorf("%+v", s)
 	}
-	off, err := busy.CallOff("a", "")
+	off, err := busy.Revert("a", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, changed := off.Heard("a", Word{1, Writer, true}, 0); changed {
+	if _, changed := off.ApplyStatus("a", StatusReport{1, Decode, true}, 0); changed {
 		t.Error("the word of an order that was called off settled it")
 	}
-	back, changed := off.Heard("a", Word{2, Reader, true}, time.Second)
-	if e := back.Entries["a"]; !changed || !e.Open || e.Role != Reader || e.Changed != time.Second {
+	back, changed := off.ApplyStatus("a", StatusReport{2, Prefill, true}, time.Second)
+	if e := back.Entries["a"]; !changed || !e.Serving || e.Role != Prefill || e.ChangedAt != time.Second {
 		t.Errorf("%+v", e)
 	}
 }
 
 // TestCarryTakesWhatTheBookLets: a plan's changes one by one; what is refused is told and changes nothing.
 func TestCarryTakesWhatTheBookLets(t *testing.T) {
-	b := Book{Entries: map[string]Entry{"a": {Role: Reader, To: Reader, Open: true, Reads: true, Writes: true},
-		"b": {Role: Reader, To: Reader, Open: true, Reads: true, Writes: true}, "c": {Role: Writer, To: Writer, Open: true, Reads: true, Writes: true}}}
-	next, done, refused := b.Carry(Plan{CallOff: []string{"a"}, Changes: []Change{{ID: "a", To: Writer}, {ID: "b", To: Writer}, {ID: "x", To: Reader}, {ID: "c", To: Reader}}})
-	open, changing := next.Count()
-	if len(done.CallOff) != 0 || len(done.Changes) != 2 || !errors.Is(refused["b"], ErrLast) || !errors.Is(refused["x"], ErrUnknown) || len(refused) != 2 {
+	b := Assignments{Entries: map[string]Assignment{"a": {Role: Prefill, Target: Prefill, Serving: true, CanPrefill: true, CanDecode: true},
+		"b": {Role: Prefill, Target: Prefill, Serving: true, CanPrefill: true, CanDecode: true}, "c": {Role: Decode, Target: Decode, Serving: true, CanPrefill: true, CanDecode: true}}}
+	next, done, refused := b.ApplyPlan(Plan{Reverts: []string{"a"}, Changes: []Change{{ID: "a", Target: Decode}, {ID: "b", Target: Decode}, {ID: "x", Target: Prefill}, {ID: "c", Target: Prefill}}})
+	open, changing := next.CountServing()
+	if len(done.Reverts) != 0 || len(done.Changes) != 2 || !errors.Is(refused["b"], ErrLastOfStage) || !errors.Is(refused["x"], ErrUnknownEngine) || len(refused) != 2 {
 		t.Errorf("%+v %v", done, refused)
 	}
-	if changing != 2 || open != [3]int{1, 0, 0} || len(b.Tells()) != 0 {
+	if changing != 2 || open != [3]int{1, 0, 0} || len(b.PendingCommands()) != 0 {
 		t.Errorf("%v open, %d changing", open, changing)
 	}
-	if n, err := next.Turn("b", "test"); err != nil || n.Entries["b"].To != Writer {
+	if n, err := next.SwitchStage("b", "test"); err != nil || n.Entries["b"].Target != Decode {
 		t.Errorf("%+v %v", n.Entries["b"], err)
 	}
-	if _, err := b.Turn("c", "test"); !errors.Is(err, ErrLast) {
+	if _, err := b.SwitchStage("c", "test"); !errors.Is(err, ErrLastOfStage) {
 		t.Errorf("the last writer was turned: %v", err)
 	}
 }
--- a/roles/memory.go
+++ b/roles/memory.go
@@ -13,11 +13,11 @@
 // leads, what a change takes, and which engines are left alone. It is plain data; times in it are ages at the moment
 // when it was taken.
 type Memory struct {
-	Experts []ExpertMemory `json:"experts"`
-	Lead    int            `json:"lead"`
-	Cost    float64        `json:"cost"`  // seconds of an engine that a change takes
-	Stood   [2]int         `json:"stood"` // readers and writers as the planner left them
-	Bars    []BarMemory    `json:"bars,omitempty"`
+	Experts    []ExpertMemory   `json:"experts"`
+	Lead       int              `json:"lead"`
+	ChangeCost float64          `json:"cost"`  // seconds of an engine that a change takes
+	LastSplit  [2]int           `json:"stood"` // readers and writers as the planner left them
+	Cooldowns  []CooldownMemory `json:"bars,omitempty"`
 }
 
 // ExpertMemory is one expert's part.
@@ -37,11 +37,11 @@
 	Seconds float64       `json:"seconds"`
 }
 
-// BarMemory is an engine that is left alone.
-type BarMemory struct {
-	ID    string        `json:"id"`
-	Left  time.Duration `json:"left"`
-	Pause time.Duration `json:"pause"`
+// CooldownMemory is an engine that is left alone.
+type CooldownMemory struct {
+	ID        string        `json:"id"`
+	Remaining time.Duration `json:"left"`
+	Pause     time.Duration `json:"pause"`
 }
 
 // maxBars bounds the engines that a memory names.
@@ -49,14 +49,14 @@
 
 // Memory gives what the planner knows. ok is false before it has seen a fleet that it believes.
 func (p *Planner) Memory() (m Memory, ok bool) {
-	m = Memory{Lead: p.lead, Cost: p.cost, Stood: p.stood}
+	m = Memory{Lead: p.lead, ChangeCost: p.cost, LastSplit: p.stood}
 	for _, x := range p.experts {
 		if !x.started {
 			return Memory{}, false
 		}
 		e := ExpertMemory{Memory: x.memory, Loss: x.loss, Readers: x.readers, Writers: x.writers}
 		for _, c := range x.coming { // they will have come
-			if c.to == Reader {
+			if c.to == Prefill {
 				e.Readers++
 			} else {
 				e.Writers++
@@ -67,12 +67,12 @@
 		}
 		m.Experts = append(m.Experts, e)
 	}
-	for id, b := range p.bars {
-		if b.until > p.now && len(m.Bars) < maxBars {
-			m.Bars = append(m.Bars, BarMemory{id, b.until - p.now, b.pause})
+	for id, b := range p.cooldowns {
+		if b.until > p.now && len(m.Cooldowns) < maxBars {
+			m.Cooldowns = append(m.Cooldowns, CooldownMemory{id, b.until - p.now, b.pause})
 		}
 	}
-	slices.SortFunc(m.Bars, func(a, b BarMemory) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(m.Cooldowns, func(a, b CooldownMemory) int { return cmp.Compare(a.ID, b.ID) })
 	return m, true
 }
 
@@ -86,9 +86,9 @@
 		return errors.New("roles: memory: it comes from the future")
 	case len(m.Experts) != len(p.experts) || m.Lead < 0 || m.Lead >= len(p.experts):
 		return fmt.Errorf("roles: memory: %d experts, lead %d; this planner has %d", len(m.Experts), m.Lead, len(p.experts))
-	case !plain(m.Cost) || m.Cost > p.set.TurnTime.Seconds():
-		return fmt.Errorf("roles: memory: a change of %v s", m.Cost)
-	case m.Stood[0] < 0 || m.Stood[1] < 0 || len(m.Bars) > maxBars:
+	case !plain(m.ChangeCost) || m.ChangeCost > p.set.ChangeTimeout.Seconds():
+		return fmt.Errorf("roles: memory: a change of %v s", m.ChangeCost)
+	case m.LastSplit[0] < 0 || m.LastSplit[1] < 0 || len(m.Cooldowns) > maxBars:
 		return errors.New("roles: memory: engines that can't be")
 	}
 	for i, e := range m.Experts {
@@ -96,9 +96,9 @@
 			return err
 		}
 	}
-	for _, b := range m.Bars {
-		if b.Left < 0 || b.Pause < 0 || b.Left > barMost || b.Pause > barMost {
-			return fmt.Errorf("roles: memory: engine %s is left alone for %v of %v", b.ID, b.Left, b.Pause)
+	for _, b := range m.Cooldowns {
+		if b.Remaining < 0 || b.Pause < 0 || b.Remaining > barMost || b.Pause > barMost {
+			return fmt.Errorf("roles: memory: engine %s is left alone for %v of %v", b.ID, b.Remaining, b.Pause)
 		}
 	}
 	for i, e := range m.Experts {
@@ -108,12 +108,12 @@
 			x.past = append(x.past, work{at: now - age - w.Age, reading: w.Reading, writing: w.Writing, seconds: w.Seconds})
 		}
 	}
-	for _, b := range m.Bars {
-		if b.Left > age {
-			p.bars[b.ID] = bar{now + b.Left - age, b.Pause}
+	for _, b := range m.Cooldowns {
+		if b.Remaining > age {
+			p.cooldowns[b.ID] = cooldown{now + b.Remaining - age, b.Pause}
 		}
 	}
-	p.lead, p.cost, p.stood = m.Lead, m.Cost, m.Stood
+	p.lead, p.cost, p.stood = m.Lead, m.ChangeCost, m.LastSplit
 	return nil
 }
 
--- a/roles/pick.go
+++ b/roles/pick.go
@@ -20,9 +20,9 @@
 	if len(plan.Changes) > 0 || !f.believed {
 		return
 	}
-	from, to, want := Writer, Reader, plan.Readers-f.readers
+	from, to, want := Decode, Prefill, plan.Readers-f.readers
 	if want < 0 {
-		from, to, want = Reader, Writer, -want
+		from, to, want = Prefill, Decode, -want
 	}
 	want -= p.turned(f, plan, to, want)
 	for range max(min(want, atOnce-f.moving), 0) {
@@ -36,24 +36,24 @@
 
 // atOnce is how many engines may be on their way.
 func (p *Planner) atOnce(f *fleet) int {
-	return max(1, int(p.set.AtOnce*float64(f.readers+f.writers+f.both)))
+	return max(1, int(p.set.MaxConcurrent*float64(f.readers+f.writers+f.both)))
 }
 
 // change begins a move.
 func (p *Planner) change(f *fleet, plan *Plan, e *Engine, to Role, why string) {
 	p.moves[e.ID] = &move{to: to, since: p.now}
 	plan.Changes = append(plan.Changes, Change{e.ID, to, why})
-	f.count(e.To, -1)
+	f.count(e.Target, -1)
 	f.count(to, 1)
-	e.To = to
+	e.Target = to
 	f.moving++
 }
 
 func (f *fleet) count(r Role, n int) {
 	switch r {
-	case Reader:
+	case Prefill:
 		f.readers += n
-	case Writer:
+	case Decode:
 		f.writers += n
 	default:
 		f.both += n
@@ -64,27 +64,27 @@
 func (p *Planner) callOff(f *fleet, plan *Plan) {
 	for i := range f.engines {
 		e := &f.engines[i]
-		if m := p.moves[e.ID]; m != nil && e.moving() && !m.off && p.now-m.since > p.set.TurnTime {
+		if m := p.moves[e.ID]; m != nil && e.moving() && !m.off && p.now-m.since > p.set.ChangeTimeout {
 			p.off(f, plan, e, m)
-			p.bar(e.ID)
+			p.startCooldown(e.ID)
 		}
 	}
 }
 
 func (p *Planner) off(f *fleet, plan *Plan, e *Engine, m *move) {
 	m.off = true
-	plan.CallOff = append(plan.CallOff, e.ID)
-	f.count(e.To, -1)
+	plan.Reverts = append(plan.Reverts, e.ID)
+	f.count(e.Target, -1)
 	f.count(e.Role, 1)
 	f.moving--
-	e.To = e.Role
+	e.Target = e.Role
 }
 
 // turned calls off moves away from the role that is wanted now, want at most, rather than move others; it tells how many.
 func (p *Planner) turned(f *fleet, plan *Plan, to Role, want int) (n int) {
 	for i := range f.engines {
 		e := &f.engines[i]
-		if m := p.moves[e.ID]; n < want && m != nil && !m.off && e.moving() && e.Role == to && e.To != Both {
+		if m := p.moves[e.ID]; n < want && m != nil && !m.off && e.moving() && e.Role == to && e.Target != Both {
 			p.off(f, plan, e, m)
 			n++
 		}
@@ -98,9 +98,9 @@
 	if f.both > 0 || f.readers > 0 && f.writers > 0 {
 		return false
 	}
-	from, to := Writer, Reader
+	from, to := Decode, Prefill
 	if f.writers == 0 {
-		from, to = Reader, Writer
+		from, to = Prefill, Decode
 	}
 	have := max(f.readers, f.writers)
 	if have == 0 {
@@ -110,7 +110,7 @@
 		to = Both
 	}
 	if e := p.pick(f, from, to, true); e != nil {
-		p.change(f, plan, e, to, fmt.Sprintf("nothing is left to %s", map[Role]string{Reader: "write", Writer: "read"}[from]))
+		p.change(f, plan, e, to, fmt.Sprintf("nothing is left to %s", map[Role]string{Prefill: "write", Decode: "read"}[from]))
 		return true
 	}
 	return false
@@ -127,13 +127,13 @@
 	}
 	switch {
 	case f.readers == 0:
-		p.change(f, plan, e, Reader, "the other stage has engines again")
+		p.change(f, plan, e, Prefill, "the other stage has engines again")
 	case f.writers == 0:
-		p.change(f, plan, e, Writer, "the other stage has engines again")
+		p.change(f, plan, e, Decode, "the other stage has engines again")
 	case f.believed && f.reading/float64(f.readers) > f.writing/float64(f.writers):
-		p.change(f, plan, e, Reader, p.why(f, "each stage has engines again"))
+		p.change(f, plan, e, Prefill, p.why(f, "each stage has engines again"))
 	default:
-		p.change(f, plan, e, Writer, p.why(f, "each stage has engines again"))
+		p.change(f, plan, e, Decode, p.why(f, "each stage has engines again"))
 	}
 }
 
@@ -146,16 +146,16 @@
 	for i := range f.engines {
 		e := &f.engines[i]
 		m := p.meters[e.ID]
-		age, proven := p.now-e.Changed, max(proveWithin, p.set.MinStay)
-		if !e.free() || !e.Ready || e.moving() || e.Role == Both || !m.believed || e.Changed == 0 || age < proven || age > 3*proven || p.barred(e.ID) {
+		age, proven := p.now-e.ChangedAt, max(proveWithin, p.set.MinDwell)
+		if !e.free() || !e.Ready || e.moving() || e.Role == Both || !m.believed || e.ChangedAt == 0 || age < proven || age > 3*proven || p.inCooldown(e.ID) {
 			continue
 		}
-		does, mean, back, peers := m.read, f.reading/float64(max(f.readers, 1)), Writer, f.readers
-		if e.Role == Writer {
-			does, mean, back, peers = m.write, f.writing/float64(max(f.writers, 1)), Reader, f.writers
+		does, mean, back, peers := m.read, f.reading/float64(max(f.readers, 1)), Decode, f.readers
+		if e.Role == Decode {
+			does, mean, back, peers = m.write, f.writing/float64(max(f.writers, 1)), Prefill, f.writers
 		}
 		if peers > 1 && mean > provePeers && does < proveIdle*mean {
-			p.bar(e.ID)
+			p.startCooldown(e.ID)
 			p.change(f, plan, e, back, fmt.Sprintf("does nothing as %v (%.3f of %.2f) while its peers do", e.Role, does, mean))
 			return
 		}
@@ -169,24 +169,24 @@
 	for i := range f.engines {
 		switch e := &f.engines[i]; {
 		case !e.Ready:
-		case e.To == from:
-			crowd[e.Place]++
-		case e.To == to:
-			crowd[e.Place]--
+		case e.Target == from:
+			crowd[e.Cell]++
+		case e.Target == to:
+			crowd[e.Cell]--
 		}
 	}
 	var best *Engine
 	var bestRank [3]float64
 	for i := range f.engines {
 		e := &f.engines[i]
-		if e.To != from || !e.free() || !e.Ready || e.moving() || p.moves[e.ID] != nil {
+		if e.Target != from || !e.free() || !e.Ready || e.moving() || p.moves[e.ID] != nil {
 			continue
 		}
-		stayed := p.now - e.Changed
-		if !need && (p.barred(e.ID) || e.Changed > 0 && stayed < p.set.MinStay) {
+		stayed := p.now - e.ChangedAt
+		if !need && (p.inCooldown(e.ID) || e.ChangedAt > 0 && stayed < p.set.MinDwell) {
 			continue
 		}
-		rank := [3]float64{-crowd[e.Place], float64(e.Held), -math.Min(stayed.Seconds(), 86400)}
+		rank := [3]float64{-crowd[e.Cell], float64(e.Outstanding), -math.Min(stayed.Seconds(), 86400)}
 		if best == nil || slices.Compare(rank[:], bestRank[:]) < 0 {
 			best, bestRank = e, rank
 		}
--- a/roles/plan.go
+++ b/roles/plan.go
@@ -38,12 +38,12 @@
 
 // Planner plans for one fleet. It is not safe for concurrent use.
 type Planner struct {
-	set    Settings
-	now    time.Duration
-	began  bool
-	meters map[string]*meter
-	moves  map[string]*move
-	bars   map[string]bar
+	set       Config
+	now       time.Duration
+	began     bool
+	meters    map[string]*meter
+	moves     map[string]*move
+	cooldowns map[string]cooldown
 
 	experts []*expert
 	lead    int
@@ -58,22 +58,22 @@
 	off   bool // told back
 }
 
-type bar struct {
+type cooldown struct {
 	until, pause time.Duration
 }
 
 // New makes a planner that knows nothing yet.
-func New(s Settings) (*Planner, error) {
+func New(s Config) (*Planner, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	s.MinStay = cmp.Or(s.MinStay, time.Minute)
-	s.AtOnce = cmp.Or(s.AtOnce, 0.1)
+	s.MinDwell = cmp.Or(s.MinDwell, time.Minute)
+	s.MaxConcurrent = cmp.Or(s.MaxConcurrent, 0.1)
 	s.ChangeTime = cmp.Or(s.ChangeTime, 10*time.Second)
-	s.Warm = cmp.Or(s.Warm, 3*time.Second)
+	s.WarmUp = cmp.Or(s.WarmUp, 3*time.Second)
 	s.StaleAfter = cmp.Or(s.StaleAfter, 5*time.Second)
-	s.TurnTime = cmp.Or(s.TurnTime, 2*time.Minute)
-	p := &Planner{set: s, meters: map[string]*meter{}, moves: map[string]*move{}, bars: map[string]bar{}, cost: s.ChangeTime.Seconds()}
+	s.ChangeTimeout = cmp.Or(s.ChangeTimeout, 2*time.Minute)
+	p := &Planner{set: s, meters: map[string]*meter{}, moves: map[string]*move{}, cooldowns: map[string]cooldown{}, cost: s.ChangeTime.Seconds()}
 	for _, m := range memories {
 		p.experts = append(p.experts, &expert{memory: time.Duration(m * float64(s.ChangeTime)), losses: time.Duration(lossFor * float64(s.ChangeTime))})
 	}
@@ -94,15 +94,15 @@
 
 // Step takes the fleet as it is at now and plans. Calling it more or less often changes little; about once a second is
 // meant. Engines that are not named are forgotten.
-func (p *Planner) Step(now time.Duration, engines []Engine, fronts []Front) Plan {
+func (p *Planner) Step(now time.Duration, engines []Engine, fronts []Replica) Plan {
 	dt := min(max((now-p.now).Seconds(), 0), 5) // a planner that was paused has seen nothing meanwhile
 	if !p.began {
 		dt, p.began = 0, true
 	}
 	p.now = now
 	f := p.look(engines, fronts)
-	plan := Plan{Believed: f.believed, Reading: f.reading, Writing: f.writing, Readers: f.readers, Engines: f.readers + f.writers,
-		Unbelieved: f.unbelieved, ChangeTime: time.Duration(p.cost * float64(time.Second))}
+	plan := Plan{Trusted: f.believed, Reading: f.reading, Writing: f.writing, Readers: f.readers, Engines: f.readers + f.writers,
+		UntrustedReports: f.unbelieved, ChangeTime: time.Duration(p.cost * float64(time.Second))}
 	for _, x := range p.experts {
 		x.rebase(f.readers-p.stood[0], f.writers-p.stood[1])
 	}
@@ -112,7 +112,7 @@
 		}
 		p.follow(float64(f.readers + f.writers + f.both))
 		lead := p.experts[p.lead]
-		plan.Memory, plan.Readers = lead.memory, min(max(lead.wanted(), f.least), f.most)
+		plan.Lookback, plan.Readers = lead.memory, min(max(lead.wanted(), f.least), f.most)
 	}
 	p.steer(f, &plan)
 	p.stood = [2]int{f.readers, f.writers}
@@ -136,7 +136,7 @@
 }
 
 // look sums the fleet up and learns from moves that have ended.
-func (p *Planner) look(engines []Engine, fronts []Front) *fleet {
+func (p *Planner) look(engines []Engine, fronts []Replica) *fleet {
 	f := &fleet{engines: slices.Clone(engines)}
 	slices.SortFunc(f.engines, func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) })
 	named := map[string]bool{}
@@ -153,7 +153,7 @@
 		if !m.believed {
 			f.unbelieved++
 		}
-		for stage, does := range [2]bool{e.Role.Reads(), e.Role.Writes()} {
+		for stage, does := range [2]bool{e.Role.Prefills(), e.Role.Decodes()} {
 			if !does || e.moving() {
 				continue
 			}
@@ -166,16 +166,16 @@
 		if e.moving() {
 			f.moving++
 		}
-		switch e.To {
-		case Reader:
+		switch e.Target {
+		case Prefill:
 			f.readers++
-		case Writer:
+		case Decode:
 			f.writers++
 		default:
 			f.both++
 		}
-		if !e.free() && e.To != Both {
-			fixed[e.To]++
+		if !e.free() && e.Target != Both {
+			fixed[e.Target]++
 		}
 	}
 	var lost [2]float64
@@ -188,7 +188,7 @@
 	}
 	maps.DeleteFunc(p.meters, func(id string, _ *meter) bool { return !named[id] })
 	maps.DeleteFunc(p.moves, func(id string, _ *move) bool { return !named[id] })
-	maps.DeleteFunc(p.bars, func(id string, b bar) bool { return !named[id] && p.now >= b.until })
+	maps.DeleteFunc(p.cooldowns, func(id string, b cooldown) bool { return !named[id] && p.now >= b.until })
 	f.believed = true
 	for stage := range all {
 		if all[stage] > 0 && seen[stage] < believeOf*all[stage] || seen[stage] == 0 {
@@ -199,9 +199,9 @@
 	}
 	f.reading, f.writing = asked[0]+lost[0], asked[1]+lost[1]
 	n := f.readers + f.writers
-	f.least, f.most = max(fixed[Reader], 1), n-max(fixed[Writer], 1)
+	f.least, f.most = max(fixed[Prefill], 1), n-max(fixed[Decode], 1)
 	if f.both > 0 { // they keep either stage alive
-		f.least, f.most = fixed[Reader], n-fixed[Writer]
+		f.least, f.most = fixed[Prefill], n-fixed[Decode]
 	}
 	return f
 }
@@ -222,12 +222,12 @@
 	m := p.moves[e.ID]
 	switch {
 	case e.moving() && m == nil: // begun by another planner before this one
-		p.moves[e.ID] = &move{to: e.To, since: p.now}
+		p.moves[e.ID] = &move{to: e.Target, since: p.now}
 	case e.moving():
-		m.to = e.To
+		m.to = e.Target
 	case m != nil:
 		if !m.off && e.Role == m.to {
-			p.cost += costSeen * (min((p.now-m.since+p.set.Warm).Seconds(), p.set.TurnTime.Seconds()) - p.cost)
+			p.cost += costSeen * (min((p.now-m.since+p.set.WarmUp).Seconds(), p.set.ChangeTimeout.Seconds()) - p.cost)
 			p.meters[e.ID].read, p.meters[e.ID].write = 0, 0
 		}
 		delete(p.moves, e.ID)
@@ -256,12 +256,12 @@
 	return fmt.Sprintf("%s: reading asks for %.2f engines, writing for %.2f, of %d readers and %d writers", what, f.reading, f.writing, f.readers, f.writers)
 }
 
-// barred tells whether an engine is left alone; bar begins or doubles it.
-func (p *Planner) barred(id string) bool { return p.now < p.bars[id].until }
+// inCooldown tells whether an engine is left alone; bar begins or doubles it.
+func (p *Planner) inCooldown(id string) bool { return p.now < p.cooldowns[id].until }
 
-func (p *Planner) bar(id string) {
-	pause := min(max(2*p.bars[id].pause, barFirst), barMost)
-	p.bars[id] = bar{p.now + pause, pause}
+func (p *Planner) startCooldown(id string) {
+	pause := min(max(2*p.cooldowns[id].pause, barFirst), barMost)
+	p.cooldowns[id] = cooldown{p.now + pause, pause}
 }
 
 // Cost is what a second costs with so many readers and writers, where so much reading and writing is asked for, all in
--- a/roles/recorded_test.go
+++ b/roles/recorded_test.go
@@ -20,13 +20,13 @@
 func encodePlan(p Plan) string {
 	var b strings.Builder
 	for _, c := range p.Changes {
-		fmt.Fprintf(&b, "change %s %d;", c.ID, int(c.To))
+		fmt.Fprintf(&b, "change %s %d;", c.ID, int(c.Target))
 	}
-	for _, id := range p.CallOff {
+	for _, id := range p.Reverts {
 		fmt.Fprintf(&b, "back %s;", id)
 	}
-	fmt.Fprintf(&b, "%v %.9g %.9g %d %d %d %d %d", p.Believed, p.Reading, p.Writing, p.Readers, int64(p.Memory), p.Engines,
-		p.Unbelieved, int64(p.ChangeTime))
+	fmt.Fprintf(&b, "%v %.9g %.9g %d %d %d %d %d", p.Trusted, p.Reading, p.Writing, p.Readers, int64(p.Lookback), p.Engines,
+		p.UntrustedReports, int64(p.ChangeTime))
 	return b.String()
 }
 
@@ -42,7 +42,7 @@
 func (f recordedFleet) play(t *testing.T) (digest string, changes, reversals int) {
 	random := rand.New(rand.NewPCG(uint64(f.readers), uint64(f.writers)))
 	fleet := newTown(f.readers, f.writers)
-	planner := newPlanner(t, Settings{MinStay: 20 * time.Second})
+	planner := newPlanner(t, Config{MinDwell: 20 * time.Second})
 	h := sha256.New()
 	reading, writing := float64(f.readers)*0.7, float64(f.writers)*0.7
 	for step := range f.steps {
@@ -55,7 +55,7 @@
 			f.disturb(random, fleet, step)
 		}
 		fleet.work(reading, writing)
-		fronts := []Front{{ID: "a", Report: &Report{At: fleet.now, Read: Stage{Lost: float64(step) * 0.01}}}}
+		fronts := []Replica{{ID: "a", Report: &Report{At: fleet.now, Read: Stage{Lost: float64(step) * 0.01}}}}
 		plan := planner.Step(fleet.now, fleet.engines, fronts)
 		fmt.Fprintf(h, "%s\n", encodePlan(plan))
 		takes := 6 * time.Second
@@ -63,7 +63,7 @@
 			takes = 3 * time.Minute
 		}
 		fleet.obey(plan, takes)
-		changes, reversals = changes+len(plan.Changes), reversals+len(plan.CallOff)
+		changes, reversals = changes+len(plan.Changes), reversals+len(plan.Reverts)
 	}
 	recordMemory(t, h, planner)
 	return fmt.Sprintf("%x", h.Sum(nil)[:12]), changes, reversals
@@ -81,7 +81,7 @@
 	case 1:
 		e.Pinned = !e.Pinned
 	case 2:
-		e.CanRead = !e.CanRead || !e.CanWrite
+		e.CanPrefill = !e.CanPrefill || !e.CanDecode
 	case 3:
 		fleet.totals[e.ID].Read.Done = 0 // its process began anew
 	}
@@ -101,10 +101,10 @@
 // playAssignments gives random orders and status reports to an assignment table and returns the digest of its stored forms.
 func playAssignments(t *testing.T, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
-	table := Book{Entries: map[string]Entry{}}
+	table := Assignments{Entries: map[string]Assignment{}}
 	for i := range 9 {
 		role := Role(i % 3)
-		table.Entries[fmt.Sprintf("e%d", i)] = Entry{Role: role, To: role, Open: true, Reads: i != 7, Writes: i != 8}
+		table.Entries[fmt.Sprintf("e%d", i)] = Assignment{Role: role, Target: role, Serving: true, CanPrefill: i != 7, CanDecode: i != 8}
 	}
 	h := sha256.New()
 	now := time.Duration(0)
@@ -114,20 +114,20 @@
 		next, changed, err := table, false, error(nil)
 		switch random.IntN(6) {
 		case 0:
-			next, err = table.Begin(id, Role(random.IntN(3)), "asked")
+			next, err = table.Start(id, Role(random.IntN(3)), "asked")
 		case 1:
-			next, err = table.CallOff(id, "called off")
+			next, err = table.Revert(id, "called off")
 		case 2:
-			next, err = table.Turn(id, "turned")
+			next, err = table.SwitchStage(id, "turned")
 		case 3:
-			next, err = table.Edit(id, func(e *Entry) { e.Pinned = random.IntN(3) == 0 })
+			next, err = table.Edit(id, func(e *Assignment) { e.Pinned = random.IntN(3) == 0 })
 		default:
 			e := table.Entries[id]
-			word := Word{Order: e.Order, Role: Role(random.IntN(3)), Serves: random.IntN(3) > 0}
+			word := StatusReport{Order: e.Order, Role: Role(random.IntN(3)), Serving: random.IntN(3) > 0}
 			if random.IntN(2) == 0 {
-				word.Role = e.To
+				word.Role = e.Target
 			}
-			next, changed = table.Heard(id, word, now)
+			next, changed = table.ApplyStatus(id, word, now)
 		}
 		if err == nil {
 			table, err = table.Write(next)
@@ -136,11 +136,11 @@
 		if failed != nil {
 			t.Fatal(failed)
 		}
-		tells, failed := json.Marshal(table.Tells())
+		tells, failed := json.Marshal(table.PendingCommands())
 		if failed != nil {
 			t.Fatal(failed)
 		}
-		open, closed := table.Count()
+		open, closed := table.CountServing()
 		fmt.Fprintf(h, "%v %v %s %s %v %d\n", changed, err != nil, text, tells, open, closed)
 	}
 	return fmt.Sprintf("%x", h.Sum(nil)[:12])
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -18,9 +18,9 @@
 
 // The roles.
 const (
-	Reader Role = iota // reads prompts
-	Writer             // writes answers
-	Both               // reads and writes
+	Prefill Role = iota // reads prompts
+	Decode              // writes answers
+	Both                // reads and writes
 )
 
 func (r Role) String() string {
@@ -32,7 +32,7 @@
 
 // ParseRole is the inverse of String.
 func ParseRole(s string) (Role, error) {
-	for r := Reader; r <= Both; r++ {
+	for r := Prefill; r <= Both; r++ {
 		if r.String() == s {
 			return r, nil
 		}
@@ -55,38 +55,38 @@
 	return err
 }
 
-// Reads tells whether the role takes prompts to read.
-func (r Role) Reads() bool { return r != Writer }
+// Prefills tells whether the role takes prompts to read.
+func (r Role) Prefills() bool { return r != Decode }
 
 // covers tells whether r does all that o does.
 func (r Role) covers(o Role) bool { return r == o || r == Both }
 
-// Writes tells whether the role takes answers to write.
-func (r Role) Writes() bool { return r != Reader }
+// Decodes tells whether the role takes answers to write.
+func (r Role) Decodes() bool { return r != Prefill }
 
-// Settings are what operators state. A zero figure means its documented default.
-type Settings struct {
-	MinStay time.Duration // the stated rate: no engine changes sooner after its last change; 0 = 60 s
-	AtOnce  float64       // part of the fleet that may be on the way at once, one engine at least; 0 = 0.1
+// Config are what operators state. A zero figure means its documented default.
+type Config struct {
+	MinDwell      time.Duration // the stated rate: no engine changes sooner after its last change; 0 = 60 s
+	MaxConcurrent float64       // part of the fleet that may be on the way at once, one engine at least; 0 = 0.1
 	// ChangeTime is what a change takes, by and large: drained, switched, half warm; 0 = 10 s. The law counts time in it:
 	// how long it looks back, and how sure it must be. What changes really take is learned beside it.
-	ChangeTime time.Duration
-	Warm       time.Duration // of it, what comes after the engine says that it changed; 0 = 3 s
-	StaleAfter time.Duration // an older report counts as none; 0 = 5 s
-	TurnTime   time.Duration // a change that was begun and is not confirmed by then is called off; 0 = 2 min
+	ChangeTime    time.Duration
+	WarmUp        time.Duration // of it, what comes after the engine says that it changed; 0 = 3 s
+	StaleAfter    time.Duration // an older report counts as none; 0 = 5 s
+	ChangeTimeout time.Duration // a change that was begun and is not confirmed by then is called off; 0 = 2 min
 }
 
 // Validate names the first field that can't be served.
-func (s Settings) Validate() error {
+func (s Config) Validate() error {
 	for _, f := range []struct {
 		name string
 		d    time.Duration
-	}{{"MinStay", s.MinStay}, {"ChangeTime", s.ChangeTime}, {"Warm", s.Warm}, {"StaleAfter", s.StaleAfter}, {"TurnTime", s.TurnTime}} {
+	}{{"MinStay", s.MinDwell}, {"ChangeTime", s.ChangeTime}, {"Warm", s.WarmUp}, {"StaleAfter", s.StaleAfter}, {"TurnTime", s.ChangeTimeout}} {
 		if f.d < 0 {
 			return fmt.Errorf("roles: settings: %s: negative time %v", f.name, f.d)
 		}
 	}
-	if !(s.AtOnce >= 0 && s.AtOnce <= 1) {
+	if !(s.MaxConcurrent >= 0 && s.MaxConcurrent <= 1) {
 		return errors.New("roles: settings: AtOnce: a part from 0 to 1 is needed")
 	}
 	return nil
@@ -94,24 +94,24 @@
 
 // Engine is one engine as the planner sees it.
 type Engine struct {
-	ID       string
-	Role     Role // in force, as listed
-	To       Role // what it is on its way to; = Role when it stays
-	Changed  time.Duration
-	Ready    bool // listed, up, and not taken out by an operator
-	CanRead  bool
-	CanWrite bool
-	Pinned   bool // an operator holds it where it is
-	Place    int  // its cell; roles are spread over places
-	Held     int  // requests and states that a change would have to wait for
-	Report   *Report
+	ID          string
+	Role        Role // in force, as listed
+	Target      Role // what it is on its way to; = Role when it stays
+	ChangedAt   time.Duration
+	Ready       bool // listed, up, and not taken out by an operator
+	CanPrefill  bool
+	CanDecode   bool
+	Pinned      bool // an operator holds it where it is
+	Cell        int  // its cell; roles are spread over places
+	Outstanding int  // requests and states that a change would have to wait for
+	Report      *Report
 }
 
 // moving tells that a change is under way.
-func (e *Engine) moving() bool { return e.To != e.Role }
+func (e *Engine) moving() bool { return e.Target != e.Role }
 
 // free tells that the planner may give the engine either role.
-func (e *Engine) free() bool { return e.CanRead && e.CanWrite && !e.Pinned }
+func (e *Engine) free() bool { return e.CanPrefill && e.CanDecode && !e.Pinned }
 
 // Report is what an engine tells of its work. The totals only grow while its process lives.
 type Report struct {
@@ -127,31 +127,31 @@
 	Lost    float64 // total of the work that was turned away, refused, or given up as too late
 }
 
-// Front is what one front tells: the work that it had to refuse, which no engine ever saw. Fronts that say nothing, or
+// Replica is what one front tells: the work that it had to refuse, which no engine ever saw. Fronts that say nothing, or
 // nothing believable, are left out; the plan is then made of what engines show, and sees less of an overload.
-type Front struct {
+type Replica struct {
 	ID     string
 	Report *Report
 }
 
 // Change is one engine to be given another role.
 type Change struct {
-	ID  string
-	To  Role
-	Why string // for logs: the figures that made it
+	ID     string
+	Target Role
+	Reason string // for logs: the figures that made it
 }
 
 // Plan is what Step decides, with what it saw.
 type Plan struct {
 	Changes []Change
-	CallOff []string // changes under way that no longer help: to be told back to the role in force
-
-	Believed   bool    // the figures were enough to plan by; else nothing changes but for a stage without any engine
-	Reading    float64 // work that is asked for, in engines
-	Writing    float64
-	Readers    int           // wanted
-	Memory     time.Duration // how long the expert that leads looks back
-	Engines    int           // that are shared out
-	Unbelieved int           // reports that were missing, stale, frozen or not finite
-	ChangeTime time.Duration // what a change takes, as seen
+	Reverts []string // changes under way that no longer help: to be told back to the role in force
+
+	Trusted          bool    // the figures were enough to plan by; else nothing changes but for a stage without any engine
+	Reading          float64 // work that is asked for, in engines
+	Writing          float64
+	Readers          int           // wanted
+	Lookback         time.Duration // how long the expert that leads looks back
+	Engines          int           // that are shared out
+	UntrustedReports int           // reports that were missing, stale, frozen or not finite
+	ChangeTime       time.Duration // what a change takes, as seen
 }
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -23,9 +23,9 @@
 func newTown(readers, writers int) *town {
 	t := &town{now: time.Hour, done: map[string]time.Duration{}, totals: map[string]*Report{}}
 	for i := range readers + writers {
-		e := Engine{ID: fmt.Sprintf("e%03d", i), Ready: true, CanRead: true, CanWrite: true, Place: i % 3}
+		e := Engine{ID: fmt.Sprintf("e%03d", i), Ready: true, CanPrefill: true, CanDecode: true, Cell: i % 3}
 		if i >= readers {
-			e.Role, e.To = Writer, Writer
+			e.Role, e.Target = Decode, Decode
 		}
 		t.engines = append(t.engines, e)
 		t.totals[e.ID] = &Report{}
@@ -35,7 +35,7 @@
 
 func (t *town) count(r Role) (n int) {
 	for _, e := range t.engines {
-		if e.Ready && e.Role == r && e.To == r {
+		if e.Ready && e.Role == r && e.Target == r {
 			n++
 		}
 	}
@@ -54,20 +54,20 @@
 		e := &t.engines[i]
 		r := t.totals[e.ID]
 		r.At = t.now
-		if !e.Ready || e.To != e.Role {
+		if !e.Ready || e.Target != e.Role {
 			continue
 		}
-		if e.Role.Reads() {
-			share(&r.Read, reading, t.count(Reader)+t.count(Both))
+		if e.Role.Prefills() {
+			share(&r.Read, reading, t.count(Prefill)+t.count(Both))
 		}
-		if e.Role.Writes() {
-			share(&r.Write, writing, t.count(Writer)+t.count(Both))
+		if e.Role.Decodes() {
+			share(&r.Write, writing, t.count(Decode)+t.count(Both))
 		}
 	}
 	for i := range t.engines {
 		e := &t.engines[i]
-		if e.To != e.Role && t.now >= t.done[e.ID] {
-			e.Role, e.Changed = e.To, t.now
+		if e.Target != e.Role && t.now >= t.done[e.ID] {
+			e.Role, e.ChangedAt = e.Target, t.now
 		}
 		r := *t.totals[e.ID]
 		e.Report = &r
@@ -84,18 +84,18 @@
 }
 
 func (t *town) obey(plan Plan, takes time.Duration) {
-	for _, id := range plan.CallOff {
+	for _, id := range plan.Reverts {
 		e := t.engine(id)
-		e.To, e.Changed = e.Role, t.now
+		e.Target, e.ChangedAt = e.Role, t.now
 	}
 	for _, c := range plan.Changes {
 		e := t.engine(c.ID)
-		e.To = c.To
+		e.Target = c.Target
 		t.done[c.ID] = t.now + takes
 	}
 }
 
-func newPlanner(t interface{ Fatal(...any) }, s Settings) *Planner {
+func newPlanner(t interface{ Fatal(...any) }, s Config) *Planner {
 	p, err := New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -114,11 +114,11 @@
 			case 0:
 				w.engines[i].Pinned = true
 			case 1:
-				w.engines[i].CanWrite = w.engines[i].Role == Writer
-				w.engines[i].CanRead = w.engines[i].Role == Reader
+				w.engines[i].CanDecode = w.engines[i].Role == Decode
+				w.engines[i].CanPrefill = w.engines[i].Role == Prefill
 			}
 		}
-		set := Settings{MinStay: 30 * time.Second, AtOnce: 0.2}
+		set := Config{MinDwell: 30 * time.Second, MaxConcurrent: 0.2}
 		p := newPlanner(t, set)
 		for range 80 {
 			load := rapid.Float64Range(0, float64(2*len(w.engines))).Draw(t, "load")
@@ -129,7 +129,7 @@
 			switch rapid.IntRange(0, 12).Draw(t, "trouble") {
 			case 0:
 				e.Ready = !e.Ready
-				e.To = e.Role
+				e.Target = e.Role
 			case 1:
 				e.Report = nil
 			case 2:
@@ -142,12 +142,12 @@
 				e.Report = &Report{At: w.now}
 			}
 			before := append([]Engine(nil), w.engines...)
-			need := w.count(Both) == 0 && (going(before, Reader) == 0 || going(before, Writer) == 0)
+			need := w.count(Both) == 0 && (going(before, Prefill) == 0 || going(before, Decode) == 0)
 			plan := p.Step(w.now, w.engines, nil)
 			w.obey(plan, time.Duration(rapid.IntRange(1, 20).Draw(t, "takes"))*time.Second)
 			moving := 0
 			for _, x := range w.engines {
-				if x.To != x.Role {
+				if x.Target != x.Role {
 					moving++
 				}
 			}
@@ -161,9 +161,9 @@
 				switch {
 				case !was.free() || !was.Ready || was.moving():
 					t.Fatalf("%+v was changed: %+v", was, c)
-				case !need && was.Changed > 0 && w.now-was.Changed < set.MinStay:
-					t.Fatalf("%s changed again after %v: %s", c.ID, w.now-was.Changed, c.Why)
-				case !need && moving > max(1, int(set.AtOnce*float64(len(w.engines)))):
+				case !need && was.ChangedAt > 0 && w.now-was.ChangedAt < set.MinDwell:
+					t.Fatalf("%s changed again after %v: %s", c.ID, w.now-was.ChangedAt, c.Reason)
+				case !need && moving > max(1, int(set.MaxConcurrent*float64(len(w.engines)))):
 					t.Fatalf("%d on their way at once: %+v", moving, plan)
 				}
 			}
@@ -173,7 +173,7 @@
 					can++
 				}
 			}
-			if can >= 2 && going(w.engines, Both) == 0 && (going(w.engines, Reader) == 0 || going(w.engines, Writer) == 0) {
+			if can >= 2 && going(w.engines, Both) == 0 && (going(w.engines, Prefill) == 0 || going(w.engines, Decode) == 0) {
 				t.Fatalf("a stage was left without an engine: %+v of %+v", plan, w.engines)
 			}
 		}
@@ -183,7 +183,7 @@
 // going counts the engines that have a role or are on their way to it.
 func going(es []Engine, r Role) (n int) {
 	for _, e := range es {
-		if (e.Ready || e.moving()) && e.To == r {
+		if (e.Ready || e.moving()) && e.Target == r {
 			n++
 		}
 	}
@@ -197,27 +197,27 @@
 		n := 4 + rnd.IntN(20)
 		w := newTown(n/2, n-n/2)
 		load, part := (0.2+0.6*rnd.Float64())*float64(n), 0.2+0.6*rnd.Float64()
-		p := newPlanner(t, Settings{})
+		p := newPlanner(t, Config{})
 		late := map[Role]int{}
 		for s := range 1800 {
 			w.work(load*part, load*(1-part))
 			plan := p.Step(w.now, w.engines, nil)
 			for _, c := range plan.Changes {
 				if s > 1200 {
-					late[c.To]++
+					late[c.Target]++
 				}
 			}
 			w.obey(plan, 8*time.Second)
 		}
-		if late[Reader]+late[Writer] > 1 {
+		if late[Prefill]+late[Decode] > 1 {
 			t.Errorf("%d engines, work %.2f and %.2f: changes to readers and writers after 20 minutes of steady work: %v", n, load*part, load*(1-part), late)
 		}
 		least := math.Inf(1)
 		for x := 1; x < n; x++ {
 			least = min(least, Cost(load*part, load*(1-part), x, n-x))
 		}
-		if got := Cost(load*part, load*(1-part), w.count(Reader), w.count(Writer)); got > least+0.02*float64(n) {
-			t.Errorf("%d engines, work %.2f and %.2f: settled at %d readers with a loss of %.2f engines, %.2f is least", n, load*part, load*(1-part), w.count(Reader), got, least)
+		if got := Cost(load*part, load*(1-part), w.count(Prefill), w.count(Decode)); got > least+0.02*float64(n) {
+			t.Errorf("%d engines, work %.2f and %.2f: settled at %d readers with a loss of %.2f engines, %.2f is least", n, load*part, load*(1-part), w.count(Prefill), got, least)
 		}
 	}
 }
@@ -234,7 +234,7 @@
 		"of tomorrow":  func(_ *town, e *Engine) { e.Report.At += time.Hour },
 	} {
 		w := newTown(2, 8)
-		p := newPlanner(t, Settings{})
+		p := newPlanner(t, Config{})
 		for i := range 200 {
 			w.work(6, 1)
 			for j := range w.engines {
@@ -246,15 +246,15 @@
 		}
 	}
 	w := newTown(2, 8) // and with figures there are changes, or the test shows nothing
-	p, changes := newPlanner(t, Settings{}), 0
+	p, changes := newPlanner(t, Config{}), 0
 	for range 200 {
 		w.work(6, 1)
 		plan := p.Step(w.now, w.engines, nil)
 		w.obey(plan, 8*time.Second)
 		changes += len(plan.Changes)
 	}
-	if changes == 0 || w.count(Reader) < 5 {
-		t.Errorf("%d changes, %d readers of work for 6", changes, w.count(Reader))
+	if changes == 0 || w.count(Prefill) < 5 {
+		t.Errorf("%d changes, %d readers of work for 6", changes, w.count(Prefill))
 	}
 }
 
@@ -263,7 +263,7 @@
 func TestFleetOfTwo(t *testing.T) {
 	for dead := range 2 {
 		w := newTown(1, 1)
-		p := newPlanner(t, Settings{MinStay: 30 * time.Second})
+		p := newPlanner(t, Config{MinDwell: 30 * time.Second})
 		step := func(n int) {
 			for range n {
 				w.work(0.3, 0.3)
@@ -282,7 +282,7 @@
 			t.Errorf("it changed again sooner than is stated: %+v", w.engines)
 		}
 		step(60)
-		if w.count(Reader) != 1 || w.count(Writer) != 1 {
+		if w.count(Prefill) != 1 || w.count(Decode) != 1 {
 			t.Errorf("%d is back: %+v", dead, w.engines)
 		}
 	}
@@ -291,16 +291,16 @@
 // TestAllOfAStageDie: a writer is turned to reading at once, whatever the figures and the stated rate say.
 func TestAllOfAStageDie(t *testing.T) {
 	w := newTown(3, 5)
-	p := newPlanner(t, Settings{MinStay: time.Hour})
+	p := newPlanner(t, Config{MinDwell: time.Hour})
 	for i := range w.engines {
-		w.engines[i].Changed = w.now
+		w.engines[i].ChangedAt = w.now
 	}
 	for range 3 {
 		w.engines[0].Ready, w.engines[1].Ready, w.engines[2].Ready = false, false, false
 		w.work(2, 2)
 		w.obey(p.Step(w.now, w.engines, nil), time.Second)
 	}
-	if w.count(Reader) != 1 || w.count(Writer) != 4 {
+	if w.count(Prefill) != 1 || w.count(Decode) != 4 {
 		t.Errorf("%+v", w.engines)
 	}
 }
@@ -308,21 +308,21 @@
 // TestLiarIsFoundOut: an engine says that it reads and does nothing; it is given its old role and left alone.
 func TestLiarIsFoundOut(t *testing.T) {
 	w := newTown(4, 4)
-	p := newPlanner(t, Settings{MinStay: 30 * time.Second})
+	p := newPlanner(t, Config{MinDwell: 30 * time.Second})
 	liar := &w.engines[0]
-	liar.Changed = w.now
+	liar.ChangedAt = w.now
 	back := time.Duration(0)
 	for range 300 {
 		was := *w.totals[liar.ID]
 		w.work(2, 2)
-		if liar.Role == Reader {
+		if liar.Role == Prefill {
 			w.totals[liar.ID].Read = was.Read
 			liar.Report.Read = was.Read
 		}
 		plan := p.Step(w.now, w.engines, nil)
 		w.obey(plan, time.Second)
 		for _, c := range plan.Changes {
-			if c.ID == liar.ID && c.To == Writer {
+			if c.ID == liar.ID && c.Target == Decode {
 				back = w.now
 			} else if c.ID == liar.ID && w.now-back < 4*time.Minute {
 				t.Fatalf("it was asked again %v later: %+v", w.now-back, c)
@@ -337,12 +337,12 @@
 // TestStuckChangeIsCalledOff: an engine that never confirms is told back and left alone.
 func TestStuckChangeIsCalledOff(t *testing.T) {
 	w := newTown(2, 8)
-	p := newPlanner(t, Settings{TurnTime: 20 * time.Second, MinStay: 10 * time.Second})
+	p := newPlanner(t, Config{ChangeTimeout: 20 * time.Second, MinDwell: 10 * time.Second})
 	began, off := map[string]time.Duration{}, 0
 	for range 120 {
 		w.work(6, 1)
 		plan := p.Step(w.now, w.engines, nil)
-		for _, id := range plan.CallOff {
+		for _, id := range plan.Reverts {
 			off++
 			if d := w.now - began[id]; d < 20*time.Second || d > 25*time.Second {
 				t.Errorf("%s was called off after %v", id, d)
@@ -364,7 +364,7 @@
 // TestSameFiguresSamePlan: a plan depends on nothing but what was told, in any order of the engines.
 func TestSameFiguresSamePlan(t *testing.T) {
 	w := newTown(3, 7)
-	a, b := newPlanner(t, Settings{}), newPlanner(t, Settings{})
+	a, b := newPlanner(t, Config{}), newPlanner(t, Config{})
 	for i := range 300 {
 		w.work(2+3*math.Sin(float64(i)/40), 3)
 		turned := make([]Engine, len(w.engines))
@@ -380,12 +380,12 @@
 }
 
 func TestSettings(t *testing.T) {
-	for _, s := range []Settings{{MinStay: -1}, {AtOnce: 2}, {AtOnce: math.NaN()}, {Warm: -1}} {
+	for _, s := range []Config{{MinDwell: -1}, {MaxConcurrent: 2}, {MaxConcurrent: math.NaN()}, {WarmUp: -1}} {
 		if _, err := New(s); err == nil {
 			t.Errorf("%+v was taken", s)
 		}
 	}
-	for r := Reader; r <= Both; r++ {
+	for r := Prefill; r <= Both; r++ {
 		if got, err := ParseRole(r.String()); got != r || err != nil {
 			t.Errorf("%v: %v %v", r, got, err)
 		}
@@ -400,7 +400,7 @@
 	for _, n := range []int{16, 74, 740, 7400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			w := newTown(n/2, n-n/2)
-			p := newPlanner(b, Settings{})
+			p := newPlanner(b, Config{})
 			for i := range b.N {
 				b.StopTimer()
 				w.now += time.Second
@@ -425,7 +425,7 @@
 		return 4, 7
 	}
 	town, orders := newTown(8, 8), 0
-	first, err := New(Settings{})
+	first, err := New(Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -455,7 +455,7 @@
 	if err := json.Unmarshal(text, &back); err != nil {
 		t.Fatal(err)
 	}
-	again, err := New(Settings{})
+	again, err := New(Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -481,7 +481,7 @@
 
 func TestMemoryThatCantBeIsRefused(t *testing.T) {
 	town := newTown(4, 4)
-	p, _ := New(Settings{})
+	p, _ := New(Config{})
 	for range 100 {
 		town.work(2, 2)
 		town.obey(p.Step(town.now, town.engines, nil), 8*time.Second)
@@ -489,9 +489,9 @@
 	for name, spoil := range map[string]func(*Memory){
 		"no experts":          func(m *Memory) { m.Experts = nil },
 		"lead":                func(m *Memory) { m.Lead = 99 },
-		"cost":                func(m *Memory) { m.Cost = math.NaN() },
-		"endless cost":        func(m *Memory) { m.Cost = 1e9 },
-		"negative engines":    func(m *Memory) { m.Stood[0] = -1 },
+		"cost":                func(m *Memory) { m.ChangeCost = math.NaN() },
+		"endless cost":        func(m *Memory) { m.ChangeCost = 1e9 },
+		"negative engines":    func(m *Memory) { m.LastSplit[0] = -1 },
 		"negative readers":    func(m *Memory) { m.Experts[1].Readers = -1 },
 		"loss":                func(m *Memory) { m.Experts[1].Loss = math.Inf(1) },
 		"another's experts":   func(m *Memory) { m.Experts[2].Memory++ },
@@ -499,24 +499,24 @@
 		"a long past":         func(m *Memory) { m.Experts[0].Past = make([]PastMemory, 10000) },
 		"no time":             func(m *Memory) { m.Experts[0].Past[0].Seconds = 0 },
 		"out of order":        func(m *Memory) { m.Experts[0].Past[0].Age = -1 },
-		"an engine for ever":  func(m *Memory) { m.Bars = []BarMemory{{"e", time.Hour, 1000 * time.Hour}} },
-		"too many are barred": func(m *Memory) { m.Bars = make([]BarMemory, maxBars+1) },
+		"an engine for ever":  func(m *Memory) { m.Cooldowns = []CooldownMemory{{"e", time.Hour, 1000 * time.Hour}} },
+		"too many are barred": func(m *Memory) { m.Cooldowns = make([]CooldownMemory, maxBars+1) },
 	} {
 		m, ok := p.Memory()
 		if !ok {
 			t.Fatal("nothing remembered")
 		}
 		spoil(&m)
-		fresh, _ := New(Settings{})
+		fresh, _ := New(Config{})
 		if err := fresh.Recall(m, 0, town.now); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if fresh.experts[0].started || fresh.lead != 0 || len(fresh.bars) > 0 {
+		if fresh.experts[0].started || fresh.lead != 0 || len(fresh.cooldowns) > 0 {
 			t.Errorf("%s: refused, and half taken", name)
 		}
 	}
 	m, _ := p.Memory()
-	fresh, _ := New(Settings{})
+	fresh, _ := New(Config{})
 	if err := fresh.Recall(m, -time.Second, town.now); err == nil {
 		t.Error("a memory from the future was taken")
 	}
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -13,8 +13,8 @@
 	if r.reqs[ev.ID] != nil || ev.Class < 0 || ev.Class >= len(r.set.Classes) {
 		return
 	}
-	if ev.Doubtful && r.set.Classes[ev.Class].Effect == Unsafe { // an earlier try may have run, at any front
-		r.emit(Fail{ev.ID, true, EarlierTry})
+	if ev.PossibleDuplicate && r.set.Classes[ev.Class].Idempotency == NotIdempotent { // an earlier try may have run, at any front
+		r.emit(Fail{ev.ID, true, ReasonPossibleDuplicate})
 		return
 	}
 	q := &request{Request: ev, class: &r.set.Classes[ev.Class], at: r.now}
@@ -24,7 +24,7 @@
 			t.level--
 		}
 	}
-	q.limit = min(q.Due, q.aimAt())
+	q.limit = min(q.Deadline, q.aimAt())
 	r.seeKey(q)
 	r.reqs[ev.ID] = q
 	r.hold(q)
@@ -34,12 +34,12 @@
 // lack is how many times more readily than others q is refused: by how far its worth for the work that it
 // asks for lies below that of the requests seen. Bounded both ways, so that no class or length is shut out.
 func (r *Router) lack(q *request) float64 {
-	v := cmp.Or(q.class.Worth, 1)
-	if !r.set.WorthByWork {
-		v /= max(q.PromptLen-q.PrefixLen, 0) + 200
+	v := cmp.Or(q.class.PriorityWeight, 1)
+	if !r.set.WeightByWork {
+		v /= max(q.PromptTokens-q.PrefixTokens, 0) + 200
 	}
 	if q.over {
-		v *= r.set.OverShareWorth
+		v *= r.set.OverQuotaWeight
 	}
 	r.worthSeen = cmp.Or(r.worthSeen, v)
 	r.worthSeen += worthGain * (v - r.worthSeen)
@@ -82,7 +82,7 @@
 			if r.released++; q.starved {
 				r.released = 0
 			}
-			if r.stale = r.stale || r.roles[Mixed].listed > 0; r.stale && !again { // then those behind it
+			if r.stale = r.stale || r.roles[RoleMixed].listed > 0; r.stale && !again { // then those behind it
 				again = true
 				r.todo, i = append(r.todo[:0], r.behind(q, first)...), -1
 			}
@@ -106,15 +106,15 @@
 
 // mayHaveRoom is what room asks of s alone.
 func (s *server) mayHaveRoom(now time.Duration) bool {
-	return s.listed && now >= s.full && (s.n == 0 || (s.role != Reader || s.n < readCap) &&
+	return s.listed && now >= s.full && (s.n == 0 || (s.role != RolePrefill || s.n < readCap) &&
 		s.unread*s.pace1 <= readBound.Seconds())
 }
 
 // futile tells that launch can't succeed, without the cost of trying: no writer has room for so much, or the
 // readers that would be asked are as full as when they were asked last. What was never homed is tried.
 func (r *Router) futile(q *request) bool {
-	need, mixed := q.memoryNeed(), r.roles[Mixed].listed > 0
-	if need > r.most.free+1 || !mixed && r.roles[Reader].listed > 0 && need*r.most.reading > r.most.all+1 {
+	need, mixed := q.memoryNeed(), r.roles[RoleMixed].listed > 0
+	if need > r.most.free+1 || !mixed && r.roles[RolePrefill].listed > 0 && need*r.most.reading > r.most.all+1 {
 		return q.homed || !mixed
 	}
 	if !q.homed || r.most.mixed || r.anyCold || q.askedAt != r.shape {
@@ -136,7 +136,7 @@
 	dt, step := min(r.now-r.feltAt, feltMost).Seconds(), -shedBack
 	switch {
 	case late: // one after a long silence may be alone
-		dt, step = min(dt, 1), 1-q.class.LateWorth
+		dt, step = min(dt, 1), 1-q.class.LateWeight
 	case r.now-r.turnedAt < turnedFor: // what is in time came before those that fill the queues
 		step = 0
 	}
@@ -146,7 +146,7 @@
 
 // aimAt is when the first token is wanted.
 func (q *request) aimAt() time.Duration {
-	return q.at + q.class.Aim + time.Duration(q.PromptLen/1000*float64(q.class.AimPer1000))
+	return q.at + q.class.LatencyObjective + time.Duration(q.PromptTokens/1000*float64(q.class.LatencyObjectivePer1000))
 }
 
 // jammed tells that q has missed its aim while answers come late by and large: the place it would take is
@@ -164,13 +164,13 @@
 func (r *Router) heldReason(q *request) Reason {
 	switch {
 	case r.ending:
-		return FrontEnding
+		return ReasonShutdown
 	case q.shed:
-		return Overload
+		return ReasonOverload
 	case len(q.att) >= r.set.MaxAttempts:
-		return NoAttemptLeft
-	case q.limit >= q.Due:
-		return DeadlineNear
+		return ReasonAttemptsExhausted
+	case q.limit >= q.Deadline:
+		return ReasonDeadline
 	}
-	return AimMissed
+	return ReasonObjectiveMissed
 }
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -11,14 +11,14 @@
 		return false
 	case s.n == 0:
 		return true
-	case s.role == Reader && s.n >= readCap:
+	case s.role == RolePrefill && s.n >= readCap:
 		return false
 	}
 	waiting := s.unread
-	if !q.starved && (s.role == Reader || s.role == Mixed && q.reader == nil) {
+	if !q.starved && (s.role == RolePrefill || s.role == RoleMixed && q.reader == nil) {
 		waiting += r.unread(q, s)
 	}
-	fits := s.role == Reader || s.tokens+q.memoryNeed() <= r.memory(s)
+	fits := s.role == RolePrefill || s.tokens+q.memoryNeed() <= r.memory(s)
 	return fits && waiting*s.pace1 <= readBound.Seconds()
 }
 
@@ -28,7 +28,7 @@
 	if !s.listed || !r.coldRoom(s, q) {
 		return false
 	}
-	trial := s.n == 0 && r.now >= s.back && (s.role == Reader || q.class.Effect == Safe)
+	trial := s.n == 0 && r.now >= s.back && (s.role == RolePrefill || q.class.Idempotency == Idempotent)
 	return !s.bad || trial || r.roles[s.role].well == 0
 }
 
@@ -38,7 +38,7 @@
 	if m == 0 {
 		return math.MaxInt64
 	}
-	return m * memoryShare / float64(r.set.Fronts) * r.present(s)
+	return m * memoryShare / float64(r.set.Replicas) * r.present(s)
 }
 
 // coldRoom keeps a server that has just started within its budget, with no word between fronts: it may get
@@ -50,17 +50,17 @@
 	if !r.cold(s) {
 		return true
 	}
-	for len(s.sends) > 0 && r.now-s.sends[0] > r.set.TipAfter {
+	for len(s.sends) > 0 && r.now-s.sends[0] > r.set.OverloadAfter {
 		s.sends = s.sends[1:]
 	}
 	f := &r.roles[s.role]
 	part := min(coldMost, coldPart*r.set.OverloadFactor) * r.present(s)
-	budget := part * f.rate * r.set.TipAfter.Seconds()
+	budget := part * f.rate * r.set.OverloadAfter.Seconds()
 	crowd := float64(1+len(q.att)) - b2f(q.reader != nil)
 	switch {
 	case budget >= 1 || len(s.sends) > 0:
 		return float64(len(s.sends)+1) <= budget
-	case s.role != Reader && s.n == 0:
+	case s.role != RolePrefill && s.n == 0:
 		crowd *= f.listed / max(f.idle, 1)
 	}
 	chance := 1 - math.Exp(-part/crowd)
@@ -73,17 +73,17 @@
 // unread guesses the prompt tokens that s has yet to read.
 func (r *Router) unread(q *request, s *server) float64 {
 	have := max(s.kept[q.Prefix], s.kept[q.Session])
-	return max(q.PromptLen-have, 0) + 200
+	return max(q.PromptTokens-have, 0) + 200
 }
 
 // memoryNeed is what the request takes of a writer's memory.
-func (q *request) memoryNeed() float64 { return q.PromptLen + outGuess*q.MaxOut }
+func (q *request) memoryNeed() float64 { return q.PromptTokens + outGuess*q.MaxOutputTokens }
 
 // writerRoom tells whether some writer has room beyond what is being read for the writers now.
 func (r *Router) writerRoom(q *request) bool {
 	reading, room, found := 0.0, 0.0, false
 	for _, s := range r.servers {
-		if s.role == Reader {
+		if s.role == RolePrefill {
 			reading += float64(s.n) * q.memoryNeed()
 		} else if r.room(s, q) {
 			found = true
--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -48,13 +48,13 @@
 				f.play(20*perWindow, start, prefix)
 				for i := range servers {
 					if k.cold(i) {
-						servers[i].ReadyAt = time.Minute + start
+						servers[i].StartedAt = time.Minute + start
 					}
 				}
 				fresh := map[*rig]bool{}
 				for i, g := range f.rigs {
 					if k.forgets && i%2 == 1 && !fresh[g] {
-						r, err := New(func() Settings { s := s; s.Fronts = fronts; return s }(), rand.New(rand.NewSource(int64(i))).Uint64())
+						r, err := New(func() Config { s := s; s.Replicas = fronts; return s }(), rand.New(rand.NewSource(int64(i))).Uint64())
 						if err != nil {
 							t.Fatal(err)
 						}
@@ -62,17 +62,17 @@
 					}
 					fresh[g] = true
 					g.now = time.Minute + start
-					g.step(ServerList{Scope: Full, Servers: servers})
+					g.step(EndpointList{Scope: ListFull, Endpoints: servers})
 				}
 				if k.bad {
-					f.bad = map[ServerID]bool{}
+					f.bad = map[EndpointID]bool{}
 					for i := range servers {
 						f.bad[servers[i].ID] = i%8 == 7 && !k.cold(i)
 					}
 				}
 				total := 0
 				for w := range 6 {
-					f.sent = map[ServerID]int{}
+					f.sent = map[EndpointID]int{}
 					n := perWindow
 					if w > 1 {
 						n = perWindow * 3 / 2
@@ -84,10 +84,10 @@
 						}
 						total += f.sent[e.ID]
 						of := float64(readers)
-						if f.kind[e.ID] == Writer {
+						if f.kind[e.ID] == RoleDecode {
 							of = writers
 						}
-						present := s.ColdFrom + (1-s.ColdFrom)*float64(w)*window.Seconds()/s.ColdFor.Seconds() // at the window's start
+						present := s.SlowStartFrom + (1-s.SlowStartFrom)*float64(w)*window.Seconds()/s.SlowStartFor.Seconds() // at the window's start
 						limit := s.OverloadFactor * present * float64(n) / of
 						if limit += 2*math.Sqrt(limit) + 2; float64(f.sent[e.ID]) > limit {
 							t.Errorf("window %d: server %d got %d, %.0f at most", w, e.ID, f.sent[e.ID], limit)
--- a/routing/encode_test.go
+++ b/routing/encode_test.go
@@ -10,20 +10,20 @@
 func encodeAction(a Action) string {
 	switch a := a.(type) {
 	case Send:
-		return encode("send", a.Request, a.Server, int64(a.Timeout), int64(a.Connect), int64(a.Window))
-	case Refuse:
-		return encode("refuse", a.Request, int64(a.Wait), a.HandUp, int(a.Reason))
+		return encode("send", a.Request, a.Endpoint, int64(a.Timeout), int64(a.ConnectTimeout), int64(a.SendWindow))
+	case Reject:
+		return encode("refuse", a.Request, int64(a.RetryAfter), a.NoAutoRetry, int(a.Reason))
 	case Fail:
-		return encode("fail", a.Request, a.Earlier, int(a.Reason))
+		return encode("fail", a.Request, a.PossibleDuplicate, int(a.Reason))
 	case Cancel:
 		return encode("cancel", a.Request, a.Attempt)
-	case Release:
+	case ReleaseState:
 		return encode("release", a.Request)
-	case Ahead:
-		return encode("reserve", a.Request, a.Server)
-	case Wake:
+	case Reserve:
+		return encode("reserve", a.Request, a.Endpoint)
+	case SetTimer:
 		return encode("wake", int64(a.After), a.Tag)
-	case Watch:
+	case FetchEndpoints:
 		return encode("watch")
 	case Log:
 		return "log"
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -9,10 +9,10 @@
 
 // A front gives the Router its list and a request, and carries out what comes back.
 func Example() {
-	r, err := routing.New(routing.Settings{
-		Fronts: 2, MaxAttempts: 4, ReleaseWithin: 500 * time.Millisecond,
-		Kinds:   []routing.Kind{{Role: routing.Reader, Memory: 200000}, {Role: routing.Writer, Memory: 150000}},
-		Classes: []routing.Class{{Name: "ask", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
+	r, err := routing.New(routing.Config{
+		Replicas: 2, MaxAttempts: 4, StateTTL: 500 * time.Millisecond,
+		Kinds:   []routing.Kind{{Role: routing.RolePrefill, Memory: 200000}, {Role: routing.RoleDecode, Memory: 150000}},
+		Classes: []routing.Class{{Name: "ask", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -22,17 +22,17 @@
 	show := func(actions []routing.Action) {
 		for _, a := range actions {
 			if s, ok := a.(routing.Send); ok {
-				fmt.Println("request", s.Request, "to server", s.Server)
+				fmt.Println("request", s.Request, "to server", s.Endpoint)
 			}
 		}
 	}
 	show(r.Step(now, []routing.Event{
-		routing.ServerList{Scope: routing.Full, Servers: []routing.Server{
-			{ID: 10, Kind: 0, State: routing.Ready}, {ID: 20, Kind: 1, State: routing.Ready}}},
-		routing.Request{ID: 1, Session: 7, PromptLen: 1200, MaxOut: 300, Due: now + 5*time.Second},
+		routing.EndpointList{Scope: routing.ListFull, Endpoints: []routing.Endpoint{
+			{ID: 10, Kind: 0, State: routing.EndpointReady}, {ID: 20, Kind: 1, State: routing.EndpointReady}}},
+		routing.Request{ID: 1, Session: 7, PromptTokens: 1200, MaxOutputTokens: 300, Deadline: now + 5*time.Second},
 	}))
 	now += 90 * time.Millisecond
-	show(r.Step(now, []routing.Event{routing.Outcome{Request: 1, Server: 10, Result: routing.ReadDone}}))
+	show(r.Step(now, []routing.Event{routing.Outcome{Request: 1, Endpoint: 10, Result: routing.PrefillDone}}))
 	// Output:
 	// request 1 to server 10
 	// request 1 to server 20
--- a/routing/forget_test.go
+++ b/routing/forget_test.go
@@ -8,8 +8,8 @@
 // rolling is a fleet of 740 whose pods are named anew all the time: 20 new names a minute, as full lists.
 type rolling struct {
 	g       *rig
-	servers []Server
-	next    ServerID
+	servers []Endpoint
+	next    EndpointID
 }
 
 func newRolling(t *testing.T) *rolling {
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	f := &rolling{g: &rig{t: t, r: r, now: time.Minute}, servers: pool(340, 400), next: 100000}
-	f.g.step(ServerList{Scope: Full, Servers: f.servers})
+	f.g.step(EndpointList{Scope: ListFull, Endpoints: f.servers})
 	return f
 }
 
@@ -30,7 +30,7 @@
 		f.next++
 	}
 	f.g.now += time.Minute
-	f.g.step(ServerList{Scope: Full, Servers: f.servers})
+	f.g.step(EndpointList{Scope: ListFull, Endpoints: f.servers})
 }
 
 // TestServersThatAreGoneAreForgotten: what is remembered is bounded by the list and by what went of late.
@@ -44,7 +44,7 @@
 		}
 	}
 	f.g.step(f.g.request(1, 0, 500))
-	f.g.step(ServerList{Scope: Changes, Servers: []Server{{ID: 77, State: Gone}}})
+	f.g.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{{ID: 77, State: EndpointGone}}})
 	if f.g.r.byID[77] != nil {
 		t.Error("a server that was gone when first heard of is remembered")
 	}
@@ -54,27 +54,27 @@
 func TestGoneKeepsWhatCounts(t *testing.T) {
 	g := newRig(t, testSettings(), reader(1), writer(2))
 	sends := pick[Send](g.step(g.request(1, 0, 500)))
-	if len(sends) != 1 || sends[0].Server != 1 {
+	if len(sends) != 1 || sends[0].Endpoint != 1 {
 		t.Fatalf("%v", sends)
 	}
 	g.r.byID[1].fails[0] = 0.9
 	for range 3 {
 		g.now += goneFor
-		g.step(ServerList{Scope: Full, Servers: []Server{writer(2)}})
+		g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{writer(2)}})
 	}
 	if s := g.r.byID[1]; s == nil || s.n != 1 {
 		t.Fatal("a server with an attempt out was forgotten")
 	}
-	g.step(Outcome{Request: 1, Server: 1, Result: Reset})
-	g.step(ServerList{Scope: Full, Servers: []Server{writer(2)}})
+	g.step(Outcome{Request: 1, Endpoint: 1, Result: ConnectionReset})
+	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{writer(2)}})
 	if g.r.byID[1] != nil {
 		t.Error("it was not forgotten once its attempt had ended")
 	}
-	g.step(ServerList{Scope: Full, Servers: []Server{reader(3), writer(2)}})
+	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{reader(3), writer(2)}})
 	g.r.byID[3].fails[0] = 0.9
-	g.step(ServerList{Scope: Full, Servers: []Server{writer(2)}})
+	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{writer(2)}})
 	g.now += time.Second
-	g.step(ServerList{Scope: Full, Servers: []Server{reader(3), writer(2)}})
+	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{reader(3), writer(2)}})
 	if s := g.r.byID[3]; s.fails[0] < 0.8 || s.goneAt != 0 {
 		t.Errorf("a server back after a second has lost its past: failing %.2f", s.fails[0])
 	}
@@ -94,10 +94,10 @@
 				id := RequestID(i + 1)
 				f.g.now += time.Millisecond
 				f.g.step(f.g.request(id, 0, 1500))
-				f.g.step(ClientGone{id})
+				f.g.step(ClientDisconnected{id})
 				if f.g.r.reqs[id] != nil {
 					a := f.g.r.reqs[id].att[0]
-					f.g.step(Outcome{Request: id, Server: a.s.ID, Result: Cancelled, Over: true})
+					f.g.step(Outcome{Request: id, Endpoint: a.s.ID, Result: Cancelled, RequestDone: true})
 				}
 			}
 		})
--- a/routing/length_test.go
+++ b/routing/length_test.go
@@ -14,13 +14,13 @@
 // at a fixed pace, writers have room for all.
 type lengthDay struct {
 	rnd     *rand.Rand
-	set     Settings
+	set     Config
 	rigs    []*rig
 	queue   stormQueue
 	seq     int
 	now     time.Duration
-	free    map[ServerID]time.Duration // when a reader has read all that it took
-	asked   []lengthRequest            // by request id, from 1
+	free    map[EndpointID]time.Duration // when a reader has read all that it took
+	asked   []lengthRequest              // by request id, from 1
 	answers map[RequestID]bool
 }
 
@@ -49,9 +49,9 @@
 func newLengthDay(t *testing.T, fronts int, worthByWork bool) *lengthDay {
 	t.Helper()
 	s := testSettings()
-	s.Fronts, s.WorthByWork, s.ColdFor = fronts, worthByWork, 0
-	s.Classes[0].AimPer1000, s.Classes[0].LateWorth = 60*ms, 0.3
-	d := &lengthDay{rnd: rand.New(rand.NewSource(int64(fronts))), set: s, now: time.Minute, free: map[ServerID]time.Duration{},
+	s.Replicas, s.WeightByWork, s.SlowStartFor = fronts, worthByWork, 0
+	s.Classes[0].LatencyObjectivePer1000, s.Classes[0].LateWeight = 60*ms, 0.3
+	d := &lengthDay{rnd: rand.New(rand.NewSource(int64(fronts))), set: s, now: time.Minute, free: map[EndpointID]time.Duration{},
 		asked: make([]lengthRequest, 1), answers: map[RequestID]bool{}}
 	for i := range fronts {
 		r, err := New(s, uint64(100+i))
@@ -59,7 +59,7 @@
 			t.Fatal(err)
 		}
 		d.rigs = append(d.rigs, &rig{t: t, r: r, now: d.now})
-		d.rigs[i].step(ServerList{Scope: Full, Servers: pool(lengthReaders, 20)})
+		d.rigs[i].step(EndpointList{Scope: ListFull, Endpoints: pool(lengthReaders, 20)})
 	}
 	return d
 }
@@ -76,7 +76,7 @@
 		id, front := RequestID(len(d.asked)), d.rnd.Intn(len(d.rigs))
 		prompt := lengthMean * math.Exp(lengthSigma*d.rnd.NormFloat64()-lengthSigma*lengthSigma/2)
 		d.asked = append(d.asked, lengthRequest{front: front, prompt: prompt})
-		d.plan(time.Duration(at*float64(time.Second)), front, Request{ID: id, Session: uint64(id), PromptLen: prompt, MaxOut: 100})
+		d.plan(time.Duration(at*float64(time.Second)), front, Request{ID: id, Session: uint64(id), PromptTokens: prompt, MaxOutputTokens: 100})
 	}
 	for len(d.queue) > 0 {
 		e := heap.Pop(&d.queue).(stormEvent)
@@ -89,9 +89,9 @@
 func (d *lengthDay) step(front int, ev Event) {
 	switch e := ev.(type) {
 	case Request:
-		e.Due = d.now + d.set.Classes[0].Deadline + time.Duration(2*e.PromptLen/1000*float64(d.set.Classes[0].AimPer1000))
+		e.Deadline = d.now + d.set.Classes[0].Deadline + time.Duration(2*e.PromptTokens/1000*float64(d.set.Classes[0].LatencyObjectivePer1000))
 		ev = e
-	case First:
+	case FirstToken:
 		d.answers[e.Request] = true
 	}
 	g := d.rigs[front]
@@ -100,11 +100,11 @@
 		switch a := a.(type) {
 		case Send:
 			d.send(front, a)
-		case Refuse:
+		case Reject:
 			d.asked[a.Request].over = true
 		case Fail:
 			d.asked[a.Request].over = true
-		case Wake:
+		case SetTimer:
 			if d.now < time.Minute+2*lengthFor {
 				d.plan(a.After, front, Timer{a.Tag})
 			}
@@ -115,22 +115,22 @@
 // send has a prompt read in its turn, or written at once.
 func (d *lengthDay) send(front int, a Send) {
 	q := &d.asked[a.Request]
-	out := Outcome{Request: a.Request, Attempt: q.attempts, Server: a.Server}
+	out := Outcome{Request: a.Request, Attempt: q.attempts, Endpoint: a.Endpoint}
 	q.attempts++
-	if a.Server >= 500 {
-		d.plan(50*ms, front, First{Request: a.Request, Attempt: out.Attempt, Server: a.Server, Elapsed: 50 * ms})
-		out.Result, out.Over, out.Elapsed = Served, true, time.Second
+	if a.Endpoint >= 500 {
+		d.plan(50*ms, front, FirstToken{Request: a.Request, Attempt: out.Attempt, Endpoint: a.Endpoint, Elapsed: 50 * ms})
+		out.Result, out.RequestDone, out.Elapsed = Served, true, time.Second
 		d.plan(time.Second, front, out)
 		return
 	}
-	begin := max(d.free[a.Server], d.now)
+	begin := max(d.free[a.Endpoint], d.now)
 	if begin-d.now > lengthQueue {
-		out.Result, out.Elapsed = Turned, ms
+		out.Result, out.Elapsed = Rejected, ms
 		d.plan(ms, front, out)
 		return
 	}
-	d.free[a.Server] = begin + time.Duration(q.prompt/lengthReadRate*float64(time.Second))
-	out.Result, out.Elapsed = ReadDone, d.free[a.Server]-d.now
+	d.free[a.Endpoint] = begin + time.Duration(q.prompt/lengthReadRate*float64(time.Second))
+	out.Result, out.Elapsed = PrefillDone, d.free[a.Endpoint]-d.now
 	if a.Timeout > 0 && a.Timeout < out.Elapsed {
 		out.Result, out.Elapsed = TimedOut, a.Timeout
 	}
@@ -193,14 +193,14 @@
 func TestRefusalsAreDrawnAnewForEachRequest(t *testing.T) {
 	const sessions, turns = 400, 6
 	s := testSettings()
-	s.WorthByWork = true
+	s.WeightByWork = true
 	for seed := range uint64(3) {
 		r, err := New(s, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		g := &rig{t: t, r: r, now: time.Minute}
-		g.step(ServerList{Scope: Full, Servers: pool(10, 20)})
+		g.step(EndpointList{Scope: ListFull, Endpoints: pool(10, 20)})
 		all, none := 0, 0 // sessions of which all turns are refused, and none
 		for session := range sessions {
 			refused := 0
@@ -209,10 +209,10 @@
 				q := g.request(RequestID(1+turn*sessions+session), 0, 200)
 				q.Session, q.Prefix = uint64(1+session), uint64(1+session%20)
 				acts := g.step(q)
-				refused += len(pick[Refuse](acts))
-				g.step(ClientGone{q.ID})
+				refused += len(pick[Reject](acts))
+				g.step(ClientDisconnected{q.ID})
 				for i, a := range pick[Send](acts) {
-					g.step(Outcome{Request: q.ID, Attempt: i, Server: a.Server, Result: Cancelled})
+					g.step(Outcome{Request: q.ID, Attempt: i, Endpoint: a.Endpoint, Result: Cancelled})
 				}
 			}
 			all += b2i(refused == turns)
--- a/routing/order_test.go
+++ b/routing/order_test.go
@@ -88,17 +88,17 @@
 func (c storm) play(t *testing.T) (digest string, actions, most int) {
 	rnd := rand.New(rand.NewSource(c.seed))
 	set := testSettings()
-	set.Fronts, set.ReleaseWithin = c.fronts, c.release
-	set.Kinds = []Kind{{Reader, 200000}, {Writer, c.memory}, {Mixed, c.memory}}
+	set.Replicas, set.StateTTL = c.fronts, c.release
+	set.Kinds = []Kind{{RolePrefill, 200000}, {RoleDecode, c.memory}, {RoleMixed, c.memory}}
 	set.Tenants = []Tenant{{QuotaPerS: c.rate / 2 * float64(c.fronts)}, {QuotaPerS: 5}}
 	for i := range set.Classes {
-		set.Classes[i].Aim, set.Classes[i].LateWorth = c.aim, 0.9
+		set.Classes[i].LatencyObjective, set.Classes[i].LateWeight = c.aim, 0.9
 	}
 	r, err := New(set, uint64(c.seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []Server
+	var list []Endpoint
 	for i := range c.readers + 6 + c.mixed {
 		kind := 1
 		if i < c.readers {
@@ -106,9 +106,9 @@
 		} else if i >= c.readers+6 {
 			kind = 2
 		}
-		list = append(list, Server{ID: ServerID(10 + 3*i), Kind: kind, Zone: i % 2, Cell: i % 3, State: Ready})
+		list = append(list, Endpoint{ID: EndpointID(10 + 3*i), Kind: kind, Zone: i % 2, Cell: i % 3, State: EndpointReady})
 	}
-	kinds := map[ServerID]int{}
+	kinds := map[EndpointID]int{}
 	for _, s := range list {
 		kinds[s.ID] = s.Kind
 	}
@@ -132,42 +132,42 @@
 			case Send:
 				n := len(out[a.Request])
 				out[a.Request] = append(out[a.Request], true)
-				o := Outcome{Request: a.Request, Attempt: n, Server: a.Server, Result: Served}
+				o := Outcome{Request: a.Request, Attempt: n, Endpoint: a.Endpoint, Result: Served}
 				took := time.Duration(20+rnd.Intn(200)) * ms
-				if kinds[a.Server] == 0 {
-					o.Result, o.Kept = ReadDone, float64(rnd.Intn(500))
+				if kinds[a.Endpoint] == 0 {
+					o.Result, o.CachedTokens = PrefillDone, float64(rnd.Intn(500))
 				} else {
 					took *= 4
 				}
-				fails := c.bad && now > badFrom && now < badTo && (a.Server == 10 || a.Server == ServerID(10+3*c.readers))
+				fails := c.bad && now > badFrom && now < badTo && (a.Endpoint == 10 || a.Endpoint == EndpointID(10+3*c.readers))
 				switch k := rnd.Intn(60); {
 				case fails || k == 0:
-					o.Result, took = Errored, took/10
+					o.Result, took = EngineError, took/10
 				case k == 1:
-					o.Result, took = Turned, took/10
+					o.Result, took = Rejected, took/10
 				case k == 2:
-					o.Result, o.NoState, took = Turned, true, took/10
+					o.Result, o.StateMissing, took = Rejected, true, took/10
 				case k == 3 && a.Timeout > 0:
 					o.Result, took = TimedOut, a.Timeout
 				}
 				o.Elapsed = took
 				if o.Result == Served {
-					plan(took/4, First{Request: a.Request, Attempt: n, Server: a.Server, Elapsed: took / 4})
+					plan(took/4, FirstToken{Request: a.Request, Attempt: n, Endpoint: a.Endpoint, Elapsed: took / 4})
 				}
 				plan(took, o)
 			case Cancel:
 				plan(2*ms, Outcome{Request: a.Request, Attempt: a.Attempt, Result: Cancelled, Elapsed: 2 * ms})
-			case Refuse:
+			case Reject:
 				over[a.Request] = true
 			case Fail:
 				over[a.Request] = true
-			case Wake:
+			case SetTimer:
 				plan(a.After, Timer{a.Tag})
 			}
 		}
 		most = max(most, len(r.held))
 	}
-	step(ServerList{Scope: Full, Servers: list})
+	step(EndpointList{Scope: ListFull, Endpoints: list})
 	for i := range c.steps {
 		now += time.Duration(rnd.ExpFloat64() / c.rate * float64(time.Second))
 		for len(q) > 0 && q[0].at <= now {
@@ -182,14 +182,14 @@
 						continue
 					}
 					out[ev.Request][ev.Attempt] = false
-					ev.Over = ev.Result == Served
-					over[ev.Request] = over[ev.Request] || ev.Over
+					ev.RequestDone = ev.Result == Served
+					over[ev.Request] = over[ev.Request] || ev.RequestDone
 					e = ev
-				case First:
+				case FirstToken:
 					if over[ev.Request] || !out[ev.Request][ev.Attempt] {
 						continue
 					}
-				case ClientGone:
+				case ClientDisconnected:
 					if over[ev.Request] {
 						continue
 					}
@@ -207,26 +207,26 @@
 		if rnd.Intn(50) == 0 {
 			n *= 8
 		}
-		ev := Request{ID: next, Class: rnd.Intn(3), Tenant: rnd.Intn(2), Session: uint64(rnd.Intn(500)), PromptLen: float64(int(n)),
-			MaxOut: float64(50 + rnd.Intn(400)), Due: now + c.aim + time.Duration(rnd.Intn(3000))*ms}
+		ev := Request{ID: next, Class: rnd.Intn(3), Tenant: rnd.Intn(2), Session: uint64(rnd.Intn(500)), PromptTokens: float64(int(n)),
+			MaxOutputTokens: float64(50 + rnd.Intn(400)), Deadline: now + c.aim + time.Duration(rnd.Intn(3000))*ms}
 		if c.prefix > 0 && rnd.Intn(10) > 1 {
-			ev.Prefix, ev.PrefixLen = 1000+uint64(rnd.ExpFloat64()*float64(c.prefix)/4), n/2
+			ev.Prefix, ev.PrefixTokens = 1000+uint64(rnd.ExpFloat64()*float64(c.prefix)/4), n/2
 		}
 		if rnd.Intn(30) == 0 {
-			plan(time.Duration(rnd.Intn(2000))*ms, ClientGone{next})
+			plan(time.Duration(rnd.Intn(2000))*ms, ClientDisconnected{next})
 		}
 		evs := []Event{ev}
 		if c.cold && i%700 == 699 {
 			s := list[rnd.Intn(len(list))]
-			s.ReadyAt = now
-			evs = append(evs, ServerList{Scope: Changes, Servers: []Server{s}})
+			s.StartedAt = now
+			evs = append(evs, EndpointList{Scope: ListChanges, Endpoints: []Endpoint{s}})
 		}
 		if i%900 == 800 { // one drains, and is back later
 			s := list[rnd.Intn(len(list))]
-			s.State = Draining
-			evs = append(evs, ServerList{Scope: Changes, Servers: []Server{s}})
-			s.State = Ready
-			plan(2*time.Second, ServerList{Scope: Changes, Servers: []Server{s}})
+			s.State = EndpointDraining
+			evs = append(evs, EndpointList{Scope: ListChanges, Endpoints: []Endpoint{s}})
+			s.State = EndpointReady
+			plan(2*time.Second, EndpointList{Scope: ListChanges, Endpoints: []Endpoint{s}})
 		}
 		step(evs...)
 	}
@@ -271,18 +271,18 @@
 			b.Run(fmt.Sprintf("%s beside %d", kind, n), func(b *testing.B) {
 				s := testSettings()
 				for i := range s.Classes {
-					s.Classes[i].Aim = time.Hour
+					s.Classes[i].LatencyObjective = time.Hour
 				}
 				r, err := New(s, 1)
 				if err != nil {
 					b.Fatal(err)
 				}
 				now := time.Minute
-				r.Step(now, []Event{ServerList{Scope: Full, Servers: pool(8, 12)}})
+				r.Step(now, []Event{EndpointList{Scope: ListFull, Endpoints: pool(8, 12)}})
 				rnd := rand.New(rand.NewSource(1))
 				request := func(id RequestID) Request {
-					return Request{ID: id, Session: uint64(id), Prefix: uint64(rnd.Intn(50)), PromptLen: float64(500 + rnd.Intn(3000)),
-						MaxOut: 200, Due: now + time.Hour}
+					return Request{ID: id, Session: uint64(id), Prefix: uint64(rnd.Intn(50)), PromptTokens: float64(500 + rnd.Intn(3000)),
+						MaxOutputTokens: 200, Deadline: now + time.Hour}
 				}
 				sends := map[RequestID]Send{}
 				attempt := map[RequestID]int{}
@@ -303,13 +303,13 @@
 					case "new and gone":
 						id++
 						r.Step(now, []Event{request(id)})
-						r.Step(now, []Event{ClientGone{id}})
+						r.Step(now, []Event{ClientDisconnected{id}})
 					case "nothing":
 						r.Step(now, []Event{Timer{}})
 					case "room": // a read ends badly: it is held again and another takes its place
 						for q, a := range sends {
 							delete(sends, q)
-							take(r.Step(now, []Event{Outcome{Request: q, Attempt: attempt[q], Server: a.Server, Result: Turned, NoState: true, Elapsed: ms}}))
+							take(r.Step(now, []Event{Outcome{Request: q, Attempt: attempt[q], Endpoint: a.Endpoint, Result: Rejected, StateMissing: true, Elapsed: ms}}))
 							attempt[q]++
 							if q := r.reqs[q]; q != nil {
 								q.att = q.att[:0] // or its attempts run out
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -9,17 +9,17 @@
 
 // Health: one notion for errors, broken connections, stalls and slowness.
 
-func (r *Router) list(l ServerList) {
-	if l.Scope == Failed {
+func (r *Router) list(l EndpointList) {
+	if l.Scope == ListFailed {
 		r.askAt = r.now + time.Second
 		return
 	}
-	if l.Scope != Changes {
+	if l.Scope != ListChanges {
 		for _, s := range r.servers {
-			s.listed, s.State = false, Gone
+			s.listed, s.State = false, EndpointGone
 		}
 	}
-	for _, e := range l.Servers {
+	for _, e := range l.Endpoints {
 		r.line(e)
 	}
 	r.forget()
@@ -29,24 +29,24 @@
 }
 
 // line takes one entry. A later start means a new process: empty, cold, and of unknown health.
-func (r *Router) line(e Server) {
+func (r *Router) line(e Endpoint) {
 	s := r.byID[e.ID]
 	switch {
-	case e.Kind < 0 || e.Kind >= len(r.set.Kinds), s == nil && e.State == Gone:
+	case e.Kind < 0 || e.Kind >= len(r.set.Kinds), s == nil && e.State == EndpointGone:
 		return
 	case s == nil:
-		s = &server{Server: e, kept: map[uint64]float64{}, seen: r.now, learnt: r.now, pace1: r.readPace}
+		s = &server{Endpoint: e, kept: map[uint64]float64{}, seen: r.now, learnt: r.now, pace1: r.readPace}
 		s.fails, s.turns = make([]float64, len(r.set.Classes)), make([]float64, len(r.set.Classes))
 		r.byID[e.ID] = s
 		r.servers = append(r.servers, s)
 	}
-	if e.ReadyAt > s.ReadyAt {
+	if e.StartedAt > s.StartedAt {
 		s.kept = map[uint64]float64{}
 		s.bad, s.fail, s.count, s.slow, s.pause, s.seen, s.learnt = false, 0, 0, 0, 0, r.now, r.now
 		clear(s.fails)
 		clear(s.turns)
 	}
-	s.Server, s.role, s.listed, s.goneAt = e, r.set.Kinds[e.Kind].Role, e.State == Ready, 0
+	s.Endpoint, s.role, s.listed, s.goneAt = e, r.set.Kinds[e.Kind].Role, e.State == EndpointReady, 0
 }
 
 // present is the part of its capacity that s is taken to have: it grows evenly while s is cold.
@@ -54,11 +54,11 @@
 	if !r.cold(s) {
 		return 1
 	}
-	return r.set.ColdFrom + (1-r.set.ColdFrom)*float64(max(r.now-s.ReadyAt, 0))/float64(r.set.ColdFor)
+	return r.set.SlowStartFrom + (1-r.set.SlowStartFrom)*float64(max(r.now-s.StartedAt, 0))/float64(r.set.SlowStartFor)
 }
 
 func (r *Router) cold(s *server) bool {
-	return r.set.ColdFor > 0 && s.ReadyAt > 0 && r.now-s.ReadyAt < r.set.ColdFor
+	return r.set.SlowStartFor > 0 && s.StartedAt > 0 && r.now-s.StartedAt < r.set.SlowStartFor
 }
 
 // judge puts servers aside that do far worse than the peers of their role: they fail more or say
@@ -89,7 +89,7 @@
 // of an unsafe class have no time-out, so without it a stall would show at their deadlines only.
 func (r *Router) silence(s *server) time.Duration {
 	usual := s.unread * r.readPace
-	if s.role != Reader {
+	if s.role != RolePrefill {
 		usual += r.firstTime
 	}
 	return silentLeast + seconds(silentFor*usual)
@@ -155,7 +155,7 @@
 // shunned tells that s has failed, turned away or swallowed the class of q, or that its first tokens are
 // slow: it comes last.
 func (s *server) shunned(q *request) bool {
-	slow := s.role == Writer && s.slow > slowWriter
+	slow := s.role == RoleDecode && s.slow > slowWriter
 	return !s.bad && (s.fails[q.Class] > failBad || s.turns[q.Class] > failBad || slow || s.muteTo(q.Class))
 }
 
@@ -164,7 +164,7 @@
 	v := took.Seconds() / max(a.ahead, 200)
 	a.s.pace1 += 0.1 * (v - a.s.pace1)
 	a.s.slow += slowGain * (v/r.readPace - a.s.slow)
-	if a.s.role == Reader {
+	if a.s.role == RolePrefill {
 		r.readPace += 0.05 * (v - r.readPace)
 	}
 }
@@ -172,13 +172,13 @@
 func (r *Router) readDone(q *request, a *attempt, ev Outcome) {
 	s, sec := a.s, ev.Elapsed.Seconds()
 	r.paced(a, ev.Elapsed)
-	fresh := max(q.PromptLen-ev.Kept, 0) + 200
+	fresh := max(q.PromptTokens-ev.CachedTokens, 0) + 200
 	r.newTokens[q.Class] += 0.05 * (fresh - r.newTokens[q.Class])
 	s.count++
 	if len(s.kept) > keptMax {
 		s.kept = map[uint64]float64{}
 	}
-	s.kept[q.Prefix], s.kept[q.Session] = q.PrefixLen, q.PromptLen
+	s.kept[q.Prefix], s.kept[q.Session] = q.PrefixTokens, q.PromptTokens
 	delete(s.kept, 0)
 	r.learn(s, q, false, failGain, sec < patience*a.ahead*r.readPace+0.5)
 }
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -12,15 +12,15 @@
 
 // launch sends a held request to a reader, or whole to a mixed server, if there is room for it.
 func (r *Router) launch(q *request) bool {
-	readers, mixed := r.roles[Reader].listed > 0, r.roles[Mixed].well
-	if r.roles[Mixed].listed > 0 && (!readers || r.mixedDebt >= 1) {
-		if s := r.home(q, Mixed); s != nil {
+	readers, mixed := r.roles[RolePrefill].listed > 0, r.roles[RoleMixed].well
+	if r.roles[RoleMixed].listed > 0 && (!readers || r.mixedDebt >= 1) {
+		if s := r.home(q, RoleMixed); s != nil {
 			r.mixedDebt = max(r.mixedDebt-1, -1)
 			r.send(q, s, true)
 			return true
 		}
 	}
-	if !readers && r.set.WritersRead {
+	if !readers && r.set.DecodeCanPrefill {
 		if s := r.writer(q, true); s != nil {
 			r.send(q, s, true)
 			return true
@@ -29,13 +29,13 @@
 	if !readers || !r.writerRoom(q) {
 		return false
 	}
-	s := r.home(q, Reader)
+	s := r.home(q, RolePrefill)
 	if s == nil {
 		return false
 	}
-	if w := &r.roles[Writer]; mixed > 0 { // by what they can write and read, and how late they are
-		m := mixedWeight * min(mixed, r.roles[Mixed].memory/w.memory*max(w.well, 1e-9))
-		part := min(m/(m+w.well), mixedWeight*mixed/max(r.roles[Reader].well, 1))
+	if w := &r.roles[RoleDecode]; mixed > 0 { // by what they can write and read, and how late they are
+		m := mixedWeight * min(mixed, r.roles[RoleMixed].memory/w.memory*max(w.well, 1e-9))
+		part := min(m/(m+w.well), mixedWeight*mixed/max(r.roles[RolePrefill].well, 1))
 		r.mixedDebt = min(r.mixedDebt+part/max(r.mixedSlow, 1), 2)
 	}
 	r.send(q, s, false)
@@ -89,7 +89,7 @@
 			break
 		}
 	}
-	if home == nil && role == Reader && !r.anyCold {
+	if home == nil && role == RolePrefill && !r.anyCold {
 		q.askedAt = r.shape
 	}
 	return home
@@ -137,10 +137,10 @@
 func (r *Router) writer(q *request, needRoom bool) *server {
 	var best *server
 	var bestRank [6]float64
-	writers := r.roles[Writer].listed > 0
+	writers := r.roles[RoleDecode].listed > 0
 	keepCell, keepZone := r.keeps(q)
 	for _, s := range r.servers {
-		spared := s.role == Reader || s.role == Mixed && q.reader != nil && writers
+		spared := s.role == RolePrefill || s.role == RoleMixed && q.reader != nil && writers
 		if spared || !s.listed || !r.allowed(q, s) {
 			continue
 		}
@@ -163,7 +163,7 @@
 // has less than a stream a writer, so that nearly all is tied, and the cell has a larger part of the readers
 // than of the writers: then that part stays and the rest goes where writers are short of readers.
 func (r *Router) keeps(q *request) (cell, zone bool) {
-	f := &r.roles[Writer]
+	f := &r.roles[RoleDecode]
 	if q.reader == nil || f.own >= f.listed {
 		return q.reader != nil, q.reader != nil
 	}
@@ -175,16 +175,16 @@
 // allowed keeps the effect rules: where an earlier attempt may have run, only a safe class goes anywhere,
 // a keyed one inside its group and window.
 func (r *Router) allowed(q *request, s *server) bool {
-	if !q.ran || q.class.Effect == Safe {
+	if !q.ran || q.class.Idempotency == Idempotent {
 		return true
 	}
-	if q.class.Effect == Unsafe || q.window(r.now) <= 0 {
+	if q.class.Idempotency == NotIdempotent || q.window(r.now) <= 0 {
 		return false
 	}
-	switch q.class.Group {
-	case GroupZone:
+	switch q.class.DedupScope {
+	case DedupZone:
 		return s.Zone == q.ranOn.Zone
-	case GroupCell:
+	case DedupCell:
 		return s.Cell == q.ranOn.Cell
 	}
 	return true
@@ -196,16 +196,16 @@
 	s, waited := r.writer(q, false), r.now-q.stateAt
 	reason := r.exhausted(q)
 	switch {
-	case reason != NoReason:
-	case r.now+margin >= q.Due:
-		reason = DeadlineNear
+	case reason != ReasonNone:
+	case r.now+margin >= q.Deadline:
+		reason = ReasonDeadline
 	case r.stateSpent(q):
-		reason = StateExpired
-	case s == nil && waited >= time.Duration(parkPart*float64(r.set.ReleaseWithin)):
-		reason = NoWriter
+		reason = ReasonStateExpired
+	case s == nil && waited >= time.Duration(parkPart*float64(r.set.StateTTL)):
+		reason = ReasonNoDecodeEndpoint
 	}
 	switch {
-	case reason != NoReason:
+	case reason != ReasonNone:
 		r.finish(q, r.no(q, len(r.held), reason))
 	case s != nil:
 		r.send(q, s, true)
--- a/routing/readstate.go
+++ b/routing/readstate.go
@@ -17,7 +17,7 @@
 }
 
 // stateTime is how long a read state may be held; the rest of the release time is for the release to arrive.
-func (r *Router) stateTime() time.Duration { return r.set.ReleaseWithin * (connects - 1) / connects }
+func (r *Router) stateTime() time.Duration { return r.set.StateTTL * (connects - 1) / connects }
 
 // stateSpent tells that the time of q's read state is up.
 func (r *Router) stateSpent(q *request) bool { return r.now-q.stateAt > r.stateTime() }
@@ -39,7 +39,7 @@
 	n := 0
 	for ; n < len(r.expiries) && (r.expiries[n].at < r.now || !r.expiries[n].valid(r)); n++ {
 		if e := r.expiries[n]; e.valid(r) && e.q.out > 0 {
-			r.emit(Release{e.q.ID})
+			r.emit(ReleaseState{e.q.ID})
 		}
 	}
 	clear(r.expiries[:n]) // what lies before the rest keeps no request alive
--- a/routing/reason.go
+++ b/routing/reason.go
@@ -5,29 +5,29 @@
 
 // The reasons for which a Router refuses or fails a request.
 const (
-	NoReason      Reason = iota // a decision module that gives none
-	DeadlineNear                // the client's time is up, or too short for what is left to do
-	AimMissed                   // the first token can't come in time any more
-	Overload                    // refused on arrival, since answers come late by and large
-	NoAttemptLeft               // all attempts are used
-	MayHaveRun                  // an attempt may have run, and the class must not be repeated
-	EarlierTry                  // the client's own earlier try may have run
-	StateExpired                // the read state had to be released before a writer took it
-	NoWriter                    // no writer may be sent to
-	FrontEnding                 // this front ends
+	ReasonNone              Reason = iota // a decision module that gives none
+	ReasonDeadline                        // the client's time is up, or too short for what is left to do
+	ReasonObjectiveMissed                 // the first token can't come in time any more
+	ReasonOverload                        // refused on arrival, since answers come late by and large
+	ReasonAttemptsExhausted               // all attempts are used
+	ReasonMayHaveRun                      // an attempt may have run, and the class must not be repeated
+	ReasonPossibleDuplicate               // the client's own earlier try may have run
+	ReasonStateExpired                    // the read state had to be released before a writer took it
+	ReasonNoDecodeEndpoint                // no writer may be sent to
+	ReasonShutdown                        // this front ends
 )
 
 var reasonNames = [...]string{
-	NoReason:      "no reason given",
-	DeadlineNear:  "deadline",
-	AimMissed:     "aim missed",
-	Overload:      "overload",
-	NoAttemptLeft: "no attempt left",
-	MayHaveRun:    "may have run",
-	EarlierTry:    "earlier try may have run",
-	StateExpired:  "read state expired",
-	NoWriter:      "no writer",
-	FrontEnding:   "front ending",
+	ReasonNone:              "no reason given",
+	ReasonDeadline:          "deadline",
+	ReasonObjectiveMissed:   "aim missed",
+	ReasonOverload:          "overload",
+	ReasonAttemptsExhausted: "no attempt left",
+	ReasonMayHaveRun:        "may have run",
+	ReasonPossibleDuplicate: "earlier try may have run",
+	ReasonStateExpired:      "read state expired",
+	ReasonNoDecodeEndpoint:  "no writer",
+	ReasonShutdown:          "front ending",
 }
 
 // String is the reason's name in logs and metrics.
--- a/routing/router.go
+++ b/routing/router.go
@@ -75,20 +75,20 @@
 )
 
 // New makes the decisions' state for one front; fronts of a service get seeds of their own.
-func New(s Settings, seed uint64) (*Router, error) {
+func New(s Config, seed uint64) (*Router, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	s.Fronts = max(s.Fronts, 1)
+	s.Replicas = max(s.Replicas, 1)
 	s.MaxAttempts = cmp.Or(s.MaxAttempts, 2)
-	s.MaxWait = cmp.Or(s.MaxWait, time.Second)
-	s.ReleaseWithin = cmp.Or(s.ReleaseWithin, 300*time.Millisecond)
-	s.ColdFrom = cmp.Or(s.ColdFrom, 0.25)
-	r := &Router{set: s, salt: seed, byID: map[ServerID]*server{}, reqs: map[RequestID]*request{},
+	s.MaxRetryAfter = cmp.Or(s.MaxRetryAfter, time.Second)
+	s.StateTTL = cmp.Or(s.StateTTL, 300*time.Millisecond)
+	s.SlowStartFrom = cmp.Or(s.SlowStartFrom, 0.25)
+	r := &Router{set: s, salt: seed, byID: map[EndpointID]*server{}, reqs: map[RequestID]*request{},
 		keys: map[uint64]float64{}, newTokens: make([]float64, len(s.Classes)), readPace: 1e-4,
 		limits: make([]due, len(s.Classes)), homeCount: map[uint64]int{}, shape: 1, firstTime: 0.3}
 	for _, t := range s.Tenants {
-		rate := t.QuotaPerS / float64(s.Fronts)
+		rate := t.QuotaPerS / float64(s.Replicas)
 		r.tenants = append(r.tenants, bucket{level: max(2*rate, burstLeast), rate: rate})
 	}
 	return r, nil
@@ -109,9 +109,9 @@
 	if r.now >= r.judgeAt {
 		r.judge()
 	}
-	if r.set.AskForList && r.now >= r.askAt {
-		r.emit(Watch{})
-		r.askAt = r.now + max(r.set.AskWithin/2, time.Second)
+	if r.set.PollEndpoints && r.now >= r.askAt {
+		r.emit(FetchEndpoints{})
+		r.askAt = r.now + max(r.set.PollInterval/2, time.Second)
 	}
 	parked := r.parked
 	r.parked = nil
@@ -128,7 +128,7 @@
 	after := idleBeat
 	if len(r.held)+len(r.parked) > 0 {
 		after = beat
-	} else if len(r.reqs) == 0 && !r.set.AskForList {
+	} else if len(r.reqs) == 0 && !r.set.PollEndpoints {
 		return
 	}
 	if len(r.expiries) > 0 {
@@ -136,7 +136,7 @@
 	}
 	if r.wakeAt <= r.now || r.now+after < r.wakeAt {
 		r.wakeAt = r.now + after
-		r.emit(Wake{After: after, Tag: 1})
+		r.emit(SetTimer{After: after, Tag: 1})
 	}
 }
 
@@ -144,22 +144,22 @@
 
 func (r *Router) handle(ev Event) {
 	switch ev := ev.(type) {
-	case ServerList:
+	case EndpointList:
 		r.list(ev)
 	case Request:
 		r.arrive(ev)
-	case First:
+	case FirstToken:
 		r.first(ev)
 	case Outcome:
 		r.outcome(ev)
-	case Ending:
+	case Shutdown:
 		r.ending = true // what still comes is refused too
 		for _, id := range slices.Sorted(maps.Keys(r.reqs)) {
 			if q := r.reqs[id]; !q.ended && !q.started {
-				r.finish(q, r.no(q, 0, FrontEnding))
+				r.finish(q, r.no(q, 0, ReasonShutdown))
 			}
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		if q := r.reqs[ev.Request]; q != nil && !q.ended {
 			r.finish(q, nil)
 		}
@@ -187,7 +187,7 @@
 	q.att = append(q.att, a)
 	q.out++
 	q.read = q.read || !write
-	connect := r.set.ReleaseWithin / connects * time.Duration(b2f(q.reader != nil))
+	connect := r.set.StateTTL / connects * time.Duration(b2f(q.reader != nil))
 	r.emit(Send{q.ID, s.ID, r.timeout(q, &a), connect, q.window(r.now)})
 }
 
@@ -201,7 +201,7 @@
 	if r.shed > jamFrom {
 		return max(q.aimAt()-r.now, margin)
 	}
-	if r.set.MaxAttempts-len(q.att) < more || a.write && q.class.Effect != Safe {
+	if r.set.MaxAttempts-len(q.att) < more || a.write && q.class.Idempotency != Idempotent {
 		return 0
 	}
 	limit := max(least, seconds(patience*usual))
@@ -211,7 +211,7 @@
 	return limit
 }
 
-func (r *Router) first(ev First) {
+func (r *Router) first(ev FirstToken) {
 	q := r.reqs[ev.Request]
 	if q == nil || ev.Attempt < 0 || ev.Attempt >= len(q.att) {
 		return
@@ -219,7 +219,7 @@
 	a := &q.att[ev.Attempt]
 	q.started, q.reader = true, nil
 	r.feel(q, r.now > q.aimAt())
-	if a.s.role == Writer {
+	if a.s.role == RoleDecode {
 		a.s.slow += slowGain * (ev.Elapsed.Seconds()/r.firstTime - a.s.slow)
 		r.firstTime += 0.05 * (ev.Elapsed.Seconds() - r.firstTime)
 	}
@@ -242,12 +242,12 @@
 	r.settle(q, a, ev)
 	switch {
 	case q.ended:
-		if ev.Result == ReadDone || a.write && q.read && !q.started && !a.off { // nobody will fetch it
-			r.emit(Release{q.ID})
+		if ev.Result == PrefillDone || a.write && q.read && !q.started && !a.off { // nobody will fetch it
+			r.emit(ReleaseState{q.ID})
 		}
-	case ev.Over || ev.Result == Served:
+	case ev.RequestDone || ev.Result == Served:
 		r.finish(q, nil)
-	case ev.Result == ReadDone:
+	case ev.Result == PrefillDone:
 		q.reader = a.s
 		r.holdState(q)
 		r.place(q)
@@ -272,28 +272,28 @@
 	s.tokens = max(s.tokens-a.charge, 0)
 	r.hear(a, ev.Result != TimedOut && ev.Result != Cancelled && ev.Result != ConnectFailed)
 	switch ev.Result {
-	case ReadDone:
+	case PrefillDone:
 		r.readDone(q, a, ev)
 	case Served:
 		s.count++
-	case Errored, Reset, Broken: // one connection may break under a server that is well
+	case EngineError, ConnectionReset, RequestIncomplete: // one connection may break under a server that is well
 		r.learn(s, q, true, failGain, false)
 	case TimedOut:
 		r.compare(a, a.ahead, ev.Elapsed)
 		s.slow += slowGain * (patience - s.slow)
-		r.learn(s, q, r.now < q.Due || a.at+time.Second < r.now, failGain, false)
+		r.learn(s, q, r.now < q.Deadline || a.at+time.Second < r.now, failGain, false)
 		if a.write {
 			r.firstTime += 0.02 * (ev.Elapsed.Seconds() - r.firstTime)
 		}
 	case ConnectFailed:
 		r.learn(s, q, true, 2*failGain, false)
-	case Turned:
-		if !ev.NoState {
+	case Rejected:
+		if !ev.StateMissing {
 			s.full, r.turnedAt = r.now+fullPause, r.now
 			r.turned(s, q, true)
 		}
 	}
-	mayHaveRun := slices.Contains([]Result{Errored, TimedOut, Reset, Cancelled}, ev.Result)
+	mayHaveRun := slices.Contains([]Result{EngineError, TimedOut, ConnectionReset, Cancelled}, ev.Result)
 	if a.write && mayHaveRun && !q.ran {
 		q.ran, q.ranOn, q.ranAt = true, s, a.at
 	}
@@ -302,26 +302,26 @@
 // again decides after a failed attempt: another, or the final answer at once.
 func (r *Router) again(q *request, a *attempt, ev Outcome) {
 	// Without its state a request is read anew, where attempts are left for that and the writing.
-	last := r.set.WritersRead && len(q.att)+2 > r.set.MaxAttempts
-	waits := a.write && q.reader != nil && (!ev.NoState || last)
-	if r.stateSpent(q) && !ev.Result.NeverRan() && ev.Result != Errored {
+	last := r.set.DecodeCanPrefill && len(q.att)+2 > r.set.MaxAttempts
+	waits := a.write && q.reader != nil && (!ev.StateMissing || last)
+	if r.stateSpent(q) && !ev.Result.NeverExecuted() && ev.Result != EngineError {
 		waits = false // the writer has said nothing all the while, and the state was released
 	}
 	reason := r.exhausted(q)
-	if reason == NoReason && q.ran && (q.class.Effect == Unsafe || q.class.Effect == Keyed && !waits) {
-		reason = MayHaveRun
+	if reason == ReasonNone && q.ran && (q.class.Idempotency == NotIdempotent || q.class.Idempotency == IdempotentWithKey && !waits) {
+		reason = ReasonMayHaveRun
 	}
 	switch {
-	case reason != NoReason:
+	case reason != ReasonNone:
 		r.finish(q, r.no(q, len(r.held), reason))
 	case waits:
-		if ev.Result == Turned || ev.Result == Errored { // the write arrived, and the state waited for it
+		if ev.Result == Rejected || ev.Result == EngineError { // the write arrived, and the state waited for it
 			r.holdState(q)
 		}
 		r.place(q)
 	default:
-		if q.reader != nil && !ev.NoState {
-			r.emit(Release{q.ID})
+		if q.reader != nil && !ev.StateMissing {
+			r.emit(ReleaseState{q.ID})
 		}
 		q.reader = nil
 		r.hold(q)
@@ -331,14 +331,14 @@
 // exhausted tells why no further attempt of q can be of use; NoReason: one can.
 func (r *Router) exhausted(q *request) Reason {
 	switch {
-	case r.now >= q.Due:
-		return DeadlineNear
+	case r.now >= q.Deadline:
+		return ReasonDeadline
 	case len(q.att) >= r.set.MaxAttempts:
-		return NoAttemptLeft
+		return ReasonAttemptsExhausted
 	case r.jammed(q):
-		return AimMissed
+		return ReasonObjectiveMissed
 	}
-	return NoReason
+	return ReasonNone
 }
 
 // no is the final answer to a request that is given up: a refusal where trying again is harmless, else a
@@ -346,11 +346,11 @@
 // failed on arrival; so a refusal of one is handed up by the client, and its user asks anew.
 func (r *Router) no(q *request, waiting int, reason Reason) Action {
 	risky := q.ran || slices.ContainsFunc(q.att, func(a attempt) bool { return a.out && a.write })
-	if risky && (q.class.Effect == Unsafe || q.class.Effect == Keyed && q.class.Group != GroupAll) {
+	if risky && (q.class.Idempotency == NotIdempotent || q.class.Idempotency == IdempotentWithKey && q.class.DedupScope != DedupAll) {
 		return Fail{q.ID, false, reason}
 	}
-	wait := min(max(pauseLeast, time.Duration(waiting)*10*time.Millisecond), r.set.MaxWait)
-	return Refuse{q.ID, wait, q.class.Effect == Unsafe, reason}
+	wait := min(max(pauseLeast, time.Duration(waiting)*10*time.Millisecond), r.set.MaxRetryAfter)
+	return Reject{q.ID, wait, q.class.Idempotency == NotIdempotent, reason}
 }
 
 // finish is the one place where a request ends. It answers, calls off what is out and lets go of what is
@@ -370,7 +370,7 @@
 		}
 	}
 	if q.read && !q.started {
-		r.emit(Release{q.ID})
+		r.emit(ReleaseState{q.ID})
 	}
 	r.unhold(q)
 	r.parked = without(r.parked, q)
