--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -13,16 +13,16 @@
 type world struct {
 	t       *testing.T
 	rnd     *rand.Rand
-	set     Settings
+	set     Config
 	r       *Router
 	now     time.Duration
 	next    RequestID
 	all     map[RequestID]*life
 	open    map[RequestID]*life // not settled yet
-	servers map[ServerID]Server
-	barred  map[ServerID]time.Duration // told to stop, since
+	servers map[EndpointID]Endpoint
+	barred  map[EndpointID]time.Duration // told to stop, since
 	future  []planned
-	sent    map[ServerID][]time.Duration
+	sent    map[EndpointID][]time.Duration
 	log     []string
 }
 
@@ -43,7 +43,7 @@
 }
 
 type try struct {
-	server ServerID
+	server EndpointID
 	out    bool
 	write  bool
 	ran    bool // may have run
@@ -53,29 +53,29 @@
 	arrived bool
 }
 
-func newWorld(t *testing.T, set Settings, seed int64, n int) *world {
+func newWorld(t *testing.T, set Config, seed int64, n int) *world {
 	w := &world{t: t, rnd: rand.New(rand.NewSource(seed)), set: set, now: time.Hour, all: map[RequestID]*life{},
 		open:    map[RequestID]*life{},
-		servers: map[ServerID]Server{}, barred: map[ServerID]time.Duration{}, sent: map[ServerID][]time.Duration{}}
+		servers: map[EndpointID]Endpoint{}, barred: map[EndpointID]time.Duration{}, sent: map[EndpointID][]time.Duration{}}
 	r, err := New(set, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.r = r
-	var list []Server
+	var list []Endpoint
 	for i := range n {
-		s := Server{ID: ServerID(100 + 7*i), Kind: i % len(set.Kinds), Zone: i % 2, Cell: i % 3, State: Ready}
+		s := Endpoint{ID: EndpointID(100 + 7*i), Kind: i % len(set.Kinds), Zone: i % 2, Cell: i % 3, State: EndpointReady}
 		w.servers[s.ID] = s
 		list = append(list, s)
 	}
-	w.act(w.r.Step(w.now, []Event{ServerList{Scope: Cached, Servers: list}}))
+	w.act(w.r.Step(w.now, []Event{EndpointList{Scope: ListCached, Endpoints: list}}))
 	return w
 }
 
 // ids lists the servers in a fixed order, for the seeded draws.
-func (w *world) ids() []ServerID {
-	var out []ServerID
-	for id := ServerID(100); int(id) < 100+7*len(w.servers); id += 7 {
+func (w *world) ids() []EndpointID {
+	var out []EndpointID
+	for id := EndpointID(100); int(id) < 100+7*len(w.servers); id += 7 {
 		out = append(out, id)
 	}
 	return out
@@ -117,15 +117,15 @@
 	w.next++
 	c := w.rnd.Intn(len(w.set.Classes))
 	q := Request{ID: w.next, Class: c, Session: uint64(w.rnd.Intn(40)), Prefix: uint64(w.rnd.Intn(6)),
-		PromptLen: float64(100 + w.rnd.Intn(8000)), MaxOut: 300, Tenant: w.rnd.Intn(3),
-		Due: w.now + time.Duration(300+w.rnd.Intn(4000))*ms}
+		PromptTokens: float64(100 + w.rnd.Intn(8000)), MaxOutputTokens: 300, Tenant: w.rnd.Intn(3),
+		Deadline: w.now + time.Duration(300+w.rnd.Intn(4000))*ms}
 	if w.rnd.Intn(30) == 0 {
-		q.PromptLen *= 40
+		q.PromptTokens *= 40
 	}
 	w.all[q.ID] = &life{req: q, class: w.set.Classes[c]}
 	w.open[q.ID] = w.all[q.ID]
 	if w.rnd.Intn(20) == 0 {
-		w.plan(time.Duration(w.rnd.Intn(1000))*ms, ClientGone{Request: q.ID})
+		w.plan(time.Duration(w.rnd.Intn(1000))*ms, ClientDisconnected{Request: q.ID})
 	}
 	return q
 }
@@ -135,19 +135,19 @@
 	s := w.servers[ids[w.rnd.Intn(len(ids))]]
 	switch w.rnd.Intn(3) {
 	case 0:
-		s.State = Draining
+		s.State = EndpointDraining
 	case 1:
-		s.State = Gone
+		s.State = EndpointGone
 	default:
-		s.State, s.ReadyAt = Ready, w.now-time.Duration(w.rnd.Intn(3000))*ms
+		s.State, s.StartedAt = EndpointReady, w.now-time.Duration(w.rnd.Intn(3000))*ms
 	}
 	w.servers[s.ID] = s
-	if s.State == Ready {
+	if s.State == EndpointReady {
 		delete(w.barred, s.ID)
 	} else {
 		w.barred[s.ID] = w.now
 	}
-	return ServerList{Scope: Changes, Servers: []Server{s}}
+	return EndpointList{Scope: ListChanges, Endpoints: []Endpoint{s}}
 }
 
 func (w *world) plan(after time.Duration, ev Event) {
@@ -163,11 +163,11 @@
 			continue
 		}
 		switch ev := p.ev.(type) {
-		case ClientGone:
+		case ClientDisconnected:
 			if l := w.all[ev.Request]; l.ended || l.started {
 				continue
 			}
-		case First:
+		case FirstToken:
 			l := w.all[ev.Request]
 			if l.ended || l.started {
 				continue
@@ -187,22 +187,22 @@
 func (w *world) note(evs []Event) {
 	for i, ev := range evs {
 		switch ev := ev.(type) {
-		case ClientGone:
+		case ClientDisconnected:
 			w.all[ev.Request].ended = true
-		case First:
+		case FirstToken:
 			l := w.all[ev.Request]
 			l.started, l.held = true, false // the state was fetched
 		case Outcome:
 			l := w.all[ev.Request]
 			a := &l.atts[ev.Attempt]
 			a.out = false
-			a.ran = a.write && (ev.Result == Errored || ev.Result == TimedOut || ev.Result == Reset || ev.Result == Cancelled)
+			a.ran = a.write && (ev.Result == EngineError || ev.Result == TimedOut || ev.Result == ConnectionReset || ev.Result == Cancelled)
 			switch {
-			case ev.Result == ReadDone:
+			case ev.Result == PrefillDone:
 				l.held, l.heldFrom = true, w.now
 			case ev.Result == Served:
 				l.ended, l.held = true, false
-			case ev.NoState:
+			case ev.StateMissing:
 				l.held = false
 			case a.arrived: // what waited for it waits on
 				l.heldFrom = w.now
@@ -211,7 +211,7 @@
 			if l.started {
 				l.ended = true
 			}
-			ev.Over = l.ended
+			ev.RequestDone = l.ended
 			evs[i] = ev
 		}
 	}
@@ -234,11 +234,11 @@
 		switch a := a.(type) {
 		case Send:
 			w.send(a)
-		case Refuse:
+		case Reject:
 			w.answer(a.Request, true)
 		case Fail:
 			w.answer(a.Request, false)
-		case Release:
+		case ReleaseState:
 			if l := w.all[a.Request]; !l.waitedFor() {
 				l.held = false
 			}
@@ -246,9 +246,9 @@
 			l := w.all[a.Request]
 			l.atts[a.Attempt].arrived = false // an engine drops at once what waits for its state
 			if l.atts[a.Attempt].out {
-				w.plan(ms, Outcome{Request: a.Request, Attempt: a.Attempt, Server: l.atts[a.Attempt].server, Result: Cancelled})
+				w.plan(ms, Outcome{Request: a.Request, Attempt: a.Attempt, Endpoint: l.atts[a.Attempt].server, Result: Cancelled})
 			}
-		case Wake:
+		case SetTimer:
 			w.plan(a.After, Timer{Tag: a.Tag})
 		}
 	}
@@ -256,12 +256,12 @@
 
 func (w *world) send(a Send) {
 	l := w.all[a.Request]
-	s := w.servers[a.Server]
+	s := w.servers[a.Endpoint]
 	if l == nil || l.ended {
 		w.fail("sent %d after its end", a.Request)
 	}
-	if from, ok := w.barred[a.Server]; ok && w.now-from > w.set.DrainGrace {
-		w.fail("sent %d to server %d, told to stop at %v", a.Request, a.Server, from)
+	if from, ok := w.barred[a.Endpoint]; ok && w.now-from > w.set.DrainGrace {
+		w.fail("sent %d to server %d, told to stop at %v", a.Request, a.Endpoint, from)
 	}
 	if len(l.atts) >= w.set.MaxAttempts {
 		w.fail("request %d: attempt %d", a.Request, len(l.atts))
@@ -274,66 +274,66 @@
 			continue
 		}
 		same := w.servers[t.server].Cell == s.Cell
-		if l.class.Effect == Unsafe || l.class.Effect == Keyed && (!same || w.now-t.at > l.class.Window) {
-			w.fail("request %d of class %s sent again to server %d", a.Request, l.class.Name, a.Server)
+		if l.class.Idempotency == NotIdempotent || l.class.Idempotency == IdempotentWithKey && (!same || w.now-t.at > l.class.DedupWindow) {
+			w.fail("request %d of class %s sent again to server %d", a.Request, l.class.Name, a.Endpoint)
 		}
 	}
 	w.cold(s)
-	write := w.set.Kinds[s.Kind].Role != Reader
-	l.atts = append(l.atts, try{server: a.Server, out: true, write: write, at: w.now})
+	write := w.set.Kinds[s.Kind].Role != RolePrefill
+	l.atts = append(l.atts, try{server: a.Endpoint, out: true, write: write, at: w.now})
 	w.outcome(a, l, write)
 }
 
 // cold checks that a server told to be cold gets one request a window where nothing is known of its peers' work, and
 // no more than warm peers' sends allow otherwise; a crude upper bound that a flood would break.
-func (w *world) cold(s Server) {
-	if s.ReadyAt == 0 || w.now-s.ReadyAt > w.set.ColdFor {
+func (w *world) cold(s Endpoint) {
+	if s.StartedAt == 0 || w.now-s.StartedAt > w.set.SlowStartFor {
 		return
 	}
 	recent := w.sent[s.ID][:0]
 	for _, at := range w.sent[s.ID] {
-		if w.now-at < w.set.TipAfter {
+		if w.now-at < w.set.OverloadAfter {
 			recent = append(recent, at)
 		}
 	}
 	w.sent[s.ID] = append(recent, w.now)
 	if len(w.sent[s.ID]) > 25 {
-		w.fail("cold server %d got %d sends in %v", s.ID, len(w.sent[s.ID]), w.set.TipAfter)
+		w.fail("cold server %d got %d sends in %v", s.ID, len(w.sent[s.ID]), w.set.OverloadAfter)
 	}
 }
 
 func (w *world) outcome(a Send, l *life, write bool) {
-	o, begins := Outcome{Request: a.Request, Attempt: len(l.atts) - 1, Server: a.Server}, false
+	o, begins := Outcome{Request: a.Request, Attempt: len(l.atts) - 1, Endpoint: a.Endpoint}, false
 	after := time.Duration(1+w.rnd.Intn(400)) * ms
 	switch k := w.rnd.Intn(21); {
 	case k < 13 && !write:
-		o.Result = ReadDone
+		o.Result = PrefillDone
 	case k < 13:
 		begins = true
-		w.plan(after, First{Request: a.Request, Attempt: o.Attempt, Server: a.Server, Elapsed: after})
+		w.plan(after, FirstToken{Request: a.Request, Attempt: o.Attempt, Endpoint: a.Endpoint, Elapsed: after})
 		o.Result = Served
 		if w.rnd.Intn(4) == 0 {
-			o.Result = Reset
+			o.Result = ConnectionReset
 		}
 		after += time.Duration(w.rnd.Intn(2000)) * ms
 	case k == 13:
 		after = time.Hour // silent
 	default:
-		o.Result = []Result{Errored, Turned, ConnectFailed, Reset, NotSent, Turned, Broken}[k-14]
-		o.NoState = o.Result == Turned && write && k == 19
-		if o.Result.NeverRan() && o.Result != Turned && a.Connect > 0 {
-			after = min(after, a.Connect)
+		o.Result = []Result{EngineError, Rejected, ConnectFailed, ConnectionReset, NotSent, Rejected, RequestIncomplete}[k-14]
+		o.StateMissing = o.Result == Rejected && write && k == 19
+		if o.Result.NeverExecuted() && o.Result != Rejected && a.ConnectTimeout > 0 {
+			after = min(after, a.ConnectTimeout)
 		}
 	}
-	limit := l.req.Due - w.now
+	limit := l.req.Deadline - w.now
 	if a.Timeout > 0 && a.Timeout < limit {
 		limit = a.Timeout
 	}
-	if after > limit && !(o.Result == Served || o.Result == Reset && write) || after > time.Minute {
-		after, o.Result, o.NoState = max(limit, 0), TimedOut, false
-	} else if (o.Result == Served || o.Result == Reset) && after > limit {
+	if after > limit && !(o.Result == Served || o.Result == ConnectionReset && write) || after > time.Minute {
+		after, o.Result, o.StateMissing = max(limit, 0), TimedOut, false
+	} else if (o.Result == Served || o.Result == ConnectionReset) && after > limit {
 		l.atts[o.Attempt].arrived = write
-		w.plan(limit+ms, Outcome{Request: o.Request, Attempt: o.Attempt, Server: o.Server, Result: TimedOut, Elapsed: limit})
+		w.plan(limit+ms, Outcome{Request: o.Request, Attempt: o.Attempt, Endpoint: o.Endpoint, Result: TimedOut, Elapsed: limit})
 		w.future = dropFirst(w.future, o)
 		return
 	}
@@ -343,12 +343,12 @@
 }
 
 // arrives tells of the end that is drawn for a write that it reached a writer which runs. A silent one, or one that breaks, never did.
-func arrives(r Result) bool { return r == Served || r == Errored || r == Turned }
+func arrives(r Result) bool { return r == Served || r == EngineError || r == Rejected }
 
 // dropFirst takes back the First of an attempt that will time out.
 func dropFirst(ps []planned, o Outcome) []planned {
 	for i, p := range ps {
-		if f, ok := p.ev.(First); ok && f.Request == o.Request && f.Attempt == o.Attempt {
+		if f, ok := p.ev.(FirstToken); ok && f.Request == o.Request && f.Attempt == o.Attempt {
 			return append(ps[:i], ps[i+1:]...)
 		}
 	}
@@ -363,7 +363,7 @@
 	l.ended = true
 	for _, t := range l.atts {
 		risky := t.write && (t.out || t.ran)
-		if refused && risky && l.class.Effect != Safe {
+		if refused && risky && l.class.Idempotency != Idempotent {
 			w.fail("request %d of class %s refused though it may have run", id, l.class.Name)
 		}
 	}
@@ -372,14 +372,14 @@
 // check holds the clock against what is owed and what is held.
 func (w *world) check() {
 	for id, l := range w.open {
-		if !l.ended && !l.started && w.now > l.req.Due+25*ms {
+		if !l.ended && !l.started && w.now > l.req.Deadline+25*ms {
 			w.fail("request %d not answered by its time", id)
 		}
 		out := false
 		for _, t := range l.atts {
 			out = out || t.out
 		}
-		if l.held && !l.waitedFor() && w.now-l.heldFrom > w.set.ReleaseWithin {
+		if l.held && !l.waitedFor() && w.now-l.heldFrom > w.set.StateTTL {
 			w.fail("request %d keeps its state, and no write has arrived", id)
 		}
 		if l.ended && !l.held && !out {
@@ -388,9 +388,9 @@
 	}
 }
 
-func ruleSettings() Settings {
+func ruleSettings() Config {
 	s := testSettings()
-	s.Fronts, s.DrainGrace, s.ReleaseWithin = 2, 0, 300*ms
+	s.Replicas, s.DrainGrace, s.StateTTL = 2, 0, 300*ms
 	s.Tenants = []Tenant{{QuotaPerS: 10}, {QuotaPerS: 3}, {QuotaPerS: 0}}
 	return s
 }
@@ -401,7 +401,7 @@
 			t.Run(fmt.Sprintf("seed %d at %.2f", seed, arrivals), func(t *testing.T) {
 				set := ruleSettings()
 				set.CanCancel = seed%2 == 0
-				set.WritersRead = seed%3 == 0
+				set.DecodeCanPrefill = seed%3 == 0
 				newWorld(t, set, seed, 2+int(seed)%9).run(2500, arrivals)
 			})
 		}
@@ -441,20 +441,20 @@
 	for class, c := range s.Classes {
 		g := newRig(t, s, reader(1), writer(2))
 		q := g.request(1, class, 500)
-		q.Doubtful = true
+		q.PossibleDuplicate = true
 		acts := g.step(q)
 		fails, sends := pick[Fail](acts), pick[Send](acts)
-		if c.Effect == Unsafe != (len(fails) == 1 && fails[0].Earlier) || c.Effect == Unsafe == (len(sends) == 1) {
+		if c.Idempotency == NotIdempotent != (len(fails) == 1 && fails[0].PossibleDuplicate) || c.Idempotency == NotIdempotent == (len(sends) == 1) {
 			t.Errorf("%s: %+v", c.Name, acts)
 		}
-		if c.Effect == Unsafe && len(g.r.reqs) != 0 {
+		if c.Idempotency == NotIdempotent && len(g.r.reqs) != 0 {
 			t.Errorf("%s: it is remembered after its answer", c.Name)
 		}
 		g = newRig(t, s, reader(1)) // nothing writes
 		acts = g.step(g.request(2, class, 500))
 		for range 1000 {
-			if r := pick[Refuse](acts); len(r) == 1 {
-				if r[0].HandUp != (c.Effect == Unsafe) {
+			if r := pick[Reject](acts); len(r) == 1 {
+				if r[0].NoAutoRetry != (c.Idempotency == NotIdempotent) {
 					t.Errorf("%s: %+v", c.Name, r[0])
 				}
 				break
@@ -472,35 +472,35 @@
 func TestServerChangesKind(t *testing.T) {
 	g := newRig(t, testSettings(), reader(1), writer(2))
 	for id := RequestID(1); id <= 3; id++ {
-		if s := pick[Send](g.step(g.request(id, 0, 500))); len(s) != 1 || s[0].Server != 1 {
+		if s := pick[Send](g.step(g.request(id, 0, 500))); len(s) != 1 || s[0].Endpoint != 1 {
 			t.Fatalf("%v", s)
 		}
 	}
-	acts := g.step(Outcome{Request: 1, Server: 1, Result: ReadDone, Elapsed: 20 * ms})
-	if s := pick[Send](acts); len(s) != 1 || s[0].Server != 2 {
+	acts := g.step(Outcome{Request: 1, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
+	if s := pick[Send](acts); len(s) != 1 || s[0].Endpoint != 2 {
 		t.Fatalf("%v", acts)
 	}
 	draining := reader(1)
-	draining.State = Draining
-	g.step(ServerList{Scope: Changes, Servers: []Server{draining, reader(3)}})
+	draining.State = EndpointDraining
+	g.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{draining, reader(3)}})
 	turned := writer(1)
-	turned.ReadyAt = g.now
-	g.step(ServerList{Scope: Changes, Servers: []Server{turned}})
-	if s := pick[Send](g.step(g.request(4, 0, 500))); len(s) != 1 || s[0].Server != 3 {
+	turned.StartedAt = g.now
+	g.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{turned}})
+	if s := pick[Send](g.step(g.request(4, 0, 500))); len(s) != 1 || s[0].Endpoint != 3 {
 		t.Errorf("a prompt goes to %v", s)
 	}
 	for id := RequestID(2); id <= 3; id++ { // these were read before it changed
-		acts := g.step(Outcome{Request: id, Server: 1, Result: ReadDone, Elapsed: 30 * ms})
-		if s := pick[Send](acts); len(s) != 1 || s[0].Server == 3 {
+		acts := g.step(Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 30 * ms})
+		if s := pick[Send](acts); len(s) != 1 || s[0].Endpoint == 3 {
 			t.Errorf("the state read at the changed server goes to %v", acts)
 		}
 	}
 	for id := RequestID(1); id <= 3; id++ {
 		to := g.r.reqs[id].att[1].s.ID
-		g.step(First{Request: id, Attempt: 1, Server: to, Elapsed: 20 * ms})
-		g.step(Outcome{Request: id, Attempt: 1, Server: to, Result: Served, Over: true, Elapsed: 50 * ms})
+		g.step(FirstToken{Request: id, Attempt: 1, Endpoint: to, Elapsed: 20 * ms})
+		g.step(Outcome{Request: id, Attempt: 1, Endpoint: to, Result: Served, RequestDone: true, Elapsed: 50 * ms})
 	}
-	if s := g.r.byID[1]; s.n != 0 || s.tokens != 0 || s.unread != 0 || s.waits != 0 || s.role != Writer {
+	if s := g.r.byID[1]; s.n != 0 || s.tokens != 0 || s.unread != 0 || s.waits != 0 || s.role != RoleDecode {
 		t.Errorf("%d out, %.0f tokens, %.0f unread, %d waiting at a server with nothing to do", s.n, s.tokens, s.unread, s.waits)
 	}
 }
--- a/routing/scale_test.go
+++ b/routing/scale_test.go
@@ -11,17 +11,17 @@
 type fleet struct {
 	rnd  *rand.Rand
 	rigs []*rig
-	sent map[ServerID]int
+	sent map[EndpointID]int
 	next RequestID
-	kind map[ServerID]Role
-	bad  map[ServerID]bool // these fail or turn away every other attempt, so that further ones follow
-	more int               // further attempts, beyond a read and a write
+	kind map[EndpointID]Role
+	bad  map[EndpointID]bool // these fail or turn away every other attempt, so that further ones follow
+	more int                 // further attempts, beyond a read and a write
 }
 
-func newFleet(t *testing.T, s Settings, fronts int, servers []Server) *fleet {
+func newFleet(t *testing.T, s Config, fronts int, servers []Endpoint) *fleet {
 	t.Helper()
-	f := &fleet{rnd: rand.New(rand.NewSource(int64(fronts))), sent: map[ServerID]int{}, kind: map[ServerID]Role{}}
-	s.Fronts = fronts
+	f := &fleet{rnd: rand.New(rand.NewSource(int64(fronts))), sent: map[EndpointID]int{}, kind: map[EndpointID]Role{}}
+	s.Replicas = fronts
 	for _, e := range servers {
 		f.kind[e.ID] = s.Kinds[e.Kind].Role
 	}
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		g := &rig{t: t, r: r, now: time.Minute}
-		g.step(ServerList{Scope: Cached, Servers: servers})
+		g.step(EndpointList{Scope: ListCached, Endpoints: servers})
 		f.rigs = append(f.rigs, g)
 	}
 	return f
@@ -49,37 +49,37 @@
 		for a := 0; ; a++ {
 			sends := pick[Send](acts)
 			if len(sends) == 0 {
-				refused += len(pick[Refuse](acts))
-				acts = g.step(ClientGone{f.next})
+				refused += len(pick[Reject](acts))
+				acts = g.step(ClientDisconnected{f.next})
 				break
 			}
-			f.sent[sends[0].Server]++
-			if f.bad[sends[0].Server] && f.rnd.Intn(2) == 0 {
+			f.sent[sends[0].Endpoint]++
+			if f.bad[sends[0].Endpoint] && f.rnd.Intn(2) == 0 {
 				f.more++
-				acts = g.step(Outcome{Request: f.next, Attempt: a, Server: sends[0].Server, Result: []Result{Errored, Turned, Reset}[f.rnd.Intn(3)], Elapsed: 10 * ms})
+				acts = g.step(Outcome{Request: f.next, Attempt: a, Endpoint: sends[0].Endpoint, Result: []Result{EngineError, Rejected, ConnectionReset}[f.rnd.Intn(3)], Elapsed: 10 * ms})
 				continue
 			}
-			if f.kind[sends[0].Server] == Reader {
-				acts = g.step(Outcome{Request: f.next, Attempt: a, Server: sends[0].Server, Result: ReadDone, Elapsed: 20 * ms})
+			if f.kind[sends[0].Endpoint] == RolePrefill {
+				acts = g.step(Outcome{Request: f.next, Attempt: a, Endpoint: sends[0].Endpoint, Result: PrefillDone, Elapsed: 20 * ms})
 				continue
 			}
-			g.step(First{Request: f.next, Attempt: a, Server: sends[0].Server, Elapsed: 20 * ms})
-			g.step(Outcome{Request: f.next, Attempt: a, Server: sends[0].Server, Result: Served, Over: true, Elapsed: 50 * ms})
+			g.step(FirstToken{Request: f.next, Attempt: a, Endpoint: sends[0].Endpoint, Elapsed: 20 * ms})
+			g.step(Outcome{Request: f.next, Attempt: a, Endpoint: sends[0].Endpoint, Result: Served, RequestDone: true, Elapsed: 50 * ms})
 			break
 		}
 	}
 	return refused
 }
 
-func pool(readers, writers int) []Server {
-	var out []Server
+func pool(readers, writers int) []Endpoint {
+	var out []Endpoint
 	for i := range readers {
-		s := reader(ServerID(100 + i))
+		s := reader(EndpointID(100 + i))
 		s.Cell = i / 4
 		out = append(out, s)
 	}
 	for i := range writers {
-		s := writer(ServerID(500 + i))
+		s := writer(EndpointID(500 + i))
 		s.Cell = i / 4
 		out = append(out, s)
 	}
@@ -104,7 +104,7 @@
 				prefix := func() uint64 { return uint64(f.rnd.Intn(200)) }
 				f.play(2400, 30*time.Second, prefix)
 				if cold == nil {
-					f.sent, prefix = map[ServerID]int{}, func() uint64 { return 7 }
+					f.sent, prefix = map[EndpointID]int{}, func() uint64 { return 7 }
 					f.play(100, 0, prefix)
 					home := 0
 					for i := range 12 {
@@ -114,18 +114,18 @@
 					}
 					cold = func(i int) bool { return i == home }
 				}
-				f.sent = map[ServerID]int{}
+				f.sent = map[EndpointID]int{}
 				for i := range servers {
 					if cold(i) {
-						servers[i].ReadyAt = time.Minute + 30*time.Second
+						servers[i].StartedAt = time.Minute + 30*time.Second
 						colds++
 					}
 				}
 				for _, g := range f.rigs {
 					g.now = time.Minute + 30*time.Second
-					g.step(ServerList{Scope: Full, Servers: servers})
+					g.step(EndpointList{Scope: ListFull, Endpoints: servers})
 				}
-				f.play2(240, 30*time.Second, s.TipAfter*2, prefix)
+				f.play2(240, 30*time.Second, s.OverloadAfter*2, prefix)
 				total := 0
 				for i, e := range servers {
 					if !cold(i) {
@@ -133,7 +133,7 @@
 					}
 					total += f.sent[e.ID]
 					even := 240.0 / 12
-					if f.kind[e.ID] == Writer {
+					if f.kind[e.ID] == RoleDecode {
 						even = 240.0 / 24
 					}
 					if limit := s.OverloadFactor * 0.4 * even; float64(f.sent[e.ID]) > limit {
@@ -200,10 +200,10 @@
 			return uint64(100 + f.rnd.Intn(300))
 		})
 		readers := func(n int, key uint64) (most, used int) {
-			f.sent = map[ServerID]int{}
+			f.sent = map[EndpointID]int{}
 			f.play(n, 0, func() uint64 { return key })
 			for id, got := range f.sent {
-				if f.kind[id] == Reader {
+				if f.kind[id] == RolePrefill {
 					most, used = max(most, got), used+b2i(got > 0)
 				}
 			}
@@ -229,19 +229,19 @@
 			q := g.request(id, 0, 500)
 			q.Session, q.Prefix = 1, 1
 			acts := g.after(300*ms, q)
-			if rs := pick[Refuse](acts); len(rs) > 0 {
-				if rs[0].Wait <= 0 {
+			if rs := pick[Reject](acts); len(rs) > 0 {
+				if rs[0].RetryAfter <= 0 {
 					t.Fatal("refused with no advice")
 				}
 				refused++
 				continue
 			}
-			acts = g.after(20*ms, Outcome{Request: id, Server: 1, Result: ReadDone, Elapsed: 20 * ms})
+			acts = g.after(20*ms, Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
 			if len(pick[Send](acts)) == 0 {
 				t.Fatalf("read and not sent on: %+v", acts)
 			}
-			g.after(took, First{Request: id, Attempt: 1, Server: 2, Elapsed: took})
-			g.after(ms, Outcome{Request: id, Attempt: 1, Server: 2, Result: Served, Over: true, Elapsed: took})
+			g.after(took, FirstToken{Request: id, Attempt: 1, Endpoint: 2, Elapsed: took})
+			g.after(ms, Outcome{Request: id, Attempt: 1, Endpoint: 2, Result: Served, RequestDone: true, Elapsed: took})
 		}
 		return refused
 	}
@@ -259,19 +259,19 @@
 
 func benchmarkStep(b *testing.B, readers, writers int) {
 	s := testSettings()
-	s.Fronts = 300
+	s.Replicas = 300
 	r, err := New(s, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := time.Minute
-	r.Step(now, []Event{ServerList{Scope: Full, Servers: pool(readers, writers)}})
+	r.Step(now, []Event{EndpointList{Scope: ListFull, Endpoints: pool(readers, writers)}})
 	for i := range b.N {
 		now += 20 * ms
 		id := RequestID(i + 1)
-		r.Step(now, []Event{Request{ID: id, Session: uint64(i), Prefix: uint64(i % 50), PromptLen: 1500, MaxOut: 200,
-			Due: now + 5*time.Second}})
-		r.Step(now, []Event{ClientGone{id}})
+		r.Step(now, []Event{Request{ID: id, Session: uint64(i), Prefix: uint64(i % 50), PromptTokens: 1500, MaxOutputTokens: 200,
+			Deadline: now + 5*time.Second}})
+		r.Step(now, []Event{ClientDisconnected{id}})
 	}
 }
 
@@ -280,41 +280,41 @@
 	g := newRig(t, testSettings(), reader(1), writer(2), writer(3))
 	g.after(30 * time.Second)
 	acts := g.step(g.request(1, 0, 500))
-	acts = g.after(20*ms, Outcome{Request: 1, Server: one[Send](t, acts).Server, Result: ReadDone, Elapsed: 20 * ms})
-	bad := one[Send](t, acts).Server
-	g.after(20*ms, Outcome{Request: 1, Attempt: 1, Server: bad, Result: Errored, Elapsed: 20 * ms})
-	g.after(20*ms, Outcome{Request: 1, Attempt: 2, Server: 5 - bad, Result: Served, Over: true, Elapsed: 20 * ms})
+	acts = g.after(20*ms, Outcome{Request: 1, Endpoint: one[Send](t, acts).Endpoint, Result: PrefillDone, Elapsed: 20 * ms})
+	bad := one[Send](t, acts).Endpoint
+	g.after(20*ms, Outcome{Request: 1, Attempt: 1, Endpoint: bad, Result: EngineError, Elapsed: 20 * ms})
+	g.after(20*ms, Outcome{Request: 1, Attempt: 2, Endpoint: 5 - bad, Result: Served, RequestDone: true, Elapsed: 20 * ms})
 	for id := RequestID(2); id < 8; id++ {
 		acts = g.after(time.Second, g.request(id, 0, 500))
-		acts = g.after(20*ms, Outcome{Request: id, Server: 1, Result: ReadDone, Elapsed: 20 * ms})
-		if s := one[Send](t, acts).Server; s == bad {
+		acts = g.after(20*ms, Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
+		if s := one[Send](t, acts).Endpoint; s == bad {
 			t.Fatalf("request %d went to the writer that failed", id)
 		}
-		g.after(20*ms, Outcome{Request: id, Attempt: 1, Server: 5 - bad, Result: Served, Over: true, Elapsed: 20 * ms})
+		g.after(20*ms, Outcome{Request: id, Attempt: 1, Endpoint: 5 - bad, Result: Served, RequestDone: true, Elapsed: 20 * ms})
 	}
 }
 
 // TestClassFailureKeepsTheServerForOthers: a writer that fails one class is asked last for it and still serves others.
 func TestClassFailureKeepsTheServerForOthers(t *testing.T) {
 	s := testSettings()
-	s.Classes[1].Effect = Safe
+	s.Classes[1].Idempotency = Idempotent
 	g := newRig(t, s, reader(1), writer(2), writer(3))
 	used := map[int]int{}
 	for id := RequestID(1); id <= 80; id++ {
 		class := int(id % 2)
 		acts := g.after(200*ms, g.request(id, class, 500))
-		acts = g.after(20*ms, Outcome{Request: id, Server: 1, Result: ReadDone, Elapsed: 20 * ms})
+		acts = g.after(20*ms, Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
 		for a := 1; ; a++ {
-			to := one[Send](t, acts).Server
+			to := one[Send](t, acts).Endpoint
 			if to == 2 && id > 20 {
 				used[class]++
 			}
 			if to == 2 && class == 1 {
-				acts = g.after(20*ms, Outcome{Request: id, Attempt: a, Server: to, Result: Errored, Elapsed: 20 * ms})
+				acts = g.after(20*ms, Outcome{Request: id, Attempt: a, Endpoint: to, Result: EngineError, Elapsed: 20 * ms})
 				continue
 			}
-			g.after(20*ms, First{Request: id, Attempt: a, Server: to, Elapsed: 20 * ms})
-			g.after(20*ms, Outcome{Request: id, Attempt: a, Server: to, Result: Served, Over: true, Elapsed: 40 * ms})
+			g.after(20*ms, FirstToken{Request: id, Attempt: a, Endpoint: to, Elapsed: 20 * ms})
+			g.after(20*ms, Outcome{Request: id, Attempt: a, Endpoint: to, Result: Served, RequestDone: true, Elapsed: 40 * ms})
 			break
 		}
 	}
@@ -327,7 +327,7 @@
 // its share all the same, until it sends more.
 func TestSmallTenantIsNotShutOut(t *testing.T) {
 	s := testSettings()
-	s.Fronts, s.Tenants = 300, []Tenant{{QuotaPerS: 3}}
+	s.Replicas, s.Tenants = 300, []Tenant{{QuotaPerS: 3}}
 	g := newRig(t, s, reader(1), writer(2))
 	for id := RequestID(1); id <= 4; id++ {
 		g.after(ms, g.request(id, 0, 500))
@@ -340,7 +340,7 @@
 // TestListWithAStartAhead: a start in the future counts as just started.
 func TestListWithAStartAhead(t *testing.T) {
 	e := writer(2)
-	e.ReadyAt = 2 * time.Hour
+	e.StartedAt = 2 * time.Hour
 	g := newRig(t, testSettings(), reader(1), e)
 	if p := g.r.present(g.r.byID[2]); p != 0.25 {
 		t.Fatalf("present part %v", p)
@@ -357,14 +357,14 @@
 		for a := 0; ; a++ {
 			sends := pick[Send](acts)
 			if len(sends) == 0 {
-				g.step(ClientGone{id})
+				g.step(ClientDisconnected{id})
 				break
 			}
 			if id > 40 {
 				sent++
 			}
-			acts = g.after(ms, Outcome{Request: id, Attempt: a, Server: sends[0].Server, Result: Turned, Elapsed: ms})
-			if a < 3 && len(pick[Refuse](acts)) == 0 {
+			acts = g.after(ms, Outcome{Request: id, Attempt: a, Endpoint: sends[0].Endpoint, Result: Rejected, Elapsed: ms})
+			if a < 3 && len(pick[Reject](acts)) == 0 {
 				acts = append(acts, g.after(160*ms)...)
 			}
 		}
@@ -386,25 +386,25 @@
 func TestLittleWorthForItsWorkIsRefusedFirst(t *testing.T) {
 	refused := func(byWork bool, shed float64, change func(q *Request, i int)) [2]int {
 		set := testSettings()
-		set.WorthByWork, set.OverShareWorth = byWork, 0.1
-		set.Classes[1].Effect = Safe // of twice the worth
+		set.WeightByWork, set.OverQuotaWeight = byWork, 0.1
+		set.Classes[1].Idempotency = Idempotent // of twice the worth
 		set.Tenants = []Tenant{{QuotaPerS: 1}, {}}
 		g := newRig(t, set, reader(1), writer(2))
 		var n [2]int
 		for i := range 4000 {
 			q := g.request(RequestID(i+1), 0, 600)
-			q.PrefixLen, q.Tenant = 0, 1
+			q.PrefixTokens, q.Tenant = 0, 1
 			change(&q, i%2)
 			g.r.shed = shed
-			for range pick[Refuse](g.step(q)) {
+			for range pick[Reject](g.step(q)) {
 				n[i%2]++
 			}
-			g.step(ClientGone{Request: q.ID})
+			g.step(ClientDisconnected{Request: q.ID})
 			g.now += ms
 		}
 		return n
 	}
-	long := func(q *Request, i int) { q.PromptLen += 2400 * float64(i) }
+	long := func(q *Request, i int) { q.PromptTokens += 2400 * float64(i) }
 	better := func(q *Request, i int) { q.Class = i }
 	over := func(q *Request, i int) { q.Tenant = 1 - i }
 	tests := []struct {
@@ -461,9 +461,9 @@
 		g := newRig(t, testSettings(), reader(1), reader(4), writer(2))
 		s := one[Send](t, g.step(g.request(1, 0, 500)))
 		if noState {
-			s = one[Send](t, g.after(ms, Outcome{Request: 1, Server: s.Server, Result: ReadDone, Elapsed: ms}))
+			s = one[Send](t, g.after(ms, Outcome{Request: 1, Endpoint: s.Endpoint, Result: PrefillDone, Elapsed: ms}))
 		}
-		g.after(ms, Outcome{Request: 1, Attempt: b2i(noState), Server: s.Server, Result: Turned, NoState: noState, Elapsed: ms})
+		g.after(ms, Outcome{Request: 1, Attempt: b2i(noState), Endpoint: s.Endpoint, Result: Rejected, StateMissing: noState, Elapsed: ms})
 		g.r.shed = 0.5
 		inTime := func() float64 {
 			q := &request{Request: g.request(9, 0, 500), class: &g.r.set.Classes[0], at: g.now}
@@ -498,28 +498,28 @@
 		{75, 10, 15, 0.02, 1, 0.01, 0.03}, // likewise
 	} {
 		s := testSettings()
-		s.Kinds = []Kind{{Reader, 1e6}, {Writer, 1e6}, {Mixed, 1e6 * k.memory}}
+		s.Kinds = []Kind{{RolePrefill, 1e6}, {RoleDecode, 1e6}, {RoleMixed, 1e6 * k.memory}}
 		servers := pool(k.readers, k.writers)
 		for i := range k.mixed {
-			servers = append(servers, Server{ID: ServerID(900 + i), Kind: 2, State: Ready})
+			servers = append(servers, Endpoint{ID: EndpointID(900 + i), Kind: 2, State: EndpointReady})
 		}
 		g, whole, n := newRig(t, s, servers...), 0, 2000
 		for id := range RequestID(n) {
 			q := g.request(id+1, 0, 300)
 			q.Prefix, q.Session = uint64(id), uint64(id)
 			a, took := one[Send](t, g.after(20*ms, q)), 30*ms
-			if a.Server >= 900 {
+			if a.Endpoint >= 900 {
 				whole++
 				if k.late > 1 && whole > 20 { // against what a reader and a writer take by the module's own means
 					took = seconds(k.late * (g.r.firstTime + g.r.readPace*500))
 				}
 				g.now += took
-				g.step(First{Request: q.ID, Server: a.Server, Elapsed: took}, Outcome{Request: q.ID, Server: a.Server, Result: Served, Over: true, Elapsed: took})
+				g.step(FirstToken{Request: q.ID, Endpoint: a.Endpoint, Elapsed: took}, Outcome{Request: q.ID, Endpoint: a.Endpoint, Result: Served, RequestDone: true, Elapsed: took})
 				continue
 			}
-			b := one[Send](t, g.after(took, Outcome{Request: q.ID, Server: a.Server, Result: ReadDone, Elapsed: took}))
+			b := one[Send](t, g.after(took, Outcome{Request: q.ID, Endpoint: a.Endpoint, Result: PrefillDone, Elapsed: took}))
 			g.now += took
-			g.step(First{Request: q.ID, Attempt: 1, Server: b.Server, Elapsed: took}, Outcome{Request: q.ID, Attempt: 1, Server: b.Server, Result: Served, Over: true, Elapsed: took})
+			g.step(FirstToken{Request: q.ID, Attempt: 1, Endpoint: b.Endpoint, Elapsed: took}, Outcome{Request: q.ID, Attempt: 1, Endpoint: b.Endpoint, Result: Served, RequestDone: true, Elapsed: took})
 		}
 		if part := float64(whole) / float64(n); part < k.least || part > k.most {
 			t.Errorf("%+v: mixed servers took %.3f", k, part)
@@ -529,7 +529,7 @@
 
 // TestMixedServersWhereNoWriterIsWell: what they are owed stays a number.
 func TestMixedServersWhereNoWriterIsWell(t *testing.T) {
-	g := newRig(t, testSettings(), reader(1), writer(2), Server{ID: 3, Kind: 2, State: Ready})
+	g := newRig(t, testSettings(), reader(1), writer(2), Endpoint{ID: 3, Kind: 2, State: EndpointReady})
 	g.r.aside(g.r.byID[2], "test")
 	g.r.count()
 	for id := range RequestID(4) {
--- a/routing/state.go
+++ b/routing/state.go
@@ -11,11 +11,11 @@
 
 // Router decides for one front. It is not safe for concurrent use.
 type Router struct {
-	set          Settings
+	set          Config
 	salt         uint64
 	now          time.Duration
 	out          []Action
-	byID         map[ServerID]*server
+	byID         map[EndpointID]*server
 	servers      []*server // by id
 	reqs         map[RequestID]*request
 	held         []*request     // waiting for room, no state anywhere; in release order
@@ -43,7 +43,7 @@
 	released     int           // releases since the last promotion
 	wakeAt       time.Duration // the earliest wake-up asked for and not come yet; 0 = none
 	judgeAt      time.Duration // servers are judged again
-	roles        [Mixed + 1]roleFigures
+	roles        [RoleMixed + 1]roleFigures
 	cells, zones flows
 	shed         float64 // part of new requests that is refused
 	feltAt       time.Duration
@@ -94,7 +94,7 @@
 
 // server is what this front knows of one server.
 type server struct {
-	Server
+	Endpoint
 	role   Role
 	listed bool
 	goneAt time.Duration // when it was first seen to be off the list; 0 = it is on it
@@ -165,10 +165,10 @@
 // window is how long a keyed request of which an attempt may have run may still be sent; 0 where nothing
 // bounds that.
 func (q *request) window(now time.Duration) time.Duration {
-	if !q.ran || q.class.Effect != Keyed {
+	if !q.ran || q.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
-	return q.ranAt + q.class.Window - now
+	return q.ranAt + q.class.DedupWindow - now
 }
 
 // ranked is a server in the hash order of a prefix.
@@ -184,8 +184,8 @@
 	switch {
 	case a.over != b.over:
 		return cmp.Compare(b2f(a.over), b2f(b.over))
-	case a.PromptLen != b.PromptLen:
-		return cmp.Compare(a.PromptLen, b.PromptLen)
+	case a.PromptTokens != b.PromptTokens:
+		return cmp.Compare(a.PromptTokens, b.PromptTokens)
 	}
 	return cmp.Compare(a.ID, b.ID)
 }
@@ -301,14 +301,14 @@
 			}
 		}
 		switch {
-		case s.role == Reader:
+		case s.role == RolePrefill:
 			r.most.reading += float64(s.n)
-			r.readersNow += b2f(!s.bad || s.n == 0 && r.now >= s.back || r.roles[Reader].well == 0)
+			r.readersNow += b2f(!s.bad || s.n == 0 && r.now >= s.back || r.roles[RolePrefill].well == 0)
 			continue
 		case s.n == 0:
 			r.most.free = math.Inf(1)
 		}
-		r.most.mixed = r.most.mixed || s.role == Mixed && s.mayHaveRoom(r.now)
+		r.most.mixed = r.most.mixed || s.role == RoleMixed && s.mayHaveRoom(r.now)
 		r.most.free = max(r.most.free, r.memory(s)-s.tokens)
 		r.most.all += max(r.memory(s)-s.tokens, 0)
 	}
@@ -414,12 +414,12 @@
 func (r *Router) flows() {
 	r.cells, r.zones = flows{}, flows{}
 	for _, s := range r.servers {
-		if !s.listed || s.bad || s.role == Mixed {
+		if !s.listed || s.bad || s.role == RoleMixed {
 			continue
 		}
 		c, z := r.cells.at(s.Cell), r.zones.at(s.Zone)
 		part := r.present(s) / r.roles[s.role].well
-		if s.role == Reader {
+		if s.role == RolePrefill {
 			c.reads, z.reads = c.reads+part, z.reads+part
 		} else {
 			c.writes, z.writes = c.writes+part, z.writes+part
@@ -459,7 +459,7 @@
 // compare takes the time to a first token, or the time without one, at a mixed server against what a reader
 // and a writer would have taken by their means.
 func (r *Router) compare(a *attempt, ahead float64, took time.Duration) {
-	if a.s.role == Mixed && ahead > 0 {
+	if a.s.role == RoleMixed && ahead > 0 {
 		r.mixedSlow += 0.2 * (took.Seconds()/(ahead*r.readPace+r.firstTime) - r.mixedSlow)
 	}
 }
@@ -469,10 +469,10 @@
 // past.
 func (r *Router) forget() {
 	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool {
-		if s.State == Gone && s.goneAt == 0 {
+		if s.State == EndpointGone && s.goneAt == 0 {
 			s.goneAt = r.now
 		}
-		old := s.State == Gone && s.n == 0 && r.now-s.goneAt > goneFor
+		old := s.State == EndpointGone && s.n == 0 && r.now-s.goneAt > goneFor
 		if old {
 			delete(r.byID, s.ID)
 		}
