--- a/cmd/brackenbend/broken_test.go
+++ b/cmd/brackenbend/broken_test.go
@@ -129,7 +129,7 @@
 					length = s
 				}
 				rep := play(t, d, length, "BRACKENBEND_TEST_BROKEN="+name)
-				if n := len(rep.Rules[b.rule].Breaches); n > 0 {
+				if n := len(rep.Rules[b.rule].Violations); n > 0 {
 					caught++
 					breaches += n
 				}
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	rule := broken[name].rule
-	if rep := play(t, d, d.Length, "BRACKENBEND_TEST_BROKEN="+name); len(rep.Rules[rule].Breaches) == 0 {
+	if rep := play(t, d, d.Length, "BRACKENBEND_TEST_BROKEN="+name); len(rep.Rules[rule].Violations) == 0 {
 		t.Errorf("rule %d was not seen broken", rule+1)
 	}
 }
--- a/cmd/brackenbend/lab_day.go
+++ b/cmd/brackenbend/lab_day.go
@@ -94,11 +94,11 @@
 			}
 			breaches := 0
 			for i, v := range r.Rules {
-				fmt.Fprintf(out, "rule %d, %s: %d checks, %d breaches (%s)\n", i+1, v.Rule, v.Checks, len(v.Breaches), v.Worst)
-				for _, b := range v.Breaches[:min(len(v.Breaches), 10)] {
+				fmt.Fprintf(out, "rule %d, %s: %d checks, %d breaches (%s)\n", i+1, v.Rule, v.Checks, len(v.Violations), v.WorstCase)
+				for _, b := range v.Violations[:min(len(v.Violations), 10)] {
 					fmt.Fprintf(out, "  %s\n", b)
 				}
-				breaches += len(v.Breaches)
+				breaches += len(v.Violations)
 			}
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
--- a/cmd/brackenbend/node.go
+++ b/cmd/brackenbend/node.go
@@ -32,7 +32,7 @@
 	if file == "" {
 		return coded{errors.New("node: LB_CONFIG names no configuration file"), exitUsage}
 	}
-	log, err := telemetry.Logger(os.Stderr, "json", "info", 100)
+	log, err := telemetry.NewLogger(os.Stderr, "json", "info", 100)
 	if err != nil {
 		return err
 	}
--- a/cmd/brackenbend/roles.go
+++ b/cmd/brackenbend/roles.go
@@ -39,7 +39,7 @@
 			if err := set.Validate(); err != nil {
 				return coded{err, exitUsage}
 			}
-			log, err := telemetry.Logger(os.Stderr, "json", level, 100)
+			log, err := telemetry.NewLogger(os.Stderr, "json", level, 100)
 			if err != nil {
 				return coded{err, exitUsage}
 			}
--- a/cmd/brackenbend/serve.go
+++ b/cmd/brackenbend/serve.go
@@ -49,13 +49,13 @@
 	if err != nil {
 		return configError(err)
 	}
-	log, err := telemetry.Logger(os.Stderr, set.Log.Format, set.Log.Level, set.Log.Storm)
+	log, err := telemetry.NewLogger(os.Stderr, set.Log.Format, set.Log.Level, set.Log.LinesPerSecond)
 	if err != nil {
 		return err
 	}
-	log = log.With(zap.String("front", set.Front.Name))
+	log = log.With(zap.String("front", set.Replica.Name))
 	if os.Getenv("GOGC") == "" { // whoever sets it means it
-		defer gctuning.Floor(heapFloor)()
+		defer gctuning.SetHeapFloor(heapFloor)()
 	}
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -70,7 +70,7 @@
 			return err
 		case sig := <-signals:
 			if sig != syscall.SIGHUP {
-				log.Info("draining", zap.String("signal", sig.String()), zap.Duration("at most", set.Front.Drain))
+				log.Info("draining", zap.String("signal", sig.String()), zap.Duration("at most", set.Replica.DrainTimeout))
 				d.stop()
 				log.Info("ended")
 				_ = log.Sync()
@@ -108,14 +108,14 @@
 	if err != nil {
 		return nil, err
 	}
-	l, err := net.Listen("tcp", set.Front.Listen)
+	l, err := net.Listen("tcp", set.Replica.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	d := &daemon{front: f, addr: l.Addr().String(), failed: make(chan error, 2)}
 	var admin net.Listener
-	if set.Front.Admin != "" {
-		if admin, err = net.Listen("tcp", set.Front.Admin); err != nil {
+	if set.Replica.Admin != "" {
+		if admin, err = net.Listen("tcp", set.Replica.Admin); err != nil {
 			l.Close()
 			return nil, fmt.Errorf("admin: %w", err)
 		}
@@ -139,7 +139,7 @@
 	}()
 	log.Info("serving", zap.String("listen", d.addr))
 	d.stop = func() {
-		ctx, done := context.WithTimeout(context.Background(), set.Front.Drain)
+		ctx, done := context.WithTimeout(context.Background(), set.Replica.DrainTimeout)
 		defer done()
 		f.Shutdown(ctx)
 		cancel()
@@ -153,7 +153,7 @@
 
 // follow gives the front its list: once from the settings, or by watching the register until ctx ends.
 func follow(ctx context.Context, set *config.Settings, f *gateway.Gateway, log *zap.Logger, watched chan struct{}) error {
-	if set.Register == nil {
+	if set.APIServer == nil {
 		var list []endpointslice.Endpoint
 		for _, s := range set.Servers {
 			list = append(list, endpointslice.Endpoint{Name: s.Name, Address: s.Address, Kind: s.Kind, Zone: s.Zone, Cell: s.Cell, State: routing.EndpointReady})
@@ -162,7 +162,7 @@
 		close(watched)
 		return nil
 	}
-	r := set.Register
+	r := set.APIServer
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: 5 * time.Second}).DialContext, ResponseHeaderTimeout: 10 * time.Second}
 	if r.CAFile != "" {
 		pem, err := os.ReadFile(r.CAFile)
@@ -175,8 +175,8 @@
 		}
 		transport.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 	}
-	w := &endpointslice.Watcher{URL: r.URL, Namespace: r.Namespace, Selector: r.Selector, KindLabel: r.Kinds, CellLabel: r.Cells,
-		TokenFile: r.TokenFile, CacheFile: r.Cache, Client: &http.Client{Transport: transport}, UserAgent: gateway.UserAgent(set), Deliver: f.UpdateEndpoints,
+	w := &endpointslice.Watcher{URL: r.URL, Namespace: r.Namespace, Selector: r.Selector, KindLabel: r.KindLabel, CellLabel: r.CellLabel,
+		TokenFile: r.TokenFile, CacheFile: r.CacheFile, Client: &http.Client{Transport: transport}, UserAgent: gateway.UserAgent(set), OnUpdate: f.UpdateEndpoints,
 		MinBackoff: 100 * time.Millisecond, MaxBackoff: 5 * time.Second, WatchTimeout: 90 * time.Second,
 		Log: func(msg string, err error) { log.Warn(msg, zap.Error(err)) }}
 	go func() {
--- a/cmd/brackenbend/standins.go
+++ b/cmd/brackenbend/standins.go
@@ -192,7 +192,7 @@
 	if err != nil {
 		return configError(err)
 	}
-	log, err := telemetry.Logger(os.Stderr, set.Log.Format, set.Log.Level, set.Log.Storm)
+	log, err := telemetry.NewLogger(os.Stderr, set.Log.Format, set.Log.Level, set.Log.LinesPerSecond)
 	if err != nil {
 		return err
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -308,8 +308,8 @@
 	return nil
 }
 
-// Tokens estimates the prompt's length from its bytes.
-func (r *Request) Tokens(bytesPerToken float64) float64 {
+// EstimateTokens estimates the prompt's length from its bytes.
+func (r *Request) EstimateTokens(bytesPerToken float64) float64 {
 	if r.PromptTokens > 0 {
 		return float64(r.PromptTokens)
 	}
@@ -320,9 +320,9 @@
 	return math.Ceil(float64(n) / bytesPerToken)
 }
 
-// Leading is the hash and the size in bytes of the leading system and developer messages, which sessions
+// SystemPrefix is the hash and the size in bytes of the leading system and developer messages, which sessions
 // share; 0, 0 when there are none. A completion's prompt has no such part.
-func (r *Request) Leading() (hash uint64, size int) {
+func (r *Request) SystemPrefix() (hash uint64, size int) {
 	d := xxhash.New()
 	_, _ = d.WriteString(r.Model)
 	for _, m := range r.Messages {
@@ -338,8 +338,8 @@
 	return d.Sum64(), size
 }
 
-// First is the hash of everything up to the first user message: all turns of a conversation share it.
-func (r *Request) First() uint64 {
+// FirstTurnHash is the hash of everything up to the first user message: all turns of a conversation share it.
+func (r *Request) FirstTurnHash() uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(r.Model)
 	for _, m := range r.Messages {
@@ -351,9 +351,9 @@
 	return 0
 }
 
-// Opening is the hash of the first n bytes of the whole text, with the number of bytes that it covers; 0, 0
+// Prefix is the hash of the first n bytes of the whole text, with the number of bytes that it covers; 0, 0
 // when the text is shorter.
-func (r *Request) Opening(n int) (hash uint64, size int) {
+func (r *Request) Prefix(n int) (hash uint64, size int) {
 	d := xxhash.New()
 	_, _ = d.WriteString(r.Model)
 	left := n
@@ -430,35 +430,35 @@
 	return b
 }
 
-// ReadReply takes a reader's whole answer.
-type ReadReply struct {
-	KV     json.RawMessage // kv_transfer_params, nil when it gave none
-	Cached float64         // prompt tokens that it found kept; 0 when not told
+// PrefillReply takes a reader's whole answer.
+type PrefillReply struct {
+	KVTransferParams json.RawMessage // kv_transfer_params, nil when it gave none
+	CachedTokens     float64         // prompt tokens that it found kept; 0 when not told
 }
 
-// ParseReadReply reads the answer of an engine to a ReadBody.
-func ParseReadReply(body []byte) (ReadReply, error) {
+// ParsePrefillReply reads the answer of an engine to a ReadBody.
+func ParsePrefillReply(body []byte) (PrefillReply, error) {
 	if deep(body) || !gjson.ValidBytes(body) {
-		return ReadReply{}, errors.New("api: the reader's answer is not JSON")
+		return PrefillReply{}, errors.New("api: the reader's answer is not JSON")
 	}
-	var r ReadReply
+	var r PrefillReply
 	if kv := gjson.GetBytes(body, "kv_transfer_params"); kv.Exists() && kv.Type != gjson.Null {
-		r.KV = json.RawMessage(kv.Raw)
+		r.KVTransferParams = json.RawMessage(kv.Raw)
 	}
-	r.Cached = Cached(body)
+	r.CachedTokens = CachedTokens(body)
 	return r, nil
 }
 
-// IsRepeat tells that a client repeats a request by itself: the OpenAI SDKs number their tries of one call in
+// IsRetry tells that a client repeats a request by itself: the OpenAI SDKs number their tries of one call in
 // X-Stainless-Retry-Count, from 0. What is there but no number counts as a repeat, since not to see one does harm.
-func IsRepeat(h http1.Header) bool {
+func IsRetry(h http1.Header) bool {
 	v := strings.TrimSpace(h.Get("X-Stainless-Retry-Count"))
 	return strings.Trim(v, "0") != ""
 }
 
-// ClientTime is how long the client says it waits, from the time-out headers of the OpenAI SDKs (seconds);
+// ClientTimeout is how long the client says it waits, from the time-out headers of the OpenAI SDKs (seconds);
 // 0 when it does not say.
-func ClientTime(h http1.Header) time.Duration {
+func ClientTimeout(h http1.Header) time.Duration {
 	least := time.Duration(0)
 	for _, name := range []string{"X-Stainless-Timeout", "X-Stainless-Read-Timeout"} {
 		s, err := strconv.ParseFloat(h.Get(name), 64)
@@ -472,8 +472,8 @@
 	return least
 }
 
-// Cached is how many prompt tokens the usage of an answer, or of an event, says were found kept; 0 when not told.
-func Cached(text []byte) float64 {
+// CachedTokens is how many prompt tokens the usage of an answer, or of an event, says were found kept; 0 when not told.
+func CachedTokens(text []byte) float64 {
 	n := gjson.GetBytes(text, "usage.prompt_tokens_details.cached_tokens")
 	if n.Type == gjson.Number && n.Num >= 0 && n.Num < 1e9 {
 		return n.Num
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -42,10 +42,10 @@
 			t.Errorf("prompt %s: %v", p, err)
 		}
 	}
-	if _, err := ParseReadReply([]byte(strings.Repeat(`{"a":`, 1<<20))); err == nil {
+	if _, err := ParsePrefillReply([]byte(strings.Repeat(`{"a":`, 1<<20))); err == nil {
 		t.Error("a reader's answer nested a million deep was taken")
 	}
-	if r, err := Parse(PathCompletions, []byte(`{"model":"m","prompt":[1,2,3]}`)); err != nil || r.Tokens(4) != 3 {
+	if r, err := Parse(PathCompletions, []byte(`{"model":"m","prompt":[1,2,3]}`)); err != nil || r.EstimateTokens(4) != 3 {
 		t.Errorf("token numbers: %v", err)
 	}
 }
@@ -80,17 +80,17 @@
 	if _, has := fields(t, r.DecodeBody(nil, true))["kv_transfer_params"]; has {
 		t.Error("a whole request carries transfer parameters")
 	}
-	reply, rerr := ParseReadReply([]byte(`{"kv_transfer_params":{"a":1},"usage":{"prompt_tokens_details":{"cached_tokens":12}}}`))
-	if rerr != nil || string(reply.KV) != `{"a":1}` || reply.Cached != 12 {
+	reply, rerr := ParsePrefillReply([]byte(`{"kv_transfer_params":{"a":1},"usage":{"prompt_tokens_details":{"cached_tokens":12}}}`))
+	if rerr != nil || string(reply.KVTransferParams) != `{"a":1}` || reply.CachedTokens != 12 {
 		t.Errorf("%+v %v", reply, rerr)
 	}
-	if reply, rerr = ParseReadReply([]byte(`{"kv_transfer_params":null,"usage":{"prompt_tokens_details":null}}`)); rerr != nil || reply.KV != nil {
+	if reply, rerr = ParsePrefillReply([]byte(`{"kv_transfer_params":null,"usage":{"prompt_tokens_details":null}}`)); rerr != nil || reply.KVTransferParams != nil {
 		t.Errorf("%+v %v", reply, rerr)
 	}
 }
 
 func TestWholeAnswerFromEvents(t *testing.T) {
-	w := NewWhole(true, 1<<16)
+	w := NewCollector(true, 1<<16)
 	for _, ev := range []string{
 		`{"id":"c1","object":"chat.completion.chunk","created":5,"model":"m","choices":[{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]}`,
 		`{"id":"c1","choices":[{"index":0,"delta":{"content":"Hel"}},{"index":1,"delta":{"content":"x"}}]}`,
@@ -132,11 +132,11 @@
 		got.Choices[1].Message.Role != "assistant" {
 		t.Errorf("%s", b)
 	}
-	small := NewWhole(true, 10)
+	small := NewCollector(true, 10)
 	if err := small.Add([]byte(`{"choices":[]}`)); err != ErrTooLarge {
 		t.Errorf("over the limit: %v", err)
 	}
-	if err := NewWhole(false, 100).Add([]byte(`{"choices":[{"index":1e9}]}`)); err == nil {
+	if err := NewCollector(false, 100).Add([]byte(`{"choices":[{"index":1e9}]}`)); err == nil {
 		t.Error("an index of 1e9 was taken")
 	}
 }
@@ -146,8 +146,8 @@
 		Classes:      []Rule{{Match{From: FromHeader, Name: "X-Class", Equals: "order"}, 1}, {Match{From: FromModel, Prefix: "big"}, 2}},
 		Tenants:      []Rule{{Match{From: FromAPIKey, Equals: "ca978112ca1bbdcafac231b39a23dc4da786eff8147c4e72b9807785afee48bb"}, 3}},
 		DefaultClass: 0, DefaultTenant: -1,
-		Sessions: []Key{{From: FromHeader, Name: "X-Session"}, {From: FromFirst}},
-		Prefixes: []Key{{From: FromLeading}, {From: FromOpening, Bytes: 4}},
+		Sessions: []Key{{From: FromHeader, Name: "X-Session"}, {From: FromFirstMessage}},
+		Prefixes: []Key{{From: FromSystemMessages}, {From: FromOpening, Bytes: 4}},
 		Models:   []Model{{Name: "m", BytesPerToken: 4, MaxOutput: 99}},
 	}
 	h := http1.Header{{Name: "x-class", Value: "order"}, {Name: "Authorization", Value: "Bearer a"}}
@@ -162,7 +162,7 @@
 	two := parse(`[{"role":"system","content":"` + strings.Repeat("s", 394) + `"},{"role":"user","content":"a"},{"role":"assistant","content":"b"},{"role":"user","content":"c"}]`)
 	other := parse(`[{"role":"system","content":"` + strings.Repeat("s", 394) + `"},{"role":"user","content":"z"}]`)
 	a, err := c.Classify(one, h)
-	if err != nil || a.Class != 1 || a.Tenant != 3 || a.MaxOut != 99 || a.PrefixLen != 100 || a.PromptLen != 102 {
+	if err != nil || a.Class != 1 || a.Tenant != 3 || a.MaxOutputTokens != 99 || a.PrefixTokens != 100 || a.PromptTokens != 102 {
 		t.Fatalf("%+v %v", a, err)
 	}
 	b, _ := c.Classify(two, h)
@@ -177,14 +177,14 @@
 	if _, err := c.Classify(one, h); err == nil || err.Code != "model_not_found" {
 		t.Errorf("no model: %v", err)
 	}
-	if d := ClientTime(http1.Header{{Name: "x-stainless-read-timeout", Value: "2.5"}, {Name: "X-Stainless-Timeout", Value: "600"}}); d != 2500*time.Millisecond {
+	if d := ClientTimeout(http1.Header{{Name: "x-stainless-read-timeout", Value: "2.5"}, {Name: "X-Stainless-Timeout", Value: "600"}}); d != 2500*time.Millisecond {
 		t.Errorf("client's time %v", d)
 	}
 }
 
 func TestIsRepeat(t *testing.T) {
 	for v, want := range map[string]bool{"": false, "0": false, "1": true, "2": true, "10": true, "x": true, "-1": true} {
-		if got := IsRepeat(http1.Header{{Name: "X-Stainless-Retry-Count", Value: v}}); got != want {
+		if got := IsRetry(http1.Header{{Name: "X-Stainless-Retry-Count", Value: v}}); got != want {
 			t.Errorf("%q: %v", v, got)
 		}
 	}
--- a/internal/api/classify.go
+++ b/internal/api/classify.go
@@ -18,14 +18,14 @@
 
 // The sources. Not every one fits every use; the settings' checker says which do.
 const (
-	FromPath    Source = iota // the request's path
-	FromModel                 // the model asked for
-	FromHeader                // a header field
-	FromAPIKey                // the SHA-256, in hex, of the bearer token
-	FromUser                  // the user field of the body
-	FromLeading               // leading system and developer messages
-	FromFirst                 // everything up to the first user message
-	FromOpening               // the first bytes of the text
+	FromPath           Source = iota // the request's path
+	FromModel                        // the model asked for
+	FromHeader                       // a header field
+	FromAPIKey                       // the SHA-256, in hex, of the bearer token
+	FromUser                         // the user field of the body
+	FromSystemMessages               // leading system and developer messages
+	FromFirstMessage                 // everything up to the first user message
+	FromOpening                      // the first bytes of the text
 )
 
 // Match is one condition; a rule's conditions must all hold.
@@ -64,36 +64,36 @@
 	Models                      []Model
 }
 
-// Traits are what the decision module is told of a request.
-type Traits struct {
-	Class, Tenant     int
-	Session, Prefix   uint64 // 0 = none
-	PromptLen         float64
-	PrefixLen, MaxOut float64 // tokens
-	IdempotencyKey    string
-	Repeat            bool // its client repeats it by itself
+// Classification are what the decision module is told of a request.
+type Classification struct {
+	Class, Tenant                 int
+	Session, Prefix               uint64 // 0 = none
+	PromptTokens                  float64
+	PrefixTokens, MaxOutputTokens float64 // tokens
+	IdempotencyKey                string
+	Retry                         bool // its client repeats it by itself
 }
 
-// Event is the request as the decision module is told of it; due is by the module's clock.
-func (t *Traits) Event(id routing.RequestID, due time.Duration) routing.Request {
-	return routing.Request{ID: id, Class: t.Class, Tenant: t.Tenant, Session: t.Session, Prefix: t.Prefix, PromptTokens: t.PromptLen,
-		PrefixTokens: t.PrefixLen, MaxOutputTokens: t.MaxOut, Deadline: due, Retry: t.Repeat, PossibleDuplicate: t.Repeat}
+// RoutingRequest is the request as the decision module is told of it; due is by the module's clock.
+func (t *Classification) RoutingRequest(id routing.RequestID, due time.Duration) routing.Request {
+	return routing.Request{ID: id, Class: t.Class, Tenant: t.Tenant, Session: t.Session, Prefix: t.Prefix, PromptTokens: t.PromptTokens,
+		PrefixTokens: t.PrefixTokens, MaxOutputTokens: t.MaxOutputTokens, Deadline: due, Retry: t.Retry, PossibleDuplicate: t.Retry}
 }
 
-// Wait is how long a client waits: its class's time, or what it told if that is sooner (0 = it told nothing).
-func Wait(class, told time.Duration) time.Duration {
+// EffectiveTimeout is how long a client waits: its class's time, or what it told if that is sooner (0 = it told nothing).
+func EffectiveTimeout(class, told time.Duration) time.Duration {
 	if told > 0 && told < class {
 		return told
 	}
 	return class
 }
 
-// Within is how long a front may take for an answer that must arrive within wait.
-func Within(wait, margin time.Duration) time.Duration { return max(wait-margin, wait/2) }
+// WithMargin is how long a front may take for an answer that must arrive within wait.
+func WithMargin(wait, margin time.Duration) time.Duration { return max(wait-margin, wait/2) }
 
 // Classify reads the traits, or says which part of the request fits no rule.
-func (c *Classifier) Classify(r *Request, h http1.Header) (Traits, *Error) {
-	var t Traits
+func (c *Classifier) Classify(r *Request, h http1.Header) (Classification, *Error) {
+	var t Classification
 	var model *Model
 	for i := range c.Models {
 		if c.Models[i].Name == r.Model {
@@ -112,16 +112,16 @@
 		return t, &Error{Status: 401, Type: "invalid_request_error", Code: "invalid_api_key",
 			Message: "no rule gives this request a tenant"}
 	}
-	t.PromptLen = r.Tokens(model.BytesPerToken)
-	t.MaxOut = float64(r.MaxTokens)
+	t.PromptTokens = r.EstimateTokens(model.BytesPerToken)
+	t.MaxOutputTokens = float64(r.MaxTokens)
 	if r.MaxTokens == 0 {
-		t.MaxOut = float64(model.MaxOutput)
+		t.MaxOutputTokens = float64(model.MaxOutput)
 	}
 	t.Session, _ = pickKey(c.Sessions, r, h)
 	var size int
 	t.Prefix, size = pickKey(c.Prefixes, r, h)
-	t.PrefixLen = min(float64(size)/model.BytesPerToken, t.PromptLen)
-	t.IdempotencyKey, t.Repeat = h.Get("Idempotency-Key"), IsRepeat(h)
+	t.PrefixTokens = min(float64(size)/model.BytesPerToken, t.PromptTokens)
+	t.IdempotencyKey, t.Retry = h.Get("Idempotency-Key"), IsRetry(h)
 	return t, nil
 }
 
@@ -157,12 +157,12 @@
 			v = textKey(h.Get(k.Name))
 		case FromUser:
 			v = textKey(r.User)
-		case FromLeading:
-			v, size = r.Leading()
-		case FromFirst:
-			v = r.First()
+		case FromSystemMessages:
+			v, size = r.SystemPrefix()
+		case FromFirstMessage:
+			v = r.FirstTurnHash()
 		case FromOpening:
-			v, size = r.Opening(k.Bytes)
+			v, size = r.Prefix(k.Bytes)
 		}
 		if v != 0 {
 			return v, size
--- a/internal/api/whole.go
+++ b/internal/api/whole.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Whole puts a streamed answer together into the one object that a client asked for who did not stream. The
+// Collector puts a streamed answer together into the one object that a client asked for who did not stream. The
 // engine is always asked to stream: only so does the front learn of the first token.
-type Whole struct {
+type Collector struct {
 	chat    bool
 	limit   int // bytes of all events
 	seen    int
@@ -17,14 +17,14 @@
 	choices []map[string]any
 }
 
-// NewWhole collects an answer of at most limit bytes of events.
-func NewWhole(chat bool, limit int) *Whole { return &Whole{chat: chat, limit: limit} }
+// NewCollector collects an answer of at most limit bytes of events.
+func NewCollector(chat bool, limit int) *Collector { return &Collector{chat: chat, limit: limit} }
 
 // ErrTooLarge is an answer past its limit.
 var ErrTooLarge = errors.New("api: answer over the limit for whole answers")
 
 // Add takes the data of one event.
-func (w *Whole) Add(data []byte) error {
+func (w *Collector) Add(data []byte) error {
 	if w.seen += len(data); w.seen > w.limit {
 		return ErrTooLarge
 	}
@@ -124,7 +124,7 @@
 }
 
 // JSON is the whole answer.
-func (w *Whole) JSON() ([]byte, error) {
+func (w *Collector) JSON() ([]byte, error) {
 	if w.top == nil {
 		return nil, errors.New("api: no event came")
 	}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -107,24 +107,24 @@
 	Slack time.Duration
 }
 
-// Verdict is the judgement on one rule.
-type Verdict struct {
-	Rule     string   `json:"rule"`
-	Checks   int      `json:"checks"`
-	Breaches []string `json:"breaches"`
-	Worst    string   `json:"worst,omitempty"` // the nearest to a breach, where that is a time
+// RuleResult is the judgement on one rule.
+type RuleResult struct {
+	Rule       string   `json:"rule"`
+	Checks     int      `json:"checks"`
+	Violations []string `json:"breaches"`
+	WorstCase  string   `json:"worst,omitempty"` // the nearest to a breach, where that is a time
 }
 
-func (v *Verdict) breach(at time.Duration, format string, a ...any) {
-	v.Breaches = append(v.Breaches, fmt.Sprintf("%.3fs: ", at.Seconds())+fmt.Sprintf(format, a...))
+func (v *RuleResult) breach(at time.Duration, format string, a ...any) {
+	v.Violations = append(v.Violations, fmt.Sprintf("%.3fs: ", at.Seconds())+fmt.Sprintf(format, a...))
 }
 
-// Judge judges a whole record. A rule that was never checked counts as a breach of the audit itself only to
+// Check judges a whole record. A rule that was never checked counts as a breach of the audit itself only to
 // the caller: Checks is 0.
-func Judge(events []Event, lim Limits) []Verdict {
+func Check(events []Event, lim Limits) []RuleResult {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	return []Verdict{oneAnswer(events), onceOnly(events), drains(events, lim), cold(events), pinned(events, lim)}
+	return []RuleResult{oneAnswer(events), onceOnly(events), drains(events, lim), cold(events), pinned(events, lim)}
 }
 
 // killed makes a function that tells whether the front was killed in the span.
@@ -141,8 +141,8 @@
 }
 
 // oneAnswer: all that a running front has taken gets exactly one final answer before the client's time is up.
-func oneAnswer(events []Event) Verdict {
-	v := Verdict{Rule: "one final answer in time, nothing after it"}
+func oneAnswer(events []Event) RuleResult {
+	v := RuleResult{Rule: "one final answer in time, nothing after it"}
 	type try struct {
 		sent, ended Event
 		answers     int
@@ -196,14 +196,14 @@
 			}
 		}
 	}
-	v.Worst = fmt.Sprintf("slowest refusal or failure %v after the request", worst.Round(time.Millisecond))
+	v.WorstCase = fmt.Sprintf("slowest refusal or failure %v after the request", worst.Round(time.Millisecond))
 	return v
 }
 
 // onceOnly: no effect twice over all tries of a client's one intent, and nothing is refused that may have run, in
 // this try or in one before.
-func onceOnly(events []Event) Verdict {
-	v := Verdict{Rule: "no effect twice, no refusal of what may have run"}
+func onceOnly(events []Event) RuleResult {
+	v := RuleResult{Rule: "no effect twice, no refusal of what may have run"}
 	ran := map[string]int{}
 	ranTry, ranFirst, intent := map[string]Event{}, map[string]Event{}, map[string]string{}
 	for _, e := range events {
@@ -237,8 +237,8 @@
 }
 
 // drains: nothing new to an engine later than the grace after the front was told.
-func drains(events []Event, lim Limits) Verdict {
-	v := Verdict{Rule: "drains are kept"}
+func drains(events []Event, lim Limits) RuleResult {
+	v := RuleResult{Rule: "drains are kept"}
 	told := map[string]time.Duration{}
 	var worst time.Duration
 	for _, e := range events {
@@ -266,13 +266,13 @@
 			}
 		}
 	}
-	v.Worst = fmt.Sprintf("latest arrival %v after the front was told, %v allowed", worst.Round(time.Millisecond), lim.DrainGrace)
+	v.WorstCase = fmt.Sprintf("latest arrival %v after the front was told, %v allowed", worst.Round(time.Millisecond), lim.DrainGrace)
 	return v
 }
 
 // cold: no engine that has just started is pushed over.
-func cold(events []Event) Verdict {
-	v := Verdict{Rule: "no cold engine is pushed over"}
+func cold(events []Event) RuleResult {
+	v := RuleResult{Rule: "no cold engine is pushed over"}
 	for _, e := range events {
 		switch e.Kind {
 		case EngineUp:
@@ -299,8 +299,8 @@
 }
 
 // pinned: state held for a request with no attempt out is taken or let go within the release time.
-func pinned(events []Event, lim Limits) Verdict {
-	v := Verdict{Rule: "nothing stays pinned"}
+func pinned(events []Event, lim Limits) RuleResult {
+	v := RuleResult{Rule: "nothing stays pinned"}
 	type life struct {
 		out   int
 		held  map[string]bool // attempts whose state waits
@@ -371,7 +371,7 @@
 			}
 		}
 	}
-	slices.Sort(v.Breaches)
-	v.Worst = fmt.Sprintf("longest held with no attempt out %v, %v allowed", worst.Round(time.Millisecond), lim.Release)
+	slices.Sort(v.Violations)
+	v.WorstCase = fmt.Sprintf("longest held with no attempt out %v, %v allowed", worst.Round(time.Millisecond), lim.Release)
 	return v
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -36,8 +36,8 @@
 }
 
 func TestAuditorSeesEveryRuleBroken(t *testing.T) {
-	for _, v := range Judge(good(), lim) {
-		if v.Checks == 0 || len(v.Breaches) > 0 {
+	for _, v := range Check(good(), lim) {
+		if v.Checks == 0 || len(v.Violations) > 0 {
 			t.Fatalf("a record that keeps the rules: %+v", v)
 		}
 	}
@@ -79,23 +79,23 @@
 			return append(es[:5:5], es[5], es[6], Event{At: 70 * ms, Kind: End, Request: "x-1-1"}, es[11], es[12])
 		}},
 	} {
-		v := Judge(c.bend(good()), lim)[c.rule]
-		if len(v.Breaches) == 0 || !strings.Contains(strings.Join(v.Breaches, "\n"), c.says) {
+		v := Check(c.bend(good()), lim)[c.rule]
+		if len(v.Violations) == 0 || !strings.Contains(strings.Join(v.Violations, "\n"), c.says) {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
 	safe := good()
 	safe[8].Class = Safe
-	if v := Judge(append(safe, Event{At: time.Second, Kind: Run, Effect: "o1", Class: Safe}), lim)[1]; len(v.Breaches) > 0 {
+	if v := Check(append(safe, Event{At: time.Second, Kind: Run, Effect: "o1", Class: Safe}), lim)[1]; len(v.Violations) > 0 {
 		t.Errorf("a safe class may run twice: %+v", v)
 	}
 	late := append(good(), Event{At: 970 * ms, Kind: Arrive, Engine: "r", Front: "f", Request: "x-7-0"}, Event{At: 980 * ms, Kind: Held, Request: "x-7-0"},
 		Event{At: 981 * ms, Kind: End, Request: "x-7-0"}, Event{At: 9 * time.Second, Kind: LetGo, Request: "x-7-0"})
-	if v := Judge(late, lim)[4]; len(v.Breaches) > 0 {
+	if v := Check(late, lim)[4]; len(v.Violations) > 0 {
 		t.Errorf("what a killed front sent just before is nobody's: %+v", v)
 	}
 	told := append(good(), Event{At: 960 * ms, Kind: Arrive, Engine: "r", Front: "f", Request: "y-1-0"}, Event{At: 970 * ms, Kind: End, Request: "y-1-0"})
-	if v := Judge(told, lim)[2]; len(v.Breaches) > 0 {
+	if v := Check(told, lim)[2]; len(v.Violations) > 0 {
 		t.Errorf("a front's next process was told nothing yet: %+v", v)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,92 +21,92 @@
 // Settings are one front's settings.
 type Settings struct {
 	Pos
-	Front    *Front    `cfg:"front,required"`
-	Limits   *Limits   `cfg:"limits"`
-	Log      *Log      `cfg:"log"`
-	Service  *Service  `cfg:"service,required"`
-	Classes  []Class   `cfg:"class,required"`
-	Tenants  []Tenant  `cfg:"tenant"`
-	Kinds    []Kind    `cfg:"kind,required"`
-	Models   []Model   `cfg:"model,required"`
-	Rules    []Rule    `cfg:"rule"`
-	Sessions []Key     `cfg:"session"`
-	Prefixes []Key     `cfg:"prefix"`
-	Engines  *Engines  `cfg:"engines"`
-	Servers  []Server  `cfg:"server"`
-	Register *Register `cfg:"register"`
-}
-
-// Front says where this front listens and how it ends.
-type Front struct {
+	Replica   *Replica   `cfg:"front,required"`
+	Limits    *Limits    `cfg:"limits"`
+	Log       *Log       `cfg:"log"`
+	Service   *Service   `cfg:"service,required"`
+	Classes   []Class    `cfg:"class,required"`
+	Tenants   []Tenant   `cfg:"tenant"`
+	Kinds     []Kind     `cfg:"kind,required"`
+	Models    []Model    `cfg:"model,required"`
+	Rules     []Rule     `cfg:"rule"`
+	Sessions  []Key      `cfg:"session"`
+	Prefixes  []Key      `cfg:"prefix"`
+	Engines   *Engines   `cfg:"engines"`
+	Servers   []Server   `cfg:"server"`
+	APIServer *APIServer `cfg:"register"`
+}
+
+// Replica says where this front listens and how it ends.
+type Replica struct {
 	Pos
-	Name   string        `cfg:"name"`
-	Listen string        `cfg:"listen,required"` // host:port for clients
-	Admin  string        `cfg:"admin"`           // host:port for health and metrics; none = no such listener
-	Seed   int           `cfg:"seed"`            // of the module's draws; 0 = drawn at start
-	Drain  time.Duration `cfg:"drain"`           // answers in flight may take so long after SIGTERM; 0 = 30 s
-	Margin time.Duration `cfg:"answer-margin"`   // final answers are decided so long before the client's time is up; 0 = 100 ms
+	Name         string        `cfg:"name"`
+	Listen       string        `cfg:"listen,required"` // host:port for clients
+	Admin        string        `cfg:"admin"`           // host:port for health and metrics; none = no such listener
+	Seed         int           `cfg:"seed"`            // of the module's draws; 0 = drawn at start
+	DrainTimeout time.Duration `cfg:"drain"`           // answers in flight may take so long after SIGTERM; 0 = 30 s
+	AnswerMargin time.Duration `cfg:"answer-margin"`   // final answers are decided so long before the client's time is up; 0 = 100 ms
 }
 
 // Limits bound what clients may take. Zero means the value in fillDefaults.
 type Limits struct {
 	Pos
-	Open        int           `cfg:"open-requests"`
-	Connections int           `cfg:"connections"`
-	Head        Size          `cfg:"head"`
-	Fields      int           `cfg:"header-fields"`
-	Body        Size          `cfg:"body"`
-	Whole       Size          `cfg:"whole-answer"`  // events of an answer that is not streamed
-	Event       Size          `cfg:"event"`         // one event of a stream
-	HeadTime    time.Duration `cfg:"head-time"`     // from a request's first byte to its head's end
-	BodyTime    time.Duration `cfg:"body-time"`     // for the whole body
-	IdleTime    time.Duration `cfg:"idle-time"`     // between requests of a connection
-	StallTime   time.Duration `cfg:"stall-time"`    // a client that takes nothing for so long has gone
-	StreamIdle  time.Duration `cfg:"stream-idle"`   // an engine that sends nothing for so long within a stream has failed
-	BodyMemory  Size          `cfg:"bodies-memory"` // all request bodies held at once
+	MaxOpenRequests      int           `cfg:"open-requests"`
+	MaxConnections       int           `cfg:"connections"`
+	MaxHeaderBytes       Size          `cfg:"head"`
+	MaxHeaderFields      int           `cfg:"header-fields"`
+	MaxBodyBytes         Size          `cfg:"body"`
+	MaxCollectedBytes    Size          `cfg:"whole-answer"`  // events of an answer that is not streamed
+	MaxEventBytes        Size          `cfg:"event"`         // one event of a stream
+	HeaderTimeout        time.Duration `cfg:"head-time"`     // from a request's first byte to its head's end
+	BodyTimeout          time.Duration `cfg:"body-time"`     // for the whole body
+	IdleTimeout          time.Duration `cfg:"idle-time"`     // between requests of a connection
+	WriteTimeout         time.Duration `cfg:"stall-time"`    // a client that takes nothing for so long has gone
+	StreamIdleTimeout    time.Duration `cfg:"stream-idle"`   // an engine that sends nothing for so long within a stream has failed
+	MaxBufferedBodyBytes Size          `cfg:"bodies-memory"` // all request bodies held at once
 }
 
 // Log says what is logged and how.
 type Log struct {
 	Pos
-	Format string `cfg:"format,enum=json|console"`
-	Level  string `cfg:"level,enum=debug|info|warn|error"`
-	Storm  int    `cfg:"lines-per-second"` // of one kind of line; more are counted, not written; 0 = 100
+	Format         string `cfg:"format,enum=json|console"`
+	Level          string `cfg:"level,enum=debug|info|warn|error"`
+	LinesPerSecond int    `cfg:"lines-per-second"` // of one kind of line; more are counted, not written; 0 = 100
 }
 
 // Service holds what the decision module is told of the service as a whole.
 type Service struct {
 	Pos
-	Fronts        int           `cfg:"fronts,required"`
-	MaxAttempts   int           `cfg:"max-attempts"`
-	MaxWait       time.Duration `cfg:"max-wait"`
-	Release       time.Duration `cfg:"release-within"`
-	DrainGrace    time.Duration `cfg:"drain-grace"`
-	ColdFrom      float64       `cfg:"cold-from"`
-	ColdFor       time.Duration `cfg:"cold-for"`
-	Overload      float64       `cfg:"overload-factor"`
-	TipAfter      time.Duration `cfg:"tip-after"`
-	WritersRead   bool          `cfg:"writers-read"`
-	CancelStops   bool          `cfg:"cancel"`                     // engines stop the work of a connection that closes
-	OverShare     float64       `cfg:"over-share-worth"`           // part of the usual worth
-	WorthBy       string        `cfg:"worth-by,enum=request|work"` // none = request
-	DefaultClass  string        `cfg:"default-class"`
-	DefaultTenant string        `cfg:"default-tenant"`
+	Replicas         int           `cfg:"fronts,required"`
+	MaxAttempts      int           `cfg:"max-attempts"`
+	MaxRetryAfter    time.Duration `cfg:"max-wait"`
+	StateTTL         time.Duration `cfg:"release-within"`
+	DrainGrace       time.Duration `cfg:"drain-grace"`
+	SlowStartFrom    float64       `cfg:"cold-from"`
+	SlowStartFor     time.Duration `cfg:"cold-for"`
+	OverloadFactor   float64       `cfg:"overload-factor"`
+	OverloadAfter    time.Duration `cfg:"tip-after"`
+	DecodeCanPrefill bool          `cfg:"writers-read"`
+	CanCancel        bool          `cfg:"cancel"`                     // engines stop the work of a connection that closes
+	OverQuotaWeight  float64       `cfg:"over-share-worth"`           // part of the usual worth
+	WeightBy         string        `cfg:"worth-by,enum=request|work"` // none = request
+	DefaultClass     string        `cfg:"default-class"`
+	DefaultTenant    string        `cfg:"default-tenant"`
 }
 
 // Class is a class of requests.
 type Class struct {
 	Pos
-	Name       string        `cfg:"name,required"`
-	Effect     string        `cfg:"effect,required,enum=safe|keyed|unsafe"`
-	Aim        time.Duration `cfg:"aim,required"`
-	AimPer1000 time.Duration `cfg:"aim-per-1000-tokens"`
-	TokenAim   time.Duration `cfg:"token-aim"`
-	Deadline   time.Duration `cfg:"deadline,required"`
-	Worth      float64       `cfg:"worth"`
-	LateWorth  float64       `cfg:"late-worth"`
-	Group      string        `cfg:"group,enum=all|zone|cell"`
-	Window     time.Duration `cfg:"window"`
+	Name                    string        `cfg:"name,required"`
+	Idempotency             string        `cfg:"effect,required,enum=safe|keyed|unsafe"`
+	LatencyObjective        time.Duration `cfg:"aim,required"`
+	LatencyObjectivePer1000 time.Duration `cfg:"aim-per-1000-tokens"`
+	TokenLatencyObjective   time.Duration `cfg:"token-aim"`
+	Deadline                time.Duration `cfg:"deadline,required"`
+	PriorityWeight          float64       `cfg:"worth"`
+	LateWeight              float64       `cfg:"late-worth"`
+	DedupScope              string        `cfg:"group,enum=all|zone|cell"`
+	DedupWindow             time.Duration `cfg:"window"`
 }
 
 // Tenant is a customer with its share.
@@ -155,12 +155,12 @@
 // Engines says how engines are spoken to.
 type Engines struct {
 	Pos
-	Dialect     string        `cfg:"dialect,enum=vllm|extended"`
-	DialTime    time.Duration `cfg:"dial-time"`
-	Connections int           `cfg:"connections"`      // at once, an engine
-	Idle        int           `cfg:"idle-connections"` // kept, an engine
-	IdleTime    time.Duration `cfg:"idle-time"`
-	Report      string        `cfg:"load-report"` // names of ORCA figures for the module, with spaces between
+	Protocol          string        `cfg:"dialect,enum=vllm|extended"`
+	DialTimeout       time.Duration `cfg:"dial-time"`
+	MaxConnsPerEngine int           `cfg:"connections"`      // at once, an engine
+	MaxIdlePerEngine  int           `cfg:"idle-connections"` // kept, an engine
+	IdleTimeout       time.Duration `cfg:"idle-time"`
+	LoadReportFields  string        `cfg:"load-report"` // names of ORCA figures for the module, with spaces between
 }
 
 // Server is an engine of the static list.
@@ -173,17 +173,17 @@
 	Cell    string `cfg:"cell"`
 }
 
-// Register is where the list of engines is watched.
-type Register struct {
+// APIServer is where the list of engines is watched.
+type APIServer struct {
 	Pos
 	URL       string `cfg:"url,required"` // of the API server, without a path
 	Namespace string `cfg:"namespace,required"`
 	Selector  string `cfg:"label-selector"`
-	Kinds     string `cfg:"kind-label"` // label of a slice that names its engines' kind; none = brackenbend.dev/kind
-	Cells     string `cfg:"cell-label"` // and their cell; none = brackenbend.dev/cell
+	KindLabel string `cfg:"kind-label"` // label of a slice that names its engines' kind; none = brackenbend.dev/kind
+	CellLabel string `cfg:"cell-label"` // and their cell; none = brackenbend.dev/cell
 	TokenFile string `cfg:"token-file"` // bearer token, read anew for every call
 	CAFile    string `cfg:"ca-file"`    // for https
-	Cache     string `cfg:"cache"`      // file that keeps the last list
+	CacheFile string `cfg:"cache"`      // file that keeps the last list
 }
 
 // Load reads and checks a file.
@@ -234,36 +234,36 @@
 	setDefault(&s.Log, &Log{})
 	setDefault(&s.Engines, &Engines{})
 	l, e := s.Limits, s.Engines
-	setDefault(&s.Front.Drain, 30*time.Second)
-	setDefault(&s.Front.Margin, 100*time.Millisecond)
-	setDefault(&s.Front.Name, s.Front.Listen)
-	setDefault(&l.Open, 20000)
-	setDefault(&l.Connections, 20000)
-	setDefault(&l.Head, 32<<10)
-	setDefault(&l.Fields, 100)
-	setDefault(&l.Body, 4<<20)
-	setDefault(&l.BodyMemory, 256<<20)
-	setDefault(&l.Whole, 4<<20)
-	setDefault(&l.Event, 256<<10)
-	setDefault(&l.HeadTime, 10*time.Second)
-	setDefault(&l.BodyTime, 30*time.Second)
-	setDefault(&l.IdleTime, 60*time.Second)
-	setDefault(&l.StallTime, 10*time.Second)
-	setDefault(&l.StreamIdle, 30*time.Second)
+	setDefault(&s.Replica.DrainTimeout, 30*time.Second)
+	setDefault(&s.Replica.AnswerMargin, 100*time.Millisecond)
+	setDefault(&s.Replica.Name, s.Replica.Listen)
+	setDefault(&l.MaxOpenRequests, 20000)
+	setDefault(&l.MaxConnections, 20000)
+	setDefault(&l.MaxHeaderBytes, 32<<10)
+	setDefault(&l.MaxHeaderFields, 100)
+	setDefault(&l.MaxBodyBytes, 4<<20)
+	setDefault(&l.MaxBufferedBodyBytes, 256<<20)
+	setDefault(&l.MaxCollectedBytes, 4<<20)
+	setDefault(&l.MaxEventBytes, 256<<10)
+	setDefault(&l.HeaderTimeout, 10*time.Second)
+	setDefault(&l.BodyTimeout, 30*time.Second)
+	setDefault(&l.IdleTimeout, 60*time.Second)
+	setDefault(&l.WriteTimeout, 10*time.Second)
+	setDefault(&l.StreamIdleTimeout, 30*time.Second)
 	setDefault(&s.Log.Format, "json")
 	setDefault(&s.Log.Level, "info")
-	setDefault(&s.Log.Storm, 100)
-	setDefault(&e.Dialect, "vllm")
-	setDefault(&e.DialTime, time.Second)
-	setDefault(&e.Connections, 1024)
-	setDefault(&e.Idle, 32)
-	setDefault(&e.IdleTime, 15*time.Second)
-	if s.Register != nil {
-		setDefault(&s.Register.Kinds, "brackenbend.dev/kind")
-		setDefault(&s.Register.Cells, "brackenbend.dev/cell")
+	setDefault(&s.Log.LinesPerSecond, 100)
+	setDefault(&e.Protocol, "vllm")
+	setDefault(&e.DialTimeout, time.Second)
+	setDefault(&e.MaxConnsPerEngine, 1024)
+	setDefault(&e.MaxIdlePerEngine, 32)
+	setDefault(&e.IdleTimeout, 15*time.Second)
+	if s.APIServer != nil {
+		setDefault(&s.APIServer.KindLabel, "brackenbend.dev/kind")
+		setDefault(&s.APIServer.CellLabel, "brackenbend.dev/cell")
 	}
 	for i := range s.Classes {
-		setDefault(&s.Classes[i].Worth, 1)
+		setDefault(&s.Classes[i].PriorityWeight, 1)
 	}
 }
 
@@ -279,23 +279,23 @@
 	groups  = map[string]routing.DedupScope{"": routing.DedupAll, "all": routing.DedupAll, "zone": routing.DedupZone, "cell": routing.DedupCell}
 	roles   = map[string]routing.Role{"reader": routing.RolePrefill, "writer": routing.RoleDecode, "mixed": routing.RoleMixed}
 	sources = map[string]api.Source{"path": api.FromPath, "model": api.FromModel, "header": api.FromHeader,
-		"api-key-sha256": api.FromAPIKey, "user": api.FromUser, "system-messages": api.FromLeading,
-		"first-message": api.FromFirst, "opening": api.FromOpening}
+		"api-key-sha256": api.FromAPIKey, "user": api.FromUser, "system-messages": api.FromSystemMessages,
+		"first-message": api.FromFirstMessage, "opening": api.FromOpening}
 )
 
 // RoutingConfig is what the decision module is told.
 func (s *Settings) RoutingConfig() routing.Config {
 	v := s.Service
-	c := routing.Config{Replicas: v.Fronts, MaxAttempts: v.MaxAttempts, MaxRetryAfter: v.MaxWait, StateTTL: v.Release,
-		DrainGrace: v.DrainGrace, SlowStartFrom: v.ColdFrom, SlowStartFor: v.ColdFor, OverloadFactor: v.Overload, OverloadAfter: v.TipAfter,
-		DecodeCanPrefill: v.WritersRead, CanCancel: v.CancelStops, OverQuotaWeight: v.OverShare,
-		WeightByWork: v.WorthBy == "work"}
+	c := routing.Config{Replicas: v.Replicas, MaxAttempts: v.MaxAttempts, MaxRetryAfter: v.MaxRetryAfter, StateTTL: v.StateTTL,
+		DrainGrace: v.DrainGrace, SlowStartFrom: v.SlowStartFrom, SlowStartFor: v.SlowStartFor, OverloadFactor: v.OverloadFactor, OverloadAfter: v.OverloadAfter,
+		DecodeCanPrefill: v.DecodeCanPrefill, CanCancel: v.CanCancel, OverQuotaWeight: v.OverQuotaWeight,
+		WeightByWork: v.WeightBy == "work"}
 	if s.Engines != nil {
-		c.LoadReportFields = strings.Fields(s.Engines.Report)
+		c.LoadReportFields = strings.Fields(s.Engines.LoadReportFields)
 	}
 	for _, k := range s.Classes {
-		c.Classes = append(c.Classes, routing.Class{Name: k.Name, LatencyObjective: k.Aim, LatencyObjectivePer1000: k.AimPer1000, TokenLatencyObjective: k.TokenAim,
-			Deadline: k.Deadline, PriorityWeight: k.Worth, LateWeight: k.LateWorth, Idempotency: effects[k.Effect], DedupScope: groups[k.Group], DedupWindow: k.Window})
+		c.Classes = append(c.Classes, routing.Class{Name: k.Name, LatencyObjective: k.LatencyObjective, LatencyObjectivePer1000: k.LatencyObjectivePer1000, TokenLatencyObjective: k.TokenLatencyObjective,
+			Deadline: k.Deadline, PriorityWeight: k.PriorityWeight, LateWeight: k.LateWeight, Idempotency: effects[k.Idempotency], DedupScope: groups[k.DedupScope], DedupWindow: k.DedupWindow})
 	}
 	for _, t := range s.Tenants {
 		c.Tenants = append(c.Tenants, routing.Tenant{QuotaPerS: float64(t.Quota), Share: t.Share})
@@ -359,20 +359,20 @@
 	unique(report, "server", s.Servers, func(v Server) (Pos, string) { return v.Pos, v.Name })
 	s.checkService(report)
 	for _, c := range s.Classes {
-		if c.Deadline > 0 && c.Aim > c.Deadline {
-			report(c.Pos, "make aim smaller or deadline larger", "<class name=%q>: aim %v is past deadline %v", c.Name, c.Aim, c.Deadline)
+		if c.Deadline > 0 && c.LatencyObjective > c.Deadline {
+			report(c.Pos, "make aim smaller or deadline larger", "<class name=%q>: aim %v is past deadline %v", c.Name, c.LatencyObjective, c.Deadline)
 		}
 		if c.Deadline == 0 {
 			report(c.Pos, "give the time a client waits, such as 5s", "<class name=%q>: a deadline of 0", c.Name)
 		}
-		if (c.Effect == "keyed") != (c.Window > 0) {
-			report(c.Pos, "give window with effect=\"keyed\", and only there", "<class name=%q>: effect %s with a window of %v", c.Name, c.Effect, c.Window)
+		if (c.Idempotency == "keyed") != (c.DedupWindow > 0) {
+			report(c.Pos, "give window with effect=\"keyed\", and only there", "<class name=%q>: effect %s with a window of %v", c.Name, c.Idempotency, c.DedupWindow)
 		}
-		if c.Group != "" && c.Effect != "keyed" {
+		if c.DedupScope != "" && c.Idempotency != "keyed" {
 			report(c.Pos, "remove group, or set effect=\"keyed\"", "<class name=%q>: group without effect keyed", c.Name)
 		}
-		if c.LateWorth > 1 {
-			report(c.Pos, "write a part from 0 to 1", "<class name=%q>: late-worth %v", c.Name, c.LateWorth)
+		if c.LateWeight > 1 {
+			report(c.Pos, "write a part from 0 to 1", "<class name=%q>: late-worth %v", c.Name, c.LateWeight)
 		}
 	}
 	for _, m := range s.Models {
@@ -395,7 +395,7 @@
 }
 
 func (s *Settings) checkService(report Reporter) {
-	if f := s.Front; f != nil {
+	if f := s.Replica; f != nil {
 		address(report, f.Pos, "listen", f.Listen)
 		if f.Admin != "" {
 			address(report, f.Pos, "admin", f.Admin)
@@ -408,13 +408,13 @@
 	if v == nil {
 		return
 	}
-	if v.Fronts == 0 {
+	if v.Replicas == 0 {
 		report(v.Pos, "write how many fronts serve together", "<service>: fronts is 0")
 	}
-	if v.ColdFrom > 1 {
-		report(v.Pos, "write a part from 0 to 1", "<service>: cold-from %v", v.ColdFrom)
+	if v.SlowStartFrom > 1 {
+		report(v.Pos, "write a part from 0 to 1", "<service>: cold-from %v", v.SlowStartFrom)
 	}
-	if v.Overload > 0 && v.TipAfter == 0 {
+	if v.OverloadFactor > 0 && v.OverloadAfter == 0 {
 		report(v.Pos, "add tip-after=\"2s\"", "<service>: overload-factor without tip-after")
 	}
 	if v.DefaultClass != "" && s.classIndex(v.DefaultClass) < 0 {
@@ -444,11 +444,11 @@
 }
 
 func (s *Settings) checkServers(report Reporter) {
-	if s.Register == nil && len(s.Servers) == 0 {
+	if s.APIServer == nil && len(s.Servers) == 0 {
 		report(s.Pos, "add <server .../> lines or a <register .../>", "no engine can be known")
 	}
-	if s.Register != nil && len(s.Servers) > 0 {
-		report(s.Register.Pos, "keep one of them", "both a <register> and a static list of <server>")
+	if s.APIServer != nil && len(s.Servers) > 0 {
+		report(s.APIServer.Pos, "keep one of them", "both a <register> and a static list of <server>")
 	}
 	for _, v := range s.Servers {
 		address(report, v.Pos, "address", v.Address)
@@ -456,9 +456,9 @@
 			report(v.Pos, "name a <kind>", "<server name=%q>: %q is no kind", v.Name, v.Kind)
 		}
 	}
-	if s.Register != nil {
-		if u, err := url.Parse(s.Register.URL); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			report(s.Register.Pos, "write it like http://127.0.0.1:7000", "<register> url=%q is no http or https URL", clip(s.Register.URL))
+	if s.APIServer != nil {
+		if u, err := url.Parse(s.APIServer.URL); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
+			report(s.APIServer.Pos, "write it like http://127.0.0.1:7000", "<register> url=%q is no http or https URL", clip(s.APIServer.URL))
 		}
 	}
 }
--- a/internal/endpointslice/endpointslice_test.go
+++ b/internal/endpointslice/endpointslice_test.go
@@ -30,7 +30,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	w := &endpointslice.Watcher{URL: url, Namespace: "default", Selector: "app=engines", KindLabel: "brackenbend.dev/kind", CellLabel: "brackenbend.dev/cell",
-		CacheFile: cache, Client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, Deliver: f.take, Log: func(string, error) {},
+		CacheFile: cache, Client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, OnUpdate: f.take, Log: func(string, error) {},
 		MinBackoff: 5 * time.Millisecond, MaxBackoff: 50 * time.Millisecond, WatchTimeout: 20 * time.Second}
 	go func() { defer close(done); w.Run(ctx) }()
 	f.stop = sync.OnceFunc(func() { cancel(); <-done })
--- a/internal/endpointslice/watch.go
+++ b/internal/endpointslice/watch.go
@@ -30,7 +30,7 @@
 	CacheFile string // file of the last list, may be empty
 	Client    *http.Client
 	UserAgent string       // User-Agent
-	Deliver   func(Update) // called from Run's goroutine only
+	OnUpdate  func(Update) // called from Run's goroutine only
 	Log       func(msg string, err error)
 
 	// BackOff bounds the pause after a failed call: it doubles from First to Most, drawn evenly from half of it
@@ -62,7 +62,7 @@
 		for _, e := range list { // what started within the last run keeps its start
 			w.table.engines[e.Name] = e
 		}
-		w.Deliver(Update{routing.ListCached, list})
+		w.OnUpdate(Update{routing.ListCached, list})
 	}
 	w.toDisk = make(chan []Endpoint, 1)
 	saved := make(chan struct{})
@@ -86,7 +86,7 @@
 			w.Log("listing anew", err)
 		} else {
 			w.Log("register lost, the last list stays", err)
-			w.Deliver(Update{Scope: routing.ListFailed})
+			w.OnUpdate(Update{Scope: routing.ListFailed})
 		}
 		select {
 		case <-ctx.Done():
@@ -104,7 +104,7 @@
 			return err
 		}
 		w.version = version
-		w.Deliver(Update{routing.ListFull, w.table.replace(list)})
+		w.OnUpdate(Update{routing.ListFull, w.table.replace(list)})
 		w.save()
 	}
 	return w.watch(ctx)
@@ -251,7 +251,7 @@
 		return err
 	}
 	if changed := w.table.apply(ev.Type, &s); len(changed) > 0 {
-		w.Deliver(Update{routing.ListChanges, changed})
+		w.OnUpdate(Update{routing.ListChanges, changed})
 		w.save()
 	}
 	return nil
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -16,7 +16,7 @@
 
 func testClient() *Client {
 	return &Client{Protocol: VLLM{Extended: true}, LoadReportHeader: HeaderLoadReport, DialTimeout: time.Second, MaxConnsPerEndpoint: 4, MaxIdlePerEndpoint: 4, IdleTimeout: time.Minute,
-		StreamIdleTimeout: 20 * time.Second, MaxEventBytes: 16 << 10, MaxReplyBytes: 1 << 16, Limits: http1.Limits{Head: 4096, Fields: 30}, LoadReportFields: []string{"kv", "none"}}
+		StreamIdleTimeout: 20 * time.Second, MaxEventBytes: 16 << 10, MaxReplyBytes: 1 << 16, Limits: http1.Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 30}, LoadReportFields: []string{"kv", "none"}}
 }
 
 // peer accepts connections one after another and hands each, with its number, to serve.
@@ -43,7 +43,7 @@
 
 // request takes one whole request off c.
 func request(c net.Conn, br *bufio.Reader) bool {
-	lim := http1.Limits{Head: 4096, Fields: 30}
+	lim := http1.Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 30}
 	r, err := http1.ReadRequest(br, lim)
 	if err != nil {
 		return false
--- a/internal/engine/exchange.go
+++ b/internal/engine/exchange.go
@@ -100,16 +100,16 @@
 	if c.HeaderTimeout == 0 {
 		return http1.ReadResponse(k.br, c.Limits)
 	}
-	for i := range http1.MostInterim {
+	for i := range http1.MaxInterimResponses {
 		if _, err := k.br.Peek(1); err != nil {
 			return nil, err
 		}
-		if !http1.HeadBuffered(k.br) {
+		if !http1.HeaderBuffered(k.br) {
 			if err := k.SetReadDeadline(soon(c.HeaderTimeout, deadline)); err != nil {
 				return nil, err
 			}
 		}
-		resp, err := http1.ReadHead(k.br, c.Limits)
+		resp, err := http1.ReadResponseHeader(k.br, c.Limits)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			err = &http1.Error{Status: 502, Reason: "the head of the answer does not end"}
 		}
@@ -174,7 +174,7 @@
 	body.Reset(k.br, &resp.Message, c.Limits)
 	text, err = http1.ReadAll(&body, c.MaxReplyBytes)
 	alive = a.drop()
-	c.give(s, k, alive && err == nil && body.Done() && !resp.Close)
+	c.give(s, k, alive && err == nil && body.AtEOF() && !resp.Close)
 	return text, alive, err
 }
 
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -231,4 +231,4 @@
 
 // quiet tells that the peer has neither closed an idle connection nor sent anything on it. It narrows, but
 // can't close, the gap in which a connection dies at reuse; so what may run only once dials anew.
-func quiet(nc net.Conn) bool { return socket.Incoming(nc) == socket.Quiet }
+func quiet(nc net.Conn) bool { return socket.ReadState(nc) == socket.Idle }
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -53,7 +53,7 @@
 	var b http1.Body
 	b.Reset(k.br, &resp.Message, c.Limits)
 	_, err = http1.ReadAll(&b, c.MaxReplyBytes)
-	clean = err == nil && b.Done() && !resp.Close
+	clean = err == nil && b.AtEOF() && !resp.Close
 	if !c.Protocol.ReleaseAccepted(resp.Status) {
 		return fmt.Errorf("engine: release answered %d", resp.Status)
 	}
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -40,7 +40,7 @@
 		out.LoadReport = c.report(resp.Header.Get(c.LoadReportHeader))
 	}
 	clean := out.Result == routing.Served && !resp.Close
-	if clean && !body.Done() { // the last chunk comes right behind the last event
+	if clean && !body.AtEOF() { // the last chunk comes right behind the last event
 		_ = k.SetReadDeadline(time.Now().Add(time.Second))
 		var b [1]byte
 		n, err := body.Read(b[:])
@@ -72,7 +72,7 @@
 		}
 		if have == 0 {
 			free()
-			body.Wait()
+			body.WaitReadable()
 			pooled = buffers.Get().(*[]byte)
 			buf = *pooled
 		}
@@ -84,7 +84,7 @@
 		}
 		n, err := body.Read(buf[have:])
 		have, all = have+n, all+int64(n)
-		for err == nil && have < len(buf) && body.Ready() { // what is here already goes out in one write
+		for err == nil && have < len(buf) && body.Buffered() { // what is here already goes out in one write
 			n, err = body.Read(buf[have:])
 			have, all = have+n, all+int64(n)
 		}
@@ -152,7 +152,7 @@
 		if data != nil {
 			a.seen++
 			if bytes.HasPrefix(data, usageEvent) {
-				a.kept = api.Cached(data)
+				a.kept = api.CachedTokens(data)
 			}
 		}
 	}
--- a/internal/engine/vllm.go
+++ b/internal/engine/vllm.go
@@ -64,14 +64,14 @@
 
 // readReply reads the answer to a read; a write's 200 is a stream.
 func readReply(text []byte) Outcome {
-	reply, err := api.ParseReadReply(text)
+	reply, err := api.ParsePrefillReply(text)
 	switch {
 	case err != nil:
 		return Outcome{Result: routing.EngineError, Err: err}
-	case reply.KV == nil:
+	case reply.KVTransferParams == nil:
 		return Outcome{Result: routing.EngineError, Err: errors.New("engine: a reader answered without kv_transfer_params")}
 	}
-	return Outcome{Result: routing.PrefillDone, KVTransferParams: reply.KV, CachedTokens: reply.Cached}
+	return Outcome{Result: routing.PrefillDone, KVTransferParams: reply.KVTransferParams, CachedTokens: reply.CachedTokens}
 }
 
 // ReleaseMessage implements Dialect.
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -101,7 +101,7 @@
 // for every token.
 func (c *client) write(b []byte) error {
 	c.answered = true
-	stall := c.f.Limits.StallTime
+	stall := c.f.Limits.WriteTimeout
 	if now := time.Now(); now.Sub(c.sent) > stall/8 {
 		if err := c.nc.SetWriteDeadline(now.Add(stall)); err != nil {
 			return err
@@ -185,7 +185,7 @@
 // next waits for a request and reads its head.
 func (c *client) next() (*http1.Request, error) {
 	l := c.f.Limits
-	if err := c.setReadDeadline(c.within(l.IdleTime)); err != nil {
+	if err := c.setReadDeadline(c.within(l.IdleTimeout)); err != nil {
 		return nil, err
 	}
 	c.idleSince.Store(time.Now().UnixNano())
@@ -209,8 +209,8 @@
 	default:
 		return nil, io.EOF
 	}
-	if !http1.HeadBuffered(c.br) {
-		if err := c.setReadDeadline(c.within(l.HeadTime)); err != nil {
+	if !http1.HeaderBuffered(c.br) {
+		if err := c.setReadDeadline(c.within(l.HeaderTimeout)); err != nil {
 			return nil, err
 		}
 	}
@@ -236,7 +236,7 @@
 	default: // the client left
 		return
 	}
-	c.f.m.Turned.WithLabelValues("malformed").Inc()
+	c.f.m.RejectedConnections.WithLabelValues("malformed").Inc()
 	a := &api.Error{Status: e.Status, Type: "invalid_request_error", Code: "malformed", Message: e.Reason}
 	_ = c.send(Response{Status: e.Status, Body: a.JSON()}, false)
 }
@@ -244,7 +244,7 @@
 // send writes an answer that is not a stream.
 func (c *client) send(a Response, keep bool) error {
 	b := make([]byte, 0, 256+len(a.Body))
-	b = http1.AppendStatus(b, a.Status)
+	b = http1.AppendStatusLine(b, a.Status)
 	b = http1.AppendField(b, "Content-Type", "application/json")
 	b = http1.AppendField(b, "Content-Length", strconv.Itoa(len(a.Body)))
 	if a.wait > 0 && c.f.SendRetryAfter {
@@ -288,13 +288,13 @@
 
 // simple answers without a flight. A body that was not read ends the connection.
 func (c *client) simple(req *http1.Request, body *http1.Body, a Response) bool {
-	keep := !req.Close && body.Done() && !c.f.parting()
+	keep := !req.Close && body.AtEOF() && !c.f.parting()
 	return c.send(a, keep) == nil && keep
 }
 
 // turn refuses a request before it is taken.
 func (c *client) turn(req *http1.Request, body *http1.Body, reason, message string) bool {
-	c.f.m.Turned.WithLabelValues(reason).Inc()
+	c.f.m.RejectedConnections.WithLabelValues(reason).Inc()
 	e := &api.Error{Status: 503, Type: "server_error", Code: "overloaded", Message: message}
 	return c.simple(req, body, Response{Status: 503, Body: e.JSON(), wait: time.Second})
 }
@@ -304,18 +304,18 @@
 	if f.parting() && f.AcceptWhileDraining == 0 {
 		return c.turn(req, body, "draining", "this front is going down; nothing was done")
 	}
-	if f.open.Add(1) > int64(f.Limits.Open) {
+	if f.open.Add(1) > int64(f.Limits.MaxOpenRequests) {
 		f.open.Add(-1)
 		return c.turn(req, body, "open requests", "too many requests are open at this front; nothing was done")
 	}
-	f.m.Open.Inc()
-	defer func() { f.open.Add(-1); f.m.Open.Dec() }()
-	size := req.Length
+	f.m.OpenRequests.Inc()
+	defer func() { f.open.Add(-1); f.m.OpenRequests.Dec() }()
+	size := req.ContentLength
 	if size < 0 {
-		size = int64(f.Limits.Body)
+		size = int64(f.Limits.MaxBodyBytes)
 	}
-	fits := size <= int64(f.Limits.Body)
-	if fits && f.bodies.Add(size) > int64(f.Limits.BodyMemory) {
+	fits := size <= int64(f.Limits.MaxBodyBytes)
+	if fits && f.bodies.Add(size) > int64(f.Limits.MaxBufferedBodyBytes) {
 		f.bodies.Add(-size)
 		return c.turn(req, body, "body memory", "too many bytes of requests are held at this front; nothing was done")
 	}
@@ -324,17 +324,17 @@
 	}
 	booked := size
 	defer func() { f.bodies.Add(-booked) }()
-	if req.Expect && fits {
+	if req.ExpectContinue && fits {
 		if c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) != nil {
 			return false
 		}
 	}
-	if req.Chunked || req.Length > int64(c.br.Buffered()) {
-		if c.setReadDeadline(c.within(f.Limits.BodyTime)) != nil {
+	if req.Chunked || req.ContentLength > int64(c.br.Buffered()) {
+		if c.setReadDeadline(c.within(f.Limits.BodyTimeout)) != nil {
 			return false
 		}
 	}
-	text, err := http1.ReadAll(body, int64(f.Limits.Body))
+	text, err := http1.ReadAll(body, int64(f.Limits.MaxBodyBytes))
 	if err != nil {
 		c.closing = closeReason(err)
 		c.complain(err)
@@ -342,15 +342,15 @@
 	}
 	fl, e := c.flight(req, text)
 	if e != nil {
-		f.m.Turned.WithLabelValues("invalid").Inc()
+		f.m.RejectedConnections.WithLabelValues("invalid").Inc()
 		return c.reject(req, body, e)
 	}
 	if f.RejectPipelining && c.br.Buffered() > 0 { // the client may have given up on the one before it
-		f.m.Turned.WithLabelValues("pipelined").Inc()
+		f.m.RejectedConnections.WithLabelValues("pipelined").Inc()
 		return c.reject(&http1.Request{Message: http1.Message{Close: true}}, body, oneByOne)
 	}
 	if !f.claim(fl.name) {
-		f.m.Turned.WithLabelValues("open already").Inc()
+		f.m.RejectedConnections.WithLabelValues("open already").Inc()
 		return c.reject(req, body, &api.Error{Status: 409, Type: "invalid_request_error", Code: "open_already", Message: "a request of this id is open"})
 	}
 	defer f.unclaim(fl.name)
@@ -384,9 +384,9 @@
 	if bend := f.seam.Wait; bend != nil {
 		wait = bend(wait)
 	}
-	fl.due = now.Add(api.Within(wait, f.AnswerMargin))
+	fl.due = now.Add(api.WithMargin(wait, f.AnswerMargin))
 	if t.AnswerTimeout > 0 {
-		fl.last = now.Add(api.Within(t.AnswerTimeout, f.AnswerMargin))
+		fl.last = now.Add(api.WithMargin(t.AnswerTimeout, f.AnswerMargin))
 	}
 	return fl, nil
 }
@@ -535,7 +535,7 @@
 
 // hungUp asks the system whether the client has closed its connection. The connection's goroutine finds out by itself, but may be
 // scheduled late.
-func (c *client) hungUp() bool { return socket.Incoming(c.nc) == socket.Ended }
+func (c *client) hungUp() bool { return socket.ReadState(c.nc) == socket.Closed }
 
 // callOff ends the attempt that streams.
 func (c *client) callOff(fl *flight) {
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -208,7 +208,7 @@
 		return testutil.ToFloat64(r.f.m.Attempts.WithLabelValues("read", resultNames[routing.NotSent])) > 0
 	})
 	answer()
-	r.eventually("the connection has ended", func() bool { return testutil.ToFloat64(r.f.m.Connections) == 0 })
+	r.eventually("the connection has ended", func() bool { return testutil.ToFloat64(r.f.m.ClientConnections) == 0 })
 	for name, e := range r.engines {
 		if n := e.Arrivals(); n > 0 {
 			t.Errorf("%s was asked %d times", name, n)
--- a/internal/gateway/evict_test.go
+++ b/internal/gateway/evict_test.go
@@ -26,7 +26,7 @@
 // Its client sees the close and sends it again, so begun here it would run twice. One whose request came first stays.
 func TestARequestOnAnEvictedConnectionIsNotBegun(t *testing.T) {
 	for _, during := range []bool{true, false} {
-		f := &Gateway{Options: Options{MinIdleTime: time.Nanosecond}, limits: http1.Limits{Head: 4096, Fields: 10}, conns: map[*client]struct{}{}}
+		f := &Gateway{Options: Options{MinIdleTime: time.Nanosecond}, limits: http1.Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 10}, conns: map[*client]struct{}{}}
 		nc := &racing{meanwhile: func() {}}
 		room := false
 		if during {
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -36,9 +36,9 @@
 	key    string // Idempotency-Key
 	class  *routing.Class
 	to     *client
-	whole  *api.Whole // collects the answer for a client that does not stream
-	chunks bool       // the client takes chunked answers
-	keep   bool       // the connection stays after the answer
+	whole  *api.Collector // collects the answer for a client that does not stream
+	chunks bool           // the client takes chunked answers
+	keep   bool           // the connection stays after the answer
 	taken  time.Time
 	due    time.Time // first token, or final answer, by the module's reckoning
 	last   time.Time // the client's time for a whole answer; zero = not told
@@ -355,7 +355,7 @@
 	a.post(item{ev: routing.FirstToken{Request: fl.id, Attempt: a.n, Endpoint: a.srv.ID, Elapsed: time.Since(a.began)}})
 	if fl.whole == nil {
 		a.takeFrame()
-		b := http1.AppendStatus(a.out, 200)
+		b := http1.AppendStatusLine(a.out, 200)
 		b = http1.AppendField(b, "Content-Type", "text/event-stream; charset=utf-8")
 		b = http1.AppendField(b, "Cache-Control", "no-cache")
 		b = http1.AppendField(b, engine.HeaderRequestID, fl.title())
@@ -433,7 +433,7 @@
 		f.m.FirstToken.WithLabelValues(fl.class.Name).Observe(time.Duration(d).Seconds())
 	}
 	if fl.first.Load() == 0 && (fl.result == "refused" || fl.result == "failed") {
-		f.m.Lost.WithLabelValues(fl.stage()).Inc()
+		f.m.LostRequests.WithLabelValues(fl.stage()).Inc()
 	}
 	ce := f.log.Check(zap.InfoLevel, "answer "+fl.result)
 	if ce == nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -42,12 +42,12 @@
 type ParsedRequest struct {
 	Routing           routing.Request // but for ID and Due
 	Prompt            RequestBodies
-	Path              string        // towards engines
-	ClientID          string        // the client's own id of the request, not to be used by two at once; "" = none
-	IdempotencyKey    string        // Idempotency-Key
-	FirstTokenTimeout time.Duration // how long the client waits for the first token
-	Collector         *api.Whole    // collects the answer for a client that does not stream
-	AnswerTimeout     time.Duration // how long it waits for a whole answer; 0 = not told
+	Path              string         // towards engines
+	ClientID          string         // the client's own id of the request, not to be used by two at once; "" = none
+	IdempotencyKey    string         // Idempotency-Key
+	FirstTokenTimeout time.Duration  // how long the client waits for the first token
+	Collector         *api.Collector // collects the answer for a client that does not stream
+	AnswerTimeout     time.Duration  // how long it waits for a whole answer; 0 = not told
 }
 
 // RequestBodies makes the bodies of a request's calls.
@@ -111,10 +111,10 @@
 // NewFromSettings makes a front for OpenAI's API and vLLM engines from checked settings.
 func NewFromSettings(set *config.Settings, log *zap.Logger, m *telemetry.Metrics) (*Gateway, error) {
 	e := set.Engines
-	o := Options{Routing: set.RoutingConfig(), Seed: uint64(set.Front.Seed), Protocol: newOpenAI(set), Limits: *set.Limits, AnswerMargin: set.Front.Margin, SendRetryAfter: true,
-		Engines: &engine.Client{Protocol: engine.VLLM{Extended: e.Dialect == "extended", UserAgent: UserAgent(set)}, LoadReportHeader: engine.HeaderLoadReport,
-			DialTimeout: e.DialTime, MaxConnsPerEndpoint: e.Connections, MaxIdlePerEndpoint: e.Idle, IdleTimeout: e.IdleTime, StreamIdleTimeout: set.Limits.StreamIdle,
-			MaxEventBytes: int(set.Limits.Event), MaxReplyBytes: int64(set.Limits.Whole), Limits: http1.Limits{Head: 64 << 10, Fields: 200}}}
+	o := Options{Routing: set.RoutingConfig(), Seed: uint64(set.Replica.Seed), Protocol: newOpenAI(set), Limits: *set.Limits, AnswerMargin: set.Replica.AnswerMargin, SendRetryAfter: true,
+		Engines: &engine.Client{Protocol: engine.VLLM{Extended: e.Protocol == "extended", UserAgent: UserAgent(set)}, LoadReportHeader: engine.HeaderLoadReport,
+			DialTimeout: e.DialTimeout, MaxConnsPerEndpoint: e.MaxConnsPerEngine, MaxIdlePerEndpoint: e.MaxIdlePerEngine, IdleTimeout: e.IdleTimeout, StreamIdleTimeout: set.Limits.StreamIdleTimeout,
+			MaxEventBytes: int(set.Limits.MaxEventBytes), MaxReplyBytes: int64(set.Limits.MaxCollectedBytes), Limits: http1.Limits{MaxHeaderBytes: 64 << 10, MaxHeaderFields: 200}}}
 	for _, k := range set.Kinds {
 		o.Kinds = append(o.Kinds, k.Name)
 	}
@@ -146,7 +146,7 @@
 		return nil, err
 	}
 	f := &Gateway{Options: o, seam: seam, classes: o.Routing.Classes, kinds: o.Routing.Kinds, log: log, m: m, conns: map[*client]struct{}{},
-		limits: http1.Limits{Head: int(o.Limits.Head), Fields: o.Limits.Fields}, names: map[string]struct{}{},
+		limits: http1.Limits{MaxHeaderBytes: int(o.Limits.MaxHeaderBytes), MaxHeaderFields: o.Limits.MaxHeaderFields}, names: map[string]struct{}{},
 		run: fmt.Sprintf("%x", random[8:]), lastLook: lastLook}
 	o.Engines.LoadReportFields = o.Routing.LoadReportFields
 	f.loop = newLoop(f, router, o.Engines)
@@ -154,7 +154,7 @@
 }
 
 // UserAgent is the User-Agent of a front towards engines and the register.
-func UserAgent(set *config.Settings) string { return "brackenbend/" + set.Front.Name }
+func UserAgent(set *config.Settings) string { return "brackenbend/" + set.Replica.Name }
 
 // UpdateEndpoints takes news of the list of engines. It may be called from any goroutine.
 func (f *Gateway) UpdateEndpoints(u endpointslice.Update) { f.loop.post(item{list: &u}) }
@@ -238,9 +238,9 @@
 
 func (f *Gateway) accept(nc net.Conn) {
 	f.mu.Lock()
-	if len(f.conns) >= f.Limits.Connections && !f.makeRoom() {
+	if len(f.conns) >= f.Limits.MaxConnections && !f.makeRoom() {
 		f.mu.Unlock()
-		f.m.Turned.WithLabelValues("connections").Inc()
+		f.m.RejectedConnections.WithLabelValues("connections").Inc()
 		nc.Close()
 		return
 	}
@@ -248,15 +248,15 @@
 	f.conns[c] = struct{}{}
 	f.wait.Add(1)
 	f.mu.Unlock()
-	f.m.Connections.Inc()
+	f.m.ClientConnections.Inc()
 	go func() {
 		defer f.wait.Done()
 		c.serve()
 		f.mu.Lock()
 		delete(f.conns, c)
 		f.mu.Unlock()
-		f.m.Connections.Dec()
-		f.m.Closed.WithLabelValues(c.closing).Inc()
+		f.m.ClientConnections.Dec()
+		f.m.ClosedConnections.WithLabelValues(c.closing).Inc()
 	}()
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -434,7 +434,7 @@
 func TestDeadlineOutcomeAndHangUpAtOnce(t *testing.T) {
 	for range 2000 {
 		a, b := net.Pipe()
-		f := &Gateway{set: &config.Settings{Limits: &config.Limits{StallTime: time.Second}}}
+		f := &Gateway{set: &config.Settings{Limits: &config.Limits{WriteTimeout: time.Second}}}
 		fl := &flight{to: newClient(f, a), class: &routing.Class{}, done: make(chan struct{}), chunks: true, taken: time.Now()}
 		att := &attempt{fl: fl, srv: &engine.Endpoint{}, post: func(item) {}}
 		go io.Copy(io.Discard, b)
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -45,7 +45,7 @@
 		return
 	}
 	l.f.m.StatesHeld.Dec()
-	l.f.m.StateHeld.WithLabelValues(how).Observe(time.Since(held.since).Seconds())
+	l.f.m.StateHeldSeconds.WithLabelValues(how).Observe(time.Since(held.since).Seconds())
 }
 
 const (
--- a/internal/gateway/heldstate_test.go
+++ b/internal/gateway/heldstate_test.go
@@ -14,7 +14,7 @@
 // counted once; so is why a request was not served and why a connection was closed.
 func TestReadStatesAreCounted(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
-	ends := func() int { return testutil.CollectAndCount(r.f.m.StateHeld) }
+	ends := func() int { return testutil.CollectAndCount(r.f.m.StateHeldSeconds) }
 	held := func() float64 { return testutil.ToFloat64(r.f.m.StatesHeld) }
 	r.post("ask", chat(true, 3))
 	r.eventually("the state was fetched", func() bool { return held() == 0 && ends() == 1 })
@@ -32,6 +32,6 @@
 		return testutil.ToFloat64(r.f.m.NotServed.WithLabelValues("gone", reasonLeft)) == 1
 	})
 	r.eventually("one connection was closed, by its client", func() bool {
-		return testutil.CollectAndCount(r.f.m.Closed) == 1 && testutil.ToFloat64(r.f.m.Closed.WithLabelValues(closeClient)) == 1
+		return testutil.CollectAndCount(r.f.m.ClosedConnections) == 1 && testutil.ToFloat64(r.f.m.ClosedConnections.WithLabelValues(closeClient)) == 1
 	})
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -175,8 +175,8 @@
 				close(batch[i].done)
 			}
 		}
-		l.f.m.Step.Observe(time.Since(began).Seconds())
-		l.f.m.Queue.Observe(float64(len(batch)))
+		l.f.m.DecisionSeconds.Observe(time.Since(began).Seconds())
+		l.f.m.DecisionEvents.Observe(float64(len(batch)))
 		clear(batch)
 		clear(l.touched)
 		if l.ending && len(l.flights) == 0 {
@@ -381,7 +381,7 @@
 // of them, so that what it decided a moment ago is not sent either.
 func (l *loop) list(u *endpointslice.Update) routing.Event {
 	scopes := map[routing.ListScope]string{routing.ListChanges: "changes", routing.ListFull: "full", routing.ListCached: "cached", routing.ListFailed: "failed"}
-	l.f.m.Lists.WithLabelValues(scopes[u.Scope]).Inc()
+	l.f.m.EndpointUpdates.WithLabelValues(scopes[u.Scope]).Inc()
 	ev := routing.EndpointList{Scope: u.Scope}
 	if u.Scope == routing.ListFailed {
 		return ev
--- a/internal/gateway/openai.go
+++ b/internal/gateway/openai.go
@@ -68,10 +68,10 @@
 	if class.Idempotency != routing.IdempotentWithKey {
 		t.IdempotencyKey = ""
 	}
-	told := api.ClientTime(req.Header)
-	taken := &ParsedRequest{Routing: t.Event(0, 0), Prompt: r, Path: r.Path, IdempotencyKey: t.IdempotencyKey, FirstTokenTimeout: api.Wait(class.Deadline, told)}
+	told := api.ClientTimeout(req.Header)
+	taken := &ParsedRequest{Routing: t.RoutingRequest(0, 0), Prompt: r, Path: r.Path, IdempotencyKey: t.IdempotencyKey, FirstTokenTimeout: api.EffectiveTimeout(class.Deadline, told)}
 	if !r.Stream {
-		taken.Collector, taken.AnswerTimeout = api.NewWhole(r.Chat, int(o.limits.Whole)), told
+		taken.Collector, taken.AnswerTimeout = api.NewCollector(r.Chat, int(o.limits.MaxCollectedBytes)), told
 	}
 	return taken, nil
 }
--- a/internal/gctuning/gctuning.go
+++ b/internal/gctuning/gctuning.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 )
 
-// Floor lets the heap grow to n bytes before it is collected, and to twice its live size where that is more, as Go
+// SetHeapFloor lets the heap grow to n bytes before it is collected, and to twice its live size where that is more, as Go
 // does by itself. Call the returned function to go back. One floor at a time may stand in a process.
-func Floor(n uint64) (undo func()) {
+func SetHeapFloor(n uint64) (undo func()) {
 	f := &floor{bytes: n}
 	before := debug.SetGCPercent(100)
 	f.set()
--- a/internal/gctuning/gctuning_test.go
+++ b/internal/gctuning/gctuning_test.go
@@ -19,7 +19,7 @@
 
 func TestFloorMakesCollectionsRare(t *testing.T) {
 	before := collections(64 << 20)
-	undo := Floor(256 << 20)
+	undo := SetHeapFloor(256 << 20)
 	with := collections(64 << 20)
 	undo()
 	after := collections(64 << 20)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -18,8 +18,8 @@
 
 // Limits bound what one message may take of memory. All are required.
 type Limits struct {
-	Head   int // bytes of a head with its start line, and of a trailer section
-	Fields int // header fields
+	MaxHeaderBytes  int // bytes of a head with its start line, and of a trailer section
+	MaxHeaderFields int // header fields
 }
 
 // Error is a message that breaks the protocol or a limit; Status is the answer a server owes for it.
@@ -65,18 +65,18 @@
 
 // Message is what requests and responses share.
 type Message struct {
-	Minor   int // HTTP/1.Minor
-	Header  Header
-	Length  int64 // of the body; -1 = not told (chunked, or until close)
-	Chunked bool
-	Close   bool // the connection ends after this message
+	Minor         int // HTTP/1.Minor
+	Header        Header
+	ContentLength int64 // of the body; -1 = not told (chunked, or until close)
+	Chunked       bool
+	Close         bool // the connection ends after this message
 }
 
 // Request is a parsed request head.
 type Request struct {
 	Message
 	Method, Target string
-	Expect         bool // 100-continue is waited for
+	ExpectContinue bool // 100-continue is waited for
 }
 
 // Path is the target without its query.
@@ -134,8 +134,8 @@
 
 var headEnd = []byte("\r\n\r\n")
 
-// HeadBuffered tells that a whole head is in br, so that reading it waits for nothing.
-func HeadBuffered(br *bufio.Reader) bool {
+// HeaderBuffered tells that a whole head is in br, so that reading it waits for nothing.
+func HeaderBuffered(br *bufio.Reader) bool {
 	p, _ := br.Peek(br.Buffered())
 	return bytes.Contains(p, headEnd)
 }
@@ -164,7 +164,7 @@
 
 // ReadRequest reads one request head. io.EOF: the connection ended between messages.
 func ReadRequest(br *bufio.Reader, lim Limits) (*Request, error) {
-	head, err := readHead(br, lim.Head, true)
+	head, err := readHead(br, lim.MaxHeaderBytes, true)
 	if err != nil {
 		return nil, err
 	}
@@ -178,7 +178,7 @@
 	if r.Minor, err = version(proto); err != nil {
 		return nil, err
 	}
-	if err := r.fields(rest, lim.Fields); err != nil {
+	if err := r.fields(rest, lim.MaxHeaderFields); err != nil {
 		return nil, err
 	}
 	hosts := 0
@@ -193,34 +193,34 @@
 	if err := r.frame(); err != nil {
 		return nil, err
 	}
-	if !r.Chunked && r.Length < 0 {
-		r.Length = 0
+	if !r.Chunked && r.ContentLength < 0 {
+		r.ContentLength = 0
 	}
 	if e := r.Header.Get("Expect"); e != "" {
 		if !strings.EqualFold(e, "100-continue") {
 			return nil, &Error{417, "unknown expectation"}
 		}
-		r.Expect = r.Minor == 1 && (r.Chunked || r.Length > 0)
+		r.ExpectContinue = r.Minor == 1 && (r.Chunked || r.ContentLength > 0)
 	}
 	return r, nil
 }
 
-// MostInterim is how many heads are read for one response, interim (1xx) ones included.
-const MostInterim = 8
+// MaxInterimResponses is how many heads are read for one response, interim (1xx) ones included.
+const MaxInterimResponses = 8
 
 // ReadResponse reads one response head, passing over interim ones.
 func ReadResponse(br *bufio.Reader, lim Limits) (*Response, error) {
-	for range MostInterim {
-		if r, err := ReadHead(br, lim); err != nil || r.Status >= 200 {
+	for range MaxInterimResponses {
+		if r, err := ReadResponseHeader(br, lim); err != nil || r.Status >= 200 {
 			return r, err
 		}
 	}
 	return nil, bad("too many interim responses")
 }
 
-// ReadHead reads one response head, which may be interim.
-func ReadHead(br *bufio.Reader, lim Limits) (*Response, error) {
-	head, err := readHead(br, lim.Head, false)
+// ReadResponseHeader reads one response head, which may be interim.
+func ReadResponseHeader(br *bufio.Reader, lim Limits) (*Response, error) {
+	head, err := readHead(br, lim.MaxHeaderBytes, false)
 	if err != nil {
 		return nil, err
 	}
@@ -235,7 +235,7 @@
 	if r.Minor, err = version(proto); err != nil {
 		return nil, err
 	}
-	if err := r.fields(rest, lim.Fields); err != nil {
+	if err := r.fields(rest, lim.MaxHeaderFields); err != nil {
 		return nil, err
 	}
 	if status == 101 {
@@ -248,9 +248,9 @@
 		return nil, err
 	}
 	if status == 204 || status == 304 {
-		r.Length, r.Chunked = 0, false
+		r.ContentLength, r.Chunked = 0, false
 	}
-	if r.Length < 0 && !r.Chunked {
+	if r.ContentLength < 0 && !r.Chunked {
 		r.Close = true // the body runs until the connection ends
 	}
 	return r, nil
@@ -295,19 +295,19 @@
 
 // frame settles where the body ends (RFC 9112 6.3) and whether the connection stays.
 func (m *Message) frame() error {
-	m.Length = -1
+	m.ContentLength = -1
 	te := ""
 	for _, f := range m.Header {
 		switch {
 		case strings.EqualFold(f.Name, "Content-Length"):
-			if m.Length >= 0 {
+			if m.ContentLength >= 0 {
 				return bad("more than one Content-Length")
 			}
 			n, err := strconv.ParseUint(f.Value, 10, 62)
 			if err != nil || f.Value[0] == '+' {
 				return bad("malformed Content-Length")
 			}
-			m.Length = int64(n)
+			m.ContentLength = int64(n)
 		case strings.EqualFold(f.Name, "Transfer-Encoding"):
 			if te != "" {
 				return bad("more than one Transfer-Encoding")
@@ -319,7 +319,7 @@
 		}
 	}
 	if te != "" {
-		if m.Length >= 0 {
+		if m.ContentLength >= 0 {
 			return bad("Content-Length beside Transfer-Encoding")
 		}
 		if m.Minor == 0 {
@@ -359,15 +359,15 @@
 
 // Reset sets b to the body of m, which follows in br.
 func (b *Body) Reset(br *bufio.Reader, m *Message, lim Limits) {
-	*b = Body{br: br, left: m.Length, chunked: m.Chunked, first: true, limit: lim.Head}
+	*b = Body{br: br, left: m.ContentLength, chunked: m.Chunked, first: true, limit: lim.MaxHeaderBytes}
 	if b.chunked {
 		b.left = 0
 	}
 	b.done = !b.chunked && b.left == 0
 }
 
-// Done tells that the body's end was read; only then may the connection serve another message.
-func (b *Body) Done() bool { return b.done }
+// AtEOF tells that the body's end was read; only then may the connection serve another message.
+func (b *Body) AtEOF() bool { return b.done }
 
 // Read implements io.Reader. It returns what is buffered rather than wait for p to fill.
 func (b *Body) Read(p []byte) (int, error) {
@@ -403,9 +403,9 @@
 	return n, err
 }
 
-// Wait returns when the connection has something for the body, or failed; Read tells which. The end of the chunk
+// WaitReadable returns when the connection has something for the body, or failed; Read tells which. The end of the chunk
 // that was read last is no such thing.
-func (b *Body) Wait() {
+func (b *Body) WaitReadable() {
 	if b.done || b.err != nil {
 		return
 	}
@@ -417,8 +417,8 @@
 	_, _ = b.br.Peek(1)
 }
 
-// Ready tells that a Read will return without waiting for the connection.
-func (b *Body) Ready() bool {
+// Buffered tells that a Read will return without waiting for the connection.
+func (b *Body) Buffered() bool {
 	n := b.br.Buffered()
 	if b.done || !b.chunked || b.left > 0 || n == 0 {
 		return b.done || n > 0
@@ -605,8 +605,8 @@
 	return "Status"
 }
 
-// AppendStatus appends a response's status line.
-func AppendStatus(dst []byte, code int) []byte {
+// AppendStatusLine appends a response's status line.
+func AppendStatusLine(dst []byte, code int) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(code), 10)
 	dst = append(dst, ' ')
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -12,7 +12,7 @@
 	"testing/iotest"
 )
 
-var lim = Limits{Head: 4096, Fields: 20}
+var lim = Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 20}
 
 func reader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 512) }
 
@@ -55,15 +55,15 @@
 		"3;ext=1\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: x\r\n\r\nGET /next HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 	br := bufio.NewReader(iotest.OneByteReader(strings.NewReader(msg)))
 	r, err := ReadRequest(br, lim)
-	if err != nil || r.Path() != "/v1/x" || !r.Expect || !r.Chunked || r.Close || r.Header.Get("HOST") != "a" {
+	if err != nil || r.Path() != "/v1/x" || !r.ExpectContinue || !r.Chunked || r.Close || r.Header.Get("HOST") != "a" {
 		t.Fatalf("%+v %v", r, err)
 	}
 	var b Body
 	b.Reset(br, &r.Message, lim)
-	if data, err := ReadAll(&b, 5); err != nil || string(data) != "abcde" || !b.Done() {
+	if data, err := ReadAll(&b, 5); err != nil || string(data) != "abcde" || !b.AtEOF() {
 		t.Fatalf("%q %v", data, err)
 	}
-	if r, err = ReadRequest(br, lim); err != nil || r.Target != "/next" || !r.Close || r.Length != 0 {
+	if r, err = ReadRequest(br, lim); err != nil || r.Target != "/next" || !r.Close || r.ContentLength != 0 {
 		t.Fatalf("%+v %v", r, err)
 	}
 	if _, err = ReadRequest(br, lim); err != io.EOF {
@@ -89,7 +89,7 @@
 		"chunk line LF":     {"2\nab\r\n0\r\n\r\n", true, -1, nil},
 	} {
 		var b Body
-		b.Reset(reader(c.body), &Message{Length: c.length, Chunked: c.chunked}, lim)
+		b.Reset(reader(c.body), &Message{ContentLength: c.length, Chunked: c.chunked}, lim)
 		_, err := ReadAll(&b, 100)
 		var e *Error
 		if c.want != nil && !errors.Is(err, c.want) || c.want == nil && !errors.As(err, &e) {
@@ -97,7 +97,7 @@
 		}
 	}
 	var b Body
-	b.Reset(reader("4\r\nabcd\r\n0\r\n\r\n"), &Message{Length: -1, Chunked: true}, lim)
+	b.Reset(reader("4\r\nabcd\r\n0\r\n\r\n"), &Message{ContentLength: -1, Chunked: true}, lim)
 	var e *Error
 	if _, err := ReadAll(&b, 3); !errors.As(err, &e) || e.Status != 413 {
 		t.Errorf("over the limit: %v", err)
@@ -140,10 +140,10 @@
 func TestWaitPassesOverTheEndOfAChunk(t *testing.T) {
 	s := &script{pieces: []string{"2\r\nab\r\n", "2\r\ncd\r", "\n", "0\r\n\r\n"}}
 	var b Body
-	b.Reset(bufio.NewReader(s), &Message{Length: -1, Chunked: true}, lim)
+	b.Reset(bufio.NewReader(s), &Message{ContentLength: -1, Chunked: true}, lim)
 	p := make([]byte, 10)
 	for i, want := range []string{"ab", "cd", ""} {
-		b.Wait()
+		b.WaitReadable()
 		if reads := []int{1, 2, 4}[i]; s.reads != reads {
 			t.Errorf("wait %d returned after %d reads, want %d", i, s.reads, reads)
 		}
@@ -152,12 +152,12 @@
 			t.Fatalf("%q %v", p[:n], err)
 		}
 	}
-	b.Reset(reader("2\r\nabX"), &Message{Length: -1, Chunked: true}, lim)
+	b.Reset(reader("2\r\nabX"), &Message{ContentLength: -1, Chunked: true}, lim)
 	var e *Error
 	if n, err := b.Read(p); n != 2 || err != nil {
 		t.Fatal(n, err)
 	}
-	b.Wait()
+	b.WaitReadable()
 	if _, err := b.Read(p); !errors.As(err, &e) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a chunk longer than told: %v", err)
 	}
--- a/internal/node/budget.go
+++ b/internal/node/budget.go
@@ -13,16 +13,16 @@
 // socketsLeast is the fewest descriptors that a front node can work with.
 const socketsLeast = 48
 
-// Budget is how a front node's limits are split.
-type Budget struct {
-	Clients   int   // connections of clients
-	Engines   int   // connections to engines, in all
-	PerEngine int   // and to one
-	Open      int   // requests
-	Bodies    int64 // bytes of bodies held at once
-	Heap      int64 // the runtime's soft limit
-	Floor     uint64
-	Procs     int
+// ResourceLimits is how a front node's limits are split.
+type ResourceLimits struct {
+	MaxClientConns       int   // connections of clients
+	MaxEngineConns       int   // connections to engines, in all
+	MaxConnsPerEngine    int   // and to one
+	MaxOpenRequests      int   // requests
+	MaxBufferedBodyBytes int64 // bytes of bodies held at once
+	SoftHeapLimit        int64 // the runtime's soft limit
+	HeapFloor            uint64
+	Procs                int
 }
 
 const (
@@ -31,9 +31,9 @@
 	roomy        = 512 << 20 // bytes of memory where none are told
 )
 
-// Split derives the budget from the limits. Clients' requests hold a third of the descriptors at most, each may need
+// ResourceLimits derives the budget from the limits. Clients' requests hold a third of the descriptors at most, each may need
 // one towards an engine, and connections that ask for nothing get what is left.
-func (c *Config) Split() Budget {
+func (c *Config) ResourceLimits() ResourceLimits {
 	sockets, memory := c.Sockets, c.Memory
 	if sockets == 0 {
 		sockets = unlimited
@@ -42,23 +42,23 @@
 		memory = roomy
 	}
 	left := sockets - otherSockets
-	b := Budget{Clients: left / 2, Procs: max(int(math.Ceil(c.Cores)), 1)}
-	b.Engines = left - b.Clients
-	b.PerEngine = b.Engines
-	b.Open = b.Clients
+	b := ResourceLimits{MaxClientConns: left / 2, Procs: max(int(math.Ceil(c.Cores)), 1)}
+	b.MaxEngineConns = left - b.MaxClientConns
+	b.MaxConnsPerEngine = b.MaxEngineConns
+	b.MaxOpenRequests = b.MaxClientConns
 	if c.Site.MaxOpen > 0 {
-		b.Open = min(b.Open, c.Site.MaxOpen)
+		b.MaxOpenRequests = min(b.MaxOpenRequests, c.Site.MaxOpen)
 	}
-	b.Heap = memory * 6 / 10
-	b.Floor = uint64(memory / 5)
-	b.Bodies = memory / 6
+	b.SoftHeapLimit = memory * 6 / 10
+	b.HeapFloor = uint64(memory / 5)
+	b.MaxBufferedBodyBytes = memory / 6
 	return b
 }
 
 // apply gives the runtime its part; undo takes it back.
-func (b Budget) apply() (undo func()) {
+func (b ResourceLimits) apply() (undo func()) {
 	procs := runtime.GOMAXPROCS(b.Procs)
-	limit := debug.SetMemoryLimit(b.Heap)
+	limit := debug.SetMemoryLimit(b.SoftHeapLimit)
 	return func() {
 		runtime.GOMAXPROCS(procs)
 		debug.SetMemoryLimit(limit)
@@ -93,19 +93,19 @@
 	watchAnswer  = time.Second
 	watchPause   = 125 * time.Millisecond
 	beginMost    = 250 * time.Millisecond
-	watchHold    = told - ownLate - beginMost - (watchConnect + watchPause) - (watchConnect + discovery.OpenMost*beginMost + watchAnswer)
+	watchHold    = told - ownLate - beginMost - (watchConnect + watchPause) - (watchConnect + discovery.MaxOpenCalls*beginMost + watchAnswer)
 )
 
 // watchBegin is how long discovery may say nothing to a call that it owes an answer before it is asked anew. What the agent gets when
 // discovery is back counts at once, and it does not answer what it was asked before: so half of the time in which sends to
 // a server that drains have to stop.
 func (c *Config) watchBegin() time.Duration {
-	return min(max(c.Site.Choice.DrainGrace/2, 50*time.Millisecond), beginMost)
+	return min(max(c.Site.Routing.DrainGrace/2, 50*time.Millisecond), beginMost)
 }
 
 // limits are the front's, from the budget.
-func (b Budget) limits() config.Limits {
-	return config.Limits{Open: b.Open, Connections: b.Clients, Head: 16 << 10, Fields: 100, Body: bodyMost, Whole: bodyMost, Event: 64 << 10,
-		HeadTime: firstTime, BodyTime: firstTime, IdleTime: time.Minute, StallTime: 5 * time.Second, StreamIdle: streamQuiet,
-		BodyMemory: config.Size(b.Bodies)}
+func (b ResourceLimits) limits() config.Limits {
+	return config.Limits{MaxOpenRequests: b.MaxOpenRequests, MaxConnections: b.MaxClientConns, MaxHeaderBytes: 16 << 10, MaxHeaderFields: 100, MaxBodyBytes: bodyMost, MaxCollectedBytes: bodyMost, MaxEventBytes: 64 << 10,
+		HeaderTimeout: firstTime, BodyTimeout: firstTime, IdleTimeout: time.Minute, WriteTimeout: 5 * time.Second, StreamIdleTimeout: streamQuiet,
+		MaxBufferedBodyBytes: config.Size(b.MaxBufferedBodyBytes)}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -16,15 +16,15 @@
 
 // Config is what a front node is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Cores     float64
-	Memory    int64 // bytes; 0 = not told
-	Sockets   int   // 0 = not told
-	Known     *discovery.List
-	Site      simprotocol.Site
+	Name       string
+	Listen     string
+	Discovery  string
+	Seed       uint64
+	Cores      float64
+	Memory     int64 // bytes; 0 = not told
+	Sockets    int   // 0 = not told
+	CachedList *discovery.List
+	Site       simprotocol.Site
 }
 
 // ErrConfig marks errors of the configuration.
@@ -97,7 +97,7 @@
 		}
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if c.Known, err = discovery.Parse(f.Known); err != nil {
+		if c.CachedList, err = discovery.Parse(f.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -107,5 +107,5 @@
 	if c.Site, err = simprotocol.ParseSite(f.Settings); err != nil {
 		return nil, err
 	}
-	return c, c.Site.Choice.Validate()
+	return c, c.Site.Routing.Validate()
 }
--- a/internal/node/discovery/discovery.go
+++ b/internal/node/discovery/discovery.go
@@ -96,15 +96,15 @@
 
 // Watcher follows discovery. Its exported fields are set before Run.
 type Watcher struct {
-	Deliver func(endpointslice.Update) // called from Run's goroutine only
-	Log     func(msg string, err error)
-	Hold    time.Duration // how long a watch may wait
-	Connect time.Duration // for a connection to come up
-	Begin   time.Duration // for an answer to begin, beyond the wait, until it is asked anew
-	Answer  time.Duration // for an answer that has begun to be whole
-	Pause   time.Duration // after a failed call, at most
-	Most    int64         // bytes of an answer
-	Seed    uint64        // of the pauses' draws: nodes that lost one discovery together come back spread out
+	OnUpdate         func(endpointslice.Update) // called from Run's goroutine only
+	Log              func(msg string, err error)
+	WatchTimeout     time.Duration // how long a watch may wait
+	ConnectTimeout   time.Duration // for a connection to come up
+	FirstByteTimeout time.Duration // for an answer to begin, beyond the wait, until it is asked anew
+	ResponseTimeout  time.Duration // for an answer that has begun to be whole
+	MaxBackoff       time.Duration // after a failed call, at most
+	MaxListBytes     int64         // bytes of an answer
+	Seed             uint64        // of the pauses' draws: nodes that lost one discovery together come back spread out
 
 	newest   int64  // the latest revision that was delivered; this and the next two by Run's goroutine
 	newestAt string // the address that it came from
@@ -118,11 +118,11 @@
 
 // pause is the wait after a failed call.
 func (w *Watcher) pause(rnd *rand.Rand) time.Duration {
-	return w.Pause/2 + time.Duration(rnd.Int64N(int64(w.Pause/2)+1))
+	return w.MaxBackoff/2 + time.Duration(rnd.Int64N(int64(w.MaxBackoff/2)+1))
 }
 
-// Move makes address the one to ask, from now on.
-func (w *Watcher) Move(address string) {
+// SetAddress makes address the one to ask, from now on.
+func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if address == w.address {
@@ -145,15 +145,15 @@
 	return ctx, w.address
 }
 
-// OpenMost is how many first calls are open at once, each begun when the one before it said nothing for Begin: so one that takes
+// MaxOpenCalls is how many first calls are open at once, each begun when the one before it said nothing for Begin: so one that takes
 // longer than that is not lost, and one that will never be answered does not stand in the way.
-const OpenMost = 3
+const MaxOpenCalls = 3
 
-// Late is the longest that a change may go unnoticed while discovery can be reached, whatever happens to the calls: a watch falls
+// MaxStaleness is the longest that a change may go unnoticed while discovery can be reached, whatever happens to the calls: a watch falls
 // silent as it begins, just before the change, or in the middle of its answer; then one connection does not come up, and the
 // list takes all its time.
-func (w *Watcher) Late() time.Duration {
-	silent, hung, list := max(w.Hold+w.Begin, w.Answer), w.Connect+w.Pause, w.Connect+OpenMost*w.Begin+w.Answer
+func (w *Watcher) MaxStaleness() time.Duration {
+	silent, hung, list := max(w.WatchTimeout+w.FirstByteTimeout, w.ResponseTimeout), w.ConnectTimeout+w.MaxBackoff, w.ConnectTimeout+MaxOpenCalls*w.FirstByteTimeout+w.ResponseTimeout
 	return silent + hung + list
 }
 
@@ -208,15 +208,15 @@
 			}
 		}
 	}()
-	var ends [OpenMost]context.CancelFunc
-	next := time.NewTicker(w.Begin)
+	var ends [MaxOpenCalls]context.CancelFunc
+	next := time.NewTicker(w.FirstByteTimeout)
 	defer next.Stop()
 	for n := 0; ; n++ {
-		if end := ends[n%OpenMost]; end != nil { // the oldest
+		if end := ends[n%MaxOpenCalls]; end != nil { // the oldest
 			end()
 		}
 		one, end := context.WithCancel(ctx)
-		ends[n%OpenMost] = end
+		ends[n%MaxOpenCalls] = end
 		out++
 		go func() { answers <- w.open(one, address) }()
 		for waits := true; waits; {
@@ -238,7 +238,7 @@
 
 // open asks for the whole list on a new connection and waits for the first byte of an answer. The end of ctx ends it.
 func (w *Watcher) open(ctx context.Context, address string) *call {
-	up, done := context.WithTimeout(ctx, w.Connect)
+	up, done := context.WithTimeout(ctx, w.ConnectTimeout)
 	nc, err := w.connect(up, address)
 	done()
 	if err != nil {
@@ -280,10 +280,10 @@
 			return errors.New("discovery: it closed the connection")
 		}
 		whole = false
-		if err := c.SetReadDeadline(time.Now().Add(w.Hold + w.Begin)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(w.WatchTimeout + w.FirstByteTimeout)); err != nil {
 			return err
 		}
-		if err := w.send(c, address, fmt.Sprintf("/v1/servers?from=%d&hold_ms=%d", l.Revision, w.Hold.Milliseconds())); err != nil {
+		if err := w.send(c, address, fmt.Sprintf("/v1/servers?from=%d&hold_ms=%d", l.Revision, w.WatchTimeout.Milliseconds())); err != nil {
 			return err
 		}
 		if _, err := c.br.Peek(1); err != nil {
@@ -313,7 +313,7 @@
 		return err
 	}
 	if l.Complete || len(l.Members) > 0 {
-		w.Deliver(u)
+		w.OnUpdate(u)
 	}
 	if whole && !l.Complete { // what it tells holds, but what else changed is not known
 		return errPartial
@@ -332,7 +332,7 @@
 
 // send writes one call.
 func (w *Watcher) send(c *call, address, target string) error {
-	if err := c.SetWriteDeadline(time.Now().Add(w.Answer)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(w.ResponseTimeout)); err != nil {
 		return err
 	}
 	_, err := c.Write([]byte("GET " + target + " HTTP/1.1\r\nHost: " + address + "\r\nAccept: application/json\r\n\r\n"))
@@ -341,10 +341,10 @@
 
 // read reads an answer that has begun; again tells that the connection may be used for another call.
 func (w *Watcher) read(c *call) (text []byte, again bool, err error) {
-	if err := c.SetReadDeadline(time.Now().Add(w.Answer)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(w.ResponseTimeout)); err != nil {
 		return nil, false, err
 	}
-	lim := http1.Limits{Head: 16 << 10, Fields: 100}
+	lim := http1.Limits{MaxHeaderBytes: 16 << 10, MaxHeaderFields: 100}
 	resp, err := http1.ReadResponse(c.br, lim)
 	if err != nil {
 		return nil, false, err
@@ -354,6 +354,6 @@
 	}
 	var body http1.Body
 	body.Reset(c.br, &resp.Message, lim)
-	text, err = http1.ReadAll(&body, w.Most)
+	text, err = http1.ReadAll(&body, w.MaxListBytes)
 	return text, !resp.Close, err
 }
--- a/internal/node/discovery/discovery_test.go
+++ b/internal/node/discovery/discovery_test.go
@@ -94,9 +94,9 @@
 	defer srv.Close()
 	defer close(quit)
 	news, logs := make(chan endpointslice.Update, 100), make(chan string, 100)
-	w := &Watcher{Deliver: func(u endpointslice.Update) { news <- u }, Log: func(_ string, err error) { logs <- err.Error() }, Hold: 5 * time.Second,
-		Connect: time.Minute, Begin: time.Minute, Answer: 10 * time.Second, Pause: time.Millisecond, Most: 1 << 20}
-	w.Move(srv.Listener.Addr().String())
+	w := &Watcher{OnUpdate: func(u endpointslice.Update) { news <- u }, Log: func(_ string, err error) { logs <- err.Error() }, WatchTimeout: 5 * time.Second,
+		ConnectTimeout: time.Minute, FirstByteTimeout: time.Minute, ResponseTimeout: 10 * time.Second, MaxBackoff: time.Millisecond, MaxListBytes: 1 << 20}
+	w.SetAddress(srv.Listener.Addr().String())
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
--- a/internal/node/discovery/trouble_test.go
+++ b/internal/node/discovery/trouble_test.go
@@ -132,12 +132,12 @@
 			s := newScript(t, k.steps...)
 			last := make(chan int, 100)
 			// the waits are short where a step lets them pass, and long enough for a whole list in pieces
-			w := &Watcher{Deliver: func(u endpointslice.Update) { last <- len(u.Endpoints) }, Log: func(string, error) {}, Hold: 10 * time.Millisecond,
-				Connect: time.Minute, Begin: time.Minute, Answer: time.Minute, Pause: time.Millisecond, Most: 1 << 20}
+			w := &Watcher{OnUpdate: func(u endpointslice.Update) { last <- len(u.Endpoints) }, Log: func(string, error) {}, WatchTimeout: 10 * time.Millisecond,
+				ConnectTimeout: time.Minute, FirstByteTimeout: time.Minute, ResponseTimeout: time.Minute, MaxBackoff: time.Millisecond, MaxListBytes: 1 << 20}
 			if slices.ContainsFunc(k.want[1:], func(q string) bool { return q == "+" }) {
-				w.Begin, w.Answer = 200*time.Millisecond, 500*time.Millisecond
+				w.FirstByteTimeout, w.ResponseTimeout = 200*time.Millisecond, 500*time.Millisecond
 			}
-			w.Move(s.l.Addr().String())
+			w.SetAddress(s.l.Addr().String())
 			ctx, stop := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { defer close(done); w.Run(ctx) }()
@@ -163,13 +163,13 @@
 // TestAConnectionThatNeverComesUpIsGivenUp: the next one is made after a pause, and a move does not wait for either.
 func TestAConnectionThatNeverComesUpIsGivenUp(t *testing.T) {
 	dials := make(chan string, 10)
-	w := &Watcher{Deliver: func(endpointslice.Update) {}, Log: func(string, error) {}, Connect: time.Millisecond, Begin: time.Hour, Pause: time.Millisecond}
+	w := &Watcher{OnUpdate: func(endpointslice.Update) {}, Log: func(string, error) {}, ConnectTimeout: time.Millisecond, FirstByteTimeout: time.Hour, MaxBackoff: time.Millisecond}
 	w.dial = func(ctx context.Context, address string) (net.Conn, error) {
 		dials <- address
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	w.Move("a:1")
+	w.SetAddress("a:1")
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
@@ -181,13 +181,13 @@
 	stop()
 	<-done
 	for name, k := range map[string]struct{ connect, pause time.Duration }{"while connecting": {time.Hour, time.Hour}, "in a pause": {time.Millisecond, time.Hour}} {
-		w := &Watcher{Deliver: w.Deliver, Connect: k.connect, Begin: time.Hour, Pause: k.pause, dial: w.dial}
+		w := &Watcher{OnUpdate: w.OnUpdate, ConnectTimeout: k.connect, FirstByteTimeout: time.Hour, MaxBackoff: k.pause, dial: w.dial}
 		paused := make(chan struct{}, 10)
 		w.Log = func(string, error) { paused <- struct{}{} }
 		for len(dials) > 0 {
 			<-dials
 		}
-		w.Move("a:1")
+		w.SetAddress("a:1")
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx) }()
@@ -195,7 +195,7 @@
 		if k.connect < time.Hour {
 			<-paused
 		}
-		w.Move("b:1")
+		w.SetAddress("b:1")
 		if at := <-dials; at != "b:1" {
 			t.Errorf("%s: asked %s", name, at)
 		}
@@ -207,14 +207,14 @@
 // TestPausesAreSpreadOut: three hundred nodes that lose one discovery do not come back in one beat, and none waits longer than
 // is reckoned with.
 func TestPausesAreSpreadOut(t *testing.T) {
-	w := &Watcher{Pause: 250 * time.Millisecond}
+	w := &Watcher{MaxBackoff: 250 * time.Millisecond}
 	parts := map[time.Duration]int{}
 	for seed := range uint64(300) {
 		p := w.pause(rand.New(rand.NewPCG(seed, 1)))
-		if p < w.Pause/2 || p > w.Pause {
+		if p < w.MaxBackoff/2 || p > w.MaxBackoff {
 			t.Fatalf("seed %d: %v", seed, p)
 		}
-		parts[(p-w.Pause/2)*10/(w.Pause/2+1)]++
+		parts[(p-w.MaxBackoff/2)*10/(w.MaxBackoff/2+1)]++
 	}
 	for part, n := range parts {
 		if n > 60 {
@@ -231,9 +231,9 @@
 	second := make(chan struct{})
 	s := newScript(t, func(nc net.Conn) { <-second; says(listOf(2, 41))(nc) }, func(net.Conn) { close(second) })
 	news := make(chan int, 10)
-	w := &Watcher{Deliver: func(u endpointslice.Update) { news <- len(u.Endpoints) }, Log: func(string, error) {}, Hold: time.Hour, Connect: time.Minute,
-		Begin: 500 * time.Millisecond, Answer: time.Minute, Pause: time.Millisecond, Most: 1 << 20}
-	w.Move(s.l.Addr().String())
+	w := &Watcher{OnUpdate: func(u endpointslice.Update) { news <- len(u.Endpoints) }, Log: func(string, error) {}, WatchTimeout: time.Hour, ConnectTimeout: time.Minute,
+		FirstByteTimeout: 500 * time.Millisecond, ResponseTimeout: time.Minute, MaxBackoff: time.Millisecond, MaxListBytes: 1 << 20}
+	w.SetAddress(s.l.Addr().String())
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,20 +41,20 @@
 		return nil, err
 	}
 	log = log.With(zap.String("node", c.Name))
-	b := c.Split()
+	b := c.ResourceLimits()
 	undo := b.apply()
 	calm := func() {}
 	if os.Getenv("GOGC") == "" { // whoever sets it means it
-		calm = gctuning.Floor(b.Floor)
+		calm = gctuning.SetHeapFloor(b.HeapFloor)
 	}
 	n := &Node{log: log, file: file, env: env, failed: make(chan error, 1)}
-	clients := &protocol.Clients{Classes: c.Site.Choice.Classes, Tenants: c.Site.Tenants, NotReady: func() string { return n.front.NotReady() }}
+	clients := &protocol.Clients{Classes: c.Site.Routing.Classes, Tenants: c.Site.Tenants, NotReady: func() string { return n.front.NotReady() }}
 	if n.front, err = gateway.New(options(c, b, clients), log, telemetry.NewMetrics()); err != nil {
 		return nil, err
 	}
 	known := endpointslice.Update{}
-	if c.Known != nil {
-		if known, err = c.Known.Update(); err != nil {
+	if c.CachedList != nil {
+		if known, err = c.CachedList.Update(); err != nil {
 			log.Warn("the known list can't be used; starting with none", zap.Error(err))
 			known = endpointslice.Update{}
 		}
@@ -69,9 +69,9 @@
 	n.addr = l.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	watched := make(chan struct{})
-	n.watch = &discovery.Watcher{Deliver: func(u endpointslice.Update) { n.front.UpdateEndpoints(u) }, Hold: watchHold, Connect: watchConnect, Begin: c.watchBegin(), Answer: watchAnswer, Pause: watchPause,
-		Most: listMost, Seed: c.Seed, Log: func(msg string, err error) { log.Warn(msg, zap.Error(err)) }}
-	n.watch.Move(c.Discovery)
+	n.watch = &discovery.Watcher{OnUpdate: func(u endpointslice.Update) { n.front.UpdateEndpoints(u) }, WatchTimeout: watchHold, ConnectTimeout: watchConnect, FirstByteTimeout: c.watchBegin(), ResponseTimeout: watchAnswer, MaxBackoff: watchPause,
+		MaxListBytes: listMost, Seed: c.Seed, Log: func(msg string, err error) { log.Warn(msg, zap.Error(err)) }}
+	n.watch.SetAddress(c.Discovery)
 	go func() {
 		defer close(watched)
 		n.watch.Run(ctx)
@@ -98,7 +98,7 @@
 // listMost bounds a list, in bytes.
 const listMost = 8 << 20
 
-func options(c *Config, b Budget, way gateway.ClientProtocol) gateway.Options {
+func options(c *Config, b ResourceLimits, way gateway.ClientProtocol) gateway.Options {
 	site := c.Site
 	idle := site.ConnIdle
 	if idle <= 0 {
@@ -109,11 +109,11 @@
 		dial = dialTime
 	}
 	linger, _ := c.drain()
-	return gateway.Options{Routing: site.Choice, Kinds: site.Kinds, Tenants: site.Tenants, Seed: c.Seed, Protocol: way, Limits: b.limits(), AnswerMargin: margin,
+	return gateway.Options{Routing: site.Routing, Kinds: site.Kinds, Tenants: site.Tenants, Seed: c.Seed, Protocol: way, Limits: b.limits(), AnswerMargin: margin,
 		FirstRequestTimeout: firstTime, MinIdleTime: idleLeast, AcceptWhileDraining: linger, CutBrokenStreams: true, RejectPipelining: true, SendRetryAfter: site.RetryAfter, FractionalRetryAfter: true,
 		Engines: &engine.Client{Protocol: protocol.Engines{}, LoadReportHeader: protocol.HeaderLoadReport, StateByRequestID: true, RequireLastChunk: true, RunsWhenComplete: true, SettleDelay: settle,
-			DialTimeout: dial, HeaderTimeout: headTime, MaxStreamBytes: bodyMost, MaxConnsPerEndpoint: b.PerEngine, MaxConns: b.Engines, MaxIdlePerEndpoint: b.PerEngine,
-			IdleTimeout: idle * 2 / 3, ReuseDelay: rest, StreamIdleTimeout: streamQuiet, MaxEventBytes: 64 << 10, MaxReplyBytes: bodyMost, Limits: http1.Limits{Head: 16 << 10, Fields: 100}}}
+			DialTimeout: dial, HeaderTimeout: headTime, MaxStreamBytes: bodyMost, MaxConnsPerEndpoint: b.MaxConnsPerEngine, MaxConns: b.MaxEngineConns, MaxIdlePerEndpoint: b.MaxConnsPerEngine,
+			IdleTimeout: idle * 2 / 3, ReuseDelay: rest, StreamIdleTimeout: streamQuiet, MaxEventBytes: 64 << 10, MaxReplyBytes: bodyMost, Limits: http1.Limits{MaxHeaderBytes: 16 << 10, MaxHeaderFields: 100}}}
 }
 
 // drain is how long after SIGTERM requests are still taken in, and when what is open is cut short. Clients that ask for the
@@ -123,13 +123,13 @@
 // and nothing is taken in that would be cut then.
 func (c *Config) drain() (linger, cut time.Duration) {
 	longest := time.Duration(0)
-	for _, k := range c.Site.Choice.Classes {
+	for _, k := range c.Site.Routing.Classes {
 		longest = max(longest, k.Deadline)
 	}
 	longest = min(longest, killMost)
 	kill := longest + killAfter
 	linger, cut = min(lingerMost, kill/2), kill-cutBefore
-	if c.Site.Choice.ResumeStreams {
+	if c.Site.Routing.ResumeStreams {
 		linger = max(linger, longest*2/3)
 		cut = max(longest-cutBefore, linger)
 	}
@@ -149,7 +149,7 @@
 		n.log.Error("configuration not taken", zap.Error(err))
 		return
 	}
-	n.watch.Move(c.Discovery)
+	n.watch.SetAddress(c.Discovery)
 	n.log.Info("configuration taken", zap.String("discovery", c.Discovery))
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -569,8 +569,8 @@
 		{200 * ms, false, 450 * ms, 750 * ms},
 	} {
 		var c Config
-		c.Site.Choice.ResumeStreams = k.resume
-		c.Site.Choice.Classes = []routing.Class{{Deadline: 100 * ms}, {Deadline: k.longest}}
+		c.Site.Routing.ResumeStreams = k.resume
+		c.Site.Routing.Classes = []routing.Class{{Deadline: 100 * ms}, {Deadline: k.longest}}
 		if linger, cut := c.drain(); linger != k.linger || cut != k.cut {
 			t.Errorf("longest deadline %v, resume %t: takes in for %v, cuts after %v", k.longest, k.resume, linger, cut)
 		}
@@ -635,11 +635,11 @@
 func TestBudgetsFitTheLimits(t *testing.T) {
 	for _, sockets := range []int{socketsLeast, 256, 1024} {
 		for _, mb := range []int64{32, 192} {
-			b := (&Config{Sockets: sockets, Memory: mb << 20, Cores: 0.4}).Split()
-			if b.Clients+b.Engines+otherSockets > sockets || b.Clients < sockets/3 || b.Procs != 1 {
+			b := (&Config{Sockets: sockets, Memory: mb << 20, Cores: 0.4}).ResourceLimits()
+			if b.MaxClientConns+b.MaxEngineConns+otherSockets > sockets || b.MaxClientConns < sockets/3 || b.Procs != 1 {
 				t.Errorf("%d sockets: %+v", sockets, b)
 			}
-			if b.Heap >= mb<<20 || int64(b.Floor) >= b.Heap || b.Bodies >= b.Heap || b.Bodies < bodyMost {
+			if b.SoftHeapLimit >= mb<<20 || int64(b.HeapFloor) >= b.SoftHeapLimit || b.MaxBufferedBodyBytes >= b.SoftHeapLimit || b.MaxBufferedBodyBytes < bodyMost {
 				t.Errorf("%d MB: %+v", mb, b)
 			}
 		}
@@ -648,15 +648,15 @@
 
 // TestNewsOfEnginesIsTakenWithinThePlatformsTime: the calls' times, each at its worst, and what the node itself may be late.
 func TestNewsOfEnginesIsTakenWithinThePlatformsTime(t *testing.T) {
-	w := discovery.Watcher{Hold: watchHold, Connect: watchConnect, Begin: beginMost, Answer: watchAnswer, Pause: watchPause}
-	if late := w.Late() + ownLate; late > told {
+	w := discovery.Watcher{WatchTimeout: watchHold, ConnectTimeout: watchConnect, FirstByteTimeout: beginMost, ResponseTimeout: watchAnswer, MaxBackoff: watchPause}
+	if late := w.MaxStaleness() + ownLate; late > told {
 		t.Errorf("a change may go unnoticed for %v, %v are allowed", late, told)
 	}
 	if watchHold < 2*time.Second {
 		t.Errorf("a watch waits %v: that is polling", watchHold)
 	}
 	const moved = 4 * time.Second // after SIGHUP
-	if late := w.Late() - watchHold - beginMost + ownLate; late > moved {
+	if late := w.MaxStaleness() - watchHold - beginMost + ownLate; late > moved {
 		t.Errorf("after a move the list may take %v", late)
 	}
 }
--- a/internal/node/protocol/protocol_test.go
+++ b/internal/node/protocol/protocol_test.go
@@ -16,7 +16,7 @@
 
 func parse(t testing.TB, head string) *http1.Request {
 	t.Helper()
-	req, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(strings.ReplaceAll(head, "\n", "\r\n")+"\r\n\r\n")), http1.Limits{Head: 16 << 10, Fields: 100})
+	req, err := http1.ReadRequest(bufio.NewReader(strings.NewReader(strings.ReplaceAll(head, "\n", "\r\n")+"\r\n\r\n")), http1.Limits{MaxHeaderBytes: 16 << 10, MaxHeaderFields: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/planner/fronts.go
+++ b/internal/planner/fronts.go
@@ -29,8 +29,8 @@
 	return LostWork{seen: map[string][2]float64{}, totals: map[string]*roles.Report{}}
 }
 
-// Mean is what one request takes of each stage, in engine seconds, over the lives of all engines that answered.
-func Mean(words map[string]Status) (read, write float64) {
+// MeanCosts is what one request takes of each stage, in engine seconds, over the lives of all engines that answered.
+func MeanCosts(words map[string]Status) (read, write float64) {
 	var done, count [2]float64
 	for _, id := range slices.Sorted(maps.Keys(words)) { // in one order, so that sums of parts are the same every time
 		st := words[id]
@@ -77,7 +77,7 @@
 		}()
 	}
 	wg.Wait()
-	read, write := Mean(r.words)
+	read, write := MeanCosts(r.words)
 	var out []roles.Replica
 	for i, addr := range r.Replicas {
 		if counts[i] != nil {
@@ -107,7 +107,7 @@
 	if err != nil {
 		return counts, err
 	}
-	for _, m := range families["brackenbend_"+telemetry.LostName].GetMetric() {
+	for _, m := range families["brackenbend_"+telemetry.LostRequestsName].GetMetric() {
 		for i, stage := range [...]string{"read", "write"} {
 			if label(m, "stage") == stage {
 				counts[i] += m.GetCounter().GetValue()
--- a/internal/planner/fronts_test.go
+++ b/internal/planner/fronts_test.go
@@ -27,8 +27,8 @@
 	if len(first) != 1 || first[0].Report.Read.Lost != 0 {
 		t.Fatalf("%+v", first)
 	}
-	m.Lost.WithLabelValues("read").Add(20)
-	m.Lost.WithLabelValues("write").Add(4)
+	m.LostRequests.WithLabelValues("read").Add(20)
+	m.LostRequests.WithLabelValues("write").Add(4)
 	got := r.askFronts(t.Context())
 	if len(got) != 1 || got[0].Report.Read.Lost != 2 || got[0].Report.Write.Lost != 12 {
 		t.Errorf("%+v", got[0].Report)
--- a/internal/scenariorun/report.go
+++ b/internal/scenariorun/report.go
@@ -12,17 +12,17 @@
 
 // Report is what came of a day.
 type Report struct {
-	Seconds  float64           `json:"seconds"`
-	LagMS    float64           `json:"worst_lag_ms"` // of this process; slack of the rules that compare two sockets' times
-	Service  float64           `json:"service"`      // worth served over worth asked
-	Classes  []scenario.Row    `json:"classes"`
-	Tenants  []scenario.Row    `json:"tenants"`
-	Attempts map[string]int    `json:"attempts"` // as the engines saw them
-	Rules    []audit.Verdict   `json:"rules"`
-	Expected float64           `json:"expected_service,omitempty"`
-	Roles    []RoleSecond      `json:"roles,omitempty"` // where engines change role
-	Course   []scenario.Second `json:"course"`          // by the second of asking
-	Events   []audit.Event     `json:"-"`
+	Seconds  float64            `json:"seconds"`
+	LagMS    float64            `json:"worst_lag_ms"` // of this process; slack of the rules that compare two sockets' times
+	Service  float64            `json:"service"`      // worth served over worth asked
+	Classes  []scenario.Row     `json:"classes"`
+	Tenants  []scenario.Row     `json:"tenants"`
+	Attempts map[string]int     `json:"attempts"` // as the engines saw them
+	Rules    []audit.RuleResult `json:"rules"`
+	Expected float64            `json:"expected_service,omitempty"`
+	Roles    []RoleSecond       `json:"roles,omitempty"` // where engines change role
+	Course   []scenario.Second  `json:"course"`          // by the second of asking
+	Events   []audit.Event      `json:"-"`
 }
 
 func (r *run) report(t *traffic, lag time.Duration) *Report {
@@ -41,9 +41,9 @@
 			rep.Attempts["repeat dropped"]++
 		}
 	}
-	rep.Rules = audit.Judge(rep.Events, audit.Limits{DrainGrace: r.d.Service.DrainGrace, Release: r.d.Service.Release, Slack: 50*time.Millisecond + 2*lag})
+	rep.Rules = audit.Check(rep.Events, audit.Limits{DrainGrace: r.d.Service.DrainGrace, Release: r.d.Service.Release, Slack: 50*time.Millisecond + 2*lag})
 	r.mu.Lock()
-	rep.Rules[0].Breaches = append(rep.Rules[0].Breaches, r.deaths...)
+	rep.Rules[0].Violations = append(rep.Rules[0].Violations, r.deaths...)
 	r.mu.Unlock()
 	if r.planners != nil {
 		rep.Roles = r.planners.seen
@@ -59,7 +59,7 @@
 func (r *Report) Breaches() int {
 	n := 0
 	for _, v := range r.Rules {
-		n += len(v.Breaches)
+		n += len(v.Violations)
 		if v.Checks == 0 {
 			n++
 		}
@@ -95,14 +95,14 @@
 	}
 	fmt.Fprintf(w, "worst scheduling lag of this process %.0f ms; drains and pinned state are judged with 50 ms and twice that to spare\n", r.LagMS)
 	for i, v := range r.Rules {
-		fmt.Fprintf(w, "rule %d, %s: %d checks, %d breaches", i+1, v.Rule, v.Checks, len(v.Breaches))
-		if v.Worst != "" {
-			fmt.Fprintf(w, " (%s)", v.Worst)
+		fmt.Fprintf(w, "rule %d, %s: %d checks, %d breaches", i+1, v.Rule, v.Checks, len(v.Violations))
+		if v.WorstCase != "" {
+			fmt.Fprintf(w, " (%s)", v.WorstCase)
 		}
 		fmt.Fprintln(w)
-		for j, b := range v.Breaches {
+		for j, b := range v.Violations {
 			if j == 10 {
-				fmt.Fprintf(w, "  ... and %d more\n", len(v.Breaches)-10)
+				fmt.Fprintf(w, "  ... and %d more\n", len(v.Violations)-10)
 				break
 			}
 			fmt.Fprintf(w, "  %s\n", b)
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -55,7 +55,7 @@
 
 // Site is all of the settings that the program uses: what the module is told, and what a front node needs beside it.
 type Site struct {
-	Choice         routing.Config
+	Routing        routing.Config
 	Kinds, Tenants []string
 	ConnIdle, Dial time.Duration // an idle connection's life, and the wait for one to come up
 	MaxOpen        int
@@ -65,7 +65,7 @@
 // ParseSettings maps the settings text to the module's terms.
 func ParseSettings(text []byte) (routing.Config, error) {
 	s, err := ParseSite(text)
-	return s.Choice, err
+	return s.Routing, err
 }
 
 // ParseSite reads the settings text. Unknown keys are skipped; absent ones are zero, which routing.Settings documents.
@@ -75,7 +75,7 @@
 		return Site{}, fmt.Errorf("settings: %w", err)
 	}
 	s, err := b.choice()
-	site := Site{Choice: s, Kinds: b.Kinds, ConnIdle: micro(b.Caps.ConnIdle), Dial: micro(b.Caps.DialTimeout), MaxOpen: b.Caps.MaxOpen,
+	site := Site{Routing: s, Kinds: b.Kinds, ConnIdle: micro(b.Caps.ConnIdle), Dial: micro(b.Caps.DialTimeout), MaxOpen: b.Caps.MaxOpen,
 		RetryAfter: b.Caps.RetryAfter}
 	for _, t := range b.Tenants {
 		site.Tenants = append(site.Tenants, t.Name)
--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -24,8 +24,8 @@
 			t.Fatal(err)
 		}
 		for i, v := range r.Rules {
-			if i != 3 && (v.Checks == 0 || len(v.Breaches) > 0) {
-				t.Errorf("%s: %s: %d checks, %.300v", way, v.Rule, v.Checks, v.Breaches)
+			if i != 3 && (v.Checks == 0 || len(v.Violations) > 0) {
+				t.Errorf("%s: %s: %d checks, %.300v", way, v.Rule, v.Checks, v.Violations)
 			}
 		}
 		if s := r.Score.Service(); s < 0.5 {
--- a/internal/simulation/faultsearch/faultsearch.go
+++ b/internal/simulation/faultsearch/faultsearch.go
@@ -208,7 +208,7 @@
 		}
 		f.Subject += r.Score.Service() / seeds
 		for _, v := range r.Rules {
-			f.Breaches += len(v.Breaches)
+			f.Breaches += len(v.Violations)
 		}
 		if h.Yard != nil {
 			if r, err = fleet.Run(d, h.Yard(seed+1)); err != nil {
--- a/internal/simulation/faultsearch/faultsearch_test.go
+++ b/internal/simulation/faultsearch/faultsearch_test.go
@@ -77,7 +77,7 @@
 		t.Errorf("the day's own happenings are still there:\n%s", text)
 	}
 	again, err := fleet.Run(found, fleet.Options{Seed: 1, Audit: true, Decider: subject(newForgetful)(1).Decider})
-	if err != nil || len(again.Rules[4].Breaches) == 0 {
+	if err != nil || len(again.Rules[4].Violations) == 0 {
 		t.Errorf("the day that was written breaks nothing: %v", err)
 	}
 }
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -53,7 +53,7 @@
 	// asks is a request on its way.
 	asks struct {
 		try    uint64
-		traits api.Traits
+		traits api.Classification
 		stream bool
 		wait   time.Duration
 		work   work
@@ -145,8 +145,8 @@
 	all, beginning := s.PromptBytes()
 	w := work{prompt: max(float64(all)/4, 1), prefixLen: float64(beginning) / 4, session: t.name, out: min(s.Answer, int(class.Answer)*3), class: class.Name,
 		effect: audit.Class(class.Effect), intent: intent, id: x.id}
-	tr := api.Traits{Class: s.Class, Tenant: max(s.Tenant, 0), Session: xxhash.Sum64String(t.name), PromptLen: float64((all + 3) / 4),
-		PrefixLen: float64(beginning) / 4, MaxOut: float64(int(class.Answer) * 3), Repeat: s.Marked && s.Repeats > 0}
+	tr := api.Classification{Class: s.Class, Tenant: max(s.Tenant, 0), Session: xxhash.Sum64String(t.name), PromptTokens: float64((all + 3) / 4),
+		PrefixTokens: float64(beginning) / 4, MaxOutputTokens: float64(int(class.Answer) * 3), Retry: s.Marked && s.Repeats > 0}
 	if beginning > 0 {
 		w.prefix = fmt.Sprintf("%d.%d.%d", s.Beginning.Seed[0], s.Beginning.Seed[1], beginning)
 		tr.Prefix = xxhash.Sum64String(w.prefix)
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -49,12 +49,12 @@
 // Result is what came of a day.
 type Result struct {
 	Score    *scenario.Score
-	Rules    []audit.Verdict // where they were judged
-	Attempts map[string]int  // reads and writes that reached engines
-	Ends     map[string]int  // of attempts by what they were and how they ended, as "read timed out"
-	Events   int64           // played
-	Moved    float64         // state tokens that writers fetched
-	Roles    []Standing      // where engines change role: each look of the first planner
+	Rules    []audit.RuleResult // where they were judged
+	Attempts map[string]int     // reads and writes that reached engines
+	Ends     map[string]int     // of attempts by what they were and how they ended, as "read timed out"
+	Events   int64              // played
+	Moved    float64            // state tokens that writers fetched
+	Roles    []Standing         // where engines change role: each look of the first planner
 }
 
 // Run plays a day.
@@ -195,7 +195,7 @@
 	if f.o.Audit {
 		slices.SortStableFunc(events, func(a, b audit.Event) int { return cmp.Compare(a.At, b.At) })
 		f.dropRepeats(events)
-		r.Rules = audit.Judge(events, audit.Limits{DrainGrace: f.d.Service.DrainGrace, Release: f.d.Service.Release, Slack: 10 * time.Millisecond})
+		r.Rules = audit.Check(events, audit.Limits{DrainGrace: f.d.Service.DrainGrace, Release: f.d.Service.Release, Slack: 10 * time.Millisecond})
 	}
 	return r
 }
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -34,8 +34,8 @@
 func TestTheBadDayKeepsItsRules(t *testing.T) {
 	r := play(t, bad(t), Options{Seed: 1, Audit: true})
 	for _, v := range r.Rules {
-		if v.Checks == 0 || len(v.Breaches) > 0 {
-			t.Errorf("%s: %d checks, %.300v", v.Rule, v.Checks, v.Breaches)
+		if v.Checks == 0 || len(v.Violations) > 0 {
+			t.Errorf("%s: %d checks, %.300v", v.Rule, v.Checks, v.Violations)
 		}
 	}
 	if s := r.Score.Service(); s < 0.8 || s > 0.99 {
@@ -93,7 +93,7 @@
 		r, err := routing.New(s, seed)
 		return careless{r}, err
 	}})
-	if v := r.Rules[4]; len(v.Breaches) == 0 {
+	if v := r.Rules[4]; len(v.Violations) == 0 {
 		t.Errorf("states that nobody lets go of are not seen: %+v", v)
 	}
 }
@@ -121,14 +121,14 @@
 		}
 	}
 	for _, v := range r.Rules[:3] {
-		if len(v.Breaches) > 0 {
-			t.Errorf("%s: %v", v.Rule, v.Breaches)
+		if len(v.Violations) > 0 {
+			t.Errorf("%s: %v", v.Rule, v.Violations)
 		}
 	}
 	// all fronts dead for a while: their clients find the way back
 	r = play(t, day(`<happen at="1s" what="front-kill" count="2" for="500ms"/>`), Options{Audit: true})
 	classes, _ := r.Score.Rows()
-	if c := classes[0]; c.Service < 0.8 || len(r.Rules[0].Breaches)+len(r.Rules[1].Breaches) > 0 {
+	if c := classes[0]; c.Service < 0.8 || len(r.Rules[0].Violations)+len(r.Rules[1].Violations) > 0 {
 		t.Errorf("%+v %v", c, r.Rules[:2])
 	}
 }
@@ -143,8 +143,8 @@
 		}
 		r := play(t, d, Options{Seed: 1, Audit: true})
 		for _, v := range r.Rules {
-			if len(v.Breaches) > 0 {
-				t.Errorf("%s: %s: %.300v", file, v.Rule, v.Breaches)
+			if len(v.Violations) > 0 {
+				t.Errorf("%s: %s: %.300v", file, v.Rule, v.Violations)
 			}
 		}
 		last := r.Roles[len(r.Roles)-1]
@@ -212,7 +212,7 @@
 	flap := smallDay(t, `<happen at="2s" what="register-flap" kind="decode" count="2" for="4s"/>`)
 	r := play(t, flap, Options{Seed: 1, Audit: true})
 	calm := play(t, smallDay(t, ""), Options{Seed: 1, Audit: true})
-	if told := r.Rules[2].Checks; told <= 0 || len(r.Rules[2].Breaches) > 0 {
+	if told := r.Rules[2].Checks; told <= 0 || len(r.Rules[2].Violations) > 0 {
 		t.Errorf("third rule: %+v", r.Rules[2])
 	}
 	if math.Abs(r.Score.Service()-calm.Score.Service()) > 0.05 || r.Events == calm.Events {
@@ -247,8 +247,8 @@
 		t.Errorf("service %.4f with slow readers, %.4f without", slow.Score.Service(), calm.Score.Service())
 	}
 	for i, v := range slow.Rules {
-		if len(v.Breaches) > 0 {
-			t.Errorf("rule %d: %.200v", i+1, v.Breaches)
+		if len(v.Violations) > 0 {
+			t.Errorf("rule %d: %.200v", i+1, v.Violations)
 		}
 	}
 	d := smallDay(t, "")
--- a/internal/simulation/fleet/front.go
+++ b/internal/simulation/fleet/front.go
@@ -282,15 +282,15 @@
 	}
 	x.next++
 	fl := &flight{id: x.next, msg: m, at: stateAt{reader: -1}}
-	margin := x.f.set.Front.Margin
-	wait := api.Wait(x.f.cs.Classes[m.traits.Class].Deadline, m.wait)
-	fl.due = x.now() + api.Within(wait, margin)
+	margin := x.f.set.Replica.AnswerMargin
+	wait := api.EffectiveTimeout(x.f.cs.Classes[m.traits.Class].Deadline, m.wait)
+	fl.due = x.now() + api.WithMargin(wait, margin)
 	x.flights[fl.id], x.byTry[m.try] = fl, fl
 	x.later(fl.due+margin/2-x.now(), lastLook{x.run, fl.id, false})
 	if !m.stream {
-		x.later(api.Within(m.wait, margin), lastLook{x.run, fl.id, true})
+		x.later(api.WithMargin(m.wait, margin), lastLook{x.run, fl.id, true})
 	}
-	x.step(m.traits.Event(fl.id, fl.due+epoch))
+	x.step(m.traits.RoutingRequest(fl.id, fl.due+epoch))
 	x.tidy(fl)
 }
 
--- a/internal/simulation/fleet/oracle_test.go
+++ b/internal/simulation/fleet/oracle_test.go
@@ -48,8 +48,8 @@
 			r := play(t, d, Options{Seed: uint64(seed), Audit: true, Oracles: tc.o})
 			with += r.Score.Service() / 3
 			for i, v := range r.Rules {
-				if len(v.Breaches) > 0 {
-					t.Errorf("%s: rule %d: %.300v", tc.name, i+1, v.Breaches)
+				if len(v.Violations) > 0 {
+					t.Errorf("%s: rule %d: %.300v", tc.name, i+1, v.Violations)
 				}
 			}
 		}
--- a/internal/simulation/fleet/roles.go
+++ b/internal/simulation/fleet/roles.go
@@ -295,7 +295,7 @@
 			changed = changed || heard
 		}
 	}
-	read, write := planner.Mean(p.words)
+	read, write := planner.MeanCosts(p.words)
 	var fronts []roles.Replica
 	for _, name := range slices.Sorted(maps.Keys(p.counts)) {
 		report := *p.lost.Add(name, p.counts[name], now, read, write)
--- a/internal/simulation/forecast/forecast.go
+++ b/internal/simulation/forecast/forecast.go
@@ -59,7 +59,7 @@
 		}
 		f.Services[i], worst[i] = r.Score.Service(), r.Score.Worst(10)
 		for _, v := range r.Rules {
-			breaches[i] += len(v.Breaches)
+			breaches[i] += len(v.Violations)
 		}
 		return nil
 	})
@@ -156,7 +156,7 @@
 		s.Refused += c.Refused
 	}
 	for _, v := range r.Rules {
-		s.Breaches += len(v.Breaches)
+		s.Breaches += len(v.Violations)
 	}
 	return s
 }
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -172,7 +172,7 @@
 	if err := d.OnSockets(); err == nil || !strings.Contains(err.Error(), "300") {
 		t.Errorf("300 fronts on sockets: %v", err)
 	}
-	if set, err := d.Settings(7); err != nil || set.Front.Name != "front-8" || len(set.RoutingConfig().Classes) != len(d.Classes) {
+	if set, err := d.Settings(7); err != nil || set.Replica.Name != "front-8" || len(set.RoutingConfig().Classes) != len(d.Classes) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/simulation/trace/trace_test.go
+++ b/internal/simulation/trace/trace_test.go
@@ -278,8 +278,8 @@
 			n += c.Requests
 		}
 		for _, v := range r.Rules {
-			if len(v.Breaches) > 0 {
-				t.Errorf("%s: %.200v", v.Rule, v.Breaches)
+			if len(v.Violations) > 0 {
+				t.Errorf("%s: %.200v", v.Rule, v.Violations)
 			}
 		}
 		return n
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -32,12 +32,12 @@
 		peer func(c *net.TCPConn)
 		want State
 	}{
-		"open":                 {func(*net.TCPConn) {}, Quiet},
+		"open":                 {func(*net.TCPConn) {}, Idle},
 		"bytes":                {func(c *net.TCPConn) { _, _ = c.Write([]byte("x")) }, Readable},
 		"bytes before the end": {func(c *net.TCPConn) { _, _ = c.Write([]byte("x")); c.Close() }, Readable},
-		"closed":               {func(c *net.TCPConn) { c.Close() }, Ended},
-		"half-closed":          {func(c *net.TCPConn) { _ = c.CloseWrite() }, Ended},
-		"reset":                {func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() }, Ended},
+		"closed":               {func(c *net.TCPConn) { c.Close() }, Closed},
+		"half-closed":          {func(c *net.TCPConn) { _ = c.CloseWrite() }, Closed},
+		"reset":                {func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() }, Closed},
 	} {
 		peer, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		reading := make(chan struct{})
-		if k.want == Quiet { // while another goroutine reads
+		if k.want == Idle { // while another goroutine reads
 			go func() { defer close(reading); _, _ = nc.Read(make([]byte, 1)) }()
 			k.peer(peer.(*net.TCPConn))
 		} else {
@@ -57,11 +57,11 @@
 			k.peer(peer.(*net.TCPConn))
 			awaitReadable(t, nc)
 		}
-		if got := Incoming(nc); got != k.want {
+		if got := ReadState(nc); got != k.want {
 			t.Errorf("%s: %d, want %d", name, got, k.want)
 		}
 		nc.Close()
-		if got := Incoming(nc); got != Ended {
+		if got := ReadState(nc); got != Closed {
 			t.Errorf("%s, closed here: %d", name, got)
 		}
 		<-reading
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Logger writes to out. Of lines with the same message and level, perSecond are written each second and every
+// NewLogger writes to out. Of lines with the same message and level, perSecond are written each second and every
 // hundredth after that, so that a storm of failures does not become a storm of lines.
-func Logger(out io.Writer, format, level string, perSecond int) (*zap.Logger, error) {
+func NewLogger(out io.Writer, format, level string, perSecond int) (*zap.Logger, error) {
 	lvl, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
@@ -36,28 +36,28 @@
 
 // Metrics are the front's measurements.
 type Metrics struct {
-	reg         *prometheus.Registry
-	Answers     *prometheus.CounterVec // by class and result
-	Attempts    *prometheus.CounterVec // by stage and result
-	FirstToken  *prometheus.HistogramVec
-	Connections prometheus.Gauge
-	Open        prometheus.Gauge
-	Turned      *prometheus.CounterVec // before they were taken, by reason
-	Step        prometheus.Histogram
-	Queue       prometheus.Histogram
-	Backstops   prometheus.Counter
-	Lists       *prometheus.CounterVec
-	Engines     *prometheus.GaugeVec
-	Releases    *prometheus.CounterVec
-	StatesHeld  prometheus.Gauge
-	StateHeld   *prometheus.HistogramVec // by how its time ended
-	NotServed   *prometheus.CounterVec   // by result and reason
-	Closed      *prometheus.CounterVec   // clients' connections, by reason
-	Lost        *prometheus.CounterVec   // requests that a stage was short of
+	reg                 *prometheus.Registry
+	Answers             *prometheus.CounterVec // by class and result
+	Attempts            *prometheus.CounterVec // by stage and result
+	FirstToken          *prometheus.HistogramVec
+	ClientConnections   prometheus.Gauge
+	OpenRequests        prometheus.Gauge
+	RejectedConnections *prometheus.CounterVec // before they were taken, by reason
+	DecisionSeconds     prometheus.Histogram
+	DecisionEvents      prometheus.Histogram
+	Backstops           prometheus.Counter
+	EndpointUpdates     *prometheus.CounterVec
+	Engines             *prometheus.GaugeVec
+	Releases            *prometheus.CounterVec
+	StatesHeld          prometheus.Gauge
+	StateHeldSeconds    *prometheus.HistogramVec // by how its time ended
+	NotServed           *prometheus.CounterVec   // by result and reason
+	ClosedConnections   *prometheus.CounterVec   // clients' connections, by reason
+	LostRequests        *prometheus.CounterVec   // requests that a stage was short of
 }
 
-// LostName is the counter that a planner of roles reads, without the prefix.
-const LostName = "lost_requests_total"
+// LostRequestsName is the counter that a planner of roles reads, without the prefix.
+const LostRequestsName = "lost_requests_total"
 
 // NewMetrics makes and registers them.
 func NewMetrics() *Metrics {
@@ -77,24 +77,24 @@
 	}
 	m.Answers = counter("answers_total", "Final answers, by class and result (served, refused, failed, broken, gone).", "class", "result")
 	m.Attempts = counter("attempts_total", "Attempts that ended, by stage (read, write) and result.", "stage", "result")
-	m.Turned = counter("turned_away_total", "Requests turned away before they were taken, by reason.", "reason")
-	m.Lists = counter("register_updates_total", "Updates of the list of engines, by scope.", "scope")
+	m.RejectedConnections = counter("turned_away_total", "Requests turned away before they were taken, by reason.", "reason")
+	m.EndpointUpdates = counter("register_updates_total", "Updates of the list of engines, by scope.", "scope")
 	m.Releases = counter("releases_total", "Read states let go at engines, by result (done, failed).", "result")
-	m.Lost = counter(LostName, "Requests refused or failed before their first token, by the stage that they had not passed (read, write).", "stage")
+	m.LostRequests = counter(LostRequestsName, "Requests refused or failed before their first token, by the stage that they had not passed (read, write).", "stage")
 	m.NotServed = counter("not_served_total", "Requests that were not served, by result (refused, failed, broken, gone) and reason.", "result", "reason")
-	m.Closed = counter("client_connections_closed_total", "Client connections closed, by reason.", "reason")
+	m.ClosedConnections = counter("client_connections_closed_total", "Client connections closed, by reason.", "reason")
 	m.StatesHeld = gauge("read_states_held", "Read states that wait at readers for a writer or a release, as far as the front knows.")
-	m.Connections = gauge("client_connections", "Client connections open.")
-	m.Open = gauge("open_requests", "Requests taken and not answered in full.")
+	m.ClientConnections = gauge("client_connections", "Client connections open.")
+	m.OpenRequests = gauge("open_requests", "Requests taken and not answered in full.")
 	m.Engines = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "brackenbend_engines", Help: "Engines on the list, by role and state."}, []string{"role", "state"})
 	m.FirstToken = prometheus.NewHistogramVec(histogram("first_token_seconds", "From a request's end to its first token.", 0.01, 1.6, 20), []string{"class"})
-	m.StateHeld = prometheus.NewHistogramVec(histogram("read_state_held_seconds", "From a read's end until its state was fetched, gone, released, or its release failed.", 0.005, 1.6, 18), []string{"end"})
-	m.Step = prometheus.NewHistogram(histogram("decision_seconds", "One round of the decision loop.", 1e-6, 2, 20))
-	m.Queue = prometheus.NewHistogram(histogram("decision_events", "Events a round of the decision loop took.", 1, 2, 14))
+	m.StateHeldSeconds = prometheus.NewHistogramVec(histogram("read_state_held_seconds", "From a read's end until its state was fetched, gone, released, or its release failed.", 0.005, 1.6, 18), []string{"end"})
+	m.DecisionSeconds = prometheus.NewHistogram(histogram("decision_seconds", "One round of the decision loop.", 1e-6, 2, 20))
+	m.DecisionEvents = prometheus.NewHistogram(histogram("decision_events", "Events a round of the decision loop took.", 1, 2, 14))
 	backstops := prometheus.NewCounter(prometheus.CounterOpts{Name: "brackenbend_backstops_total",
 		Help: "Requests that were answered at the end of the client's time without a decision; each is a fault of the front."})
 	m.Backstops = backstops
-	m.reg.MustRegister(m.Engines, m.FirstToken, m.StateHeld, m.Step, m.Queue, backstops, collectors.NewGoCollector(),
+	m.reg.MustRegister(m.Engines, m.FirstToken, m.StateHeldSeconds, m.DecisionSeconds, m.DecisionEvents, backstops, collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
