--- a/internal/gctuning/gctuning_test.go
+++ b/internal/gctuning/gctuning_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"runtime"
+	"runtime/debug"
+	"runtime/metrics"
 	"testing"
 )
 
@@ -17,14 +19,34 @@
 	return b.NumGC - a.NumGC
 }
 
-func TestFloorMakesCollectionsRare(t *testing.T) {
-	before := collections(64 << 20)
-	undo := SetHeapFloor(256 << 20)
+// heapGoal is the heap size at which the next collection ends, once a whole collection has just ended.
+func heapGoal() uint64 {
+	runtime.GC()
+	goal := []metrics.Sample{{Name: "/gc/heap/goal:bytes"}}
+	metrics.Read(goal)
+	return goal[0].Value.Uint64()
+}
+
+// The goal is what the collector promises; how many cycles end while so much is allocated also depends on what else the machine does.
+func TestSetHeapFloorMakesCollectionsRareUntilUndone(t *testing.T) {
+	const floor, smallGoal = 256 << 20, 16 << 20 // 64 MiB of garbage are at least four collections at the small goal
+	percentBefore := debug.SetGCPercent(100)
+	debug.SetGCPercent(percentBefore)
+	goalBefore := heapGoal()
+	undo := SetHeapFloor(floor)
 	with := collections(64 << 20)
+	goalWith := heapGoal()
 	undo()
-	after := collections(64 << 20)
-	if with > 1 || before < 4 || after < 4 {
-		t.Errorf("collections for 64 MiB of garbage: %d without a floor of 256 MiB, %d with it, %d after", before, with, after)
+	percentAfter := debug.SetGCPercent(percentBefore)
+	goalAfter := heapGoal()
+	if goalBefore > smallGoal || goalWith < floor*9/10 || goalAfter > smallGoal {
+		t.Errorf("heap goal: %d MiB without a floor of 256 MiB, %d with it, %d after", goalBefore>>20, goalWith>>20, goalAfter>>20)
+	}
+	if with > 1 {
+		t.Errorf("%d collections for 64 MiB of garbage with a floor of 256 MiB", with)
+	}
+	if percentAfter != percentBefore {
+		t.Errorf("GC percentage: %d before, %d after undo", percentBefore, percentAfter)
 	}
 }
 
