--- a/routing/forget_test.go
+++ b/routing/forget_test.go
@@ -36,16 +36,16 @@
 // TestServersThatAreGoneAreForgotten: what is remembered is bounded by the list and by what went of late.
 func TestServersThatAreGoneAreForgotten(t *testing.T) {
 	f := newRolling(t)
-	most := len(f.servers) + 20*int(goneFor/time.Minute+1)
+	most := len(f.servers) + 20*int(goneRetention/time.Minute+1)
 	for range 5000 {
 		f.roll()
-		if n := len(f.g.r.servers); n > most || n != len(f.g.r.byID) {
-			t.Fatalf("%d servers and %d ids are known, %d at most", n, len(f.g.r.byID), most)
+		if n := len(f.g.r.backends.sorted); n > most || n != len(f.g.r.backends.byID) {
+			t.Fatalf("%d servers and %d ids are known, %d at most", n, len(f.g.r.backends.byID), most)
 		}
 	}
 	f.g.step(f.g.request(1, 0, 500))
 	f.g.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{{ID: 77, State: EndpointGone}}})
-	if f.g.r.byID[77] != nil {
+	if f.g.r.backends.byID[77] != nil {
 		t.Error("a server that was gone when first heard of is remembered")
 	}
 }
@@ -57,26 +57,26 @@
 	if len(sends) != 1 || sends[0].Endpoint != 1 {
 		t.Fatalf("%v", sends)
 	}
-	g.r.byID[1].fails[0] = 0.9
+	g.r.backends.byID[1].health.failures[0] = 0.9
 	for range 3 {
-		g.now += goneFor
+		g.now += goneRetention
 		g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{writer(2)}})
 	}
-	if s := g.r.byID[1]; s == nil || s.n != 1 {
+	if s := g.r.backends.byID[1]; s == nil || s.load.attempts != 1 {
 		t.Fatal("a server with an attempt out was forgotten")
 	}
 	g.step(Outcome{Request: 1, Endpoint: 1, Result: ConnectionReset})
 	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{writer(2)}})
-	if g.r.byID[1] != nil {
+	if g.r.backends.byID[1] != nil {
 		t.Error("it was not forgotten once its attempt had ended")
 	}
 	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{reader(3), writer(2)}})
-	g.r.byID[3].fails[0] = 0.9
+	g.r.backends.byID[3].health.failures[0] = 0.9
 	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{writer(2)}})
 	g.now += time.Second
 	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{reader(3), writer(2)}})
-	if s := g.r.byID[3]; s.fails[0] < 0.8 || s.goneAt != 0 {
-		t.Errorf("a server back after a second has lost its past: failing %.2f", s.fails[0])
+	if s := g.r.backends.byID[3]; s.health.failures[0] < 0.8 || s.goneAt != 0 {
+		t.Errorf("a server back after a second has lost its past: failing %.2f", s.health.failures[0])
 	}
 }
 
@@ -95,9 +95,9 @@
 				f.g.now += time.Millisecond
 				f.g.step(f.g.request(id, 0, 1500))
 				f.g.step(ClientDisconnected{id})
-				if f.g.r.reqs[id] != nil {
-					a := f.g.r.reqs[id].att[0]
-					f.g.step(Outcome{Request: id, Endpoint: a.s.ID, Result: Cancelled, RequestDone: true})
+				if f.g.r.requests[id] != nil {
+					a := f.g.r.requests[id].attempts[0]
+					f.g.step(Outcome{Request: id, Endpoint: a.backend.ID, Result: Cancelled, RequestDone: true})
 				}
 			}
 		})
--- a/routing/length_test.go
+++ b/routing/length_test.go
@@ -207,7 +207,7 @@
 		for session := range sessions {
 			refused := 0
 			for turn := range turns {
-				r.shed = 0.5
+				r.admission.shedder.fraction = 0.5
 				q := g.request(RequestID(1+turn*sessions+session), 0, 200)
 				q.Session, q.Prefix = uint64(1+session), uint64(1+session%20)
 				acts := g.step(q)
--- a/routing/order_test.go
+++ b/routing/order_test.go
@@ -165,7 +165,7 @@
 				plan(a.After, Timer{a.Tag})
 			}
 		}
-		most = max(most, len(r.held))
+		most = max(most, len(r.queue.waiting))
 	}
 	step(EndpointList{Scope: ListFull, Endpoints: list})
 	for i := range c.steps {
@@ -298,7 +298,7 @@
 				for i := range n + 48 {
 					take(r.Step(now, []Event{request(RequestID(i + 1))}))
 				}
-				held := len(r.held)
+				held := len(r.queue.waiting)
 				id := RequestID(n + 48)
 				b.ResetTimer()
 				for range b.N {
@@ -315,8 +315,8 @@
 							delete(sends, q)
 							take(r.Step(now, []Event{Outcome{Request: q, Attempt: attempt[q], Endpoint: a.Endpoint, Result: Rejected, StateMissing: true, Elapsed: ms}}))
 							attempt[q]++
-							if q := r.reqs[q]; q != nil {
-								q.att = q.att[:0] // or its attempts run out
+							if q := r.requests[q]; q != nil {
+								q.attempts = q.attempts[:0] // or its attempts run out
 								attempt[q.ID] = 0
 							}
 							break
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -7,178 +7,175 @@
 	"time"
 )
 
-// Health: one notion for errors, broken connections, stalls and slowness.
-
-func (r *Router) list(l EndpointList) {
-	if l.Scope == ListFailed {
-		r.askAt = r.now + time.Second
-		return
-	}
-	if l.Scope != ListChanges {
-		for _, s := range r.servers {
-			s.listed, s.State = false, EndpointGone
-		}
-	}
-	for _, e := range l.Endpoints {
-		r.line(e)
-	}
-	r.forget()
-	r.count()
-	r.judgeAt = 0
-	r.reshape()
-}
+const (
+	// outcomeWeight is the weight of the newest outcome in a failure rate.
+	outcomeWeight = 0.25
+	// connectFailureFactor is how much more a failed connection weighs: the process is likely gone.
+	connectFailureFactor = 2
+	// otherClassFactor is how much less an outcome weighs for the classes other than its own: an endpoint may fail
+	// one class only.
+	otherClassFactor = 2
+	// sparseOutcomeDecay makes an outcome weigh nearly two thirds after so long without one: a replica of many sees
+	// an endpoint twice a minute.
+	sparseOutcomeDecay = 20 * time.Second
+	// failureDecay is the time constant of failure and rejection rates and of slowness.
+	failureDecay = 30 * time.Second
+	// maxFailureRate is how far an endpoint's failure rate may lie above its peers' median before it is ejected,
+	// and the rate of a class from which the endpoint is avoided for it.
+	maxFailureRate = 0.4
+	// recoveredFailureRate bounds the failure rate with which an endpoint comes back from ejection.
+	recoveredFailureRate = 0.3
+	// evaluationInterval is the time between two looks at all endpoints; after a failure one follows at once.
+	evaluationInterval = 100 * time.Millisecond
+	// baseEjectionTime is the first time between ejection and trial. It doubles with each ejection, up to
+	// maxEjectionTime, and halves with each recovery.
+	baseEjectionTime = 500 * time.Millisecond
+	maxEjectionTime  = 8 * time.Second
+	// minMeasuredRate is the least rate of a role, in attempts a second, by which the ejection time is stretched.
+	minMeasuredRate = 0.01
+	// slowDecodeFactor is how many times the mean its first tokens take before a decode endpoint is avoided.
+	slowDecodeFactor = 4.0
+)
 
-// line takes one entry. A later start means a new process: empty, cold, and of unknown health.
-func (r *Router) line(e Endpoint) {
-	s := r.byID[e.ID]
-	switch {
-	case e.Kind < 0 || e.Kind >= len(r.set.Kinds), s == nil && e.State == EndpointGone:
-		return
-	case s == nil:
-		s = &server{Endpoint: e, kept: map[uint64]float64{}, seen: r.now, learnt: r.now, pace1: r.readPace}
-		s.fails, s.turns = make([]float64, len(r.set.Classes)), make([]float64, len(r.set.Classes))
-		r.byID[e.ID] = s
-		r.servers = append(r.servers, s)
-	}
-	if e.StartedAt > s.StartedAt {
-		s.kept = map[uint64]float64{}
-		s.bad, s.fail, s.count, s.slow, s.pause, s.seen, s.learnt = false, 0, 0, 0, 0, r.now, r.now
-		clear(s.fails)
-		clear(s.turns)
-	}
-	s.Endpoint, s.role, s.listed, s.goneAt = e, r.set.Kinds[e.Kind].Role, e.State == EndpointReady, 0
+// health is how an endpoint's attempts end, and whether it is ejected.
+type health struct {
+	failureRate  float64   // of the class that failed least
+	failures     []float64 // rate of late outcomes that failed, by class; decays
+	rejections   []float64 // rate of late attempts that it rejected, by class; decays
+	outcomeAt    time.Duration
+	ejected      bool
+	trialAt      time.Duration // next trial
+	ejectionTime time.Duration // as last used
 }
 
-// present is the part of its capacity that s is taken to have: it grows evenly while s is cold.
-func (r *Router) present(s *server) float64 {
-	if !r.cold(s) {
-		return 1
+func newHealth(classes int, now time.Duration) health {
+	return health{
+		failures:   make([]float64, classes),
+		rejections: make([]float64, classes),
+		outcomeAt:  now,
 	}
-	return r.set.SlowStartFrom + (1-r.set.SlowStartFrom)*float64(max(r.now-s.StartedAt, 0))/float64(r.set.SlowStartFor)
 }
 
-func (r *Router) cold(s *server) bool {
-	return r.set.SlowStartFor > 0 && s.StartedAt > 0 && r.now-s.StartedAt < r.set.SlowStartFor
+// reset forgets what a former process did.
+func (h *health) reset(now time.Duration) {
+	h.ejected, h.failureRate, h.ejectionTime, h.outcomeAt = false, 0, 0, now
+	clear(h.failures)
+	clear(h.rejections)
 }
 
-// judge puts servers aside that do far worse than the peers of their role: they fail more or say
-// nothing. So it answers crashed, failing, stalled and cut-off servers alike. When most are as bad none is
-// blamed.
-func (r *Router) judge() {
-	r.judgeAt = r.now + judgeEvery
-	for _, s := range r.servers {
-		r.age(s)
-	}
-	r.count()
-	for _, s := range r.servers {
-		if s.bad || !s.listed {
+// detectOutliers ejects endpoints that do far worse than the peers of their role: they fail more or are silent. That
+// covers crashed, failing, stalled and unreachable endpoints alike. When most are as bad none is ejected.
+func (r *Router) detectOutliers() {
+	r.backends.evaluateAt = r.now + evaluationInterval
+	for _, b := range r.backends.sorted {
+		r.decayStats(b)
+	}
+	r.sumRoles()
+	for _, b := range r.backends.sorted {
+		if b.health.ejected || !b.listed {
 			continue
 		}
-		f := &r.roles[s.role]
-		aside := int(f.listed - f.well + 1)
+		stats := &r.backends.roles[b.role]
+		ejectedWithThis := int(stats.listed - stats.healthy + 1)
 		switch {
-		case s.fail > failBad+f.fails[(len(f.fails)-1)/2]:
-			r.aside(s, "failing")
-		case r.silent(s) && 2*(f.quiet-1) < int(f.listed)-aside:
-			r.aside(s, "silent")
+		case b.health.failureRate > maxFailureRate+stats.medianFailureRate():
+			r.eject(b, "failing")
+		case r.silent(b) && 2*(stats.silent-1) < int(stats.listed)-ejectedWithThis:
+			r.eject(b, "silent")
 		}
 	}
 }
 
-// silence is for how long s, or an attempt there, may say nothing: much longer than the usual time. Attempts
-// of an unsafe class have no time-out, so without it a stall would show at their deadlines only.
-func (r *Router) silence(s *server) time.Duration {
-	usual := s.unread * r.readPace
-	if s.role != RolePrefill {
-		usual += r.firstTime
-	}
-	return silentLeast + seconds(silentFor*usual)
+// eject takes an endpoint out of use until its next trial.
+func (r *Router) eject(b *backend, cause string) {
+	stats := &r.backends.roles[b.role]
+	if !b.health.ejected {
+		stats.healthy--
+	}
+	b.health.ejected = true
+	r.orderChanged()
+	sendInterval := time.Duration(0) // between this replica's sends to an endpoint of the role
+	if stats.rate > minMeasuredRate {
+		sendInterval = seconds(1 / stats.rate)
+	}
+	b.health.ejectionTime = min(max(2*b.health.ejectionTime, baseEjectionTime, sendInterval), maxEjectionTime)
+	b.health.trialAt = r.now + b.health.ejectionTime
+	r.emit(Log{fmt.Sprintf("%s endpoint %d ejected: %s (failure rate %.2f)",
+		roleNames[b.role], b.ID, cause, b.health.failureRate)})
 }
 
-func (r *Router) aside(s *server, why string) {
-	if !s.bad {
-		r.roles[s.role].well--
-	}
-	s.bad = true
-	r.reshape()
-	gap := time.Duration(0) // between own sends to a server
-	if rate := r.roles[s.role].rate; rate > 0.01 {
-		gap = seconds(1 / rate)
-	}
-	s.pause = min(max(2*s.pause, backFirst, gap), backMost)
-	s.back = r.now + s.pause
-	r.emit(Log{fmt.Sprintf("%s %d put aside: %s (failing %.2f)", roleNames[s.role], s.ID, why, s.fail)})
+// reinstate takes an endpoint into use again after a trial that went well.
+func (r *Router) reinstate(b *backend) {
+	b.health.ejected = false
+	b.health.ejectionTime /= 2
+	r.backends.evaluateAt = r.now
+	r.orderChanged()
+	b.health.failureRate = min(b.health.failureRate, recoveredFailureRate)
+	r.emit(Log{fmt.Sprintf("%s endpoint %d recovered", roleNames[b.role], b.ID)})
 }
 
-// learn takes one outcome into the health of its server, for the class of q in full and for others by half: a
-// server may fail one class only. A failed or broken connection speaks for all, and louder: the process is
-// likely gone. News after a long silence weighs more: a front of many sees a server twice a minute.
-func (r *Router) learn(s *server, q *request, failed bool, gain float64, usual bool) {
-	r.turned(s, q, false)
-	gone := gain > failGain
-	gain = max(gain, 1-math.Exp(-(r.now-s.learnt).Seconds()/sparse.Seconds()))
-	s.learnt = r.now
-	for i := range s.fails {
-		g := gain
-		if i != q.Class && !gone {
-			g /= 2
-		}
-		was := s.fails[i] > failBad
-		if s.fails[i] += g * (b2f(failed) - s.fails[i]); was != (s.fails[i] > failBad) {
-			r.reshape()
-		}
+var roleNames = [...]string{RolePrefill: "prefill", RoleDecode: "decode", RoleMixed: "mixed"}
+
+// observeSuccess takes an attempt that went well; inUsualTime is whether it ends an ejection.
+func (r *Router) observeSuccess(b *backend, req *request, inUsualTime bool) {
+	r.observeOutcome(b, req, false, outcomeWeight)
+	if b.health.ejected && inUsualTime {
+		r.reinstate(b)
 	}
-	s.fail = slices.Min(s.fails)
-	switch {
-	case failed && s.bad && r.now >= s.back:
-		r.aside(s, "trial failed")
-	case failed:
-		r.judgeAt = r.now
-	case s.bad && usual:
-		s.bad, s.pause, r.judgeAt = false, s.pause/2, r.now
-		r.reshape()
-		s.fail = min(s.fail, onTrust)
-		r.emit(Log{fmt.Sprintf("%s %d is back", roleNames[s.role], s.ID)})
+}
+
+// observeFailure takes an attempt that failed, with a weight.
+func (r *Router) observeFailure(b *backend, req *request, weight float64) {
+	r.observeOutcome(b, req, true, weight)
+	if b.health.ejected && r.now >= b.health.trialAt {
+		r.eject(b, "trial failed")
+	} else {
+		r.backends.evaluateAt = r.now
 	}
 }
 
-// turned books whether s turned an attempt of q away. It guards against servers that turn one class away:
-// a pause for all is too short and too wide there, and each request of that class would be turned away by one
-// after another until none is left to ask. Where all are full, all are alike and nobody is asked last.
-func (r *Router) turned(s *server, q *request, away bool) {
-	was := s.turns[q.Class] > failBad
-	if s.turns[q.Class] += failGain * (b2f(away) - s.turns[q.Class]); was != (s.turns[q.Class] > failBad) {
-		r.reshape()
+// observeOutcome takes one outcome into the failure rates of an endpoint: in full for the class of its request, by
+// half for others. A failed connection counts in full for all. An outcome after a long time without one weighs
+// more.
+func (r *Router) observeOutcome(b *backend, req *request, failed bool, weight float64) {
+	r.observeRejection(b, req, false)
+	h := &b.health
+	allClasses := weight > outcomeWeight
+	weight = max(weight, 1-math.Exp(-(r.now-h.outcomeAt).Seconds()/sparseOutcomeDecay.Seconds()))
+	h.outcomeAt = r.now
+	for class := range h.failures {
+		classWeight := weight
+		if class != req.Class && !allClasses {
+			classWeight /= otherClassFactor
+		}
+		r.observeRate(&h.failures[class], failed, classWeight)
 	}
+	h.failureRate = slices.Min(h.failures)
 }
 
-// shunned tells that s has failed, turned away or swallowed the class of q, or that its first tokens are
-// slow: it comes last.
-func (s *server) shunned(q *request) bool {
-	slow := s.role == RoleDecode && s.slow > slowWriter
-	return !s.bad && (s.fails[q.Class] > failBad || s.turns[q.Class] > failBad || slow || s.muteTo(q.Class))
+// observeRejection takes whether an endpoint rejected an attempt. It guards against endpoints that reject one
+// class: a pause for all is too short and too wide there, and each request of that class would be rejected by one
+// after another until no attempt is left. Where all are full, all are alike and none is tried last.
+func (r *Router) observeRejection(b *backend, req *request, rejected bool) {
+	r.observeRate(&b.health.rejections[req.Class], rejected, outcomeWeight)
 }
 
-// paced learns how long a waiting prompt token takes at s, and over all readers.
-func (r *Router) paced(a *attempt, took time.Duration) {
-	v := took.Seconds() / max(a.ahead, 200)
-	a.s.pace1 += 0.1 * (v - a.s.pace1)
-	a.s.slow += slowGain * (v/r.readPace - a.s.slow)
-	if a.s.role == RolePrefill {
-		r.readPace += 0.05 * (v - r.readPace)
+// observeRate moves a rate by one attempt. Where it passes maxFailureRate the order of endpoints changes.
+func (r *Router) observeRate(rate *float64, happened bool, weight float64) {
+	above := *rate > maxFailureRate
+	movingAverage(rate, boolToFloat(happened), weight)
+	if above != (*rate > maxFailureRate) {
+		r.orderChanged()
 	}
 }
 
-func (r *Router) readDone(q *request, a *attempt, ev Outcome) {
-	s, sec := a.s, ev.Elapsed.Seconds()
-	r.paced(a, ev.Elapsed)
-	fresh := max(q.PromptTokens-ev.CachedTokens, 0) + 200
-	r.newTokens[q.Class] += 0.05 * (fresh - r.newTokens[q.Class])
-	s.count++
-	if len(s.kept) > keptMax {
-		s.kept = map[uint64]float64{}
-	}
-	s.kept[q.Prefix], s.kept[q.Session] = q.PrefixTokens, q.PromptTokens
-	delete(s.kept, 0)
-	r.learn(s, q, false, failGain, sec < patience*a.ahead*r.readPace+0.5)
+// avoidedFor reports that an endpoint has failed, rejected or been silent to the request's class, or that its first
+// tokens are slow: it is tried last.
+func (b *backend) avoidedFor(req *request) bool {
+	if b.health.ejected {
+		return false
+	}
+	slow := b.role == RoleDecode && b.pace.slowness > slowDecodeFactor
+	return b.health.failures[req.Class] > maxFailureRate || b.health.rejections[req.Class] > maxFailureRate ||
+		slow || b.silence.toClass(req.Class)
 }
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -1,217 +1,210 @@
 package routing
 
 import (
-	"cmp"
-	"maps"
 	"math"
 	"slices"
 	"time"
 )
 
-// Placing: the reader by the hash of the prefix, the writer after the read.
+const (
+	// mixedCapacityFactor is what a mixed endpoint can prefill or decode, against one that does only that.
+	mixedCapacityFactor = 0.6
+	// maxMixedOwed bounds the requests owed to mixed endpoints, either way.
+	maxMixedOwed, minMixedOwed = 2, -1
+	// mixedSlownessWeight is the weight of the newest request in mixedBalance.slowness.
+	mixedSlownessWeight = 0.2
+	// parkedFraction is the part of the state TTL for which a read state may wait for a decode endpoint.
+	parkedFraction = 0.5
+	// minShortage keeps divisions by a locality's shortage or parts defined.
+	minShortage = 1e-9
+)
+
+// mixedBalance spreads whole requests over mixed endpoints where others prefill and decode separately.
+type mixedBalance struct {
+	owed     float64 // whole requests that mixed endpoints have yet to take
+	slowness float64 // their mean time to the first token, against that by separate endpoints
+}
+
+// observe takes the time to a first token, or the time without one, at a mixed endpoint, against the time that
+// separate endpoints usually take.
+func (m *mixedBalance) observe(a *attempt, usual float64, elapsed time.Duration) {
+	if a.backend.role == RoleMixed && a.cost.queued > 0 {
+		movingAverage(&m.slowness, elapsed.Seconds()/usual, mixedSlownessWeight)
+	}
+}
 
-// launch sends a held request to a reader, or whole to a mixed server, if there is room for it.
-func (r *Router) launch(q *request) bool {
-	readers, mixed := r.roles[RolePrefill].listed > 0, r.roles[RoleMixed].well
-	if r.roles[RoleMixed].listed > 0 && (!readers || r.mixedDebt >= 1) {
-		if s := r.home(q, RoleMixed); s != nil {
-			r.mixedDebt = max(r.mixedDebt-1, -1)
-			r.send(q, s, true)
+// placeQueued sends a queued request to a prefill endpoint, or whole to a mixed one, if there is capacity for it.
+func (r *Router) placeQueued(req *request) bool {
+	prefills, mixed := &r.backends.roles[RolePrefill], &r.backends.roles[RoleMixed]
+	if mixed.listed > 0 && (prefills.listed == 0 || r.mixed.owed >= 1) {
+		if b := r.preferredBackend(req, RoleMixed); b != nil {
+			r.mixed.owed = max(r.mixed.owed-1, minMixedOwed)
+			r.send(req, b, true)
 			return true
 		}
 	}
-	if !readers && r.set.DecodeCanPrefill {
-		if s := r.writer(q, true); s != nil {
-			r.send(q, s, true)
+	if prefills.listed == 0 && r.config.DecodeCanPrefill {
+		if b := r.decodeBackend(req, true); b != nil {
+			r.send(req, b, true)
 			return true
 		}
 	}
-	if !readers || !r.writerRoom(q) {
+	if prefills.listed == 0 || !r.decodeHasCapacity(req) {
 		return false
 	}
-	s := r.home(q, RolePrefill)
-	if s == nil {
+	b := r.preferredBackend(req, RolePrefill)
+	if b == nil {
 		return false
 	}
-	if w := &r.roles[RoleDecode]; mixed > 0 { // by what they can write and read, and how late they are
-		m := mixedWeight * min(mixed, r.roles[RoleMixed].memory/w.memory*max(w.well, 1e-9))
-		part := min(m/(m+w.well), mixedWeight*mixed/max(r.roles[RolePrefill].well, 1))
-		r.mixedDebt = min(r.mixedDebt+part/max(r.mixedSlow, 1), 2)
+	if mixed.healthy > 0 {
+		r.oweMixed()
 	}
-	r.send(q, s, false)
+	r.send(req, b, false)
 	return true
 }
 
-// home walks the servers of a role in the hash order of the prefix and returns the first with room. All known
-// servers are in the order, so one put aside does not move the homes of others. Only the first spillMost that
-// may be sent to are asked: a prompt read far down the order pushes out what others keep there.
-func (r *Router) home(q *request, role Role) *server {
-	r.order = r.order[:0]
-	for _, s := range r.servers {
-		if s.role == role && r.usable(s, q) {
-			h := mix(q.key()^mix(uint64(s.ID))) >> 1
-			if !q.triedOn(s) && !s.shunned(q) {
-				h |= 1 << 63
-			}
-			r.order = append(r.order, ranked{s, h})
-		}
-	}
-	slices.SortFunc(r.order, func(a, b ranked) int { return cmp.Compare(b.hash, a.hash) })
-	// a key of which much is seen has several homes, and each session keeps to one of them
-	readers := float64(len(r.order))
-	homes := r.order[:min(r.homes(q.key(), readers), len(r.order))]
-	slices.SortFunc(homes, func(a, b ranked) int {
-		return cmp.Compare(draw(uint64(b.s.ID), q.Session), draw(uint64(a.s.ID), q.Session))
-	})
-	if !q.homed && len(r.order) > 0 {
-		q.homed = true
-		r.order[0].s.homed++
-	}
-	var home *server
-	total, warm := 0.0, 0
-	for _, e := range r.order {
-		total += e.s.homed
-	}
-	q.asked, q.askedAt = q.asked[:0], 0
-	for _, e := range r.order {
-		q.asked = append(q.asked, e.s)
-		if r.room(e.s, q) {
-			parts := (e.s.homed + homedPrior) / (total/float64(len(r.order)) + homedPrior)
-			parts *= max(e.s.slow/slowFrom, 1)
-			if draw(uint64(e.s.ID), cmp.Or(q.Session, uint64(q.ID)))*parts <= evenParts {
-				return e.s
-			}
-			if home == nil {
-				home = e.s
-			}
-		}
-		if warm += int(b2f(!r.cold(e.s))); warm >= spillMost && home == nil {
-			break
-		}
-	}
-	if home == nil && role == RolePrefill && !r.anyCold {
-		q.askedAt = r.shape
-	}
-	return home
-}
-
-// homes is how many readers a key is home at, by the part of this front's requests that share it; all fronts
-// see about the same.
-func (r *Router) homes(key uint64, readers float64) int {
-	popular := max(r.keys[key]-1, 0) / (r.keysAll + 5)
-	return 1 + int(min(popular*homesPart, 1)*readers)
+// oweMixed adds the mixed endpoints' part of a request, by what they can prefill and decode and how slow they are.
+func (r *Router) oweMixed() {
+	mixed, decodes := &r.backends.roles[RoleMixed], &r.backends.roles[RoleDecode]
+	decodeCapacity := mixedCapacityFactor *
+		min(mixed.healthy, mixed.memory/decodes.memory*max(decodes.healthy, 1e-9))
+	part := min(
+		decodeCapacity/(decodeCapacity+decodes.healthy),
+		mixedCapacityFactor*mixed.healthy/max(r.backends.roles[RolePrefill].healthy, 1),
+	)
+	r.mixed.owed = min(r.mixed.owed+part/max(r.mixed.slowness, 1), maxMixedOwed)
 }
 
-// seeKey counts the key of a new request; counts are halved now and then, so that old ones fade.
-func (r *Router) seeKey(q *request) {
-	if r.now > r.fadeAt {
-		r.fadeAt, r.keysAll = r.now+keysFade, r.keysAll/2
-		for k := range r.keys {
-			r.keys[k] /= 2
-		}
-		maps.DeleteFunc(r.keys, func(_ uint64, n float64) bool { return n < 0.25 })
-		r.reshape()
+// placeDecode sends a prefilled request to a decode endpoint; if none may be sent to, the request is parked for a
+// part of the state TTL. That counts from the prefill, or from the last reply of a decode endpoint: while
+// connections fail the state waits.
+func (r *Router) placeDecode(req *request) {
+	b := r.decodeBackend(req, false)
+	parkedFor := r.now - req.state.since
+	reason := r.giveUpReason(req)
+	switch {
+	case reason != ReasonNone:
+	case r.now+minAnswerTime >= req.Deadline:
+		reason = ReasonDeadline
+	case r.stateExpired(req):
+		reason = ReasonStateExpired
+	case b == nil && parkedFor >= time.Duration(parkedFraction*float64(r.config.StateTTL)):
+		reason = ReasonNoDecodeEndpoint
 	}
-	r.keys[q.key()]++
-	r.keysAll++
-	r.homeCount[q.key()] = max(r.homeCount[q.key()], 1)
-	for k, was := range r.homeCount {
-		n := r.homes(k, r.readersNow)
-		if r.homeCount[k] = n; n != was { // other readers may be asked now
-			for _, h := range r.held {
-				if h.key() == k {
-					h.askedAt = 0
-					r.fresh = append(r.fresh, h)
-				}
-			}
-		}
-		if n == 1 {
-			delete(r.homeCount, k)
-		}
+	switch {
+	case reason != ReasonNone:
+		r.finish(req, r.finalAnswer(req, len(r.queue.waiting), reason))
+	case b != nil:
+		r.send(req, b, true)
+	default:
+		r.readStates.parked = append(r.readStates.parked, req)
 	}
 }
 
-// writer picks the writer with the fewest own streams, ties to the reader's cell, then its zone. If none
-// has room it is, unless room is asked for, the least loaded that may be sent to at all; servers put aside
-// come last.
-func (r *Router) writer(q *request, needRoom bool) *server {
-	var best *server
-	var bestRank [6]float64
-	writers := r.roles[RoleDecode].listed > 0
-	keepCell, keepZone := r.keeps(q)
-	for _, s := range r.servers {
-		spared := s.role == RolePrefill || s.role == RoleMixed && q.reader != nil && writers
-		if spared || !s.listed || !r.allowed(q, s) {
+// decodeRank orders endpoints for a decode, smallest first.
+type decodeRank [6]float64
+
+// decodeBackend returns the endpoint with the fewest attempts of this replica, ties going to the prefill's cell,
+// then its zone. If none has capacity it is, unless capacity is required, the least loaded that may be sent to at
+// all, ejected ones last; nil if there is none.
+func (r *Router) decodeBackend(req *request, requireCapacity bool) *backend {
+	var best *backend
+	var bestRank decodeRank
+	decodesListed := r.backends.roles[RoleDecode].listed > 0
+	keepCell, keepZone := r.keepLocality(req)
+	for _, b := range r.backends.sorted {
+		spared := b.role == RolePrefill || b.role == RoleMixed && req.state.backend != nil && decodesListed
+		if spared || !b.listed || !r.repeatAllowed(req, b) {
 			continue
 		}
-		room := r.room(s, q)
-		if needRoom && !room || !room && !r.coldRoom(s, q) {
+		capacity := r.hasCapacity(b, req)
+		if !capacity && (requireCapacity || !r.slowStartAllows(b, req)) {
 			continue
 		}
-		rank := [6]float64{
-			b2f(!room) + b2f(!room && s.bad), b2f(q.triedOn(s)) + b2f(s.shunned(q)),
-			float64(s.n),
-			b2f(!keepCell || s.Cell != q.reader.Cell), b2f(!keepZone || s.Zone != q.reader.Zone),
-			-math.Log(draw(r.salt^uint64(s.ID), uint64(q.ID))) / r.cells.at(s.Cell).short(),
+		rank := decodeRank{
+			boolToFloat(!capacity) + boolToFloat(!capacity && b.health.ejected),
+			boolToFloat(req.triedOn(b)) + boolToFloat(b.avoidedFor(req)),
+			float64(b.load.attempts),
+			boolToFloat(!keepCell || b.Cell != req.state.backend.Cell),
+			boolToFloat(!keepZone || b.Zone != req.state.backend.Zone),
+			-math.Log(uniform(r.seed^uint64(b.ID), uint64(req.ID))) / r.backends.cells.at(b.Cell).shortage(),
 		}
 		if best == nil || slices.Compare(rank[:], bestRank[:]) < 0 {
-			best, bestRank = s, rank
+			best, bestRank = b, rank
 		}
 	}
 	return best
 }
 
-// keeps tells whether ties between writers go to the reader's cell, and to its zone. They do, unless a front
-// has less than a stream a writer, so that nearly all is tied, and the cell has a larger part of the readers
-// than of the writers: then that part stays and the rest goes where writers are short of readers.
-func (r *Router) keeps(q *request) (cell, zone bool) {
-	f := &r.roles[RoleDecode]
-	if q.reader == nil || f.own >= f.listed {
-		return q.reader != nil, q.reader != nil
-	}
-	u := draw(r.salt, uint64(q.ID))
-	c, z := r.cells.at(q.reader.Cell), r.zones.at(q.reader.Zone)
-	return u*c.reads <= c.writes, u*z.reads <= z.writes
+// keepLocality reports whether ties between decode endpoints go to the prefill's cell, and to its zone. They do,
+// unless a replica has less than one attempt for each decode endpoint, so that nearly all are tied, and the cell
+// has a larger part of the prefill capacity than of the decode capacity: then that part stays and the rest goes
+// where decode endpoints are short of prefills.
+func (r *Router) keepLocality(req *request) (cell, zone bool) {
+	stats := &r.backends.roles[RoleDecode]
+	prefilled := req.state.backend != nil
+	if !prefilled || stats.inFlight >= stats.listed {
+		return prefilled, prefilled
+	}
+	u := uniform(r.seed, uint64(req.ID))
+	c, z := r.backends.cells.at(req.state.backend.Cell), r.backends.zones.at(req.state.backend.Zone)
+	return u*c.prefill <= c.decode, u*z.prefill <= z.decode
 }
 
-// allowed keeps the effect rules: where an earlier attempt may have run, only a safe class goes anywhere,
-// a keyed one inside its group and window.
-func (r *Router) allowed(q *request, s *server) bool {
-	if !q.ran || q.class.Idempotency == Idempotent {
+// repeatAllowed reports that an endpoint may get a request of which an earlier attempt may have run: any endpoint
+// if the class is idempotent, one in the same dedup scope and window if it is with a key.
+func (r *Router) repeatAllowed(req *request, b *backend) bool {
+	if !req.execution.possible || req.class.Idempotency == Idempotent {
 		return true
 	}
-	if q.class.Idempotency == NotIdempotent || q.window(r.now) <= 0 {
+	if req.class.Idempotency == NotIdempotent || req.sendWindow(r.now) <= 0 {
 		return false
 	}
-	switch q.class.DedupScope {
+	switch req.class.DedupScope {
 	case DedupZone:
-		return s.Zone == q.ranOn.Zone
+		return b.Zone == req.execution.backend.Zone
 	case DedupCell:
-		return s.Cell == q.ranOn.Cell
+		return b.Cell == req.execution.backend.Cell
+	default: // DedupAll
+		return true
 	}
-	return true
 }
 
-// place sends a read request to a writer; if none may be sent to, it waits for part of the release time. That
-// counts from the read, or from the last word of a writer: while connections fail to come up the state waits.
-func (r *Router) place(q *request) {
-	s, waited := r.writer(q, false), r.now-q.stateAt
-	reason := r.exhausted(q)
-	switch {
-	case reason != ReasonNone:
-	case r.now+margin >= q.Deadline:
-		reason = ReasonDeadline
-	case r.stateSpent(q):
-		reason = ReasonStateExpired
-	case s == nil && waited >= time.Duration(parkPart*float64(r.set.StateTTL)):
-		reason = ReasonNoDecodeEndpoint
+// localityShare is a locality's part of all prefill capacity and of all decode capacity.
+type localityShare struct{ prefill, decode float64 }
+
+// shortage is how far the prefill part lacks behind the decode part.
+func (s localityShare) shortage() float64 {
+	return max(1-s.prefill/max(s.decode, minShortage), minShortage)
+}
+
+// localities are by cell or zone.
+type localities map[int]*localityShare
+
+func (l localities) at(place int) *localityShare {
+	share := l[place]
+	if share == nil {
+		share = &localityShare{}
+		l[place] = share
 	}
-	switch {
-	case reason != ReasonNone:
-		r.finish(q, r.no(q, len(r.held), reason))
-	case s != nil:
-		r.send(q, s, true)
-	default:
-		r.parked = append(r.parked, q)
+	return share
+}
+
+// sumLocalities sums up each cell's and zone's parts anew.
+func (r *Router) sumLocalities() {
+	r.backends.cells, r.backends.zones = localities{}, localities{}
+	for _, b := range r.backends.sorted {
+		if !b.listed || b.health.ejected || b.role == RoleMixed {
+			continue
+		}
+		cell, zone := r.backends.cells.at(b.Cell), r.backends.zones.at(b.Zone)
+		part := r.presentCapacity(b) / r.backends.roles[b.role].healthy
+		if b.role == RolePrefill {
+			cell.prefill += part
+			zone.prefill += part
+		} else {
+			cell.decode += part
+			zone.decode += part
+		}
 	}
 }
--- /dev/null
+++ b/routing/queue.go
@@ -0,0 +1,178 @@
+package routing
+
+import (
+	"cmp"
+	"container/heap"
+	"slices"
+	"time"
+)
+
+const (
+	// starvationAge is the age from which a queued request may be promoted ...
+	starvationAge = 2 * time.Second
+	// ... but at most every so many dispatches: else a backlog that starved all at once would put its long prompts
+	// ahead of the short ones.
+	dispatchesPerPromotion = 4
+)
+
+// requestQueue holds the requests that wait for capacity and have no read state anywhere.
+type requestQueue struct {
+	waiting        []*request // in dispatch order
+	retry          []*request // of these, what the next dispatch tries though capacity has not changed
+	selected       []*request // of these, what the current dispatch tries; the slice is reused
+	byArrival      arrivalHeap
+	byLimit        []limitHeap // by class
+	sincePromotion int         // dispatches since the last promotion
+}
+
+// queueEntry is what the queue needs to know of a request.
+type queueEntry struct {
+	waiting   bool
+	overQuota bool          // beyond its tenant's quota
+	promoted  bool          // it has starved: the backlog bound no longer counts its own tokens
+	limit     time.Duration // when its latency objective or its deadline ends, whichever is first
+}
+
+func newRequestQueue(classes int) requestQueue {
+	return requestQueue{byLimit: make([]limitHeap, classes)}
+}
+
+// compareDispatch is the dispatch order: shortest prompt first, what is beyond its tenant's quota last.
+func compareDispatch(a, b *request) int {
+	switch {
+	case a.queued.overQuota != b.queued.overQuota:
+		return cmp.Compare(boolToFloat(a.queued.overQuota), boolToFloat(b.queued.overQuota))
+	case a.PromptTokens != b.PromptTokens:
+		return cmp.Compare(a.PromptTokens, b.PromptTokens)
+	}
+	return cmp.Compare(a.ID, b.ID)
+}
+
+// add queues a request, to be tried in this step.
+func (q *requestQueue) add(req *request) {
+	i, _ := slices.BinarySearchFunc(q.waiting, req, compareDispatch)
+	q.waiting = slices.Insert(q.waiting, i, req)
+	q.retry = append(q.retry, req)
+	req.queued.waiting = true
+	req.choices.refused, req.choices.refusedVersion = nil, 0
+	heap.Push(&q.byArrival, req)
+	heap.Push(&q.byLimit[req.Class], req)
+}
+
+// remove takes a request out of the queue, if it is in it. Its heap entries stay until they come to the top.
+func (q *requestQueue) remove(req *request) {
+	if !req.queued.waiting {
+		return
+	}
+	i, _ := slices.BinarySearchFunc(q.waiting, req, compareDispatch)
+	q.waiting = slices.Delete(q.waiting, i, i+1)
+	req.queued.waiting = false
+}
+
+// position is how many queued requests come before req in a dispatch that tries promoted first.
+func (q *requestQueue) position(req, promoted *request) int {
+	if req == promoted {
+		return 0
+	}
+	i, _ := slices.BinarySearchFunc(q.waiting, req, compareDispatch)
+	if promoted != nil && promoted.queued.waiting && compareDispatch(promoted, req) > 0 {
+		i++
+	}
+	return i
+}
+
+// after returns the queued requests that come after req in such a dispatch.
+func (q *requestQueue) after(req, promoted *request) []*request {
+	if req == promoted {
+		return q.waiting
+	}
+	return q.waiting[q.position(req, nil):]
+}
+
+// retryKey lets the next dispatch try the requests of an affinity key.
+func (q *requestQueue) retryKey(key uint64) {
+	for _, req := range q.waiting {
+		if req.affinityKey() == key {
+			req.choices.refusedVersion = 0
+			q.retry = append(q.retry, req)
+		}
+	}
+}
+
+// promote returns the request that has waited longest, if one may be promoted and is not first anyway.
+func (q *requestQueue) promote(now time.Duration) *request {
+	oldest := q.oldest()
+	if q.sincePromotion < dispatchesPerPromotion-1 || oldest == nil ||
+		oldest.arrivedAt >= now-starvationAge || oldest == q.waiting[0] {
+		return nil
+	}
+	if !oldest.queued.promoted {
+		oldest.queued.promoted = true
+		q.retry = append(q.retry, oldest)
+	}
+	return oldest
+}
+
+// dispatched takes out a request that was sent.
+func (q *requestQueue) dispatched(req *request) {
+	q.remove(req)
+	if q.sincePromotion++; req.queued.promoted {
+		q.sincePromotion = 0
+	}
+}
+
+// oldest is the queued request that arrived first; nil if none is queued.
+func (q *requestQueue) oldest() *request {
+	for q.byArrival.Len() > 0 {
+		if req := q.byArrival.first(); req.queued.waiting {
+			return req
+		}
+		heap.Pop(&q.byArrival)
+	}
+	return nil
+}
+
+// nextLimit is the queued request of a class whose limit comes first; nil if none is queued.
+func (q *requestQueue) nextLimit(class int) *request {
+	limits := &q.byLimit[class]
+	for limits.Len() > 0 {
+		if req := limits.first(); req.queued.waiting {
+			return req
+		}
+		heap.Pop(limits)
+	}
+	return nil
+}
+
+// requestHeap is the part that the heaps of requests below share. An entry of a request that waits no longer stays
+// until it comes to the top, and a request that is queued again has two.
+type requestHeap []*request
+
+func (h *requestHeap) Len() int        { return len(*h) }
+func (h *requestHeap) Swap(i, j int)   { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
+func (h *requestHeap) Push(x any)      { *h = append(*h, x.(*request)) }
+func (h *requestHeap) first() *request { return (*h)[0] }
+
+func (h *requestHeap) Pop() any {
+	last := len(*h) - 1
+	req := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	return req
+}
+
+// arrivalHeap is ordered by arrival, then by dispatch order.
+type arrivalHeap struct{ requestHeap }
+
+func (h *arrivalHeap) Less(i, j int) bool {
+	a, b := h.requestHeap[i], h.requestHeap[j]
+	return a.arrivedAt < b.arrivedAt || a.arrivedAt == b.arrivedAt && compareDispatch(a, b) < 0
+}
+
+// limitHeap is ordered by limit, then by dispatch order.
+type limitHeap struct{ requestHeap }
+
+func (h *limitHeap) Less(i, j int) bool {
+	a, b := h.requestHeap[i], h.requestHeap[j]
+	return a.queued.limit < b.queued.limit || a.queued.limit == b.queued.limit && compareDispatch(a, b) < 0
+}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -97,7 +97,7 @@
 	if len(pick[Reject](acts))+len(pick[Fail](acts))+len(pick[Send](acts)) != 0 {
 		t.Fatalf("acted after the end: %+v", acts)
 	}
-	if len(g.r.reqs) != 0 {
+	if len(g.r.requests) != 0 {
 		t.Fatal("request not forgotten")
 	}
 }
@@ -152,8 +152,8 @@
 
 func TestShortestHeldPromptLeavesFirst(t *testing.T) {
 	g := newRig(t, testSettings(), reader(1), writer(2))
-	if n := g.fill(0, 500); n == 0 || n > readCap {
-		t.Fatalf("%d reads out, want some and no more than %d", n, readCap)
+	if n := g.fill(0, 500); n == 0 || n > maxPrefills {
+		t.Fatalf("%d reads out, want some and no more than %d", n, maxPrefills)
 	}
 	g.step(g.request(1, 0, 400), g.request(2, 0, 90), g.request(3, 0, 300))
 	acts := g.after(50*ms, Outcome{Request: 1000, Endpoint: 1, Result: PrefillDone, Elapsed: 50 * ms})
@@ -163,7 +163,7 @@
 	}
 }
 
-// TestPromotionIsBounded: after a stall all have starved; at most every promoteEvery-th release may be a promotion.
+// TestPromotionIsBounded: after a stall all have starved; at most every dispatchesPerPromotion-th release may be a promotion.
 func TestPromotionIsBounded(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyObjective = 20 * time.Second
@@ -190,7 +190,7 @@
 	if at < 0 {
 		t.Fatalf("the starved long prompt never left: %v", got)
 	}
-	if at+1 < promoteEvery {
+	if at+1 < dispatchesPerPromotion {
 		t.Fatalf("promoted at release %d: %v", at+1, got)
 	}
 }
@@ -201,15 +201,15 @@
 		servers = append(servers, reader(id))
 	}
 	g := newRig(t, testSettings(), servers...)
-	g.r.keysAll = 1e4 // it is a small part of what was seen
+	g.r.affinity.seenTotal = 1e4 // it is a small part of what was seen
 	used := map[EndpointID]bool{}
 	for id := RequestID(1); id <= 60; id++ {
 		for _, s := range pick[Send](g.after(ms, g.request(id, 0, 3000))) {
 			used[s.Endpoint] = true
 		}
 	}
-	if len(used) != spillMost {
-		t.Fatalf("one prefix was read at %d readers, want %d", len(used), spillMost)
+	if len(used) != maxWarmCandidates {
+		t.Fatalf("one prefix was read at %d readers, want %d", len(used), maxWarmCandidates)
 	}
 }
 
@@ -219,7 +219,7 @@
 		servers = append(servers, reader(id))
 	}
 	g := newRig(t, testSettings(), servers...)
-	g.r.keysAll = 1e4 // the prefix is a small part of what was seen, so it has one home
+	g.r.affinity.seenTotal = 1e4 // the prefix is a small part of what was seen, so it has one home
 	used := map[EndpointID]bool{}
 	for id := RequestID(1); id <= 20; id++ {
 		for _, s := range pick[Send](g.after(ms, g.request(id, 0, 3000))) {
@@ -234,7 +234,7 @@
 	warm := 0
 	for id := RequestID(100); id <= 120; id++ {
 		for _, s := range pick[Send](g.after(ms, g.request(id, 0, 3000))) {
-			warm += int(b2f(!used[s.Endpoint]))
+			warm += int(boolToFloat(!used[s.Endpoint]))
 		}
 	}
 	if warm == 0 {
@@ -274,14 +274,14 @@
 		s := one[Send](t, acts)
 		silent = cmp.Or(silent, s.Endpoint)
 		if s.Endpoint == silent {
-			late += int(b2f(id > 90))
+			late += int(boolToFloat(id > 90))
 			continue
 		}
 		g.after(ms, FirstToken{Request: id, Attempt: 1, Endpoint: s.Endpoint, Elapsed: ms})
 		g.step(Outcome{Request: id, Attempt: 1, Endpoint: s.Endpoint, Result: Served, RequestDone: true, Elapsed: ms})
 	}
-	if late > 0 || !g.r.byID[silent].bad {
-		t.Fatalf("%d late sends to the silent writer, put aside: %v", late, g.r.byID[silent].bad)
+	if late > 0 || !g.r.backends.byID[silent].health.ejected {
+		t.Fatalf("%d late sends to the silent writer, put aside: %v", late, g.r.backends.byID[silent].health.ejected)
 	}
 }
 
@@ -291,7 +291,7 @@
 	set := testSettings()
 	set.StateTTL = 2 * time.Second // the state outlasts the time-out
 	g := newRig(t, set, reader(1), reader(2), writer(3), writer(4))
-	g.r.firstTime, g.r.readPace = 0.1, 5e-5
+	g.r.latency.firstToken, g.r.latency.prefillPace = 0.1, 5e-5
 	read := one[Send](t, g.step(g.request(1, 0, 1000)))
 	if aim := time.Second; read.Timeout < 300*ms || read.Timeout > aim-2*100*ms {
 		t.Errorf("a read may take %v, the aim is %v", read.Timeout, aim)
@@ -302,7 +302,7 @@
 	}
 	acts := g.after(write.Timeout, Outcome{Request: 1, Attempt: 1, Endpoint: write.Endpoint, Result: TimedOut, Elapsed: write.Timeout})
 	again := one[Send](t, acts)
-	if again.Endpoint == write.Endpoint || again.Timeout < firstLeast {
+	if again.Endpoint == write.Endpoint || again.Timeout < minFirstTokenTimeout {
 		t.Errorf("then %+v, the first was at %d: another writer, which can't be replaced in time", again, write.Endpoint)
 	}
 
@@ -313,7 +313,7 @@
 		t.Errorf("an unsafe write may take %v, nothing may replace it", write.Timeout)
 	}
 	g = newRig(t, testSettings(), reader(1), writer(3))
-	g.r.firstTime, g.r.readPace = 0.1, 3e-4 // usual: 0.36 s
+	g.r.latency.firstToken, g.r.latency.prefillPace = 0.1, 3e-4 // usual: 0.36 s
 	if read = one[Send](t, g.step(g.request(1, 0, 1000))); read.Timeout < 2500*ms {
 		t.Errorf("a read that usually takes a good part of the aim may take %v only", read.Timeout)
 	}
@@ -333,18 +333,18 @@
 		if s := at(id, 0); s != bad {
 			others = append(others, id)
 		}
-		g.step(FirstToken{Request: id, Attempt: 1, Endpoint: g.r.reqs[id].att[1].s.ID, Elapsed: 10 * ms})
+		g.step(FirstToken{Request: id, Attempt: 1, Endpoint: g.r.requests[id].attempts[1].backend.ID, Elapsed: 10 * ms})
 	}
 	for range 60 { // others are answered there all the while
 		g.after(50 * ms)
-		g.r.byID[bad].heard = g.now
+		g.r.backends.byID[bad].silence.heardAt = g.now
 	}
-	if len(others) == 0 || g.r.byID[bad].bad || !g.r.byID[bad].muteTo(1) || g.r.byID[bad].muteTo(0) {
-		t.Fatalf("%d streams elsewhere, %+v", len(others), g.r.byID[bad])
+	if len(others) == 0 || g.r.backends.byID[bad].health.ejected || !g.r.backends.byID[bad].silence.toClass(1) || g.r.backends.byID[bad].silence.toClass(0) {
+		t.Fatalf("%d streams elsewhere, %+v", len(others), g.r.backends.byID[bad])
 	}
-	for _, s := range g.r.servers { // the one that swallows is the emptiest
+	for _, s := range g.r.backends.sorted { // the one that swallows is the emptiest
 		if s.role == RoleDecode && s.ID != bad {
-			s.n = 9
+			s.load.attempts = 9
 		}
 	}
 	if s := at(20, 1); s == bad {
@@ -354,7 +354,7 @@
 		t.Error("another class left the writer too")
 	}
 	g.step(Outcome{Request: 1, Attempt: 1, Endpoint: bad, Result: TimedOut, Elapsed: 5 * time.Second})
-	if g.after(judgeEvery); g.r.byID[bad].muteTo(1) {
+	if g.after(evaluationInterval); g.r.backends.byID[bad].silence.toClass(1) {
 		t.Error("still held against it when the attempt has ended")
 	}
 }
@@ -369,7 +369,7 @@
 		g.after(100 * ms)
 	}
 	for _, id := range []EndpointID{2, 3, 4} {
-		if g.r.byID[id].bad {
+		if g.r.backends.byID[id].health.ejected {
 			t.Fatalf("server %d blamed for what all suffer", id)
 		}
 	}
@@ -377,8 +377,8 @@
 
 func TestHealedServerComesBack(t *testing.T) {
 	g := newRig(t, testSettings(), reader(1), reader(2), writer(3))
-	s := g.r.byID[1]
-	g.r.aside(s, "test")
+	s := g.r.backends.byID[1]
+	g.r.eject(s, "test")
 	for id := RequestID(1); id <= 40; id++ {
 		q := g.request(id, 0, 300)
 		q.Prefix = uint64(id)
@@ -386,15 +386,15 @@
 			g.after(10*ms, Outcome{Request: a.Request, Endpoint: a.Endpoint, Result: PrefillDone, Elapsed: 10 * ms})
 		}
 	}
-	if s.bad {
+	if s.health.ejected {
 		t.Fatal("still put aside after 40 good reads were on offer")
 	}
 }
 
 func TestLastServersServeThoughPutAside(t *testing.T) {
 	g := newRig(t, testSettings(), reader(1), writer(2))
-	g.r.aside(g.r.byID[1], "test")
-	g.r.aside(g.r.byID[2], "test")
+	g.r.eject(g.r.backends.byID[1], "test")
+	g.r.eject(g.r.backends.byID[2], "test")
 	one[Send](t, g.step(g.request(1, 1, 500)))
 	one[Send](t, g.after(ms, Outcome{Request: 1, Endpoint: 1, Result: PrefillDone, Elapsed: ms}))
 }
@@ -523,7 +523,7 @@
 			acts := g.after(60*ms, g.request(id, 0, 400))
 			acts = g.after(20*ms, Outcome{Request: id, Endpoint: one[Send](t, acts).Endpoint, Result: PrefillDone, Elapsed: 20 * ms})
 			s := one[Send](t, acts)
-			cold += int(b2f(s.Endpoint == 3))
+			cold += int(boolToFloat(s.Endpoint == 3))
 			g.after(ms, FirstToken{Request: id, Attempt: 1, Endpoint: s.Endpoint, Elapsed: ms})
 			streams = append(streams, Outcome{Request: id, Attempt: 1, Endpoint: s.Endpoint, Result: Served, RequestDone: true})
 			if g.now += 19 * ms; len(streams) > 6 {
@@ -568,7 +568,7 @@
 	}
 	asked := func(class, n int) (of2 int) {
 		for range n {
-			of2 += int(b2f(write(class).Endpoint == 2))
+			of2 += int(boolToFloat(write(class).Endpoint == 2))
 		}
 		return of2
 	}
@@ -672,11 +672,11 @@
 		acts = g.after(100*ms, c.ends)
 		sends, releases := pick[Send](acts), pick[ReleaseState](acts)
 		switch {
-		case len(sends) != int(b2f(c.sent)):
+		case len(sends) != int(boolToFloat(c.sent)):
 			t.Errorf("%s: %v", name, acts)
 		case c.sent && (sends[0].Endpoint != 1) != c.writer:
 			t.Errorf("%s: sent to %d", name, sends[0].Endpoint)
-		case len(releases) != int(b2f(c.sent && !c.writer)):
+		case len(releases) != int(boolToFloat(c.sent && !c.writer)):
 			t.Errorf("%s: %d releases before the next attempt: %v", name, len(releases), acts)
 		}
 	}
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -451,7 +451,7 @@
 		if c.Idempotency == NotIdempotent != (len(fails) == 1 && fails[0].PossibleDuplicate) || c.Idempotency == NotIdempotent == (len(sends) == 1) {
 			t.Errorf("%s: %+v", c.Name, acts)
 		}
-		if c.Idempotency == NotIdempotent && len(g.r.reqs) != 0 {
+		if c.Idempotency == NotIdempotent && len(g.r.requests) != 0 {
 			t.Errorf("%s: it is remembered after its answer", c.Name)
 		}
 		g = newRig(t, s, reader(1)) // nothing writes
@@ -465,7 +465,7 @@
 			}
 			acts = g.after(20 * ms)
 		}
-		if len(g.r.reqs) != 0 {
+		if len(g.r.requests) != 0 {
 			t.Errorf("%s: never refused", c.Name)
 		}
 	}
@@ -500,11 +500,11 @@
 		}
 	}
 	for id := RequestID(1); id <= 3; id++ {
-		to := g.r.reqs[id].att[1].s.ID
+		to := g.r.requests[id].attempts[1].backend.ID
 		g.step(FirstToken{Request: id, Attempt: 1, Endpoint: to, Elapsed: 20 * ms})
 		g.step(Outcome{Request: id, Attempt: 1, Endpoint: to, Result: Served, RequestDone: true, Elapsed: 50 * ms})
 	}
-	if s := g.r.byID[1]; s.n != 0 || s.tokens != 0 || s.unread != 0 || s.waits != 0 || s.role != RoleDecode {
-		t.Errorf("%d out, %.0f tokens, %.0f unread, %d waiting at a server with nothing to do", s.n, s.tokens, s.unread, s.waits)
+	if s := g.r.backends.byID[1]; s.load.attempts != 0 || s.load.memory != 0 || s.load.uncached != 0 || s.silence.unanswered != 0 || s.role != RoleDecode {
+		t.Errorf("%d out, %.0f tokens, %.0f unread, %d waiting at a server with nothing to do", s.load.attempts, s.load.memory, s.load.uncached, s.silence.unanswered)
 	}
 }
--- a/routing/scale_test.go
+++ b/routing/scale_test.go
@@ -333,7 +333,7 @@
 	g := newRig(t, s, reader(1), writer(2))
 	for id := RequestID(1); id <= 4; id++ {
 		g.after(ms, g.request(id, 0, 500))
-		if over := g.r.reqs[id].over; over != (id > 2) {
+		if over := g.r.requests[id].queued.overQuota; over != (id > 2) {
 			t.Fatalf("request %d: over its share %v", id, over)
 		}
 	}
@@ -344,7 +344,7 @@
 	e := writer(2)
 	e.StartedAt = 2 * time.Hour
 	g := newRig(t, testSettings(), reader(1), e)
-	if p := g.r.present(g.r.byID[2]); p != 0.25 {
+	if p := g.r.presentCapacity(g.r.backends.byID[2]); p != 0.25 {
 		t.Fatalf("present part %v", p)
 	}
 }
@@ -371,8 +371,8 @@
 			}
 		}
 	}
-	if g.r.shed < 0.3 || sent > 60 {
-		t.Fatalf("part refused on arrival %.2f, %d attempts of the last 20 requests", g.r.shed, sent)
+	if g.r.admission.shedder.fraction < 0.3 || sent > 60 {
+		t.Fatalf("part refused on arrival %.2f, %d attempts of the last 20 requests", g.r.admission.shedder.fraction, sent)
 	}
 }
 
@@ -384,7 +384,7 @@
 }
 
 // TestLittleWorthForItsWorkIsRefusedFirst: while a part is refused, heavy requests of little worth and those beyond their
-// tenant's share are refused more, by no more than lackMost times, and none is refused while nothing is late.
+// tenant's share are refused more, by no more than maxShedBias times, and none is refused while nothing is late.
 func TestLittleWorthForItsWorkIsRefusedFirst(t *testing.T) {
 	refused := func(byWork bool, shed float64, change func(q *Request, i int)) [2]int {
 		set := testSettings()
@@ -397,7 +397,7 @@
 			q := g.request(RequestID(i+1), 0, 600)
 			q.PrefixTokens, q.Tenant = 0, 1
 			change(&q, i%2)
-			g.r.shed = shed
+			g.r.admission.shedder.fraction = shed
 			for range pick[Reject](g.step(q)) {
 				n[i%2]++
 			}
@@ -428,7 +428,7 @@
 			a, b = b, a
 		}
 		switch {
-		case tc.more < 0 && (a > 2*b || b > 2*a), tc.more >= 0 && 2*b < 3*a, a == 0 || b == 0 || float64(b) > 2000*0.12*lackMost*1.2:
+		case tc.more < 0 && (a > 2*b || b > 2*a), tc.more >= 0 && 2*b < 3*a, a == 0 || b == 0 || float64(b) > 2000*0.12*maxShedBias*1.2:
 			t.Errorf("%s: refused %v of 2000 each", tc.name, n)
 		}
 		if n := refused(tc.byWork, 0, tc.change); n != [2]int{} {
@@ -443,14 +443,14 @@
 	for _, rate := range []float64{1 / 3., 2, 10, 200} {
 		gap := time.Duration(float64(time.Second) / rate)
 		g := newRig(t, testSettings(), reader(1), writer(2))
-		g.r.shed, g.r.feltAt = shedMost, g.now
+		g.r.admission.shedder.fraction, g.r.admission.shedder.updatedAt = maxShedFraction, g.now
 		id, took := RequestID(0), time.Duration(0)
-		for ; g.r.shed > 0 && took < time.Minute; took += gap {
+		for ; g.r.admission.shedder.fraction > 0 && took < time.Minute; took += gap {
 			id++
-			q := &request{Request: g.request(id, 0, 500), class: &g.r.set.Classes[0], at: g.now}
+			q := &request{Request: g.request(id, 0, 500), class: &g.r.config.Classes[0], arrivedAt: g.now}
 			g.now += gap
 			g.r.now = g.now
-			g.r.feel(q, false)
+			g.r.admission.shedder.observe(g.now, q.class, false)
 		}
 		if took > 3500*ms+gap {
 			t.Errorf("%.2f answers a second: refusing ends after %v", rate, took)
@@ -458,7 +458,7 @@
 	}
 }
 
-// TestNothingMoreIsAdmittedWhileQueuesAreFull: answers in time don't raise what is admitted within turnedFor of a server
+// TestNothingMoreIsAdmittedWhileQueuesAreFull: answers in time don't raise what is admitted within rejectionHold of a server
 // turning work away, and do so afterwards; a state that was gone says nothing of queues.
 func TestNothingMoreIsAdmittedWhileQueuesAreFull(t *testing.T) {
 	for _, noState := range []bool{false, true} {
@@ -468,20 +468,20 @@
 			s = one[Send](t, g.after(ms, Outcome{Request: 1, Endpoint: s.Endpoint, Result: PrefillDone, Elapsed: ms}))
 		}
 		g.after(ms, Outcome{Request: 1, Attempt: b2i(noState), Endpoint: s.Endpoint, Result: Rejected, StateMissing: noState, Elapsed: ms})
-		g.r.shed = 0.5
+		g.r.admission.shedder.fraction = 0.5
 		inTime := func() float64 {
-			q := &request{Request: g.request(9, 0, 500), class: &g.r.set.Classes[0], at: g.now}
+			q := &request{Request: g.request(9, 0, 500), class: &g.r.config.Classes[0], arrivedAt: g.now}
 			g.now += 200 * ms
 			g.r.now = g.now
-			g.r.feel(q, false)
-			return g.r.shed
+			g.r.admission.shedder.observe(g.now, q.class, false)
+			return g.r.admission.shedder.fraction
 		}
 		if shed := inTime(); (shed == 0.5) == noState {
 			t.Errorf("no state %v: part refused %.2f of 0.5 after an answer in time", noState, shed)
 		}
-		g.now += turnedFor
+		g.now += rejectionHold
 		if shed := inTime(); shed >= 0.5 {
-			t.Errorf("no state %v: still %.2f after %v", noState, shed, turnedFor)
+			t.Errorf("no state %v: still %.2f after %v", noState, shed, rejectionHold)
 		}
 	}
 }
@@ -515,7 +515,7 @@
 			if a.Endpoint >= 900 {
 				whole++
 				if k.late > 1 && whole > 20 { // against what a reader and a writer take by the module's own means
-					took = seconds(k.late * (g.r.firstTime + g.r.readPace*500))
+					took = seconds(k.late * (g.r.latency.firstToken + g.r.latency.prefillPace*500))
 				}
 				g.now += took
 				g.step(FirstToken{Request: q.ID, Endpoint: a.Endpoint, Elapsed: took}, Outcome{Request: q.ID, Endpoint: a.Endpoint, Result: Served, RequestDone: true, Elapsed: took})
@@ -534,14 +534,14 @@
 // TestMixedServersWhereNoWriterIsWell: what they are owed stays a number.
 func TestMixedServersWhereNoWriterIsWell(t *testing.T) {
 	g := newRig(t, testSettings(), reader(1), writer(2), Endpoint{ID: 3, Kind: 2, State: EndpointReady})
-	g.r.aside(g.r.byID[2], "test")
-	g.r.count()
+	g.r.eject(g.r.backends.byID[2], "test")
+	g.r.sumRoles()
 	for id := range RequestID(4) {
 		q := g.request(id+1, 0, 300)
 		q.Prefix = uint64(id)
 		g.after(20*ms, q)
 	}
-	if d := g.r.mixedDebt; !(d >= -1 && d <= 2) { // also when it is no number
-		t.Errorf("%v whole requests are owed to the mixed server", g.r.mixedDebt)
+	if d := g.r.mixed.owed; !(d >= -1 && d <= 2) { // also when it is no number
+		t.Errorf("%v whole requests are owed to the mixed server", g.r.mixed.owed)
 	}
 }
