--- a/routing/actions.go
+++ b/routing/actions.go
@@ -38,8 +38,8 @@
 	}
 	// ReleaseState releases every read state and reservation held for a request.
 	ReleaseState struct{ Request RequestID }
-	// Reserve asks a decode endpoint to hold capacity during the prefill. This router never returns it: it picks
-	// the decode endpoint after the prefill.
+	// Reserve asks a decode endpoint to hold capacity during the prefill. This router never returns it: it
+	// picks the decode endpoint after the prefill.
 	Reserve struct {
 		Request  RequestID
 		Endpoint EndpointID
--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// maxWarmCandidates is how many warm endpoints of the hash order may prefill a prompt: one prefilled far down
-	// the order pushes out what others keep there.
+	// maxWarmCandidates is how many warm endpoints of the hash order may prefill a prompt: one prefilled far
+	// down the order pushes out what others keep there.
 	maxWarmCandidates = 2
-	// maxPreferredShare is the share of requests, against an even one, from which an endpoint that is preferred
-	// more passes some on.
+	// maxPreferredShare is the share of requests, against an even one, from which an endpoint that is
+	// preferred more passes some on.
 	maxPreferredShare = 1.3
 	// slowPrefillFactor is how many times slower than the mean an endpoint passes some on.
 	slowPrefillFactor = 1.5
@@ -61,8 +61,8 @@
 	return prefixAffinity{seen: map[uint64]float64{}, spread: map[uint64]int{}}
 }
 
-// preferredCount is how many of a number of endpoints a key prefers, by its part of this replica's requests; all
-// replicas see about the same.
+// preferredCount is how many of a number of endpoints a key prefers, by its part of this replica's requests;
+// all replicas see about the same.
 func (a *prefixAffinity) preferredCount(key uint64, endpoints float64) int {
 	popularity := max(a.seen[key]-1, 0) / (a.seenTotal + keyCountPrior)
 	return 1 + int(min(popularity*affinitySpread, 1)*endpoints)
@@ -91,8 +91,8 @@
 	}
 }
 
-// countAffinityKey counts the key of a new request. Where a key gets more or fewer preferred endpoints, its queued
-// requests are tried again.
+// countAffinityKey counts the key of a new request. Where a key gets more or fewer preferred endpoints, its
+// queued requests are tried again.
 func (r *Router) countAffinityKey(req *request) {
 	a := &r.affinity
 	if r.now > a.halveAt {
@@ -114,8 +114,8 @@
 	}
 }
 
-// preferredBackend returns the first endpoint of a role with capacity, in the hash order of the request's key; nil
-// if none has any.
+// preferredBackend returns the first endpoint of a role with capacity, in the hash order of the request's
+// key; nil if none has any.
 func (r *Router) preferredBackend(req *request, role Role) *backend {
 	candidates := r.rankCandidates(req, role)
 	if !req.choices.counted && len(candidates) > 0 {
@@ -153,9 +153,9 @@
 	return overloaded
 }
 
-// rankCandidates lists the usable endpoints of a role by rendezvous hashing, those that failed the request's class
-// or were tried for it last. All known endpoints have their place in the order, so an ejected one does not move
-// the preferences of other keys.
+// rankCandidates lists the usable endpoints of a role by rendezvous hashing, those that failed the request's
+// class or were tried for it last. All known endpoints have their place in the order, so an ejected one does
+// not move the preferences of other keys.
 func (r *Router) rankCandidates(req *request, role Role) []candidate {
 	candidates := r.affinity.candidates[:0]
 	key := req.affinityKey()
@@ -174,13 +174,16 @@
 	// A popular key has several preferred endpoints, and each session keeps to one of them.
 	preferred := min(r.affinity.preferredCount(key, float64(len(candidates))), len(candidates))
 	slices.SortFunc(candidates[:preferred], func(a, b candidate) int {
-		return cmp.Compare(uniform(uint64(b.backend.ID), req.Session), uniform(uint64(a.backend.ID), req.Session))
+		return cmp.Compare(b.backend.sessionRank(req), a.backend.sessionRank(req))
 	})
 	return candidates
 }
 
-// passesOn reports that a request goes to the next candidate, since this one is preferred more than evenly or is
-// slow. All requests of a session are treated alike.
+// sessionRank orders the preferred endpoints of a popular key for the sessions that share it.
+func (b *backend) sessionRank(req *request) float64 { return uniform(uint64(b.ID), req.Session) }
+
+// passesOn reports that a request goes to the next candidate, since this one is preferred more than evenly or
+// is slow. All requests of a session are treated alike.
 func (b *backend) passesOn(req *request, evenShare float64) bool {
 	share := (b.cache.preferred + preferredPrior) / evenShare
 	share *= max(b.pace.slowness/slowPrefillFactor, 1)
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// minPrefillTimeout and minFirstTokenTimeout bound time-outs from below, so that a few fast attempts don't make
-	// them too short.
+	// minPrefillTimeout and minFirstTokenTimeout bound time-outs from below, so that a few fast attempts
+	// don't make them too short.
 	minPrefillTimeout    = 800 * time.Millisecond
 	minFirstTokenTimeout = 1500 * time.Millisecond
 	// timeoutFactor is the time-out of an attempt as a multiple of its usual time ...
@@ -13,8 +13,8 @@
 	earlyTimeoutFactor = 4.0
 	// recoverySlack is added to the usual time, in seconds, within which a trial has to go well.
 	recoverySlack = 0.5
-	// deadlineBlame is how long an attempt must have been in flight for a time-out at its deadline to count against
-	// the endpoint.
+	// deadlineBlame is how long an attempt must have been in flight for a time-out at its deadline to count
+	// against the endpoint.
 	deadlineBlame = time.Second
 	// rejectedPause is how long an endpoint that rejected an attempt has no capacity.
 	rejectedPause = 150 * time.Millisecond
@@ -55,8 +55,9 @@
 	})
 }
 
-// timeout bounds an attempt that another could still replace; 0 lets it run until the deadline. It is shorter where
-// another attempt can then still meet the objective: a guard against requests lost at a healthy endpoint.
+// timeout bounds an attempt that another could still replace; 0 lets it run until the deadline. It is shorter
+// where another attempt can then still meet the objective: a guard against requests lost at a healthy
+// endpoint.
 func (r *Router) timeout(req *request, a *attempt) time.Duration {
 	usual := a.cost.queued * max(r.latency.prefillPace, a.backend.pace.perToken)
 	least, attemptsToFinish := minPrefillTimeout, 2
--- a/routing/backend.go
+++ b/routing/backend.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// goneRetention is how long an endpoint that is gone and has no attempt in flight is remembered: one that is
-	// listed again sooner keeps its statistics.
+	// goneRetention is how long an endpoint that is gone and has no attempt in flight is remembered: one that
+	// is listed again sooner keeps its statistics.
 	goneRetention = 4 * failureDecay
 	// maxCachedPrefixes bounds the prefixes and sessions remembered for an endpoint; past it all are dropped.
 	maxCachedPrefixes = 20000
@@ -132,8 +132,8 @@
 	b.health.reset(now)
 }
 
-// forgetGone drops endpoints that have been gone for goneRetention and have no attempt in flight: names that never
-// come back, as those of replaced pods, would cost memory and time for ever.
+// forgetGone drops endpoints that have been gone for goneRetention and have no attempt in flight: names that
+// never come back, as those of replaced pods, would cost memory and time for ever.
 func (s *backendSet) forgetGone(now time.Duration) {
 	s.sorted = slices.DeleteFunc(s.sorted, func(b *backend) bool {
 		if b.State == EndpointGone && b.goneAt == 0 {
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -11,8 +11,8 @@
 	// maxBacklog bounds this replica's prompt tokens waiting at an endpoint, as time to prefill them there: a
 	// request waits better in the queue, where it can still go elsewhere.
 	maxBacklog = 300 * time.Millisecond
-	// decodeMemoryFraction is the part of its share of a decode endpoint's memory that a replica fills; the rest is
-	// for outputs longer than expected.
+	// decodeMemoryFraction is the part of its share of a decode endpoint's memory that a replica fills; the
+	// rest is for outputs longer than expected.
 	decodeMemoryFraction = 0.95
 	// expectedOutputFraction is the expected length of an output, as a part of its maximum.
 	expectedOutputFraction = 0.4
@@ -43,8 +43,9 @@
 	r.capacity.stale = true
 }
 
-// refreshCapacity reports that all queued requests must be tried again, and then sums up the capacity. It grows by
-// outcomes and by updates of the list (stale), by the end of a pause, and all the time during slow start.
+// refreshCapacity reports that all queued requests must be tried again, and then sums up the capacity. It
+// grows by outcomes and by updates of the list (stale), by the end of a pause, and all the time during slow
+// start.
 func (r *Router) refreshCapacity() bool {
 	c := &r.capacity
 	grown := c.growsAt > 0 && r.now >= c.growsAt
@@ -121,8 +122,8 @@
 		b.load.uncached*b.pace.perToken <= maxBacklog.Seconds()
 }
 
-// usable reports that an endpoint may be sent to at all. An ejected one takes one trial at a time, unless all of its
-// role are ejected: then the least bad serve.
+// usable reports that an endpoint may be sent to at all. An ejected one takes one trial at a time, unless all
+// of its role are ejected: then the least bad serve.
 func (r *Router) usable(b *backend, req *request) bool {
 	if !b.listed || !r.slowStartAllows(b, req) {
 		return false
@@ -146,7 +147,8 @@
 	return req.PromptTokens + expectedOutputFraction*req.MaxOutputTokens
 }
 
-// decodeHasCapacity reports that some endpoint that decodes has capacity beyond what is being prefilled for it now.
+// decodeHasCapacity reports that some endpoint that decodes has capacity beyond what is being prefilled for
+// it now.
 func (r *Router) decodeHasCapacity(req *request) bool {
 	prefilling, free, found := 0.0, 0.0, false
 	for _, b := range r.backends.sorted {
@@ -160,9 +162,9 @@
 	return found && free > prefilling
 }
 
-// knownToBeRefused reports that placeQueued can't succeed, without the cost of trying: no decode endpoint has that
-// much free memory, or the prefill endpoints that would be tried are as full as when they were tried last. A
-// request that was never counted at its preferred endpoint is tried.
+// knownToBeRefused reports that placeQueued can't succeed, without the cost of trying: no decode endpoint has
+// that much free memory, or the prefill endpoints that would be tried are as full as when they were tried
+// last. A request that was never counted at its preferred endpoint is tried.
 func (r *Router) knownToBeRefused(req *request) bool {
 	need, bounds := req.memoryTokens(), &r.capacity.bounds
 	mixed := r.backends.roles[RoleMixed].listed > 0
--- a/routing/config.go
+++ b/routing/config.go
@@ -40,8 +40,8 @@
 	Name                    string        // for logs only
 	LatencyObjective        time.Duration // the first token is wanted within this time ...
 	LatencyObjectivePer1000 time.Duration // ... plus this for each 1,000 prompt tokens
-	LateWeight              float64       // value of an answer past its objective, as a part of the usual; sheds less
-	PriorityWeight          float64       // value of a request, or of a unit of its work, against others; 0 = 1
+	LateWeight              float64       // value of an answer past its objective, as a part of the usual
+	PriorityWeight          float64       // value of a request, or of a unit of its work; 0 = 1
 	Idempotency             Idempotency
 	DedupScope              DedupScope    // for IdempotentWithKey
 	DedupWindow             time.Duration // for IdempotentWithKey: how long repeats are dropped
@@ -87,8 +87,8 @@
 	// Carried for callers; the router does not use them.
 
 	Zone             int           // the zone of this replica
-	Hedging          bool          // two attempts of a request may be in flight at once; this router never does it
-	ReserveAhead     bool          // decode endpoints can be reserved; this router picks them after the prefill
+	Hedging          bool          // two attempts of a request may be in flight; it never does it
+	ReserveAhead     bool          // decode endpoints can be reserved; it picks them after the prefill
 	ResumeStreams    bool          // broken streams come again; they are requests like any other
 	AnswerSlack      time.Duration // time past the deadline in which a final answer still counts
 	DrainGrace       time.Duration // sends to a draining endpoint must stop within; they stop at once
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// minAnswerTime is how long before the deadline of a queued request its final answer is sent, so that it arrives in
-// time.
+// minAnswerTime is how long before the deadline of a queued request its final answer is sent, so that it
+// arrives in time.
 const minAnswerTime = 30 * time.Millisecond
 
-// dispatch sends queued requests to endpoints with capacity: shortest prompt first, and now and then one that has
-// starved. Requests beyond their tenant's quota come last. Where nothing has changed that could have made
+// dispatch sends queued requests to endpoints with capacity: shortest prompt first, and now and then one that
+// has starved. Requests beyond their tenant's quota come last. Where nothing has changed that could have made
 // capacity, only those are tried that are new, promoted or expired.
 func (r *Router) dispatch() {
 	q := &r.queue
@@ -37,7 +37,8 @@
 	clear(q.selected) // it must not keep requests alive
 }
 
-// selectRequests lists what this dispatch tries, in order: all requests, or those that need no change of capacity.
+// selectRequests lists what this dispatch tries, in order: all requests, or those that need no change of
+// capacity.
 func (r *Router) selectRequests(all bool, promoted *request) {
 	q := &r.queue
 	q.selected = q.selected[:0]
@@ -69,8 +70,8 @@
 	}
 }
 
-// expired reports that a queued request can't be answered in time any more, or must not be tried. It is given up
-// early, while a retry may still help its client.
+// expired reports that a queued request can't be answered in time any more, or must not be tried. It is given
+// up early, while a retry may still help its client.
 func (r *Router) expired(req *request) bool {
 	return r.now+max(minAnswerTime, r.latency.minServiceTime(req.Class)) >= req.queued.limit ||
 		len(req.attempts) >= r.config.MaxAttempts || req.shed
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -12,16 +12,16 @@
 	outcomeWeight = 0.25
 	// connectFailureFactor is how much more a failed connection weighs: the process is likely gone.
 	connectFailureFactor = 2
-	// otherClassFactor is how much less an outcome weighs for the classes other than its own: an endpoint may fail
-	// one class only.
+	// otherClassFactor is how much less an outcome weighs for the classes other than its own: an endpoint may
+	// fail one class only.
 	otherClassFactor = 2
-	// sparseOutcomeDecay makes an outcome weigh nearly two thirds after so long without one: a replica of many sees
-	// an endpoint twice a minute.
+	// sparseOutcomeDecay makes an outcome weigh nearly two thirds after so long without one: a replica of
+	// many sees an endpoint twice a minute.
 	sparseOutcomeDecay = 20 * time.Second
 	// failureDecay is the time constant of failure and rejection rates and of slowness.
 	failureDecay = 30 * time.Second
-	// maxFailureRate is how far an endpoint's failure rate may lie above its peers' median before it is ejected,
-	// and the rate of a class from which the endpoint is avoided for it.
+	// maxFailureRate is how far an endpoint's failure rate may lie above its peers' median before it is
+	// ejected, and the rate of a class from which the endpoint is avoided for it.
 	maxFailureRate = 0.4
 	// recoveredFailureRate bounds the failure rate with which an endpoint comes back from ejection.
 	recoveredFailureRate = 0.3
@@ -31,7 +31,8 @@
 	// maxEjectionTime, and halves with each recovery.
 	baseEjectionTime = 500 * time.Millisecond
 	maxEjectionTime  = 8 * time.Second
-	// minMeasuredRate is the least rate of a role, in attempts a second, by which the ejection time is stretched.
+	// minMeasuredRate is the least rate of a role, in attempts a second, by which the ejection time is
+	// stretched.
 	minMeasuredRate = 0.01
 	// slowDecodeFactor is how many times the mean its first tokens take before a decode endpoint is avoided.
 	slowDecodeFactor = 4.0
@@ -63,8 +64,9 @@
 	clear(h.rejections)
 }
 
-// detectOutliers ejects endpoints that do far worse than the peers of their role: they fail more or are silent. That
-// covers crashed, failing, stalled and unreachable endpoints alike. When most are as bad none is ejected.
+// detectOutliers ejects endpoints that do far worse than the peers of their role: they fail more or are
+// silent. That covers crashed, failing, stalled and unreachable endpoints alike. When most are as bad none is
+// ejected.
 func (r *Router) detectOutliers() {
 	r.backends.evaluateAt = r.now + evaluationInterval
 	for _, b := range r.backends.sorted {
@@ -134,9 +136,9 @@
 	}
 }
 
-// observeOutcome takes one outcome into the failure rates of an endpoint: in full for the class of its request, by
-// half for others. A failed connection counts in full for all. An outcome after a long time without one weighs
-// more.
+// observeOutcome takes one outcome into the failure rates of an endpoint: in full for the class of its
+// request, by half for others. A failed connection counts in full for all. An outcome after a long time
+// without one weighs more.
 func (r *Router) observeOutcome(b *backend, req *request, failed bool, weight float64) {
 	r.observeRejection(b, req, false)
 	h := &b.health
@@ -154,8 +156,8 @@
 }
 
 // observeRejection takes whether an endpoint rejected an attempt. It guards against endpoints that reject one
-// class: a pause for all is too short and too wide there, and each request of that class would be rejected by one
-// after another until no attempt is left. Where all are full, all are alike and none is tried last.
+// class: a pause for all is too short and too wide there, and each request of that class would be rejected by
+// one after another until no attempt is left. Where all are full, all are alike and none is tried last.
 func (r *Router) observeRejection(b *backend, req *request, rejected bool) {
 	r.observeRate(&b.health.rejections[req.Class], rejected, outcomeWeight)
 }
@@ -169,8 +171,8 @@
 	}
 }
 
-// avoidedFor reports that an endpoint has failed, rejected or been silent to the request's class, or that its first
-// tokens are slow: it is tried last.
+// avoidedFor reports that an endpoint has failed, rejected or been silent to the request's class, or that its
+// first tokens are slow: it is tried last.
 func (b *backend) avoidedFor(req *request) bool {
 	if b.health.ejected {
 		return false
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -25,15 +25,16 @@
 	slowness float64 // their mean time to the first token, against that by separate endpoints
 }
 
-// observe takes the time to a first token, or the time without one, at a mixed endpoint, against the time that
-// separate endpoints usually take.
+// observe takes the time to a first token, or the time without one, at a mixed endpoint, against the time
+// that separate endpoints usually take.
 func (m *mixedBalance) observe(a *attempt, usual float64, elapsed time.Duration) {
 	if a.backend.role == RoleMixed && a.cost.queued > 0 {
 		movingAverage(&m.slowness, elapsed.Seconds()/usual, mixedSlownessWeight)
 	}
 }
 
-// placeQueued sends a queued request to a prefill endpoint, or whole to a mixed one, if there is capacity for it.
+// placeQueued sends a queued request to a prefill endpoint, or whole to a mixed one, if there is capacity for
+// it.
 func (r *Router) placeQueued(req *request) bool {
 	prefills, mixed := &r.backends.roles[RolePrefill], &r.backends.roles[RoleMixed]
 	if mixed.listed > 0 && (prefills.listed == 0 || r.mixed.owed >= 1) {
@@ -63,7 +64,8 @@
 	return true
 }
 
-// oweMixed adds the mixed endpoints' part of a request, by what they can prefill and decode and how slow they are.
+// oweMixed adds the mixed endpoints' part of a request, by what they can prefill and decode and how slow they
+// are.
 func (r *Router) oweMixed() {
 	mixed, decodes := &r.backends.roles[RoleMixed], &r.backends.roles[RoleDecode]
 	decodeCapacity := mixedCapacityFactor *
@@ -75,9 +77,9 @@
 	r.mixed.owed = min(r.mixed.owed+part/max(r.mixed.slowness, 1), maxMixedOwed)
 }
 
-// placeDecode sends a prefilled request to a decode endpoint; if none may be sent to, the request is parked for a
-// part of the state TTL. That counts from the prefill, or from the last reply of a decode endpoint: while
-// connections fail the state waits.
+// placeDecode sends a prefilled request to a decode endpoint; if none may be sent to, the request is parked
+// for a part of the state TTL. That counts from the prefill, or from the last reply of a decode endpoint:
+// while connections fail the state waits.
 func (r *Router) placeDecode(req *request) {
 	b := r.decodeBackend(req, false)
 	parkedFor := r.now - req.state.since
@@ -104,9 +106,9 @@
 // decodeRank orders endpoints for a decode, smallest first.
 type decodeRank [6]float64
 
-// decodeBackend returns the endpoint with the fewest attempts of this replica, ties going to the prefill's cell,
-// then its zone. If none has capacity it is, unless capacity is required, the least loaded that may be sent to at
-// all, ejected ones last; nil if there is none.
+// decodeBackend returns the endpoint with the fewest attempts of this replica, ties going to the prefill's
+// cell, then its zone. If none has capacity it is, unless capacity is required, the least loaded that may be
+// sent to at all, ejected ones last; nil if there is none.
 func (r *Router) decodeBackend(req *request, requireCapacity bool) *backend {
 	var best *backend
 	var bestRank decodeRank
@@ -136,10 +138,10 @@
 	return best
 }
 
-// keepLocality reports whether ties between decode endpoints go to the prefill's cell, and to its zone. They do,
-// unless a replica has less than one attempt for each decode endpoint, so that nearly all are tied, and the cell
-// has a larger part of the prefill capacity than of the decode capacity: then that part stays and the rest goes
-// where decode endpoints are short of prefills.
+// keepLocality reports whether ties between decode endpoints go to the prefill's cell, and to its zone. They
+// do, unless a replica has less than one attempt for each decode endpoint, so that nearly all are tied, and
+// the cell has a larger part of the prefill capacity than of the decode capacity: then that part stays and
+// the rest goes where decode endpoints are short of prefills.
 func (r *Router) keepLocality(req *request) (cell, zone bool) {
 	stats := &r.backends.roles[RoleDecode]
 	prefilled := req.state.backend != nil
@@ -151,8 +153,8 @@
 	return u*c.prefill <= c.decode, u*z.prefill <= z.decode
 }
 
-// repeatAllowed reports that an endpoint may get a request of which an earlier attempt may have run: any endpoint
-// if the class is idempotent, one in the same dedup scope and window if it is with a key.
+// repeatAllowed reports that an endpoint may get a request of which an earlier attempt may have run: any
+// endpoint if the class is idempotent, one in the same dedup scope and window if it is with a key.
 func (r *Router) repeatAllowed(req *request, b *backend) bool {
 	if !req.execution.possible || req.class.Idempotency == Idempotent {
 		return true
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -10,8 +10,8 @@
 const (
 	// starvationAge is the age from which a queued request may be promoted ...
 	starvationAge = 2 * time.Second
-	// ... but at most every so many dispatches: else a backlog that starved all at once would put its long prompts
-	// ahead of the short ones.
+	// ... but at most every so many dispatches: else a backlog that starved all at once would put its long
+	// prompts ahead of the short ones.
 	dispatchesPerPromotion = 4
 )
 
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// requestHeap is the part that the heaps of requests below share. An entry of a request that waits no longer stays
-// until it comes to the top, and a request that is queued again has two.
+// requestHeap is the part that the heaps of requests below share. An entry of a request that waits no longer
+// stays until it comes to the top, and a request that is queued again has two.
 type requestHeap []*request
 
 func (h *requestHeap) Len() int        { return len(*h) }
--- a/routing/readstate.go
+++ b/routing/readstate.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// stateTTLParts divides the state TTL: one part is left for a release to arrive, and is what a connection may take to
-// come up while a state waits.
+// stateTTLParts divides the state TTL: one part is left for a release to arrive, and is what a connection may
+// take to come up while a state waits.
 const stateTTLParts = 5
 
-// A read state's time runs from the end of its prefill, or from the last answer of a decode endpoint that did not
-// take it. An attempt in flight does not stop it: that its bytes were accepted here says nothing of whether they
-// arrived, and connections may fall silent with no error. Only an answer of the decode endpoint says that. So near
-// the end of its time a state is released though a decode is in flight. Where that decode did arrive the release
-// does nothing: a state for which an attempt waits at a running decode endpoint stays.
+// A read state's time runs from the end of its prefill, or from the last answer of a decode endpoint that did
+// not take it. An attempt in flight does not stop it: that its bytes were accepted here says nothing of
+// whether they arrived, and connections may fall silent with no error. Only an answer of the decode endpoint
+// says that. So near the end of its time a state is released though a decode is in flight. Where that decode
+// did arrive the release does nothing: a state for which an attempt waits at a running decode endpoint stays.
 
 // readStates are the read states that wait for a decode endpoint.
 type readStates struct {
@@ -59,8 +59,8 @@
 	return !expiry.req.ended && state.backend != nil && state.since+r.stateTime() == expiry.at
 }
 
-// releaseExpiredStates releases the states whose time is up while a decode is in flight. A request with nothing in
-// flight is parked, and placeDecode ends it.
+// releaseExpiredStates releases the states whose time is up while a decode is in flight. A request with
+// nothing in flight is parked, and placeDecode ends it.
 func (r *Router) releaseExpiredStates() {
 	expiries := r.readStates.expiries
 	done := 0
--- a/routing/request.go
+++ b/routing/request.go
@@ -47,8 +47,8 @@
 	sentAt   time.Duration
 }
 
-// sendWindow is how long a request that is idempotent with a key, and of which an attempt may have run, may still
-// be sent; 0 where nothing bounds that.
+// sendWindow is how long a request that is idempotent with a key, and of which an attempt may have run, may
+// still be sent; 0 where nothing bounds that.
 func (req *request) sendWindow(now time.Duration) time.Duration {
 	if !req.execution.possible || req.class.Idempotency != IdempotentWithKey {
 		return 0
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -25,8 +25,8 @@
 	case reason != ReasonNone:
 		r.finish(req, r.finalAnswer(req, len(r.queue.waiting), reason))
 	case stateKept:
-		if event.Result == Rejected || event.Result == EngineError { // the decode arrived, and the state waited for it
-			r.renewState(req)
+		if event.Result == Rejected || event.Result == EngineError {
+			r.renewState(req) // the decode arrived, and the state waited for it
 		}
 		r.placeDecode(req)
 	default:
@@ -63,17 +63,18 @@
 	return ReasonNone
 }
 
-// finalAnswer is the answer to a request that is given up: a rejection where a retry is harmless, else a failure.
-// A client's own retry of a request that is not idempotent can't be told from one after a lost answer, and is
-// failed on arrival; so a rejection of one asks the client not to retry by itself. ahead is how many queued
-// requests a retry would find.
+// finalAnswer is the answer to a request that is given up: a rejection where a retry is harmless, else a
+// failure. A client's own retry of a request that is not idempotent can't be told from one after a lost
+// answer, and is failed on arrival; so a rejection of one asks the client not to retry by itself. ahead is
+// how many queued requests a retry would find.
 func (r *Router) finalAnswer(req *request, ahead int, reason Reason) Action {
 	if !harmlessToRetry(req) {
 		return Fail{Request: req.ID, Reason: reason}
 	}
+	retryAfter := max(minRetryAfter, time.Duration(ahead)*retryAfterPerRequest)
 	return Reject{
 		Request:     req.ID,
-		RetryAfter:  min(max(minRetryAfter, time.Duration(ahead)*retryAfterPerRequest), r.config.MaxRetryAfter),
+		RetryAfter:  min(retryAfter, r.config.MaxRetryAfter),
 		NoAutoRetry: req.class.Idempotency == NotIdempotent,
 		Reason:      reason,
 	}
@@ -94,12 +95,13 @@
 	}
 }
 
-// finish is the one place where a request ends. It answers, cancels what is in flight and releases what is held. A
-// nil answer means that none is owed.
+// finish is the one place where a request ends. It answers, cancels what is in flight and releases what is
+// held. A nil answer means that none is owed.
 func (r *Router) finish(req *request, answer Action) {
 	req.ended = true
 	if !req.streaming && !req.shed {
-		// One given up counts as late, however soon: else a wave of rejections would look like answers in time.
+		// One given up counts as late, however soon: else a wave of rejections would look like answers in
+		// time.
 		r.admission.shedder.observe(r.now, req.class, answer != nil || r.now > req.objectiveAt())
 	}
 	if answer != nil {
--- a/routing/router.go
+++ b/routing/router.go
@@ -1,10 +1,10 @@
-// Package routing decides for one replica of a gateway in front of separate prefill and decode endpoints: where
-// a request is prefilled and decoded, and when it is queued, retried, rejected or failed.
+// Package routing decides for one replica of a gateway in front of separate prefill and decode endpoints:
+// where a request is prefilled and decoded, and when it is queued, retried, rejected or failed.
 //
-// It is a pure state machine. Router.Step takes events (events.go) and returns actions (actions.go); it reads no
-// clock, does no input or output, and starts no goroutine. A Router belongs to one goroutine and shares nothing
-// with other Routers; replicas of a gateway don't talk to each other. The same events at the same times give the
-// same actions.
+// It is a pure state machine. Router.Step takes events (events.go) and returns actions (actions.go); it reads
+// no clock, does no input or output, and starts no goroutine. A Router belongs to one goroutine and shares
+// nothing with other Routers; replicas of a gateway don't talk to each other. The same events at the same
+// times give the same actions.
 package routing
 
 import (
@@ -15,8 +15,8 @@
 )
 
 const (
-	// queuedWakeInterval is the longest time between two steps while requests wait for capacity or for a decode
-	// endpoint: it bounds how late a deadline or a freed endpoint is noticed.
+	// queuedWakeInterval is the longest time between two steps while requests wait for capacity or for a
+	// decode endpoint: it bounds how late a deadline or a freed endpoint is noticed.
 	queuedWakeInterval = 20 * time.Millisecond
 	// idleWakeInterval is the same while requests are only in flight: silent endpoints must be noticed.
 	idleWakeInterval = 200 * time.Millisecond
--- a/routing/silence.go
+++ b/routing/silence.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minSilence and silenceFactor say when an endpoint is silent: nothing was heard of it for so long, and so many
-	// times the usual.
+	// minSilence and silenceFactor say when an endpoint is silent: nothing was heard of it for so long, and
+	// so many times the usual.
 	minSilence    = 1000 * time.Millisecond
 	silenceFactor = 6.0
 )
@@ -40,9 +40,9 @@
 	s.attempts = append(s.attempts, attemptRef{req, len(req.attempts)})
 }
 
-// maxSilence is how long nothing may be heard of an endpoint, or of an attempt there: much longer than the usual
-// time. Attempts of a class that is not idempotent have no time-out, so without it a stall would show at their
-// deadlines only.
+// maxSilence is how long nothing may be heard of an endpoint, or of an attempt there: much longer than the
+// usual time. Attempts of a class that is not idempotent have no time-out, so without it a stall would show
+// at their deadlines only.
 func (r *Router) maxSilence(b *backend) time.Duration {
 	usual := b.load.uncached * r.latency.prefillPace
 	if b.role != RolePrefill {
@@ -82,8 +82,8 @@
 	}
 }
 
-// answered books an attempt out of those that are unanswered and wait to be prefilled; byEndpoint says that the
-// endpoint itself was heard.
+// answered books an attempt out of those that are unanswered and wait to be prefilled; byEndpoint says that
+// the endpoint itself was heard.
 func (r *Router) answered(a *attempt, byEndpoint bool) {
 	b := a.backend
 	if a.awaitingReply {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -7,12 +7,12 @@
 
 const (
 	// slowStartFraction is the part of its overload limit up to which an endpoint in slow start is sent, and
-	// maxSlowStartShare the part of its even share of present capacity: requests come unevenly, and replicas that
-	// don't talk to each other leave some to chance.
+	// maxSlowStartShare the part of its even share of present capacity: requests come unevenly, and replicas
+	// that don't talk to each other leave some to chance.
 	slowStartFraction = 0.5
 	maxSlowStartShare = 0.7
-	// minSlowStartBudget is the budget below which the chance of a send is computed by its limit, as the exact
-	// form divides by the budget.
+	// minSlowStartBudget is the budget below which the chance of a send is computed by its limit, as the
+	// exact form divides by the budget.
 	minSlowStartBudget = 0.01
 
 	// slowStartSeed separates the draws of slow start from others of the same request.
@@ -23,7 +23,8 @@
 	return r.config.SlowStartFor > 0 && b.StartedAt > 0 && r.now-b.StartedAt < r.config.SlowStartFor
 }
 
-// presentCapacity is the part of its capacity that an endpoint is taken to have: it grows evenly in slow start.
+// presentCapacity is the part of its capacity that an endpoint is taken to have: it grows evenly in slow
+// start.
 func (r *Router) presentCapacity(b *backend) float64 {
 	if !r.inSlowStart(b) {
 		return 1
@@ -32,11 +33,11 @@
 	return r.config.SlowStartFrom + (1-r.config.SlowStartFrom)*running/float64(r.config.SlowStartFor)
 }
 
-// slowStartAllows keeps an endpoint in slow start within its budget though replicas don't talk to each other: it
-// may get the part of a warm peer's work that it can do. Where this replica's part of that is a request or more in
-// a window it counts them. Below one it sends one at most, for requests whose draw is under a chance that makes
-// the mean right over all replicas. The draw is the request's, or a role that restarted as a whole would fill up
-// too.
+// slowStartAllows keeps an endpoint in slow start within its budget though replicas don't talk to each other:
+// it may get the part of a warm peer's work that it can do. Where this replica's part of that is a request or
+// more in a window it counts them. Below one it sends one at most, for requests whose draw is under a chance
+// that makes the mean right over all replicas. The draw is the request's, or a role that restarted as a whole
+// would fill up too.
 func (r *Router) slowStartAllows(b *backend, req *request) bool {
 	if !r.inSlowStart(b) {
 		return true
--- a/routing/stats.go
+++ b/routing/stats.go
@@ -15,8 +15,8 @@
 	initialPrefillPace = 1e-4 // seconds a token
 	initialFirstToken  = 0.3  // seconds
 
-	// Weights of the newest sample in moving averages: small for those of a whole replica, large for the slowness
-	// of one endpoint, which sees few.
+	// Weights of the newest sample in moving averages: small for those of a whole replica, large for the
+	// slowness of one endpoint, which sees few.
 	prefillPaceWeight       = 0.05
 	uncachedTokensWeight    = 0.05
 	firstTokenWeight        = 0.05
@@ -37,7 +37,8 @@
 	*average += weight * (sample - *average)
 }
 
-// decay lets a figure fall exponentially with time. Most are 0 where a replica sees few requests of many endpoints.
+// decay lets a figure fall exponentially with time. Most are 0 where a replica sees few requests of many
+// endpoints.
 func decay(value *float64, elapsed float64, timeConstant time.Duration) {
 	if *value != 0 {
 		*value *= math.Exp(-elapsed / timeConstant.Seconds())
@@ -96,7 +97,8 @@
 	decay(&b.pace.slowness, elapsed, failureDecay)
 	for _, rates := range [2][]float64{b.health.failures, b.health.rejections} {
 		for i, before := range rates {
-			if decay(&rates[i], elapsed, failureDecay); before > maxFailureRate && rates[i] <= maxFailureRate {
+			decay(&rates[i], elapsed, failureDecay)
+			if before > maxFailureRate && rates[i] <= maxFailureRate {
 				r.orderChanged()
 			}
 		}
@@ -110,12 +112,17 @@
 	warm, idle      float64   // listed endpoints past slow start, and those without attempts of this replica
 	inFlight        float64   // attempts of this replica
 	completed       float64   // by warm endpoints, of late
-	rate            float64   // prefills or answers a second of a warm endpoint for this replica, as last seen
+	rate            float64   // completed a second by a warm endpoint for this replica, as last seen
 	failureRates    []float64 // of the listed ones, sorted
 	silent          int       // silent ones that are not ejected
 	memory          float64   // tokens, of those that are not ejected
 }
 
+// reset begins a new sum. The rate stays, for the case that no endpoint is warm.
+func (s *roleStats) reset() {
+	*s = roleStats{rate: s.rate, failureRates: s.failureRates[:0], memory: minRoleMemory}
+}
+
 // medianFailureRate is the lower median.
 func (s *roleStats) medianFailureRate() float64 { return s.failureRates[(len(s.failureRates)-1)/2] }
 
@@ -124,7 +131,7 @@
 	r.refreshClassSilence()
 	roles := &r.backends.roles
 	for i := range roles {
-		roles[i] = roleStats{rate: roles[i].rate, failureRates: roles[i].failureRates[:0], memory: minRoleMemory}
+		roles[i].reset()
 	}
 	for _, b := range r.backends.sorted {
 		if b.listed {
