--- a/routing/cold_test.go
+++ b/routing/cold_test.go
@@ -37,64 +37,64 @@
 		} {
 			t.Run(fmt.Sprintf("%d fronts, %s", fronts, name), func(t *testing.T) {
 				t.Parallel()
-				s, servers := testSettings(), pool(readers, writers)
-				f := newFleet(t, s, fronts, servers)
+				s, servers := testConfig(), endpoints(readers, writers)
+				f := newReplicaGroup(t, s, fronts, servers)
 				prefix := func() uint64 { return uint64(f.rnd.Intn(200)) }
-				rigs := f.rigs // a tenth of the fronts gets four times what others get
+				rigs := f.harnesses // a tenth of the fronts gets four times what others get
 				for i := range max(fronts/10, 1) {
-					rigs = append(rigs, f.rigs[i], f.rigs[i], f.rigs[i])
+					rigs = append(rigs, f.harnesses[i], f.harnesses[i], f.harnesses[i])
 				}
-				f.rigs = rigs
+				f.harnesses = rigs
 				f.play(20*perWindow, start, prefix)
 				for i := range servers {
 					if k.cold(i) {
 						servers[i].StartedAt = time.Minute + start
 					}
 				}
-				fresh := map[*rig]bool{}
-				for i, g := range f.rigs {
-					if k.forgets && i%2 == 1 && !fresh[g] {
+				fresh := map[*harness]bool{}
+				for i, h := range f.harnesses {
+					if k.forgets && i%2 == 1 && !fresh[h] {
 						r, err := New(func() Config { s := s; s.Replicas = fronts; return s }(), rand.New(rand.NewSource(int64(i))).Uint64())
 						if err != nil {
 							t.Fatal(err)
 						}
-						*g = rig{t: t, r: r}
+						*h = harness{t: t, router: r}
 					}
-					fresh[g] = true
-					g.now = time.Minute + start
-					g.step(EndpointList{Scope: ListFull, Endpoints: servers})
+					fresh[h] = true
+					h.now = time.Minute + start
+					h.step(EndpointList{Scope: ListFull, Endpoints: servers})
 				}
 				if k.bad {
-					f.bad = map[EndpointID]bool{}
+					f.failing = map[EndpointID]bool{}
 					for i := range servers {
-						f.bad[servers[i].ID] = i%8 == 7 && !k.cold(i)
+						f.failing[servers[i].ID] = i%8 == 7 && !k.cold(i)
 					}
 				}
 				total := 0
 				for w := range 6 {
-					f.sent = map[EndpointID]int{}
+					f.sends = map[EndpointID]int{}
 					n := perWindow
 					if w > 1 {
 						n = perWindow * 3 / 2
 					}
-					f.play2(n, start+time.Duration(w)*window, window, prefix)
+					f.playFrom(n, start+time.Duration(w)*window, window, prefix)
 					for i, e := range servers {
 						if !k.cold(i) {
 							continue
 						}
-						total += f.sent[e.ID]
+						total += f.sends[e.ID]
 						of := float64(readers)
-						if f.kind[e.ID] == RoleDecode {
+						if f.roles[e.ID] == RoleDecode {
 							of = writers
 						}
 						present := s.SlowStartFrom + (1-s.SlowStartFrom)*float64(w)*window.Seconds()/s.SlowStartFor.Seconds() // at the window's start
 						limit := s.OverloadFactor * present * float64(n) / of
-						if limit += 2*math.Sqrt(limit) + 2; float64(f.sent[e.ID]) > limit {
-							t.Errorf("window %d: server %d got %d, %.0f at most", w, e.ID, f.sent[e.ID], limit)
+						if limit += 2*math.Sqrt(limit) + 2; float64(f.sends[e.ID]) > limit {
+							t.Errorf("window %d: server %d got %d, %.0f at most", w, e.ID, f.sends[e.ID], limit)
 						}
 					}
 				}
-				if k.bad && f.more == 0 {
+				if k.bad && f.retries == 0 {
 					t.Error("there were no further attempts")
 				}
 				if total == 0 {
--- a/routing/forget_test.go
+++ b/routing/forget_test.go
@@ -5,77 +5,77 @@
 	"time"
 )
 
-// rolling is a fleet of 740 whose pods are named anew all the time: 20 new names a minute, as full lists.
-type rolling struct {
-	g       *rig
-	servers []Endpoint
-	next    EndpointID
+// rollingFleet is a fleet of 740 whose pods are named anew all the time: 20 new names a minute, as full lists.
+type rollingFleet struct {
+	harness   *harness
+	endpoints []Endpoint
+	next      EndpointID
 }
 
-func newRolling(t *testing.T) *rolling {
-	s := testSettings()
+func newRollingFleet(t *testing.T) *rollingFleet {
+	s := testConfig()
 	r, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &rolling{g: &rig{t: t, r: r, now: time.Minute}, servers: pool(340, 400), next: 100000}
-	f.g.step(EndpointList{Scope: ListFull, Endpoints: f.servers})
+	f := &rollingFleet{harness: &harness{t: t, router: r, now: time.Minute}, endpoints: endpoints(340, 400), next: 100000}
+	f.harness.step(EndpointList{Scope: ListFull, Endpoints: f.endpoints})
 	return f
 }
 
-func (f *rolling) roll() {
+func (f *rollingFleet) roll() {
 	for range 20 {
-		i := int(f.next) % len(f.servers)
-		f.servers[i].ID = f.next
+		i := int(f.next) % len(f.endpoints)
+		f.endpoints[i].ID = f.next
 		f.next++
 	}
-	f.g.now += time.Minute
-	f.g.step(EndpointList{Scope: ListFull, Endpoints: f.servers})
+	f.harness.now += time.Minute
+	f.harness.step(EndpointList{Scope: ListFull, Endpoints: f.endpoints})
 }
 
 // TestServersThatAreGoneAreForgotten: what is remembered is bounded by the list and by what went of late.
 func TestServersThatAreGoneAreForgotten(t *testing.T) {
-	f := newRolling(t)
-	most := len(f.servers) + 20*int(goneRetention/time.Minute+1)
+	f := newRollingFleet(t)
+	most := len(f.endpoints) + 20*int(goneRetention/time.Minute+1)
 	for range 5000 {
 		f.roll()
-		if n := len(f.g.r.backends.sorted); n > most || n != len(f.g.r.backends.byID) {
-			t.Fatalf("%d servers and %d ids are known, %d at most", n, len(f.g.r.backends.byID), most)
+		if n := len(f.harness.router.backends.sorted); n > most || n != len(f.harness.router.backends.byID) {
+			t.Fatalf("%d servers and %d ids are known, %d at most", n, len(f.harness.router.backends.byID), most)
 		}
 	}
-	f.g.step(f.g.request(1, 0, 500))
-	f.g.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{{ID: 77, State: EndpointGone}}})
-	if f.g.r.backends.byID[77] != nil {
+	f.harness.step(f.harness.request(1, 0, 500))
+	f.harness.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{{ID: 77, State: EndpointGone}}})
+	if f.harness.router.backends.byID[77] != nil {
 		t.Error("a server that was gone when first heard of is remembered")
 	}
 }
 
 // TestGoneKeepsWhatCounts: a server that is gone keeps its attempts until they end, and its health for a while.
 func TestGoneKeepsWhatCounts(t *testing.T) {
-	g := newRig(t, testSettings(), reader(1), writer(2))
-	sends := pick[Send](g.step(g.request(1, 0, 500)))
+	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
+	sends := actionsOf[Send](h.step(h.request(1, 0, 500)))
 	if len(sends) != 1 || sends[0].Endpoint != 1 {
 		t.Fatalf("%v", sends)
 	}
-	g.r.backends.byID[1].health.failures[0] = 0.9
+	h.router.backends.byID[1].health.failures[0] = 0.9
 	for range 3 {
-		g.now += goneRetention
-		g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{writer(2)}})
+		h.now += goneRetention
+		h.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{decodeEndpoint(2)}})
 	}
-	if s := g.r.backends.byID[1]; s == nil || s.load.attempts != 1 {
+	if s := h.router.backends.byID[1]; s == nil || s.load.attempts != 1 {
 		t.Fatal("a server with an attempt out was forgotten")
 	}
-	g.step(Outcome{Request: 1, Endpoint: 1, Result: ConnectionReset})
-	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{writer(2)}})
-	if g.r.backends.byID[1] != nil {
+	h.step(Outcome{Request: 1, Endpoint: 1, Result: ConnectionReset})
+	h.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{decodeEndpoint(2)}})
+	if h.router.backends.byID[1] != nil {
 		t.Error("it was not forgotten once its attempt had ended")
 	}
-	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{reader(3), writer(2)}})
-	g.r.backends.byID[3].health.failures[0] = 0.9
-	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{writer(2)}})
-	g.now += time.Second
-	g.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{reader(3), writer(2)}})
-	if s := g.r.backends.byID[3]; s.health.failures[0] < 0.8 || s.goneAt != 0 {
+	h.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{prefillEndpoint(3), decodeEndpoint(2)}})
+	h.router.backends.byID[3].health.failures[0] = 0.9
+	h.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{decodeEndpoint(2)}})
+	h.now += time.Second
+	h.step(EndpointList{Scope: ListFull, Endpoints: []Endpoint{prefillEndpoint(3), decodeEndpoint(2)}})
+	if s := h.router.backends.byID[3]; s.health.failures[0] < 0.8 || s.goneAt != 0 {
 		t.Errorf("a server back after a second has lost its past: failing %.2f", s.health.failures[0])
 	}
 }
@@ -85,19 +85,19 @@
 func BenchmarkRolling(b *testing.B) {
 	for name, rolls := range map[string]int{"new": 0, "after 100,000 names": 5000} {
 		b.Run(name, func(b *testing.B) {
-			f := newRolling(&testing.T{})
+			f := newRollingFleet(&testing.T{})
 			for range rolls {
 				f.roll()
 			}
 			b.ResetTimer()
 			for i := range b.N {
 				id := RequestID(i + 1)
-				f.g.now += time.Millisecond
-				f.g.step(f.g.request(id, 0, 1500))
-				f.g.step(ClientDisconnected{id})
-				if f.g.r.requests[id] != nil {
-					a := f.g.r.requests[id].attempts[0]
-					f.g.step(Outcome{Request: id, Endpoint: a.backend.ID, Result: Cancelled, RequestDone: true})
+				f.harness.now += time.Millisecond
+				f.harness.step(f.harness.request(id, 0, 1500))
+				f.harness.step(ClientDisconnected{id})
+				if f.harness.router.requests[id] != nil {
+					a := f.harness.router.requests[id].attempts[0]
+					f.harness.step(Outcome{Request: id, Endpoint: a.backend.ID, Result: Cancelled, RequestDone: true})
 				}
 			}
 		})
--- a/routing/order_test.go
+++ b/routing/order_test.go
@@ -14,33 +14,33 @@
 
 var update = flag.Bool("update", false, "write the recorded digests anew from the code as it is")
 
-// storm drives one Router far over what its servers can do, so that much is held, and digests its actions. The
+// recordedRun drives one Router far over what its servers can do, so that much is held, and digests its actions. The
 // servers are simple: a time for each attempt, some failures, one of them bad for a while.
-type storm struct {
-	name    string
-	seed    int64
-	mixed   int
-	cold    bool // servers restart now and then
-	bad     bool // a reader and a writer fail for a while
-	memory  float64
-	aim     time.Duration
-	rate    float64 // a second
-	prefix  int     // shared beginnings; 0 = none
-	steps   int
-	fronts  int
-	readers int
-	release time.Duration
+type recordedRun struct {
+	name      string
+	seed      int64
+	mixed     int
+	restarts  bool // servers restart now and then
+	failing   bool // a reader and a writer fail for a while
+	memory    float64
+	objective time.Duration
+	rate      float64 // a second
+	prefixes  int     // shared beginnings; 0 = none
+	steps     int
+	replicas  int
+	prefills  int
+	stateTTL  time.Duration
 }
 
-// storms are played with a release time within which a slow write's state is spent, and with one that nothing meets.
-func storms() []storm {
-	return append(stormsWith(500*ms, ""), stormsWith(100*time.Second, "long release, ")...)
+// recordedRuns are played with a release time within which a slow write's state is spent, and with one that nothing meets.
+func recordedRuns() []recordedRun {
+	return append(recordedRunsWith(500*ms, ""), recordedRunsWith(100*time.Second, "long release, ")...)
 }
 
-func stormsWith(release time.Duration, prefix string) []storm {
-	base := storm{release: release, memory: 60000, aim: 3 * time.Second, rate: 400, prefix: 12, steps: 2500, fronts: 1, readers: 6}
-	var out []storm
-	add := func(name string, change func(*storm)) {
+func recordedRunsWith(release time.Duration, prefix string) []recordedRun {
+	base := recordedRun{stateTTL: release, memory: 60000, objective: 3 * time.Second, rate: 400, prefixes: 12, steps: 2500, replicas: 1, prefills: 6}
+	var out []recordedRun
+	add := func(name string, change func(*recordedRun)) {
 		for seed := range int64(2) {
 			s := base
 			s.name, s.seed = fmt.Sprintf("%s%s %d", prefix, name, seed), seed+1
@@ -48,36 +48,36 @@
 			out = append(out, s)
 		}
 	}
-	add("plain", func(*storm) {})
-	add("long waits", func(s *storm) { s.aim = 20 * time.Second })
-	add("mixed", func(s *storm) { s.mixed = 3 })
-	add("only mixed", func(s *storm) { s.mixed, s.readers = 6, 0 })
-	add("cold", func(s *storm) { s.cold = true })
-	add("bad", func(s *storm) { s.bad = true; s.aim = 10 * time.Second })
-	add("bad, cold, mixed", func(s *storm) { s.bad, s.cold, s.mixed = true, true, 2 })
-	add("short of memory", func(s *storm) { s.memory = 9000; s.aim = 10 * time.Second })
-	add("memory unknown", func(s *storm) { s.memory = 0 })
-	add("one hot prefix", func(s *storm) { s.prefix = 1; s.readers = 12; s.aim = 8 * time.Second })
-	add("no prefix", func(s *storm) { s.prefix = 0 })
-	add("many fronts", func(s *storm) { s.fronts = 40; s.rate = 40; s.readers = 20; s.cold = true })
+	add("plain", func(*recordedRun) {})
+	add("long waits", func(s *recordedRun) { s.objective = 20 * time.Second })
+	add("mixed", func(s *recordedRun) { s.mixed = 3 })
+	add("only mixed", func(s *recordedRun) { s.mixed, s.prefills = 6, 0 })
+	add("cold", func(s *recordedRun) { s.restarts = true })
+	add("bad", func(s *recordedRun) { s.failing = true; s.objective = 10 * time.Second })
+	add("bad, cold, mixed", func(s *recordedRun) { s.failing, s.restarts, s.mixed = true, true, 2 })
+	add("short of memory", func(s *recordedRun) { s.memory = 9000; s.objective = 10 * time.Second })
+	add("memory unknown", func(s *recordedRun) { s.memory = 0 })
+	add("one hot prefix", func(s *recordedRun) { s.prefixes = 1; s.prefills = 12; s.objective = 8 * time.Second })
+	add("no prefix", func(s *recordedRun) { s.prefixes = 0 })
+	add("many fronts", func(s *recordedRun) { s.replicas = 40; s.rate = 40; s.prefills = 20; s.restarts = true })
 	return out
 }
 
-type stormEvent struct {
-	at  time.Duration
-	seq int
-	ev  Event
+type plannedEvent struct {
+	at    time.Duration
+	order int
+	event Event
 }
 
-type stormQueue []stormEvent
+type eventQueue []plannedEvent
 
-func (q stormQueue) Len() int { return len(q) }
-func (q stormQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (q stormQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *stormQueue) Push(x any)   { *q = append(*q, x.(stormEvent)) }
-func (q *stormQueue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(plannedEvent)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -85,25 +85,25 @@
 }
 
 // play returns the digest of all actions, their number, and the most that was held.
-func (c storm) play(t *testing.T) (digest string, actions, most int) {
+func (c recordedRun) play(t *testing.T) (digest string, actions, most int) {
 	rnd := rand.New(rand.NewSource(c.seed))
-	set := testSettings()
-	set.Replicas, set.StateTTL = c.fronts, c.release
+	set := testConfig()
+	set.Replicas, set.StateTTL = c.replicas, c.stateTTL
 	set.Kinds = []Kind{{RolePrefill, 200000}, {RoleDecode, c.memory}, {RoleMixed, c.memory}}
-	set.Tenants = []Tenant{{QuotaPerS: c.rate / 2 * float64(c.fronts)}, {QuotaPerS: 5}}
+	set.Tenants = []Tenant{{QuotaPerS: c.rate / 2 * float64(c.replicas)}, {QuotaPerS: 5}}
 	for i := range set.Classes {
-		set.Classes[i].LatencyObjective, set.Classes[i].LateWeight = c.aim, 0.9
+		set.Classes[i].LatencyObjective, set.Classes[i].LateWeight = c.objective, 0.9
 	}
 	r, err := New(set, uint64(c.seed))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var list []Endpoint
-	for i := range c.readers + 6 + c.mixed {
+	for i := range c.prefills + 6 + c.mixed {
 		kind := 1
-		if i < c.readers {
+		if i < c.prefills {
 			kind = 0
-		} else if i >= c.readers+6 {
+		} else if i >= c.prefills+6 {
 			kind = 2
 		}
 		list = append(list, Endpoint{ID: EndpointID(10 + 3*i), Kind: kind, Zone: i % 2, Cell: i % 3, State: EndpointReady})
@@ -114,11 +114,11 @@
 	}
 	h := sha256.New()
 	now := time.Hour
-	var q stormQueue
+	var q eventQueue
 	seq := 0
 	plan := func(after time.Duration, ev Event) {
 		seq++
-		heap.Push(&q, stormEvent{now + after, seq, ev})
+		heap.Push(&q, plannedEvent{now + after, seq, ev})
 	}
 	out := map[RequestID][]bool{} // attempts out
 	over := map[RequestID]bool{}
@@ -139,7 +139,7 @@
 				} else {
 					took *= 4
 				}
-				fails := c.bad && now > badFrom && now < badTo && (a.Endpoint == 10 || a.Endpoint == EndpointID(10+3*c.readers))
+				fails := c.failing && now > badFrom && now < badTo && (a.Endpoint == 10 || a.Endpoint == EndpointID(10+3*c.prefills))
 				switch k := rnd.Intn(60); {
 				case fails || k == 0:
 					o.Result, took = EngineError, took/10
@@ -175,7 +175,7 @@
 			now = q[0].at
 			var evs []Event
 			for len(q) > 0 && q[0].at <= now {
-				e := heap.Pop(&q).(stormEvent).ev
+				e := heap.Pop(&q).(plannedEvent).event
 				switch ev := e.(type) {
 				case Outcome:
 					if !out[ev.Request][ev.Attempt] {
@@ -209,16 +209,16 @@
 		}
 		ev := Request{
 			ID: next, Class: rnd.Intn(3), Tenant: rnd.Intn(2), Session: uint64(rnd.Intn(500)), PromptTokens: float64(int(n)),
-			MaxOutputTokens: float64(50 + rnd.Intn(400)), Deadline: now + c.aim + time.Duration(rnd.Intn(3000))*ms,
+			MaxOutputTokens: float64(50 + rnd.Intn(400)), Deadline: now + c.objective + time.Duration(rnd.Intn(3000))*ms,
 		}
-		if c.prefix > 0 && rnd.Intn(10) > 1 {
-			ev.Prefix, ev.PrefixTokens = 1000+uint64(rnd.ExpFloat64()*float64(c.prefix)/4), n/2
+		if c.prefixes > 0 && rnd.Intn(10) > 1 {
+			ev.Prefix, ev.PrefixTokens = 1000+uint64(rnd.ExpFloat64()*float64(c.prefixes)/4), n/2
 		}
 		if rnd.Intn(30) == 0 {
 			plan(time.Duration(rnd.Intn(2000))*ms, ClientDisconnected{next})
 		}
 		evs := []Event{ev}
-		if c.cold && i%700 == 699 {
+		if c.restarts && i%700 == 699 {
 			s := list[rnd.Intn(len(list))]
 			s.StartedAt = now
 			evs = append(evs, EndpointList{Scope: ListChanges, Endpoints: []Endpoint{s}})
@@ -242,7 +242,7 @@
 	const file = "testdata/orders.txt"
 	if *update {
 		var b strings.Builder
-		for _, c := range storms() {
+		for _, c := range recordedRuns() {
 			digest, actions, most := c.play(t)
 			fmt.Fprintf(&b, "%s: %s, %d actions, %d held at most\n", c.name, digest, actions, most)
 		}
@@ -255,7 +255,7 @@
 		t.Fatal(err)
 	}
 	want := strings.Split(strings.TrimSpace(string(text)), "\n")
-	for i, c := range storms() {
+	for i, c := range recordedRuns() {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			digest, actions, most := c.play(t)
@@ -271,7 +271,7 @@
 	for _, n := range []int{200, 3000, 10000} {
 		for _, kind := range []string{"new and gone", "nothing", "room"} {
 			b.Run(fmt.Sprintf("%s beside %d", kind, n), func(b *testing.B) {
-				s := testSettings()
+				s := testConfig()
 				for i := range s.Classes {
 					s.Classes[i].LatencyObjective = time.Hour
 				}
@@ -280,7 +280,7 @@
 					b.Fatal(err)
 				}
 				now := time.Minute
-				r.Step(now, []Event{EndpointList{Scope: ListFull, Endpoints: pool(8, 12)}})
+				r.Step(now, []Event{EndpointList{Scope: ListFull, Endpoints: endpoints(8, 12)}})
 				rnd := rand.New(rand.NewSource(1))
 				request := func(id RequestID) Request {
 					return Request{
@@ -291,7 +291,7 @@
 				sends := map[RequestID]Send{}
 				attempt := map[RequestID]int{}
 				take := func(acts []Action) {
-					for _, a := range pick[Send](acts) {
+					for _, a := range actionsOf[Send](acts) {
 						sends[a.Request] = a
 					}
 				}
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -8,82 +8,82 @@
 	"time"
 )
 
-// world answers a Router with random but legal events and checks the five rules on its actions. It models no service:
+// environment answers a Router with random but legal events and checks the five rules on its actions. It models no service:
 // outcomes and their times are drawn blindly.
-type world struct {
-	t       *testing.T
-	rnd     *rand.Rand
-	set     Config
-	r       *Router
-	now     time.Duration
-	next    RequestID
-	all     map[RequestID]*life
-	open    map[RequestID]*life // not settled yet
-	servers map[EndpointID]Endpoint
-	barred  map[EndpointID]time.Duration // told to stop, since
-	future  []planned
-	sent    map[EndpointID][]time.Duration
-	log     []string
+type environment struct {
+	t             *testing.T
+	rnd           *rand.Rand
+	config        Config
+	router        *Router
+	now           time.Duration
+	nextID        RequestID
+	requests      map[RequestID]*requestRecord
+	unsettled     map[RequestID]*requestRecord // not settled yet
+	endpoints     map[EndpointID]Endpoint
+	notReadySince map[EndpointID]time.Duration // told to stop, since
+	planned       []plannedOutcome
+	recentSends   map[EndpointID][]time.Duration
+	log           []string
 }
 
-type planned struct {
+type plannedOutcome struct {
 	at time.Duration
 	ev Event
 }
 
-// life is what the rules need to know of a request.
-type life struct {
-	req      Request
-	class    Class
-	ended    bool
-	atts     []try
-	held     bool // a read state waits at a reader
-	heldFrom time.Duration
-	started  bool
+// requestRecord is what the rules need to know of a request.
+type requestRecord struct {
+	request   Request
+	class     Class
+	ended     bool
+	attempts  []attemptRecord
+	stateHeld bool // a read state waits at a reader
+	heldSince time.Duration
+	streaming bool
 }
 
-type try struct {
-	server EndpointID
-	out    bool
-	write  bool
-	ran    bool // may have run
-	at     time.Duration
+type attemptRecord struct {
+	endpoint   EndpointID
+	inFlight   bool
+	decode     bool
+	mayHaveRun bool // may have run
+	sentAt     time.Duration
 	// arrived: it is a write that has reached a writer which runs. Of all others the connection may be silent, and they do not stop
 	// the clock of what is held.
 	arrived bool
 }
 
-func newWorld(t *testing.T, set Config, seed int64, n int) *world {
-	w := &world{
-		t: t, rnd: rand.New(rand.NewSource(seed)), set: set, now: time.Hour, all: map[RequestID]*life{},
-		open:    map[RequestID]*life{},
-		servers: map[EndpointID]Endpoint{}, barred: map[EndpointID]time.Duration{}, sent: map[EndpointID][]time.Duration{},
+func newEnvironment(t *testing.T, set Config, seed int64, n int) *environment {
+	w := &environment{
+		t: t, rnd: rand.New(rand.NewSource(seed)), config: set, now: time.Hour, requests: map[RequestID]*requestRecord{},
+		unsettled: map[RequestID]*requestRecord{},
+		endpoints: map[EndpointID]Endpoint{}, notReadySince: map[EndpointID]time.Duration{}, recentSends: map[EndpointID][]time.Duration{},
 	}
 	r, err := New(set, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.r = r
+	w.router = r
 	var list []Endpoint
 	for i := range n {
 		s := Endpoint{ID: EndpointID(100 + 7*i), Kind: i % len(set.Kinds), Zone: i % 2, Cell: i % 3, State: EndpointReady}
-		w.servers[s.ID] = s
+		w.endpoints[s.ID] = s
 		list = append(list, s)
 	}
-	w.act(w.r.Step(w.now, []Event{EndpointList{Scope: ListCached, Endpoints: list}}))
+	w.apply(w.router.Step(w.now, []Event{EndpointList{Scope: ListCached, Endpoints: list}}))
 	return w
 }
 
 // ids lists the servers in a fixed order, for the seeded draws.
-func (w *world) ids() []EndpointID {
+func (w *environment) ids() []EndpointID {
 	var out []EndpointID
-	for id := EndpointID(100); int(id) < 100+7*len(w.servers); id += 7 {
+	for id := EndpointID(100); int(id) < 100+7*len(w.endpoints); id += 7 {
 		out = append(out, id)
 	}
 	return out
 }
 
-func (w *world) run(steps int, arrivals float64) {
+func (w *environment) run(steps int, arrivals float64) {
 	for i := range steps + 3000 {
 		w.now += time.Duration(1+w.rnd.Intn(9)) * ms
 		var evs []Event
@@ -93,50 +93,50 @@
 		if i < steps && w.rnd.Intn(150) == 0 {
 			evs = append(evs, w.listChange())
 		}
-		evs = append(evs, w.due()...)
+		evs = append(evs, w.dueEvents()...)
 		if len(evs) > 0 {
-			w.note(evs)
-			w.act(w.r.Step(w.now, evs))
+			w.observe(evs)
+			w.apply(w.router.Step(w.now, evs))
 		}
-		w.check()
-		if i >= steps && len(w.future) == 0 {
+		w.checkRules()
+		if i >= steps && len(w.planned) == 0 {
 			break
 		}
 	}
-	for id, l := range w.open {
-		if !l.ended || l.held {
-			w.fail("request %d left: ended %v held %v", id, l.ended, l.held)
+	for id, l := range w.unsettled {
+		if !l.ended || l.stateHeld {
+			w.fail("request %d left: ended %v held %v", id, l.ended, l.stateHeld)
 		}
 	}
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *environment) fail(format string, args ...any) {
 	w.t.Helper()
 	w.t.Fatalf("%v: "+format, append([]any{w.now}, args...)...)
 }
 
-func (w *world) arrival() Event {
-	w.next++
-	c := w.rnd.Intn(len(w.set.Classes))
+func (w *environment) arrival() Event {
+	w.nextID++
+	c := w.rnd.Intn(len(w.config.Classes))
 	q := Request{
-		ID: w.next, Class: c, Session: uint64(w.rnd.Intn(40)), Prefix: uint64(w.rnd.Intn(6)),
+		ID: w.nextID, Class: c, Session: uint64(w.rnd.Intn(40)), Prefix: uint64(w.rnd.Intn(6)),
 		PromptTokens: float64(100 + w.rnd.Intn(8000)), MaxOutputTokens: 300, Tenant: w.rnd.Intn(3),
 		Deadline: w.now + time.Duration(300+w.rnd.Intn(4000))*ms,
 	}
 	if w.rnd.Intn(30) == 0 {
 		q.PromptTokens *= 40
 	}
-	w.all[q.ID] = &life{req: q, class: w.set.Classes[c]}
-	w.open[q.ID] = w.all[q.ID]
+	w.requests[q.ID] = &requestRecord{request: q, class: w.config.Classes[c]}
+	w.unsettled[q.ID] = w.requests[q.ID]
 	if w.rnd.Intn(20) == 0 {
 		w.plan(time.Duration(w.rnd.Intn(1000))*ms, ClientDisconnected{Request: q.ID})
 	}
 	return q
 }
 
-func (w *world) listChange() Event {
+func (w *environment) listChange() Event {
 	ids := w.ids()
-	s := w.servers[ids[w.rnd.Intn(len(ids))]]
+	s := w.endpoints[ids[w.rnd.Intn(len(ids))]]
 	switch w.rnd.Intn(3) {
 	case 0:
 		s.State = EndpointDraining
@@ -145,74 +145,74 @@
 	default:
 		s.State, s.StartedAt = EndpointReady, w.now-time.Duration(w.rnd.Intn(3000))*ms
 	}
-	w.servers[s.ID] = s
+	w.endpoints[s.ID] = s
 	if s.State == EndpointReady {
-		delete(w.barred, s.ID)
+		delete(w.notReadySince, s.ID)
 	} else {
-		w.barred[s.ID] = w.now
+		w.notReadySince[s.ID] = w.now
 	}
 	return EndpointList{Scope: ListChanges, Endpoints: []Endpoint{s}}
 }
 
-func (w *world) plan(after time.Duration, ev Event) {
-	w.future = append(w.future, planned{w.now + after, ev})
+func (w *environment) plan(after time.Duration, ev Event) {
+	w.planned = append(w.planned, plannedOutcome{w.now + after, ev})
 }
 
-func (w *world) due() []Event {
+func (w *environment) dueEvents() []Event {
 	var evs []Event
-	rest := w.future[:0]
-	for _, p := range w.future {
+	rest := w.planned[:0]
+	for _, p := range w.planned {
 		if p.at > w.now {
 			rest = append(rest, p)
 			continue
 		}
 		switch ev := p.ev.(type) {
 		case ClientDisconnected:
-			if l := w.all[ev.Request]; l.ended || l.started {
+			if l := w.requests[ev.Request]; l.ended || l.streaming {
 				continue
 			}
 		case FirstToken:
-			l := w.all[ev.Request]
-			if l.ended || l.started {
+			l := w.requests[ev.Request]
+			if l.ended || l.streaming {
 				continue
 			}
 		case Outcome:
-			if l := w.all[ev.Request]; !l.atts[ev.Attempt].out {
+			if l := w.requests[ev.Request]; !l.attempts[ev.Attempt].inFlight {
 				continue // a cancel or an earlier outcome came first
 			}
 		}
 		evs = append(evs, p.ev)
 	}
-	w.future = rest
+	w.planned = rest
 	return evs
 }
 
-// note books events as the rules see them.
-func (w *world) note(evs []Event) {
+// observe books events as the rules see them.
+func (w *environment) observe(evs []Event) {
 	for i, ev := range evs {
 		switch ev := ev.(type) {
 		case ClientDisconnected:
-			w.all[ev.Request].ended = true
+			w.requests[ev.Request].ended = true
 		case FirstToken:
-			l := w.all[ev.Request]
-			l.started, l.held = true, false // the state was fetched
+			l := w.requests[ev.Request]
+			l.streaming, l.stateHeld = true, false // the state was fetched
 		case Outcome:
-			l := w.all[ev.Request]
-			a := &l.atts[ev.Attempt]
-			a.out = false
-			a.ran = a.write && (ev.Result == EngineError || ev.Result == TimedOut || ev.Result == ConnectionReset || ev.Result == Cancelled)
+			l := w.requests[ev.Request]
+			a := &l.attempts[ev.Attempt]
+			a.inFlight = false
+			a.mayHaveRun = a.decode && (ev.Result == EngineError || ev.Result == TimedOut || ev.Result == ConnectionReset || ev.Result == Cancelled)
 			switch {
 			case ev.Result == PrefillDone:
-				l.held, l.heldFrom = true, w.now
+				l.stateHeld, l.heldSince = true, w.now
 			case ev.Result == Served:
-				l.ended, l.held = true, false
+				l.ended, l.stateHeld = true, false
 			case ev.StateMissing:
-				l.held = false
+				l.stateHeld = false
 			case a.arrived: // what waited for it waits on
-				l.heldFrom = w.now
+				l.heldSince = w.now
 			}
 			a.arrived = false
-			if l.started {
+			if l.streaming {
 				l.ended = true
 			}
 			ev.RequestDone = l.ended
@@ -221,36 +221,36 @@
 	}
 }
 
-// waitedFor tells that an attempt is out which has reached a writer that runs: only such a one stops the clock of what is held, and
+// awaitedByDecode tells that an attempt is out which has reached a writer that runs: only such a one stops the clock of what is held, and
 // keeps it from a release.
-func (l *life) waitedFor() bool {
-	for _, a := range l.atts {
-		if a.out && a.arrived {
+func (l *requestRecord) awaitedByDecode() bool {
+	for _, a := range l.attempts {
+		if a.inFlight && a.arrived {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) act(acts []Action) {
+func (w *environment) apply(acts []Action) {
 	for _, a := range acts {
 		w.log = append(w.log, fmt.Sprintf("%d %+v", w.now, a))
 		switch a := a.(type) {
 		case Send:
 			w.send(a)
 		case Reject:
-			w.answer(a.Request, true)
+			w.recordAnswer(a.Request, true)
 		case Fail:
-			w.answer(a.Request, false)
+			w.recordAnswer(a.Request, false)
 		case ReleaseState:
-			if l := w.all[a.Request]; !l.waitedFor() {
-				l.held = false
+			if l := w.requests[a.Request]; !l.awaitedByDecode() {
+				l.stateHeld = false
 			}
 		case Cancel:
-			l := w.all[a.Request]
-			l.atts[a.Attempt].arrived = false // an engine drops at once what waits for its state
-			if l.atts[a.Attempt].out {
-				w.plan(ms, Outcome{Request: a.Request, Attempt: a.Attempt, Endpoint: l.atts[a.Attempt].server, Result: Cancelled})
+			l := w.requests[a.Request]
+			l.attempts[a.Attempt].arrived = false // an engine drops at once what waits for its state
+			if l.attempts[a.Attempt].inFlight {
+				w.plan(ms, Outcome{Request: a.Request, Attempt: a.Attempt, Endpoint: l.attempts[a.Attempt].endpoint, Result: Cancelled})
 			}
 		case SetTimer:
 			w.plan(a.After, Timer{Tag: a.Tag})
@@ -258,56 +258,56 @@
 	}
 }
 
-func (w *world) send(a Send) {
-	l := w.all[a.Request]
-	s := w.servers[a.Endpoint]
+func (w *environment) send(a Send) {
+	l := w.requests[a.Request]
+	s := w.endpoints[a.Endpoint]
 	if l == nil || l.ended {
 		w.fail("sent %d after its end", a.Request)
 	}
-	if from, ok := w.barred[a.Endpoint]; ok && w.now-from > w.set.DrainGrace {
+	if from, ok := w.notReadySince[a.Endpoint]; ok && w.now-from > w.config.DrainGrace {
 		w.fail("sent %d to server %d, told to stop at %v", a.Request, a.Endpoint, from)
 	}
-	if len(l.atts) >= w.set.MaxAttempts {
-		w.fail("request %d: attempt %d", a.Request, len(l.atts))
+	if len(l.attempts) >= w.config.MaxAttempts {
+		w.fail("request %d: attempt %d", a.Request, len(l.attempts))
 	}
-	for _, t := range l.atts {
-		if t.out {
+	for _, t := range l.attempts {
+		if t.inFlight {
 			w.fail("request %d has two attempts out", a.Request)
 		}
-		if !t.ran {
+		if !t.mayHaveRun {
 			continue
 		}
-		same := w.servers[t.server].Cell == s.Cell
-		if l.class.Idempotency == NotIdempotent || l.class.Idempotency == IdempotentWithKey && (!same || w.now-t.at > l.class.DedupWindow) {
+		same := w.endpoints[t.endpoint].Cell == s.Cell
+		if l.class.Idempotency == NotIdempotent || l.class.Idempotency == IdempotentWithKey && (!same || w.now-t.sentAt > l.class.DedupWindow) {
 			w.fail("request %d of class %s sent again to server %d", a.Request, l.class.Name, a.Endpoint)
 		}
 	}
-	w.cold(s)
-	write := w.set.Kinds[s.Kind].Role != RolePrefill
-	l.atts = append(l.atts, try{server: a.Endpoint, out: true, write: write, at: w.now})
+	w.checkSlowStart(s)
+	write := w.config.Kinds[s.Kind].Role != RolePrefill
+	l.attempts = append(l.attempts, attemptRecord{endpoint: a.Endpoint, inFlight: true, decode: write, sentAt: w.now})
 	w.outcome(a, l, write)
 }
 
-// cold checks that a server told to be cold gets one request a window where nothing is known of its peers' work, and
+// checkSlowStart checks that a server told to be cold gets one request a window where nothing is known of its peers' work, and
 // no more than warm peers' sends allow otherwise; a crude upper bound that a flood would break.
-func (w *world) cold(s Endpoint) {
-	if s.StartedAt == 0 || w.now-s.StartedAt > w.set.SlowStartFor {
+func (w *environment) checkSlowStart(s Endpoint) {
+	if s.StartedAt == 0 || w.now-s.StartedAt > w.config.SlowStartFor {
 		return
 	}
-	recent := w.sent[s.ID][:0]
-	for _, at := range w.sent[s.ID] {
-		if w.now-at < w.set.OverloadAfter {
+	recent := w.recentSends[s.ID][:0]
+	for _, at := range w.recentSends[s.ID] {
+		if w.now-at < w.config.OverloadAfter {
 			recent = append(recent, at)
 		}
 	}
-	w.sent[s.ID] = append(recent, w.now)
-	if len(w.sent[s.ID]) > 25 {
-		w.fail("cold server %d got %d sends in %v", s.ID, len(w.sent[s.ID]), w.set.OverloadAfter)
+	w.recentSends[s.ID] = append(recent, w.now)
+	if len(w.recentSends[s.ID]) > 25 {
+		w.fail("cold server %d got %d sends in %v", s.ID, len(w.recentSends[s.ID]), w.config.OverloadAfter)
 	}
 }
 
-func (w *world) outcome(a Send, l *life, write bool) {
-	o, begins := Outcome{Request: a.Request, Attempt: len(l.atts) - 1, Endpoint: a.Endpoint}, false
+func (w *environment) outcome(a Send, l *requestRecord, write bool) {
+	o, begins := Outcome{Request: a.Request, Attempt: len(l.attempts) - 1, Endpoint: a.Endpoint}, false
 	after := time.Duration(1+w.rnd.Intn(400)) * ms
 	switch k := w.rnd.Intn(21); {
 	case k < 13 && !write:
@@ -329,28 +329,28 @@
 			after = min(after, a.ConnectTimeout)
 		}
 	}
-	limit := l.req.Deadline - w.now
+	limit := l.request.Deadline - w.now
 	if a.Timeout > 0 && a.Timeout < limit {
 		limit = a.Timeout
 	}
 	if after > limit && !(o.Result == Served || o.Result == ConnectionReset && write) || after > time.Minute {
 		after, o.Result, o.StateMissing = max(limit, 0), TimedOut, false
 	} else if (o.Result == Served || o.Result == ConnectionReset) && after > limit {
-		l.atts[o.Attempt].arrived = write
+		l.attempts[o.Attempt].arrived = write
 		w.plan(limit+ms, Outcome{Request: o.Request, Attempt: o.Attempt, Endpoint: o.Endpoint, Result: TimedOut, Elapsed: limit})
-		w.future = dropFirst(w.future, o)
+		w.planned = dropFirst(w.planned, o)
 		return
 	}
-	l.atts[o.Attempt].arrived = write && (begins || arrives(o.Result))
+	l.attempts[o.Attempt].arrived = write && (begins || reachesEndpoint(o.Result))
 	o.Elapsed = after
 	w.plan(after, o)
 }
 
-// arrives tells of the end that is drawn for a write that it reached a writer which runs. A silent one, or one that breaks, never did.
-func arrives(r Result) bool { return r == Served || r == EngineError || r == Rejected }
+// reachesEndpoint tells of the end that is drawn for a write that it reached a writer which runs. A silent one, or one that breaks, never did.
+func reachesEndpoint(r Result) bool { return r == Served || r == EngineError || r == Rejected }
 
 // dropFirst takes back the First of an attempt that will time out.
-func dropFirst(ps []planned, o Outcome) []planned {
+func dropFirst(ps []plannedOutcome, o Outcome) []plannedOutcome {
 	for i, p := range ps {
 		if f, ok := p.ev.(FirstToken); ok && f.Request == o.Request && f.Attempt == o.Attempt {
 			return append(ps[:i], ps[i+1:]...)
@@ -359,41 +359,41 @@
 	return ps
 }
 
-func (w *world) answer(id RequestID, refused bool) {
-	l := w.all[id]
+func (w *environment) recordAnswer(id RequestID, refused bool) {
+	l := w.requests[id]
 	if l.ended {
 		w.fail("request %d answered twice", id)
 	}
 	l.ended = true
-	for _, t := range l.atts {
-		risky := t.write && (t.out || t.ran)
+	for _, t := range l.attempts {
+		risky := t.decode && (t.inFlight || t.mayHaveRun)
 		if refused && risky && l.class.Idempotency != Idempotent {
 			w.fail("request %d of class %s refused though it may have run", id, l.class.Name)
 		}
 	}
 }
 
-// check holds the clock against what is owed and what is held.
-func (w *world) check() {
-	for id, l := range w.open {
-		if !l.ended && !l.started && w.now > l.req.Deadline+25*ms {
+// checkRules holds the clock against what is owed and what is held.
+func (w *environment) checkRules() {
+	for id, l := range w.unsettled {
+		if !l.ended && !l.streaming && w.now > l.request.Deadline+25*ms {
 			w.fail("request %d not answered by its time", id)
 		}
 		out := false
-		for _, t := range l.atts {
-			out = out || t.out
+		for _, t := range l.attempts {
+			out = out || t.inFlight
 		}
-		if l.held && !l.waitedFor() && w.now-l.heldFrom > w.set.StateTTL {
+		if l.stateHeld && !l.awaitedByDecode() && w.now-l.heldSince > w.config.StateTTL {
 			w.fail("request %d keeps its state, and no write has arrived", id)
 		}
-		if l.ended && !l.held && !out {
-			delete(w.open, id)
+		if l.ended && !l.stateHeld && !out {
+			delete(w.unsettled, id)
 		}
 	}
 }
 
-func ruleSettings() Config {
-	s := testSettings()
+func ruleConfig() Config {
+	s := testConfig()
 	s.Replicas, s.DrainGrace, s.StateTTL = 2, 0, 300*ms
 	s.Tenants = []Tenant{{QuotaPerS: 10}, {QuotaPerS: 3}, {QuotaPerS: 0}}
 	return s
@@ -403,10 +403,10 @@
 	for seed := int64(1); seed <= 60; seed++ {
 		for _, arrivals := range []float64{0.05, 0.4} {
 			t.Run(fmt.Sprintf("seed %d at %.2f", seed, arrivals), func(t *testing.T) {
-				set := ruleSettings()
+				set := ruleConfig()
 				set.CanCancel = seed%2 == 0
 				set.DecodeCanPrefill = seed%3 == 0
-				newWorld(t, set, seed, 2+int(seed)%9).run(2500, arrivals)
+				newEnvironment(t, set, seed, 2+int(seed)%9).run(2500, arrivals)
 			})
 		}
 	}
@@ -415,7 +415,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	logs := make([][]string, 2)
 	for i := range logs {
-		w := newWorld(t, ruleSettings(), 42, 8)
+		w := newEnvironment(t, ruleConfig(), 42, 8)
 		w.run(3000, 0.3)
 		logs[i] = w.log
 	}
@@ -428,9 +428,9 @@
 }
 
 func TestInstancesDoNotTouchEachOther(t *testing.T) {
-	alone := newWorld(t, ruleSettings(), 5, 6)
+	alone := newEnvironment(t, ruleConfig(), 5, 6)
 	alone.run(1500, 0.3)
-	a, b := newWorld(t, ruleSettings(), 5, 6), newWorld(t, ruleSettings(), 6, 6)
+	a, b := newEnvironment(t, ruleConfig(), 5, 6), newEnvironment(t, ruleConfig(), 6, 6)
 	b.run(700, 0.3)
 	a.run(1500, 0.3)
 	if !reflect.DeepEqual(alone.log, a.log) {
@@ -441,31 +441,31 @@
 // TestClientsOwnRepeats: a repeat that a client makes by itself may follow a lost answer. That of an unsafe request is
 // failed at once and never sent; others go their way. A refusal of an unsafe request tells the client not to repeat.
 func TestClientsOwnRepeats(t *testing.T) {
-	s := testSettings()
+	s := testConfig()
 	for class, c := range s.Classes {
-		g := newRig(t, s, reader(1), writer(2))
-		q := g.request(1, class, 500)
+		h := newHarness(t, s, prefillEndpoint(1), decodeEndpoint(2))
+		q := h.request(1, class, 500)
 		q.PossibleDuplicate = true
-		acts := g.step(q)
-		fails, sends := pick[Fail](acts), pick[Send](acts)
+		acts := h.step(q)
+		fails, sends := actionsOf[Fail](acts), actionsOf[Send](acts)
 		if c.Idempotency == NotIdempotent != (len(fails) == 1 && fails[0].PossibleDuplicate) || c.Idempotency == NotIdempotent == (len(sends) == 1) {
 			t.Errorf("%s: %+v", c.Name, acts)
 		}
-		if c.Idempotency == NotIdempotent && len(g.r.requests) != 0 {
+		if c.Idempotency == NotIdempotent && len(h.router.requests) != 0 {
 			t.Errorf("%s: it is remembered after its answer", c.Name)
 		}
-		g = newRig(t, s, reader(1)) // nothing writes
-		acts = g.step(g.request(2, class, 500))
+		h = newHarness(t, s, prefillEndpoint(1)) // nothing writes
+		acts = h.step(h.request(2, class, 500))
 		for range 1000 {
-			if r := pick[Reject](acts); len(r) == 1 {
+			if r := actionsOf[Reject](acts); len(r) == 1 {
 				if r[0].NoAutoRetry != (c.Idempotency == NotIdempotent) {
 					t.Errorf("%s: %+v", c.Name, r[0])
 				}
 				break
 			}
-			acts = g.after(20 * ms)
+			acts = h.advance(20 * ms)
 		}
-		if len(g.r.requests) != 0 {
+		if len(h.router.requests) != 0 {
 			t.Errorf("%s: never refused", c.Name)
 		}
 	}
@@ -474,37 +474,37 @@
 // TestServerChangesKind: a reader becomes a writer while reads of its old role are out and its state waits for a writer.
 // What is out ends as it would have, nothing new is read there, and its books come out even.
 func TestServerChangesKind(t *testing.T) {
-	g := newRig(t, testSettings(), reader(1), writer(2))
+	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
 	for id := RequestID(1); id <= 3; id++ {
-		if s := pick[Send](g.step(g.request(id, 0, 500))); len(s) != 1 || s[0].Endpoint != 1 {
+		if s := actionsOf[Send](h.step(h.request(id, 0, 500))); len(s) != 1 || s[0].Endpoint != 1 {
 			t.Fatalf("%v", s)
 		}
 	}
-	acts := g.step(Outcome{Request: 1, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
-	if s := pick[Send](acts); len(s) != 1 || s[0].Endpoint != 2 {
+	acts := h.step(Outcome{Request: 1, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
+	if s := actionsOf[Send](acts); len(s) != 1 || s[0].Endpoint != 2 {
 		t.Fatalf("%v", acts)
 	}
-	draining := reader(1)
+	draining := prefillEndpoint(1)
 	draining.State = EndpointDraining
-	g.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{draining, reader(3)}})
-	turned := writer(1)
-	turned.StartedAt = g.now
-	g.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{turned}})
-	if s := pick[Send](g.step(g.request(4, 0, 500))); len(s) != 1 || s[0].Endpoint != 3 {
+	h.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{draining, prefillEndpoint(3)}})
+	turned := decodeEndpoint(1)
+	turned.StartedAt = h.now
+	h.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{turned}})
+	if s := actionsOf[Send](h.step(h.request(4, 0, 500))); len(s) != 1 || s[0].Endpoint != 3 {
 		t.Errorf("a prompt goes to %v", s)
 	}
 	for id := RequestID(2); id <= 3; id++ { // these were read before it changed
-		acts := g.step(Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 30 * ms})
-		if s := pick[Send](acts); len(s) != 1 || s[0].Endpoint == 3 {
+		acts := h.step(Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 30 * ms})
+		if s := actionsOf[Send](acts); len(s) != 1 || s[0].Endpoint == 3 {
 			t.Errorf("the state read at the changed server goes to %v", acts)
 		}
 	}
 	for id := RequestID(1); id <= 3; id++ {
-		to := g.r.requests[id].attempts[1].backend.ID
-		g.step(FirstToken{Request: id, Attempt: 1, Endpoint: to, Elapsed: 20 * ms})
-		g.step(Outcome{Request: id, Attempt: 1, Endpoint: to, Result: Served, RequestDone: true, Elapsed: 50 * ms})
+		to := h.router.requests[id].attempts[1].backend.ID
+		h.step(FirstToken{Request: id, Attempt: 1, Endpoint: to, Elapsed: 20 * ms})
+		h.step(Outcome{Request: id, Attempt: 1, Endpoint: to, Result: Served, RequestDone: true, Elapsed: 50 * ms})
 	}
-	if s := g.r.backends.byID[1]; s.load.attempts != 0 || s.load.memory != 0 || s.load.uncached != 0 || s.silence.unanswered != 0 || s.role != RoleDecode {
+	if s := h.router.backends.byID[1]; s.load.attempts != 0 || s.load.memory != 0 || s.load.uncached != 0 || s.silence.unanswered != 0 || s.role != RoleDecode {
 		t.Errorf("%d out, %.0f tokens, %.0f unread, %d waiting at a server with nothing to do", s.load.attempts, s.load.memory, s.load.uncached, s.silence.unanswered)
 	}
 }
--- a/routing/scale_test.go
+++ b/routing/scale_test.go
@@ -7,79 +7,79 @@
 	"time"
 )
 
-// fleet runs many Routers over the same servers and counts what all of them send to each.
-type fleet struct {
-	rnd  *rand.Rand
-	rigs []*rig
-	sent map[EndpointID]int
-	next RequestID
-	kind map[EndpointID]Role
-	bad  map[EndpointID]bool // these fail or turn away every other attempt, so that further ones follow
-	more int                 // further attempts, beyond a read and a write
+// replicaGroup runs many Routers over the same servers and counts what all of them send to each.
+type replicaGroup struct {
+	rnd       *rand.Rand
+	harnesses []*harness
+	sends     map[EndpointID]int
+	nextID    RequestID
+	roles     map[EndpointID]Role
+	failing   map[EndpointID]bool // these fail or turn away every other attempt, so that further ones follow
+	retries   int                 // further attempts, beyond a read and a write
 }
 
-func newFleet(t *testing.T, s Config, fronts int, servers []Endpoint) *fleet {
+func newReplicaGroup(t *testing.T, config Config, replicas int, listed []Endpoint) *replicaGroup {
 	t.Helper()
-	f := &fleet{rnd: rand.New(rand.NewSource(int64(fronts))), sent: map[EndpointID]int{}, kind: map[EndpointID]Role{}}
-	s.Replicas = fronts
-	for _, e := range servers {
-		f.kind[e.ID] = s.Kinds[e.Kind].Role
+	f := &replicaGroup{rnd: rand.New(rand.NewSource(int64(replicas))), sends: map[EndpointID]int{}, roles: map[EndpointID]Role{}}
+	config.Replicas = replicas
+	for _, e := range listed {
+		f.roles[e.ID] = config.Kinds[e.Kind].Role
 	}
-	for i := range fronts {
-		r, err := New(s, uint64(1000+i))
+	for i := range replicas {
+		r, err := New(config, uint64(1000+i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, r: r, now: time.Minute}
-		g.step(EndpointList{Scope: ListCached, Endpoints: servers})
-		f.rigs = append(f.rigs, g)
+		h := &harness{t: t, router: r, now: time.Minute}
+		h.step(EndpointList{Scope: ListCached, Endpoints: listed})
+		f.harnesses = append(f.harnesses, h)
 	}
 	return f
 }
 
 // play sends n requests, spread over d and over random fronts; each read and each answer ends well at once.
-func (f *fleet) play(n int, d time.Duration, prefix func() uint64) (refused int) {
+func (f *replicaGroup) play(n int, d time.Duration, prefix func() uint64) (refused int) {
 	for i := range n {
-		g := f.rigs[f.rnd.Intn(len(f.rigs))]
-		g.now = max(g.now, time.Minute+time.Duration(i)*d/time.Duration(n))
-		f.next++
-		q := g.request(f.next, 0, 1500)
+		h := f.harnesses[f.rnd.Intn(len(f.harnesses))]
+		h.now = max(h.now, time.Minute+time.Duration(i)*d/time.Duration(n))
+		f.nextID++
+		q := h.request(f.nextID, 0, 1500)
 		q.Prefix = prefix()
-		acts := g.step(q)
+		acts := h.step(q)
 		for a := 0; ; a++ {
-			sends := pick[Send](acts)
+			sends := actionsOf[Send](acts)
 			if len(sends) == 0 {
-				refused += len(pick[Reject](acts))
-				acts = g.step(ClientDisconnected{f.next})
+				refused += len(actionsOf[Reject](acts))
+				acts = h.step(ClientDisconnected{f.nextID})
 				break
 			}
-			f.sent[sends[0].Endpoint]++
-			if f.bad[sends[0].Endpoint] && f.rnd.Intn(2) == 0 {
-				f.more++
-				acts = g.step(Outcome{Request: f.next, Attempt: a, Endpoint: sends[0].Endpoint, Result: []Result{EngineError, Rejected, ConnectionReset}[f.rnd.Intn(3)], Elapsed: 10 * ms})
+			f.sends[sends[0].Endpoint]++
+			if f.failing[sends[0].Endpoint] && f.rnd.Intn(2) == 0 {
+				f.retries++
+				acts = h.step(Outcome{Request: f.nextID, Attempt: a, Endpoint: sends[0].Endpoint, Result: []Result{EngineError, Rejected, ConnectionReset}[f.rnd.Intn(3)], Elapsed: 10 * ms})
 				continue
 			}
-			if f.kind[sends[0].Endpoint] == RolePrefill {
-				acts = g.step(Outcome{Request: f.next, Attempt: a, Endpoint: sends[0].Endpoint, Result: PrefillDone, Elapsed: 20 * ms})
+			if f.roles[sends[0].Endpoint] == RolePrefill {
+				acts = h.step(Outcome{Request: f.nextID, Attempt: a, Endpoint: sends[0].Endpoint, Result: PrefillDone, Elapsed: 20 * ms})
 				continue
 			}
-			g.step(FirstToken{Request: f.next, Attempt: a, Endpoint: sends[0].Endpoint, Elapsed: 20 * ms})
-			g.step(Outcome{Request: f.next, Attempt: a, Endpoint: sends[0].Endpoint, Result: Served, RequestDone: true, Elapsed: 50 * ms})
+			h.step(FirstToken{Request: f.nextID, Attempt: a, Endpoint: sends[0].Endpoint, Elapsed: 20 * ms})
+			h.step(Outcome{Request: f.nextID, Attempt: a, Endpoint: sends[0].Endpoint, Result: Served, RequestDone: true, Elapsed: 50 * ms})
 			break
 		}
 	}
 	return refused
 }
 
-func pool(readers, writers int) []Endpoint {
+func endpoints(prefills, decodes int) []Endpoint {
 	var out []Endpoint
-	for i := range readers {
-		s := reader(EndpointID(100 + i))
+	for i := range prefills {
+		s := prefillEndpoint(EndpointID(100 + i))
 		s.Cell = i / 4
 		out = append(out, s)
 	}
-	for i := range writers {
-		s := writer(EndpointID(500 + i))
+	for i := range decodes {
+		s := decodeEndpoint(EndpointID(500 + i))
 		s.Cell = i / 4
 		out = append(out, s)
 	}
@@ -98,46 +98,46 @@
 			"hot home":   nil, // the reader of a prefix that most requests share
 		} {
 			t.Run(fmt.Sprintf("%d fronts, %s", fronts, name), func(t *testing.T) {
-				servers, colds := pool(12, 24), 0
-				s := testSettings()
-				f := newFleet(t, s, fronts, servers)
+				servers, colds := endpoints(12, 24), 0
+				s := testConfig()
+				f := newReplicaGroup(t, s, fronts, servers)
 				prefix := func() uint64 { return uint64(f.rnd.Intn(200)) }
 				f.play(2400, 30*time.Second, prefix)
 				if cold == nil {
-					f.sent, prefix = map[EndpointID]int{}, func() uint64 { return 7 }
+					f.sends, prefix = map[EndpointID]int{}, func() uint64 { return 7 }
 					f.play(100, 0, prefix)
 					home := 0
 					for i := range 12 {
-						if f.sent[servers[i].ID] > f.sent[servers[home].ID] {
+						if f.sends[servers[i].ID] > f.sends[servers[home].ID] {
 							home = i
 						}
 					}
 					cold = func(i int) bool { return i == home }
 				}
-				f.sent = map[EndpointID]int{}
+				f.sends = map[EndpointID]int{}
 				for i := range servers {
 					if cold(i) {
 						servers[i].StartedAt = time.Minute + 30*time.Second
 						colds++
 					}
 				}
-				for _, g := range f.rigs {
-					g.now = time.Minute + 30*time.Second
-					g.step(EndpointList{Scope: ListFull, Endpoints: servers})
+				for _, h := range f.harnesses {
+					h.now = time.Minute + 30*time.Second
+					h.step(EndpointList{Scope: ListFull, Endpoints: servers})
 				}
-				f.play2(240, 30*time.Second, s.OverloadAfter*2, prefix)
+				f.playFrom(240, 30*time.Second, s.OverloadAfter*2, prefix)
 				total := 0
 				for i, e := range servers {
 					if !cold(i) {
 						continue
 					}
-					total += f.sent[e.ID]
+					total += f.sends[e.ID]
 					even := 240.0 / 12
-					if f.kind[e.ID] == RoleDecode {
+					if f.roles[e.ID] == RoleDecode {
 						even = 240.0 / 24
 					}
-					if limit := s.OverloadFactor * 0.4 * even; float64(f.sent[e.ID]) > limit {
-						t.Errorf("cold server %d got %d sends, %.0f at most", e.ID, f.sent[e.ID], limit)
+					if limit := s.OverloadFactor * 0.4 * even; float64(f.sends[e.ID]) > limit {
+						t.Errorf("cold server %d got %d sends, %.0f at most", e.ID, f.sends[e.ID], limit)
 					}
 				}
 				if colds > 1 && total == 0 {
@@ -148,15 +148,15 @@
 	}
 }
 
-// play2 plays n requests over d, from on.
-func (f *fleet) play2(n int, from, d time.Duration, prefix func() uint64) {
-	for _, g := range f.rigs {
-		g.now = time.Minute + from
+// playFrom plays n requests over d, from on.
+func (f *replicaGroup) playFrom(n int, from, d time.Duration, prefix func() uint64) {
+	for _, h := range f.harnesses {
+		h.now = time.Minute + from
 	}
 	for i := range n {
 		at := time.Minute + from + time.Duration(i)*d/time.Duration(n)
-		for _, g := range f.rigs {
-			g.now = max(g.now, at)
+		for _, h := range f.harnesses {
+			h.now = max(h.now, at)
 		}
 		f.play(1, 0, prefix)
 	}
@@ -165,23 +165,23 @@
 // TestTiesLeaveACellOfReaders: three quarters of the readers stand in a cell with a quarter of the writers. With a
 // stream in hand here and there all writers tie, and the cell's writers must not get most of the answers.
 func TestTiesLeaveACellOfReaders(t *testing.T) {
-	servers := pool(8, 8)
+	servers := endpoints(8, 8)
 	for i := range servers[:8] {
 		servers[i].Cell = i / 6
 	}
 	for i := range servers[8:] {
-		servers[8+i].Cell = b2i(i >= 2)
+		servers[8+i].Cell = boolToInt(i >= 2)
 	}
-	f := newFleet(t, testSettings(), 200, servers)
+	f := newReplicaGroup(t, testConfig(), 200, servers)
 	f.play(1600, 20*time.Second, func() uint64 { return uint64(f.rnd.Intn(400)) })
 	for _, e := range servers[8:] {
-		if n := f.sent[e.ID]; n < 100 || n > 300 {
+		if n := f.sends[e.ID]; n < 100 || n > 300 {
 			t.Errorf("writer %d of cell %d got %d of 1600 answers, 200 would be even", e.ID, e.Cell, n)
 		}
 	}
 }
 
-func b2i(v bool) int {
+func boolToInt(v bool) int {
 	if v {
 		return 1
 	}
@@ -192,7 +192,7 @@
 // few readers would crowd them, while a prefix of few requests keeps to few readers.
 func TestPopularPrefixIsSpread(t *testing.T) {
 	for _, fronts := range []int{4, 100} {
-		f := newFleet(t, testSettings(), fronts, pool(30, 10))
+		f := newReplicaGroup(t, testConfig(), fronts, endpoints(30, 10))
 		f.play(fronts*30, 30*time.Second, func() uint64 {
 			if f.rnd.Intn(2) == 0 {
 				return 7
@@ -200,11 +200,11 @@
 			return uint64(100 + f.rnd.Intn(300))
 		})
 		readers := func(n int, key uint64) (most, used int) {
-			f.sent = map[EndpointID]int{}
+			f.sends = map[EndpointID]int{}
 			f.play(n, 0, func() uint64 { return key })
-			for id, got := range f.sent {
-				if f.kind[id] == RolePrefill {
-					most, used = max(most, got), used+b2i(got > 0)
+			for id, got := range f.sends {
+				if f.roles[id] == RolePrefill {
+					most, used = max(most, got), used+boolToInt(got > 0)
 				}
 			}
 			return most, used
@@ -221,27 +221,27 @@
 // TestLateAnswersRefuseOnArrival: while first tokens come after their aim a part of new requests is refused at once,
 // and it ends when they come in time again. Refusals carry a wait.
 func TestLateAnswersRefuseOnArrival(t *testing.T) {
-	g := newRig(t, testSettings(), reader(1), writer(2))
+	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
 	id := RequestID(0)
 	play := func(n int, took time.Duration) (refused int) {
 		for range n {
 			id++
-			q := g.request(id, 0, 500)
+			q := h.request(id, 0, 500)
 			q.Session, q.Prefix = 1, 1
-			acts := g.after(300*ms, q)
-			if rs := pick[Reject](acts); len(rs) > 0 {
+			acts := h.advance(300*ms, q)
+			if rs := actionsOf[Reject](acts); len(rs) > 0 {
 				if rs[0].RetryAfter <= 0 {
 					t.Fatal("refused with no advice")
 				}
 				refused++
 				continue
 			}
-			acts = g.after(20*ms, Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
-			if len(pick[Send](acts)) == 0 {
+			acts = h.advance(20*ms, Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
+			if len(actionsOf[Send](acts)) == 0 {
 				t.Fatalf("read and not sent on: %+v", acts)
 			}
-			g.after(took, FirstToken{Request: id, Attempt: 1, Endpoint: 2, Elapsed: took})
-			g.after(ms, Outcome{Request: id, Attempt: 1, Endpoint: 2, Result: Served, RequestDone: true, Elapsed: took})
+			h.advance(took, FirstToken{Request: id, Attempt: 1, Endpoint: 2, Elapsed: took})
+			h.advance(ms, Outcome{Request: id, Attempt: 1, Endpoint: 2, Result: Served, RequestDone: true, Elapsed: took})
 		}
 		return refused
 	}
@@ -258,14 +258,14 @@
 }
 
 func benchmarkStep(b *testing.B, readers, writers int) {
-	s := testSettings()
+	s := testConfig()
 	s.Replicas = 300
 	r, err := New(s, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := time.Minute
-	r.Step(now, []Event{EndpointList{Scope: ListFull, Endpoints: pool(readers, writers)}})
+	r.Step(now, []Event{EndpointList{Scope: ListFull, Endpoints: endpoints(readers, writers)}})
 	for i := range b.N {
 		now += 20 * ms
 		id := RequestID(i + 1)
@@ -279,44 +279,44 @@
 
 // TestOneFailureIsEnoughWhereNewsIsSparse: a front that sees a writer twice a minute goes elsewhere after one error.
 func TestOneFailureIsEnoughWhereNewsIsSparse(t *testing.T) {
-	g := newRig(t, testSettings(), reader(1), writer(2), writer(3))
-	g.after(30 * time.Second)
-	acts := g.step(g.request(1, 0, 500))
-	acts = g.after(20*ms, Outcome{Request: 1, Endpoint: one[Send](t, acts).Endpoint, Result: PrefillDone, Elapsed: 20 * ms})
-	bad := one[Send](t, acts).Endpoint
-	g.after(20*ms, Outcome{Request: 1, Attempt: 1, Endpoint: bad, Result: EngineError, Elapsed: 20 * ms})
-	g.after(20*ms, Outcome{Request: 1, Attempt: 2, Endpoint: 5 - bad, Result: Served, RequestDone: true, Elapsed: 20 * ms})
+	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3))
+	h.advance(30 * time.Second)
+	acts := h.step(h.request(1, 0, 500))
+	acts = h.advance(20*ms, Outcome{Request: 1, Endpoint: onlyAction[Send](t, acts).Endpoint, Result: PrefillDone, Elapsed: 20 * ms})
+	bad := onlyAction[Send](t, acts).Endpoint
+	h.advance(20*ms, Outcome{Request: 1, Attempt: 1, Endpoint: bad, Result: EngineError, Elapsed: 20 * ms})
+	h.advance(20*ms, Outcome{Request: 1, Attempt: 2, Endpoint: 5 - bad, Result: Served, RequestDone: true, Elapsed: 20 * ms})
 	for id := RequestID(2); id < 8; id++ {
-		acts = g.after(time.Second, g.request(id, 0, 500))
-		acts = g.after(20*ms, Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
-		if s := one[Send](t, acts).Endpoint; s == bad {
+		acts = h.advance(time.Second, h.request(id, 0, 500))
+		acts = h.advance(20*ms, Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
+		if s := onlyAction[Send](t, acts).Endpoint; s == bad {
 			t.Fatalf("request %d went to the writer that failed", id)
 		}
-		g.after(20*ms, Outcome{Request: id, Attempt: 1, Endpoint: 5 - bad, Result: Served, RequestDone: true, Elapsed: 20 * ms})
+		h.advance(20*ms, Outcome{Request: id, Attempt: 1, Endpoint: 5 - bad, Result: Served, RequestDone: true, Elapsed: 20 * ms})
 	}
 }
 
 // TestClassFailureKeepsTheServerForOthers: a writer that fails one class is asked last for it and still serves others.
 func TestClassFailureKeepsTheServerForOthers(t *testing.T) {
-	s := testSettings()
+	s := testConfig()
 	s.Classes[1].Idempotency = Idempotent
-	g := newRig(t, s, reader(1), writer(2), writer(3))
+	h := newHarness(t, s, prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3))
 	used := map[int]int{}
 	for id := RequestID(1); id <= 80; id++ {
 		class := int(id % 2)
-		acts := g.after(200*ms, g.request(id, class, 500))
-		acts = g.after(20*ms, Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
+		acts := h.advance(200*ms, h.request(id, class, 500))
+		acts = h.advance(20*ms, Outcome{Request: id, Endpoint: 1, Result: PrefillDone, Elapsed: 20 * ms})
 		for a := 1; ; a++ {
-			to := one[Send](t, acts).Endpoint
+			to := onlyAction[Send](t, acts).Endpoint
 			if to == 2 && id > 20 {
 				used[class]++
 			}
 			if to == 2 && class == 1 {
-				acts = g.after(20*ms, Outcome{Request: id, Attempt: a, Endpoint: to, Result: EngineError, Elapsed: 20 * ms})
+				acts = h.advance(20*ms, Outcome{Request: id, Attempt: a, Endpoint: to, Result: EngineError, Elapsed: 20 * ms})
 				continue
 			}
-			g.after(20*ms, FirstToken{Request: id, Attempt: a, Endpoint: to, Elapsed: 20 * ms})
-			g.after(20*ms, Outcome{Request: id, Attempt: a, Endpoint: to, Result: Served, RequestDone: true, Elapsed: 40 * ms})
+			h.advance(20*ms, FirstToken{Request: id, Attempt: a, Endpoint: to, Elapsed: 20 * ms})
+			h.advance(20*ms, Outcome{Request: id, Attempt: a, Endpoint: to, Result: Served, RequestDone: true, Elapsed: 40 * ms})
 			break
 		}
 	}
@@ -328,12 +328,12 @@
 // TestSmallTenantIsNotShutOut: with 300 fronts a tenant's rate at one front is far below one; its requests are inside
 // its share all the same, until it sends more.
 func TestSmallTenantIsNotShutOut(t *testing.T) {
-	s := testSettings()
+	s := testConfig()
 	s.Replicas, s.Tenants = 300, []Tenant{{QuotaPerS: 3}}
-	g := newRig(t, s, reader(1), writer(2))
+	h := newHarness(t, s, prefillEndpoint(1), decodeEndpoint(2))
 	for id := RequestID(1); id <= 4; id++ {
-		g.after(ms, g.request(id, 0, 500))
-		if over := g.r.requests[id].queued.overQuota; over != (id > 2) {
+		h.advance(ms, h.request(id, 0, 500))
+		if over := h.router.requests[id].queued.overQuota; over != (id > 2) {
 			t.Fatalf("request %d: over its share %v", id, over)
 		}
 	}
@@ -341,10 +341,10 @@
 
 // TestListWithAStartAhead: a start in the future counts as just started.
 func TestListWithAStartAhead(t *testing.T) {
-	e := writer(2)
+	e := decodeEndpoint(2)
 	e.StartedAt = 2 * time.Hour
-	g := newRig(t, testSettings(), reader(1), e)
-	if p := g.r.presentCapacity(g.r.backends.byID[2]); p != 0.25 {
+	h := newHarness(t, testConfig(), prefillEndpoint(1), e)
+	if p := h.router.presentCapacity(h.router.backends.byID[2]); p != 0.25 {
 		t.Fatalf("present part %v", p)
 	}
 }
@@ -352,27 +352,27 @@
 // TestRefusalsInAStormCountAsLate: readers that turn everything away at once are too much work too; requests that end
 // with no answer long before their aim must raise the part refused on arrival, not lower it.
 func TestRefusalsInAStormCountAsLate(t *testing.T) {
-	g := newRig(t, testSettings(), reader(1), reader(3), writer(2))
+	h := newHarness(t, testConfig(), prefillEndpoint(1), prefillEndpoint(3), decodeEndpoint(2))
 	sent := 0
 	for id := RequestID(1); id <= 60; id++ {
-		acts := g.after(200*ms, g.request(id, 0, 500))
+		acts := h.advance(200*ms, h.request(id, 0, 500))
 		for a := 0; ; a++ {
-			sends := pick[Send](acts)
+			sends := actionsOf[Send](acts)
 			if len(sends) == 0 {
-				g.step(ClientDisconnected{id})
+				h.step(ClientDisconnected{id})
 				break
 			}
 			if id > 40 {
 				sent++
 			}
-			acts = g.after(ms, Outcome{Request: id, Attempt: a, Endpoint: sends[0].Endpoint, Result: Rejected, Elapsed: ms})
-			if a < 3 && len(pick[Reject](acts)) == 0 {
-				acts = append(acts, g.after(160*ms)...)
+			acts = h.advance(ms, Outcome{Request: id, Attempt: a, Endpoint: sends[0].Endpoint, Result: Rejected, Elapsed: ms})
+			if a < 3 && len(actionsOf[Reject](acts)) == 0 {
+				acts = append(acts, h.advance(160*ms)...)
 			}
 		}
 	}
-	if g.r.admission.shedder.fraction < 0.3 || sent > 60 {
-		t.Fatalf("part refused on arrival %.2f, %d attempts of the last 20 requests", g.r.admission.shedder.fraction, sent)
+	if h.router.admission.shedder.fraction < 0.3 || sent > 60 {
+		t.Fatalf("part refused on arrival %.2f, %d attempts of the last 20 requests", h.router.admission.shedder.fraction, sent)
 	}
 }
 
@@ -387,22 +387,22 @@
 // tenant's share are refused more, by no more than maxShedBias times, and none is refused while nothing is late.
 func TestLittleWorthForItsWorkIsRefusedFirst(t *testing.T) {
 	refused := func(byWork bool, shed float64, change func(q *Request, i int)) [2]int {
-		set := testSettings()
+		set := testConfig()
 		set.WeightByWork, set.OverQuotaWeight = byWork, 0.1
 		set.Classes[1].Idempotency = Idempotent // of twice the worth
 		set.Tenants = []Tenant{{QuotaPerS: 1}, {}}
-		g := newRig(t, set, reader(1), writer(2))
+		h := newHarness(t, set, prefillEndpoint(1), decodeEndpoint(2))
 		var n [2]int
 		for i := range 4000 {
-			q := g.request(RequestID(i+1), 0, 600)
+			q := h.request(RequestID(i+1), 0, 600)
 			q.PrefixTokens, q.Tenant = 0, 1
 			change(&q, i%2)
-			g.r.admission.shedder.fraction = shed
-			for range pick[Reject](g.step(q)) {
+			h.router.admission.shedder.fraction = shed
+			for range actionsOf[Reject](h.step(q)) {
 				n[i%2]++
 			}
-			g.step(ClientDisconnected{Request: q.ID})
-			g.now += ms
+			h.step(ClientDisconnected{Request: q.ID})
+			h.now += ms
 		}
 		return n
 	}
@@ -442,15 +442,15 @@
 func TestRefusingEndsWithinItsTime(t *testing.T) {
 	for _, rate := range []float64{1 / 3., 2, 10, 200} {
 		gap := time.Duration(float64(time.Second) / rate)
-		g := newRig(t, testSettings(), reader(1), writer(2))
-		g.r.admission.shedder.fraction, g.r.admission.shedder.updatedAt = maxShedFraction, g.now
+		h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
+		h.router.admission.shedder.fraction, h.router.admission.shedder.updatedAt = maxShedFraction, h.now
 		id, took := RequestID(0), time.Duration(0)
-		for ; g.r.admission.shedder.fraction > 0 && took < time.Minute; took += gap {
+		for ; h.router.admission.shedder.fraction > 0 && took < time.Minute; took += gap {
 			id++
-			q := &request{Request: g.request(id, 0, 500), class: &g.r.config.Classes[0], arrivedAt: g.now}
-			g.now += gap
-			g.r.now = g.now
-			g.r.admission.shedder.observe(g.now, q.class, false)
+			q := &request{Request: h.request(id, 0, 500), class: &h.router.config.Classes[0], arrivedAt: h.now}
+			h.now += gap
+			h.router.now = h.now
+			h.router.admission.shedder.observe(h.now, q.class, false)
 		}
 		if took > 3500*ms+gap {
 			t.Errorf("%.2f answers a second: refusing ends after %v", rate, took)
@@ -462,24 +462,24 @@
 // turning work away, and do so afterwards; a state that was gone says nothing of queues.
 func TestNothingMoreIsAdmittedWhileQueuesAreFull(t *testing.T) {
 	for _, noState := range []bool{false, true} {
-		g := newRig(t, testSettings(), reader(1), reader(4), writer(2))
-		s := one[Send](t, g.step(g.request(1, 0, 500)))
+		h := newHarness(t, testConfig(), prefillEndpoint(1), prefillEndpoint(4), decodeEndpoint(2))
+		s := onlyAction[Send](t, h.step(h.request(1, 0, 500)))
 		if noState {
-			s = one[Send](t, g.after(ms, Outcome{Request: 1, Endpoint: s.Endpoint, Result: PrefillDone, Elapsed: ms}))
+			s = onlyAction[Send](t, h.advance(ms, Outcome{Request: 1, Endpoint: s.Endpoint, Result: PrefillDone, Elapsed: ms}))
 		}
-		g.after(ms, Outcome{Request: 1, Attempt: b2i(noState), Endpoint: s.Endpoint, Result: Rejected, StateMissing: noState, Elapsed: ms})
-		g.r.admission.shedder.fraction = 0.5
+		h.advance(ms, Outcome{Request: 1, Attempt: boolToInt(noState), Endpoint: s.Endpoint, Result: Rejected, StateMissing: noState, Elapsed: ms})
+		h.router.admission.shedder.fraction = 0.5
 		inTime := func() float64 {
-			q := &request{Request: g.request(9, 0, 500), class: &g.r.config.Classes[0], arrivedAt: g.now}
-			g.now += 200 * ms
-			g.r.now = g.now
-			g.r.admission.shedder.observe(g.now, q.class, false)
-			return g.r.admission.shedder.fraction
+			q := &request{Request: h.request(9, 0, 500), class: &h.router.config.Classes[0], arrivedAt: h.now}
+			h.now += 200 * ms
+			h.router.now = h.now
+			h.router.admission.shedder.observe(h.now, q.class, false)
+			return h.router.admission.shedder.fraction
 		}
 		if shed := inTime(); (shed == 0.5) == noState {
 			t.Errorf("no state %v: part refused %.2f of 0.5 after an answer in time", noState, shed)
 		}
-		g.now += rejectionHold
+		h.now += rejectionHold
 		if shed := inTime(); shed >= 0.5 {
 			t.Errorf("no state %v: still %.2f after %v", noState, shed, rejectionHold)
 		}
@@ -501,29 +501,29 @@
 		{20, 20, 15, 0.2, 1, 0.06, 0.09},  // by writing: 1.8 of 21.8
 		{75, 10, 15, 0.02, 1, 0.01, 0.03}, // likewise
 	} {
-		s := testSettings()
+		s := testConfig()
 		s.Kinds = []Kind{{RolePrefill, 1e6}, {RoleDecode, 1e6}, {RoleMixed, 1e6 * k.memory}}
-		servers := pool(k.readers, k.writers)
+		servers := endpoints(k.readers, k.writers)
 		for i := range k.mixed {
 			servers = append(servers, Endpoint{ID: EndpointID(900 + i), Kind: 2, State: EndpointReady})
 		}
-		g, whole, n := newRig(t, s, servers...), 0, 2000
+		h, whole, n := newHarness(t, s, servers...), 0, 2000
 		for id := range RequestID(n) {
-			q := g.request(id+1, 0, 300)
+			q := h.request(id+1, 0, 300)
 			q.Prefix, q.Session = uint64(id), uint64(id)
-			a, took := one[Send](t, g.after(20*ms, q)), 30*ms
+			a, took := onlyAction[Send](t, h.advance(20*ms, q)), 30*ms
 			if a.Endpoint >= 900 {
 				whole++
 				if k.late > 1 && whole > 20 { // against what a reader and a writer take by the module's own means
-					took = seconds(k.late * (g.r.latency.firstToken + g.r.latency.prefillPace*500))
+					took = seconds(k.late * (h.router.latency.firstToken + h.router.latency.prefillPace*500))
 				}
-				g.now += took
-				g.step(FirstToken{Request: q.ID, Endpoint: a.Endpoint, Elapsed: took}, Outcome{Request: q.ID, Endpoint: a.Endpoint, Result: Served, RequestDone: true, Elapsed: took})
+				h.now += took
+				h.step(FirstToken{Request: q.ID, Endpoint: a.Endpoint, Elapsed: took}, Outcome{Request: q.ID, Endpoint: a.Endpoint, Result: Served, RequestDone: true, Elapsed: took})
 				continue
 			}
-			b := one[Send](t, g.after(took, Outcome{Request: q.ID, Endpoint: a.Endpoint, Result: PrefillDone, Elapsed: took}))
-			g.now += took
-			g.step(FirstToken{Request: q.ID, Attempt: 1, Endpoint: b.Endpoint, Elapsed: took}, Outcome{Request: q.ID, Attempt: 1, Endpoint: b.Endpoint, Result: Served, RequestDone: true, Elapsed: took})
+			b := onlyAction[Send](t, h.advance(took, Outcome{Request: q.ID, Endpoint: a.Endpoint, Result: PrefillDone, Elapsed: took}))
+			h.now += took
+			h.step(FirstToken{Request: q.ID, Attempt: 1, Endpoint: b.Endpoint, Elapsed: took}, Outcome{Request: q.ID, Attempt: 1, Endpoint: b.Endpoint, Result: Served, RequestDone: true, Elapsed: took})
 		}
 		if part := float64(whole) / float64(n); part < k.least || part > k.most {
 			t.Errorf("%+v: mixed servers took %.3f", k, part)
@@ -533,15 +533,15 @@
 
 // TestMixedServersWhereNoWriterIsWell: what they are owed stays a number.
 func TestMixedServersWhereNoWriterIsWell(t *testing.T) {
-	g := newRig(t, testSettings(), reader(1), writer(2), Endpoint{ID: 3, Kind: 2, State: EndpointReady})
-	g.r.eject(g.r.backends.byID[2], "test")
-	g.r.sumRoles()
+	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), Endpoint{ID: 3, Kind: 2, State: EndpointReady})
+	h.router.eject(h.router.backends.byID[2], "test")
+	h.router.sumRoles()
 	for id := range RequestID(4) {
-		q := g.request(id+1, 0, 300)
+		q := h.request(id+1, 0, 300)
 		q.Prefix = uint64(id)
-		g.after(20*ms, q)
+		h.advance(20*ms, q)
 	}
-	if d := g.r.mixed.owed; !(d >= -1 && d <= 2) { // also when it is no number
-		t.Errorf("%v whole requests are owed to the mixed server", g.r.mixed.owed)
+	if d := h.router.mixed.owed; !(d >= -1 && d <= 2) { // also when it is no number
+		t.Errorf("%v whole requests are owed to the mixed server", h.router.mixed.owed)
 	}
 }
