--- /dev/null
+++ b/routing/affinity_test.go
@@ -0,0 +1,85 @@
+package routing
+
+import (
+	"testing"
+	"time"
+)
+
+// usedEndpoints lets requests with one prefix arrive and returns the endpoints that they are sent to.
+func usedEndpoints(h *harness, from, to RequestID) map[EndpointID]bool {
+	used := map[EndpointID]bool{}
+	for id := from; id <= to; id++ {
+		for _, send := range actionsOf[Send](h.advance(ms, h.request(id, idempotentClass, 3000))) {
+			used[send.Endpoint] = true
+		}
+	}
+	return used
+}
+
+// newAffinityHarness has six prefill endpoints. Each prefix is a small part of what was seen, so it prefers one.
+func newAffinityHarness(t *testing.T, decodes ...Endpoint) *harness {
+	t.Helper()
+	listed := decodes
+	for id := EndpointID(1); id <= 6; id++ {
+		listed = append(listed, prefillEndpoint(id))
+	}
+	h := newHarness(t, testConfig(), listed...)
+	h.router.affinity.seenTotal = 1e4
+	return h
+}
+
+func TestAffinityKeepsAPrefixOnFewEndpoints(t *testing.T) {
+	h := newAffinityHarness(t, decodeEndpoint(50), decodeEndpoint(51))
+	if used := usedEndpoints(h, 1, 60); len(used) != maxWarmCandidates {
+		t.Fatalf("one prefix was prefilled at %d endpoints, want %d", len(used), maxWarmCandidates)
+	}
+}
+
+func TestAffinityPassesEndpointsInSlowStart(t *testing.T) {
+	h := newAffinityHarness(t, decodeEndpoint(50))
+	preferred := usedEndpoints(h, 1, 20)
+	var restarts []Event
+	for id := range preferred {
+		restarted := Endpoint{ID: id, State: EndpointReady, StartedAt: h.now}
+		restarts = append(restarts, EndpointList{Scope: ListChanges, Endpoints: []Endpoint{restarted}})
+	}
+	h.advance(time.Second, restarts...)
+	for id := range usedEndpoints(h, 100, 120) {
+		if !preferred[id] {
+			return
+		}
+	}
+	t.Fatal("nothing was sent past the restarted endpoints")
+}
+
+// TestAffinitySpreadsAPopularPrefix: half of the traffic has one prefix. It is prefilled evenly everywhere, since half
+// of all prefills would crowd a few endpoints, while a prefix of few requests keeps to few.
+func TestAffinitySpreadsAPopularPrefix(t *testing.T) {
+	for _, replicas := range []int{4, 100} {
+		group := newReplicaGroup(t, testConfig(), replicas, endpoints(30, 10))
+		group.play(replicas*30, 30*time.Second, func() uint64 {
+			if group.rnd.Intn(2) == 0 {
+				return 7
+			}
+			return uint64(100 + group.rnd.Intn(300))
+		})
+		prefills := func(requests int, prefix uint64) (most, used int) {
+			group.sends = map[EndpointID]int{}
+			group.play(requests, 0, func() uint64 { return prefix })
+			for id, sent := range group.sends {
+				if group.roles[id] == RolePrefill {
+					most, used = max(most, sent), used+boolToInt(sent > 0)
+				}
+			}
+			return most, used
+		}
+		if most, used := prefills(1000, 7); most > 100 || used < 28 {
+			t.Errorf("%d replicas: the popular prefix's busiest endpoint got %d of 1000, %d endpoints any",
+				replicas, most, used)
+		}
+		if most, used := prefills(2*replicas, 555); used > 10 || 3*most < 2*replicas {
+			t.Errorf("%d replicas: a rare prefix's busiest endpoint got %d of %d, %d endpoints any",
+				replicas, most, 2*replicas, used)
+		}
+	}
+}
--- a/routing/encode_test.go
+++ b/routing/encodeaction_test.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// encodeAction writes an action in a form of its own, which stays the same when types and fields are renamed: a fixed word for the
-// kind of action, then its values in a fixed order. Durations are nanoseconds. Of a log line only its place counts.
+// encodeAction writes an action in a form that stays the same when types and fields are renamed: a fixed name for the
+// kind of action, then its values in a fixed order. Durations are nanoseconds. Of a log line only its position is encoded.
 func encodeAction(a Action) string {
 	switch a := a.(type) {
 	case Send:
@@ -31,10 +31,10 @@
 	panic("an action of no known kind")
 }
 
-// encode joins a word and values by spaces.
-func encode(word string, values ...any) string {
+// encode joins a name and values by spaces.
+func encode(name string, values ...any) string {
 	var b strings.Builder
-	b.WriteString(word)
+	b.WriteString(name)
 	for _, v := range values {
 		fmt.Fprintf(&b, " %v", v)
 	}
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -6,12 +6,16 @@
 	"time"
 )
 
-// A front gives the Router its list and a request, and carries out what comes back.
+// A gateway gives the Router its endpoint list and a request, and carries out the actions that come back.
 func Example() {
 	r, err := routing.New(routing.Config{
 		Replicas: 2, MaxAttempts: 4, StateTTL: 500 * time.Millisecond,
-		Kinds:   []routing.Kind{{Role: routing.RolePrefill, Memory: 200000}, {Role: routing.RoleDecode, Memory: 150000}},
-		Classes: []routing.Class{{Name: "ask", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}},
+		Kinds: []routing.Kind{
+			{Role: routing.RolePrefill, Memory: 200000}, {Role: routing.RoleDecode, Memory: 150000},
+		},
+		Classes: []routing.Class{{
+			Name: "ask", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1,
+		}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -21,7 +25,7 @@
 	show := func(actions []routing.Action) {
 		for _, a := range actions {
 			if s, ok := a.(routing.Send); ok {
-				fmt.Println("request", s.Request, "to server", s.Endpoint)
+				fmt.Println("request", s.Request, "to endpoint", s.Endpoint)
 			}
 		}
 	}
@@ -34,6 +38,6 @@
 	now += 90 * time.Millisecond
 	show(r.Step(now, []routing.Event{routing.Outcome{Request: 1, Endpoint: 10, Result: routing.PrefillDone}}))
 	// Output:
-	// request 1 to server 10
-	// request 1 to server 20
+	// request 1 to endpoint 10
+	// request 1 to endpoint 20
 }
--- /dev/null
+++ b/routing/recorded_test.go
@@ -0,0 +1,320 @@
+package routing
+
+import (
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+var update = flag.Bool("update", false, "write the recorded digests anew from the code as it is")
+
+// recordedRun drives one Router far over what its endpoints can do, so that much is queued, and digests its actions.
+// The endpoints are simple: a time for each attempt, and some failures.
+type recordedRun struct {
+	name      string
+	seed      int64
+	mixed     int
+	restarts  bool // endpoints restart now and then
+	failing   bool // a prefill and a decode endpoint fail for a while
+	memory    float64
+	objective time.Duration
+	rate      float64 // requests a second
+	prefixes  int     // shared prefixes; 0 = none
+	steps     int
+	replicas  int
+	prefills  int
+	stateTTL  time.Duration
+}
+
+// Fixed parts of every recorded run.
+const (
+	recordedDecodes     = 6
+	recordedStart       = time.Hour
+	recordedFailingFrom = recordedStart + time.Second
+	recordedFailingTo   = recordedStart + 4*time.Second
+)
+
+// recordedRuns have a state TTL that a slow decode exceeds, and one that nothing exceeds.
+func recordedRuns() []recordedRun {
+	return append(recordedRunsWith(500*ms, ""), recordedRunsWith(100*time.Second, "long release, ")...)
+}
+
+func recordedRunsWith(stateTTL time.Duration, namePrefix string) []recordedRun {
+	base := recordedRun{
+		stateTTL: stateTTL, memory: 60000, objective: 3 * time.Second, rate: 400, prefixes: 12, steps: 2500,
+		replicas: 1, prefills: 6,
+	}
+	var runs []recordedRun
+	add := func(name string, change func(*recordedRun)) {
+		for seed := range int64(2) {
+			run := base
+			run.name, run.seed = fmt.Sprintf("%s%s %d", namePrefix, name, seed), seed+1
+			change(&run)
+			runs = append(runs, run)
+		}
+	}
+	// The names stand in testdata/orders.txt.
+	add("plain", func(*recordedRun) {})
+	add("long waits", func(run *recordedRun) { run.objective = 20 * time.Second })
+	add("mixed", func(run *recordedRun) { run.mixed = 3 })
+	add("only mixed", func(run *recordedRun) { run.mixed, run.prefills = 6, 0 })
+	add("cold", func(run *recordedRun) { run.restarts = true })
+	add("bad", func(run *recordedRun) { run.failing, run.objective = true, 10*time.Second })
+	add("bad, cold, mixed", func(run *recordedRun) { run.failing, run.restarts, run.mixed = true, true, 2 })
+	add("short of memory", func(run *recordedRun) { run.memory, run.objective = 9000, 10*time.Second })
+	add("memory unknown", func(run *recordedRun) { run.memory = 0 })
+	add("one hot prefix", func(run *recordedRun) {
+		run.prefixes, run.prefills, run.objective = 1, 12, 8*time.Second
+	})
+	add("no prefix", func(run *recordedRun) { run.prefixes = 0 })
+	add("many fronts", func(run *recordedRun) {
+		run.replicas, run.rate, run.prefills, run.restarts = 40, 40, 20, true
+	})
+	return runs
+}
+
+// recording is a recorded run as it is played.
+type recording struct {
+	recordedRun
+	rnd      *rand.Rand
+	router   *Router
+	now      time.Duration
+	listed   []Endpoint
+	kinds    map[EndpointID]int
+	queue    eventQueue
+	inFlight map[RequestID][]bool // by attempt
+	done     map[RequestID]bool
+	digest   hash.Hash
+	actions  int
+	mostHeld int // requests queued at once
+}
+
+func newRecording(t *testing.T, run recordedRun) *recording {
+	t.Helper()
+	config := testConfig()
+	config.Replicas, config.StateTTL = run.replicas, run.stateTTL
+	config.Kinds = []Kind{{RolePrefill, 200000}, {RoleDecode, run.memory}, {RoleMixed, run.memory}}
+	config.Tenants = []Tenant{{QuotaPerS: run.rate / 2 * float64(run.replicas)}, {QuotaPerS: 5}}
+	for i := range config.Classes {
+		config.Classes[i].LatencyObjective, config.Classes[i].LateWeight = run.objective, 0.9
+	}
+	rec := &recording{
+		recordedRun: run,
+		rnd:         rand.New(rand.NewSource(run.seed)),
+		router:      newTestRouter(t, config, uint64(run.seed)),
+		now:         recordedStart,
+		kinds:       map[EndpointID]int{},
+		inFlight:    map[RequestID][]bool{},
+		done:        map[RequestID]bool{},
+		digest:      sha256.New(),
+	}
+	for i := range run.prefills + recordedDecodes + run.mixed {
+		kind := 1
+		if i < run.prefills {
+			kind = 0
+		} else if i >= run.prefills+recordedDecodes {
+			kind = 2
+		}
+		e := Endpoint{ID: EndpointID(10 + 3*i), Kind: kind, Zone: i % 2, Cell: i % 3, State: EndpointReady}
+		rec.listed = append(rec.listed, e)
+		rec.kinds[e.ID] = kind
+	}
+	return rec
+}
+
+func (rec *recording) plan(after time.Duration, event Event) { rec.queue.plan(rec.now+after, event) }
+
+// play returns the run's line of the recorded file.
+func (rec *recording) play() string {
+	rec.step(EndpointList{Scope: ListFull, Endpoints: rec.listed})
+	for i := range rec.steps {
+		rec.now += time.Duration(rec.rnd.ExpFloat64() / rec.rate * float64(time.Second))
+		rec.deliverDue()
+		events := []Event{rec.arrival(RequestID(i + 1))}
+		rec.step(append(events, rec.listChanges(i)...)...)
+	}
+	return fmt.Sprintf("%s: %x, %d actions, %d held at most",
+		rec.name, rec.digest.Sum(nil)[:12], rec.actions, rec.mostHeld)
+}
+
+// deliverDue steps the router at each time at which events are due.
+func (rec *recording) deliverDue() {
+	arrivalAt := rec.now
+	for rec.queue.due(arrivalAt) {
+		rec.now = rec.queue.events[0].at
+		var events []Event
+		for rec.queue.due(rec.now) {
+			if event := rec.deliver(rec.queue.next().event); event != nil {
+				events = append(events, event)
+			}
+		}
+		if len(events) > 0 {
+			rec.step(events...)
+		}
+	}
+	rec.now = arrivalAt
+}
+
+// deliver completes an event that is due; nil if others came before it.
+func (rec *recording) deliver(event Event) Event {
+	switch event := event.(type) {
+	case Outcome:
+		if !rec.inFlight[event.Request][event.Attempt] {
+			return nil
+		}
+		rec.inFlight[event.Request][event.Attempt] = false
+		event.RequestDone = event.Result == Served
+		rec.done[event.Request] = rec.done[event.Request] || event.RequestDone
+		return event
+	case FirstToken:
+		if rec.done[event.Request] || !rec.inFlight[event.Request][event.Attempt] {
+			return nil
+		}
+	case ClientDisconnected:
+		if rec.done[event.Request] {
+			return nil
+		}
+		rec.done[event.Request] = true
+	}
+	return event
+}
+
+func (rec *recording) step(events ...Event) {
+	for _, a := range rec.router.Step(rec.now, events) {
+		rec.actions++
+		_, _ = fmt.Fprintf(rec.digest, "%d %s\n", rec.now, encodeAction(a)) // a hash returns no error
+		rec.carryOut(a)
+	}
+	rec.mostHeld = max(rec.mostHeld, len(rec.router.queue.waiting))
+}
+
+func (rec *recording) carryOut(a Action) {
+	switch a := a.(type) {
+	case Send:
+		rec.send(a)
+	case Cancel:
+		rec.plan(2*ms, Outcome{Request: a.Request, Attempt: a.Attempt, Result: Cancelled, Elapsed: 2 * ms})
+	case Reject:
+		rec.done[a.Request] = true
+	case Fail:
+		rec.done[a.Request] = true
+	case SetTimer:
+		rec.plan(a.After, Timer{a.Tag})
+	}
+}
+
+// send draws how an attempt ends.
+func (rec *recording) send(a Send) {
+	attempt := len(rec.inFlight[a.Request])
+	rec.inFlight[a.Request] = append(rec.inFlight[a.Request], true)
+	outcome := Outcome{Request: a.Request, Attempt: attempt, Endpoint: a.Endpoint, Result: Served}
+	took := time.Duration(20+rec.rnd.Intn(200)) * ms
+	if rec.kinds[a.Endpoint] == 0 {
+		outcome.Result, outcome.CachedTokens = PrefillDone, float64(rec.rnd.Intn(500))
+	} else {
+		took *= 4
+	}
+	switch draw := rec.rnd.Intn(60); {
+	case rec.fails(a.Endpoint) || draw == 0:
+		outcome.Result, took = EngineError, took/10
+	case draw == 1:
+		outcome.Result, took = Rejected, took/10
+	case draw == 2:
+		outcome.Result, outcome.StateMissing, took = Rejected, true, took/10
+	case draw == 3 && a.Timeout > 0:
+		outcome.Result, took = TimedOut, a.Timeout
+	}
+	outcome.Elapsed = took
+	if outcome.Result == Served {
+		rec.plan(took/4, FirstToken{
+			Request: a.Request, Attempt: attempt, Endpoint: a.Endpoint, Elapsed: took / 4,
+		})
+	}
+	rec.plan(took, outcome)
+}
+
+// fails reports that an endpoint fails all attempts now.
+func (rec *recording) fails(id EndpointID) bool {
+	return rec.failing && rec.now > recordedFailingFrom && rec.now < recordedFailingTo &&
+		(id == 10 || id == EndpointID(10+3*rec.prefills))
+}
+
+// arrival draws a request; its client may disconnect later.
+func (rec *recording) arrival(id RequestID) Event {
+	promptTokens := 200 + rec.rnd.ExpFloat64()*900
+	if rec.rnd.Intn(50) == 0 {
+		promptTokens *= 8
+	}
+	req := Request{
+		ID:              id,
+		Class:           rec.rnd.Intn(3),
+		Tenant:          rec.rnd.Intn(2),
+		Session:         uint64(rec.rnd.Intn(500)),
+		PromptTokens:    float64(int(promptTokens)),
+		MaxOutputTokens: float64(50 + rec.rnd.Intn(400)),
+		Deadline:        rec.now + rec.objective + time.Duration(rec.rnd.Intn(3000))*ms,
+	}
+	if rec.prefixes > 0 && rec.rnd.Intn(10) > 1 {
+		req.Prefix = 1000 + uint64(rec.rnd.ExpFloat64()*float64(rec.prefixes)/4)
+		req.PrefixTokens = promptTokens / 2
+	}
+	if rec.rnd.Intn(30) == 0 {
+		rec.plan(time.Duration(rec.rnd.Intn(2000))*ms, ClientDisconnected{id})
+	}
+	return req
+}
+
+// listChanges draws changes of the endpoint list that come with an arrival.
+func (rec *recording) listChanges(arrival int) (events []Event) {
+	change := func(e Endpoint) EndpointList {
+		return EndpointList{Scope: ListChanges, Endpoints: []Endpoint{e}}
+	}
+	if rec.restarts && arrival%700 == 699 {
+		e := rec.listed[rec.rnd.Intn(len(rec.listed))]
+		e.StartedAt = rec.now
+		events = append(events, change(e))
+	}
+	if arrival%900 == 800 { // one drains, and is ready again later
+		e := rec.listed[rec.rnd.Intn(len(rec.listed))]
+		e.State = EndpointDraining
+		events = append(events, change(e))
+		e.State = EndpointReady
+		rec.plan(2*time.Second, change(e))
+	}
+	return events
+}
+
+// TestRecordedOrders compares the actions of the recorded runs with those of the code that recorded them. Their
+// encoding holds no name of a type or field, so a digest that differs is a decision that differs: a change that is not
+// meant to change decisions must never write the file anew. One that does mean to uses -update.
+func TestRecordedOrders(t *testing.T) {
+	const file = "testdata/orders.txt"
+	if *update {
+		var b strings.Builder
+		for _, run := range recordedRuns() {
+			b.WriteString(newRecording(t, run).play() + "\n")
+		}
+		if err := os.WriteFile(file, []byte(b.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSpace(string(text)), "\n")
+	for i, run := range recordedRuns() {
+		t.Run(run.name, func(t *testing.T) {
+			t.Parallel()
+			if got := newRecording(t, run).play(); got != want[i] {
+				t.Errorf("got  %s\nwant %s", got, want[i])
+			}
+		})
+	}
+}
--- /dev/null
+++ b/routing/replicagroup_test.go
@@ -0,0 +1,108 @@
+package routing
+
+import (
+	"math/rand"
+	"testing"
+	"time"
+)
+
+// replicaGroup runs many Routers over the same endpoints and counts what all of them send to each.
+type replicaGroup struct {
+	rnd       *rand.Rand
+	harnesses []*harness
+	sends     map[EndpointID]int
+	nextID    RequestID
+	roles     map[EndpointID]Role
+	failing   map[EndpointID]bool // these fail or reject every other attempt, so that retries follow
+	retries   int                 // attempts beyond a prefill and a decode
+}
+
+func newReplicaGroup(t *testing.T, config Config, replicas int, listed []Endpoint) *replicaGroup {
+	t.Helper()
+	g := &replicaGroup{
+		rnd:   rand.New(rand.NewSource(int64(replicas))),
+		sends: map[EndpointID]int{},
+		roles: map[EndpointID]Role{},
+	}
+	config.Replicas = replicas
+	for _, e := range listed {
+		g.roles[e.ID] = config.Kinds[e.Kind].Role
+	}
+	for i := range replicas {
+		h := &harness{router: newTestRouter(t, config, uint64(1000+i)), now: time.Minute}
+		h.step(EndpointList{Scope: ListCached, Endpoints: listed})
+		g.harnesses = append(g.harnesses, h)
+	}
+	return g
+}
+
+// play sends requests, spread over a time and over random replicas; each prefill and each answer ends well at once.
+func (g *replicaGroup) play(requests int, d time.Duration, prefix func() uint64) {
+	for i := range requests {
+		h := g.harnesses[g.rnd.Intn(len(g.harnesses))]
+		h.now = max(h.now, time.Minute+time.Duration(i)*d/time.Duration(requests))
+		g.nextID++
+		req := h.request(g.nextID, idempotentClass, 1500)
+		req.Prefix = prefix()
+		g.playRequest(h, req)
+	}
+}
+
+func (g *replicaGroup) playRequest(h *harness, req Request) {
+	actions := h.step(req)
+	for attempt := 0; ; attempt++ {
+		sends := actionsOf[Send](actions)
+		if len(sends) == 0 {
+			h.step(ClientDisconnected{req.ID})
+			return
+		}
+		endpoint := sends[0].Endpoint
+		g.sends[endpoint]++
+		outcome := Outcome{Request: req.ID, Attempt: attempt, Endpoint: endpoint}
+		if g.failing[endpoint] && g.rnd.Intn(2) == 0 {
+			g.retries++
+			outcome.Result = []Result{EngineError, Rejected, ConnectionReset}[g.rnd.Intn(3)]
+			outcome.Elapsed = 10 * ms
+			actions = h.step(outcome)
+			continue
+		}
+		if g.roles[endpoint] == RolePrefill {
+			outcome.Result, outcome.Elapsed = PrefillDone, 20*ms
+			actions = h.step(outcome)
+			continue
+		}
+		h.step(FirstToken{Request: req.ID, Attempt: attempt, Endpoint: endpoint, Elapsed: 20 * ms})
+		outcome.Result, outcome.RequestDone, outcome.Elapsed = Served, true, 50*ms
+		h.step(outcome)
+		return
+	}
+}
+
+// playFrom plays requests over a time, from a time on.
+func (g *replicaGroup) playFrom(requests int, from, d time.Duration, prefix func() uint64) {
+	g.setTime(time.Minute + from)
+	for i := range requests {
+		g.advanceTo(time.Minute + from + time.Duration(i)*d/time.Duration(requests))
+		g.play(1, 0, prefix)
+	}
+}
+
+func (g *replicaGroup) setTime(now time.Duration) {
+	for _, h := range g.harnesses {
+		h.now = now
+	}
+}
+
+func (g *replicaGroup) advanceTo(now time.Duration) {
+	for _, h := range g.harnesses {
+		h.now = max(h.now, now)
+	}
+}
+
+// list gives all replicas the endpoint list at a time.
+func (g *replicaGroup) list(now time.Duration, listed []Endpoint) {
+	g.setTime(now)
+	for _, h := range g.harnesses {
+		h.step(EndpointList{Scope: ListFull, Endpoints: listed})
+	}
+}
--- /dev/null
+++ b/routing/silence_test.go
@@ -0,0 +1,85 @@
+package routing
+
+import (
+	"cmp"
+	"testing"
+	"time"
+)
+
+// TestSilentEndpointIsEjected: attempts that are not idempotent have no time-out, so only silence shows a stall.
+func TestSilentEndpointIsEjected(t *testing.T) {
+	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3), decodeEndpoint(4))
+	lateSends, silent := 0, EndpointID(0)
+	for id := RequestID(1); id <= 120; id++ {
+		h.now += 30 * ms
+		send := h.prefillRequest(t, h.request(id, notIdempotentClass, 500), 20*ms)
+		silent = cmp.Or(silent, send.Endpoint)
+		if send.Endpoint == silent {
+			lateSends += boolToInt(id > 90)
+			continue
+		}
+		h.firstToken(id, 1, send.Endpoint, ms)
+		h.end(Served, id, 1, send.Endpoint, 0)
+	}
+	if ejected := h.backend(silent).health.ejected; lateSends > 0 || !ejected {
+		t.Fatalf("%d late sends to the silent endpoint, ejected: %v", lateSends, ejected)
+	}
+}
+
+func TestSilenceOfAllEjectsNone(t *testing.T) {
+	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3), decodeEndpoint(4))
+	for id := RequestID(1); id <= 30; id++ {
+		prefill := onlyAction[Send](t, h.advance(30*ms, h.request(id, notIdempotentClass, 500)))
+		h.prefilled(id, prefill.Endpoint, 20*ms)
+	}
+	for range 40 {
+		h.advance(100 * ms)
+	}
+	for _, id := range []EndpointID{2, 3, 4} {
+		if h.backend(id).health.ejected {
+			t.Fatalf("endpoint %d ejected for what all suffer", id)
+		}
+	}
+}
+
+// TestEndpointSilentToOneClassIsTriedLastForIt: an endpoint answers one class and is silent to another, whose attempts
+// have no time-out. Once one has been silent for long, that class goes to the other endpoint though it has more
+// attempts; other classes stay.
+func TestEndpointSilentToOneClassIsTriedLastForIt(t *testing.T) {
+	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3))
+	decodedAt := func(id RequestID, class int) EndpointID {
+		h.now += 10 * ms
+		return h.prefillRequest(t, h.request(id, class, 500), 10*ms).Endpoint
+	}
+	silent := decodedAt(1, notIdempotentClass) // nothing is heard of this one
+	silentTo := func(class int) bool { return h.backend(silent).silence.toClass(class) }
+	elsewhere := 0
+	for id := RequestID(2); id < 6; id++ {
+		elsewhere += boolToInt(decodedAt(id, idempotentClass) != silent)
+		endpoint := h.router.requests[id].attempts[1].backend.ID
+		h.step(FirstToken{Request: id, Attempt: 1, Endpoint: endpoint, Elapsed: 10 * ms})
+	}
+	for range 60 { // the endpoint answers others all the while
+		h.advance(50 * ms)
+		h.backend(silent).silence.heardAt = h.now
+	}
+	ejected := h.backend(silent).health.ejected
+	if elsewhere == 0 || ejected || !silentTo(notIdempotentClass) || silentTo(idempotentClass) {
+		t.Fatalf("%d streams elsewhere, %+v", elsewhere, h.backend(silent))
+	}
+	for _, b := range h.router.backends.sorted { // the silent one has the fewest attempts
+		if b.role == RoleDecode && b.ID != silent {
+			b.load.attempts = 9
+		}
+	}
+	if decodedAt(20, notIdempotentClass) == silent {
+		t.Error("the class went to the endpoint that is silent to it")
+	}
+	if decodedAt(21, idempotentClass) != silent {
+		t.Error("another class left the endpoint too")
+	}
+	h.step(Outcome{Request: 1, Attempt: 1, Endpoint: silent, Result: TimedOut, Elapsed: 5 * time.Second})
+	if h.advance(evaluationInterval); silentTo(notIdempotentClass) {
+		t.Error("still taken for silent when the attempt has ended")
+	}
+}
