--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -85,7 +85,8 @@
 }
 
 func (f *fullRouter) arrivals(b *testing.B) {
-	for b.Loop() {
+	b.ResetTimer()
+	for range b.N {
 		f.now += 10 * time.Microsecond
 		f.router.Step(f.now, []Event{f.request()})
 		f.router.Step(f.now, []Event{ClientDisconnected{f.nextID}})
@@ -94,7 +95,8 @@
 }
 
 func (f *fullRouter) timers(b *testing.B) {
-	for b.Loop() {
+	b.ResetTimer()
+	for range b.N {
 		f.now += 10 * time.Microsecond
 		f.router.Step(f.now, []Event{Timer{}})
 	}
@@ -103,7 +105,8 @@
 
 // retries lets prefills fail: each is queued again and another takes its place.
 func (f *fullRouter) retries(b *testing.B) {
-	for b.Loop() {
+	b.ResetTimer()
+	for range b.N {
 		f.now += 10 * time.Microsecond
 		for id, send := range f.sends {
 			delete(f.sends, id)
