--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -1,95 +1,85 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"context"
-	"errors"
 	"net"
-	"os"
 	"sync"
 	"time"
 )
 
-// Attempt is the handle by which an attempt is called off. The zero value is ready.
+// Attempt is the handle by which an attempt is cancelled and its progress read. The zero value is ready.
 type Attempt struct {
-	mu    sync.Mutex
-	off   bool
-	stop  context.CancelFunc
-	conn  net.Conn
-	begun bool // the stream has begun
-	seen  int  // its events
-	done  bool // its last event came
-	kept  float64
-	load  []float64
-	up    bool // a connection was there to send it on
-	sent  bool // the engine may act on what was accepted of the request
+	mu           sync.Mutex
+	cancellation cancellation // under mu
+	startedAt    time.Time    // under mu
+	progress     Progress     // under mu
 
-	began    time.Time // under mu, as progress
-	progress Progress
+	delivery delivery    // of the attempt's goroutine
+	stream   streamState // of the attempt's goroutine
+}
+
+// cancellation is what a call of Cancel ends.
+type cancellation struct {
+	cancelled  bool
+	cancelDial context.CancelFunc
+	conn       net.Conn // nil once it went back to the pool
+}
+
+// delivery is how far the request has reached the engine.
+type delivery struct {
+	connected  bool // a connection was there to send the request on
+	mayHaveRun bool // the engine may act on what it accepted of the request
+}
+
+// streamState is how far the response stream has come.
+type streamState struct {
+	begun         bool // its first token came and the sink took it
+	lastEventSeen bool
+	events        int // tokens by their place; the last event is not one
+	cachedTokens  float64
+	loadReport    []float64 // of a comment within the stream
 }
 
 // Cancel ends the attempt; its outcome is still reported.
 func (a *Attempt) Cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.off = true
-	if a.stop != nil {
-		a.stop()
+	a.cancellation.cancelled = true
+	if a.cancellation.cancelDial != nil {
+		a.cancellation.cancelDial()
 	}
-	if a.conn != nil {
-		a.conn.Close()
+	if a.cancellation.conn != nil {
+		_ = a.cancellation.conn.Close() // the attempt's goroutine sees it closed, and reports that
 	}
 }
 
-// Cancelled tells that the attempt was called off.
+// Cancelled reports whether the attempt was cancelled.
 func (a *Attempt) Cancelled() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.off
+	return a.cancellation.cancelled
 }
 
-// stops makes stop what Cancel calls; false if the attempt is already off.
-func (a *Attempt) stops(stop context.CancelFunc) bool {
+// setCancelDial makes cancel what Cancel calls; false if the attempt is cancelled already.
+func (a *Attempt) setCancelDial(cancel context.CancelFunc) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.stop = stop
-	return !a.off
+	a.cancellation.cancelDial = cancel
+	return !a.cancellation.cancelled
 }
 
-// hold makes conn the one that Cancel closes; false if the attempt is already off.
-func (a *Attempt) hold(c net.Conn) bool {
+// attachConn makes nc the connection that Cancel closes; false if the attempt is cancelled already.
+func (a *Attempt) attachConn(nc net.Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.conn = c
-	return !a.off
+	a.cancellation.conn = nc
+	return !a.cancellation.cancelled
 }
 
-// drop takes conn out of Cancel's reach before it goes back to the pool; false if it was closed.
-func (a *Attempt) drop() bool {
+// detachConn keeps Cancel from closing the connection, which goes back to the pool; false if Cancel has closed it.
+func (a *Attempt) detachConn() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.conn = nil
-	return !a.off
-}
-
-// ended is the outcome of an attempt that broke with err, by what is known to have been sent.
-func (a *Attempt) ended(err error) Outcome {
-	out := Outcome{Err: err, Result: routing.ConnectionReset}
-	var proto *http1.Error
-	switch {
-	case a.Cancelled() && !a.sent:
-		out.Result = routing.NotSent
-	case a.Cancelled():
-		out.Result = routing.Cancelled
-	case !a.sent && a.up:
-		out.Result = routing.RequestIncomplete
-	case !a.sent:
-		out.Result = routing.ConnectFailed
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		out.Result = routing.TimedOut
-	case errors.As(err, &proto): // it did answer: a writer has fetched its state, which is gone with the answer
-		out.Result, out.StateMissing = routing.EngineError, true
-	}
-	return out
+	a.cancellation.conn = nil
+	return !a.cancellation.cancelled
 }
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -1,66 +1,53 @@
 package engine
 
 import (
-	"brackenbend/routing"
-	"encoding/json"
 	"time"
 )
 
 // Call is one attempt's request.
 type Call struct {
 	Path           string
-	ID             string // of this attempt, unique over fronts and restarts
+	ID             string // of this attempt, unique over replicas and restarts
 	IdempotencyKey string // Idempotency-Key, empty = none
 	Body           []byte
-	SingleUseConn  bool          // may run only once: rides on a connection of its own
-	NewConn        bool          // rides on a new connection
-	ConnectTimeout time.Duration // for a new connection to come up; 0 = Client.DialTime
-	Deadline       time.Time     // for the first token, or the whole of a read
-	SendBy         time.Time     // for the last byte to be written; zero = no bound but Deadline
-	// Abandoned tells, at the moment of writing, that nobody waits for the request any more; nil = somebody does.
+	SingleUseConn  bool          // must run only once: is sent on a connection of its own
+	NewConn        bool          // is sent on a new connection
+	ConnectTimeout time.Duration // for a new connection; 0 = Client.DialTimeout
+	Deadline       time.Time     // for the first token, or the whole reply of a prefill
+	SendBy         time.Time     // for the last byte to be written; zero = no limit but Deadline
+	// Abandoned reports, at the moment of writing, whether nobody waits for the request any more; nil = somebody does.
 	Abandoned func() bool
 }
 
-// over tells that the request must not be sent any more.
-func (c *Call) over() bool { return c.Abandoned != nil && c.Abandoned() || c.late() }
+// mustNotSend reports whether nobody waits for the request any more or the time to send it has passed.
+func (c *Call) mustNotSend() bool { return c.Abandoned != nil && c.Abandoned() || c.sendTimePassed() }
 
-// late tells that the time to send the request has passed.
-func (c *Call) late() bool { return !c.SendBy.IsZero() && !time.Now().Before(c.SendBy) }
+// sendTimePassed reports whether the time to send the request has passed.
+func (c *Call) sendTimePassed() bool { return !c.SendBy.IsZero() && !time.Now().Before(c.SendBy) }
 
-// expired tells that the call's time is up.
-func (c *Call) expired() bool { return !c.Deadline.IsZero() && !time.Now().Before(c.Deadline) }
+// deadlinePassed reports whether the call's time is up.
+func (c *Call) deadlinePassed() bool { return !c.Deadline.IsZero() && !time.Now().Before(c.Deadline) }
 
-// sendBy is when the request has to be written.
-func (c *Call) sendBy() time.Time {
+// writeDeadline is when the request has to be written.
+func (c *Call) writeDeadline() time.Time {
 	if c.SendBy.IsZero() || c.SendBy.After(c.Deadline) && !c.Deadline.IsZero() {
 		return c.Deadline
 	}
 	return c.SendBy
 }
 
-// Outcome is how an attempt ended.
-type Outcome struct {
-	Result           routing.Result
-	StateMissing     bool
-	CachedTokens     float64
-	LoadReport       []float64
-	KVTransferParams json.RawMessage // of a read: what the writer needs to fetch the state
-	Events           int             // of a stream, that were tokens by their place; the last event is none
-	Reply            *Reply          // an answer about the request itself, to be passed on
-	Err              error           // for logs
-}
-
-// Reply is an engine's answer that blames the request.
-type Reply struct {
-	Status int
-	Body   []byte
+// connectDeadline is when a connection has to be there.
+func (c *Call) connectDeadline() time.Time {
+	if c.ConnectTimeout > 0 {
+		return earlierDeadline(c.ConnectTimeout, c.writeDeadline())
+	}
+	return c.writeDeadline()
 }
 
-// Sink takes a stream. It is called from the attempt's goroutine only.
-type Sink interface {
-	// Begin claims the client's answer when the first token is here; false: another answer was given.
-	Begin() bool
-	// Events takes one or more whole events, valid during the call; last: the stream's end is among them. An error
-	// ends the attempt.
-	Events(p []byte, last bool) error
+// earlierDeadline is the end of a wait that starts now and may not go past deadline (zero = none).
+func earlierDeadline(wait time.Duration, deadline time.Time) time.Time {
+	if at := time.Now().Add(wait); deadline.IsZero() || at.Before(deadline) {
+		return at
+	}
+	return deadline
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -192,12 +192,12 @@
 	}
 	// a drain that is told while the connection is being made
 	s.Open()
-	k, err := c.take(nil, s, true, time.Time{})
+	k, err := c.getConn(nil, s, true, time.Time{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.give(s, k, true)
-	if !(&Attempt{}).hold(k.Conn) {
+	c.putConn(s, k, true)
+	if !(&Attempt{}).attachConn(k.Conn) {
 		t.Fatal("a fresh attempt can't hold its connection")
 	}
 	s.Close()
@@ -271,7 +271,7 @@
 		<-closed
 		for s.Conns() == 1 { // until the close has come through
 			s.mu.Lock()
-			if len(s.idle) == 1 && !quiet(s.idle[0].Conn) {
+			if len(s.idle) == 1 && !s.idle[0].isQuiet() {
 				s.mu.Unlock()
 				break
 			}
@@ -290,7 +290,7 @@
 	for s.Conns() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if out := c.Prefill(&Attempt{}, s, Call{Path: "/v1/x", ID: "b"}); out.Result != routing.NotSent || !errors.Is(out.Err, errTooMany) {
+	if out := c.Prefill(&Attempt{}, s, Call{Path: "/v1/x", ID: "b"}); out.Result != routing.NotSent || !errors.Is(out.Err, errConnLimit) {
 		t.Errorf("%+v", out)
 	}
 	a.Cancel()
@@ -306,14 +306,13 @@
 	run := func(tokens int) float64 {
 		all := head200 + strings.Repeat(token, tokens) + chunked("data: [DONE]\n\n") + http1.LastChunk
 		return testing.AllocsPerRun(20, func() {
-			k := &conn{Conn: nopConn{}, br: bufio.NewReader(strings.NewReader(all))}
+			k := &persistConn{Conn: nopConn{}, br: bufio.NewReader(strings.NewReader(all))}
 			resp, err := http1.ReadResponse(k.br, c.Limits)
 			if err != nil {
 				t.Fatal(err)
 			}
-			var body http1.Body
-			body.Reset(k.br, &resp.Message, c.Limits)
-			if out := c.relay(&Attempt{}, k, &body, &nullSink{}); out.Result != routing.Served {
+			stream := newStreamRelay(c, &Attempt{}, k, resp, &nullSink{})
+			if out := stream.relay(); out.Result != routing.Served {
 				t.Fatalf("%+v", out)
 			}
 		})
@@ -362,8 +361,8 @@
 	read := func() routing.Result {
 		return c.Prefill(&Attempt{}, s, Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(10 * time.Second)}).Result
 	}
-	if got := read(); got != routing.ConnectionReset || c.distrusts() {
-		t.Errorf("a new connection: %v, distrusts %v", got, c.distrusts())
+	if got := read(); got != routing.ConnectionReset || c.reuseSuspended() {
+		t.Errorf("a new connection: %v, distrusts %v", got, c.reuseSuspended())
 	}
 	for i, want := range []routing.Result{routing.PrefillDone, routing.ConnectionReset, routing.PrefillDone, routing.PrefillDone, routing.PrefillDone} {
 		if got := read(); got != want {
@@ -373,7 +372,7 @@
 	if s.Conns() != 0 {
 		t.Errorf("%d connections are kept", s.Conns())
 	}
-	c.broke.Add(-int64(c.IdleTimeout)) // they are past their time
+	c.pool.reuseFailedAt.Add(-int64(c.IdleTimeout)) // they are past their time
 	if got := read(); got != routing.PrefillDone || s.Conns() != 1 {
 		t.Errorf("later: %v, %d connections kept", got, s.Conns())
 	}
@@ -511,12 +510,12 @@
 			t.Fatalf("engine %d: %+v", i, out)
 		}
 	}
-	if n := [3]int{servers[0].Conns(), servers[1].Conns(), servers[2].Conns()}; n != [3]int{0, 1, 1} || c.all.Load() != 2 {
-		t.Errorf("%v connections, %d in all", n, c.all.Load())
+	if n := [3]int{servers[0].Conns(), servers[1].Conns(), servers[2].Conns()}; n != [3]int{0, 1, 1} || c.pool.open.Load() != 2 {
+		t.Errorf("%v connections, %d in all", n, c.pool.open.Load())
 	}
 	c.IdleTimeout = 0 // all that rest are past their time
 	c.CloseExpiredIdle()
-	if n := c.all.Load(); n != 0 || len(c.resting) != 0 {
-		t.Errorf("%d connections after the sweep, %d servers with some", n, len(c.resting))
+	if n := c.pool.open.Load(); n != 0 || len(c.pool.withIdle) != 0 {
+		t.Errorf("%d connections after the sweep, %d servers with some", n, len(c.pool.withIdle))
 	}
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -1,9 +1,6 @@
 package engine
 
 import (
-	"brackenbend/internal/socket"
-	"brackenbend/routing"
-	"bufio"
 	"context"
 	"errors"
 	"net"
@@ -14,220 +11,181 @@
 	"time"
 )
 
-// Endpoint is one engine as this front speaks to it.
-type Endpoint struct {
-	ID      routing.EndpointID
-	Name    string
-	Address string
-	Role    routing.Role
+// poolState is what a client knows of the connections to all its endpoints.
+type poolState struct {
+	open          atomic.Int64 // connections open or being opened
+	reuseFailedAt atomic.Int64 // when a reused connection last broke, as Unix time in nanoseconds; 0 = never
 
-	closed atomic.Bool // told to drain or gone: nothing new
-
-	lastAnswer atomic.Int64 // when it last answered anything, as Unix time in nanoseconds; 0 = never
-
-	mu    sync.Mutex
-	idle  []*conn // the oldest first
-	total int
-	all   *atomic.Int64 // connections to all servers; set with the first
+	mu       sync.Mutex             // taken before an endpoint's
+	withIdle map[*Endpoint]struct{} // endpoints that may have idle connections
 }
 
-// Close stops everything new to the server, also what was decided but has not sent its first byte. Idle
-// connections are closed.
-func (s *Endpoint) Close() {
-	s.closed.Store(true)
-	s.DiscardIdleConns()
+// OpenConns is the number of connections to engines that are open or being opened.
+func (c *Client) OpenConns() int64 { return c.pool.open.Load() }
+
+// getConn returns an idle connection that is alive, unless a new one is asked for, else a new one until deadline
+// (zero = none). The dial can be cancelled by a, unless that is nil.
+func (c *Client) getConn(a *Attempt, e *Endpoint, newConn bool, deadline time.Time) (*persistConn, error) {
+	newConn = newConn || c.reuseSuspended()
+	pc, err := c.reuseOrReserve(e, newConn)
+	if pc != nil || err != nil {
+		return pc, err
+	}
+	nc, err := c.dialWithinLimit(a, e, deadline)
+	if err != nil {
+		e.mu.Lock()
+		e.uncountConn()
+		e.mu.Unlock()
+		return nil, err
+	}
+	return newPersistConn(nc), nil
 }
 
-// Open lets new work through again.
-func (s *Endpoint) Open() { s.closed.Store(false) }
-
-// IsOpen tells whether new work may go to the server.
-func (s *Endpoint) IsOpen() bool { return !s.closed.Load() }
-
-// LastResponse is when the server last answered anything, as Unix time in nanoseconds; 0 = never.
-func (s *Endpoint) LastResponse() int64 { return s.lastAnswer.Load() }
-
-// DiscardIdleConns closes idle connections, as after a restart of the process behind the address.
-func (s *Endpoint) DiscardIdleConns() { s.retire(func(*conn) bool { return true }) }
-
-// retire closes the idle connections that old names.
-func (s *Endpoint) retire(old func(*conn) bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.idle = slices.DeleteFunc(s.idle, func(k *conn) bool {
-		if !old(k) {
-			return false
+// reuseOrReserve takes an idle connection, unless a new one is asked for. With neither a connection nor an error it has
+// counted one that the caller has to open.
+func (c *Client) reuseOrReserve(e *Endpoint, newConn bool) (*persistConn, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.totalOpen = &c.pool.open
+	if !newConn {
+		if pc := c.takeIdle(e); pc != nil {
+			pc.reused = true
+			return pc, nil
+		}
+	}
+	if e.open >= c.MaxConnsPerEndpoint {
+		if len(e.idle) == 0 {
+			return nil, errConnLimit
 		}
-		s.closed1(k)
-		return true
-	})
+		e.removeConn(e.idle[0]) // makes room for the new one
+		e.idle = e.idle[1:]
+	}
+	e.countConn()
+	return nil, nil
 }
 
-// closed1 closes a connection that is off the idle ones and books it out; s.mu is held.
-func (s *Endpoint) closed1(k net.Conn) {
-	if k != nil {
-		k.Close()
+// takeIdle takes the latest idle connection that has rested and is alive, and closes those that are not; e.mu is held.
+func (c *Client) takeIdle(e *Endpoint) *persistConn {
+	for i := len(e.idle) - 1; i >= 0; i-- {
+		pc := e.idle[i]
+		if pc.idleFor() < c.ReuseDelay {
+			continue
+		}
+		e.idle = slices.Delete(e.idle, i, i+1)
+		if pc.idleFor() < c.IdleTimeout && pc.isQuiet() {
+			return pc
+		}
+		e.removeConn(pc)
 	}
-	s.total--
-	s.all.Add(-1)
+	return nil
 }
 
-// Conns is the number of connections open or being opened.
-func (s *Endpoint) Conns() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.total
+// dialWithinLimit opens a connection that its endpoint has counted, unless all engines together have too many.
+func (c *Client) dialWithinLimit(a *Attempt, e *Endpoint, deadline time.Time) (net.Conn, error) {
+	open := c.pool.open.Add(1)
+	if c.MaxConns > 0 && open > int64(c.MaxConns) && !c.evictLongestIdle() {
+		return nil, errConnLimit
+	}
+	return c.dial(a, e, deadline)
 }
 
-type conn struct {
-	net.Conn
-	br     *bufio.Reader
-	since  time.Time // idle since
-	reused bool
+func (c *Client) dial(a *Attempt, e *Endpoint, deadline time.Time) (net.Conn, error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	if a != nil && !a.setCancelDial(cancel) {
+		return nil, errNotSent
+	}
+	dialer := net.Dialer{Timeout: c.DialTimeout, Deadline: deadline}
+	return dialer.DialContext(ctx, "tcp", e.Address)
 }
 
-var errTooMany = errors.New("engine: connections to it are at their cap")
-
-// take gets a connection: an idle one that is alive, unless fresh is asked for, else a new one until deadline
-// (zero = none). a, where given, can call the dial off.
-func (c *Client) take(a *Attempt, s *Endpoint, fresh bool, deadline time.Time) (*conn, error) {
-	fresh = fresh || c.distrusts()
-	s.mu.Lock()
-	s.all = &c.all
-	for i := len(s.idle) - 1; !fresh && i >= 0; i-- {
-		k := s.idle[i]
-		if time.Since(k.since) < c.ReuseDelay {
-			continue
-		}
-		s.idle = slices.Delete(s.idle, i, i+1)
-		if time.Since(k.since) < c.IdleTimeout && quiet(k.Conn) {
-			s.mu.Unlock()
-			k.reused = true
-			return k, nil
-		}
-		s.closed1(k)
-	}
-	if s.total >= c.MaxConnsPerEndpoint {
-		if len(s.idle) == 0 {
-			s.mu.Unlock()
-			return nil, errTooMany
-		}
-		s.closed1(s.idle[0]) // a fresh one is wanted: the oldest idle one makes room
-		s.idle = s.idle[1:]
+// putConn returns a connection after use. It is kept only when its last response ended cleanly.
+func (c *Client) putConn(e *Endpoint, pc *persistConn, clean bool) {
+	if !c.keepIdle(e, pc, clean) {
+		return
 	}
-	s.total++
-	s.mu.Unlock()
-	var nc net.Conn
-	err := errTooMany
-	if n := c.all.Add(1); c.MaxConns <= 0 || n <= int64(c.MaxConns) || c.makeRoom() {
-		nc, err = c.dial(a, s, deadline)
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	if c.pool.withIdle == nil {
+		c.pool.withIdle = map[*Endpoint]struct{}{}
 	}
-	if err != nil {
-		s.mu.Lock()
-		s.closed1(nil)
-		s.mu.Unlock()
-		return nil, err
-	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, 4096)}, nil
+	c.pool.withIdle[e] = struct{}{}
 }
 
-// OpenConns is the number of connections to engines that are open or being opened.
-func (c *Client) OpenConns() int64 { return c.all.Load() }
+// keepIdle adds a connection to the idle ones of its endpoint, or closes it.
+func (c *Client) keepIdle(e *Endpoint, pc *persistConn, clean bool) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	keep := clean && e.IsOpen() && !c.reuseSuspended() && len(e.idle) < c.MaxIdlePerEndpoint && pc.reusable()
+	if !keep {
+		e.removeConn(pc)
+		return false
+	}
+	pc.idleSince = time.Now()
+	e.idle = append(e.idle, pc)
+	return true
+}
 
-// makeRoom closes the connection that has been idle longest at any server.
-func (c *Client) makeRoom() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var at *Endpoint
+// evictLongestIdle closes the connection that has been idle longest at any endpoint; false when none was idle.
+func (c *Client) evictLongestIdle() bool {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	var oldest *Endpoint
 	var since time.Time
-	for s := range c.resting {
-		s.mu.Lock()
-		if len(s.idle) > 0 && (at == nil || s.idle[0].since.Before(since)) {
-			at, since = s, s.idle[0].since
+	for e := range c.pool.withIdle {
+		e.mu.Lock()
+		if len(e.idle) > 0 && (oldest == nil || e.idle[0].idleSince.Before(since)) {
+			oldest, since = e, e.idle[0].idleSince
 		}
-		s.mu.Unlock()
+		e.mu.Unlock()
 	}
-	if at == nil {
+	if oldest == nil {
 		return false
 	}
-	at.mu.Lock()
-	defer at.mu.Unlock()
-	if len(at.idle) == 0 { // taken meanwhile
+	oldest.mu.Lock()
+	defer oldest.mu.Unlock()
+	if len(oldest.idle) == 0 { // taken meanwhile
 		return false
 	}
-	at.closed1(at.idle[0])
-	at.idle = at.idle[1:]
+	oldest.removeConn(oldest.idle[0])
+	oldest.idle = oldest.idle[1:]
 	return true
 }
 
-// distrust notes that a kept connection broke under its next request although nothing had shown that it would:
-// engines, or what stands before them, end connections sooner than was told. Another request sent on such a one may
-// be lost, and for unsafe work nobody may try it again; a new connection costs a handshake. So none is used again
-// until all that are kept now are past their time.
-func (c *Client) distrust() {
-	c.broke.Store(time.Now().UnixNano())
-}
-
-// lostOnKept draws the conclusions from a request that was written on a kept connection and of which nothing was heard. One that broke
-// says something of all; one on which nothing came in time may have been forgotten on the way, or its engine may be slow,
-// so the others to that engine are not trusted with a request.
-func (c *Client) lostOnKept(s *Endpoint, err error) {
-	switch {
-	case broken(err):
-		c.distrust()
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		s.DiscardIdleConns()
-	}
-}
-
-func (c *Client) distrusts() bool {
-	at := c.broke.Load()
-	return at != 0 && time.Now().UnixNano()-at < int64(c.IdleTimeout)
-}
-
-// CloseExpiredIdle closes connections that have been idle for IdleTime, so that engines need not.
+// CloseExpiredIdle closes connections that have been idle for IdleTimeout, so that engines need not.
 func (c *Client) CloseExpiredIdle() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for s := range c.resting {
-		s.retire(func(k *conn) bool { return time.Since(k.since) >= c.IdleTimeout })
-		s.mu.Lock()
-		if len(s.idle) == 0 {
-			delete(c.resting, s)
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	for e := range c.pool.withIdle {
+		e.discardIdle(func(pc *persistConn) bool { return pc.idleFor() >= c.IdleTimeout })
+		e.mu.Lock()
+		if len(e.idle) == 0 {
+			delete(c.pool.withIdle, e)
 		}
-		s.mu.Unlock()
+		e.mu.Unlock()
 	}
 }
 
-func (c *Client) dial(a *Attempt, s *Endpoint, deadline time.Time) (net.Conn, error) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	if a != nil && !a.stops(stop) {
-		return nil, errShut
-	}
-	d := net.Dialer{Timeout: c.DialTimeout, Deadline: deadline}
-	return d.DialContext(ctx, "tcp", s.Address)
+// suspendReuse notes that a reused connection broke although its socket had shown nothing: engines, or proxies before
+// them, close connections sooner than agreed. Another request sent on such a connection may be lost, and one that must
+// run only once may not be retried; a new connection costs only a handshake. So none is reused until all that are idle
+// now are past their time.
+func (c *Client) suspendReuse() { c.pool.reuseFailedAt.Store(time.Now().UnixNano()) }
+
+// reuseSuspended reports whether connections are neither reused nor kept.
+func (c *Client) reuseSuspended() bool {
+	at := c.pool.reuseFailedAt.Load()
+	return at != 0 && time.Now().UnixNano()-at < int64(c.IdleTimeout)
 }
 
-// give returns a connection after use; only one whose last message ended cleanly is kept.
-func (c *Client) give(s *Endpoint, k *conn, clean bool) {
-	s.mu.Lock()
-	if !clean || !s.IsOpen() || c.distrusts() || len(s.idle) >= c.MaxIdlePerEndpoint || k.br.Buffered() > 0 || k.SetDeadline(time.Time{}) != nil {
-		s.closed1(k)
-		s.mu.Unlock()
-		return
-	}
-	k.since = time.Now()
-	s.idle = append(s.idle, k)
-	s.mu.Unlock()
-	c.mu.Lock()
-	if c.resting == nil {
-		c.resting = map[*Endpoint]struct{}{}
+// onReuseFailure follows a request that was written on a reused connection and got no response. A connection that
+// broke makes all reuse doubtful. One that stayed silent may have died without a sign, or its engine may be slow: only
+// the other idle connections to that engine are doubtful then.
+func (c *Client) onReuseFailure(e *Endpoint, err error) {
+	switch {
+	case connectionBroke(err):
+		c.suspendReuse()
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		e.DiscardIdleConns()
 	}
-	c.resting[s] = struct{}{}
-	c.mu.Unlock()
 }
-
-// quiet tells that the peer has neither closed an idle connection nor sent anything on it. It narrows, but
-// can't close, the gap in which a connection dies at reuse; so what may run only once dials anew.
-func quiet(nc net.Conn) bool { return socket.ReadState(nc) == socket.Idle }
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -10,11 +10,12 @@
 type Progress struct {
 	ReusedConn      bool          // it was sent on a connection that had been used before
 	Connected       time.Duration // a connection was there
-	Written         time.Duration // the request's last byte was handed to the system, which does not tell that it arrived
-	ResponseStarted time.Duration // the head of an answer was here
+	Written         time.Duration // the system accepted the request's last byte, which does not say that it arrived
+	ResponseStarted time.Duration // the header of a response was here
 }
 
-// LostOnReusedConn tells that the request was written on a kept connection and nothing came back: the connection may be dead with no sign.
+// LostOnReusedConn reports whether the request was written on a reused connection and nothing came back: the
+// connection may be dead with no sign.
 func (p Progress) LostOnReusedConn() bool {
 	return p.ReusedConn && p.Written > 0 && p.ResponseStarted == 0
 }
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// Progress tells how far the attempt has come.
+// Progress is how far the attempt has come.
 func (a *Attempt) Progress() Progress {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -39,12 +40,12 @@
 func (a *Attempt) start() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.began = time.Now()
+	a.startedAt = time.Now()
 }
 
-// advance notes a step of the attempt.
-func (a *Attempt) advance(step func(p *Progress, since time.Duration)) {
+// advance records a step of the attempt.
+func (a *Attempt) advance(step func(p *Progress, elapsed time.Duration)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	step(&a.progress, max(time.Since(a.began), 1))
+	step(&a.progress, max(time.Since(a.startedAt), 1)) // 0 would say that the step was not reached
 }
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -6,53 +6,58 @@
 	"time"
 )
 
-// ReleasesState tells that engines are told to let go of state.
+// maxReleaseAttempts bounds the sends of one release. Releasing twice is harmless.
+const maxReleaseAttempts = 3
+
+// ReleasesState reports whether engines are asked to release read state.
 func (c *Client) ReleasesState() bool { return c.Protocol.ReleaseMessage(&Endpoint{}, "") != nil }
 
-// ReleaseState lets go of what id holds at s, trying while there is time and a was not cancelled; fresh asks for a new connection. Without
-// such a call in the dialect it does nothing: engines let go by their own time-out.
-func (c *Client) ReleaseState(a *Attempt, s *Endpoint, id string, fresh bool, deadline time.Time) error {
-	message := c.Protocol.ReleaseMessage(s, id)
+// ReleaseState releases the read state of id at e, with retries while there is time and a was not cancelled. newConn
+// asks for a new connection. Without a release in the protocol it does nothing: engines release state by their own
+// time-out.
+func (c *Client) ReleaseState(a *Attempt, e *Endpoint, id string, newConn bool, deadline time.Time) error {
+	message := c.Protocol.ReleaseMessage(e, id)
 	if message == nil {
 		return nil
 	}
-	var last error
-	for try := range 3 { // letting go twice is harmless
-		if try > 0 && (time.Until(deadline) <= 0 || a.Cancelled()) {
+	var err error
+	for attempt := range maxReleaseAttempts {
+		if attempt > 0 && (time.Until(deadline) <= 0 || a.Cancelled()) {
 			break
 		}
-		if last = c.release(a, s, message, fresh, deadline); last == nil {
+		if err = c.release(a, e, message, newConn, deadline); err == nil {
 			return nil
 		}
 	}
-	return last
+	return err
 }
 
-func (c *Client) release(a *Attempt, s *Endpoint, message []byte, fresh bool, deadline time.Time) error {
-	k, err := c.take(a, s, fresh, deadline)
+// release sends one release and reads its response.
+func (c *Client) release(a *Attempt, e *Endpoint, message []byte, newConn bool, deadline time.Time) error {
+	pc, err := c.getConn(a, e, newConn, deadline)
 	if err != nil {
 		return err
 	}
 	clean := false
-	defer func() { c.give(s, k, a.drop() && clean) }()
-	if !a.hold(k.Conn) {
-		return errShut
+	defer func() { c.putConn(e, pc, a.detachConn() && clean) }()
+	if !a.attachConn(pc.Conn) {
+		return errNotSent
 	}
-	if err := k.SetDeadline(deadline); err != nil {
+	if err := pc.SetDeadline(deadline); err != nil {
 		return err
 	}
-	if _, err := k.Write(message); err != nil {
+	if _, err := pc.Write(message); err != nil {
 		return err
 	}
-	resp, err := http1.ReadResponse(k.br, c.Limits)
+	resp, err := http1.ReadResponse(pc.br, c.Limits)
 	if err != nil {
 		return err
 	}
-	s.lastAnswer.Store(time.Now().UnixNano())
-	var b http1.Body
-	b.Reset(k.br, &resp.Message, c.Limits)
-	_, err = http1.ReadAll(&b, c.MaxReplyBytes)
-	clean = err == nil && b.AtEOF() && !resp.Close
+	e.markResponse()
+	var body http1.Body
+	body.Reset(pc.br, &resp.Message, c.Limits)
+	_, err = http1.ReadAll(&body, c.MaxReplyBytes)
+	clean = err == nil && body.AtEOF() && !resp.Close
 	if !c.Protocol.ReleaseAccepted(resp.Status) {
 		return fmt.Errorf("engine: release answered %d", resp.Status)
 	}
--- /dev/null
+++ b/internal/engine/reply.go
@@ -0,0 +1,69 @@
+package engine
+
+import (
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
+	"errors"
+	"net/http"
+	"os"
+	"time"
+)
+
+// readResponseHeader reads the header of the response, skipping interim ones. Each may be waited for until deadline,
+// but must be whole within HeaderTimeout of its first byte.
+func (c *Client) readResponseHeader(pc *persistConn, deadline time.Time) (*http1.Response, error) {
+	if c.HeaderTimeout == 0 {
+		return http1.ReadResponse(pc.br, c.Limits)
+	}
+	for i := range http1.MaxInterimResponses {
+		resp, err := c.readOneHeader(pc, deadline)
+		if err != nil {
+			return nil, err
+		}
+		if resp.Status >= http.StatusOK {
+			if i > 0 {
+				resp.Close = true // the interim ones were not asked for: what else comes on the connection is not known
+			}
+			return resp, nil
+		}
+		if err := pc.SetReadDeadline(deadline); err != nil {
+			return nil, err
+		}
+	}
+	return nil, &http1.Error{Status: http.StatusBadGateway, Reason: "too many interim responses"}
+}
+
+// readOneHeader reads the next header, which may be that of an interim response.
+func (c *Client) readOneHeader(pc *persistConn, deadline time.Time) (*http1.Response, error) {
+	if _, err := pc.br.Peek(1); err != nil {
+		return nil, err
+	}
+	if !http1.HeaderBuffered(pc.br) {
+		if err := pc.SetReadDeadline(earlierDeadline(c.HeaderTimeout, deadline)); err != nil {
+			return nil, err
+		}
+	}
+	resp, err := http1.ReadResponseHeader(pc.br, c.Limits)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return nil, &http1.Error{Status: http.StatusBadGateway, Reason: "the head of the answer does not end"}
+	}
+	return resp, err
+}
+
+// readReply reads a response that is not a stream and returns the connection to the pool.
+func (c *Client) readReply(a *Attempt, e *Endpoint, pc *persistConn, resp *http1.Response, prefill bool) Outcome {
+	var body http1.Body
+	body.Reset(pc.br, &resp.Message, c.Limits)
+	text, err := http1.ReadAll(&body, c.MaxReplyBytes)
+	alive := a.detachConn()
+	c.putConn(e, pc, alive && err == nil && body.AtEOF() && !resp.Close)
+	if resp.Status < http.StatusMultipleChoices && (err != nil || !alive) {
+		return a.failureOutcome(err)
+	}
+	out := c.Protocol.ParseReply(prefill, resp, text, err)
+	if out.Result == routing.EngineError && !a.delivery.mayHaveRun {
+		out.Result = routing.RequestIncomplete // whatever the reply says, the engine has not started
+	}
+	out.LoadReport = c.loadFigures(resp.Header.Get(c.LoadReportHeader))
+	return out
+}
--- /dev/null
+++ b/internal/engine/roundtrip.go
@@ -0,0 +1,173 @@
+package engine
+
+import (
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
+	"errors"
+	"net"
+	"net/http"
+	"os"
+	"time"
+)
+
+// earlyResponseTimeout is how long a response is waited for once the engine has stopped reading the request. It has
+// been sent by then, so what is on its way arrives soon.
+const earlyResponseTimeout = 50 * time.Millisecond
+
+// requestHeadCapacity holds the request line and header of usual calls without growing, in bytes.
+const requestHeadCapacity = 512
+
+// Prefill runs the prefill stage at e.
+func (c *Client) Prefill(a *Attempt, e *Endpoint, call Call) Outcome {
+	pc, resp, failed := c.roundTrip(a, e, &call)
+	if failed != nil {
+		return *failed
+	}
+	return c.readReply(a, e, pc, resp, true)
+}
+
+// roundTrip gets a connection, sends the request and reads the response's header. On failure it returns the outcome
+// and no connection.
+func (c *Client) roundTrip(a *Attempt, e *Endpoint, call *Call) (*persistConn, *http1.Response, *Outcome) {
+	if a.Cancelled() || !e.IsOpen() || call.mustNotSend() || call.deadlinePassed() {
+		return nil, nil, c.abandon(a, e, nil, call, errNotSent)
+	}
+	a.start()
+	pc, err := c.getConn(a, e, call.SingleUseConn || call.NewConn, call.connectDeadline())
+	if err != nil {
+		return nil, nil, c.abandon(a, e, nil, call, err)
+	}
+	resp, err := c.exchange(a, e, pc, call)
+	if err != nil {
+		return nil, nil, c.abandon(a, e, pc, call, err)
+	}
+	return pc, resp, nil
+}
+
+// abandon closes the connection of an attempt that failed with err, and returns the outcome.
+func (c *Client) abandon(a *Attempt, e *Endpoint, pc *persistConn, call *Call, err error) *Outcome {
+	out := a.failureOutcome(err)
+	if pc != nil {
+		a.detachConn()
+		c.putConn(e, pc, false)
+	}
+	if out.Result.NeverExecuted() && call.sendTimePassed() { // the engine is not to blame
+		out.Result = routing.NotSent
+	}
+	return &out
+}
+
+// exchange sends the request on pc and reads the response's header.
+func (c *Client) exchange(a *Attempt, e *Endpoint, pc *persistConn, call *Call) (*http1.Response, error) {
+	if err := prepareConn(a, e, pc, call); err != nil {
+		return nil, err
+	}
+	written, err := c.send(a, e, pc, call)
+	a.delivery.mayHaveRun = written > 0 && (!c.RunsWhenComplete || err == nil)
+	if err != nil {
+		if resp := c.readEarlyResponse(pc, written, err); resp != nil {
+			return resp, nil
+		}
+		return nil, err
+	}
+	a.advance(func(p *Progress, elapsed time.Duration) { p.Written = elapsed })
+	resp, err := c.readResponseHeader(pc, call.Deadline)
+	if err != nil {
+		if pc.reused && pc.br.Buffered() == 0 && !a.Cancelled() {
+			c.onReuseFailure(e, err)
+		}
+		return nil, err
+	}
+	a.advance(func(p *Progress, elapsed time.Duration) { p.ResponseStarted = elapsed })
+	e.markResponse()
+	return resp, nil
+}
+
+// prepareConn binds the connection to the attempt and sets its deadlines.
+func prepareConn(a *Attempt, e *Endpoint, pc *persistConn, call *Call) error {
+	if !a.attachConn(pc.Conn) || !e.IsOpen() || call.mustNotSend() { // cancelled or drained while the dial was pending
+		return errNotSent
+	}
+	if err := pc.SetReadDeadline(call.Deadline); err != nil {
+		return err
+	}
+	if err := pc.SetWriteDeadline(call.writeDeadline()); err != nil {
+		return err
+	}
+	a.delivery.connected = true
+	a.advance(func(p *Progress, elapsed time.Duration) { p.ReusedConn, p.Connected = pc.reused, elapsed })
+	return nil
+}
+
+// send writes a call's request and returns how many bytes of it the system accepted. The last byte of a request that
+// must run only once is held back until the connection has stood for SettleDelay with all the rest.
+func (c *Client) send(a *Attempt, e *Endpoint, pc *persistConn, call *Call) (int64, error) {
+	message, last := c.requestMessage(e, call), len(call.Body)-1
+	if !call.SingleUseConn || c.SettleDelay <= 0 || !c.RunsWhenComplete || last < 0 {
+		return message.WriteTo(pc.Conn)
+	}
+	(*message)[1] = call.Body[:last]
+	written, err := message.WriteTo(pc.Conn)
+	if err != nil {
+		return written, err
+	}
+	if err := c.awaitStable(a, e, pc, call); err != nil {
+		return written, err
+	}
+	n, err := pc.Write(call.Body[last:])
+	return written + int64(n), err
+}
+
+// requestMessage is a call's whole request; the body is not copied.
+func (c *Client) requestMessage(e *Endpoint, call *Call) *net.Buffers {
+	head := make([]byte, 0, requestHeadCapacity)
+	head = append(c.Protocol.AppendHead(head, e, call), "\r\n"...)
+	return &net.Buffers{head, call.Body}
+}
+
+// awaitStable waits for SettleDelay and reports an error unless the connection stood and the request is still wanted.
+func (c *Client) awaitStable(a *Attempt, e *Endpoint, pc *persistConn, call *Call) error {
+	if err := pc.SetReadDeadline(earlierDeadline(c.SettleDelay, call.Deadline)); err != nil {
+		return err
+	}
+	switch _, err := pc.br.Peek(1); {
+	case err == nil:
+		return errEarlyResponse
+	case !errors.Is(err, os.ErrDeadlineExceeded):
+		return err
+	case a.Cancelled() || !e.IsOpen() || call.mustNotSend():
+		return errNotSent
+	}
+	return pc.SetReadDeadline(call.Deadline)
+}
+
+// readEarlyResponse reads the response that an engine may send before it closes a connection without having read the
+// whole request. It returns nil when there is none that explains sendErr.
+func (c *Client) readEarlyResponse(pc *persistConn, written int64, sendErr error) *http1.Response {
+	if written == 0 || errors.Is(sendErr, errNotSent) {
+		return nil
+	}
+	_ = pc.SetReadDeadline(time.Now().Add(earlyResponseTimeout)) // where it fails, so does the read
+	resp, err := http1.ReadResponse(pc.br, c.Limits)
+	if err != nil || resp.Status < http.StatusMultipleChoices {
+		return nil
+	}
+	resp.Close = true
+	return resp
+}
+
+// AwaitSettled waits for SettleDelay after an attempt that this side ended: its connection is closed, and the engine
+// has to notice before another engine or the client is sent anything that follows from it. What the engine ended
+// itself needs no wait.
+func (c *Client) AwaitSettled(out *Outcome) {
+	switch out.Result {
+	case routing.TimedOut, routing.Cancelled, routing.EngineError, routing.RequestIncomplete:
+	default:
+		return
+	}
+	if c.Sleep != nil {
+		c.Sleep(c.SettleDelay)
+		return
+	}
+	time.Sleep(c.SettleDelay)
+}
--- a/internal/engine/split_test.go
+++ b/internal/engine/split_test.go
@@ -1,7 +1,6 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
 	"brackenbend/routing"
 	"bufio"
 	"bytes"
@@ -49,18 +48,17 @@
 	c.RequireLastChunk, c.RunsWhenComplete, c.HeaderTimeout, c.LoadReportHeader = true, true, time.Minute, "Srv-Load"
 	play := func(name, want string, pieces io.Reader) {
 		t.Helper()
-		k := &conn{Conn: scriptConn{Reader: pieces}}
+		k := &persistConn{Conn: scriptConn{Reader: pieces}}
 		k.br = bufio.NewReaderSize(k.Conn, 4096)
-		resp, err := c.head(k, time.Now().Add(time.Minute))
+		resp, err := c.readResponseHeader(k, time.Now().Add(time.Minute))
 		if err != nil || resp.Status != 200 {
 			t.Fatalf("%s: %v", name, err)
 		}
-		var body http1.Body
-		body.Reset(k.br, &resp.Message, c.Limits)
-		a, got := &Attempt{sent: true}, &sink{}
-		out := c.relay(a, k, &body, got)
-		if out.Result != routing.Served || got.got.String() != want || a.kept != 4 || len(a.load) == 0 || a.load[0] != 0.5 {
-			t.Fatalf("%s: %+v, kept %v, load %v: %q", name, out, a.kept, a.load, got.got.String())
+		a, got := &Attempt{delivery: delivery{mayHaveRun: true}}, &sink{}
+		stream := newStreamRelay(c, a, k, resp, got)
+		out := stream.relay()
+		if out.Result != routing.Served || got.got.String() != want || a.stream.cachedTokens != 4 || len(a.stream.loadReport) == 0 || a.stream.loadReport[0] != 0.5 {
+			t.Fatalf("%s: %+v, kept %v, load %v: %q", name, out, a.stream.cachedTokens, a.stream.loadReport, got.got.String())
 		}
 	}
 	for _, end := range []string{"\n", "\r\n"} {
