--- a/internal/engine/relay.go
+++ b/internal/engine/relay.go
@@ -71,8 +71,10 @@
 			r.body.WaitReadable()
 			r.acquireBuffer()
 		}
-		if err := r.makeRoom(); err != nil {
-			return err
+		if r.filled == len(r.buf) {
+			if err := r.growBuffer(); err != nil {
+				return err
+			}
 		}
 		readErr := r.read()
 		if limit := r.client.MaxStreamBytes; limit > 0 && r.total > limit {
@@ -116,11 +118,8 @@
 	}
 }
 
-// makeRoom grows a buffer that is full with one event.
-func (r *streamRelay) makeRoom() error {
-	if r.filled < len(r.buf) {
-		return nil
-	}
+// growBuffer makes room in a buffer that is full with a part of one event.
+func (r *streamRelay) growBuffer() error {
 	if limit := r.client.MaxEventBytes; len(r.buf) >= limit {
 		return fmt.Errorf("%w: over %d bytes", errEventTooLarge, limit)
 	}
@@ -165,13 +164,13 @@
 // scan finds what of the buffer is to be passed on: events from the first token on. It reports done at the last event,
 // unless the last chunk has to follow.
 func (r *streamRelay) scan() (start, end int, done bool, err error) {
-	stream := &r.attempt.stream
+	stream, read := &r.attempt.stream, r.buf[:r.filled]
 	for {
-		n := sse.Split(r.buf[end:r.filled])
+		n := sse.Split(read[end:])
 		if n == 0 {
 			return start, end, false, nil
 		}
-		event := r.buf[end : end+n]
+		event := read[end : end+n]
 		data := sse.Data(event)
 		switch {
 		case data != nil:
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -93,7 +93,7 @@
 	}
 	buffered, _ := b.br.Peek(n) // never reads, so it can't fail
 	if !b.lineEnded {
-		buffered = buffered[min(len(lineEnd), n):]
+		buffered = buffered[min(len(crlf), n):]
 	}
 	sizeEnd := bytes.IndexByte(buffered, '\n')
 	return sizeEnd >= 0 && sizeEnd+1 < len(buffered)
--- a/internal/http1/chunk.go
+++ b/internal/http1/chunk.go
@@ -75,11 +75,10 @@
 		return nil, io.ErrUnexpectedEOF
 	case err != nil:
 		return nil, err
-	}
-	line, ok := bytes.CutSuffix(line, lineEnd)
-	if !ok {
+	case len(line) < len(crlf) || line[len(line)-len(crlf)] != '\r':
 		return nil, badMessage("chunk line ends in a bare LF")
 	}
+	line = line[:len(line)-len(crlf)]
 	if bytes.IndexByte(line, '\r') >= 0 {
 		return nil, badMessage("bare CR in a chunk line")
 	}
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -88,7 +88,7 @@
 }
 
 var (
-	lineEnd   = []byte("\r\n")
+	crlf      = []byte("\r\n")
 	headerEnd = []byte("\r\n\r\n")
 )
 
@@ -125,7 +125,7 @@
 		if err := checkLineEnd(line); err != nil {
 			return "", err
 		}
-		if len(line) > len(lineEnd) {
+		if len(line) > len(crlf) {
 			lineStart = len(buf)
 			continue
 		}
@@ -138,7 +138,7 @@
 
 // checkLineEnd reports an error unless line, which ends in LF, ends in CRLF and has no other CR.
 func checkLineEnd(line []byte) error {
-	content, ok := bytes.CutSuffix(line, lineEnd)
+	content, ok := bytes.CutSuffix(line, crlf)
 	if !ok {
 		return badMessage("line ends in a bare LF")
 	}
@@ -161,8 +161,8 @@
 	if end <= 0 || end+len(headerEnd) > maxBytes || buffered[0] == '\r' {
 		return "", false
 	}
-	lines := buffered[:end+len(lineEnd)]
-	if n := bytes.Count(lines, lineEnd); n != bytes.Count(lines, lineEnd[:1]) || n != bytes.Count(lines, lineEnd[1:]) {
+	lines := buffered[:end+len(crlf)]
+	if n := bytes.Count(lines, crlf); n != bytes.Count(lines, crlf[:1]) || n != bytes.Count(lines, crlf[1:]) {
 		return "", false // a bare CR or LF
 	}
 	header = string(lines)
