--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,16 +1,14 @@
 package config
 
 import (
+	"brackenbend/internal/golden"
 	"bytes"
-	"flag"
 	"os"
 	"strings"
 	"testing"
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the schema anew")
-
 const (
 	schemaFile  = "../../deploy/brackenbend.xsd"
 	exampleFile = "../../deploy/examples/front.xml"
@@ -35,7 +33,7 @@
 }
 
 func TestCommittedSchemaIsTheCheckers(t *testing.T) {
-	if *update {
+	if golden.Updating() {
 		if err := os.WriteFile(schemaFile, Schema(), 0o644); err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/internal/config/documents_test.go
@@ -0,0 +1,192 @@
+package config
+
+import (
+	"brackenbend/internal/api"
+	"brackenbend/internal/golden"
+	"brackenbend/routing"
+	"fmt"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// attributes writes what a document gave, by the names of elements and attributes.
+func attributes(s *strings.Builder, path string, v reflect.Value) {
+	for i := range v.NumField() {
+		tag, ok := parseTag(v.Type().Field(i))
+		if !ok {
+			continue
+		}
+		f, name := v.Field(i), path+"/"+tag.name
+		switch {
+		case f.Kind() == reflect.Pointer && f.IsNil():
+			fmt.Fprintf(s, "  %s: none\n", name)
+		case f.Kind() == reflect.Pointer:
+			attributes(s, name, f.Elem())
+		case f.Kind() == reflect.Slice:
+			for k := range f.Len() {
+				attributes(s, fmt.Sprintf("%s[%d]", name, k), f.Index(k))
+			}
+		default:
+			fmt.Fprintf(s, "  %s = %v\n", name, f.Interface())
+		}
+	}
+}
+
+func classifierText(c *api.Classifier) string {
+	var s strings.Builder
+	rules := func(what string, rs []api.Rule) {
+		for _, r := range rs {
+			fmt.Fprintf(&s, "  rule for %s %d: when %d name %q equals %q begins %q\n", what, r.Index, r.Match.From, r.Match.Name,
+				r.Match.Equals, r.Match.Prefix)
+		}
+	}
+	keys := func(what string, ks []api.Key) {
+		for _, k := range ks {
+			fmt.Fprintf(&s, "  %s: from %d name %q bytes %d\n", what, k.From, k.Name, k.Bytes)
+		}
+	}
+	rules("class", c.Classes)
+	rules("tenant", c.Tenants)
+	keys("session", c.Sessions)
+	keys("prefix", c.Prefixes)
+	for _, m := range c.Models {
+		fmt.Fprintf(&s, "  model %q bytes-per-token %v max-output %d\n", m.Name, m.BytesPerToken, m.MaxOutput)
+	}
+	fmt.Fprintf(&s, "  default-class %d default-tenant %d\n", c.DefaultClass, c.DefaultTenant)
+	return s.String()
+}
+
+const (
+	registerFull = `<register url="https://h:7000" namespace="n" label-selector="app=e" kind-label="k" cell-label="c" token-file="t" ` +
+		`ca-file="ca" cache="list.json"/>`
+	registerBare = `<register url="http://h:7000" namespace="n"/>`
+)
+
+// TestSettingsDocuments: every element and attribute of the settings' form and what comes of it, for the decision module and
+// the classifier too. The golden file was recorded before the renaming and is not updated meanwhile.
+func TestSettingsDocuments(t *testing.T) {
+	text, err := os.ReadFile("testdata/full.xml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	example, err := os.ReadFile(exampleFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	full := string(text)
+	servers := full[strings.Index(full, "<server "):strings.Index(full, "</brackenbend>")]
+	var got strings.Builder
+	for _, k := range []struct{ name, text string }{
+		{"deploy/examples/front.xml", string(example)},
+		{"full.xml", full},
+		{"full.xml with a register", strings.Replace(full, servers, registerFull, 1)},
+		{"the least", `<brackenbend><front listen="a:1"/><service fronts="1"/><class name="c" effect="safe" aim="1s" deadline="2s"/>` +
+			`<kind name="k" role="mixed"/><model name="m" bytes-per-token="4" max-output="1tokens"/>` + registerBare + `</brackenbend>`},
+	} {
+		s, err := Parse("f.xml", []byte(k.text))
+		if err != nil {
+			t.Fatalf("%s: %v", k.name, err)
+		}
+		fmt.Fprintf(&got, "%s\n", k.name)
+		attributes(&got, "", reflect.ValueOf(s).Elem())
+		got.WriteString(settingsText(s.RoutingConfig()))
+		got.WriteString(classifierText(s.Classifier()))
+	}
+	golden.Check(t, "documents.txt", got.String())
+}
+
+// TestSettingsDocumentErrors: the texts of all problems of documents that are refused.
+func TestSettingsDocumentErrors(t *testing.T) {
+	text, err := os.ReadFile("testdata/full.xml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got strings.Builder
+	for _, k := range [][2]string{
+		{`seed="7"`, `seed="-7"`},
+		{`drain="20s"`, `drain="20"`},
+		{`drain="20s"`, `drian="20s"`},
+		{`head="3KiB"`, `head="3"`},
+		{`quota="100/s"`, `quota="100"`},
+		{`memory="250000tokens"`, `memory="9"`},
+		{`cancel="true"`, `cancel="yes"`},
+		{`effect="unsafe"`, `effect="once"`},
+		{`worth="2.5"`, `worth="-1"`},
+		{`group="zone" `, `group="town" `},
+		{` window="30s"`, ``},
+		{`role="mixed"`, ``},
+		{`format="console"`, `format="text"`},
+		{`default-class="y"`, `default-class="q"`},
+		{`default-tenant="u"`, `default-tenant="q"`},
+		{`cold-from="0.25"`, `cold-from="1.25"`},
+		{`tip-after="2s"`, ``},
+		{`<tenant name="u"/>`, `<tenant name="t"/>`},
+		{`kind="p"`, `kind="q"`},
+		{`address="[::1]:9002"`, `address="here"`},
+		{`admin="127.0.0.1:8090"`, `admin="127.0.0.1:8080"`},
+		{`begins="u-"`, ``},
+		{`name="X-Session-Id"`, ``},
+		{` bytes="2KiB"`, ``},
+		{`<engines `, `<engine/><engines `},
+		{`<server name="s1"`, registerBare + `<server name="s1"`},
+		{`late-worth="0.3"`, `late-worth="3"`},
+		{`<brackenbend>`, `<day>`},
+		{`</brackenbend>`, ``},
+		{`<log `, `text<log `},
+		{`<log `, `<log/><log `},
+		{`deadline="6s"`, `deadline="0s"`},
+		{`max-output="8tokens"`, `max-output="0tokens"`},
+		{`fronts="4"`, `fronts="0"`},
+		{`aim="3s"`, `aim="30s"`},
+	} {
+		if !strings.Contains(string(text), k[0]) {
+			t.Fatalf("the document lacks %s", k[0])
+		}
+		_, err := Parse("f.xml", []byte(strings.Replace(string(text), k[0], k[1], 1)))
+		fmt.Fprintf(&got, "%s -> %s\n  %s\n", k[0], k[1], strings.ReplaceAll(fmt.Sprint(err), "\n", "\n  "))
+	}
+	golden.Check(t, "errors.txt", got.String())
+}
+
+// settingsText writes what the decision module is told, one line a key, in an order of its own.
+func settingsText(c routing.Config) string {
+	var s strings.Builder
+	line := func(key string, v ...any) { fmt.Fprintf(&s, "  %s = %s", key, fmt.Sprintln(v...)) }
+	line("Balancers", c.Replicas)
+	line("Zone", c.Zone)
+	line("Discovery is ask", c.PollEndpoints)
+	line("OverShareWorth", c.OverQuotaWeight)
+	line("WorthBy is work", c.WeightByWork)
+	line("Caps.AttemptsCap", c.MaxAttempts)
+	line("Caps.Cancel", c.CanCancel)
+	line("Caps.SecondCopies", c.Hedging)
+	line("Caps.MaxRetryAfter", c.MaxRetryAfter)
+	line("FamilyInfo.Ahead", c.ReserveAhead)
+	line("FamilyInfo.LocalRead", c.DecodeCanPrefill)
+	line("FamilyInfo.Resume", c.ResumeStreams)
+	line("FamilyInfo.Release", c.StateTTL)
+	line("Invariants.GraceToAnswer", c.AnswerSlack)
+	line("Invariants.StopSendingWithin", c.DrainGrace)
+	line("Invariants.ColdFrom", c.SlowStartFrom)
+	line("Invariants.Cold", c.SlowStartFor)
+	line("Invariants.OverloadFactor", c.OverloadFactor)
+	line("Invariants.TipAfter", c.OverloadAfter)
+	line("Invariants.AskWithin", c.PollInterval)
+	for _, f := range c.LoadReportFields {
+		line("Report.Fields", f)
+	}
+	for i, k := range c.Classes {
+		line("class", i, "Name", k.Name, "Promise", k.LatencyObjective, "Deadline", k.Deadline, "Window", k.DedupWindow, "Importance", k.PriorityWeight,
+			"LateWorth", k.LateWeight, "Repeat", int(k.Idempotency), "Group", int(k.DedupScope), "AimUsPer1000PromptTokens", k.LatencyObjectivePer1000,
+			"TokenAim", k.TokenLatencyObjective)
+	}
+	for i, k := range c.Kinds {
+		line("kind", i, "KindRole", int(k.Role), "KvTokens", k.Memory)
+	}
+	for i, k := range c.Tenants {
+		line("tenant", i, "QuotaPerS", k.QuotaPerS, "Share", k.Share)
+	}
+	return s.String()
+}
--- /dev/null
+++ b/internal/simulation/trace/stored_test.go
@@ -0,0 +1,75 @@
+package trace
+
+import (
+	"brackenbend/internal/golden"
+	"bytes"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/klauspost/compress/zstd"
+)
+
+func requestsText(tr *Trace) string {
+	var s strings.Builder
+	fmt.Fprintf(&s, "begin %s parts %d torn %t steps %d gaps %d\n", tr.Begin.UTC().Format(time.RFC3339Nano), tr.Parts, tr.Torn, tr.Steps, len(tr.Gaps))
+	for _, q := range tr.Requests {
+		fmt.Fprintf(&s, "at=%d class=%q tenant=%q session=%q prefix=%q prompt=%v prefix_len=%v max_out=%v out=%d stream=%t result=%q "+
+			"first=%d took=%d\n", q.At, q.Class, q.Tenant, q.Session, q.Prefix, q.Prompt, q.PrefixLen, q.MaxOut, q.Out, q.Stream,
+			q.Result, q.First, q.Took)
+	}
+	return s.String()
+}
+
+func unpacked(t *testing.T, b []byte) string {
+	t.Helper()
+	z, err := zstd.NewReader(bytes.NewReader(b))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer z.Close()
+	text, err := io.ReadAll(z)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// TestStoredRecording: a recording of two parts from before the renaming is read whole, and written again byte for byte. The
+// golden files are not updated while the renaming goes on.
+func TestStoredRecording(t *testing.T) {
+	full := Request{
+		At: 3, Class: "c", Tenant: "t", Session: "s", Prefix: "p", Prompt: 100.5, PrefixLen: 50.25, MaxOut: 64, Out: 7, Stream: true,
+		Result: "served", First: 123456789, Took: 2 * time.Second,
+	}
+	var b bytes.Buffer
+	part(t, &b, begin, full, at(1), Request{At: 5, Class: "<&>", Result: "refused"})
+	part(t, &b, begin.Add(10*time.Second), at(0), full)
+	golden.Check(t, "recording.zst", b.String())
+	golden.Check(t, "recording.jsonl", unpacked(t, b.Bytes()))
+	stored, err := os.ReadFile(filepath.Join("testdata", "recording.zst"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "recording.read.txt", requestsText(read(t, stored)))
+}
+
+// TestRecordingOfLog: a recording made of a front's log lines.
+func TestRecordingOfLog(t *testing.T) {
+	const log = `{"level":"info","ts":"2026-01-02T03:04:05.678Z","msg":"answer served","front":"f","class":"c","tenant":"t","session":"s",` +
+		`"prefix":"p","prompt_tokens":100.5,"prefix_tokens":50.25,"max_out":64,"events":7,"stream":true,"first_token":"120ms","took":"2s"}
+{"level":"info","ts":"2026-01-02T03:04:06Z","msg":"something else"}
+no json
+{"level":"info","ts":"2026-01-02T03:04:06Z","msg":"answer refused","class":"c","prompt_tokens":5,"took":"1.5ms"}
+`
+	var b bytes.Buffer
+	n, skipped, err := FromLog(strings.NewReader(log), &b)
+	if err != nil || n != 2 || skipped != 2 {
+		t.Fatal(n, skipped, err)
+	}
+	golden.Check(t, "log.jsonl", unpacked(t, b.Bytes()))
+}
--- /dev/null
+++ b/internal/telemetry/names_test.go
@@ -0,0 +1,47 @@
+package telemetry
+
+import (
+	"brackenbend/internal/golden"
+	"strings"
+	"testing"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/common/expfmt"
+)
+
+// TestMetricNames: names, kinds, helps, labels and buckets of all metrics but those of the Go runtime and the process. The
+// golden file was recorded before the renaming and is not updated meanwhile.
+func TestMetricNames(t *testing.T) {
+	m := NewMetrics()
+	for i, c := range []*prometheus.CounterVec{m.Answers, m.Attempts, m.RejectedConnections, m.EndpointUpdates, m.Releases, m.NotServed, m.ClosedConnections, m.LostRequests} {
+		two := i == 0 || i == 1 || i == 5
+		if two {
+			c.WithLabelValues("first label", "second label").Add(float64(i + 1))
+		} else {
+			c.WithLabelValues("only label").Add(float64(i + 1))
+		}
+	}
+	m.Engines.WithLabelValues("first label", "second label").Set(11)
+	m.FirstToken.WithLabelValues("only label").Observe(0.1)
+	m.StateHeldSeconds.WithLabelValues("only label").Observe(0.1)
+	m.DecisionSeconds.Observe(0.1)
+	m.DecisionEvents.Observe(2)
+	m.Backstops.Add(12)
+	m.ClientConnections.Set(13)
+	m.OpenRequests.Set(14)
+	m.StatesHeld.Set(15)
+	all, err := m.reg.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got strings.Builder
+	for _, f := range all {
+		if n := f.GetName(); strings.HasPrefix(n, "go_") || strings.HasPrefix(n, "process_") {
+			continue
+		}
+		if _, err := expfmt.MetricFamilyToText(&got, f); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden.Check(t, "metrics.txt", got.String())
+}
--- a/roles/recorded_test.go
+++ b/roles/recorded_test.go
@@ -1,20 +1,17 @@
 package roles
 
 import (
+	"brackenbend/internal/golden"
 	"crypto/sha256"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"hash"
 	"math/rand/v2"
-	"os"
 	"strings"
 	"testing"
 	"time"
 )
 
-var updateRecorded = flag.Bool("update", false, "write testdata/plans.txt anew from the code as it is")
-
 // encodePlan writes a plan in a form of its own, which stays the same when types and fields are renamed. Times are nanoseconds;
 // the texts of reasons are for logs and are left out.
 func encodePlan(p Plan) string {
@@ -150,7 +147,6 @@
 // them. The encoding holds no name of a type or field, so a digest that differs is a decision that differs: a change that is not
 // meant to change decisions must never write the file anew.
 func TestRecordedPlans(t *testing.T) {
-	const file = "testdata/plans.txt"
 	var got []string
 	for _, f := range []recordedFleet{
 		{"small", 2, 3, 1500, false},
@@ -166,19 +162,5 @@
 		got = append(got, fmt.Sprintf("assignments %d: %s", seed, playAssignments(t, seed)))
 	}
 	text := strings.Join(got, "\n") + "\n"
-	if *updateRecorded {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if text != string(want) {
-		t.Errorf("got\n%swant\n%s", text, want)
-	}
+	golden.Check(t, "plans.txt", text)
 }
