--- a/internal/node/discovery/bytes_test.go
+++ b/internal/node/discovery/bytes_test.go
@@ -72,7 +72,12 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
-	<-whole
+	select {
+	case <-whole:
+	case <-time.After(20 * time.Second):
+		t.Error("not all requests came within 20 s")
+		l.Close()
+	}
 	stop()
 	<-done
 	golden.Check(t, "requests.txt", got.String())
--- a/internal/planner/bytes_test.go
+++ b/internal/planner/bytes_test.go
@@ -83,6 +83,18 @@
 	return s
 }
 
+// next is what is asked next; a request that does not come is a failure, not a wait without end.
+func (p *peer) next(t *testing.T) string {
+	t.Helper()
+	select {
+	case what := <-p.seen:
+		return what
+	case <-time.After(20 * time.Second):
+		t.Fatalf("no more requests within 20 s; so far:\n%s", p.text())
+		return ""
+	}
+}
+
 func plainHTTP() *http.Client { return &http.Client{Transport: &http.Transport{}} }
 
 // turnOnce is a policy that orders one change, then nothing.
@@ -128,10 +140,11 @@
 		Policy: &turnOnce{roles.Plan{Changes: []roles.Change{{ID: "e0", Target: roles.Decode, Reason: "more <writing> & such"}}}},
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	done := make(chan error)
+	defer stop()
+	done := make(chan error, 1)
 	go func() { done <- r.Run(ctx) }()
 	for range 2 { // asked, then told: the last of a round
-		<-e0.seen
+		e0.next(t)
 	}
 	stop()
 	if err := <-done; err != nil {
@@ -190,6 +203,7 @@
 	client := plainHTTP()
 	defer client.CloseIdleConnections()
 	ctx, stop := context.WithCancel(t.Context())
+	defer stop()
 	r := &planner.Runner{
 		Register: planner.Client{URL: "http://" + reg.l.Addr().String(), HTTP: client}, Interval: time.Hour,
 		Log: zap.NewNop(), Metrics: m, Policy: &turnOnce{roles.Plan{
@@ -198,10 +212,10 @@
 			ChangeTime: 2 * time.Second, UntrustedReports: 4,
 		}},
 	}
-	done := make(chan error)
+	done := make(chan error, 1)
 	go func() { done <- r.Run(ctx) }()
 	for what := ""; what != "PUT /v1/brackenbend/roles"; {
-		what = <-reg.seen
+		what = reg.next(t)
 	}
 	stop()
 	if err := <-done; err != nil {
