--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -63,7 +63,7 @@
 		f(client.(*net.TCPConn))
 	}
 	hooked.TCPConn = accepted.(*net.TCPConn)
-	r.f.accept(hooked)
+	r.gateway.accept(hooked)
 	return client.(*net.TCPConn)
 }
 
@@ -71,7 +71,7 @@
 // that chunk has returned. It is the next request on that connection, and not one sent beside the first.
 func TestARequestAtTheEndOfAStream(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
-	r.f.RejectPipelining = true
+	r.gateway.RejectPipelining = true
 	next, lastChunk := make(chan struct{}), make(chan struct{})
 	requests, streams := 0, 0
 	c := r.connect(&hookedConn{
@@ -120,12 +120,12 @@
 			t.Fatal(err)
 		}
 		<-read
-		r.f.loop.giveUp()
-		r.f.mu.Lock()
-		for c := range r.f.conns {
-			c.cutShort()
+		r.gateway.loop.shutdownRouter()
+		r.gateway.mu.Lock()
+		for c := range r.gateway.conns {
+			c.abort()
 		}
-		r.f.mu.Unlock()
+		r.gateway.mu.Unlock()
 		close(cut)
 		_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		got, err := io.ReadAll(c)
@@ -163,12 +163,12 @@
 func TestDescriptorsRunOutAsTheFrontDrains(t *testing.T) {
 	l := &scarceListener{TCPListener: listenOn(t), failed: make(chan struct{})}
 	r := newRigOn(t, l, "", "reader", "writer")
-	r.eventually("it listens", func() bool { r.f.mu.Lock(); defer r.f.mu.Unlock(); return r.f.listener != nil })
-	r.f.AcceptWhileDraining = 20 * time.Second
+	r.eventually("it listens", func() bool { r.gateway.mu.Lock(); defer r.gateway.mu.Unlock(); return r.gateway.listener != nil })
+	r.gateway.AcceptWhileDraining = 20 * time.Second
 	l.short.Store(true)
 	ended := make(chan struct{})
-	go func() { r.f.Shutdown(t.Context()); close(ended) }()
-	r.eventually("it drains", r.f.draining.Load)
+	go func() { r.gateway.Shutdown(t.Context()); close(ended) }()
+	r.eventually("it drains", r.gateway.draining.Load)
 	first, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -205,10 +205,10 @@
 	})
 	<-seen
 	r.eventually("an attempt is not sent", func() bool {
-		return testutil.ToFloat64(r.f.m.Attempts.WithLabelValues("read", resultNames[routing.NotSent])) > 0
+		return testutil.ToFloat64(r.gateway.metrics.Attempts.WithLabelValues("read", resultNames[routing.NotSent])) > 0
 	})
 	answer()
-	r.eventually("the connection has ended", func() bool { return testutil.ToFloat64(r.f.m.ClientConnections) == 0 })
+	r.eventually("the connection has ended", func() bool { return testutil.ToFloat64(r.gateway.metrics.ClientConnections) == 0 })
 	for name, e := range r.engines {
 		if n := e.Arrivals(); n > 0 {
 			t.Errorf("%s was asked %d times", name, n)
--- a/internal/gateway/evict_test.go
+++ b/internal/gateway/evict_test.go
@@ -25,18 +25,18 @@
 // Its client sees the close and sends it again, so begun here it would run twice. One whose request came first stays.
 func TestARequestOnAnEvictedConnectionIsNotBegun(t *testing.T) {
 	for _, during := range []bool{true, false} {
-		f := &Gateway{Options: Options{MinIdleTime: time.Nanosecond}, limits: http1.Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 10}, conns: map[*client]struct{}{}}
+		f := &Gateway{Options: Options{MinIdleTime: time.Nanosecond}, limits: http1.Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 10}, conns: map[*clientConn]struct{}{}}
 		nc := &racing{meanwhile: func() {}}
 		room := false
 		if during {
-			nc.meanwhile = func() { time.Sleep(time.Microsecond); room = f.makeRoom() }
+			nc.meanwhile = func() { time.Sleep(time.Microsecond); room = f.evictIdleConn() }
 		}
-		c := newClient(f, nc)
-		c.used = true
+		c := newClientConn(f, nc)
+		c.hadRequest = true
 		f.conns[c] = struct{}{}
-		req, err := c.next()
+		req, err := c.readRequest()
 		if !during {
-			room = f.makeRoom()
+			room = f.evictIdleConn()
 		}
 		if (req == nil) != during || (err != nil) != during || room != during || nc.closed != during {
 			t.Errorf("during the wait %v: request %v, error %v, room %v, closed %v", during, req != nil, err, room, nc.closed)
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -19,50 +19,50 @@
 
 // The states of a flight's answer. Whoever moves it from open owns the answer; so there is one.
 const (
-	open      int32 = iota
-	streaming       // an attempt has the client's stream
-	answered        // the final answer is set, or the stream has ended
-	gone            // the client left
+	answerPending      int32 = iota
+	answerStreaming       // an attempt has the client's stream
+	answerDone        // the final answer is set, or the stream has ended
+	answerAbandoned            // the client left
 )
 
-// flight is one request from the moment it is taken until its last attempt has ended.
-type flight struct {
+// inflightRequest is one request from the moment it is taken until its last attempt has ended.
+type inflightRequest struct {
 	id     routing.RequestID
-	name   string          // by its client; "" = none
-	ask    routing.Request // as the module is told, but for ID and Due
-	prompt RequestBodies
+	clientID   string          // by its client; "" = none
+	traits    routing.Request // as the module is told, but for ID and Due
+	bodies RequestBodies
 	path   string // towards engines
-	key    string // Idempotency-Key
+	idempotencyKey    string // Idempotency-Key
 	class  *routing.Class
-	to     *client
-	whole  *api.Collector // collects the answer for a client that does not stream
-	chunks bool           // the client takes chunked answers
-	keep   bool           // the connection stays after the answer
-	taken  time.Time
-	due    time.Time // first token, or final answer, by the module's reckoning
-	last   time.Time // the client's time for a whole answer; zero = not told
+	conn     *clientConn
+	collector  *api.Collector // collects the answer for a client that does not stream
+	chunked bool           // the client takes chunked answers
+	keepAlive   bool           // the connection stays after the answer
+	acceptedAt  time.Time
+	deadline    time.Time // first token, or final answer, by the module's reckoning
+	answerDeadline   time.Time // the client's time for a whole answer; zero = not told
 
 	state  atomic.Int32
 	done   chan struct{} // closed once the answer is set or the stream has ended
-	answer Response      // set before done is closed, by the owner of the answer
+	response Response      // set before done is closed, by the owner of the answer
 	result string        // for the log, as answer
 	reason string        // why it was not served, for the log, as answer
-	events atomic.Int64  // of the stream
-	first  atomic.Int64  // nanoseconds from taken to the first token
+	eventCount atomic.Int64  // of the stream
+	firstToken  atomic.Int64  // nanoseconds from taken to the first token
 
 	mu       sync.Mutex
 	attempts []*attempt   // written by the loop alone, under mu; others read them under mu
-	bytes    atomic.Int64 // of its body, as booked with the front
+	bodyBytes    atomic.Int64 // of its body, as booked with the front
 
 	// owned by the loop
-	out     int
-	kv      json.RawMessage
-	held    readState // what a reader holds for it, as far as is known
-	after   *Response // set once out is 0: see refuse
-	mayHold bool      // the module wants what it may hold released
-	release *release  // the last one that was given for it
-	// releasing is closed once what an attempt may have left was released; the next one waits for it. nil: nothing is.
-	releasing <-chan struct{}
+	pendingAttempts     int
+	kvParams      json.RawMessage
+	heldState    readState // what a reader holds for it, as far as is known
+	delayedResponse   *Response // set once out is 0: see refuse
+	releaseWanted bool      // the module wants what it may hold released
+	lastRelease *release  // the last one that was given for it
+	// releaseDone is closed once what an attempt may have left was released; the next one waits for it. nil: nothing is.
+	releaseDone <-chan struct{}
 }
 
 // Response is what a client gets that is not a stream.
@@ -75,25 +75,25 @@
 	reason  string // why it is not served, for the log and metrics; "" where it is
 }
 
-func refusal(a routing.Reject) Response {
+func rejectionResponse(a routing.Reject) Response {
 	e := &api.Error{Status: 429, Type: "rate_limit_error", Code: "busy", Message: "not now; trying again after the told wait is harmless"}
 	return Response{Status: 429, Body: e.JSON(), wait: a.RetryAfter, noRetry: a.NoAutoRetry, reason: a.Reason.String()}
 }
 
-// repeated answers a repeat that was not begun.
-func repeated() Response {
+// possibleDuplicateResponse answers a repeat that was not begun.
+func possibleDuplicateResponse() Response {
 	e := &api.Error{Status: 502, Type: "server_error", Code: "earlier_try_may_have_run", Message: "the client repeated this request by itself " +
 		"(X-Stainless-Retry-Count), and an earlier try may have run; this one did not. Find out whether it ran before asking anew"}
 	return Response{Status: e.Status, Body: e.JSON(), noRetry: true, reason: routing.ReasonPossibleDuplicate.String()}
 }
 
-// failure promises nothing about effects: where one may have happened, SDKs are told not to retry by themselves.
-func failure(fl *flight, reason string) Response {
+// failureResponse promises nothing about effects: where one may have happened, SDKs are told not to retry by themselves.
+func failureResponse(fl *inflightRequest, reason string) Response {
 	e := &api.Error{Status: 502, Type: "server_error", Code: "failed", Message: "the request failed; it may have run"}
 	if fl.class.Idempotency == routing.Idempotent {
 		e.Message = "the request failed; it is safe to try again"
 	}
-	if !time.Now().Before(fl.due) {
+	if !time.Now().Before(fl.deadline) {
 		e.Status, e.Code = 504, "timeout"
 	}
 	return Response{Status: e.Status, Body: e.JSON(), noRetry: fl.class.Idempotency != routing.Idempotent, reason: reason}
@@ -101,53 +101,53 @@
 
 // Reasons that the front itself finds; those of the module are routing.Reason's.
 const (
-	reasonBroken    = "stream broke"
-	reasonLeft      = "client closed its connection"
+	reasonStreamBroke    = "stream broke"
+	reasonClientClosed      = "client closed its connection"
 	reasonPipelined = "client sent more before its answer"
-	reasonLateWhole = "answer not whole in time"
-	reasonBackstop  = "no decision in time"
+	reasonAnswerTimeout = "answer not whole in time"
+	reasonNoDecision  = "no decision in time"
 )
 
-// title is what the request goes by in answers and logs.
-func (fl *flight) title() string {
-	if fl.name != "" {
-		return fl.name
+// displayID is what the request goes by in answers and logs.
+func (fl *inflightRequest) displayID() string {
+	if fl.clientID != "" {
+		return fl.clientID
 	}
-	return fl.to.f.wideID(fl.id, 0)
+	return fl.conn.gateway.attemptID(fl.id, 0)
 }
 
-// freeBody gives the body's bytes back to the front's bound.
-func (fl *flight) freeBody() { fl.to.f.bodies.Add(-fl.bytes.Swap(0)) }
+// releaseBodyBytes gives the body's bytes back to the front's bound.
+func (fl *inflightRequest) releaseBodyBytes() { fl.conn.gateway.bodyBytes.Add(-fl.bodyBytes.Swap(0)) }
 
-func (fl *flight) over() bool { return fl.state.Load() >= answered }
+func (fl *inflightRequest) answered() bool { return fl.state.Load() >= answerDone }
 
 // abandoned tells, as an attempt is about to be written, that none may begin any more: there is an answer, or the client has left.
-func (fl *flight) abandoned() bool { return fl.over() || fl.to.hungUp() }
+func (fl *inflightRequest) abandoned() bool { return fl.answered() || fl.conn.peerClosed() }
 
-func (fl *flight) note(a *attempt) {
+func (fl *inflightRequest) addAttempt(a *attempt) {
 	fl.mu.Lock()
 	fl.attempts = append(fl.attempts, a)
 	fl.mu.Unlock()
 }
 
-// finish sets the final answer if there is none yet.
-func (fl *flight) finish(a Response) bool { return fl.settle(open, a) }
+// respond sets the final answer if there is none yet.
+func (fl *inflightRequest) respond(a Response) bool { return fl.respondFrom(answerPending, a) }
 
-// refuse refuses fl. What is unsafe and has an attempt out, which the module calls off, is refused when that has ended: its engine
+// reject refuses fl. What is unsafe and has an attempt out, which the module calls off, is refused when that has ended: its engine
 // knows first that nobody waits for it (engine.Client.Part). Called by the loop.
-func (fl *flight) refuse(a Response) {
-	if fl.out > 0 && fl.class.Idempotency == routing.NotIdempotent && fl.to.f.Routing.CanCancel {
-		fl.after = &a
+func (fl *inflightRequest) reject(a Response) {
+	if fl.pendingAttempts > 0 && fl.class.Idempotency == routing.NotIdempotent && fl.conn.gateway.Routing.CanCancel {
+		fl.delayedResponse = &a
 		return
 	}
-	fl.finish(a)
+	fl.respond(a)
 }
 
-func (fl *flight) settle(from int32, a Response) bool {
-	if !fl.state.CompareAndSwap(from, answered) {
+func (fl *inflightRequest) respondFrom(from int32, a Response) bool {
+	if !fl.state.CompareAndSwap(from, answerDone) {
 		return false
 	}
-	fl.answer, fl.reason = a, a.reason
+	fl.response, fl.reason = a, a.reason
 	switch {
 	case a.Status == 429:
 		fl.result = "refused"
@@ -156,48 +156,48 @@
 	default:
 		fl.result = "served"
 	}
-	fl.to.kick()
+	fl.conn.interruptRead()
 	close(fl.done)
 	return true
 }
 
 // attempt is one send.
 type attempt struct {
-	fl       *flight
-	n        int
-	srv      *engine.Endpoint
-	write    bool
+	request       *inflightRequest
+	index        int
+	endpoint      *engine.Endpoint
+	decode    bool
 	id       string
-	kv       json.RawMessage
-	limit    time.Time
+	kvParams       json.RawMessage
+	deadline    time.Time
 	sendBy   time.Time // zero = no bound but limit
-	connect  time.Duration
-	fresh    bool // on a new connection: an earlier attempt was lost on a kept one
+	connectTimeout  time.Duration
+	newConn    bool // on a new connection: an earlier attempt was lost on a kept one
 	handle   engine.Attempt
-	began    time.Time
+	startedAt    time.Time
 	pending  bool // its outcome has not come; by the loop
 	ended    chan struct{}
-	waitFor  <-chan struct{} // it begins once this is closed; nil = at once
-	unsent   bool            // set before ended is closed: the engine never ran it
-	unclear  bool            // so is this: it may have left a state that nobody was told of
-	givenUp  bool            // so is this: it is a write that this side ended, which its engine may not have seen yet
-	released bool            // by the loop
-	owns     bool            // the client's answer; set by Begin
-	post     func(item)
-	out      []byte // the frame being written, in frameBuf
-	frameBuf *[]byte
-	broken   error // the client can't be written to
+	startAfter  <-chan struct{} // it begins once this is closed; nil = at once
+	neverRan   bool            // set before ended is closed: the engine never ran it
+	mayHoldState  bool            // so is this: it may have left a state that nobody was told of
+	decodeAborted  bool            // so is this: it is a write that this side ended, which its engine may not have seen yet
+	releaseStarted bool            // by the loop
+	ownsAnswer     bool            // the client's answer; set by Begin
+	post     func(message)
+	frame      []byte // the frame being written, in frameBuf
+	frameBuffer *[]byte
+	writeErr   error // the client can't be written to
 
 	resultMu sync.Mutex
 	result   string
-	took     time.Duration
+	elapsed     time.Duration
 }
 
-func (a *attempt) run(l *loop) {
-	a.began, a.post = time.Now(), l.post
+func (a *attempt) run(l *eventLoop) {
+	a.startedAt, a.post = time.Now(), l.post
 	out := a.perform(l)
-	if a.fl.class.Idempotency == routing.NotIdempotent {
-		l.client.AwaitSettled(&out)
+	if a.request.class.Idempotency == routing.NotIdempotent {
+		l.engines.AwaitSettled(&out)
 	}
 	a.conclude(l, &out)
 }
@@ -205,82 +205,82 @@
 // perform is all that an attempt does while it lasts; its frame stays small, since it lasts as long as the stream.
 //
 //go:noinline
-func (a *attempt) perform(l *loop) engine.Outcome {
-	if a.waitFor != nil {
-		<-a.waitFor
+func (a *attempt) perform(l *eventLoop) engine.Outcome {
+	if a.startAfter != nil {
+		<-a.startAfter
 	}
-	call := engine.Call{Path: a.fl.path, ID: a.id, IdempotencyKey: a.fl.key, Deadline: a.limit, SendBy: a.sendBy, ConnectTimeout: a.connect, NewConn: a.fresh, Abandoned: a.fl.abandoned}
-	if bend := l.f.seam.Key; bend != nil {
+	call := engine.Call{Path: a.request.path, ID: a.id, IdempotencyKey: a.request.idempotencyKey, Deadline: a.deadline, SendBy: a.sendBy, ConnectTimeout: a.connectTimeout, NewConn: a.newConn, Abandoned: a.request.abandoned}
+	if bend := l.gateway.hooks.Key; bend != nil {
 		call.IdempotencyKey = bend(call.IdempotencyKey)
 	}
-	if a.write {
-		call.Body = a.fl.prompt.DecodeBody(a.kv, a.fl.whole != nil)
-		call.SingleUseConn = a.fl.class.Idempotency == routing.NotIdempotent
-		return l.client.Decode(&a.handle, a.srv, call, a)
+	if a.decode {
+		call.Body = a.request.bodies.DecodeBody(a.kvParams, a.request.collector != nil)
+		call.SingleUseConn = a.request.class.Idempotency == routing.NotIdempotent
+		return l.engines.Decode(&a.handle, a.endpoint, call, a)
 	}
-	call.Body = a.fl.prompt.PrefillBody()
-	return l.client.Prefill(&a.handle, a.srv, call)
+	call.Body = a.request.bodies.PrefillBody()
+	return l.engines.Prefill(&a.handle, a.endpoint, call)
 }
 
 // conclude tells everyone how the attempt ended.
 //
 //go:noinline
-func (a *attempt) conclude(l *loop, out *engine.Outcome) {
-	if bend := l.f.seam.Outcome; bend != nil {
-		bend(a.write, out)
+func (a *attempt) conclude(l *eventLoop, out *engine.Outcome) {
+	if bend := l.gateway.hooks.Outcome; bend != nil {
+		bend(a.decode, out)
 	}
-	took := time.Since(a.began)
+	took := time.Since(a.startedAt)
 	a.resultMu.Lock()
-	a.result, a.took = resultNames[out.Result], took
+	a.result, a.elapsed = resultNames[out.Result], took
 	a.resultMu.Unlock()
 	if out.Result != routing.Served && out.Result != routing.PrefillDone {
 		a.logAttempt(l, out, took)
 	}
-	over := a.finish(out)
-	a.unsent = out.Result.NeverExecuted()
-	a.unclear = !a.write && !a.unsent && out.Result != routing.PrefillDone
-	a.givenUp = a.write && (out.Result == routing.TimedOut || out.Result == routing.Cancelled)
+	over := a.finishAnswer(out)
+	a.neverRan = out.Result.NeverExecuted()
+	a.mayHoldState = !a.decode && !a.neverRan && out.Result != routing.PrefillDone
+	a.decodeAborted = a.decode && (out.Result == routing.TimedOut || out.Result == routing.Cancelled)
 	close(a.ended)
-	if !a.write && out.Result != routing.PrefillDone && !l.client.StateByRequestID { // a state that it may have left is known to nobody
+	if !a.decode && out.Result != routing.PrefillDone && !l.engines.StateByRequestID { // a state that it may have left is known to nobody
 		l.work.Add(1)
 		go func() {
 			defer l.work.Done()
-			a.release(l, readState{})
+			a.releaseState(l, readState{})
 		}()
 	}
-	l.post(item{kv: out.KVTransferParams, ev: routing.Outcome{
-		Request: a.fl.id, Attempt: a.n, Endpoint: a.srv.ID, Elapsed: took, RequestDone: over,
+	l.post(message{kv: out.KVTransferParams, event: routing.Outcome{
+		Request: a.request.id, Attempt: a.index, Endpoint: a.endpoint.ID, Elapsed: took, RequestDone: over,
 		Result: out.Result, StateMissing: out.StateMissing, CachedTokens: out.CachedTokens, LoadReport: out.LoadReport,
 	}})
 }
 
-// release tells the reader to release the state of this attempt, which has ended.
-func (a *attempt) release(l *loop, held readState) {
-	if !a.unsent && l.releases {
-		r := &release{id: a.id, servers: []*engine.Endpoint{a.srv}, held: held}
-		if l.releaseAtOne(r) != nil {
-			l.stateEnded(held, stateReleaseFailed)
+// releaseState tells the reader to release the state of this attempt, which has ended.
+func (a *attempt) releaseState(l *eventLoop, held readState) {
+	if !a.neverRan && l.releasesState {
+		r := &release{id: a.id, servers: []*engine.Endpoint{a.endpoint}, held: held}
+		if l.callRelease(r) != nil {
+			l.observeStateEnd(held, stateReleaseFailed)
 		}
 	}
 }
 
-// finish ends the client's answer where this attempt owns it, and tells whether the request is over by it.
-func (a *attempt) finish(out *engine.Outcome) (over bool) {
-	fl := a.fl
+// finishAnswer ends the client's answer where this attempt owns it, and tells whether the request is over by it.
+func (a *attempt) finishAnswer(out *engine.Outcome) (over bool) {
+	fl := a.request
 	if out.Reply != nil { // the engine blames the request; its word is the answer
-		return fl.finish(Response{Status: out.Reply.Status, Body: out.Reply.Body})
+		return fl.respond(Response{Status: out.Reply.Status, Body: out.Reply.Body})
 	}
-	if !a.owns {
+	if !a.ownsAnswer {
 		return false
 	}
-	fl.events.Store(int64(out.Events))
-	if fl.whole != nil {
-		body, err := fl.whole.JSON()
+	fl.eventCount.Store(int64(out.Events))
+	if fl.collector != nil {
+		body, err := fl.collector.JSON()
 		if out.Result != routing.Served || err != nil {
-			fl.settle(streaming, failure(fl, reasonBroken))
+			fl.respondFrom(answerStreaming, failureResponse(fl, reasonStreamBroke))
 			return true
 		}
-		fl.settle(streaming, Response{Status: 200, Body: body})
+		fl.respondFrom(answerStreaming, Response{Status: 200, Body: body})
 		return true
 	}
 	a.endStream(out)
@@ -290,104 +290,104 @@
 // endStream writes the end of a stream, a break told inside it, and gives the connection back. The request is over before the
 // last chunk goes out: a client that has it may send its next request at once.
 func (a *attempt) endStream(out *engine.Outcome) {
-	fl := a.fl
-	fl.state.CompareAndSwap(streaming, answered)
+	fl := a.request
+	fl.state.CompareAndSwap(answerStreaming, answerDone)
 	fl.result = "served"
-	a.takeFrame()
-	b := a.out // with the head, where no event followed it
+	a.getFrameBuffer()
+	b := a.frame // with the head, where no event followed it
 	if out.Result != routing.Served {
-		fl.result, fl.reason = "broken", reasonBroken
+		fl.result, fl.reason = "broken", reasonStreamBroke
 	}
-	if out.Result != routing.Served && !fl.to.f.CutBrokenStreams {
+	if out.Result != routing.Served && !fl.conn.gateway.CutBrokenStreams {
 		e := &api.Error{Type: "server_error", Code: "stream_broken", Message: "the stream broke; it may have run on"}
 		ev := append(append([]byte("data: "), e.JSON()...), "\n\n"...)
-		b = a.frame(b, ev)
+		b = a.appendFrame(b, ev)
 	}
-	if a.broken == nil && (fl.result == "served" || !fl.to.f.CutBrokenStreams) {
-		if fl.chunks {
+	if a.writeErr == nil && (fl.result == "served" || !fl.conn.gateway.CutBrokenStreams) {
+		if fl.chunked {
 			b = append(b, http1.LastChunk...)
 		}
 		if len(b) > 0 {
-			a.broken = fl.to.write(b)
+			a.writeErr = fl.conn.write(b)
 		}
 	}
-	if a.broken != nil && fl.result == "served" {
+	if a.writeErr != nil && fl.result == "served" {
 		fl.result = "gone"
 	}
-	a.out = b
-	a.dropFrame()
-	fl.to.kick()
+	a.frame = b
+	a.putFrameBuffer()
+	fl.conn.interruptRead()
 	close(fl.done)
 }
 
-// frames are the buffers in which answers are framed; a stream holds one only while it writes.
-var frames = sync.Pool{New: func() any { b := make([]byte, 0, 8192+64); return &b }}
+// frameBuffers are the buffers in which answers are framed; a stream holds one only while it writes.
+var frameBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 8192+64); return &b }}
 
-const frameMost = 64 << 10 // larger ones are not kept
+const maxPooledFrame = 64 << 10 // larger ones are not kept
 
-func (a *attempt) takeFrame() {
-	if a.frameBuf == nil {
-		a.frameBuf = frames.Get().(*[]byte)
-		a.out = (*a.frameBuf)[:0]
+func (a *attempt) getFrameBuffer() {
+	if a.frameBuffer == nil {
+		a.frameBuffer = frameBuffers.Get().(*[]byte)
+		a.frame = (*a.frameBuffer)[:0]
 	}
 }
 
-func (a *attempt) dropFrame() {
-	if a.frameBuf != nil {
-		if *a.frameBuf = a.out[:0]; cap(a.out) <= frameMost {
-			frames.Put(a.frameBuf)
+func (a *attempt) putFrameBuffer() {
+	if a.frameBuffer != nil {
+		if *a.frameBuffer = a.frame[:0]; cap(a.frame) <= maxPooledFrame {
+			frameBuffers.Put(a.frameBuffer)
 		}
-		a.frameBuf, a.out = nil, nil
+		a.frameBuffer, a.frame = nil, nil
 	}
 }
 
 // Begin implements engine.Sink: the first token is here.
 func (a *attempt) Begin() bool {
-	fl := a.fl
-	if !fl.state.CompareAndSwap(open, streaming) {
+	fl := a.request
+	if !fl.state.CompareAndSwap(answerPending, answerStreaming) {
 		return false
 	}
-	a.owns = true
-	fl.prompt = nil // no further attempt needs it, and a stream may last
-	fl.freeBody()
-	since := time.Since(fl.taken)
-	fl.first.Store(int64(since))
-	fl.to.streams(fl.last)
-	a.post(item{ev: routing.FirstToken{Request: fl.id, Attempt: a.n, Endpoint: a.srv.ID, Elapsed: time.Since(a.began)}})
-	if fl.whole == nil {
-		a.takeFrame()
-		b := http1.AppendStatusLine(a.out, 200)
+	a.ownsAnswer = true
+	fl.bodies = nil // no further attempt needs it, and a stream may last
+	fl.releaseBodyBytes()
+	since := time.Since(fl.acceptedAt)
+	fl.firstToken.Store(int64(since))
+	fl.conn.extendRead(fl.answerDeadline)
+	a.post(message{event: routing.FirstToken{Request: fl.id, Attempt: a.index, Endpoint: a.endpoint.ID, Elapsed: time.Since(a.startedAt)}})
+	if fl.collector == nil {
+		a.getFrameBuffer()
+		b := http1.AppendStatusLine(a.frame, 200)
 		b = http1.AppendField(b, "Content-Type", "text/event-stream; charset=utf-8")
 		b = http1.AppendField(b, "Cache-Control", "no-cache")
-		b = http1.AppendField(b, engine.HeaderRequestID, fl.title())
-		if fl.chunks {
+		b = http1.AppendField(b, engine.HeaderRequestID, fl.displayID())
+		if fl.chunked {
 			b = http1.AppendField(b, "Transfer-Encoding", "chunked")
 		}
-		if !fl.keep {
+		if !fl.keepAlive {
 			b = http1.AppendField(b, "Connection", "close")
 		}
-		a.out = append(b, "\r\n"...)
+		a.frame = append(b, "\r\n"...)
 	}
 	return true
 }
 
 // Events implements engine.Sink. The head waits in a.out for the first events, to go out with them.
 func (a *attempt) Events(p []byte, last bool) error {
-	if a.fl.whole != nil {
+	if a.request.collector != nil {
 		return a.collect(p)
 	}
-	a.takeFrame()
-	a.out = a.frame(a.out, p)
+	a.getFrameBuffer()
+	a.frame = a.appendFrame(a.frame, p)
 	if last { // endStream writes it with the end of the body
 		return nil
 	}
-	a.broken = a.fl.to.write(a.out)
-	a.dropFrame()
-	return a.broken
+	a.writeErr = a.request.conn.write(a.frame)
+	a.putFrameBuffer()
+	return a.writeErr
 }
 
-func (a *attempt) frame(b, p []byte) []byte {
-	if a.fl.chunks {
+func (a *attempt) appendFrame(b, p []byte) []byte {
+	if a.request.chunked {
 		return http1.AppendChunk(b, p)
 	}
 	return append(b, p...)
@@ -400,7 +400,7 @@
 			return errors.New("front: half an event")
 		}
 		if data := sse.Data(p[:n]); data != nil && string(data) != sse.Done {
-			if err := a.fl.whole.Add(data); err != nil {
+			if err := a.request.collector.Add(data); err != nil {
 				return err
 			}
 		}
@@ -410,7 +410,7 @@
 }
 
 // stage is the one that a request without a first token had not passed.
-func (fl *flight) stage() string {
+func (fl *inflightRequest) stage() string {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	for _, a := range fl.attempts {
@@ -424,17 +424,17 @@
 	return "read"
 }
 
-// report is the one log line of a request's final answer.
-func (fl *flight) report(f *Gateway) {
-	f.m.Answers.WithLabelValues(fl.class.Name, fl.result).Inc()
+// logAnswer is the one log line of a request's final answer.
+func (fl *inflightRequest) logAnswer(f *Gateway) {
+	f.metrics.Answers.WithLabelValues(fl.class.Name, fl.result).Inc()
 	if fl.reason != "" {
-		f.m.NotServed.WithLabelValues(fl.result, fl.reason).Inc()
+		f.metrics.NotServed.WithLabelValues(fl.result, fl.reason).Inc()
 	}
-	if d := fl.first.Load(); d > 0 {
-		f.m.FirstToken.WithLabelValues(fl.class.Name).Observe(time.Duration(d).Seconds())
+	if d := fl.firstToken.Load(); d > 0 {
+		f.metrics.FirstToken.WithLabelValues(fl.class.Name).Observe(time.Duration(d).Seconds())
 	}
-	if fl.first.Load() == 0 && (fl.result == "refused" || fl.result == "failed") {
-		f.m.LostRequests.WithLabelValues(fl.stage()).Inc()
+	if fl.firstToken.Load() == 0 && (fl.result == "refused" || fl.result == "failed") {
+		f.metrics.LostRequests.WithLabelValues(fl.stage()).Inc()
 	}
 	ce := f.log.Check(zap.InfoLevel, "answer "+fl.result)
 	if ce == nil {
@@ -448,16 +448,16 @@
 		if result == "" {
 			result = "out"
 		}
-		trail = append(trail, a.srv.Name+" "+result+" "+strconv.FormatInt(a.took.Milliseconds(), 10)+"ms")
+		trail = append(trail, a.endpoint.Name+" "+result+" "+strconv.FormatInt(a.elapsed.Milliseconds(), 10)+"ms")
 		a.resultMu.Unlock()
 	}
 	fl.mu.Unlock()
-	ce.Write(zap.String("id", fl.title()), zap.String("class", fl.class.Name), zap.Int("status", fl.answer.Status), zap.String("reason", fl.reason),
-		zap.Int("prompt_tokens", int(math.Round(fl.ask.PromptTokens))), zap.Duration("first_token", time.Duration(fl.first.Load())),
-		zap.Duration("took", time.Since(fl.taken)), zap.Strings("attempts", trail),
-		zap.String("tenant", f.tenant(fl.ask.Tenant)), zap.String("session", strconv.FormatUint(fl.ask.Session, 16)),
-		zap.String("prefix", prefixName(fl.ask.Prefix)), zap.Int("prefix_tokens", int(math.Round(fl.ask.PrefixTokens))),
-		zap.Int("max_out", int(fl.ask.MaxOutputTokens)), zap.Int64("events", fl.events.Load()), zap.Bool("stream", fl.whole == nil))
+	ce.Write(zap.String("id", fl.displayID()), zap.String("class", fl.class.Name), zap.Int("status", fl.response.Status), zap.String("reason", fl.reason),
+		zap.Int("prompt_tokens", int(math.Round(fl.traits.PromptTokens))), zap.Duration("first_token", time.Duration(fl.firstToken.Load())),
+		zap.Duration("took", time.Since(fl.acceptedAt)), zap.Strings("attempts", trail),
+		zap.String("tenant", f.tenantName(fl.traits.Tenant)), zap.String("session", strconv.FormatUint(fl.traits.Session, 16)),
+		zap.String("prefix", prefixName(fl.traits.Prefix)), zap.Int("prefix_tokens", int(math.Round(fl.traits.PrefixTokens))),
+		zap.Int("max_out", int(fl.traits.MaxOutputTokens)), zap.Int64("events", fl.eventCount.Load()), zap.Bool("stream", fl.collector == nil))
 }
 
 // prefixName is how a shared beginning goes by in the log; "" = none.
--- a/internal/gateway/forget_test.go
+++ b/internal/gateway/forget_test.go
@@ -19,22 +19,22 @@
 			Name: fmt.Sprintf("pod-%d", i), Kind: "writer", Zone: fmt.Sprintf("z%d", i), Cell: fmt.Sprintf("c%d", i),
 			Address: "127.0.0.1:1", State: routing.EndpointDraining,
 		}
-		r.f.UpdateEndpoints(endpointslice.Update{Scope: routing.ListChanges, Endpoints: []endpointslice.Endpoint{pod}})
+		r.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListChanges, Endpoints: []endpointslice.Endpoint{pod}})
 		pod.State = routing.EndpointGone
-		r.f.UpdateEndpoints(endpointslice.Update{Scope: routing.ListChanges, Endpoints: []endpointslice.Endpoint{pod}})
+		r.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListChanges, Endpoints: []endpointslice.Endpoint{pod}})
 	}
 	if resp, text := r.post("ask", `{"model":"m","messages":[{"role":"user","content":"x"}]}`); resp.StatusCode != http.StatusOK {
 		t.Fatalf("%d %s", resp.StatusCode, text)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	r.f.Shutdown(ctx) // the loop is over: its tables may be looked at
-	l := r.f.loop
-	if len(l.servers) != 2 || len(l.byID) != 2 || len(l.places) > 2 {
-		t.Errorf("%d names, %d ids, %d places are kept for 2 engines", len(l.servers), len(l.byID), len(l.places))
+	r.gateway.Shutdown(ctx) // the loop is over: its tables may be looked at
+	l := r.gateway.loop
+	if len(l.endpoints) != 2 || len(l.endpointsByID) != 2 || len(l.localities) > 2 {
+		t.Errorf("%d names, %d ids, %d places are kept for 2 engines", len(l.endpoints), len(l.endpointsByID), len(l.localities))
 	}
-	if l.placed < 6000 {
-		t.Errorf("%d numbers were given to 6000 places: one came twice", l.placed)
+	if l.nextLocality < 6000 {
+		t.Errorf("%d numbers were given to 6000 places: one came twice", l.nextLocality)
 	}
 }
 
@@ -45,12 +45,12 @@
 	r := newRig(t, "", "reader", "writer")
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	r.f.Shutdown(ctx) // the loop is over: lists may be given to it from here
-	l := r.f.loop
+	r.gateway.Shutdown(ctx) // the loop is over: lists may be given to it from here
+	l := r.gateway.loop
 	tell := func(address string, started time.Time) routing.Endpoint {
 		t.Helper()
 		e := endpointslice.Endpoint{Name: "pod", Kind: "writer", Zone: "z", Cell: "c", Address: address, State: routing.EndpointReady, Started: started}
-		ev, ok := l.list(&endpointslice.Update{Scope: routing.ListChanges, Endpoints: []endpointslice.Endpoint{e}}).(routing.EndpointList)
+		ev, ok := l.applyUpdate(&endpointslice.Update{Scope: routing.ListChanges, Endpoints: []endpointslice.Endpoint{e}}).(routing.EndpointList)
 		if !ok || len(ev.Endpoints) != 1 {
 			t.Fatalf("%+v", ev)
 		}
@@ -71,11 +71,11 @@
 			t.Errorf("%s: %+v, want it ready at %v", k.name, got, k.want)
 		}
 	}
-	was := l.byID[first.ID].srv
+	was := l.endpointsByID[first.ID].engine
 	if moved := tell("127.0.0.1:2", time.Time{}); moved.ID != first.ID {
 		t.Errorf("an engine that moved is another one: %d, was %d", moved.ID, first.ID)
 	}
-	if now := l.byID[first.ID].srv; was.IsOpen() || !now.IsOpen() || now.Address != "127.0.0.1:2" {
+	if now := l.endpointsByID[first.ID].engine; was.IsOpen() || !now.IsOpen() || now.Address != "127.0.0.1:2" {
 		t.Errorf("where it was is open: %t; now at %s, open: %t", was.IsOpen(), now.Address, now.IsOpen())
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,28 +83,28 @@
 // Gateway is one front. Make it with New or Make, give it lists with Deliver, run it with Serve.
 type Gateway struct {
 	Options
-	set     *config.Settings // of New
-	seam    TestHooks
+	settings     *config.Settings // of New
+	hooks    TestHooks
 	classes []routing.Class
 	kinds   []routing.Kind
 	limits  http1.Limits
 	log     *zap.Logger
-	m       *telemetry.Metrics
-	loop    *loop
-	ids     atomic.Uint64
-	run     string // sets this run's ids apart from all others
+	metrics       *telemetry.Metrics
+	loop    *eventLoop
+	lastRequestID     atomic.Uint64
+	runID     string // sets this run's ids apart from all others
 
-	open   atomic.Int64
-	bodies atomic.Int64 // bytes of bodies held
+	openRequests   atomic.Int64
+	bodyBytes atomic.Int64 // bytes of bodies held
 
 	mu       sync.Mutex
-	conns    map[*client]struct{}
-	names    map[string]struct{} // ids of open requests, where clients give them
+	conns    map[*clientConn]struct{}
+	clientIDs    map[string]struct{} // ids of open requests, where clients give them
 	draining atomic.Bool
-	lastLook time.Duration // set before it drains
-	leaves   atomic.Int64  // when it takes in no more, as Unix time in nanoseconds; set before it drains
+	drainGrace time.Duration // set before it drains
+	drainDeadline   atomic.Int64  // when it takes in no more, as Unix time in nanoseconds; set before it drains
 	listener net.Listener
-	wait     sync.WaitGroup
+	goroutines     sync.WaitGroup
 }
 
 // NewFromSettings makes a front for OpenAI's API and vLLM engines from checked settings.
@@ -126,7 +126,7 @@
 	}
 	f, err := New(o, log, m)
 	if err == nil {
-		f.set = set
+		f.settings = set
 	}
 	return f, err
 }
@@ -149,12 +149,12 @@
 		return nil, err
 	}
 	f := &Gateway{
-		Options: o, seam: seam, classes: o.Routing.Classes, kinds: o.Routing.Kinds, log: log, m: m, conns: map[*client]struct{}{},
-		limits: http1.Limits{MaxHeaderBytes: int(o.Limits.MaxHeaderBytes), MaxHeaderFields: o.Limits.MaxHeaderFields}, names: map[string]struct{}{},
-		run: fmt.Sprintf("%x", random[8:]), lastLook: lastLook,
+		Options: o, hooks: seam, classes: o.Routing.Classes, kinds: o.Routing.Kinds, log: log, metrics: m, conns: map[*clientConn]struct{}{},
+		limits: http1.Limits{MaxHeaderBytes: int(o.Limits.MaxHeaderBytes), MaxHeaderFields: o.Limits.MaxHeaderFields}, clientIDs: map[string]struct{}{},
+		runID: fmt.Sprintf("%x", random[8:]), drainGrace: defaultDrainGrace,
 	}
 	o.Engines.LoadReportFields = o.Routing.LoadReportFields
-	f.loop = newLoop(f, router, o.Engines)
+	f.loop = newEventLoop(f, router, o.Engines)
 	return f, nil
 }
 
@@ -162,12 +162,12 @@
 func UserAgent(set *config.Settings) string { return "brackenbend/" + set.Replica.Name }
 
 // UpdateEndpoints takes news of the list of engines. It may be called from any goroutine.
-func (f *Gateway) UpdateEndpoints(u endpointslice.Update) { f.loop.post(item{list: &u}) }
+func (f *Gateway) UpdateEndpoints(u endpointslice.Update) { f.loop.post(message{list: &u}) }
 
 // Reload takes new settings into a running front: models, rules, sessions and prefixes. All else needs a
 // restart; what differs there is named in the error and nothing is taken.
 func (f *Gateway) Reload(set *config.Settings) error {
-	if err := config.CheckReload(f.set, set); err != nil {
+	if err := config.CheckReload(f.settings, set); err != nil {
 		return err
 	}
 	f.Protocol.(*openAI).routes.Store(set.Classifier())
@@ -179,7 +179,7 @@
 	switch {
 	case f.draining.Load():
 		return "draining"
-	case !f.loop.listed.Load():
+	case !f.loop.hasEndpoints.Load():
 		return "no list of engines yet"
 	}
 	return ""
@@ -194,16 +194,16 @@
 		return nil
 	}
 	f.listener = l
-	f.wait.Add(1)
+	f.goroutines.Add(1)
 	f.mu.Unlock()
-	defer f.wait.Done()
+	defer f.goroutines.Done()
 	defer l.Close()
-	pause := acceptPauseLeast
+	pause := minAcceptBackoff
 	for {
 		nc, err := l.Accept()
 		switch {
 		case err == nil:
-			pause = acceptPauseLeast
+			pause = minAcceptBackoff
 			f.accept(nc)
 		case f.draining.Load() && (errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)):
 			return nil
@@ -212,82 +212,82 @@
 		default: // out of descriptors, say: clients wait in the backlog, also while the front drains, rather than it ends
 			f.log.Error("accept failed", zap.Error(err))
 			time.Sleep(pause)
-			pause = min(2*pause, acceptPauseMost)
+			pause = min(2*pause, maxAcceptBackoff)
 		}
 	}
 }
 
 // The bounds on the pause after a failed accept, which doubles.
 const (
-	acceptPauseLeast = 5 * time.Millisecond
-	acceptPauseMost  = 100 * time.Millisecond
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff  = 100 * time.Millisecond
 )
 
-// lastLook is how long a draining front still looks for clients that are connecting, and for a request on a
+// defaultDrainGrace is how long a draining front still looks for clients that are connecting, and for a request on a
 // connection that was idle: closing in its face would leave it without an answer.
-const lastLook = 50 * time.Millisecond
+const defaultDrainGrace = 50 * time.Millisecond
 
-// look is how long a draining front waits for what may still come: until it leaves, and at least for the last look.
-func (f *Gateway) look() time.Time {
-	at := time.Now().Add(f.lastLook)
-	if leaves := time.Unix(0, f.leaves.Load()); leaves.After(at) {
+// drainGraceEnd is how long a draining front waits for what may still come: until it leaves, and at least for the last look.
+func (f *Gateway) drainGraceEnd() time.Time {
+	at := time.Now().Add(f.drainGrace)
+	if leaves := time.Unix(0, f.drainDeadline.Load()); leaves.After(at) {
 		return leaves
 	}
 	return at
 }
 
-// parting tells that answers end their connections.
-func (f *Gateway) parting() bool {
-	return f.draining.Load() && time.Now().UnixNano() >= f.leaves.Load()
+// drainDeadlinePassed tells that answers end their connections.
+func (f *Gateway) drainDeadlinePassed() bool {
+	return f.draining.Load() && time.Now().UnixNano() >= f.drainDeadline.Load()
 }
 
 func (f *Gateway) accept(nc net.Conn) {
 	f.mu.Lock()
-	if len(f.conns) >= f.Limits.MaxConnections && !f.makeRoom() {
+	if len(f.conns) >= f.Limits.MaxConnections && !f.evictIdleConn() {
 		f.mu.Unlock()
-		f.m.RejectedConnections.WithLabelValues("connections").Inc()
+		f.metrics.RejectedConnections.WithLabelValues("connections").Inc()
 		nc.Close()
 		return
 	}
-	c := newClient(f, nc)
+	c := newClientConn(f, nc)
 	f.conns[c] = struct{}{}
-	f.wait.Add(1)
+	f.goroutines.Add(1)
 	f.mu.Unlock()
-	f.m.ClientConnections.Inc()
+	f.metrics.ClientConnections.Inc()
 	go func() {
-		defer f.wait.Done()
+		defer f.goroutines.Done()
 		c.serve()
 		f.mu.Lock()
 		delete(f.conns, c)
 		f.mu.Unlock()
-		f.m.ClientConnections.Dec()
-		f.m.ClosedConnections.WithLabelValues(c.closing).Inc()
+		f.metrics.ClientConnections.Dec()
+		f.metrics.ClosedConnections.WithLabelValues(c.closeReason).Inc()
 	}()
 }
 
-// makeRoom ends the connection that has been idle longest, where that is long enough; one that has not sent anything
+// evictIdleConn ends the connection that has been idle longest, where that is long enough; one that has not sent anything
 // yet owes its request at once and goes first. f.mu is held.
-func (f *Gateway) makeRoom() bool {
+func (f *Gateway) evictIdleConn() bool {
 	if f.MinIdleTime == 0 {
 		return false
 	}
 	now := time.Now().UnixNano()
 	for {
-		var oldest *client
+		var oldest *clientConn
 		var rested int64
 		for c := range f.conns {
 			since := c.idleSince.Load()
-			if since <= 0 || c.used && now-since < int64(f.MinIdleTime) || oldest != nil && !oldest.used && c.used {
+			if since <= 0 || c.hadRequest && now-since < int64(f.MinIdleTime) || oldest != nil && !oldest.hadRequest && c.hadRequest {
 				continue
 			}
-			if oldest == nil || oldest.used && !c.used || since < rested {
+			if oldest == nil || oldest.hadRequest && !c.hadRequest || since < rested {
 				oldest, rested = c, since
 			}
 		}
 		if oldest == nil {
 			return false
 		}
-		if oldest.evict(rested) { // else a request has come on it
+		if oldest.closeIfIdleSince(rested) { // else a request has come on it
 			delete(f.conns, oldest)
 			return true
 		}
@@ -297,27 +297,27 @@
 // Shutdown stops accepting, lets what is held be answered until ctx ends, then fails the rest, which promises
 // nothing about effects. It returns when no connection and no attempt is left.
 func (f *Gateway) Shutdown(ctx context.Context) {
-	f.leaves.Store(time.Now().Add(f.AcceptWhileDraining).UnixNano())
+	f.drainDeadline.Store(time.Now().Add(f.AcceptWhileDraining).UnixNano())
 	f.mu.Lock()
 	f.draining.Store(true)
 	if l, ok := f.listener.(interface{ SetDeadline(time.Time) error }); ok { // those in the backlog are taken in and told
-		_ = l.SetDeadline(f.look())
+		_ = l.SetDeadline(f.drainGraceEnd())
 	} else if f.listener != nil {
 		f.listener.Close()
 	}
 	for c := range f.conns {
-		c.kickIfIdle()
+		c.interruptIfIdle()
 	}
 	f.mu.Unlock()
 	done := make(chan struct{})
-	go func() { f.wait.Wait(); close(done) }()
+	go func() { f.goroutines.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-ctx.Done():
-		f.loop.giveUp()
+		f.loop.shutdownRouter()
 		f.mu.Lock()
 		for c := range f.conns {
-			c.cutShort()
+			c.abort()
 		}
 		f.mu.Unlock()
 		<-done
@@ -332,14 +332,14 @@
 	return len(f.conns)
 }
 
-// wideID names an attempt over all fronts and restarts.
-func (f *Gateway) wideID(id routing.RequestID, attempt int) string {
-	b := append(make([]byte, 0, len(f.run)+16), f.run...)
+// attemptID names an attempt over all fronts and restarts.
+func (f *Gateway) attemptID(id routing.RequestID, attempt int) string {
+	b := append(make([]byte, 0, len(f.runID)+16), f.runID...)
 	b = strconv.AppendUint(append(b, '-'), uint64(id), 16)
 	return string(strconv.AppendInt(append(b, '-'), int64(attempt), 10))
 }
 
-func (f *Gateway) tenant(i int) string {
+func (f *Gateway) tenantName(i int) string {
 	if i >= 0 && i < len(f.Tenants) {
 		return f.Tenants[i]
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -42,7 +42,7 @@
 // rig is a front with stand-in engines.
 type rig struct {
 	t       *testing.T
-	f       *Gateway
+	gateway       *Gateway
 	addr    string
 	engines map[string]*standin.Server
 	list    []endpointslice.Endpoint
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, engines: map[string]*standin.Server{}, served: make(chan error, 1)}
-	if r.f, err = NewFromSettings(set, zap.NewNop(), telemetry.NewMetrics()); err != nil {
+	if r.gateway, err = NewFromSettings(set, zap.NewNop(), telemetry.NewMetrics()); err != nil {
 		t.Fatal(err)
 	}
 	for i, role := range roles {
@@ -104,13 +104,13 @@
 		r.engines[name] = s
 		r.list = append(r.list, endpointslice.Endpoint{Name: name, Kind: role, Address: s.Info().Address, State: routing.EndpointReady})
 	}
-	r.f.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: r.list})
+	r.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: r.list})
 	r.addr = l.Addr().String()
-	go func() { r.served <- r.f.Serve(l) }()
+	go func() { r.served <- r.gateway.Serve(l) }()
 	t.Cleanup(func() {
 		ctx, stop := context.WithTimeout(context.Background(), 3*time.Second)
 		defer stop()
-		r.f.Shutdown(ctx)
+		r.gateway.Shutdown(ctx)
 		if err := <-r.served; err != nil {
 			t.Error(err)
 		}
@@ -360,9 +360,9 @@
 				t.Fatal(err)
 			}
 		}
-		r.eventually("the request is open", func() bool { return r.f.open.Load() == 1 })
+		r.eventually("the request is open", func() bool { return r.gateway.openRequests.Load() == 1 })
 		c.Close()
-		r.eventually(phase+": the request is over", func() bool { return r.f.open.Load() == 0 })
+		r.eventually(phase+": the request is over", func() bool { return r.gateway.openRequests.Load() == 0 })
 		r.eventually(phase+": no engine works on it", func() bool {
 			for _, e := range r.engines {
 				if e.Working() > 0 {
@@ -399,8 +399,8 @@
 	for _, e := range r.engines {
 		e.Flood(true) // tokens as fast as the sockets take them
 	}
-	r.eventually("the stream is open", func() bool { return r.f.open.Load() == 1 })
-	r.eventually("the stalled client is given up", func() bool { return r.f.open.Load() == 0 })
+	r.eventually("the stream is open", func() bool { return r.gateway.openRequests.Load() == 1 })
+	r.eventually("the stalled client is given up", func() bool { return r.gateway.openRequests.Load() == 0 })
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 8<<20 {
@@ -440,17 +440,17 @@
 func TestDeadlineOutcomeAndHangUpAtOnce(t *testing.T) {
 	for range 2000 {
 		a, b := net.Pipe()
-		f := &Gateway{set: &config.Settings{Limits: &config.Limits{WriteTimeout: time.Second}}}
-		fl := &flight{to: newClient(f, a), class: &routing.Class{}, done: make(chan struct{}), chunks: true, taken: time.Now()}
-		att := &attempt{fl: fl, srv: &engine.Endpoint{}, post: func(item) {}}
+		f := &Gateway{settings: &config.Settings{Limits: &config.Limits{WriteTimeout: time.Second}}}
+		fl := &inflightRequest{conn: newClientConn(f, a), class: &routing.Class{}, done: make(chan struct{}), chunked: true, acceptedAt: time.Now()}
+		att := &attempt{request: fl, endpoint: &engine.Endpoint{}, post: func(message) {}}
 		go io.Copy(io.Discard, b)
 		var wg sync.WaitGroup
 		var won [3]bool
 		start := make(chan struct{})
 		for i, act := range []func() bool{
-			func() bool { return fl.finish(refusal(routing.Reject{RetryAfter: time.Second})) },
+			func() bool { return fl.respond(rejectionResponse(routing.Reject{RetryAfter: time.Second})) },
 			att.Begin,
-			func() bool { return fl.state.CompareAndSwap(open, gone) },
+			func() bool { return fl.state.CompareAndSwap(answerPending, answerAbandoned) },
 		} {
 			wg.Add(1)
 			go func() { defer wg.Done(); <-start; won[i] = act() }()
@@ -475,23 +475,23 @@
 	r := newRig(t, "", "reader", "writer")
 	got := make(chan string, 1)
 	go func() { got <- r.raw(request(chat(true, 200), "")) }()
-	r.eventually("the request is open", func() bool { return r.f.open.Load() == 1 })
+	r.eventually("the request is open", func() bool { return r.gateway.openRequests.Load() == 1 })
 	idle, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	r.f.lastLook = 2 * time.Second // the client below may be scheduled late
+	r.gateway.drainGrace = 2 * time.Second // the client below may be scheduled late
 	late := make(chan string, 1)
 	go func() { // on a connection that was idle, just as the front begins to drain
-		for !r.f.draining.Load() {
+		for !r.gateway.draining.Load() {
 			runtime.Gosched()
 		}
 		io.WriteString(idle, request(chat(true, 1), ""))
 		text, _ := io.ReadAll(idle)
 		late <- string(text)
 	}()
-	r.f.Shutdown(t.Context())
+	r.gateway.Shutdown(t.Context())
 	if text := <-got; !strings.Contains(text, "[DONE]") {
 		t.Errorf("%q", text)
 	}
@@ -511,10 +511,10 @@
 	}
 	got := make(chan string, 1)
 	go func() { got <- r.raw(request(chat(true, 200), "X-Class: order\r\n")) }()
-	r.eventually("the request is open", func() bool { return r.f.open.Load() == 1 })
+	r.eventually("the request is open", func() bool { return r.gateway.openRequests.Load() == 1 })
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	r.f.Shutdown(ctx)
+	r.gateway.Shutdown(ctx)
 	if text := <-got; !strings.HasPrefix(text, "HTTP/1.1 429") || !strings.Contains(text, "x-should-retry: false") || strings.Count(text, "HTTP/1.1") != 1 {
 		t.Errorf("%q", text)
 	}
@@ -528,7 +528,7 @@
 	}
 	defer c.Close()
 	io.WriteString(c, request(chat(true, 100000), ""))
-	r.eventually("the request is open", func() bool { return r.f.open.Load() == 1 })
+	r.eventually("the request is open", func() bool { return r.gateway.openRequests.Load() == 1 })
 	if resp, text := r.post("ask", chat(true, 1)); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "1" {
 		t.Errorf("%d %q", resp.StatusCode, text)
 	}
@@ -565,7 +565,7 @@
 							list[i].State = routing.EndpointDraining
 						}
 					}
-					r.f.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: list})
+					r.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: list})
 				})
 			})
 		}
@@ -592,13 +592,13 @@
 		}
 		return set
 	}
-	if err := r.f.Reload(parse(`<model name="m"`, `<model name="m2"`)); err != nil {
+	if err := r.gateway.Reload(parse(`<model name="m"`, `<model name="m2"`)); err != nil {
 		t.Fatal(err)
 	}
 	if resp, _ := r.post("ask", chat(true, 1)); resp.StatusCode != 404 {
 		t.Errorf("the old model is served: %d", resp.StatusCode)
 	}
-	if err := r.f.Reload(parse(`deadline="10s" late-worth`, `deadline="11s" late-worth`)); err == nil || !strings.Contains(err.Error(), "<class>") {
+	if err := r.gateway.Reload(parse(`deadline="10s" late-worth`, `deadline="11s" late-worth`)); err == nil || !strings.Contains(err.Error(), "<class>") {
 		t.Errorf("another class was taken: %v", err)
 	}
 	if resp, text := r.post("ask", strings.Replace(chat(true, 1), `"m"`, `"m2"`, 1)); resp.StatusCode != 200 {
@@ -613,7 +613,7 @@
 		r := newRig(t, "", "reader", "writer")
 		r.engines["reader-0"].SetFaults(standin.Faults{Stall: true})
 		var waits atomic.Int64
-		r.f.loop.client.Sleep = func(time.Duration) { waits.Add(1) }
+		r.gateway.loop.engines.Sleep = func(time.Duration) { waits.Add(1) }
 		resp, text := r.post(class, chat(true, 3))
 		came := int64(r.engines["reader-0"].Arrivals()) // each was given up
 		want := map[string]int64{"quick": came}[class]
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -19,80 +19,80 @@
 // How a state's time ended, as a label.
 const (
 	stateFetched       = "fetched"        // a writer's stream began
-	stateGone          = "gone"           // a writer found none, or it went with an answer
+	stateMissing          = "gone"           // a writer found none, or it went with an answer
 	stateReleased      = "released"       // an engine took the release
-	stateLeft          = "left"           // the request ended, and the engine is not told or by another way
+	stateAbandoned          = "left"           // the request ended, and the engine is not told or by another way
 	stateReleaseFailed = "release failed" // none did
 )
 
-// holds notes that a read ended well at reader.
-func (l *loop) holds(fl *flight, reader string) {
-	l.endsState(fl, stateGone) // of an earlier read, which the later one has replaced
-	fl.held = readState{reader, time.Now()}
-	l.f.m.StatesHeld.Inc()
+// stateHeld notes that a read ended well at reader.
+func (l *eventLoop) stateHeld(fl *inflightRequest, reader string) {
+	l.endState(fl, stateMissing) // of an earlier read, which the later one has replaced
+	fl.heldState = readState{reader, time.Now()}
+	l.gateway.metrics.StatesHeld.Inc()
 }
 
-// endsState notes how the time of the state that fl holds ended, if it holds one.
-func (l *loop) endsState(fl *flight, how string) {
-	l.stateEnded(fl.held, how)
-	fl.held = readState{}
+// endState notes how the time of the state that fl holds ended, if it holds one.
+func (l *eventLoop) endState(fl *inflightRequest, how string) {
+	l.observeStateEnd(fl.heldState, how)
+	fl.heldState = readState{}
 }
 
-// stateEnded is safe for concurrent use.
-func (l *loop) stateEnded(held readState, how string) {
+// observeStateEnd is safe for concurrent use.
+func (l *eventLoop) observeStateEnd(held readState, how string) {
 	if held.since.IsZero() {
 		return
 	}
-	l.f.m.StatesHeld.Dec()
-	l.f.m.StateHeldSeconds.WithLabelValues(how).Observe(time.Since(held.since).Seconds())
+	l.gateway.metrics.StatesHeld.Dec()
+	l.gateway.metrics.StateHeldSeconds.WithLabelValues(how).Observe(time.Since(held.since).Seconds())
 }
 
 const (
-	lookEvery   = time.Second      // between looks at what is held
-	statusEvery = 10 * time.Second // between status lines
-	overdueMost = 5                // lines about overdue states a look
+	tickInterval   = time.Second      // between looks at what is held
+	statusInterval = 10 * time.Second // between status lines
+	maxOverdueLogs = 5                // lines about overdue states a look
 )
 
-// look logs states that are held past their time while no stream has begun, and a status line now and then.
-func (l *loop) look() {
+// checkStates logs states that are held past their time while no stream has begun, and a status line now and then.
+func (l *eventLoop) checkStates() {
 	var oldest time.Duration
 	held, out, overdue := 0, 0, 0
-	for _, fl := range l.flights {
-		out += fl.out
-		if fl.held.since.IsZero() {
+	for _, fl := range l.requests {
+		out += fl.pendingAttempts
+		if fl.heldState.since.IsZero() {
 			continue
 		}
 		held++
-		age := time.Since(fl.held.since)
+		age := time.Since(fl.heldState.since)
 		oldest = max(oldest, age)
-		if age <= l.releaseTime() || overdue == overdueMost {
+		if age <= l.stateTTL() || overdue == maxOverdueLogs {
 			continue
 		}
 		overdue++
 		last := fl.attempts[len(fl.attempts)-1]
-		l.f.log.Warn("read state overdue", zap.String("id", fl.title()), zap.String("reader", fl.held.reader), zap.Duration("held_for", age),
-			zap.String("last_attempt", last.srv.Name), zap.Object("progress", last.handle.Progress()))
+		l.gateway.log.Warn("read state overdue", zap.String("id", fl.displayID()), zap.String("reader", fl.heldState.reader), zap.Duration("held_for", age),
+			zap.String("last_attempt", last.endpoint.Name), zap.Object("progress", last.handle.Progress()))
 	}
-	if time.Since(l.status) < statusEvery {
+	if time.Since(l.statusLoggedAt) < statusInterval {
 		return
 	}
-	l.status = time.Now()
-	l.f.log.Info("status", zap.Int("open_requests", len(l.flights)), zap.Int("attempts_out", out), zap.Int("states_held", held),
-		zap.Duration("oldest_state", oldest), zap.Int("client_connections", l.f.connections()), zap.Int64("engine_connections", l.client.OpenConns()))
+	l.statusLoggedAt = time.Now()
+	l.gateway.log.Info("status", zap.Int("open_requests", len(l.requests)), zap.Int("attempts_out", out), zap.Int("states_held", held),
+		zap.Duration("oldest_state", oldest), zap.Int("client_connections", l.gateway.connections()), zap.Int64("engine_connections", l.engines.OpenConns()))
 }
 
 // logAttempt logs how an attempt ended that was not served: with the module's next action it tells why a request was repeated, refused
 // or failed.
-func (a *attempt) logAttempt(l *loop, out *engine.Outcome, took time.Duration) {
-	ce := l.f.log.Check(zap.InfoLevel, "attempt failed")
+func (a *attempt) logAttempt(l *eventLoop, out *engine.Outcome, took time.Duration) {
+	ce := l.gateway.log.Check(zap.InfoLevel, "attempt failed")
 	if ce == nil {
 		return
 	}
 	stage := "read"
-	if a.write {
+	if a.decode {
 		stage = "write"
 	}
-	ce.Write(zap.String("id", a.fl.title()), zap.Int("attempt", a.n), zap.String("engine", a.srv.Name), zap.String("stage", stage),
+	ce.Write(zap.String("id", a.request.displayID()), zap.Int("attempt", a.index), zap.String("engine", a.endpoint.Name), zap.String("stage", stage),
 		zap.String("result", resultNames[out.Result]), zap.Bool("no_state", out.StateMissing), zap.Duration("took", took),
 		zap.Object("progress", a.handle.Progress()), zap.Error(out.Err))
 }
--- a/internal/gateway/heldstate_test.go
+++ b/internal/gateway/heldstate_test.go
@@ -14,8 +14,8 @@
 // counted once; so is why a request was not served and why a connection was closed.
 func TestReadStatesAreCounted(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
-	ends := func() int { return testutil.CollectAndCount(r.f.m.StateHeldSeconds) }
-	held := func() float64 { return testutil.ToFloat64(r.f.m.StatesHeld) }
+	ends := func() int { return testutil.CollectAndCount(r.gateway.metrics.StateHeldSeconds) }
+	held := func() float64 { return testutil.ToFloat64(r.gateway.metrics.StatesHeld) }
 	r.post("ask", chat(true, 3))
 	r.eventually("the state was fetched", func() bool { return held() == 0 && ends() == 1 })
 
@@ -29,9 +29,9 @@
 	c.Close()
 	r.eventually("the state was released", func() bool { return held() == 0 && ends() == 2 })
 	r.eventually("the request is told as gone", func() bool {
-		return testutil.ToFloat64(r.f.m.NotServed.WithLabelValues("gone", reasonLeft)) == 1
+		return testutil.ToFloat64(r.gateway.metrics.NotServed.WithLabelValues("gone", reasonClientClosed)) == 1
 	})
 	r.eventually("one connection was closed, by its client", func() bool {
-		return testutil.CollectAndCount(r.f.m.ClosedConnections) == 1 && testutil.ToFloat64(r.f.m.ClosedConnections.WithLabelValues(closeClient)) == 1
+		return testutil.CollectAndCount(r.gateway.metrics.ClosedConnections) == 1 && testutil.ToFloat64(r.gateway.metrics.ClosedConnections.WithLabelValues(closeClient)) == 1
 	})
 }
--- a/internal/gateway/openai.go
+++ b/internal/gateway/openai.go
@@ -22,7 +22,7 @@
 	return o
 }
 
-func wrong(status int, code, message string) *Response {
+func invalidRequest(status int, code, message string) *Response {
 	e := &api.Error{Status: status, Type: "invalid_request_error", Code: code, Message: message}
 	return &Response{Status: status, Body: e.JSON()}
 }
@@ -33,12 +33,12 @@
 	switch {
 	case path == api.PathChat || path == api.PathCompletions:
 		if req.Method != "POST" {
-			return wrong(405, "", "use POST")
+			return invalidRequest(405, "", "use POST")
 		}
 		return nil
 	case path == api.PathModels || strings.HasPrefix(path, api.PathModels+"/"):
 		if req.Method != "GET" {
-			return wrong(405, "", "use GET")
+			return invalidRequest(405, "", "use GET")
 		}
 		text, e := o.routes.Load().ModelList(strings.TrimPrefix(strings.TrimPrefix(path, api.PathModels), "/"))
 		if e != nil {
@@ -46,7 +46,7 @@
 		}
 		return &Response{Status: 200, Body: text}
 	}
-	return wrong(404, "not_found", "nothing is served at this path")
+	return invalidRequest(404, "not_found", "nothing is served at this path")
 }
 
 // ParseRequest implements Way.
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -16,91 +16,91 @@
 // attempt is out, since it would not cover what a read under way leaves.
 
 const (
-	releaseTargets = 8  // engines that are asked to release what a request holds, at most
+	maxReleaseEndpoints = 8  // engines that are asked to release what a request holds, at most
 	releaseSteps   = 10 // the next one is asked after this part of the release time without an answer
-	releaseRounds  = 10 // times that a release which failed is given anew, at most
+	maxReleaseRetries  = 10 // times that a release which failed is given anew, at most
 	releasePause   = 4  // after this part of the release time
 )
 
 var errNoEngine = errors.New("front: no engine to release at")
 
-// release releases what reads of fl left at readers. Each is told once its attempt has ended, so that the release can't
+// releaseRequested releases what reads of fl left at readers. Each is told once its attempt has ended, so that the release can't
 // overtake the read; releasing twice is harmless.
-func (l *loop) release(fl *flight) {
-	if !l.releases {
+func (l *eventLoop) releaseRequested(fl *inflightRequest) {
+	if !l.releasesState {
 		return
 	}
-	if fl.mayHold = true; l.client.StateByRequestID {
-		if !fl.endsSoon() {
+	if fl.releaseWanted = true; l.engines.StateByRequestID {
+		if !fl.releasedLater() {
 			l.releaseNow(fl, 0)
 		}
 		return
 	}
-	if fl.writeWaits() { // a reader that is told of its attempt's id can't see that a writer waits for the state
+	if fl.decodeWaits() { // a reader that is told of its attempt's id can't see that a writer waits for the state
 		return
 	}
 	for _, att := range fl.attempts {
-		if att.write || att.released {
+		if att.decode || att.releaseStarted {
 			continue
 		}
-		att.released = true
+		att.releaseStarted = true
 		held := readState{}
-		if att.srv.Name == fl.held.reader {
-			held, fl.held = fl.held, held
+		if att.endpoint.Name == fl.heldState.reader {
+			held, fl.heldState = fl.heldState, held
 		}
 		l.work.Add(1)
 		go func() {
 			defer l.work.Done()
 			<-att.ended
-			att.release(l, held)
+			att.releaseState(l, held)
 		}()
 	}
 }
 
-// endsSoon tells that what fl may hold is released at the end of this round or when an attempt ends that does so by itself: a read, or
+// releasedLater tells that what fl may hold is released at the end of this round or when an attempt ends that does so by itself: a read, or
 // one that was called off.
-func (fl *flight) endsSoon() bool {
-	if fl.out == 0 {
-		return fl.over()
+func (fl *inflightRequest) releasedLater() bool {
+	if fl.pendingAttempts == 0 {
+		return fl.answered()
 	}
 	for _, a := range fl.attempts {
-		if a.pending && (!a.write || a.handle.Cancelled()) {
+		if a.pending && (!a.decode || a.handle.Cancelled()) {
 			return true
 		}
 	}
 	return false
 }
 
-// writeWaits tells that a write is out which was not called off.
-func (fl *flight) writeWaits() bool {
-	return slices.ContainsFunc(fl.attempts, func(a *attempt) bool { return a.pending && a.write && !a.handle.Cancelled() })
+// decodeWaits tells that a write is out which was not called off.
+func (fl *inflightRequest) decodeWaits() bool {
+	return slices.ContainsFunc(fl.attempts, func(a *attempt) bool { return a.pending && a.decode && !a.handle.Cancelled() })
 }
 
 // releaseNow releases what fl may hold. Its next attempt waits until that has ended: a release would take the state of the read
 // that follows, too.
-func (l *loop) releaseNow(fl *flight, rounds int) {
+func (l *eventLoop) releaseNow(fl *inflightRequest, rounds int) {
 	done := make(chan struct{})
-	fl.releasing = done
-	l.releaseAt(l.newRelease(fl, rounds), func() { close(done) })
+	fl.releaseDone = done
+	l.startRelease(l.newRelease(fl, rounds), func() { close(done) })
 }
 
 // newRelease is a release of what fl may hold, which counts as held no longer.
-func (l *loop) newRelease(fl *flight, rounds int) *release {
-	r := &release{id: fl.name, servers: l.releaseOrder(fl), held: fl.held, flight: fl, rounds: rounds}
-	fl.held = readState{}
+func (l *eventLoop) newRelease(fl *inflightRequest, rounds int) *release {
+	r := &release{id: fl.clientID, servers: l.releaseOrder(fl), held: fl.heldState, flight: fl, rounds: rounds}
+	fl.heldState = readState{}
 	return r
 }
 
-// holders are the readers that may hold state for fl, the latest first: those that said so, and those of which nobody knows how the
+// stateHolders are the readers that may hold state for fl, the latest first: those that said so, and those of which nobody knows how the
 // read ended. The latter may be out of reach.
-func (fl *flight) holders() (told, unclear []*engine.Endpoint) {
+func (fl *inflightRequest) stateHolders() (told, unclear []*engine.Endpoint) {
 	for _, a := range slices.Backward(fl.attempts) {
 		switch {
-		case a.write || a.unsent || slices.Contains(told, a.srv) || slices.Contains(unclear, a.srv):
-		case a.unclear:
-			unclear = append(unclear, a.srv)
+		case a.decode || a.neverRan || slices.Contains(told, a.endpoint) || slices.Contains(unclear, a.endpoint):
+		case a.mayHoldState:
+			unclear = append(unclear, a.endpoint)
 		default:
-			told = append(told, a.srv)
+			told = append(told, a.endpoint)
 		}
 	}
 	return told, unclear
@@ -109,49 +109,49 @@
 // releaseUnclear releases what a flight that goes on may hold: its last attempt was a read of which nobody knows how it ended. The
 // request may wait for long before it is read again, or that read may be sent and never arrive, and what it holds must not wait
 // for either. The next attempt begins when the release has ended, which would take the state of the read that follows, too.
-func (l *loop) releaseUnclear(fl *flight) {
-	if !l.client.StateByRequestID || !l.releases || len(fl.attempts) == 0 {
+func (l *eventLoop) releaseUnclear(fl *inflightRequest) {
+	if !l.engines.StateByRequestID || !l.releasesState || len(fl.attempts) == 0 {
 		return
 	}
 	last := fl.attempts[len(fl.attempts)-1]
-	if !last.unclear || last.released {
+	if !last.mayHoldState || last.releaseStarted {
 		return
 	}
-	last.released = true
+	last.releaseStarted = true
 	l.releaseNow(fl, 0)
 }
 
 // releaseAll releases what a flight that ends may have left anywhere: the module asked for it, or a read of which nobody knows
 // how it ended came before the one that was written from.
-func (l *loop) releaseAll(fl *flight) {
-	if !l.client.StateByRequestID || !l.releases {
-		l.endsState(fl, stateLeft)
+func (l *eventLoop) releaseAll(fl *inflightRequest) {
+	if !l.engines.StateByRequestID || !l.releasesState {
+		l.endState(fl, stateAbandoned)
 		return
 	}
 	read := false
 	for _, a := range fl.attempts {
-		read = read || !a.write && !a.unsent
-		fl.mayHold = fl.mayHold || a.unclear && !a.released
+		read = read || !a.decode && !a.neverRan
+		fl.releaseWanted = fl.releaseWanted || a.mayHoldState && !a.releaseStarted
 	}
-	if fl.mayHold && read {
-		l.releaseAt(l.newRelease(fl, 0), func() {})
+	if fl.releaseWanted && read {
+		l.startRelease(l.newRelease(fl, 0), func() {})
 		return
 	}
-	l.endsState(fl, stateFetched) // by a stream whose First was not heard of before its end
+	l.endState(fl, stateFetched) // by a stream whose First was not heard of before its end
 }
 
 // releaseOrder is in which order engines are asked to release: those that hold the state, then the open ones that answered anything
 // last. What nothing was heard of goes by its last answer, too: any engine that runs passes the release on.
-func (l *loop) releaseOrder(fl *flight) []*engine.Endpoint {
-	told, others := fl.holders()
-	for _, s := range l.byID {
-		if s.srv.IsOpen() && !slices.Contains(told, s.srv) && !slices.Contains(others, s.srv) {
-			others = append(others, s.srv)
+func (l *eventLoop) releaseOrder(fl *inflightRequest) []*engine.Endpoint {
+	told, others := fl.stateHolders()
+	for _, s := range l.endpointsByID {
+		if s.engine.IsOpen() && !slices.Contains(told, s.engine) && !slices.Contains(others, s.engine) {
+			others = append(others, s.engine)
 		}
 	}
 	slices.SortStableFunc(others, func(a, b *engine.Endpoint) int { return cmp.Compare(b.LastResponse(), a.LastResponse()) })
 	order := append(told, others...)
-	return order[:min(len(order), releaseTargets)]
+	return order[:min(len(order), maxReleaseEndpoints)]
 }
 
 // release is what engines are asked to release.
@@ -159,7 +159,7 @@
 	id      string             // of the request, or of the attempt
 	servers []*engine.Endpoint // in the order in which they are asked
 	held    readState          // what is known of it
-	flight  *flight            // whose state it is
+	flight  *inflightRequest            // whose state it is
 	rounds  int                // that have failed
 	repeat  bool               // it is given a second time, since it may overtake the end of a write that was given up
 }
@@ -183,56 +183,56 @@
 	return calls
 }
 
-// releaseAt releases in a goroutine of its own and calls done after that. What fails is given anew after a pause.
+// startRelease releases in a goroutine of its own and calls done after that. What fails is given anew after a pause.
 //
 // A release spares a state for which a write waits. Where the last write was given up, its connection is closed, but no order holds
 // between two connections: the release waits for a moment, and is given once more where no read can follow it.
-func (l *loop) releaseAt(r *release, done func()) {
-	r.flight.release = r
+func (l *eventLoop) startRelease(r *release, done func()) {
+	r.flight.lastRelease = r
 	last := r.flight.attempts[len(r.flight.attempts)-1]
-	r.repeat = r.rounds == 0 && !last.pending && last.givenUp
+	r.repeat = r.rounds == 0 && !last.pending && last.decodeAborted
 	l.work.Add(1)
 	go func() {
 		defer l.work.Done()
 		if r.repeat {
-			time.Sleep(l.client.SettleDelay)
+			time.Sleep(l.engines.SettleDelay)
 		}
-		err := l.releaseAtOne(r)
+		err := l.callRelease(r)
 		done()
 		if err != nil || r.repeat {
 			r.rounds++
-			time.AfterFunc(l.releaseTime()/releasePause, func() { l.post(item{again: r}) })
+			time.AfterFunc(l.stateTTL()/releasePause, func() { l.post(message{again: r}) })
 		}
 	}()
 }
 
-// releaseAgain gives a release anew that has failed, or may have come too early: what an engine holds is owed until one takes the
+// retryRelease gives a release anew that has failed, or may have come too early: what an engine holds is owed until one takes the
 // release. A request that goes on has another release behind it, or a read whose state the old release would take.
-func (l *loop) releaseAgain(r *release) {
+func (l *eventLoop) retryRelease(r *release) {
 	fl := r.flight
-	switch open := l.flights[fl.id] == fl; {
-	case fl.release != r: // a later one is given
-		l.stateEnded(r.held, stateReleaseFailed)
-	case l.ending || r.rounds > releaseRounds:
-		l.f.log.Error("read state given up", zap.String("request", r.id), zap.Int("rounds", r.rounds))
-		l.stateEnded(r.held, stateReleaseFailed)
+	switch open := l.requests[fl.id] == fl; {
+	case fl.lastRelease != r: // a later one is given
+		l.observeStateEnd(r.held, stateReleaseFailed)
+	case l.stopping || r.rounds > maxReleaseRetries:
+		l.gateway.log.Error("read state given up", zap.String("request", r.id), zap.Int("rounds", r.rounds))
+		l.observeStateEnd(r.held, stateReleaseFailed)
 	case !open:
 		r.servers = l.releaseOrder(fl)
-		l.releaseAt(r, func() {})
-	case fl.endsSoon():
-		fl.mayHold = true
-		l.stateEnded(r.held, stateReleaseFailed)
+		l.startRelease(r, func() {})
+	case fl.releasedLater():
+		fl.releaseWanted = true
+		l.observeStateEnd(r.held, stateReleaseFailed)
 	default:
-		fl.held = r.held
+		fl.heldState = r.held
 		l.releaseNow(fl, r.rounds)
 	}
 }
 
-// releaseAtOne has one of the servers release. Several may be lost, and each takes long to show it, so the next one is
+// callRelease has one of the servers release. Several may be lost, and each takes long to show it, so the next one is
 // asked whenever the ones before have said nothing for a part of the time, or have failed.
-func (l *loop) releaseAtOne(r *release) error {
+func (l *eventLoop) callRelease(r *release) error {
 	calls, began := r.calls(), time.Now()
-	deadline := began.Add(l.releaseTime())
+	deadline := began.Add(l.stateTTL())
 	results := make(chan error, len(calls))
 	attempts := make([]engine.Attempt, len(calls))
 	err, asked, out := errNoEngine, 0, 0
@@ -240,11 +240,11 @@
 		if asked < len(calls) {
 			attempt, call := &attempts[asked], calls[asked]
 			asked, out = asked+1, out+1
-			go func() { results <- l.client.ReleaseState(attempt, call.server, r.id, call.fresh, deadline) }()
+			go func() { results <- l.engines.ReleaseState(attempt, call.server, r.id, call.fresh, deadline) }()
 		}
 		wait := time.Until(deadline) + time.Second // Release ends by itself
 		if asked < len(calls) {
-			wait = l.releaseTime() / releaseSteps
+			wait = l.stateTTL() / releaseSteps
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -261,29 +261,29 @@
 	for ; out > 0; out-- {
 		<-results
 	}
-	l.released(r, asked, time.Since(began), err)
+	l.logRelease(r, asked, time.Since(began), err)
 	return err
 }
 
-// released logs and counts how a release ended.
-func (l *loop) released(r *release, asked int, took time.Duration, err error) {
+// logRelease logs and counts how a release ended.
+func (l *eventLoop) logRelease(r *release, asked int, took time.Duration, err error) {
 	fields := []zap.Field{zap.String("request", r.id), zap.Int("calls", asked), zap.Int("rounds_before", r.rounds), zap.Duration("took", took)}
 	if !r.held.since.IsZero() {
 		fields = append(fields, zap.String("reader", r.held.reader), zap.Duration("held_for", time.Since(r.held.since)))
 	}
 	if err != nil {
-		l.f.m.Releases.WithLabelValues("failed").Inc()
-		l.f.log.Warn("read state not released", append(fields, zap.Error(err))...)
+		l.gateway.metrics.Releases.WithLabelValues("failed").Inc()
+		l.gateway.log.Warn("read state not released", append(fields, zap.Error(err))...)
 		return
 	}
-	l.stateEnded(r.held, stateReleased)
+	l.observeStateEnd(r.held, stateReleased)
 	r.held = readState{}
-	l.f.m.Releases.WithLabelValues("done").Inc()
-	l.f.log.Info("read state released", fields...)
+	l.gateway.metrics.Releases.WithLabelValues("done").Inc()
+	l.gateway.log.Info("read state released", fields...)
 }
 
-func (l *loop) releaseTime() time.Duration {
-	if d := l.f.Routing.StateTTL; d > 0 {
+func (l *eventLoop) stateTTL() time.Duration {
+	if d := l.gateway.Routing.StateTTL; d > 0 {
 		return d
 	}
 	return 300 * time.Millisecond // choice.Settings.ReleaseWithin's own default
--- a/internal/gateway/release_test.go
+++ b/internal/gateway/release_test.go
@@ -13,15 +13,15 @@
 		"called off": func(write *attempt) { write.handle.Cancel() },
 	} {
 		r := newRig(t, "", "reader", "writer")
-		l := r.f.loop
-		read, write := &attempt{srv: &engine.Endpoint{}, unsent: true, ended: make(chan struct{})}, &attempt{write: true, pending: true}
+		l := r.gateway.loop
+		read, write := &attempt{endpoint: &engine.Endpoint{}, neverRan: true, ended: make(chan struct{})}, &attempt{decode: true, pending: true}
 		close(read.ended)
-		fl := &flight{attempts: []*attempt{read, write}, out: 1}
-		if l.release(fl); read.released {
+		fl := &inflightRequest{attempts: []*attempt{read, write}, pendingAttempts: 1}
+		if l.releaseRequested(fl); read.releaseStarted {
 			t.Errorf("%s: released under the write", name)
 		}
 		end(write)
-		if l.release(fl); !read.released {
+		if l.releaseRequested(fl); !read.releaseStarted {
 			t.Errorf("%s: not released after the write", name)
 		}
 	}
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -126,7 +126,7 @@
 	s := &scripted{}
 	reader, writer := s.start(t), s.start(t) // they end after the front
 	r := newRig(t, limits)
-	r.f.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: []endpointslice.Endpoint{
+	r.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: []endpointslice.Endpoint{
 		{Name: "reader-0", Kind: "reader", Address: reader, State: routing.EndpointReady},
 		{Name: "writer-0", Kind: "writer", Address: writer, State: routing.EndpointReady},
 	}})
@@ -298,7 +298,7 @@
 		defer theirs.Close()
 		go func() {
 			defer ours.Close()
-			if err := newClient(f, ours).send(a, keep); err != nil {
+			if err := newClientConn(f, ours).writeResponse(a, keep); err != nil {
 				t.Error(err)
 			}
 		}()
@@ -319,7 +319,7 @@
 		f.SendRetryAfter, f.FractionalRetryAfter = form.waits, form.fractions
 		for _, wait := range []time.Duration{0, time.Millisecond, time.Second, 1500 * time.Millisecond, 61 * time.Second} {
 			for _, handUp := range []bool{false, true} {
-				a := refusal(routing.Reject{RetryAfter: wait, NoAutoRetry: handUp})
+				a := rejectionResponse(routing.Reject{RetryAfter: wait, NoAutoRetry: handUp})
 				a.id = "an-id"
 				fmt.Fprintf(&all, "== refusal, %s, wait %d ms, not to be repeated %v\n%s", form.name, wait.Milliseconds(), handUp,
 					send(f, a, handUp))
@@ -331,17 +331,17 @@
 		is   routing.Idempotency
 	}{{"safe", routing.Idempotent}, {"keyed", routing.IdempotentWithKey}, {"unsafe", routing.NotIdempotent}} {
 		for _, late := range []bool{false, true} {
-			fl := &flight{class: &routing.Class{Idempotency: effect.is}, due: now.Add(time.Hour)}
+			fl := &inflightRequest{class: &routing.Class{Idempotency: effect.is}, deadline: now.Add(time.Hour)}
 			if late {
-				fl.due = now
+				fl.deadline = now
 			}
-			for _, reason := range []string{reasonBroken, reasonBackstop, reasonLateWhole} {
+			for _, reason := range []string{reasonStreamBroke, reasonNoDecision, reasonAnswerTimeout} {
 				fmt.Fprintf(&all, "== failure, %s, time is up %v, %s\n%s", effect.name, late, reason,
-					send(front(), failure(fl, reason), true))
+					send(front(), failureResponse(fl, reason), true))
 			}
 		}
 	}
-	fmt.Fprintf(&all, "== failure of a repeat\n%s", send(front(), repeated(), false))
-	fmt.Fprintf(&all, "== two at once\n%s", send(front(), Response{Status: oneByOne.Status, Body: oneByOne.JSON()}, false))
+	fmt.Fprintf(&all, "== failure of a repeat\n%s", send(front(), possibleDuplicateResponse(), false))
+	fmt.Fprintf(&all, "== two at once\n%s", send(front(), Response{Status: errPipelined.Status, Body: errPipelined.JSON()}, false))
 	golden(t, "refusal-and-failure.golden", all.String())
 }
