--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-func TestReplace(t *testing.T) {
-	dir := t.TempDir()
-	path := filepath.Join(dir, "f")
+func TestReplaceWritesContent(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "f")
 	for _, text := range []string{"one", "another, longer", ""} {
 		if err := Replace(path, []byte(text)); err != nil {
 			t.Fatal(err)
@@ -17,20 +16,27 @@
 			t.Errorf("%q %v, want %q", got, err, text)
 		}
 	}
-	// a failure leaves what was there, and nothing beside it
-	if err := os.Mkdir(filepath.Join(dir, "d"), 0o755); err != nil {
+}
+
+func TestReplaceThatFailsLeavesDirectoryUnchanged(t *testing.T) {
+	dir := t.TempDir()
+	if err := Replace(filepath.Join(dir, "f"), []byte("x")); err != nil {
+		t.Fatal(err)
+	}
+	subdirectory := filepath.Join(dir, "d")
+	if err := os.Mkdir(subdirectory, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "d", "x"), nil, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(subdirectory, "x"), nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := Replace(filepath.Join(dir, "d"), []byte("y")); err == nil {
-		t.Error("a folder was replaced by a file")
+	if err := Replace(subdirectory, []byte("y")); err == nil {
+		t.Error("a directory was replaced by a file")
 	}
 	if err := Replace(filepath.Join(dir, "none", "f"), nil); err == nil {
-		t.Error("a file was written where there is no folder")
+		t.Error("a file was written in a directory that does not exist")
 	}
-	if left, err := os.ReadDir(dir); err != nil || len(left) != 2 {
-		t.Errorf("%v is left, %v", left, err)
+	if entries, err := os.ReadDir(dir); err != nil || len(entries) != 2 {
+		t.Errorf("directory holds %v, %v", entries, err)
 	}
 }
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Attempt is the handle by which an attempt is cancelled and its progress read. The zero value is ready.
+// Attempt is the handle by which an attempt is canceled and its progress read. The zero value is ready.
 type Attempt struct {
 	mu           sync.Mutex
 	cancellation cancellation // under mu
@@ -20,7 +20,7 @@
 
 // cancellation is what a call of Cancel ends.
 type cancellation struct {
-	cancelled  bool
+	canceled   bool
 	cancelDial context.CancelFunc
 	conn       net.Conn // nil once it went back to the pool
 }
@@ -44,7 +44,7 @@
 func (a *Attempt) Cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cancellation.cancelled = true
+	a.cancellation.canceled = true
 	if a.cancellation.cancelDial != nil {
 		a.cancellation.cancelDial()
 	}
@@ -53,27 +53,27 @@
 	}
 }
 
-// Cancelled reports whether the attempt was cancelled.
-func (a *Attempt) Cancelled() bool {
+// Canceled reports whether the attempt was canceled.
+func (a *Attempt) Canceled() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.cancellation.cancelled
+	return a.cancellation.canceled
 }
 
-// setCancelDial makes cancel what Cancel calls; false if the attempt is cancelled already.
+// setCancelDial makes cancel what Cancel calls; false if the attempt is canceled already.
 func (a *Attempt) setCancelDial(cancel context.CancelFunc) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancellation.cancelDial = cancel
-	return !a.cancellation.cancelled
+	return !a.cancellation.canceled
 }
 
-// attachConn makes nc the connection that Cancel closes; false if the attempt is cancelled already.
+// attachConn makes nc the connection that Cancel closes; false if the attempt is canceled already.
 func (a *Attempt) attachConn(nc net.Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancellation.conn = nc
-	return !a.cancellation.cancelled
+	return !a.cancellation.canceled
 }
 
 // detachConn keeps Cancel from closing the connection, which goes back to the pool; false if Cancel has closed it.
@@ -81,5 +81,5 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancellation.conn = nil
-	return !a.cancellation.cancelled
+	return !a.cancellation.canceled
 }
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -26,11 +26,6 @@
 // idleFor is how long an idle connection has not been used.
 func (pc *persistConn) idleFor() time.Duration { return time.Since(pc.idleSince) }
 
-// close closes the connection.
-func (pc *persistConn) close() {
-	_ = pc.Conn.Close() // nothing more is sent or read on it, whether or not the close succeeds
-}
-
 // isQuiet reports that the peer has neither closed an idle connection nor sent anything on it. It narrows, but can't
 // close, the gap in which a connection dies at reuse; so requests that must run only once dial anew.
 func (pc *persistConn) isQuiet() bool { return socket.ReadState(pc.Conn) == socket.Idle }
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -63,7 +63,7 @@
 
 // removeConn closes a connection that is not, or is about to be no longer, among the idle ones; e.mu is held.
 func (e *Endpoint) removeConn(pc *persistConn) {
-	pc.close()
+	_ = pc.Close() // nothing more is sent or read on it, whether or not the close succeeds
 	e.uncountConn()
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -3,6 +3,6 @@
 // prints it). It does not choose among engines.
 //
 // A Client and its Endpoints may be used from any goroutine; they own the connections and their counts. Each attempt
-// runs on the goroutine that calls Prefill or Decode, and only its Cancel, Cancelled and Progress may be called from
+// runs on the goroutine that calls Prefill or Decode, and only its Cancel, Canceled and Progress may be called from
 // others. The package starts no goroutines.
 package engine
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -9,7 +9,7 @@
 
 // Errors of attempts that end on this side, or by what an engine says within its response.
 var (
-	errNotSent   = errors.New("engine: endpoint drains or is gone, or the attempt was cancelled, before its first byte")
+	errNotSent   = errors.New("engine: endpoint drains or is gone, or the attempt was canceled, before its first byte")
 	errConnLimit = errors.New("engine: connection limit reached")
 
 	errEarlyResponse    = errors.New("engine: response before the last byte of the request")
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -28,8 +28,8 @@
 
 // failure is what is known of an attempt that ended with an error.
 type failure struct {
-	err        error // nil where the response was whole but the attempt was cancelled meanwhile
-	cancelled  bool
+	err        error // nil where the response was whole but the attempt was canceled meanwhile
+	canceled   bool
 	connected  bool // a connection was there to send the request on
 	mayHaveRun bool // the engine may act on what it accepted of the request
 }
@@ -50,9 +50,9 @@
 	// the client got another response, is gone, or reads nothing
 	{matches: isOneOf(errResponseClaimed), result: routing.Cancelled},
 	{matches: isSinkError, result: routing.Cancelled},
-	// cancelled before, and after, the engine may have started
-	{matches: func(f failure) bool { return f.cancelled && !f.mayHaveRun }, result: routing.NotSent},
-	{matches: func(f failure) bool { return f.cancelled }, result: routing.Cancelled},
+	// canceled before, and after, the engine may have started
+	{matches: func(f failure) bool { return f.canceled && !f.mayHaveRun }, result: routing.NotSent},
+	{matches: func(f failure) bool { return f.canceled }, result: routing.Cancelled},
 	// the request is not complete at the engine
 	{matches: func(f failure) bool { return !f.mayHaveRun && f.connected }, result: routing.RequestIncomplete},
 	// dial refused, unreachable or timed out
@@ -89,7 +89,7 @@
 // failureOutcome is the outcome of the attempt that ended with err.
 func (a *Attempt) failureOutcome(err error) Outcome {
 	f := failure{
-		err: err, cancelled: a.Cancelled(), connected: a.delivery.connected, mayHaveRun: a.delivery.mayHaveRun,
+		err: err, canceled: a.Canceled(), connected: a.delivery.connected, mayHaveRun: a.delivery.mayHaveRun,
 	}
 	out := Outcome{Err: err}
 	for _, row := range failureTable {
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -24,7 +24,7 @@
 func (c *Client) OpenConns() int64 { return c.pool.open.Load() }
 
 // getConn returns an idle connection that is alive, unless a new one is asked for, else a new one until deadline
-// (zero = none). The dial can be cancelled by a, unless that is nil.
+// (zero = none). The dial can be canceled by a, unless that is nil.
 func (c *Client) getConn(a *Attempt, e *Endpoint, newConn bool, deadline time.Time) (*persistConn, error) {
 	newConn = newConn || c.reuseSuspended()
 	pc, err := c.reuseOrReserve(e, newConn)
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -12,7 +12,7 @@
 // ReleasesState reports whether engines are asked to release read state.
 func (c *Client) ReleasesState() bool { return c.Protocol.ReleaseMessage(&Endpoint{}, "") != nil }
 
-// ReleaseState releases the read state of id at e, with retries while there is time and a was not cancelled. newConn
+// ReleaseState releases the read state of id at e, with retries while there is time and a was not canceled. newConn
 // asks for a new connection. Without a release in the protocol it does nothing: engines release state by their own
 // time-out.
 func (c *Client) ReleaseState(a *Attempt, e *Endpoint, id string, newConn bool, deadline time.Time) error {
@@ -22,7 +22,7 @@
 	}
 	var err error
 	for attempt := range maxReleaseAttempts {
-		if attempt > 0 && (time.Until(deadline) <= 0 || a.Cancelled()) {
+		if attempt > 0 && (time.Until(deadline) <= 0 || a.Canceled()) {
 			break
 		}
 		if err = c.release(a, e, message, newConn, deadline); err == nil {
--- a/internal/engine/roundtrip.go
+++ b/internal/engine/roundtrip.go
@@ -29,7 +29,7 @@
 // roundTrip gets a connection, sends the request and reads the response's header. On failure it returns the outcome
 // and no connection.
 func (c *Client) roundTrip(a *Attempt, e *Endpoint, call *Call) (*persistConn, *http1.Response, *Outcome) {
-	if a.Cancelled() || !e.IsOpen() || call.mustNotSend() || call.deadlinePassed() {
+	if a.Canceled() || !e.IsOpen() || call.mustNotSend() || call.deadlinePassed() {
 		return nil, nil, c.abandon(a, e, nil, call, errNotSent)
 	}
 	a.start()
@@ -73,7 +73,7 @@
 	a.advance(func(p *Progress, elapsed time.Duration) { p.Written = elapsed })
 	resp, err := c.readResponseHeader(pc, call.Deadline)
 	if err != nil {
-		if pc.reused && pc.br.Buffered() == 0 && !a.Cancelled() {
+		if pc.reused && pc.br.Buffered() == 0 && !a.Canceled() {
 			c.onReuseFailure(e, err)
 		}
 		return nil, err
@@ -85,7 +85,7 @@
 
 // prepareConn binds the connection to the attempt and sets its deadlines.
 func prepareConn(a *Attempt, e *Endpoint, pc *persistConn, call *Call) error {
-	if !a.attachConn(pc.Conn) || !e.IsOpen() || call.mustNotSend() { // cancelled or drained while the dial was pending
+	if !a.attachConn(pc.Conn) || !e.IsOpen() || call.mustNotSend() { // canceled or drained while the dial was pending
 		return errNotSent
 	}
 	if err := pc.SetReadDeadline(call.Deadline); err != nil {
@@ -135,7 +135,7 @@
 		return errEarlyResponse
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		return err
-	case a.Cancelled() || !e.IsOpen() || call.mustNotSend():
+	case a.Canceled() || !e.IsOpen() || call.mustNotSend():
 		return errNotSent
 	}
 	return pc.SetReadDeadline(call.Deadline)
--- a/internal/engine/vllm.go
+++ b/internal/engine/vllm.go
@@ -44,7 +44,7 @@
 }
 
 // ParseReply implements Protocol.
-func (v VLLM) ParseReply(prefill bool, resp *http1.Response, text []byte, err error) Outcome {
+func (v VLLM) ParseReply(_ bool, resp *http1.Response, text []byte, err error) Outcome {
 	out := Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: answered %d", resp.Status)}
 	switch resp.Status {
 	case http.StatusOK:
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -64,7 +64,7 @@
 		return fl.answered()
 	}
 	for _, a := range fl.attempts {
-		if a.pending && (!a.decode || a.handle.Cancelled()) {
+		if a.pending && (!a.decode || a.handle.Canceled()) {
 			return true
 		}
 	}
@@ -73,7 +73,7 @@
 
 // decodeWaits tells that a write is out which was not called off.
 func (fl *inflightRequest) decodeWaits() bool {
-	return slices.ContainsFunc(fl.attempts, func(a *attempt) bool { return a.pending && a.decode && !a.handle.Cancelled() })
+	return slices.ContainsFunc(fl.attempts, func(a *attempt) bool { return a.pending && a.decode && !a.handle.Canceled() })
 }
 
 // releaseNow releases what fl may hold. Its next attempt waits until that has ended: a release would take the state of the read
--- a/internal/gctuning/gctuning_test.go
+++ b/internal/gctuning/gctuning_test.go
@@ -7,16 +7,19 @@
 	"testing"
 )
 
-var sink []byte
+// garbage keeps the compiler from putting allocations on the stack.
+var garbage []byte
 
-func collections(bytes int) uint32 {
-	var a, b runtime.MemStats
-	runtime.ReadMemStats(&a)
-	for range bytes / 4096 {
-		sink = make([]byte, 4096)
+// collectionsWhileAllocating counts the collections that end while so many bytes of garbage are allocated.
+func collectionsWhileAllocating(bytes int) uint32 {
+	const size = 4096
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
+	for range bytes / size {
+		garbage = make([]byte, size)
 	}
-	runtime.ReadMemStats(&b)
-	return b.NumGC - a.NumGC
+	runtime.ReadMemStats(&after)
+	return after.NumGC - before.NumGC
 }
 
 // heapGoal is the heap size at which the next collection ends, once a whole collection has just ended.
@@ -27,20 +30,22 @@
 	return goal[0].Value.Uint64()
 }
 
-// The goal is what the collector promises; how many cycles end while so much is allocated also depends on what else the machine does.
+// The goal is what the collector promises; how many cycles end while so much is allocated also depends on what else
+// the machine does.
 func TestSetHeapFloorMakesCollectionsRareUntilUndone(t *testing.T) {
 	const floor, smallGoal = 256 << 20, 16 << 20 // 64 MiB of garbage are at least four collections at the small goal
 	percentBefore := debug.SetGCPercent(100)
 	debug.SetGCPercent(percentBefore)
 	goalBefore := heapGoal()
 	undo := SetHeapFloor(floor)
-	with := collections(64 << 20)
+	with := collectionsWhileAllocating(64 << 20)
 	goalWith := heapGoal()
 	undo()
 	percentAfter := debug.SetGCPercent(percentBefore)
 	goalAfter := heapGoal()
 	if goalBefore > smallGoal || goalWith < floor*9/10 || goalAfter > smallGoal {
-		t.Errorf("heap goal: %d MiB without a floor of 256 MiB, %d with it, %d after", goalBefore>>20, goalWith>>20, goalAfter>>20)
+		t.Errorf("heap goal: %d MiB without a floor of 256 MiB, %d with it, %d after",
+			goalBefore>>20, goalWith>>20, goalAfter>>20)
 	}
 	if with > 1 {
 		t.Errorf("%d collections for 64 MiB of garbage with a floor of 256 MiB", with)
@@ -50,21 +55,23 @@
 	}
 }
 
-func TestPercent(t *testing.T) {
-	for _, c := range []struct {
+func TestPercentForReachesFloor(t *testing.T) {
+	for name, c := range map[string]struct {
 		floor, live, roots uint64
 		want               int
 	}{
-		{64 << 20, 8 << 20, 0, 700},
-		{64 << 20, 8 << 20, 6 << 20, 400},
-		{64 << 20, 32 << 20, 0, 100},
-		{64 << 20, 80 << 20, 0, 100},
-		{64 << 20, 0, 0, 1600},
-		{64 << 20, 2 << 20, 0, 1600},
-		{1 << 20, 0, 0, 100},
+		"live heap":                {64 << 20, 8 << 20, 0, 700},
+		"live heap and roots":      {64 << 20, 8 << 20, 6 << 20, 400},
+		"live heap half the floor": {64 << 20, 32 << 20, 0, 100},
+		"live heap over the floor": {64 << 20, 80 << 20, 0, 100},
+		"no live heap":             {64 << 20, 0, 0, 1600},
+		"small live heap":          {64 << 20, 2 << 20, 0, 1600},
+		"floor under least goal":   {1 << 20, 0, 0, 100},
 	} {
-		if got := percent(c.floor, c.live, c.roots); got != c.want {
-			t.Errorf("%+v: %d", c, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			if got := percentFor(c.floor, c.live, c.roots); got != c.want {
+				t.Errorf("%d, want %d", got, c.want)
+			}
+		})
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,7 +1,9 @@
-// Package socket asks the system about connections, without reading from them and without waiting.
+// Package socket asks the system about connections, without reading from them and without waiting. It keeps no state
+// and may be used from any goroutine.
 package socket
 
 import (
+	"errors"
 	"net"
 	"syscall"
 )
@@ -16,7 +18,8 @@
 	Closed                // the peer has closed or reset it, or this side has closed it
 )
 
-// ReadState looks at nc. Another goroutine may be reading from it. A connection that is none of the system's is Quiet.
+// ReadState is the state of nc's incoming side. Another goroutine may be reading from nc. A connection that is not the
+// system's is Idle.
 func ReadState(nc net.Conn) State {
 	conn, ok := nc.(syscall.Conn)
 	if !ok {
@@ -27,18 +30,24 @@
 		return Closed
 	}
 	state := Closed
-	err = raw.Control(func(fd uintptr) { // Read would wait for a read that is under way
-		var b [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		switch {
-		case n > 0:
-			state = Readable
-		case err == syscall.EAGAIN || err == syscall.EINTR:
-			state = Idle
-		}
+	err = raw.Control(func(fd uintptr) { // raw.Read would wait for a read that is under way
+		state = peek(int(fd))
 	})
 	if err != nil {
 		return Closed
 	}
 	return state
 }
+
+func peek(fd int) State {
+	var b [1]byte
+	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	switch {
+	case n > 0:
+		return Readable
+	case errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR):
+		return Idle
+	default:
+		return Closed
+	}
+}
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -1,6 +1,7 @@
 package socket
 
 import (
+	"errors"
 	"net"
 	"syscall"
 	"testing"
@@ -15,55 +16,86 @@
 	}
 	err = raw.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		return err != syscall.EAGAIN
+		return !errors.Is(err, syscall.EAGAIN)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestIncoming(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// connect returns the two sides of a connection.
+func connect(t *testing.T) (local net.Conn, peer *net.TCPConn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	dialed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	for name, k := range map[string]struct {
-		peer func(c *net.TCPConn)
+	t.Cleanup(func() { _ = dialed.Close() })
+	local, err = listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = local.Close() })
+	return local, dialed.(*net.TCPConn)
+}
+
+func TestReadState(t *testing.T) {
+	for name, c := range map[string]struct {
+		act  func(t *testing.T, peer *net.TCPConn)
 		want State
 	}{
-		"open":                 {func(*net.TCPConn) {}, Idle},
-		"bytes":                {func(c *net.TCPConn) { _, _ = c.Write([]byte("x")) }, Readable},
-		"bytes before the end": {func(c *net.TCPConn) { _, _ = c.Write([]byte("x")); c.Close() }, Readable},
-		"closed":               {func(c *net.TCPConn) { c.Close() }, Closed},
-		"half-closed":          {func(c *net.TCPConn) { _ = c.CloseWrite() }, Closed},
-		"reset":                {func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() }, Closed},
+		"open":                 {func(*testing.T, *net.TCPConn) {}, Idle},
+		"bytes":                {write, Readable},
+		"bytes before the end": {func(t *testing.T, peer *net.TCPConn) { write(t, peer); closePeer(t, peer) }, Readable},
+		"closed":               {closePeer, Closed},
+		"half-closed":          {func(t *testing.T, peer *net.TCPConn) { check(t, peer.CloseWrite()) }, Closed},
+		"reset": {func(t *testing.T, peer *net.TCPConn) {
+			check(t, peer.SetLinger(0))
+			closePeer(t, peer)
+		}, Closed},
 	} {
-		peer, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer peer.Close()
-		nc, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		reading := make(chan struct{})
-		if k.want == Idle { // while another goroutine reads
-			go func() { defer close(reading); _, _ = nc.Read(make([]byte, 1)) }()
-			k.peer(peer.(*net.TCPConn))
-		} else {
-			close(reading)
-			k.peer(peer.(*net.TCPConn))
-			awaitReadable(t, nc)
-		}
-		if got := ReadState(nc); got != k.want {
-			t.Errorf("%s: %d, want %d", name, got, k.want)
-		}
-		nc.Close()
-		if got := ReadState(nc); got != Closed {
-			t.Errorf("%s, closed here: %d", name, got)
-		}
-		<-reading
+		t.Run(name, func(t *testing.T) {
+			local, peer := connect(t)
+			reading := make(chan struct{})
+			if c.want == Idle { // while another goroutine reads
+				go func() { defer close(reading); _, _ = local.Read(make([]byte, 1)) }()
+				c.act(t, peer)
+			} else {
+				close(reading)
+				c.act(t, peer)
+				awaitReadable(t, local)
+			}
+			if got := ReadState(local); got != c.want {
+				t.Errorf("%d, want %d", got, c.want)
+			}
+			check(t, local.Close())
+			if got := ReadState(local); got != Closed {
+				t.Errorf("after close: %d", got)
+			}
+			<-reading
+		})
 	}
 }
+
+func check(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+func write(t *testing.T, peer *net.TCPConn) {
+	t.Helper()
+	_, err := peer.Write([]byte("x"))
+	check(t, err)
+}
+
+func closePeer(t *testing.T, peer *net.TCPConn) {
+	t.Helper()
+	check(t, peer.Close())
+}
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,35 +1,43 @@
-// Package sse splits server-sent event streams (WHATWG HTML, section 9.2) into events without copying them.
+// Package sse splits server-sent event streams (WHATWG HTML, section 9.2) into events without copying them. It keeps
+// no state and may be used from any goroutine.
 package sse
 
 import "bytes"
 
-var blank, dataField = []byte("\n\n"), []byte("data:")
+// Done is the data that ends a stream of the OpenAI API.
+const Done = "[DONE]"
+
+var (
+	eventEnd  = []byte("\n\n")
+	dataField = []byte("data:")
+	space     = []byte(" ")
+)
 
 // Split returns the length of the first whole event in buf, its blank line included, or 0 when none is whole
-// yet. Lines may end in LF, CRLF or CR; a CR at the very end of buf is waited on, since an LF may follow.
+// yet. Lines may end in LF, CRLF or CR; a CR at the very end of buf does not end a line yet, since an LF may follow.
 func Split(buf []byte) int {
 	if bytes.IndexByte(buf, '\r') < 0 { // what engines send
 		if len(buf) > 0 && buf[0] == '\n' {
 			return 1
 		}
-		if i := bytes.Index(buf, blank); i >= 0 {
-			return i + 2
+		if i := bytes.Index(buf, eventEnd); i >= 0 {
+			return i + len(eventEnd)
 		}
 		return 0
 	}
-	for i := 0; i < len(buf); {
-		j := bytes.IndexAny(buf[i:], "\r\n")
-		if j < 0 {
+	for start := 0; start < len(buf); {
+		length := bytes.IndexAny(buf[start:], "\r\n")
+		if length < 0 {
 			return 0
 		}
-		end := lineEnd(buf, i+j)
-		if end == 0 {
+		next := lineEnd(buf, start+length)
+		if next == 0 {
 			return 0
 		}
-		if j == 0 { // an empty line
-			return end
+		if length == 0 { // the empty line after an event
+			return next
 		}
-		i = end
+		start = next
 	}
 	return 0
 }
@@ -54,29 +62,30 @@
 	var data []byte
 	found := false
 	for len(event) > 0 {
-		line := event
-		i := bytes.IndexByte(event, '\n')
-		if j := bytes.IndexByte(event[:max(i, 0)], '\r'); j >= 0 || i < 0 {
-			i = bytes.IndexAny(event, "\r\n")
-		}
-		if i >= 0 {
-			line, event = event[:i], event[i+1:]
-		} else {
-			event = nil
-		}
-		v, ok := bytes.CutPrefix(line, dataField)
+		var line []byte
+		line, event = cutLine(event)
+		value, ok := bytes.CutPrefix(line, dataField)
 		if !ok {
 			continue
 		}
-		v = bytes.TrimPrefix(v, []byte(" "))
+		value = bytes.TrimPrefix(value, space)
 		if !found {
-			data, found = v[:len(v):len(v)], true
+			data, found = value[:len(value):len(value)], true // appending to it copies
 			continue
 		}
-		data = append(append(data, '\n'), v...)
+		data = append(append(data, '\n'), value...)
 	}
 	return data
 }
 
-// Done is the data that ends a stream of the OpenAI API.
-const Done = "[DONE]"
+// cutLine splits the first line off. A CRLF leaves an empty line, which has no data.
+func cutLine(event []byte) (line, rest []byte) {
+	end := bytes.IndexByte(event, '\n')
+	if cr := bytes.IndexByte(event[:max(end, 0)], '\r'); cr >= 0 || end < 0 {
+		end = bytes.IndexAny(event, "\r\n")
+	}
+	if end < 0 {
+		return event, nil
+	}
+	return event[:end], event[end+1:]
+}
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -2,38 +2,56 @@
 
 import (
 	"bytes"
+	"slices"
 	"testing"
 )
 
 func TestSplitAtEveryCut(t *testing.T) {
-	for _, stream := range []string{"data: a\n\ndata: b\n\n", "data: a\r\n\r\ndata:b\r\n\r\n", ": c\ndata: a\n\ndata: b\r\rx"} {
-		for cut := range len(stream) {
-			var got []string
-			buf := []byte{}
-			for _, part := range [][]byte{[]byte(stream[:cut]), []byte(stream[cut:])} {
-				buf = append(buf, part...)
-				for n := Split(buf); n > 0; n = Split(buf) {
-					got = append(got, string(Data(buf[:n])))
-					buf = buf[n:]
+	for name, stream := range map[string]string{
+		"LF":                   "data: a\n\ndata: b\n\n",
+		"CRLF":                 "data: a\r\n\r\ndata:b\r\n\r\n",
+		"comment, LF, then CR": ": c\ndata: a\n\ndata: b\r\rx",
+	} {
+		t.Run(name, func(t *testing.T) {
+			for cut := range len(stream) {
+				got := splitAll([]byte(stream[:cut]), []byte(stream[cut:]))
+				if !slices.Equal(got, []string{"a", "b"}) {
+					t.Fatalf("cut at %d: %q", cut, got)
 				}
 			}
-			if len(got) != 2 || got[0] != "a" || got[1] != "b" {
-				t.Fatalf("%q cut at %d: %q", stream, cut, got)
-			}
+		})
+	}
+}
+
+// splitAll returns the data of all events of a stream that arrives in parts.
+func splitAll(parts ...[]byte) (data []string) {
+	var buf []byte
+	for _, part := range parts {
+		buf = append(buf, part...)
+		for n := Split(buf); n > 0; n = Split(buf) {
+			data = append(data, string(Data(buf[:n])))
+			buf = buf[n:]
 		}
 	}
-	if d := Data([]byte("event: x\ndata: a\ndata: b\n\n")); !bytes.Equal(d, []byte("a\nb")) {
-		t.Fatalf("two lines: %q", d)
+	return data
+}
+
+func TestDataJoinsLines(t *testing.T) {
+	if data := Data([]byte("event: x\ndata: a\ndata: b\n\n")); !bytes.Equal(data, []byte("a\nb")) {
+		t.Errorf("%q", data)
 	}
-	if Data([]byte(": ping\n\n")) != nil {
-		t.Fatal("a comment has data")
+}
+
+func TestDataOfCommentIsNil(t *testing.T) {
+	if data := Data([]byte(": ping\n\n")); data != nil {
+		t.Errorf("%q", data)
 	}
 }
 
 func TestSplitAndDataAllocateNothing(t *testing.T) {
-	ev := []byte("data: {\"choices\":[]}\n\n")
+	event := []byte("data: {\"choices\":[]}\n\n")
 	if n := testing.AllocsPerRun(100, func() {
-		if Data(ev[:Split(ev)]) == nil {
+		if Data(event[:Split(event)]) == nil {
 			t.Fatal("no data")
 		}
 	}); n != 0 {
