--- a/cmd/brackenbend/check.go
+++ b/cmd/brackenbend/check.go
@@ -1,13 +1,14 @@
 package main
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/simulation/scenario"
 	"fmt"
 	"os"
 	"reflect"
 
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/simulation/scenario"
 )
 
 func checkCommand() *cobra.Command {
--- a/cmd/brackenbend/standins.go
+++ b/cmd/brackenbend/fakes.go
@@ -1,13 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/fake/apiserver"
-	"brackenbend/internal/fake/engine"
-	"brackenbend/internal/fake/enginemodel"
-	"brackenbend/internal/planner"
-	"brackenbend/internal/telemetry"
-	"brackenbend/roles"
 	"errors"
 	"fmt"
 	"os"
@@ -17,6 +10,14 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/fake/apiserver"
+	"brackenbend/internal/fake/engine"
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/planner"
+	"brackenbend/internal/telemetry"
+	"brackenbend/roles"
 )
 
 // engineParams are middling figures of one stand-in engine.
--- a/cmd/brackenbend/load.go
+++ b/cmd/brackenbend/load.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/load"
 	"context"
 	"fmt"
 	"os"
@@ -13,6 +11,9 @@
 
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/load"
 )
 
 func loadCommand() *cobra.Command {
--- a/cmd/brackenbend/main.go
+++ b/cmd/brackenbend/main.go
@@ -3,12 +3,13 @@
 package main
 
 import (
-	"brackenbend/internal/config"
 	"errors"
 	"fmt"
 	"os"
 
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/config"
 )
 
 // Exit codes; docs/operate.md lists them.
--- a/cmd/brackenbend/main_test.go
+++ b/cmd/brackenbend/main_test.go
@@ -1,13 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/audit"
-	"brackenbend/internal/fake/engine"
-	"brackenbend/internal/fake/loopback"
-	"brackenbend/internal/gateway"
-	"brackenbend/internal/scenariorun"
-	"brackenbend/internal/simulation/scenario"
-	"brackenbend/internal/simulation/trace"
 	"bytes"
 	"context"
 	"fmt"
@@ -21,6 +14,14 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/fake/engine"
+	"brackenbend/internal/fake/loopback"
+	"brackenbend/internal/gateway"
+	"brackenbend/internal/scenariorun"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/internal/simulation/trace"
 )
 
 // TestMain lets the test binary stand for brackenbend itself, so that fronts are real processes.
--- a/cmd/brackenbend/broken_test.go
+++ b/cmd/brackenbend/mutation_test.go
@@ -1,11 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/engine"
-	"brackenbend/internal/gateway"
-	"brackenbend/internal/simulation/scenario"
-	"brackenbend/routing"
 	"fmt"
 	"os"
 	"slices"
@@ -13,6 +8,12 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/engine"
+	"brackenbend/internal/gateway"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/routing"
 )
 
 // broken are fronts bent on purpose, one for each row of the outcome table that a rule depends on and one for each
--- a/cmd/brackenbend/node.go
+++ b/cmd/brackenbend/node.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/node"
-	"brackenbend/internal/telemetry"
 	"errors"
 	"os"
 	"os/signal"
@@ -10,6 +8,9 @@
 
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
+
+	"brackenbend/internal/node"
+	"brackenbend/internal/telemetry"
 )
 
 func nodeCommand() *cobra.Command {
--- a/cmd/brackenbend/node_test.go
+++ b/cmd/brackenbend/node_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/node"
 	"fmt"
 	"net"
 	"net/http"
@@ -13,6 +12,8 @@
 	"testing"
 
 	"go.uber.org/zap"
+
+	"brackenbend/internal/node"
 )
 
 const nodeConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":
--- a/cmd/brackenbend/roles.go
+++ b/cmd/brackenbend/roles.go
@@ -1,9 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/planner"
-	"brackenbend/internal/telemetry"
-	"brackenbend/roles"
 	"context"
 	"errors"
 	"fmt"
@@ -19,6 +16,10 @@
 
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
+
+	"brackenbend/internal/planner"
+	"brackenbend/internal/telemetry"
+	"brackenbend/roles"
 )
 
 func plannerCommand() *cobra.Command {
--- a/cmd/brackenbend/day.go
+++ b/cmd/brackenbend/scenario.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/scenariorun"
-	"brackenbend/internal/simulation/scenario"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -12,6 +10,9 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/scenariorun"
+	"brackenbend/internal/simulation/scenario"
 )
 
 func dayCommand() *cobra.Command {
--- a/cmd/brackenbend/serve.go
+++ b/cmd/brackenbend/serve.go
@@ -1,12 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/gateway"
-	"brackenbend/internal/gctuning"
-	"brackenbend/internal/telemetry"
-	"brackenbend/routing"
 	"context"
 	"crypto/tls"
 	"crypto/x509"
@@ -21,6 +15,13 @@
 
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/gateway"
+	"brackenbend/internal/gctuning"
+	"brackenbend/internal/telemetry"
+	"brackenbend/routing"
 )
 
 func serveCommand() *cobra.Command {
--- a/cmd/brackenbend/lab.go
+++ b/cmd/brackenbend/simulate.go
@@ -1,14 +1,15 @@
 package main
 
 import (
-	"brackenbend/internal/simulation/rolesim"
-	"brackenbend/roles"
 	"errors"
 	"os"
 	"runtime"
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/simulation/rolesim"
+	"brackenbend/roles"
 )
 
 func labCommand() *cobra.Command {
--- a/cmd/brackenbend/lab_causes.go
+++ b/cmd/brackenbend/simulate_ablation.go
@@ -1,11 +1,12 @@
 package main
 
 import (
-	"brackenbend/internal/simulation/ablation"
 	"fmt"
 	"runtime"
 
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/simulation/ablation"
 )
 
 func labCausesCommand() *cobra.Command {
--- a/cmd/brackenbend/lab_hunt.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -1,13 +1,14 @@
 package main
 
 import (
-	"brackenbend/internal/simulation/faultsearch"
-	"brackenbend/internal/simulation/forecast"
 	"fmt"
 	"os"
 	"runtime"
 
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/simulation/faultsearch"
+	"brackenbend/internal/simulation/forecast"
 )
 
 func labHuntCommand() *cobra.Command {
--- a/cmd/brackenbend/lab_forecast.go
+++ b/cmd/brackenbend/simulate_forecast.go
@@ -1,13 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/scenariorun"
-	"brackenbend/internal/simulation/baseline"
-	"brackenbend/internal/simulation/fleet"
-	"brackenbend/internal/simulation/forecast"
-	"brackenbend/internal/simulation/scenario"
-	"brackenbend/routing"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -23,6 +16,14 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/scenariorun"
+	"brackenbend/internal/simulation/baseline"
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/forecast"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/routing"
 )
 
 func labForecastCommand() *cobra.Command {
--- a/cmd/brackenbend/lab_overload.go
+++ b/cmd/brackenbend/simulate_overload.go
@@ -1,12 +1,13 @@
 package main
 
 import (
-	"brackenbend/internal/simulation/overload"
 	"fmt"
 	"runtime"
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/simulation/overload"
 )
 
 func labOverloadCommand() *cobra.Command {
--- a/cmd/brackenbend/lab_trace.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/simulation/scenario"
-	"brackenbend/internal/simulation/trace"
 	"fmt"
 	"os"
 	"slices"
@@ -12,6 +10,9 @@
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
+
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/internal/simulation/trace"
 )
 
 // recording is traffic that was recorded, in place of a day's drawn clients.
--- a/cmd/brackenbend/lab_day.go
+++ b/cmd/brackenbend/simulate_scenario.go
@@ -1,9 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/simulation/fleet"
-	"brackenbend/internal/simulation/forecast"
-	"brackenbend/internal/simulation/scenario"
 	"fmt"
 	"maps"
 	"os"
@@ -13,6 +10,10 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/forecast"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // loadDay reads a day file, or the default day where there is none.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -4,8 +4,6 @@
 package config
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/routing"
 	"cmp"
 	"fmt"
 	"net"
@@ -15,6 +13,9 @@
 	"slices"
 	"strings"
 	"time"
+
+	"brackenbend/internal/api"
+	"brackenbend/routing"
 )
 
 // Settings are one front's settings.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,12 +1,13 @@
 package config
 
 import (
-	"brackenbend/internal/golden"
 	"bytes"
 	"os"
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/golden"
 )
 
 const (
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -1,14 +1,15 @@
 package config
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/internal/golden"
-	"brackenbend/routing"
 	"fmt"
 	"os"
 	"reflect"
 	"strings"
 	"testing"
+
+	"brackenbend/internal/api"
+	"brackenbend/internal/golden"
+	"brackenbend/routing"
 )
 
 // attributes writes what a document gave, by the names of elements and attributes.
--- a/internal/fake/client/client.go
+++ b/internal/fake/client/client.go
@@ -3,7 +3,6 @@
 package client
 
 import (
-	"brackenbend/internal/audit"
 	"bufio"
 	"bytes"
 	"cmp"
@@ -15,6 +14,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"brackenbend/internal/audit"
 )
 
 // Try is one request of a client.
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -4,10 +4,6 @@
 package engine
 
 import (
-	"brackenbend/internal/audit"
-	"brackenbend/internal/fake/enginemodel"
-	"brackenbend/internal/planner"
-	"brackenbend/roles"
 	"bytes"
 	"cmp"
 	"context"
@@ -23,6 +19,11 @@
 	"strings"
 	"sync"
 	"time"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/planner"
+	"brackenbend/roles"
 )
 
 // Config describes a stand-in.
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -1,12 +1,13 @@
 package engine
 
 import (
-	"brackenbend/internal/fake/enginemodel"
-	"brackenbend/internal/planner"
-	"brackenbend/roles"
 	"encoding/json"
 	"net/http"
 	"time"
+
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/planner"
+	"brackenbend/roles"
 )
 
 // params are those of the role in force. s.mu is held.
--- a/internal/fake/engine/stored_test.go
+++ b/internal/fake/engine/stored_test.go
@@ -1,9 +1,10 @@
 package engine
 
 import (
-	"brackenbend/internal/golden"
 	"encoding/json"
 	"testing"
+
+	"brackenbend/internal/golden"
 )
 
 // TestFaultsBytes: the form in which faults are set from outside. The golden file was recorded before the renaming and is not
--- a/internal/scenariorun/plot.go
+++ b/internal/scenariorun/plot.go
@@ -1,8 +1,9 @@
 package scenariorun
 
 import (
-	"brackenbend/internal/simulation/chart"
 	"path/filepath"
+
+	"brackenbend/internal/simulation/chart"
 )
 
 // Plot draws service over time, and where engines change role how they stood, as SVG files into dir.
--- a/internal/scenariorun/report.go
+++ b/internal/scenariorun/report.go
@@ -1,12 +1,13 @@
 package scenariorun
 
 import (
-	"brackenbend/internal/audit"
-	"brackenbend/internal/simulation/scenario"
 	"encoding/json"
 	"fmt"
 	"io"
 	"time"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Report is what came of a day.
--- a/internal/scenariorun/roles.go
+++ b/internal/scenariorun/roles.go
@@ -1,11 +1,6 @@
 package scenariorun
 
 import (
-	"brackenbend/internal/fake/engine"
-	"brackenbend/internal/fake/enginemodel"
-	"brackenbend/internal/planner"
-	"brackenbend/internal/simulation/rolesim"
-	"brackenbend/roles"
 	"cmp"
 	"context"
 	"math"
@@ -14,6 +9,12 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"brackenbend/internal/fake/engine"
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/planner"
+	"brackenbend/internal/simulation/rolesim"
+	"brackenbend/roles"
 )
 
 // shift is what engines that change role share.
--- a/internal/scenariorun/run.go
+++ b/internal/scenariorun/run.go
@@ -4,11 +4,6 @@
 package scenariorun
 
 import (
-	"brackenbend/internal/audit"
-	"brackenbend/internal/fake/apiserver"
-	"brackenbend/internal/fake/engine"
-	"brackenbend/internal/fake/loopback"
-	"brackenbend/internal/simulation/scenario"
 	"context"
 	"fmt"
 	"io"
@@ -21,6 +16,12 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/fake/apiserver"
+	"brackenbend/internal/fake/engine"
+	"brackenbend/internal/fake/loopback"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Options say how a day is run.
--- a/internal/scenariorun/script.go
+++ b/internal/scenariorun/script.go
@@ -1,14 +1,15 @@
 package scenariorun
 
 import (
-	"brackenbend/internal/fake/engine"
-	"brackenbend/internal/simulation/scenario"
 	"cmp"
 	"context"
 	"slices"
 	"sync"
 	"syscall"
 	"time"
+
+	"brackenbend/internal/fake/engine"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // script carries out what happens, each in its time, and waits for all of it to be over.
--- a/internal/scenariorun/stored_test.go
+++ b/internal/scenariorun/stored_test.go
@@ -1,12 +1,13 @@
 package scenariorun
 
 import (
-	"brackenbend/internal/audit"
-	"brackenbend/internal/golden"
-	"brackenbend/internal/simulation/scenario"
 	"bytes"
 	"encoding/json"
 	"testing"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/golden"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // TestStoredReport: a day's report, which a later run reads the work over time from. The golden file was recorded before the
--- a/internal/scenariorun/traffic.go
+++ b/internal/scenariorun/traffic.go
@@ -1,13 +1,14 @@
 package scenariorun
 
 import (
-	"brackenbend/internal/audit"
-	"brackenbend/internal/fake/client"
-	"brackenbend/internal/simulation/scenario"
 	"context"
 	"fmt"
 	"sync"
 	"time"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/fake/client"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // traffic is the day's clients.
--- a/internal/simulation/ablation/ablation.go
+++ b/internal/simulation/ablation/ablation.go
@@ -5,16 +5,17 @@
 package ablation
 
 import (
-	"brackenbend/internal/simulation/fleet"
-	"brackenbend/internal/simulation/forecast"
-	"brackenbend/internal/simulation/replication"
-	"brackenbend/internal/simulation/scenario"
 	"errors"
 	"fmt"
 	"io"
 	"text/tabwriter"
 
 	"gonum.org/v1/gonum/stat"
+
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/forecast"
+	"brackenbend/internal/simulation/replication"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Cause is something that a front can't know or must do without.
--- a/internal/simulation/ablation/ablation_test.go
+++ b/internal/simulation/ablation/ablation_test.go
@@ -1,9 +1,10 @@
 package ablation
 
 import (
-	"brackenbend/internal/simulation/scenario"
 	"strings"
 	"testing"
+
+	"brackenbend/internal/simulation/scenario"
 )
 
 // TestCrowdedReadersAreNamed: on a calm day near its capacity, with beginnings shared by many, only crowding costs.
--- a/internal/simulation/baseline/baseline.go
+++ b/internal/simulation/baseline/baseline.go
@@ -5,11 +5,12 @@
 package baseline
 
 import (
-	"brackenbend/routing"
 	"fmt"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // Way is how an engine is picked.
--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -1,11 +1,12 @@
 package baseline_test
 
 import (
+	"testing"
+
 	"brackenbend/internal/simulation/baseline"
 	"brackenbend/internal/simulation/fleet"
 	"brackenbend/internal/simulation/scenario"
 	"brackenbend/routing"
-	"testing"
 )
 
 // TestBaselinesKeepWhatAFrontAloneCan: on the bad day they answer once and in time, run nothing twice, keep drains and let
--- a/internal/simulation/faultsearch/faultsearch.go
+++ b/internal/simulation/faultsearch/faultsearch.go
@@ -4,15 +4,16 @@
 package faultsearch
 
 import (
-	"brackenbend/internal/simulation/fleet"
-	"brackenbend/internal/simulation/replication"
-	"brackenbend/internal/simulation/scenario"
 	"cmp"
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/replication"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Hunt says where to look.
--- a/internal/simulation/faultsearch/faultsearch_test.go
+++ b/internal/simulation/faultsearch/faultsearch_test.go
@@ -1,12 +1,13 @@
 package faultsearch
 
 import (
-	"brackenbend/internal/simulation/fleet"
-	"brackenbend/internal/simulation/scenario"
-	"brackenbend/routing"
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/routing"
 )
 
 func day(t *testing.T) *scenario.Day {
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -1,9 +1,6 @@
 package fleet
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/internal/audit"
-	"brackenbend/internal/simulation/scenario"
 	"fmt"
 	"math/rand/v2"
 	"strconv"
@@ -11,6 +8,10 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+
+	"brackenbend/internal/api"
+	"brackenbend/internal/audit"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // clients are all clients of the day.
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -1,15 +1,16 @@
 package fleet
 
 import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
 	"brackenbend/internal/audit"
 	"brackenbend/internal/fake/enginemodel"
 	"brackenbend/internal/simulation/scenario"
 	"brackenbend/roles"
 	"brackenbend/routing"
-	"cmp"
-	"fmt"
-	"math/rand/v2"
-	"time"
 )
 
 // engine is one engine: the stand-ins' model behind links in place of sockets, with the stand-in's faults.
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -11,16 +11,17 @@
 package fleet
 
 import (
-	"brackenbend/internal/audit"
-	"brackenbend/internal/config"
-	"brackenbend/internal/simulation/scenario"
-	"brackenbend/routing"
 	"cmp"
 	"fmt"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/config"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/routing"
 )
 
 // Decider is what decides for a front: routing.Router, or for comparisons something simpler.
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -1,14 +1,15 @@
 package fleet
 
 import (
-	"brackenbend/internal/simulation/scenario"
-	"brackenbend/routing"
 	"fmt"
 	"math"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/routing"
 )
 
 func bad(t *testing.T) *scenario.Day {
--- a/internal/simulation/fleet/front.go
+++ b/internal/simulation/fleet/front.go
@@ -1,16 +1,16 @@
 package fleet
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/internal/audit"
-	"brackenbend/routing"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"strconv"
 	"time"
 
+	"brackenbend/internal/api"
+	"brackenbend/internal/audit"
 	reg "brackenbend/internal/endpointslice"
+	"brackenbend/routing"
 )
 
 // epoch is the router's time at the day's beginning, so that engines may have started before.
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -1,11 +1,12 @@
 package fleet
 
 import (
+	"errors"
+	"slices"
+
 	"brackenbend/internal/fake/enginemodel"
 	"brackenbend/internal/simulation/scenario"
 	"brackenbend/routing"
-	"errors"
-	"slices"
 )
 
 // Oracles give fronts what no front can know, each of them one thing, so that what is lost for want of it can be counted.
--- a/internal/simulation/fleet/oracle_test.go
+++ b/internal/simulation/fleet/oracle_test.go
@@ -1,8 +1,9 @@
 package fleet
 
 import (
-	"brackenbend/internal/simulation/scenario"
 	"testing"
+
+	"brackenbend/internal/simulation/scenario"
 )
 
 // small is a day of 12 fronts at 9 engines, whose shared beginnings crowd some readers.
--- a/internal/simulation/fleet/register.go
+++ b/internal/simulation/fleet/register.go
@@ -1,14 +1,15 @@
 package fleet
 
 import (
-	"brackenbend/internal/audit"
-	"brackenbend/internal/simulation/scenario"
-	"brackenbend/roles"
-	"brackenbend/routing"
 	"cmp"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/roles"
+	"brackenbend/routing"
 )
 
 // register lists the engines to the fronts, and carries out what the day's script does to engines and fronts: it is the
--- a/internal/simulation/fleet/roles.go
+++ b/internal/simulation/fleet/roles.go
@@ -1,15 +1,16 @@
 package fleet
 
 import (
-	"brackenbend/internal/fake/enginemodel"
-	"brackenbend/internal/planner"
-	"brackenbend/roles"
 	"cmp"
 	"fmt"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/planner"
+	"brackenbend/roles"
 )
 
 // Engines that change role: the planner, the book and the seat are those of package roles, the planner's view is that of
--- a/internal/simulation/forecast/forecast.go
+++ b/internal/simulation/forecast/forecast.go
@@ -7,9 +7,6 @@
 package forecast
 
 import (
-	"brackenbend/internal/simulation/fleet"
-	"brackenbend/internal/simulation/replication"
-	"brackenbend/internal/simulation/scenario"
 	"errors"
 	"math"
 	"math/rand/v2"
@@ -17,6 +14,10 @@
 
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
+
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/replication"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Model is how far real runs were off from the mean of simulated ones: a standard deviation of Floor, and of Part of what
--- a/internal/simulation/forecast/forecast_test.go
+++ b/internal/simulation/forecast/forecast_test.go
@@ -1,14 +1,15 @@
 package forecast
 
 import (
-	"brackenbend/internal/simulation/baseline"
-	"brackenbend/internal/simulation/fleet"
-	"brackenbend/internal/simulation/scenario"
-	"brackenbend/routing"
 	"math"
 	"math/rand/v2"
 	"strings"
 	"testing"
+
+	"brackenbend/internal/simulation/baseline"
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/routing"
 )
 
 // small is a quick day in which engines die.
--- a/internal/simulation/forecast/report.go
+++ b/internal/simulation/forecast/report.go
@@ -1,8 +1,6 @@
 package forecast
 
 import (
-	"brackenbend/internal/simulation/chart"
-	"brackenbend/internal/simulation/scenario"
 	"bytes"
 	"fmt"
 	"html/template"
@@ -10,6 +8,9 @@
 	"math"
 	"slices"
 	"text/tabwriter"
+
+	"brackenbend/internal/simulation/chart"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // row is one line of a comparison.
--- a/internal/simulation/forecast/stored_test.go
+++ b/internal/simulation/forecast/stored_test.go
@@ -1,12 +1,13 @@
 package forecast
 
 import (
-	"brackenbend/internal/golden"
-	"brackenbend/internal/simulation/scenario"
 	"encoding/json"
 	"os"
 	"path/filepath"
 	"testing"
+
+	"brackenbend/internal/golden"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // stored demands that a value is written as it was before the renaming, and that reading that loses nothing. The golden
--- a/internal/simulation/overload/overload.go
+++ b/internal/simulation/overload/overload.go
@@ -4,10 +4,6 @@
 package overload
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/simulation/fleet"
-	"brackenbend/internal/simulation/replication"
-	"brackenbend/internal/simulation/scenario"
 	"errors"
 	"fmt"
 	"io"
@@ -16,6 +12,11 @@
 	"time"
 
 	"gonum.org/v1/gonum/stat"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/replication"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Loop is a way in which overload feeds itself, and what cuts it.
--- a/internal/simulation/overload/overload_test.go
+++ b/internal/simulation/overload/overload_test.go
@@ -1,11 +1,12 @@
 package overload
 
 import (
-	"brackenbend/internal/simulation/fleet"
-	"brackenbend/internal/simulation/scenario"
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/scenario"
 )
 
 func day(t *testing.T, happens string) *scenario.Day {
--- a/internal/simulation/rolesim/compare.go
+++ b/internal/simulation/rolesim/compare.go
@@ -1,8 +1,6 @@
 package rolesim
 
 import (
-	"brackenbend/internal/simulation/chart"
-	"brackenbend/roles"
 	"fmt"
 	"io"
 	"math"
@@ -11,6 +9,9 @@
 	"sync"
 	"text/tabwriter"
 	"time"
+
+	"brackenbend/internal/simulation/chart"
+	"brackenbend/roles"
 )
 
 // Scenarios are all that comparisons play.
--- a/internal/simulation/rolesim/policy.go
+++ b/internal/simulation/rolesim/policy.go
@@ -1,9 +1,10 @@
 package rolesim
 
 import (
-	"brackenbend/roles"
 	"math"
 	"time"
+
+	"brackenbend/roles"
 )
 
 // Fixed keeps so many readers for ever.
--- a/internal/simulation/rolesim/pool.go
+++ b/internal/simulation/rolesim/pool.go
@@ -1,8 +1,9 @@
 package rolesim
 
 import (
-	"brackenbend/roles"
 	"math"
+
+	"brackenbend/roles"
 )
 
 // pool finds the engine of a stage with the most room without looking at the whole fleet: engines that are up, by how
--- a/internal/simulation/rolesim/scenarios.go
+++ b/internal/simulation/rolesim/scenarios.go
@@ -1,9 +1,10 @@
 package rolesim
 
 import (
-	"brackenbend/roles"
 	"math"
 	"time"
+
+	"brackenbend/roles"
 )
 
 // Load is the work asked for in most scenarios, as a part of the whole fleet.
--- a/internal/simulation/rolesim/sim.go
+++ b/internal/simulation/rolesim/sim.go
@@ -5,11 +5,12 @@
 package rolesim
 
 import (
-	"brackenbend/roles"
 	"container/heap"
 	"math"
 	"math/rand/v2"
 	"time"
+
+	"brackenbend/roles"
 )
 
 // Scenario is a fleet and what it meets.
--- a/internal/simulation/rolesim/sim_test.go
+++ b/internal/simulation/rolesim/sim_test.go
@@ -1,10 +1,11 @@
 package rolesim
 
 import (
-	"brackenbend/roles"
 	"reflect"
 	"testing"
 	"time"
+
+	"brackenbend/roles"
 )
 
 // TestShiftIsFollowed: on a mix that shifts the planner comes at least a third of the way from the best fixed split to
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -4,8 +4,6 @@
 package scenario
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/roles"
 	"bytes"
 	"cmp"
 	"embed"
@@ -19,6 +17,9 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"brackenbend/internal/config"
+	"brackenbend/roles"
 )
 
 // Day is a scripted day.
--- a/internal/simulation/scenario/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -1,13 +1,14 @@
 package scenario
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/fake/enginemodel"
-	"brackenbend/roles"
 	"encoding/xml"
 	"fmt"
 	"strings"
 	"time"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/roles"
 )
 
 // KindBoth is the kind of an engine that does both because nothing else is left.
--- a/internal/simulation/scenario/stored_test.go
+++ b/internal/simulation/scenario/stored_test.go
@@ -1,8 +1,6 @@
 package scenario
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/golden"
 	"encoding/json"
 	"fmt"
 	"path/filepath"
@@ -11,6 +9,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/golden"
 )
 
 // TestDaySchema: the published schema of days. The golden files here were recorded before the renaming and are not updated
--- a/internal/simulation/trace/fit.go
+++ b/internal/simulation/trace/fit.go
@@ -1,7 +1,6 @@
 package trace
 
 import (
-	"brackenbend/internal/simulation/scenario"
 	"fmt"
 	"io"
 	"maps"
@@ -11,6 +10,8 @@
 	"time"
 
 	"gonum.org/v1/gonum/stat"
+
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Fitted is a synthetic day's clients as a recording shows them, with how well they fit.
--- a/internal/simulation/trace/stored_test.go
+++ b/internal/simulation/trace/stored_test.go
@@ -1,7 +1,6 @@
 package trace
 
 import (
-	"brackenbend/internal/golden"
 	"bytes"
 	"fmt"
 	"io"
@@ -12,6 +11,8 @@
 	"time"
 
 	"github.com/klauspost/compress/zstd"
+
+	"brackenbend/internal/golden"
 )
 
 func requestsText(tr *Trace) string {
--- a/internal/simulation/trace/trace_test.go
+++ b/internal/simulation/trace/trace_test.go
@@ -1,8 +1,6 @@
 package trace
 
 import (
-	"brackenbend/internal/simulation/fleet"
-	"brackenbend/internal/simulation/scenario"
 	"bytes"
 	"cmp"
 	"fmt"
@@ -11,6 +9,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/scenario"
 )
 
 var begin = time.Date(2026, 11, 2, 6, 0, 0, 0, time.UTC)
--- a/internal/telemetry/names_test.go
+++ b/internal/telemetry/names_test.go
@@ -1,12 +1,13 @@
 package telemetry
 
 import (
-	"brackenbend/internal/golden"
 	"strings"
 	"testing"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/common/expfmt"
+
+	"brackenbend/internal/golden"
 )
 
 // TestMetricNames: names, kinds, helps, labels and buckets of all metrics but those of the Go runtime and the process. The
