--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,8 +1,9 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
 	"time"
+
+	"brackenbend/internal/http1"
 )
 
 // Protocol is what engines are sent and how their replies are read. VLLM is this product's own.
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -1,10 +1,11 @@
 package engine
 
 import (
-	"brackenbend/internal/socket"
 	"bufio"
 	"net"
 	"time"
+
+	"brackenbend/internal/socket"
 )
 
 // connReadBuffer bounds a response header line and is all that an idle connection keeps in memory, in bytes.
--- a/internal/engine/dial_linux_test.go
+++ b/internal/engine/dial_linux_test.go
@@ -3,12 +3,13 @@
 package engine
 
 import (
-	"brackenbend/routing"
 	"fmt"
 	"net"
 	"syscall"
 	"testing"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // maxBacklog is more connections than the system takes for a backlog of 0.
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -1,11 +1,12 @@
 package engine
 
 import (
-	"brackenbend/routing"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // Endpoint is one engine and the connections to it.
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -1,10 +1,11 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
 	"errors"
 	"io"
 	"os"
+
+	"brackenbend/internal/http1"
 )
 
 // Errors of attempts that end on this side, or by what an engine says within its response.
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -1,8 +1,6 @@
 package engine
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/routing"
 	"bufio"
 	"bytes"
 	"encoding/json"
@@ -15,6 +13,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/api"
+	"brackenbend/routing"
 )
 
 var update = flag.Bool("update", false, "write the golden files")
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -1,13 +1,14 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
 	"bufio"
 	"io"
 	"net"
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/http1"
 )
 
 const (
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -1,11 +1,12 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"encoding/json"
 	"errors"
 	"os"
+
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // Outcome is how an attempt ended.
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -1,8 +1,6 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"bufio"
 	"fmt"
 	"io"
@@ -10,6 +8,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // TestDecodeOutcomeTable causes every way in which an attempt can end on the network.
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -1,7 +1,6 @@
 package engine
 
 import (
-	"brackenbend/routing"
 	"bufio"
 	"errors"
 	"fmt"
@@ -11,6 +10,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // servePrefills answers every request on a connection with a prefill's reply.
--- a/internal/engine/relay.go
+++ b/internal/engine/relay.go
@@ -1,16 +1,17 @@
 package engine
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/internal/http1"
-	"brackenbend/internal/sse"
-	"brackenbend/routing"
 	"bytes"
 	"errors"
 	"fmt"
 	"io"
 	"sync"
 	"time"
+
+	"brackenbend/internal/api"
+	"brackenbend/internal/http1"
+	"brackenbend/internal/sse"
+	"brackenbend/routing"
 )
 
 // relayBufferSize bounds the bytes that a stream usually holds between its two sockets; only a larger event makes the
--- a/internal/engine/relay_test.go
+++ b/internal/engine/relay_test.go
@@ -1,8 +1,6 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"bytes"
 	"fmt"
 	"io"
@@ -11,6 +9,9 @@
 	"testing"
 	"testing/iotest"
 	"time"
+
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // scriptedConn is a connection whose incoming bytes come from a reader.
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -1,9 +1,10 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
 	"fmt"
 	"time"
+
+	"brackenbend/internal/http1"
 )
 
 // maxReleaseAttempts bounds the sends of one release. Releasing twice is harmless.
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -1,12 +1,13 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"errors"
 	"net/http"
 	"os"
 	"time"
+
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // readResponseHeader reads the header of the response, skipping interim ones. Each may be waited for until deadline,
--- a/internal/engine/roundtrip.go
+++ b/internal/engine/roundtrip.go
@@ -1,13 +1,14 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"errors"
 	"net"
 	"net/http"
 	"os"
 	"time"
+
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // earlyResponseTimeout is how long a response is waited for once the engine has stopped reading the request. It has
--- a/internal/engine/send_test.go
+++ b/internal/engine/send_test.go
@@ -1,7 +1,6 @@
 package engine
 
 import (
-	"brackenbend/routing"
 	"bufio"
 	"bytes"
 	"io"
@@ -9,6 +8,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"brackenbend/routing"
 )
 
 func TestNothingIsSentOnceClosedOrCanceled(t *testing.T) {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -1,12 +1,13 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"errors"
 	"io"
 	"net/http"
 	"time"
+
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // lastChunkTimeout is how long the last chunk is waited for after the last event. Engines send it right behind; a
--- a/internal/engine/vllm.go
+++ b/internal/engine/vllm.go
@@ -1,13 +1,14 @@
 package engine
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"strconv"
+
+	"brackenbend/internal/api"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // The extension that an engine may speak beside vLLM's convention; docs/front.md has it in full.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -5,9 +5,6 @@
 package load
 
 import (
-	"brackenbend/internal/audit"
-	"brackenbend/internal/fake/client"
-	"brackenbend/internal/simulation/scenario"
 	"context"
 	"errors"
 	"fmt"
@@ -17,6 +14,10 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/fake/client"
+	"brackenbend/internal/simulation/scenario"
 )
 
 // Plan says what is sent, and where.
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -1,7 +1,6 @@
 package load
 
 import (
-	"brackenbend/internal/simulation/scenario"
 	"bytes"
 	"context"
 	"encoding/json"
@@ -15,6 +14,8 @@
 	"time"
 
 	"go.uber.org/goleak"
+
+	"brackenbend/internal/simulation/scenario"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -1,7 +1,6 @@
 package load
 
 import (
-	"brackenbend/internal/simulation/chart"
 	"encoding/json"
 	"fmt"
 	"html/template"
@@ -13,6 +12,8 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"brackenbend/internal/simulation/chart"
 )
 
 // Quantiles of a time, in milliseconds.
