--- a/cmd/brackenbend/load.go
+++ b/cmd/brackenbend/load.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"os/signal"
-	"strings"
 	"syscall"
 	"time"
 
@@ -20,7 +20,7 @@
 	var clients, model, html, jsonFile string
 	var rate float64
 	var quiet bool
-	p := load.Plan{Length: 30 * time.Second, Most: 2000}
+	p := load.Plan{Length: 30 * time.Second, MaxOpen: 2000}
 	cmd := &cobra.Command{
 		Use:   "load FRONT...",
 		Short: "Send load at running fronts and measure what clients see",
@@ -45,7 +45,7 @@
 			if rate > 0 {
 				d.Rate = config.Rate(rate)
 			}
-			p.Day, p.Fronts, p.Model = d, args, model
+			p.Scenario, p.Replicas, p.Model = d, args, model
 			if !quiet {
 				bar := progressbar.NewOptions(1000, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription("sending"),
 					progressbar.OptionThrottle(100*time.Millisecond), progressbar.OptionClearOnFinish())
@@ -59,7 +59,8 @@
 			defer stop()
 			rep, err := load.Run(ctx, p)
 			if err != nil {
-				if strings.HasPrefix(err.Error(), "load: ") {
+				var planError *load.PlanError
+				if errors.As(err, &planError) {
 					return coded{err, exitUsage}
 				}
 				return err
@@ -83,8 +84,8 @@
 	f.StringVar(&model, "model", "day", "model that is asked for")
 	f.Float64Var(&rate, "rate", 0, "requests a second; 0 = the day's")
 	f.DurationVar(&p.Length, "for", p.Length, "how long sessions begin, up to 1h")
-	f.IntVar(&p.Most, "most", p.Most, "requests open at once; sessions past it do not begin and are counted")
-	f.BoolVar(&p.Anywhere, "anywhere", false, "send to addresses that are not loopback")
+	f.IntVar(&p.MaxOpen, "most", p.MaxOpen, "requests open at once; sessions past it do not begin and are counted")
+	f.BoolVar(&p.AllowRemote, "anywhere", false, "send to addresses that are not loopback")
 	f.StringVar(&html, "html", "", "write a page with plots")
 	f.StringVar(&jsonFile, "json", "", "write all figures")
 	f.BoolVarP(&quiet, "quiet", "q", false, "no progress bar")
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"fmt"
+	"errors"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -20,134 +20,177 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func clients(t *testing.T) *scenario.Day {
+// newScenario has a class whose responses are streamed and one whose are not.
+func newScenario(t *testing.T) *scenario.Day {
 	t.Helper()
-	d, err := scenario.Parse("x.xml", []byte(`<day length="1s" rate="60/s" fronts="1" seed="3">
+	s, err := scenario.Parse("x.xml", []byte(`<day length="1s" rate="60/s" fronts="1" seed="3">
   <service release-within="500ms" drain-grace="500ms" client-retries="1"/>
-  <engines kind="m" role="mixed" count="1" slots="4" queue="8" memory="1000tokens" read-rate="1/s" step="1ms" fetch-rate="1/s"/>
+  <engines kind="m" role="mixed" count="1" slots="4" queue="8" memory="1000tokens" read-rate="1/s" step="1ms"
+    fetch-rate="1/s"/>
   <class name="quick" effect="safe" share="0.7" aim="1s" deadline="10s" prompt="20tokens" answer="4tokens"/>
-  <class name="whole" effect="unsafe" share="0.3" aim="1s" deadline="10s" prompt="20tokens" answer="4tokens" not-streamed-part="1"/></day>`))
+  <class name="whole" effect="unsafe" share="0.3" aim="1s" deadline="10s" prompt="20tokens" answer="4tokens"
+    not-streamed-part="1"/></day>`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return s
 }
 
-// fake is a server that refuses each intent's first try and serves the second, the first token after so long.
-type fake struct {
-	mu    sync.Mutex
-	tries map[string]int
-	hold  time.Duration
+// rejectingServer rejects the first attempt of each request and serves the second, with the first token after delay.
+type rejectingServer struct {
+	delay time.Duration
+
+	mu       sync.Mutex
+	attempts map[string]int // by the request's effect
+}
+
+// countAttempt is the number of the attempts of a request, this one included.
+func (s *rejectingServer) countAttempt(effect string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.attempts[effect]++
+	return s.attempts[effect]
 }
 
-func (f *fake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var q struct {
+func (s *rejectingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	var body struct {
 		Model    string
 		Stream   bool
 		Metadata map[string]string
 	}
-	if err := json.NewDecoder(r.Body).Decode(&q); err != nil || q.Model != "demo" {
+	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || body.Model != "demo" {
 		http.Error(w, "no", http.StatusBadRequest)
 		return
 	}
-	f.mu.Lock()
-	f.tries[q.Metadata["effect"]]++
-	n := f.tries[q.Metadata["effect"]]
-	f.mu.Unlock()
-	if n == 1 {
+	if s.countAttempt(body.Metadata["effect"]) == 1 {
 		w.Header().Set("Retry-After", "1")
 		w.Header().Set("retry-after-ms", "20")
 		http.Error(w, `{}`, http.StatusTooManyRequests)
 		return
 	}
-	time.Sleep(f.hold)
-	if !q.Stream {
+	time.Sleep(s.delay)
+	if !body.Stream {
 		w.Header().Set("Content-Type", "application/json")
-		io.WriteString(w, `{"ok":true}`)
+		respond(w, `{"ok":true}`)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	for range 3 {
-		io.WriteString(w, "data: {}\n\n")
-		http.NewResponseController(w).Flush()
+		respond(w, "data: {}\n\n")
+		_ = http.NewResponseController(w).Flush() // a client that is gone shows in the report
 	}
-	io.WriteString(w, "data: [DONE]\n\n")
+	respond(w, "data: [DONE]\n\n")
+}
+
+// respond writes text. A client that is gone shows in the report.
+func respond(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+
+// startServer serves on a loopback address, which it returns.
+func startServer(t *testing.T, handler http.Handler) (address string) {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String()
 }
 
-func TestLoad(t *testing.T) {
-	f := &fake{tries: map[string]int{}, hold: 60 * time.Millisecond}
-	srv := httptest.NewServer(f)
-	defer srv.Close()
-	told := 0.0
-	rep, err := Run(t.Context(), Plan{
-		Day: clients(t), Fronts: []string{srv.Listener.Addr().String()}, Model: "demo", Length: time.Second,
-		Progress: func(done float64, _ int) { told = max(told, done) },
+func TestRunMeasuresRetriesAndTokens(t *testing.T) {
+	server := &rejectingServer{attempts: map[string]int{}, delay: 60 * time.Millisecond}
+	progress := 0.0
+	report, err := Run(t.Context(), Plan{
+		Scenario: newScenario(t), Replicas: []string{startServer(t, server)}, Model: "demo", Length: time.Second,
+		Progress: func(done float64, _ int) { progress = max(progress, done) },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	requests := rep.Classes[0].Requests + rep.Classes[1].Requests
-	if requests < 20 || rep.Kinds["refused"] != requests || rep.Kinds["served"] != requests || rep.Service < 0.99 || told == 0 {
-		t.Errorf("%d requests, ends %v, service %v, progress %v", requests, rep.Kinds, rep.Service, told)
+	requests := report.Classes[0].Requests + report.Classes[1].Requests
+	if requests < 20 || report.Outcomes["refused"] != requests || report.Outcomes["served"] != requests {
+		t.Errorf("%d requests, outcomes %v", requests, report.Outcomes)
+	}
+	if report.Service < 0.99 || progress == 0 {
+		t.Errorf("service %v, progress %v", report.Service, progress)
 	}
-	for _, c := range rep.Classes {
-		// the refusal and its wait are part of what the client waits for its first token
-		if q := quantiles(c.First); q.Count != int64(c.Requests) || q.P50 < 80 || c.Tries != 2*c.Requests {
-			t.Errorf("%s: %+v, %d tries", c.Name, q, c.Tries)
+	for _, c := range report.Classes {
+		// the rejection and its wait are part of what the client waits for its first token
+		if q := quantiles(c.FirstToken); q.Count != int64(c.Requests) || q.P50 < 80 || c.Tries != 2*c.Requests {
+			t.Errorf("%s: %+v, %d attempts", c.Name, q, c.Tries)
 		}
 	}
-	if n := rep.Classes[0].Gap.TotalCount(); n != int64(2*rep.Classes[0].Requests) || rep.Tokens < n {
-		t.Errorf("%d gaps, %d tokens", n, rep.Tokens)
+	gaps := report.Classes[0].TokenGap.TotalCount()
+	if gaps != int64(2*report.Classes[0].Requests) || report.Tokens < gaps {
+		t.Errorf("%d gaps, %d tokens", gaps, report.Tokens)
 	}
-	var text, page, figures bytes.Buffer
-	if rep.WriteText(&text) != nil || rep.WriteHTML(&page) != nil || rep.WriteJSON(&figures) != nil {
+	checkForms(t, report)
+}
+
+// checkForms checks that a report can be written in all its forms.
+func checkForms(t *testing.T, report *Report) {
+	t.Helper()
+	var text, html, figures bytes.Buffer
+	if report.WriteText(&text) != nil || report.WriteHTML(&html) != nil || report.WriteJSON(&figures) != nil {
 		t.Error("a report can't be written")
 	}
-	if !strings.Contains(text.String(), "quick, first token") || strings.Count(page.String(), "<svg") != 2 || !json.Valid(figures.Bytes()) {
-		t.Errorf("%s", text.String())
+	if !strings.Contains(text.String(), "quick, first token") {
+		t.Errorf("text: %s", text.String())
+	}
+	if strings.Count(html.String(), "<svg") != 2 || !json.Valid(figures.Bytes()) {
+		t.Errorf("HTML: %s, JSON: %s", html.String(), figures.String())
 	}
 }
 
-// TestAServerThatStallsIsSeen: arrivals go on while it stalls, and what waits for a place counts its waiting.
-func TestAServerThatStallsIsSeen(t *testing.T) {
+// TestRunShowsStalledServer: arrivals go on while a server stalls, and a request that waits for its turn counts its
+// waiting.
+func TestRunShowsStalledServer(t *testing.T) {
 	var mu sync.Mutex // one request at a time
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	address := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		mu.Lock()
 		defer mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
-		fmt.Fprint(w, `{}`)
+		respond(w, `{}`)
 	}))
-	defer srv.Close()
-	d := clients(t)
-	d.Rate = 200 // twice what it serves
-	rep, err := Run(t.Context(), Plan{Day: d, Fronts: []string{srv.Listener.Addr().String()}, Length: time.Second})
+	s := newScenario(t)
+	s.Rate = 200 // twice what the server can serve
+	plan := Plan{Scenario: s, Replicas: []string{address}, Length: time.Second}
+	report, err := Run(t.Context(), plan)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if q := quantiles(rep.Classes[0].First); q.Max < 300 {
-		t.Errorf("a server with a second's work behind it, and the longest wait is %v ms", q.Max)
+	if q := quantiles(report.Classes[0].FirstToken); q.Max < 300 {
+		t.Errorf("a server with a second's work queued, and the longest wait is %v ms", q.Max)
 	}
-	few, err := Run(t.Context(), Plan{Day: d, Fronts: []string{srv.Listener.Addr().String()}, Length: time.Second, Most: 3})
-	if err != nil || few.NotBegun == 0 {
-		t.Errorf("%+v %v", few, err)
+	plan.MaxOpen = 3
+	limited, err := Run(t.Context(), plan)
+	if err != nil || limited.NotBegun == 0 {
+		t.Errorf("%+v %v", limited, err)
 	}
 }
 
-func TestPlansThatCantBe(t *testing.T) {
-	d := clients(t)
-	for name, p := range map[string]Plan{
-		"no front": {Day: d, Length: time.Second}, "elsewhere": {Day: d, Length: time.Second, Fronts: []string{"192.0.2.1:80"}},
-		"a name": {Day: d, Length: time.Second, Fronts: []string{"example.com:80"}}, "no port": {Day: d, Length: time.Second, Fronts: []string{"127.0.0.1"}},
-		"no time": {Day: d, Fronts: []string{"127.0.0.1:1"}}, "too many": {Day: d, Length: time.Second, Fronts: []string{"127.0.0.1:1"}, Most: 1 << 20},
+func TestRunRejectsInvalidPlans(t *testing.T) {
+	s := newScenario(t)
+	loopback := []string{"127.0.0.1:1"}
+	for name, plan := range map[string]Plan{
+		"no replica":     {Scenario: s, Length: time.Second},
+		"remote address": {Scenario: s, Length: time.Second, Replicas: []string{"192.0.2.1:80"}},
+		"host name":      {Scenario: s, Length: time.Second, Replicas: []string{"example.com:80"}},
+		"no port":        {Scenario: s, Length: time.Second, Replicas: []string{"127.0.0.1"}},
+		"no length":      {Scenario: s, Replicas: loopback},
+		"too many open":  {Scenario: s, Length: time.Second, Replicas: loopback, MaxOpen: 1 << 20},
 	} {
-		if _, err := Run(t.Context(), p); err == nil {
-			t.Errorf("%s: taken", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			var planError *PlanError
+			if _, err := Run(t.Context(), plan); !errors.As(err, &planError) {
+				t.Errorf("%v", err)
+			}
+		})
 	}
-	ctx, stop := context.WithCancel(t.Context())
-	stop()
-	if rep, err := Run(ctx, Plan{Day: d, Length: time.Hour, Fronts: []string{"127.0.0.1:1"}}); err != nil || rep.Took > time.Minute {
-		t.Errorf("called off: %v %v", rep, err)
+}
+
+func TestRunEndsWithContext(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	plan := Plan{Scenario: newScenario(t), Length: time.Hour, Replicas: []string{"127.0.0.1:1"}}
+	if report, err := Run(ctx, plan); err != nil || report.Elapsed > time.Minute {
+		t.Errorf("%v %v", report, err)
 	}
 }
--- /dev/null
+++ b/internal/load/session.go
@@ -0,0 +1,77 @@
+package load
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/fake/client"
+	"brackenbend/internal/simulation/scenario"
+)
+
+// maxTokensFactor is how much longer than the drawn answer a request allows its answer to be.
+const maxTokensFactor = 3
+
+// runSession runs one conversation, whose first request should be sent at a time.
+func (r *run) runSession(ctx context.Context, session *scenario.Session, at time.Time) {
+	request := r.newRequest(session)
+	for {
+		for len(request.Turns) < len(session.Turns) {
+			request.Turns = append(request.Turns, session.Turns[len(request.Turns)].Words())
+		}
+		request.Answer = session.Answer
+		kind := r.send(ctx, session, request, at)
+		over := time.Since(r.began) > r.plan.Length
+		more, pause := session.More(kind, over, r.currentMood())
+		at = time.Now().Add(pause)
+		if !more || !waitUntil(ctx, at) {
+			return
+		}
+	}
+}
+
+// newRequest is what all requests of a session share.
+func (r *run) newRequest(session *scenario.Session) client.Try {
+	class := &r.plan.Scenario.Classes[session.Class]
+	request := client.Try{
+		Class: audit.Class(class.Effect), ClassName: class.Name, Session: session.Key,
+		MaxTokens: int(class.Answer) * maxTokensFactor, Stream: session.Stream, Wait: class.Deadline,
+		System: session.Beginning.Words(), Model: r.plan.Model,
+	}
+	if session.Tenant >= 0 {
+		request.Tenant = r.plan.Scenario.Tenants[session.Tenant].Name
+	}
+	return request
+}
+
+// send sends one request with its client's retries and returns how the last attempt ended.
+func (r *run) send(ctx context.Context, session *scenario.Session, request client.Try, at time.Time) string {
+	request.Effect = fmt.Sprintf("%d.%d", session.ID, session.Turn)
+	request.HangUp, request.Marked = session.HangUp, session.Marked
+	if request.Class == audit.Keyed {
+		request.Key = fmt.Sprintf("load-%d-%s", r.began.UnixNano(), request.Effect)
+	}
+	if session.Slow {
+		request.SlowBy = scenario.ReadsSlowly
+	}
+	for {
+		replica := r.plan.Replicas[session.Front(len(r.plan.Replicas))]
+		request.ID, request.Repeats = fmt.Sprintf("%s/%d", request.Effect, session.Tries), session.Repeats
+		var gaps gapRecorder
+		request.Token = gaps.token
+		delay := time.Since(at) // of this attempt; earlier ones and their pauses are part of what the client waits
+		result := client.Do(&request, replica, replica, nil)
+		if result.First > 0 {
+			result.First += delay
+		}
+		elapsed := time.Since(at)
+		retry, pause := session.After(result.Kind, result.HandUp, result.Wait, elapsed)
+		r.record(attempt{
+			session: session, result: &result, gaps: gaps.gaps, final: !retry, requestedAt: at, elapsed: elapsed,
+		})
+		if !retry || !waitUntil(ctx, time.Now().Add(pause)) {
+			return result.Kind
+		}
+	}
+}
