--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -13,7 +13,7 @@
 	SingleUseConn  bool          // must run only once: is sent on a connection of its own
 	NewConn        bool          // is sent on a new connection
 	ConnectTimeout time.Duration // for a new connection; 0 = Client.DialTimeout
-	Deadline       time.Time     // for the first token, or the whole reply of a prefill
+	Deadline       time.Time     // for the first token, or the complete reply of a prefill
 	SendBy         time.Time     // for the last byte to be written; zero = no limit but Deadline
 	// Abandoned reports, at the moment of writing, whether nobody waits for the request any more; nil = somebody does.
 	Abandoned func() bool
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -12,7 +12,7 @@
 	AppendHead(b []byte, e *Endpoint, call *Call) []byte
 	// ParseReply reads a response that is not a stream; err reports that its body broke off.
 	ParseReply(prefill bool, resp *http1.Response, text []byte, err error) Outcome
-	// ReleaseMessage is the whole request that releases the read state of id; nil: engines release it by themselves.
+	// ReleaseMessage is the complete request that releases the read state of id; nil: engines release it by themselves.
 	ReleaseMessage(e *Endpoint, id string) []byte
 	// ReleaseAccepted reports whether an engine's response to it is a success.
 	ReleaseAccepted(status int) bool
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -68,7 +68,7 @@
 	e.uncountConn()
 }
 
-// countConn counts a connection that is about to be opened; e.mu is held.
+// countConn counts a connection that is about to be opened, which then adds to totalOpen; e.mu is held.
 func (e *Endpoint) countConn() { e.open++ }
 
 // uncountConn takes a connection that is closed, or was never opened, out of the counts; e.mu is held.
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -29,7 +29,7 @@
 
 // failure is what is known of an attempt that ended with an error.
 type failure struct {
-	err        error // nil where the response was whole but the attempt was canceled meanwhile
+	err        error // nil where the response was complete but the attempt was canceled meanwhile
 	canceled   bool
 	connected  bool // a connection was there to send the request on
 	mayHaveRun bool // the engine may act on what it accepted of the request
@@ -58,7 +58,7 @@
 	{matches: func(f failure) bool { return !f.mayHaveRun && f.connected }, result: routing.RequestIncomplete},
 	// dial refused, unreachable or timed out
 	{matches: func(f failure) bool { return !f.mayHaveRun }, result: routing.ConnectFailed},
-	// no first token, no whole reply, or silence within a stream, for too long
+	// no first token, no complete reply, or silence within a stream, for too long
 	{matches: isOneOf(os.ErrDeadlineExceeded), result: routing.TimedOut},
 	// a malformed response is a response: a decode has fetched its read state, which is gone with it
 	{matches: isProtocolError, result: routing.EngineError, stateMissing: true},
--- a/internal/engine/relay.go
+++ b/internal/engine/relay.go
@@ -139,7 +139,7 @@
 	return err
 }
 
-// forward passes the whole events of the buffer on. It reports done at the stream's end.
+// forward passes the complete events of the buffer on. It reports done at the stream's end.
 func (r *streamRelay) forward(readErr error) (done bool, err error) {
 	start, end, done, err := r.scan()
 	if !done && err == nil && r.bodyComplete(readErr) {
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -11,7 +11,7 @@
 )
 
 // readResponseHeader reads the header of the response, skipping interim ones. Each may be waited for until deadline,
-// but must be whole within HeaderTimeout of its first byte.
+// but must be complete within HeaderTimeout of its first byte.
 func (c *Client) readResponseHeader(pc *persistConn, deadline time.Time) (*http1.Response, error) {
 	if c.HeaderTimeout == 0 {
 		return http1.ReadResponse(pc.br, c.Limits)
--- a/internal/engine/roundtrip.go
+++ b/internal/engine/roundtrip.go
@@ -119,7 +119,7 @@
 	return written + int64(n), err
 }
 
-// requestMessage is a call's whole request; the body is not copied.
+// requestMessage is a call's complete request; the body is not copied.
 func (c *Client) requestMessage(e *Endpoint, call *Call) *net.Buffers {
 	head := make([]byte, 0, requestHeadCapacity)
 	head = append(c.Protocol.AppendHead(head, e, call), "\r\n"...)
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -18,7 +18,7 @@
 type Sink interface {
 	// Begin claims the client's response when the first token is here; false: another response was given.
 	Begin() bool
-	// Events takes one or more whole events, valid during the call; last: the stream's end is among them. An error
+	// Events takes one or more complete events, valid during the call; last: the stream's end is among them. An error
 	// ends the attempt.
 	Events(events []byte, last bool) error
 }
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -92,7 +92,7 @@
 	headerEnd = []byte("\r\n\r\n")
 )
 
-// HeaderBuffered reports whether a whole header is in br, so that reading it does not block.
+// HeaderBuffered reports whether a complete header is in br, so that reading it does not block.
 func HeaderBuffered(br *bufio.Reader) bool {
 	buffered, _ := br.Peek(br.Buffered()) // never reads, so it can't fail
 	return bytes.Contains(buffered, headerEnd)
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -23,11 +23,11 @@
 	scenario.Row
 	FirstToken *hdrhistogram.Histogram `json:"-"` // from when the request should have been sent
 	TokenGap   *hdrhistogram.Histogram `json:"-"` // between tokens
-	Whole      *hdrhistogram.Histogram `json:"-"` // to the end of responses that were served
+	Complete   *hdrhistogram.Histogram `json:"-"` // to the end of responses that were served
 }
 
 func newClass() Class {
-	return Class{FirstToken: newHistogram(), TokenGap: newHistogram(), Whole: newHistogram()}
+	return Class{FirstToken: newHistogram(), TokenGap: newHistogram(), Complete: newHistogram()}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -81,7 +81,7 @@
 		recordTime(class.FirstToken, a.result.First)
 	}
 	if a.result.Kind == "served" {
-		recordTime(class.Whole, a.elapsed)
+		recordTime(class.Complete, a.elapsed)
 	}
 	r.score.Add(a.session, a.requestedAt.Sub(r.began), a.result.Kind, a.result.First)
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -56,7 +56,7 @@
 }
 
 func (c *Class) histograms() []namedHistogram {
-	return []namedHistogram{{"first token", c.FirstToken}, {"between tokens", c.TokenGap}, {"whole answer", c.Whole}}
+	return []namedHistogram{{"first token", c.FirstToken}, {"between tokens", c.TokenGap}, {"whole answer", c.Complete}}
 }
 
 // WriteText writes the report for people.
@@ -128,11 +128,11 @@
 		Class
 		FirstToken Quantiles `json:"first_token"`
 		TokenGap   Quantiles `json:"between_tokens"`
-		Whole      Quantiles `json:"whole_answer"`
+		Complete   Quantiles `json:"whole_answer"`
 	}
 	var classes []class
 	for _, c := range r.Classes {
-		classes = append(classes, class{c, quantiles(c.FirstToken), quantiles(c.TokenGap), quantiles(c.Whole)})
+		classes = append(classes, class{c, quantiles(c.FirstToken), quantiles(c.TokenGap), quantiles(c.Complete)})
 	}
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -13,7 +13,7 @@
 	space     = []byte(" ")
 )
 
-// Split returns the length of the first whole event in buf, its blank line included, or 0 when none is whole
+// Split returns the length of the first complete event in buf, its blank line included, or 0 when none is complete
 // yet. Lines may end in LF, CRLF or CR; a CR at the very end of buf does not end a line yet, since an LF may follow.
 func Split(buf []byte) int {
 	if bytes.IndexByte(buf, '\r') < 0 { // what engines send
