--- a/cmd/brackenbend/bench_test.go
+++ b/cmd/brackenbend/bench_test.go
@@ -56,7 +56,11 @@
 		with := func(more string) string { return string(body[:len(body)-1]) + more + "}" }
 		u := *readers[rand.IntN(len(readers))]
 		u.Path = r.URL.Path
-		resp, err := client.Post(u.String(), "application/json", strings.NewReader(with(`,"max_tokens":1,"kv_transfer_params":{"do_remote_decode":true}`)))
+		resp, err := client.Post(
+			u.String(),
+			"application/json",
+			strings.NewReader(with(`,"max_tokens":1,"kv_transfer_params":{"do_remote_decode":true}`)),
+		)
 		if err != nil {
 			return err
 		}
@@ -95,11 +99,14 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	token := []byte("data: {\"id\":\"x\",\"object\":\"chat.completion.chunk\",\"created\":1,\"model\":\"m\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"word \"},\"finish_reason\":null}]}\n\n")
+	token := []byte(
+		`data: {"id":"x","object":"chat.completion.chunk","created":1,"model":"m",` +
+			`"choices":[{"index":0,"delta":{"content":"word "},"finish_reason":null}]}` + "\n\n",
+	)
 	h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if strings.Contains(string(body), `"do_remote_decode":true`) {
-			io.WriteString(w, `{"kv_transfer_params":{"do_remote_prefill":true}}`)
+			_, _ = io.WriteString(w, `{"kv_transfer_params":{"do_remote_prefill":true}}`)
 			return
 		}
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -117,7 +124,7 @@
 			case <-r.Context().Done():
 			}
 		}
-		io.WriteString(w, "data: [DONE]\n\n")
+		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	})
 	srv := &http.Server{Handler: h}
 	go func() { _ = srv.Serve(l) }()
@@ -151,9 +158,16 @@
 		l.Close()
 	}
 	file := filepath.Join(b.TempDir(), "front.xml")
-	text := fmt.Sprintf(`<brackenbend><front listen=%q/><limits open-requests="20000" connections="20000"/><log level="warn"/><service fronts="1"/>
-		<class name="c" effect="safe" aim="20s" deadline="30s"/><kind name="reader" role="reader"/><kind name="writer" role="writer"/>
-		<model name="m" bytes-per-token="4" max-output="64tokens"/><engines connections="20000" idle-connections="1000"/>%s</brackenbend>`, s.addr["front"], servers)
+	text := fmt.Sprintf(
+		`<brackenbend><front listen=%q/><limits open-requests="20000" connections="20000"/><log level="warn"/>
+		<service fronts="1"/>
+		<class name="c" effect="safe" aim="20s" deadline="30s"/>
+		<kind name="reader" role="reader"/><kind name="writer" role="writer"/>
+		<model name="m" bytes-per-token="4" max-output="64tokens"/>
+		<engines connections="20000" idle-connections="1000"/>%s</brackenbend>`,
+		s.addr["front"],
+		servers,
+	)
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		b.Fatal(err)
 	}
@@ -191,7 +205,8 @@
 	br *bufio.Reader
 }
 
-const benchBody = `{"model":"m","stream":true,"messages":[{"role":"user","content":"when does my oil come, and how much is it this week?"}]}`
+const benchBody = `{"model":"m","stream":true,"messages":[{"role":"user","content":` +
+	`"when does my oil come, and how much is it this week?"}]}`
 
 // ask sends one request and returns the time to the first token; whole tells whether to read to the end.
 func (k *asker) ask(addr string, whole bool) (time.Duration, error) {
@@ -203,7 +218,12 @@
 		}
 		k.c, k.br = c, bufio.NewReader(c)
 	}
-	if _, err := fmt.Fprintf(k.c, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(benchBody), benchBody); err != nil {
+	if _, err := fmt.Fprintf(
+		k.c,
+		"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
+		len(benchBody),
+		benchBody,
+	); err != nil {
 		return 0, err
 	}
 	resp, err := http.ReadResponse(k.br, nil)
--- a/cmd/brackenbend/check.go
+++ b/cmd/brackenbend/check.go
@@ -11,37 +11,40 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
+// formerScenarioSchema is the former name of the schema of scenario files.
+const formerScenarioSchema = "day"
+
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Check a settings file: every problem with line, column and mend",
+		Short:   "Check a settings file: every problem with line, column and fix",
 		Example: "  brackenbend check front.xml",
 		Args:    exactly(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			set, err := config.Load(args[0])
+			settings, err := config.Load(args[0])
 			if err != nil {
 				return configError(err)
 			}
-			if err := set.RoutingConfig().Validate(); err != nil {
-				return coded{fmt.Errorf("%s: %w", args[0], err), exitConfig}
+			if err := settings.RoutingConfig().Validate(); err != nil {
+				return exitError{fmt.Errorf("%s: %w", args[0], err), exitConfig}
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: in order: %d classes, %d tenants, %d kinds of engine, %d models\n", args[0],
-				len(set.Classes), len(set.Tenants), len(set.Kinds), len(set.Models))
-			return nil
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: in order: %d classes, %d tenants, %d kinds of engine, %d models\n",
+				args[0], len(settings.Classes), len(settings.Tenants), len(settings.Kinds), len(settings.Models))
+			return err
 		},
 	}
 }
 
 func schemaCommand() *cobra.Command {
 	return &cobra.Command{
-		Use:       "schema [settings|day]",
-		Short:     "Print the XML Schema of settings or day files",
-		Example:   "  brackenbend schema > brackenbend.xsd\n  brackenbend schema day > day.xsd",
-		ValidArgs: []string{"settings", "day"},
+		Use:       "schema [settings|scenario]",
+		Short:     "Print the XML Schema of settings or scenario files",
+		Example:   "  brackenbend schema > brackenbend.xsd\n  brackenbend schema scenario > scenario.xsd",
+		ValidArgs: []string{"settings", "scenario", formerScenarioSchema},
 		Args:      cobra.MatchAll(cobra.MaximumNArgs(1), cobra.OnlyValidArgs),
 		RunE: func(_ *cobra.Command, args []string) error {
 			text := config.Schema()
-			if len(args) == 1 && args[0] == "day" {
+			if len(args) == 1 && args[0] != "settings" {
 				text = config.SchemaOf("day", reflect.TypeFor[scenario.Day]())
 			}
 			_, err := os.Stdout.Write(text)
--- /dev/null
+++ b/cmd/brackenbend/daemon.go
@@ -0,0 +1,176 @@
+package main
+
+import (
+	"context"
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"time"
+
+	"go.uber.org/zap"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/gateway"
+	"brackenbend/internal/telemetry"
+	"brackenbend/routing"
+)
+
+// Time-outs and backoff towards the API server.
+const (
+	apiServerDialTimeout   = 5 * time.Second
+	apiServerHeaderTimeout = 10 * time.Second
+	apiServerMinBackoff    = 100 * time.Millisecond
+	apiServerMaxBackoff    = 5 * time.Second
+	// apiServerWatchTimeout is the longest silence of a watch; bookmarks come about once a minute.
+	apiServerWatchTimeout = 90 * time.Second
+)
+
+// daemon is a running gateway with its endpoint list and its management listener.
+type daemon struct {
+	gateway *gateway.Gateway
+	addr    string     // of the client listener
+	failed  chan error // why it can't go on; buffered for both listeners
+	stop    func()     // drains and ends; called once
+}
+
+// startDaemon starts a gateway by its settings: listeners, metrics and the endpoint list.
+func startDaemon(settings *config.Settings, log *zap.Logger) (*daemon, error) {
+	metrics := telemetry.NewMetrics()
+	g, err := gateway.NewFromSettings(settings, log, metrics)
+	if err != nil {
+		return nil, err
+	}
+	clients, err := net.Listen("tcp", settings.Replica.Listen)
+	if err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
+	}
+	d := &daemon{gateway: g, addr: clients.Addr().String(), failed: make(chan error, 2)}
+	admin, err := d.startAdmin(settings.Replica.Admin, metrics)
+	if err != nil {
+		return nil, errors.Join(err, clients.Close())
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	watchEnded, err := followEndpoints(ctx, settings, g, log)
+	if err != nil {
+		cancel()
+		return nil, errors.Join(err, clients.Close())
+	}
+	go func() {
+		if err := g.Serve(clients); err != nil {
+			d.failed <- err
+		}
+	}()
+	log.Info("serving", zap.String("listen", d.addr))
+	d.stop = func() {
+		ctx, done := context.WithTimeout(context.Background(), settings.Replica.DrainTimeout)
+		defer done()
+		g.Shutdown(ctx)
+		cancel()
+		<-watchEnded
+		if admin != nil {
+			_ = admin.Close() // it only served metrics
+		}
+	}
+	return d, nil
+}
+
+// startAdmin serves health and metrics at address; it does nothing where that is empty.
+func (d *daemon) startAdmin(address string, metrics *telemetry.Metrics) (net.Listener, error) {
+	if address == "" {
+		return nil, nil
+	}
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("admin: %w", err)
+	}
+	go func() {
+		if err := metrics.Serve(l, d.gateway.NotReady); !errors.Is(err, net.ErrClosed) {
+			d.failed <- err
+		}
+	}()
+	return l, nil
+}
+
+// followEndpoints gives the gateway its endpoint list: once from the settings, or by watching the API server until ctx
+// ends. The returned channel is closed once nothing more is delivered.
+func followEndpoints(
+	ctx context.Context, settings *config.Settings, g *gateway.Gateway, log *zap.Logger,
+) (<-chan struct{}, error) {
+	ended := make(chan struct{})
+	if settings.APIServer == nil {
+		g.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: staticEndpoints(settings)})
+		close(ended)
+		return ended, nil
+	}
+	watcher, err := newWatcher(settings, g, log)
+	if err != nil {
+		return nil, err
+	}
+	go func() {
+		defer close(ended)
+		watcher.Run(ctx)
+	}()
+	return ended, nil
+}
+
+// staticEndpoints are the endpoints that the settings name.
+func staticEndpoints(settings *config.Settings) []endpointslice.Endpoint {
+	var list []endpointslice.Endpoint
+	for _, s := range settings.Servers {
+		list = append(list, endpointslice.Endpoint{
+			Name: s.Name, Address: s.Address, Kind: s.Kind, Zone: s.Zone, Cell: s.Cell, State: routing.EndpointReady,
+		})
+	}
+	return list
+}
+
+func newWatcher(
+	settings *config.Settings, g *gateway.Gateway, log *zap.Logger,
+) (*endpointslice.Watcher, error) {
+	s := settings.APIServer
+	transport := &http.Transport{
+		DialContext:           (&net.Dialer{Timeout: apiServerDialTimeout}).DialContext,
+		ResponseHeaderTimeout: apiServerHeaderTimeout,
+	}
+	if s.CAFile != "" {
+		roots, err := loadCertificates(s.CAFile)
+		if err != nil {
+			return nil, fmt.Errorf("register ca-file: %w", err)
+		}
+		transport.TLSClientConfig = &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS12}
+	}
+	return &endpointslice.Watcher{
+		URL:          s.URL,
+		Namespace:    s.Namespace,
+		Selector:     s.Selector,
+		KindLabel:    s.KindLabel,
+		CellLabel:    s.CellLabel,
+		TokenFile:    s.TokenFile,
+		CacheFile:    s.CacheFile,
+		Client:       &http.Client{Transport: transport},
+		UserAgent:    gateway.UserAgent(settings),
+		OnUpdate:     g.UpdateEndpoints,
+		MinBackoff:   apiServerMinBackoff,
+		MaxBackoff:   apiServerMaxBackoff,
+		WatchTimeout: apiServerWatchTimeout,
+		Log:          func(msg string, err error) { log.Warn(msg, zap.Error(err)) },
+	}, nil
+}
+
+// loadCertificates reads the certificates of a PEM file.
+func loadCertificates(file string) (*x509.CertPool, error) {
+	pem, err := os.ReadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	pool := x509.NewCertPool()
+	if !pool.AppendCertsFromPEM(pem) {
+		return nil, fmt.Errorf("%s holds no certificate", file)
+	}
+	return pool, nil
+}
--- /dev/null
+++ b/cmd/brackenbend/files.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+)
+
+// writeFile makes the file and has write fill it. It does nothing where path is empty.
+func writeFile(path string, write func(*os.File) error) error {
+	if path == "" {
+		return nil
+	}
+	f, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	return errors.Join(write(f), f.Close())
+}
+
+// saveJSON writes v to a file. It does nothing where path is empty.
+func saveJSON(path string, v any) error {
+	return writeFile(path, func(f *os.File) error {
+		enc := json.NewEncoder(f)
+		enc.SetIndent("", "  ")
+		return enc.Encode(v)
+	})
+}
+
+// removeTemporary removes a temporary folder; what can't be removed is left to the system.
+func removeTemporary(dir string) { _ = os.RemoveAll(dir) }
+
+// printer writes formatted text and keeps the first error.
+type printer struct {
+	out io.Writer
+	err error
+}
+
+func (p *printer) printf(format string, args ...any) {
+	if p.err == nil {
+		_, p.err = fmt.Fprintf(p.out, format, args...)
+	}
+}
--- a/cmd/brackenbend/main.go
+++ b/cmd/brackenbend/main.go
@@ -1,10 +1,11 @@
-// Command brackenbend is a router for language-model serving that reads and writes on separate engines: the
-// front itself, its checks, and the stand-ins and scripted days that it is proved with.
+// Command brackenbend is a router for language-model serving with separate prefill and decode engines: the gateway, the
+// node of the platform, the planner of roles, and the scenarios and simulations that they are tested with.
+//
+// Each command has a file of its own, which parses flags and leaves the work to a package.
 package main
 
 import (
 	"errors"
-	"fmt"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -14,25 +15,26 @@
 
 // Exit codes; docs/operate.md lists them.
 const (
-	exitFailure = 1 // it ran and failed
-	exitUsage   = 2 // the command line is wrong
-	exitConfig  = 3 // a settings or day file is wrong
-	exitBreach  = 4 // a day ran and a rule was broken
+	exitFailure   = 1 // it ran and failed
+	exitUsage     = 2 // the command line is wrong
+	exitConfig    = 3 // a settings or scenario file is wrong
+	exitViolation = 4 // a scenario ran and a rule was violated
 )
 
-// coded is an error with an exit code of its own.
-type coded struct {
+// exitError is an error with an exit code of its own.
+type exitError struct {
 	error
 	code int
 }
 
-func (c coded) Unwrap() error { return c.error }
+// Unwrap returns the error without its exit code.
+func (e exitError) Unwrap() error { return e.error }
 
 // configError gives problems of a file their exit code.
 func configError(err error) error {
-	var ps config.Problems
-	if errors.As(err, &ps) {
-		return coded{err, exitConfig}
+	var problems config.Problems
+	if errors.As(err, &problems) {
+		return exitError{err, exitConfig}
 	}
 	return err
 }
@@ -41,35 +43,55 @@
 
 // run runs a command line and returns its exit code.
 func run(args []string) int {
-	root := &cobra.Command{
-		Use:   "brackenbend",
-		Short: "A router for language-model serving that reads and writes on separate engines",
-		Example: `  brackenbend up                          # a front with embedded stand-ins, for a first try
-  brackenbend check deploy/examples/front.xml
-  brackenbend serve -c front.xml
-  brackenbend day                         # the scripted bad day, its rules audited`,
-		SilenceUsage: true, SilenceErrors: true,
-	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return coded{err, exitUsage} })
-	root.AddCommand(serveCommand(), checkCommand(), schemaCommand(), upCommand(), dayCommand(), engineCommand(), registerCommand(), plannerCommand(), rolesCommand(), labCommand(), compareCommand(), loadCommand(), nodeCommand())
-	root.SetArgs(args)
+	root := rootCommand()
+	root.SetArgs(replaceDeprecated(args, os.Stderr))
 	err := root.Execute()
 	if err == nil {
 		return 0
 	}
-	fmt.Fprintln(os.Stderr, err)
-	var c coded
-	if errors.As(err, &c) {
-		return c.code
+	p := printer{out: os.Stderr} // the exit code tells as well
+	p.printf("%v\n", err)
+	var withCode exitError
+	if errors.As(err, &withCode) {
+		return withCode.code
 	}
 	return exitFailure
 }
 
+func rootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:   "brackenbend",
+		Short: "A router for language-model serving with separate prefill and decode engines",
+		Example: `  brackenbend up                          # a gateway with embedded fakes, for a first try
+  brackenbend check deploy/examples/front.xml
+  brackenbend serve -c front.xml
+  brackenbend scenario                    # the scripted bad day, its rules audited`,
+		SilenceUsage: true, SilenceErrors: true,
+	}
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return exitError{err, exitUsage} })
+	root.AddCommand(
+		serveCommand(),
+		checkCommand(),
+		schemaCommand(),
+		upCommand(),
+		scenarioCommand(),
+		engineCommand(),
+		registerCommand(),
+		plannerCommand(),
+		rolesCommand(),
+		simulateCommand(),
+		compareCommand(),
+		loadCommand(),
+		nodeCommand(),
+	)
+	return root
+}
+
 // exactly wants n arguments, with the usage exit code.
 func exactly(n int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(cmd, args); err != nil {
-			return coded{err, exitUsage}
+			return exitError{err, exitUsage}
 		}
 		return nil
 	}
--- a/cmd/brackenbend/main_test.go
+++ b/cmd/brackenbend/main_test.go
@@ -57,7 +57,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rep, err := scenariorun.Run(context.Background(), d, scenariorun.Options{Binary: exe, Env: append(env, asMain...), Dir: dir})
+	rep, err := scenariorun.Run(
+		context.Background(),
+		d,
+		scenariorun.Options{Binary: exe, Env: append(env, asMain...), Dir: dir},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +71,7 @@
 	return rep
 }
 
-func TestShortBadDay(t *testing.T) {
+func TestDefaultScenarioKeepsRules(t *testing.T) {
 	d, err := scenario.Default()
 	if err != nil {
 		t.Fatal(err)
@@ -109,9 +113,9 @@
 	}
 }
 
-// TestAllFrontsDieWhileRolesChange: a day on which all fronts are killed right after engines were told to change, with the
-// register cut off the second time.
-func TestAllFrontsDieWhileRolesChange(t *testing.T) {
+// TestAllReplicasKilledWhileRolesChange: a day on which all fronts are killed right after engines were told to change,
+// with the register cut off the second time.
+func TestAllReplicasKilledWhileRolesChange(t *testing.T) {
 	d, err := scenario.Load("../../scenarios/roles-restart.xml")
 	if err != nil {
 		t.Fatal(err)
@@ -144,7 +148,7 @@
 	}
 }
 
-func TestDayFilesAreInOrder(t *testing.T) {
+func TestScenarioFilesParse(t *testing.T) {
 	files, err := filepath.Glob("../../scenarios/*.xml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v %v", files, err)
@@ -164,6 +168,9 @@
 	if err := os.WriteFile(bad, []byte("<brackenbend/>"), 0o644); err != nil {
 		t.Fatal(err)
 	}
+	const stall = "../../scenarios/stall.xml"
+	outFile := func(name string) string { return filepath.Join(t.TempDir(), name) }
+	words := func(parts ...string) []string { return strings.Fields(strings.Join(parts, " ")) }
 	for _, c := range []struct {
 		args []string
 		code int
@@ -178,10 +185,13 @@
 		{[]string{"lab", "day", "../../scenarios/stall.xml", "--seconds", "5"}, 0},
 		{[]string{"lab", "day", bad}, exitConfig},
 		{[]string{"lab", "forecast", "../../scenarios/stall.xml", "--runs", "2"}, exitUsage},
-		{[]string{"compare", "choice", "choice", "--traffic", "../../scenarios/stall.xml", "--batch", "3", "--most", "3", "--html", filepath.Join(t.TempDir(), "x.html")}, 0},
-		{[]string{"compare", "choice", os.Args[0], "--traffic", "../../scenarios/stall.xml", "--batch", "3", "--most", "3"}, 0}, // with this very program
+		{words("compare choice routing --batch 3 --most 3 --traffic", stall, "--html", outFile("x.html")), 0},
+		{words("compare choice", os.Args[0], "--batch 3 --most 3 --traffic", stall), 0}, // with this very program
 		{[]string{"compare", "choice", bad}, exitConfig},
-		{[]string{"lab", "hunt", "../../scenarios/stall.xml", "--rounds", "1", "--draws", "4", "--troubles", "1", "-o", filepath.Join(t.TempDir(), "x.xml")}, 0},
+		{words("lab hunt", stall, "--rounds 1 --draws 4 --troubles 1 -o", outFile("x.xml")), 0},
+		{words("simulate fault-search", stall, "--rounds 1 --draws 4 --troubles 1 -o", outFile("y.xml")), 0},
+		{words("simulate scenario", stall, "--seconds 5"), 0},
+		{words("scenario", bad), exitConfig},
 		{[]string{"lab", "fit", bad}, exitConfig},
 		{[]string{"compare", "choice", "../../deploy/examples/front.xml"}, exitFailure}, // other classes than the day's
 	} {
@@ -222,15 +232,19 @@
 	}
 }
 
-// TestFrontKilledWithAnOrderAtAWriter: the first front dies with SIGKILL while a writer has a keyed order; the
+// TestReplicaKilledDuringDecode: the first front dies with SIGKILL while a writer has a keyed order; the
 // client comes again through the second; the order takes effect once.
-func TestFrontKilledWithAnOrderAtAWriter(t *testing.T) {
+func TestReplicaKilledDuringDecode(t *testing.T) {
 	rec := audit.NewRecord()
 	group := &engine.Group{Window: time.Minute}
 	var servers string
 	for _, role := range []string{"reader", "writer"} {
-		p := engineParams(role)
-		s, err := engine.Start(engine.Config{Name: role, Kind: role, Params: p, Group: group, Record: rec}, "127.0.0.1:0", false)
+		p := fakeEngineParams(role)
+		s, err := engine.Start(
+			engine.Config{Name: role, Kind: role, Params: p, Group: group, Record: rec},
+			"127.0.0.1:0",
+			false,
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -240,8 +254,17 @@
 	var fronts []*exec.Cmd
 	var addrs []string
 	for i := range 2 {
-		cmd, addr := serveFront(t, fmt.Sprintf(`<brackenbend><front name="f%d" listen="ADDRESS"/><service fronts="2"/><class name="order" effect="keyed" window="1m" aim="5s" deadline="20s"/>
-			<kind name="reader" role="reader"/><kind name="writer" role="writer"/><model name="m" bytes-per-token="4" max-output="64tokens"/>%s</brackenbend>`, i, servers))
+		cmd, addr := serveFront(
+			t,
+			fmt.Sprintf(
+				`<brackenbend><front name="f%d" listen="ADDRESS"/><service fronts="2"/>
+			<class name="order" effect="keyed" window="1m" aim="5s" deadline="20s"/>
+			<kind name="reader" role="reader"/><kind name="writer" role="writer"/>
+			<model name="m" bytes-per-token="4" max-output="64tokens"/>%s</brackenbend>`,
+				i,
+				servers,
+			),
+		)
 		fronts, addrs = append(fronts, cmd), append(addrs, addr)
 	}
 	count := func(k audit.Kind) (n int) {
@@ -254,7 +277,9 @@
 	}
 	ask := func(addr string) (string, error) {
 		req, _ := http.NewRequest("POST", "http://"+addr+"/v1/chat/completions", strings.NewReader(
-			`{"model":"m","stream":true,"max_tokens":60,"messages":[{"role":"user","content":"two tons"}],"metadata":{"effect":"e","try":"t","kind":"keyed"}}`))
+			`{"model":"m","stream":true,"max_tokens":60,"messages":[{"role":"user","content":"two tons"}],`+
+				`"metadata":{"effect":"e","try":"t","kind":"keyed"}}`,
+		))
 		req.Header.Set("Idempotency-Key", "k1")
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
@@ -290,13 +315,20 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur < 10500 {
 		t.Skipf("%d descriptors are allowed here: %v", limit.Cur, err)
 	}
-	s, err := engine.Start(engine.Config{Name: "e", Kind: "any", Params: engineParams("mixed")}, "127.0.0.1:0", false)
+	s, err := engine.Start(engine.Config{Name: "e", Kind: "any", Params: fakeEngineParams("mixed")}, "127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	_, addr := serveFront(t, fmt.Sprintf(`<brackenbend><front listen="ADDRESS"/><service fronts="1"/><class name="c" effect="safe" aim="20s" deadline="30s"/>
-		<kind name="any" role="mixed"/><model name="m" bytes-per-token="4" max-output="8tokens"/><server name="e" kind="any" address=%q/></brackenbend>`, s.Info().Address))
+	_, addr := serveFront(
+		t,
+		fmt.Sprintf(
+			`<brackenbend><front listen="ADDRESS"/><service fronts="1"/><class name="c" effect="safe" aim="20s" deadline="30s"/>
+		<kind name="any" role="mixed"/><model name="m" bytes-per-token="4" max-output="8tokens"/>
+		<server name="e" kind="any" address=%q/></brackenbend>`,
+			s.Info().Address,
+		),
+	)
 	conns := make([]net.Conn, 0, 10000)
 	defer func() {
 		for _, c := range conns {
@@ -313,7 +345,11 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	resp, err := http.Post("http://"+addr+"/v1/chat/completions", "application/json", strings.NewReader(`{"model":"m","messages":[{"role":"user","content":"x"}]}`))
+	resp, err := http.Post(
+		"http://"+addr+"/v1/chat/completions",
+		"application/json",
+		strings.NewReader(`{"model":"m","messages":[{"role":"user","content":"x"}]}`),
+	)
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("%v %v", resp, err)
 	}
--- a/cmd/brackenbend/mutation_test.go
+++ b/cmd/brackenbend/mutation_test.go
@@ -24,16 +24,28 @@
 	rule int
 	seam gateway.TestHooks
 }{
-	"reset is never ran":                 {1, gateway.TestHooks{Outcome: misread(routing.ConnectionReset, routing.ConnectFailed)}},
-	"error is never ran":                 {1, gateway.TestHooks{Outcome: misread(routing.EngineError, routing.Rejected)}},
-	"time-out is never sent":             {1, gateway.TestHooks{Outcome: misread(routing.TimedOut, routing.NotSent)}},
-	"a stream's early end is served":     {0, gateway.TestHooks{Outcome: misread(routing.ConnectionReset, routing.Served)}},
-	"deaf to drains":                     {2, gateway.TestHooks{List: deaf}},
-	"repeats unsafe requests":            {1, gateway.TestHooks{Settings: unsafeIsSafe}},
-	"runs its clients' repeats":          {1, gateway.TestHooks{Request: func(q *routing.Request) { q.PossibleDuplicate = false }}},
-	"loses the key":                      {1, gateway.TestHooks{Key: func(string) string { return "" }}},
-	"refuses what may have run":          {1, gateway.TestHooks{Action: failIsRefuse}},
-	"answers late":                       {0, gateway.TestHooks{Wait: func(d time.Duration) time.Duration { return d + 3*time.Second }}},
+	"reset is never ran": {
+		1,
+		gateway.TestHooks{Outcome: misread(routing.ConnectionReset, routing.ConnectFailed)},
+	},
+	"error is never ran":     {1, gateway.TestHooks{Outcome: misread(routing.EngineError, routing.Rejected)}},
+	"time-out is never sent": {1, gateway.TestHooks{Outcome: misread(routing.TimedOut, routing.NotSent)}},
+	"a stream's early end is served": {
+		0,
+		gateway.TestHooks{Outcome: misread(routing.ConnectionReset, routing.Served)},
+	},
+	"deaf to drains":          {2, gateway.TestHooks{List: deaf}},
+	"repeats unsafe requests": {1, gateway.TestHooks{Settings: unsafeIsSafe}},
+	"runs its clients' repeats": {
+		1,
+		gateway.TestHooks{Request: func(q *routing.Request) { q.PossibleDuplicate = false }},
+	},
+	"loses the key":             {1, gateway.TestHooks{Key: func(string) string { return "" }}},
+	"refuses what may have run": {1, gateway.TestHooks{Action: failIsRefuse}},
+	"answers late": {
+		0,
+		gateway.TestHooks{Wait: func(d time.Duration) time.Duration { return d + 3*time.Second }},
+	},
 	"answers twice":                      {0, gateway.TestHooks{Answer: twice}},
 	"loses one answer in eight":          {0, gateway.TestHooks{Answer: oneInEight[[]byte](nil)}},
 	"forgets one release in eight":       {4, gateway.TestHooks{Action: forgetful}},
@@ -96,20 +108,28 @@
 	return []routing.Action{a}
 }
 
-// TestBrokenFrontsFailTheDay: an auditor that can't fail proves nothing. Each front breaks its rule in a day of the
+// TestMutatedGatewaysViolateRules: an auditor that can't fail proves nothing. Each front breaks its rule in a day of the
 // default script, cut short; with BRACKENBEND_BROKEN_DAYS=N it plays N whole default days for each and counts how many
 // notice it, which takes a while (docs/results.md has the figures).
-func TestBrokenFrontsFailTheDay(t *testing.T) {
+func TestMutatedGatewaysViolateRules(t *testing.T) {
 	days, _ := strconv.Atoi(os.Getenv("BRACKENBEND_BROKEN_DAYS"))
 	if days == 0 {
 		t.Run("deaf to drains", func(t *testing.T) {
 			brokenShort(t, "deaf to drains", `<happen at="1s" what="drain" kind="prefill" for="4s"/>`)
 		})
 		t.Run("repeats unsafe requests", func(t *testing.T) {
-			brokenShort(t, "repeats unsafe requests", `<happen at="1s" what="reset-after-effect" kind="decode" for="4s" part="0.5"/>`)
+			brokenShort(
+				t,
+				"repeats unsafe requests",
+				`<happen at="1s" what="reset-after-effect" kind="decode" for="4s" part="0.5"/>`,
+			)
 		})
 		t.Run("error is never ran", func(t *testing.T) {
-			brokenShort(t, "error is never ran", `<happen at="1s" what="fail-after-effect" kind="decode" for="4s" count="3" part="0.5"/>`)
+			brokenShort(
+				t,
+				"error is never ran",
+				`<happen at="1s" what="fail-after-effect" kind="decode" for="4s" count="3" part="0.5"/>`,
+			)
 		})
 		t.Run("answers twice", func(t *testing.T) { brokenShort(t, "answers twice", ``) })
 		return
@@ -134,7 +154,13 @@
 					breaches += n
 				}
 			}
-			fmt.Printf("broken: %-36s caught by %d of %d days, %.1f breaches a day\n", name, caught, days, float64(breaches)/float64(days))
+			fmt.Printf(
+				"broken: %-36s caught by %d of %d days, %.1f breaches a day\n",
+				name,
+				caught,
+				days,
+				float64(breaches)/float64(days),
+			)
 			if 10*caught < 9*days {
 				t.Errorf("caught by %d of %d days", caught, days)
 			}
@@ -145,10 +171,13 @@
 func brokenShort(t *testing.T, name, happens string) {
 	t.Parallel()
 	d, err := scenario.Parse("broken.xml", []byte(`<day length="6s" rate="40/s" fronts="2" seed="3">
-  <service max-attempts="4" release-within="500ms" drain-grace="500ms" writers-read="true" cancel="true" client-retries="1"/>
+  <service max-attempts="4" release-within="500ms" drain-grace="500ms" writers-read="true" cancel="true"
+    client-retries="1"/>
   <engines kind="prefill" role="reader" count="2" slots="8" queue="40" memory="250000tokens" read-rate="20000/s"/>
-  <engines kind="decode" role="writer" count="3" slots="48" queue="24" memory="180000tokens" read-rate="7000/s" step="20ms" fetch-rate="250000/s"/>
-  <class name="order" effect="unsafe" share="1" aim="2s" deadline="4s" prompt="300tokens" answer="40tokens" not-streamed-part="0.2"/>`+happens+"</day>"))
+  <engines kind="decode" role="writer" count="3" slots="48" queue="24" memory="180000tokens"
+    read-rate="7000/s" step="20ms" fetch-rate="250000/s"/>
+  <class name="order" effect="unsafe" share="1" aim="2s" deadline="4s" prompt="300tokens"
+    answer="40tokens" not-streamed-part="0.2"/>`+happens+"</day>"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/brackenbend/node.go
+++ b/cmd/brackenbend/node.go
@@ -16,9 +16,9 @@
 func nodeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "node",
-		Short: "Run a front node of the platform",
-		Long: `Run a front node by the configuration file that LB_CONFIG names (docs/node.md). SIGTERM lets it answer what it
-holds and exit; SIGHUP reads the file again and moves to the discovery address in it.`,
+		Short: "Run a node of the platform",
+		Long: `Run a node by the configuration file that LB_CONFIG names (docs/node.md). SIGTERM lets it answer
+what it holds and exit; SIGHUP reads the file again and moves to the discovery address in it.`,
 		Example: "  LB_CONFIG=/run/balancer/config.json brackenbend node",
 		Args:    exactly(0),
 		RunE:    func(*cobra.Command, []string) error { return runNode() },
@@ -26,11 +26,12 @@
 }
 
 func runNode() error {
+	// Signals are caught first of all: SIGHUP would end the process.
 	signals := make(chan os.Signal, 8)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP) // first of all: SIGHUP would end the process
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	file := os.Getenv("LB_CONFIG")
 	if file == "" {
-		return coded{errors.New("node: LB_CONFIG names no configuration file"), exitUsage}
+		return exitError{errors.New("node: LB_CONFIG names no configuration file"), exitUsage}
 	}
 	log, err := telemetry.NewLogger(os.Stderr, "json", "info", 100)
 	if err != nil {
@@ -38,25 +39,28 @@
 	}
 	n, err := node.Start(file, os.Getenv, log)
 	if errors.Is(err, node.ErrConfig) {
-		return coded{err, exitConfig}
+		return exitError{err, exitConfig}
 	}
 	if err != nil {
 		return err
 	}
-	return followSignals(n, signals, log)
+	return handleSignals(n, signals, log)
 }
 
-// followSignals runs n until a signal ends it or it fails. SIGHUP is followed while it drains, too: what it still sends goes by the
-// list of the new address. A second signal to end changes nothing.
-func followSignals(n *node.Node, signals <-chan os.Signal, log *zap.Logger) error {
+// handleSignals runs n until a signal ends it or it fails. SIGHUP is followed while it drains, too: what it still sends
+// goes by the list of the new address. A second signal to end changes nothing.
+func handleSignals(n *node.Node, signals <-chan os.Signal, log *zap.Logger) error {
 	var failure error
-	var stopped chan struct{} // closed once it has drained; nil until it begins to
+	var drained chan struct{} // closed once n has drained; nil until it begins to
 	drain := func() {
-		if stopped != nil {
+		if drained != nil {
 			return
 		}
-		stopped = make(chan struct{})
-		go func() { defer close(stopped); n.Stop() }()
+		drained = make(chan struct{})
+		go func() {
+			defer close(drained)
+			n.Stop()
+		}()
 	}
 	for {
 		select {
@@ -69,7 +73,7 @@
 			}
 			log.Info("draining", zap.String("signal", sig.String()))
 			drain()
-		case <-stopped:
+		case <-drained:
 			return failure
 		}
 	}
--- a/cmd/brackenbend/processes_test.go
+++ b/cmd/brackenbend/processes_test.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// A small fleet of real processes over loopback: a front node, engines of the platform that tell what reaches them, and a proxy before
-// each engine that can swallow what passes.
+// A small fleet of real processes over loopback: a front node, engines of the platform that tell what reaches them,
+// and a proxy before each engine that can swallow what passes.
 
 // callEvent is what an engine's process tells of a call, one JSON object a line.
 type callEvent struct {
@@ -36,7 +36,8 @@
 	eventReleased  = "released" // a release has reached a running engine
 )
 
-// engineMain is an engine's process: args are its name, its role ("read" or "write") and how long a read, or a first token, takes.
+// engineMain is an engine's process: args are its name, its role ("read" or "write") and how long a read, or a first
+// token, takes.
 func engineMain(name, role, takes string) int {
 	delay, err := time.ParseDuration(takes)
 	if err != nil {
@@ -64,7 +65,7 @@
 			time.Sleep(delay)
 			tell(eventRead, id)
 			w.WriteHeader(202)
-			fmt.Fprint(w, `{"cached_tokens":0}`)
+			_, _ = fmt.Fprint(w, `{"cached_tokens":0}`)
 		default:
 			tell(eventTaken, id)
 			select {
@@ -73,7 +74,7 @@
 				return
 			}
 			w.Header().Set("Content-Type", "text/event-stream")
-			fmt.Fprint(w, fleetStream)
+			_, _ = fmt.Fprint(w, fleetStream)
 		}
 	}
 	_ = http.Serve(l, http.HandlerFunc(handler))
@@ -83,8 +84,8 @@
 const fleetStream = `data: {"choices":[{"index":0,"delta":{"content":"oq"},"finish_reason":"stop"}]}` + "\n\n" +
 	`data: {"choices":[],"usage":{"prompt_tokens":5,"completion_tokens":1}}` + "\n\ndata: [DONE]\n\n"
 
-// swallower passes bytes between a front node and one engine, and can swallow them: connections stay open and silent, as those to a
-// machine that was cut off.
+// swallower passes bytes between a front node and one engine, and can swallow them: connections stay open and silent,
+// as those to a machine that was cut off.
 type swallower struct {
 	net.Listener
 	mu     sync.Mutex
@@ -172,7 +173,8 @@
 	return silent
 }
 
-// swallowAfterReply makes the connections that are open silent as soon as the engine has answered once more on one of them.
+// swallowAfterReply makes the connections that are open silent as soon as the engine has answered once more on one of
+// them.
 func (p *swallower) swallowAfterReply() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,7 +205,8 @@
 	proxy   *swallower
 }
 
-// stop keeps the process from running until it is killed: what is sent to it is accepted by the system, and by nobody else.
+// stop keeps the process from running until it is killed: what is sent to it is accepted by the system, and by nobody
+// else.
 func (e *fleetEngine) stop(t *testing.T) {
 	t.Helper()
 	if err := e.process.Signal(syscall.SIGSTOP); err != nil {
@@ -240,12 +243,17 @@
 	release          time.Duration // the settings' release time
 }
 
-const fleetConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":96,"sockets":512},
-"known":{"revision":1,"complete":true,"members":[%s]},"settings":{"Balancers":1,"Caps":{"AttemptsCap":4,"Cancel":true,"ConnIdle":30000000,
+const fleetConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
+"limits":{"cores":1,"memory_mb":96,"sockets":512},
+"known":{"revision":1,"complete":true,"members":[%s]},
+"settings":{"Balancers":1,"Caps":{"AttemptsCap":4,"Cancel":true,"ConnIdle":30000000,
 "DialTimeout":250000,"MaxOpen":200,"MaxRetryAfter":1000000,"RetryAfter":true},"Classes":[
-{"Deadline":8000000,"Group":"all","Importance":1,"LateWorth":0.3,"Name":"enquiry","Promise":4000000,"Repeat":"free","Stream":true},
-{"Deadline":8000000,"Group":"all","Importance":1,"LateWorth":0.3,"Name":"order","Promise":4000000,"Repeat":"single_shot","Stream":true}],
-"FamilyInfo":{"KindRole":["read","write"],"KvTokens":[200000,200000],"LocalRead":false,"Release":%d},"Kinds":["prefill","decode"]}}`
+{"Deadline":8000000,"Group":"all","Importance":1,"LateWorth":0.3,
+"Name":"enquiry","Promise":4000000,"Repeat":"free","Stream":true},
+{"Deadline":8000000,"Group":"all","Importance":1,"LateWorth":0.3,
+"Name":"order","Promise":4000000,"Repeat":"single_shot","Stream":true}],
+"FamilyInfo":{"KindRole":["read","write"],"KvTokens":[200000,200000],"LocalRead":false,
+"Release":%d},"Kinds":["prefill","decode"]}}`
 
 func newFleet(t *testing.T, plan fleetPlan) *processFleet {
 	t.Helper()
@@ -255,8 +263,15 @@
 		for i := range n {
 			e := f.startEngine(t, fmt.Sprintf("%s%d", role, i), role, takes)
 			engines = append(engines, e)
-			members = append(members, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":%q,"cell":1,"phase":"Ready","size":1.0,"up_since_ms":0}`,
-				e.name, e.proxy.Addr(), kind))
+			members = append(
+				members,
+				fmt.Sprintf(
+					`{"id":%q,"host_port":%q,"locality":"a","flavor":%q,"cell":1,"phase":"Ready","size":1.0,"up_since_ms":0}`,
+					e.name,
+					e.proxy.Addr(),
+					kind,
+				),
+			)
 		}
 		return engines
 	}
@@ -342,7 +357,7 @@
 		defer close(copied)
 		defer log.Close()
 		for lines.Scan() {
-			fmt.Fprintln(log, lines.Text())
+			_, _ = fmt.Fprintln(log, lines.Text())
 		}
 	}()
 	t.Cleanup(func() {
@@ -363,13 +378,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Key: 7f\r\nReq-Deadline-Ms: 8000\r\n"+
-		"Req-Extra: prompt_len=20,max_out=8\r\nContent-Length: 2\r\n\r\n{}", id, class)
+	_, _ = fmt.Fprintf(
+		c,
+		"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Key: 7f\r\n"+
+			"Req-Deadline-Ms: 8000\r\n"+
+			"Req-Extra: prompt_len=20,max_out=8\r\nContent-Length: 2\r\n\r\n{}",
+		id,
+		class,
+	)
 	return c
 }
 
-// keepConnections has requests served until one of them makes no new connection to an engine: those that are kept are used then, and
-// where there is one reader, or one writer, the next request rides on one that is kept towards it.
+// keepConnections has requests served until one of them makes no new connection to an engine: those that are kept are
+// used then, and where there is one reader, or one writer, the next request rides on one that is kept towards it.
 func (f *processFleet) keepConnections(t *testing.T) {
 	t.Helper()
 	made := func() (n int) {
@@ -392,7 +413,8 @@
 	t.Fatal("no connection to an engine is used again")
 }
 
-// keepSeveral has n requests served at one time, which leaves n kept connections to each of a sole reader and a sole writer.
+// keepSeveral has n requests served at one time, which leaves n kept connections to each of a sole reader and a sole
+// writer.
 func (f *processFleet) keepSeveral(t *testing.T, n int) {
 	t.Helper()
 	var clients []net.Conn
--- a/cmd/brackenbend/readstate_test.go
+++ b/cmd/brackenbend/readstate_test.go
@@ -8,9 +8,9 @@
 // heldSlack is what a read state may be held beyond the settings' release time.
 const heldSlack = 300 * time.Millisecond
 
-// TestReadStatesBehindSilentWrites: a read has ended well, and what is sent to writers never arrives, although the connections stand and
-// take every byte. A send that has not arrived does not stop the clock of what the reader holds: within the release time it
-// has to reach a writer that runs, or be released.
+// TestReadStatesBehindSilentWrites: a read has ended well, and what is sent to writers never arrives, although the
+// connections stand and take every byte. A send that has not arrived does not stop the clock of what the reader
+// holds: within the release time it has to reach a writer that runs, or be released.
 func TestReadStatesBehindSilentWrites(t *testing.T) {
 	const release = 500 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -25,13 +25,15 @@
 				w.proxy.swallow(true)
 			}
 		}},
-		"writers are stopped, kept connections to the reader fall silent": {"enquiry", 1, 2, func(t *testing.T, f *processFleet) {
-			f.keepConnections(t)
-			stopWriters(t, f)
-			for _, r := range f.readers {
-				r.proxy.swallowAfterReply()
-			}
-		}},
+		"writers are stopped, kept connections to the reader fall silent": {
+			"enquiry", 1, 2, func(t *testing.T, f *processFleet) {
+				f.keepConnections(t)
+				stopWriters(t, f)
+				for _, r := range f.readers {
+					r.proxy.swallowAfterReply()
+				}
+			},
+		},
 		"kept connections to the writer fall silent": {"enquiry", 2, 1, func(t *testing.T, f *processFleet) {
 			f.keepConnections(t)
 			for _, w := range f.writers {
@@ -72,7 +74,12 @@
 	end, ok := f.await(read.ID, limit.Add(2*time.Second), eventTaken, eventReleased)
 	switch held := time.Duration(end.At - read.At); {
 	case !ok:
-		t.Errorf("%s: the state at %s was neither taken nor released within %v", read.ID, read.Engine, release+heldSlack+2*time.Second)
+		t.Errorf(
+			"%s: the state at %s was neither taken nor released within %v",
+			read.ID,
+			read.Engine,
+			release+heldSlack+2*time.Second,
+		)
 	case held > release+heldSlack:
 		t.Errorf("%s: the state at %s was held for %v, then %s at %s", read.ID, read.Engine, held, end.Kind, end.Engine)
 	default:
@@ -80,9 +87,9 @@
 	}
 }
 
-// TestForgottenKeptConnections: what stands between forgets all connections that are kept, and says nothing of it. A request that was
-// lost on one of them is sent again on a new one, and is served.
-func TestForgottenKeptConnections(t *testing.T) {
+// TestSilentReusedConnections: what stands between forgets all connections that are kept, and says nothing of it. A
+// request that was lost on one of them is sent again on a new one, and is served.
+func TestSilentReusedConnections(t *testing.T) {
 	t.Parallel()
 	const overlap = 200 * time.Millisecond
 	f := newFleet(t, fleetPlan{readers: 1, writers: 1, release: time.Second, readTime: overlap, firstToken: overlap})
@@ -96,9 +103,9 @@
 	f.awaitLog(t, "attempt failed", "lost", `"kept_connection":true`, `"answered":"0s"`)
 }
 
-// TestASlowWriterKeepsItsState: a write that has reached a writer which runs waits there longer than the release time. It is served by
-// that attempt; nothing is read or written again.
-func TestASlowWriterKeepsItsState(t *testing.T) {
+// TestSlowDecodeKeepsItsReadState: a write that has reached a writer which runs waits there longer than the release
+// time. It is served by that attempt; nothing is read or written again.
+func TestSlowDecodeKeepsItsReadState(t *testing.T) {
 	t.Parallel()
 	const release = 300 * time.Millisecond
 	f := newFleet(t, fleetPlan{readers: 1, writers: 2, release: release, firstToken: 3 * release})
--- a/cmd/brackenbend/roles.go
+++ b/cmd/brackenbend/roles.go
@@ -1,86 +1,19 @@
 package main
 
 import (
-	"context"
-	"errors"
 	"fmt"
 	"io"
-	"net"
-	"net/http"
-	"os"
-	"os/signal"
 	"slices"
-	"syscall"
 	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
-	"go.uber.org/zap"
 
-	"brackenbend/internal/planner"
-	"brackenbend/internal/telemetry"
 	"brackenbend/roles"
 )
 
-func plannerCommand() *cobra.Command {
-	var url, level, admin string
-	var fronts []string
-	var every time.Duration
-	var set roles.Config
-	cmd := &cobra.Command{
-		Use:   "planner --register URL",
-		Short: "Share engines out to reading and writing, as the work asks",
-		Long: `Run a planner of engine roles until SIGTERM or SIGINT. It reads the register's book, asks the engines how they stand
-once a second, writes changes into the book and tells them to the engines. Several may run: a write from old news is
-refused. With none running, roles stay as they are. docs/roles.md has the law and what each figure means.`,
-		Example: `  brackenbend planner --register http://127.0.0.1:9200 --min-stay 2m`,
-		Args:    exactly(0),
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := set.Validate(); err != nil {
-				return coded{err, exitUsage}
-			}
-			log, err := telemetry.NewLogger(os.Stderr, "json", level, 100)
-			if err != nil {
-				return coded{err, exitUsage}
-			}
-			m := planner.NewMetrics()
-			if admin != "" {
-				l, err := net.Listen("tcp", admin)
-				if err != nil {
-					return fmt.Errorf("--admin: %w", err)
-				}
-				defer l.Close()
-				go func() {
-					if err := telemetry.ServeAdmin(l, m.Registry, func() string { return "" }); !errors.Is(err, net.ErrClosed) {
-						log.Error("admin ended", zap.Error(err))
-					}
-				}()
-			}
-			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-			defer stop()
-			r := &planner.Runner{Register: rolesClient(url), Settings: set, Replicas: fronts, Interval: every, Log: log, Metrics: m}
-			return r.Run(ctx)
-		},
-	}
-	f := cmd.Flags()
-	f.StringVar(&url, "register", "", "URL of the register")
-	f.StringSliceVar(&fronts, "front", nil, "admin address of a front that is asked what it refused; any number")
-	f.StringVar(&admin, "admin", "", "address for health and metrics; none = not served")
-	f.StringVar(&level, "log-level", "info", "debug, info, warn or error")
-	f.DurationVar(&every, "every", time.Second, "time between two looks")
-	f.DurationVar(&set.MinDwell, "min-stay", time.Minute, "the stated rate: no engine changes sooner after its last change")
-	f.Float64Var(&set.MaxConcurrent, "at-once", 0.1, "part of the engines that may be on their way at once; one at least")
-	f.DurationVar(&set.ChangeTime, "change-time", 10*time.Second, "what a change takes by and large: drained, switched, half warm")
-	f.DurationVar(&set.WarmUp, "warm", 3*time.Second, "of it, what comes after the engine says that it changed")
-	f.DurationVar(&set.ChangeTimeout, "turn-time", 2*time.Minute, "a change that is not done by then is called off")
-	f.DurationVar(&set.StaleAfter, "stale-after", 5*time.Second, "older figures count as none")
-	_ = cmd.MarkFlagRequired("register")
-	return cmd
-}
-
-func rolesClient(url string) planner.Client {
-	return planner.Client{URL: url, HTTP: &http.Client{Timeout: 10 * time.Second}}
-}
+// change rewrites the assignment of the engine named first in args.
+type change func(table roles.Assignments, args []string) (roles.Assignments, error)
 
 func rolesCommand() *cobra.Command {
 	var url string
@@ -91,94 +24,147 @@
   brackenbend roles pin decode-3 --register http://127.0.0.1:9200
   brackenbend roles force decode-3 reader --register http://127.0.0.1:9200`,
 	}
-	cmd.PersistentFlags().StringVar(&url, "register", "", "URL of the register")
-	_ = cmd.MarkPersistentFlagRequired("register")
-	// change is a sub-command that rewrites one engine's entry.
-	change := func(use, short string, args int, do func(b roles.Assignments, args []string) (roles.Assignments, error)) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: exactly(args), RunE: func(cmd *cobra.Command, args []string) error {
-			c := rolesClient(url)
-			b, err := c.Update(cmd.Context(), func(b roles.Assignments) (roles.Assignments, error) { return do(b, args) })
+	cmd.PersistentFlags().StringVar(&url, "register", "", "URL of the API server")
+	mustRequire(cmd.MarkPersistentFlagRequired("register"))
+	cmd.AddCommand(
+		showRolesCommand(&url),
+		changeCommand(&url, "pin ENGINE", "Keep an engine in its role", 1, setPinned(true)),
+		changeCommand(&url, "unpin ENGINE", "Let an engine change again", 1, setPinned(false)),
+		changeCommand(&url, "forbid ENGINE ROLE", "Never assign an engine to prefill (reader) or to decode (writer)", 2,
+			withRole(forbidRole)),
+		changeCommand(&url, "allow ENGINE ROLE", "Take back forbid", 2, withRole(allowRole)),
+		changeCommand(&url, "force ENGINE ROLE", "Assign an engine to a role now; pin it to keep it there", 2,
+			withRole(forceRole)),
+		changeCommand(&url, "call-off ENGINE", "Revert the pending change of an engine", 1, revertChange),
+	)
+	return cmd
+}
+
+func showRolesCommand(url *string) *cobra.Command {
+	return &cobra.Command{
+		Use:   "show [ENGINE]",
+		Short: "Print the assignments",
+		Args:  cobra.MaximumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			client := newPlannerClient(*url)
+			view, err := client.View(cmd.Context())
 			if err != nil {
 				return err
 			}
-			return showRoles(cmd.OutOrStdout(), planner.View{Assignments: b}, args[0])
-		}}
-	}
-	entry := func(f func(*roles.Assignment)) func(roles.Assignments, []string) (roles.Assignments, error) {
-		return func(b roles.Assignments, args []string) (roles.Assignments, error) { return b.Edit(args[0], f) }
+			return printAssignments(cmd.OutOrStdout(), view.Assignments, args...)
+		},
 	}
-	role := func(f func(b roles.Assignments, id string, r roles.Role) (roles.Assignments, error)) func(roles.Assignments, []string) (roles.Assignments, error) {
-		return func(b roles.Assignments, args []string) (roles.Assignments, error) {
-			r, err := roles.ParseRole(args[1])
+}
+
+// changeCommand is a sub-command that rewrites one engine's assignment and prints it.
+func changeCommand(url *string, use, short string, args int, apply change) *cobra.Command {
+	return &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  exactly(args),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			client := newPlannerClient(*url)
+			table, err := client.Update(cmd.Context(), func(table roles.Assignments) (roles.Assignments, error) {
+				return apply(table, args)
+			})
 			if err != nil {
-				return b, coded{err, exitUsage}
+				return err
 			}
-			return f(b, args[0], r)
-		}
+			return printAssignments(cmd.OutOrStdout(), table, args[0])
+		},
+	}
+}
+
+func setPinned(pinned bool) change {
+	return func(table roles.Assignments, args []string) (roles.Assignments, error) {
+		return table.Edit(args[0], func(a *roles.Assignment) { a.Pinned = pinned })
 	}
-	cmd.AddCommand(&cobra.Command{Use: "show [ENGINE]", Short: "Print the book", Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		c := rolesClient(url)
-		v, err := c.View(cmd.Context())
+}
+
+// withRole reads the role that is the second argument.
+func withRole(apply func(roles.Assignments, string, roles.Role) (roles.Assignments, error)) change {
+	return func(table roles.Assignments, args []string) (roles.Assignments, error) {
+		role, err := roles.ParseRole(args[1])
 		if err != nil {
-			return err
+			return table, exitError{err, exitUsage}
 		}
-		return showRoles(cmd.OutOrStdout(), v, args...)
-	}},
-		change("pin ENGINE", "Keep an engine in its role", 1, entry(func(e *roles.Assignment) { e.Pinned = true })),
-		change("unpin ENGINE", "Let an engine change again", 1, entry(func(e *roles.Assignment) { e.Pinned = false })),
-		change("forbid ENGINE ROLE", "Never order an engine to read (reader) or to write (writer)", 2, role(func(b roles.Assignments, id string, r roles.Role) (roles.Assignments, error) {
-			return b.Edit(id, func(e *roles.Assignment) {
-				e.CanPrefill, e.CanDecode = e.CanPrefill && !r.Prefills(), e.CanDecode && !r.Decodes()
-			})
-		})),
-		change("allow ENGINE ROLE", "Take back forbid", 2, role(func(b roles.Assignments, id string, r roles.Role) (roles.Assignments, error) {
-			return b.Edit(id, func(e *roles.Assignment) {
-				e.CanPrefill, e.CanDecode = e.CanPrefill || r.Prefills(), e.CanDecode || r.Decodes()
-			})
-		})),
-		change("force ENGINE ROLE", "Order an engine to a role now; pin it to keep it there", 2, role(func(b roles.Assignments, id string, r roles.Role) (roles.Assignments, error) {
-			return b.Start(id, r, "forced by an operator")
-		})),
-		change("call-off ENGINE", "Order an engine that is on its way back to its role", 1, func(b roles.Assignments, args []string) (roles.Assignments, error) {
-			return b.Revert(args[0], "called off by an operator")
-		}))
-	return cmd
+		return apply(table, args[0], role)
+	}
+}
+
+func forbidRole(table roles.Assignments, id string, role roles.Role) (roles.Assignments, error) {
+	return table.Edit(id, func(a *roles.Assignment) {
+		a.CanPrefill = a.CanPrefill && !role.Prefills()
+		a.CanDecode = a.CanDecode && !role.Decodes()
+	})
+}
+
+func allowRole(table roles.Assignments, id string, role roles.Role) (roles.Assignments, error) {
+	return table.Edit(id, func(a *roles.Assignment) {
+		a.CanPrefill = a.CanPrefill || role.Prefills()
+		a.CanDecode = a.CanDecode || role.Decodes()
+	})
 }
 
-// showRoles prints the book, or the named engines of it.
-func showRoles(out io.Writer, v planner.View, only ...string) error {
+func forceRole(table roles.Assignments, id string, role roles.Role) (roles.Assignments, error) {
+	return table.Start(id, role, "forced by an operator")
+}
+
+func revertChange(table roles.Assignments, args []string) (roles.Assignments, error) {
+	return table.Revert(args[0], "called off by an operator")
+}
+
+// printAssignments prints all assignments, or those of the named engines.
+func printAssignments(out io.Writer, table roles.Assignments, only ...string) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "ENGINE\tROLE\tSTATE\tORDER\tCHANGED\tMAY\tWHY")
+	p := printer{out: w}
+	p.printf("ENGINE\tROLE\tSTATE\tORDER\tCHANGED\tMAY\tWHY\n")
 	found := 0
-	for _, id := range v.Assignments.Names() {
+	for _, id := range table.Names() {
 		if len(only) > 0 && !slices.Contains(only, id) {
 			continue
 		}
 		found++
-		e := v.Assignments.Entries[id]
-		state, changed, may := "serves", "never", ""
-		switch {
-		case !e.Serving && e.Target == e.Role:
-			state = "on its way back"
-		case !e.Serving:
-			state = "to " + e.Target.String()
-		}
-		if e.ChangedAt > 0 {
-			changed = time.Since(time.Unix(0, int64(e.ChangedAt))).Round(time.Second).String() + " ago"
-		}
-		if e.CanPrefill {
-			may += "read "
-		}
-		if e.CanDecode {
-			may += "write "
-		}
-		if e.Pinned {
-			may = "pinned"
-		}
-		fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%s\t%s\t%s\n", id, e.Role, state, e.Order, changed, may, e.Reason)
+		a := table.Entries[id]
+		p.printf("%s\t%v\t%s\t%d\t%s\t%s\t%s\n",
+			id, a.Role, assignmentState(a), a.Order, assignmentAge(a), allowedStages(a), a.Reason)
 	}
 	if found < len(only) {
 		return fmt.Errorf("%w: %s", roles.ErrUnknownEngine, only[0])
 	}
+	if p.err != nil {
+		return p.err
+	}
 	return w.Flush()
 }
+
+func assignmentState(a roles.Assignment) string {
+	switch {
+	case a.Serving:
+		return "serves"
+	case a.Target == a.Role:
+		return "on its way back"
+	}
+	return "to " + a.Target.String()
+}
+
+func assignmentAge(a roles.Assignment) string {
+	if a.ChangedAt <= 0 {
+		return "never"
+	}
+	return time.Since(time.Unix(0, int64(a.ChangedAt))).Round(time.Second).String() + " ago"
+}
+
+func allowedStages(a roles.Assignment) string {
+	if a.Pinned {
+		return "pinned"
+	}
+	stages := ""
+	if a.CanPrefill {
+		stages += "read "
+	}
+	if a.CanDecode {
+		stages += "write "
+	}
+	return stages
+}
--- a/cmd/brackenbend/scenario.go
+++ b/cmd/brackenbend/scenario.go
@@ -4,138 +4,176 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"syscall"
 	"time"
 
 	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
 
 	"brackenbend/internal/scenariorun"
 	"brackenbend/internal/simulation/scenario"
 )
 
-func dayCommand() *cobra.Command {
-	var seconds float64
-	var jsonFile, record, keep, plots, foresee string
-	var quiet bool
+// scenarioRun plays one scenario against real replicas and writes what was asked for.
+type scenarioRun struct {
+	seconds     float64 // the scenario's length; 0 = as its file says
+	jsonFile    string
+	eventsFile  string
+	keepDir     string
+	plotsDir    string
+	foreseeFile string
+	quiet       bool
+}
+
+func scenarioCommand() *cobra.Command {
+	var run scenarioRun
 	cmd := &cobra.Command{
-		Use:   "day [FILE]",
-		Short: "Play a scripted bad day against real fronts and audit the five rules",
-		Long: `Play a scripted day: register and engines are stand-ins in this process, fronts are processes of their own that are
-killed and restarted, clients speak over sockets. The rules are judged from what passed on the sockets. Without FILE it is
-the default bad day. The exit code is 4 when a rule is broken, or never checked.`,
-		Example: "  brackenbend day\n  brackenbend day --seconds 20 --json report.json\n  brackenbend day scenarios/mass-restart.xml",
-		Args:    cobra.MaximumNArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			d, err := scenario.Default()
-			if len(args) == 1 {
-				d, err = scenario.Load(args[0])
-			}
-			if err != nil {
-				return configError(err)
-			}
-			if seconds > 0 {
-				if err := d.Scale(time.Duration(seconds * float64(time.Second))); err != nil {
-					return coded{err, exitUsage}
-				}
-			}
-			o := scenariorun.Options{Dir: keep}
-			if o.Binary, err = os.Executable(); err != nil {
-				return err
-			}
-			if keep == "" {
-				if o.Dir, err = os.MkdirTemp("", "brackenbend-day-"); err != nil {
-					return err
-				}
-				defer os.RemoveAll(o.Dir)
-			}
-			if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-				return err
-			}
-			if foresee != "" {
-				if o.Foreseen, err = foreseen(foresee); err != nil {
-					return coded{err, exitUsage}
-				}
-			}
-			if !quiet {
-				o.Log = cmd.ErrOrStderr()
-			}
-			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-			defer stop()
-			rep, err := scenariorun.Run(ctx, d, o)
-			if err != nil {
+		Use:   "scenario [FILE]",
+		Short: "Play a scripted bad day against real replicas and audit the five rules",
+		Long: `Play a scenario: the API server and the engines are fakes in this process, replicas are processes of
+their own that are killed and restarted, clients speak over sockets. The rules are checked against
+what passed on the sockets. Without FILE it is the default scenario. The exit code is 4 when a rule
+is violated, or never checked.`,
+		Example: "  brackenbend scenario\n  brackenbend scenario --seconds 20 --json report.json\n" +
+			"  brackenbend scenario scenarios/mass-restart.xml",
+		Args: cobra.MaximumNArgs(1),
+		RunE: run.run,
+	}
+	run.addFlags(cmd.Flags())
+	return cmd
+}
+
+func (r *scenarioRun) addFlags(f *pflag.FlagSet) {
+	f.Float64Var(&r.seconds, "seconds", 0, "scale the scenario to last so long")
+	f.StringVar(&r.jsonFile, "json", "", "write the report to this file as JSON")
+	f.StringVar(&r.plotsDir, "plots", "", "folder for plots of service, and of roles, over time (SVG)")
+	f.StringVar(
+		&r.foreseeFile,
+		"foresee",
+		"",
+		"report of an earlier run of a scenario whose engines change role (--json): "+
+			"roles follow the cheapest changes for the work seen then",
+	)
+	f.StringVar(&r.eventsFile, "record", "", "write what passed on the sockets to this file, a JSON line an event")
+	f.StringVar(&r.keepDir, "keep", "", "folder that keeps the replicas' settings, lists and logs")
+	f.BoolVarP(&r.quiet, "quiet", "q", false, "do not print what happens while it happens")
+}
+
+func (r *scenarioRun) run(cmd *cobra.Command, args []string) error {
+	played, err := loadScenario(args)
+	if err != nil {
+		return err
+	}
+	if err := scale(played, r.seconds); err != nil {
+		return err
+	}
+	options, err := r.options(cmd.ErrOrStderr())
+	if err != nil {
+		return err
+	}
+	if r.keepDir == "" {
+		defer removeTemporary(options.Dir)
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	report, err := scenariorun.Run(ctx, played, options)
+	if err != nil {
+		return err
+	}
+	report.WriteText(cmd.OutOrStdout())
+	if err := r.save(report); err != nil {
+		return err
+	}
+	if n := report.Breaches(); n > 0 {
+		return exitError{fmt.Errorf("scenario: %d violations", n), exitViolation}
+	}
+	return nil
+}
+
+// options are those of the run; its folder is made, a temporary one where none is to be kept.
+func (r *scenarioRun) options(progress io.Writer) (o scenariorun.Options, err error) {
+	if o.Binary, err = os.Executable(); err != nil {
+		return o, err
+	}
+	if r.foreseeFile != "" {
+		if o.Foreseen, err = readForeseen(r.foreseeFile); err != nil {
+			return o, exitError{err, exitUsage}
+		}
+	}
+	if !r.quiet {
+		o.Log = progress
+	}
+	if r.keepDir == "" {
+		o.Dir, err = os.MkdirTemp("", "brackenbend-scenario-")
+		return o, err
+	}
+	o.Dir = r.keepDir
+	return o, os.MkdirAll(o.Dir, 0o755)
+}
+
+// save writes the files that were asked for.
+func (r *scenarioRun) save(report *scenariorun.Report) error {
+	if r.plotsDir != "" {
+		if err := os.MkdirAll(r.plotsDir, 0o755); err != nil {
+			return err
+		}
+		if err := report.Plot(r.plotsDir); err != nil {
+			return err
+		}
+	}
+	if err := writeFile(r.jsonFile, func(f *os.File) error { return report.WriteJSON(f) }); err != nil {
+		return err
+	}
+	return writeFile(r.eventsFile, func(f *os.File) error {
+		enc := json.NewEncoder(f)
+		for _, e := range report.Events {
+			if err := enc.Encode(e); err != nil {
 				return err
 			}
-			rep.WriteText(cmd.OutOrStdout())
-			if plots != "" {
-				if err := os.MkdirAll(plots, 0o755); err != nil {
-					return err
-				}
-				if err := rep.Plot(plots); err != nil {
-					return err
-				}
-			}
-			if jsonFile != "" {
-				if err := writeFile(jsonFile, func(f *os.File) error { return rep.WriteJSON(f) }); err != nil {
-					return err
-				}
-			}
-			if record != "" {
-				err := writeFile(record, func(f *os.File) error {
-					enc := json.NewEncoder(f)
-					for _, e := range rep.Events {
-						if err := enc.Encode(e); err != nil {
-							return err
-						}
-					}
-					return nil
-				})
-				if err != nil {
-					return err
-				}
-			}
-			if n := rep.Breaches(); n > 0 {
-				return coded{fmt.Errorf("day: %d breaches", n), exitBreach}
-			}
-			return nil
-		},
-	}
-	f := cmd.Flags()
-	f.Float64Var(&seconds, "seconds", 0, "scale the day to last so long")
-	f.StringVar(&jsonFile, "json", "", "write the report to this file as JSON")
-	f.StringVar(&plots, "plots", "", "folder for plots of service, and of roles, over time (SVG)")
-	f.StringVar(&foresee, "foresee", "", "report of an earlier run of a day whose engines change role (--json): roles follow the cheapest course for the work seen then")
-	f.StringVar(&record, "record", "", "write what passed on the sockets to this file, a JSON line an event")
-	f.StringVar(&keep, "keep", "", "folder that keeps the fronts' settings, lists and logs")
-	f.BoolVarP(&quiet, "quiet", "q", false, "do not print what happens while it happens")
-	return cmd
+		}
+		return nil
+	})
 }
 
-// foreseen reads the work over time from a day's report.
-func foreseen(path string) ([]scenariorun.RoleSecond, error) {
-	text, err := os.ReadFile(path)
+// loadScenario reads the scenario file named first in args, or the default scenario where there is none.
+func loadScenario(args []string) (*scenario.Day, error) {
+	if len(args) == 0 {
+		return scenario.Default()
+	}
+	loaded, err := scenario.Load(args[0])
 	if err != nil {
-		return nil, err
+		return nil, configError(err)
 	}
-	var rep scenariorun.Report
-	if err := json.Unmarshal(text, &rep); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+	return loaded, nil
+}
+
+// scale makes a scenario last so long; 0 leaves it as it is.
+func scale(s *scenario.Day, seconds float64) error {
+	if seconds <= 0 {
+		return nil
 	}
-	if len(rep.Roles) == 0 {
-		return nil, fmt.Errorf("%s: its engines do not change role; make it with a day that has a planner, and --json", path)
+	if err := s.Scale(time.Duration(seconds * float64(time.Second))); err != nil {
+		return exitError{err, exitUsage}
 	}
-	return rep.Roles, nil
+	return nil
 }
 
-func writeFile(path string, write func(*os.File) error) error {
-	f, err := os.Create(path)
+// readForeseen reads the work over time from the report of a scenario.
+func readForeseen(path string) ([]scenariorun.RoleSecond, error) {
+	text, err := os.ReadFile(path)
 	if err != nil {
-		return err
+		return nil, err
+	}
+	var report scenariorun.Report
+	if err := json.Unmarshal(text, &report); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	err = write(f)
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	if len(report.Roles) == 0 {
+		return nil, fmt.Errorf("%s: its engines do not change role; make it with a scenario that has a planner, and --json",
+			path)
 	}
-	return err
+	return report.Roles, nil
 }
--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -6,82 +6,120 @@
 	"runtime"
 
 	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
 
 	"brackenbend/internal/simulation/faultsearch"
 	"brackenbend/internal/simulation/forecast"
+	"brackenbend/internal/simulation/scenario"
 )
 
-func labHuntCommand() *cobra.Command {
-	var against, out string
-	h := faultsearch.Hunt{Troubles: 4, Rounds: 12, Draws: 24}
+// faultSearch looks for the faults under which a subject does worst.
+type faultSearch struct {
+	search  faultsearch.Hunt
+	against string
+	outFile string
+}
+
+func simulateFaultSearchCommand() *cobra.Command {
+	s := faultSearch{search: faultsearch.Hunt{Troubles: 4, Rounds: 12, Draws: 24}}
 	cmd := &cobra.Command{
-		Use:   "hunt [DAY] [SUBJECT]",
-		Short: "Look for the troubles under which a setting does worst, or breaks a rule",
-		Long: `Draw and change lists of troubles for a day's fleet and clients (its own troubles are put aside), play them in simulated time,
-keep the worst, and cut it down to what is needed. A broken rule counts before any loss. SUBJECT is "choice", a settings
-file, or a baseline, as for compare; with --against another of them the loss is counted from what that reaches. What is
-found is written as a day file, which real fronts can play (brackenbend day FILE). The exit code is 4 when a rule broke.`,
-		Example: "  brackenbend lab hunt scenarios/crash.xml --against fewest -o worst.xml\n  brackenbend lab hunt scenarios/crash.xml next.xml --rounds 40",
-		Args:    cobra.MaximumNArgs(2),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			if h.Troubles < 1 || h.Troubles > 20 || h.Rounds < 1 || h.Rounds > 10000 || h.Draws < 4 || h.Draws > 1000 {
-				return coded{fmt.Errorf("--troubles: 1 to 20; --rounds: 1 to 10000; --draws: 4 to 1000"), exitUsage}
-			}
-			d, err := loadDay(args[:min(len(args), 1)])
-			if err != nil {
-				return err
-			}
-			what := "choice"
-			if len(args) == 2 {
-				what = args[1]
-			}
-			side := func(what string) (forecast.Side, error) { return compareSide(what, d, nil, false) }
-			subject, err := side(what)
-			if err != nil {
-				return err
-			}
-			h.Day, h.Subject, h.AtOnce = d, subject.Make, runtime.GOMAXPROCS(0)
-			if against != "" {
-				yard, err := side(against)
-				if err != nil {
-					return err
-				}
-				h.Yard = yard.Make
-			}
-			h.Told = func(round int, best faultsearch.Found) {
-				fmt.Fprintf(os.Stderr, "round %d: lost %.4f, %d breaches\n", round+1, best.Lost(), best.Breaches)
-			}
-			f, err := faultsearch.Run(h)
-			if err != nil {
-				return err
-			}
-			note := fmt.Sprintf("found by a hunt: %s %.3f, against %.3f; %d breaches (simulated)", what, f.Subject, f.Yard, f.Breaches)
-			_, text, err := d.With(f.Happens, note)
-			if err != nil {
-				return err
-			}
-			w := cmd.OutOrStdout()
-			fmt.Fprintf(w, "%s, %d lists played\n", note, f.Tried)
-			for i := range f.Happens {
-				fmt.Fprintln(w, "  "+f.Happens[i].XML())
-			}
-			if out != "" {
-				if err := os.WriteFile(out, text, 0o644); err != nil {
-					return err
-				}
-			}
-			if f.Breaches > 0 {
-				return coded{fmt.Errorf("lab hunt: a rule broke"), exitBreach}
-			}
-			return nil
-		},
+		Use:   "fault-search [SCENARIO] [SUBJECT]",
+		Short: "Look for the faults under which a setting does worst, or violates a rule",
+		Long: `Draw and change lists of faults for a scenario's fleet and clients (its own faults are put aside),
+play them in simulated time, keep the worst, and cut it down to what is needed. A violated rule
+counts before any loss. SUBJECT is "routing", a settings file, or a baseline, as for compare; with
+--against another of them the loss is counted from what that reaches. What is found is written as a
+scenario file, which real replicas can play (brackenbend scenario FILE). The exit code is 4 when a
+rule was violated.`,
+		Example: "  brackenbend simulate fault-search scenarios/crash.xml --against fewest -o worst.xml\n" +
+			"  brackenbend simulate fault-search scenarios/crash.xml next.xml --rounds 40",
+		Args: cobra.MaximumNArgs(2),
+		RunE: s.run,
 	}
-	f := cmd.Flags()
-	f.StringVar(&against, "against", "", "what the loss is counted from: choice, a settings file, or a baseline; none = full service")
-	f.StringVarP(&out, "out", "o", "", "day file to write")
-	f.IntVar(&h.Troubles, "troubles", h.Troubles, "at most, at once or one after the other")
-	f.IntVar(&h.Rounds, "rounds", h.Rounds, "of changing the worst")
-	f.IntVar(&h.Draws, "draws", h.Draws, "lists a round")
-	f.Uint64Var(&h.Seed, "seed", 1, "of the hunt")
+	s.addFlags(cmd.Flags())
 	return cmd
 }
+
+func (s *faultSearch) addFlags(f *pflag.FlagSet) {
+	f.StringVar(&s.against, "against", "", "what the loss is counted from: routing, a settings file, or a baseline; "+
+		"none = full service")
+	f.StringVarP(&s.outFile, "out", "o", "", "scenario file to write")
+	f.IntVar(&s.search.Troubles, "troubles", s.search.Troubles, "faults at most, at once or one after the other")
+	f.IntVar(&s.search.Rounds, "rounds", s.search.Rounds, "of changing the worst")
+	f.IntVar(&s.search.Draws, "draws", s.search.Draws, "lists a round")
+	f.Uint64Var(&s.search.Seed, "seed", 1, "of the search")
+}
+
+func (s *faultSearch) run(cmd *cobra.Command, args []string) error {
+	if err := s.check(); err != nil {
+		return err
+	}
+	played, err := loadScenario(args[:min(len(args), 1)])
+	if err != nil {
+		return err
+	}
+	subject := routerSubject
+	if len(args) == 2 {
+		subject = args[1]
+	}
+	if err := s.prepare(played, subject); err != nil {
+		return err
+	}
+	found, err := faultsearch.Run(s.search)
+	if err != nil {
+		return err
+	}
+	note := fmt.Sprintf("found by a fault search: %s %.3f, against %.3f; %d breaches (simulated)", subject, found.Subject,
+		found.Yard, found.Breaches)
+	_, text, err := played.With(found.Happens, note)
+	if err != nil {
+		return err
+	}
+	p := printer{out: cmd.OutOrStdout()}
+	p.printf("%s, %d lists played\n", note, found.Tried)
+	for i := range found.Happens {
+		p.printf("  %s\n", found.Happens[i].XML())
+	}
+	if p.err != nil {
+		return p.err
+	}
+	if s.outFile != "" {
+		if err := os.WriteFile(s.outFile, text, 0o644); err != nil {
+			return err
+		}
+	}
+	if found.Breaches > 0 {
+		return exitError{fmt.Errorf("simulate fault-search: a rule was violated"), exitViolation}
+	}
+	return nil
+}
+
+func (s *faultSearch) check() error {
+	within := func(v, least, most int) bool { return least <= v && v <= most }
+	if !within(s.search.Troubles, 1, 20) || !within(s.search.Rounds, 1, 10000) || !within(s.search.Draws, 4, 1000) {
+		return usageErrorf("--troubles: 1 to 20; --rounds: 1 to 10000; --draws: 4 to 1000")
+	}
+	return nil
+}
+
+// prepare gives the search its scenario, what it is to be tried on and what the loss is counted from.
+func (s *faultSearch) prepare(played *scenario.Day, subject string) error {
+	side := func(name string) (forecast.Side, error) { return parseSubject(name, played, nil, false) }
+	tried, err := side(subject)
+	if err != nil {
+		return err
+	}
+	s.search.Day, s.search.Subject, s.search.AtOnce = played, tried.Make, runtime.GOMAXPROCS(0)
+	if s.against != "" {
+		yardstick, err := side(s.against)
+		if err != nil {
+			return err
+		}
+		s.search.Yard = yardstick.Make
+	}
+	s.search.Told = func(round int, best faultsearch.Found) {
+		p := printer{out: os.Stderr} // progress: that it can't be written does not end the search
+		p.printf("round %d: lost %.4f, %d breaches\n", round+1, best.Lost(), best.Breaches)
+	}
+	return nil
+}
--- a/cmd/brackenbend/simulate_recording.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"os"
 	"slices"
 	"strconv"
@@ -15,133 +16,176 @@
 	"brackenbend/internal/simulation/trace"
 )
 
-// recording is traffic that was recorded, in place of a day's drawn clients.
-type recording struct {
-	files []string
+const (
+	// maxTrafficScale is the most by which the traffic of a recording may be multiplied.
+	maxTrafficScale = 100
+	// sameTimeWithin is how far recordings may begin apart and still be of one time.
+	sameTimeWithin = 24 * time.Hour
+)
+
+// recordings name recorded traffic that is played in place of a scenario's drawn clients.
+type recordings struct {
+	files []string // FILE or FILE@TIMES
+}
+
+// scaledRecording is one recording and how many times its traffic is played.
+type scaledRecording struct {
+	requests []scenario.Recorded
+	scale    float64
+	begin    time.Time
 }
 
-func (r *recording) flags(f *pflag.FlagSet) {
-	f.StringSliceVar(&r.files, "trace", nil, "recording that is played in place of the day's drawn clients, FILE or FILE@TIMES (3 = three times the traffic); several are blended")
+func (r *recordings) addFlags(f *pflag.FlagSet) {
+	f.StringSliceVar(&r.files, "trace", nil, "recording that is played in place of the scenario's drawn clients, FILE or "+
+		"FILE@TIMES (3 = three times the traffic); several are blended")
 }
 
-// load reads the recordings; nil without any. The day lasts as long as they do.
-func (r *recording) load(d *scenario.Day) ([]scenario.Recorded, error) {
+// load reads the recordings, nil without any, and makes the scenario last as long as they do.
+func (r *recordings) load(played *scenario.Day) ([]scenario.Recorded, error) {
 	if len(r.files) == 0 {
 		return nil, nil
 	}
 	var lists [][]scenario.Recorded
-	var times []float64
+	var scales []float64
 	var begins []time.Time
 	for _, arg := range r.files {
-		file, by, scaled := strings.Cut(arg, "@")
-		n := 1.0
-		if scaled {
-			var err error
-			if n, err = strconv.ParseFloat(by, 64); err != nil || !(n > 0 && n <= 100) {
-				return nil, coded{fmt.Errorf("--trace %s: write FILE@TIMES with a number up to 100", arg), exitUsage}
-			}
-		}
-		t, err := readTrace(file)
+		recording, err := loadRecording(arg, played)
 		if err != nil {
 			return nil, err
 		}
-		t.CloseGaps()
-		list, err := t.Recorded(d)
-		if err != nil {
-			return nil, coded{fmt.Errorf("%s: %w", file, err), exitConfig}
-		}
-		lists, times, begins = append(lists, list), append(times, n), append(begins, t.Begin)
+		lists = append(lists, recording.requests)
+		scales = append(scales, recording.scale)
+		begins = append(begins, recording.begin)
 	}
-	together(lists, begins)
-	all := scenario.Blend(1, lists, times)
+	alignBegins(lists, begins)
+	all := scenario.Blend(1, lists, scales)
 	if len(all) == 0 {
-		return nil, coded{fmt.Errorf("--trace: no requests in %s", strings.Join(r.files, ", ")), exitConfig}
+		return nil, exitError{fmt.Errorf("--trace: no requests in %s", strings.Join(r.files, ", ")), exitConfig}
 	}
-	d.Length = max(d.Length, all[len(all)-1].At)
+	played.Length = max(played.Length, all[len(all)-1].At)
 	return all, nil
 }
 
-// together moves recordings of one time, as of several fronts, to where they stood beside each other; those that began
-// over a day after the first are played from their beginnings.
-func together(lists [][]scenario.Recorded, begins []time.Time) {
+// loadRecording reads a recording given as FILE or FILE@TIMES.
+func loadRecording(arg string, played *scenario.Day) (r scaledRecording, err error) {
+	file, times, scaled := strings.Cut(arg, "@")
+	r.scale = 1
+	if scaled {
+		r.scale, err = strconv.ParseFloat(times, 64)
+		if err != nil || !(r.scale > 0 && r.scale <= maxTrafficScale) {
+			return r, usageErrorf("--trace %s: write FILE@TIMES with a number up to %d", arg, maxTrafficScale)
+		}
+	}
+	t, err := readTrace(file)
+	if err != nil {
+		return r, err
+	}
+	t.CloseGaps()
+	r.begin = t.Begin
+	if r.requests, err = t.Recorded(played); err != nil {
+		return r, exitError{fmt.Errorf("%s: %w", file, err), exitConfig}
+	}
+	return r, nil
+}
+
+// alignBegins moves recordings of one time, as of several replicas, to where they stood beside each other; those that
+// began over a day after the first are played from their beginnings.
+func alignBegins(lists [][]scenario.Recorded, begins []time.Time) {
 	first := slices.MinFunc(begins, time.Time.Compare)
 	for i, list := range lists {
-		if off := begins[i].Sub(first); off < 24*time.Hour {
-			for k := range list {
-				list[k].At += off
-			}
+		offset := begins[i].Sub(first)
+		if offset >= sameTimeWithin {
+			continue
+		}
+		for k := range list {
+			list[k].At += offset
 		}
 	}
 }
 
-func readTrace(file string) (*trace.Trace, error) {
+// readTrace reads a recording and prints what its reader notes of it on standard error.
+func readTrace(file string) (t *trace.Trace, err error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	t, err := trace.Read(f)
+	t, err = trace.Read(f)
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
+	}
 	if err != nil {
-		return nil, coded{fmt.Errorf("%s: %w", file, err), exitConfig}
+		return nil, exitError{fmt.Errorf("%s: %w", file, err), exitConfig}
 	}
+	p := printer{out: os.Stderr}
 	for _, note := range t.Notes() {
-		fmt.Fprintf(os.Stderr, "%s: %s\n", file, note)
+		p.printf("%s: %s\n", file, note)
 	}
-	return t, nil
+	return t, p.err
 }
 
-func labRecordCommand() *cobra.Command {
-	var out string
+func simulateRecordCommand() *cobra.Command {
+	var recordingFile string
 	cmd := &cobra.Command{
 		Use:   "record LOG...",
-		Short: "Make a recording of fronts' logs",
-		Long: `Read the request lines of fronts' logs (JSON, level info) and write a recording: when requests came, their class, tenant,
-session, shared beginning and lengths, and what became of them; no text. Logs of one front go one after the other into
-parts of one recording, in the order given.`,
-		Example: "  brackenbend lab record front-1.log -o monday.trace",
+		Short: "Make a recording of replicas' logs",
+		Long: `Read the request lines of replicas' logs (JSON, level info) and write a recording: when requests
+came, their class, tenant, session, shared prefix and lengths, and what became of them; no text.
+Logs of one replica go one after the other into parts of one recording, in the order given.`,
+		Example: "  brackenbend simulate record replica-1.log -o monday.trace",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if out == "" {
-				return coded{fmt.Errorf("-o: the recording's file is needed"), exitUsage}
+			if recordingFile == "" {
+				return usageErrorf("-o: the recording's file is needed")
 			}
-			return writeFile(out, func(w *os.File) error {
-				for _, name := range args {
-					f, err := os.Open(name)
-					if err != nil {
+			return writeFile(recordingFile, func(recording *os.File) error {
+				for _, log := range args {
+					if err := recordLog(cmd.OutOrStdout(), recording, log); err != nil {
 						return err
 					}
-					n, skipped, err := trace.FromLog(f, w)
-					f.Close()
-					if err != nil {
-						return coded{fmt.Errorf("%s: %w", name, err), exitConfig}
-					}
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: %d requests, %d other lines\n", name, n, skipped)
 				}
 				return nil
 			})
 		},
 	}
-	cmd.Flags().StringVarP(&out, "out", "o", "", "file to write")
+	cmd.Flags().StringVarP(&recordingFile, "out", "o", "", "file to write")
 	return cmd
 }
 
-func labFitCommand() *cobra.Command {
+// recordLog adds the requests of one log to a recording and prints how many there were.
+func recordLog(out io.Writer, recording *os.File, log string) error {
+	f, err := os.Open(log)
+	if err != nil {
+		return err
+	}
+	requests, skipped, err := trace.FromLog(f, recording)
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
+	}
+	if err != nil {
+		return exitError{fmt.Errorf("%s: %w", log, err), exitConfig}
+	}
+	_, err = fmt.Fprintf(out, "%s: %d requests, %d other lines\n", log, requests, skipped)
+	return err
+}
+
+func simulateFitCommand() *cobra.Command {
 	return &cobra.Command{
-		Use:     "fit RECORDING",
-		Short:   "Find the synthetic clients that come nearest to a recording",
-		Long:    "Print the rate and the attributes of <class> that a day file needs for clients like the recorded ones, and how well they fit.",
-		Example: "  brackenbend lab fit monday.trace",
+		Use:   "fit RECORDING",
+		Short: "Find the synthetic clients that come nearest to a recording",
+		Long: "Print the rate and the attributes of <class> that a scenario file needs for clients like the recorded ones, " +
+			"and how well they fit.",
+		Example: "  brackenbend simulate fit monday.trace",
 		Args:    exactly(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := readTrace(args[0])
 			if err != nil {
 				return err
 			}
-			f, err := trace.Fit(t)
+			fitted, err := trace.Fit(t)
 			if err != nil {
-				return coded{err, exitConfig}
+				return exitError{err, exitConfig}
 			}
-			return f.WriteText(cmd.OutOrStdout())
+			return fitted.WriteText(cmd.OutOrStdout())
 		},
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	file := filepath.Join("testdata", name)
 	if *update {
-		if err := os.WriteFile(file, []byte(got), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -102,7 +102,7 @@
 		p.Most = 2000
 	}
 	if err := p.check(); err != nil {
-		return nil, err
+		return nil, planError{err}
 	}
 	r := &run{p: &p, began: time.Now(), mood: scenario.Calm(), score: p.Day.Score(), kinds: map[string]int{}}
 	for range p.Day.Classes {
