--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -38,7 +38,7 @@
 		plan.MaxOpen = defaultMaxOpen
 	}
 	if err := plan.check(); err != nil {
-		return nil, err
+		return nil, planError{err}
 	}
 	r := newRun(&plan)
 	moodCtx, stopMoods := context.WithCancel(ctx)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -178,8 +178,7 @@
 		"too many open":  {Scenario: s, Length: time.Second, Replicas: loopback, MaxOpen: 1 << 20},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var planError *PlanError
-			if _, err := Run(t.Context(), plan); !errors.As(err, &planError) {
+			if _, err := Run(t.Context(), plan); !errors.Is(err, ErrPlan) {
 				t.Errorf("%v", err)
 			}
 		})
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -28,25 +28,19 @@
 	Progress    func(done float64, open int)
 }
 
-// PlanError is a plan that can't be run.
-type PlanError struct{ reason error }
-
-func (e *PlanError) Error() string { return "load: " + e.reason.Error() }
-func (e *PlanError) Unwrap() error { return e.reason }
-
-// check returns a PlanError for a plan that can't be run.
+// check reports what keeps a plan from being run.
 func (p *Plan) check() error {
 	switch {
 	case len(p.Replicas) == 0:
-		return &PlanError{errors.New("no front is named; write host:port")}
+		return errors.New("load: no front is named; write host:port")
 	case p.Length < minLength || p.Length > maxLength:
-		return &PlanError{fmt.Errorf("a length of %v; from 1s to %v", p.Length, maxLength)}
+		return fmt.Errorf("load: a length of %v; from 1s to %v", p.Length, maxLength)
 	case p.MaxOpen < 1 || p.MaxOpen > highestMaxOpen:
-		return &PlanError{fmt.Errorf("%d requests at once; from 1 to %d", p.MaxOpen, highestMaxOpen)}
+		return fmt.Errorf("load: %d requests at once; from 1 to %d", p.MaxOpen, highestMaxOpen)
 	}
 	for _, replica := range p.Replicas {
 		if err := p.checkReplica(replica); err != nil {
-			return &PlanError{err}
+			return err
 		}
 	}
 	return nil
@@ -55,13 +49,13 @@
 func (p *Plan) checkReplica(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return fmt.Errorf("front %q: %w; write host:port", address, err)
+		return fmt.Errorf("load: front %q: %w; write host:port", address, err)
 	}
 	if p.AllowRemote || host == "localhost" {
 		return nil
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("front %q is not a loopback address; if the load is meant for it, say so (--anywhere)", address)
+		return fmt.Errorf("load: front %q is not a loopback address; if the load is meant for it, say so (--anywhere)", address)
 	}
 	return nil
 }
