--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -55,7 +55,8 @@
 		return nil
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("load: front %q is not a loopback address; if the load is meant for it, say so (--anywhere)", address)
+		return fmt.Errorf("load: front %q is not a loopback address; if the load is meant for it, say so (--anywhere)",
+			address)
 	}
 	return nil
 }
