--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"strings"
 	"testing"
@@ -21,14 +22,17 @@
 		t.Fatal(err)
 	}
 	c := s.RoutingConfig()
-	if len(c.Classes) != 3 || c.Classes[2].DedupWindow != 30*time.Second || c.Kinds[1].Memory != 180000 || c.Tenants[0].QuotaPerS != 100 || c.Replicas != 4 {
+	if len(c.Classes) != 3 || c.Classes[2].DedupWindow != 30*time.Second || c.Kinds[1].Memory != 180000 ||
+		c.Tenants[0].QuotaPerS != 100 ||
+		c.Replicas != 4 {
 		t.Errorf("%+v", c)
 	}
 	if err := c.Validate(); err != nil {
 		t.Error(err)
 	}
 	k := s.Classifier()
-	if k.DefaultClass != 0 || k.Classes[1].Index != 2 || k.Tenants[0].Index != 1 || len(k.Sessions) != 2 || k.Prefixes[1].Bytes != 2048 {
+	if k.DefaultClass != 0 || k.Classes[1].Index != 2 || k.Tenants[0].Index != 1 || len(k.Sessions) != 2 ||
+		k.Prefixes[1].Bytes != 2048 {
 		t.Errorf("%+v", k)
 	}
 }
@@ -64,7 +68,9 @@
 		{` window="30s"`, ``, "effect keyed with a window of 0s", "give window"},
 		{`<tenant name="depot"`, `<tenant name="public"`, "stands twice", "the other is on line"},
 		{`class="order"/>`, `class="orders"/>`, `"orders" is no class`, "name a <class>"},
-		{`<rule when="header" name="X-Class" equals="order"`, `<rule when="header" equals="order"`, "with name=", "give name"},
+		{
+			`<rule when="header" name="X-Class" equals="order"`, `<rule when="header" equals="order"`, "with name=", "give name",
+		},
 		{`<kind name="prefill" role="reader"`, `<kind name="prefill"`, `lacks the attribute "role"`, `role="reader"`},
 		{`listen="127.0.0.1:8080"`, `listen="8080"`, "no host and port", "127.0.0.1:8080"},
 		{`url="http://127.0.0.1:7000"`, `url="127.0.0.1:7000"`, "no http or https URL", "http://"},
@@ -84,7 +90,8 @@
 		bad := strings.Replace(string(text), c.old, c.new, 1)
 		line := strings.Count(string(text)[:strings.Index(string(text), c.old)], "\n") + 1
 		_, err := Parse("f.xml", []byte(bad))
-		ps, _ := err.(Problems)
+		var ps Problems
+		errors.As(err, &ps)
 		found := false
 		for _, p := range ps {
 			onLine := p.Line == line || c.old == "</brackenbend>"
--- /dev/null
+++ b/internal/config/convert.go
@@ -0,0 +1,126 @@
+package config
+
+import (
+	"slices"
+	"strings"
+
+	"brackenbend/internal/api"
+	"brackenbend/routing"
+)
+
+// The words of a settings file and what they mean to the packages below.
+var (
+	idempotencies = map[string]routing.Idempotency{
+		"safe":   routing.Idempotent,
+		"keyed":  routing.IdempotentWithKey,
+		"unsafe": routing.NotIdempotent,
+	}
+	dedupScopes = map[string]routing.DedupScope{
+		"":     routing.DedupAll,
+		"all":  routing.DedupAll,
+		"zone": routing.DedupZone,
+		"cell": routing.DedupCell,
+	}
+	roleOfWord = map[string]routing.Role{
+		"reader": routing.RolePrefill,
+		"writer": routing.RoleDecode,
+		"mixed":  routing.RoleMixed,
+	}
+	sourceOfWord = map[string]api.Source{
+		"path": api.FromPath, "model": api.FromModel, "header": api.FromHeader,
+		"api-key-sha256": api.FromAPIKey, "user": api.FromUser, "system-messages": api.FromSystemMessages,
+		"first-message": api.FromFirstMessage, "opening": api.FromOpening,
+	}
+)
+
+// RoutingConfig is the part of the settings that the router is made from.
+func (s *Settings) RoutingConfig() routing.Config {
+	v := s.Service
+	c := routing.Config{
+		Replicas:         v.Replicas,
+		MaxAttempts:      v.MaxAttempts,
+		MaxRetryAfter:    v.MaxRetryAfter,
+		StateTTL:         v.StateTTL,
+		DrainGrace:       v.DrainGrace,
+		SlowStartFrom:    v.SlowStartFrom,
+		SlowStartFor:     v.SlowStartFor,
+		OverloadFactor:   v.OverloadFactor,
+		OverloadAfter:    v.OverloadAfter,
+		DecodeCanPrefill: v.DecodeCanPrefill,
+		CanCancel:        v.CanCancel,
+		OverQuotaWeight:  v.OverQuotaWeight,
+		WeightByWork:     v.WeightBy == "work",
+	}
+	if s.Engines != nil {
+		c.LoadReportFields = strings.Fields(s.Engines.LoadReportFields)
+	}
+	for _, k := range s.Classes {
+		c.Classes = append(c.Classes, routing.Class{
+			Name:                    k.Name,
+			LatencyObjective:        k.LatencyObjective,
+			LatencyObjectivePer1000: k.LatencyObjectivePer1000,
+			TokenLatencyObjective:   k.TokenLatencyObjective,
+			Deadline:                k.Deadline,
+			PriorityWeight:          k.PriorityWeight,
+			LateWeight:              k.LateWeight,
+			Idempotency:             idempotencies[k.Idempotency],
+			DedupScope:              dedupScopes[k.DedupScope],
+			DedupWindow:             k.DedupWindow,
+		})
+	}
+	for _, t := range s.Tenants {
+		c.Tenants = append(c.Tenants, routing.Tenant{QuotaPerS: float64(t.Quota), Share: t.Share})
+	}
+	for _, k := range s.Kinds {
+		c.Kinds = append(c.Kinds, routing.Kind{Role: roleOfWord[k.Role], Memory: float64(k.Memory)})
+	}
+	return c
+}
+
+// Classifier returns how class, tenant, session, prefix and lengths are read off requests.
+func (s *Settings) Classifier() *api.Classifier {
+	c := &api.Classifier{
+		DefaultClass:  s.classIndex(s.Service.DefaultClass),
+		DefaultTenant: s.tenantIndex(s.Service.DefaultTenant),
+	}
+	if len(s.Classes) == 1 {
+		c.DefaultClass = 0
+	}
+	if len(s.Tenants) < 2 {
+		c.DefaultTenant = 0
+	}
+	for _, r := range s.Rules {
+		m := api.Match{From: sourceOfWord[r.When], Name: r.Name, Equals: r.Equals, Prefix: r.Begins}
+		if r.Class != "" {
+			c.Classes = append(c.Classes, api.Rule{Match: m, Index: s.classIndex(r.Class)})
+		}
+		if r.Tenant != "" {
+			c.Tenants = append(c.Tenants, api.Rule{Match: m, Index: s.tenantIndex(r.Tenant)})
+		}
+	}
+	c.Sessions, c.Prefixes = apiKeys(s.Sessions), apiKeys(s.Prefixes)
+	for _, m := range s.Models {
+		c.Models = append(c.Models, api.Model{Name: m.Name, BytesPerToken: m.BytesPerToken, MaxOutput: int(m.MaxOutput)})
+	}
+	return c
+}
+
+func apiKeys(keys []Key) (out []api.Key) {
+	for _, k := range keys {
+		out = append(out, api.Key{From: sourceOfWord[k.From], Name: k.Name, Bytes: int(k.Bytes)})
+	}
+	return out
+}
+
+func (s *Settings) classIndex(name string) int {
+	return slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == name })
+}
+
+func (s *Settings) tenantIndex(name string) int {
+	return slices.IndexFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
+}
+
+// KindIndex finds a kind by its name, -1 where there is none.
+func (s *Settings) KindIndex(name string) int {
+	return slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == name })
+}
--- /dev/null
+++ b/internal/config/defaults.go
@@ -0,0 +1,98 @@
+package config
+
+import "time"
+
+// Defaults of what a settings file leaves out. Times and sizes are bounds on what one client or engine can hold up.
+const (
+	defaultDrainTimeout         = 30 * time.Second       // for what is in flight after SIGTERM
+	defaultAnswerMargin         = 100 * time.Millisecond // before the client's deadline
+	defaultMaxOpenRequests      = 20000
+	defaultMaxConnections       = 20000
+	defaultMaxHeaderBytes       = 32 << 10
+	defaultMaxHeaderFields      = 100
+	defaultMaxBodyBytes         = 4 << 20
+	defaultMaxBufferedBodyBytes = 256 << 20 // of all requests together
+	defaultMaxCollectedBytes    = 4 << 20   // of an answer that is not streamed
+	defaultMaxEventBytes        = 256 << 10 // of one event of a stream
+	defaultHeaderTimeout        = 10 * time.Second
+	defaultBodyTimeout          = 30 * time.Second
+	defaultIdleTimeout          = 60 * time.Second
+	defaultWriteTimeout         = 10 * time.Second
+	defaultStreamIdleTimeout    = 30 * time.Second
+
+	defaultLogFormat      = "json"
+	defaultLogLevel       = "info"
+	defaultLinesPerSecond = 100
+
+	defaultEngineProtocol    = "vllm"
+	defaultDialTimeout       = time.Second
+	defaultMaxConnsPerEngine = 1024
+	defaultMaxIdlePerEngine  = 32
+	defaultEngineIdleTimeout = 15 * time.Second // shorter than common servers keep idle connections
+
+	defaultKindLabel = "brackenbend.dev/kind"
+	defaultCellLabel = "brackenbend.dev/cell"
+
+	defaultPriorityWeight = 1
+)
+
+func (s *Settings) fillDefaults() {
+	setDefault(&s.Limits, &Limits{})
+	setDefault(&s.Log, &Log{})
+	setDefault(&s.Engines, &Engines{})
+	s.Replica.fillDefaults()
+	s.Limits.fillDefaults()
+	s.Log.fillDefaults()
+	s.Engines.fillDefaults()
+	if s.APIServer != nil {
+		setDefault(&s.APIServer.KindLabel, defaultKindLabel)
+		setDefault(&s.APIServer.CellLabel, defaultCellLabel)
+	}
+	for i := range s.Classes {
+		setDefault(&s.Classes[i].PriorityWeight, defaultPriorityWeight)
+	}
+}
+
+func (r *Replica) fillDefaults() {
+	setDefault(&r.DrainTimeout, defaultDrainTimeout)
+	setDefault(&r.AnswerMargin, defaultAnswerMargin)
+	setDefault(&r.Name, r.Listen)
+}
+
+func (l *Limits) fillDefaults() {
+	setDefault(&l.MaxOpenRequests, defaultMaxOpenRequests)
+	setDefault(&l.MaxConnections, defaultMaxConnections)
+	setDefault(&l.MaxHeaderBytes, defaultMaxHeaderBytes)
+	setDefault(&l.MaxHeaderFields, defaultMaxHeaderFields)
+	setDefault(&l.MaxBodyBytes, defaultMaxBodyBytes)
+	setDefault(&l.MaxBufferedBodyBytes, defaultMaxBufferedBodyBytes)
+	setDefault(&l.MaxCollectedBytes, defaultMaxCollectedBytes)
+	setDefault(&l.MaxEventBytes, defaultMaxEventBytes)
+	setDefault(&l.HeaderTimeout, defaultHeaderTimeout)
+	setDefault(&l.BodyTimeout, defaultBodyTimeout)
+	setDefault(&l.IdleTimeout, defaultIdleTimeout)
+	setDefault(&l.WriteTimeout, defaultWriteTimeout)
+	setDefault(&l.StreamIdleTimeout, defaultStreamIdleTimeout)
+}
+
+func (l *Log) fillDefaults() {
+	setDefault(&l.Format, defaultLogFormat)
+	setDefault(&l.Level, defaultLogLevel)
+	setDefault(&l.LinesPerSecond, defaultLinesPerSecond)
+}
+
+func (e *Engines) fillDefaults() {
+	setDefault(&e.Protocol, defaultEngineProtocol)
+	setDefault(&e.DialTimeout, defaultDialTimeout)
+	setDefault(&e.MaxConnsPerEngine, defaultMaxConnsPerEngine)
+	setDefault(&e.MaxIdlePerEngine, defaultMaxIdlePerEngine)
+	setDefault(&e.IdleTimeout, defaultEngineIdleTimeout)
+}
+
+// setDefault gives v a value where it has none.
+func setDefault[T comparable](v *T, value T) {
+	var zero T
+	if *v == zero {
+		*v = value
+	}
+}
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -60,13 +60,13 @@
 }
 
 const (
-	registerFull = `<register url="https://h:7000" namespace="n" label-selector="app=e" kind-label="k" cell-label="c" token-file="t" ` +
-		`ca-file="ca" cache="list.json"/>`
+	registerFull = `<register url="https://h:7000" namespace="n" label-selector="app=e" kind-label="k" cell-label="c" ` +
+		`token-file="t" ca-file="ca" cache="list.json"/>`
 	registerBare = `<register url="http://h:7000" namespace="n"/>`
 )
 
-// TestSettingsDocuments: every element and attribute of the settings' form and what comes of it, for the decision module and
-// the classifier too. The golden file was recorded before the renaming and is not updated meanwhile.
+// TestSettingsDocuments: every element and attribute of the settings' form and what comes of it, for the decision
+// module and the classifier too. The golden file was recorded before the renaming and is not updated meanwhile.
 func TestSettingsDocuments(t *testing.T) {
 	text, err := os.ReadFile("testdata/full.xml")
 	if err != nil {
@@ -83,8 +83,9 @@
 		{"deploy/examples/front.xml", string(example)},
 		{"full.xml", full},
 		{"full.xml with a register", strings.Replace(full, servers, registerFull, 1)},
-		{"the least", `<brackenbend><front listen="a:1"/><service fronts="1"/><class name="c" effect="safe" aim="1s" deadline="2s"/>` +
-			`<kind name="k" role="mixed"/><model name="m" bytes-per-token="4" max-output="1tokens"/>` + registerBare + `</brackenbend>`},
+		{"the least", `<brackenbend><front listen="a:1"/><service fronts="1"/>` +
+			`<class name="c" effect="safe" aim="1s" deadline="2s"/><kind name="k" role="mixed"/>` +
+			`<model name="m" bytes-per-token="4" max-output="1tokens"/>` + registerBare + `</brackenbend>`},
 	} {
 		s, err := Parse("f.xml", []byte(k.text))
 		if err != nil {
@@ -179,9 +180,30 @@
 		line("Report.Fields", f)
 	}
 	for i, k := range c.Classes {
-		line("class", i, "Name", k.Name, "Promise", k.LatencyObjective, "Deadline", k.Deadline, "Window", k.DedupWindow, "Importance", k.PriorityWeight,
-			"LateWorth", k.LateWeight, "Repeat", int(k.Idempotency), "Group", int(k.DedupScope), "AimUsPer1000PromptTokens", k.LatencyObjectivePer1000,
-			"TokenAim", k.TokenLatencyObjective)
+		line(
+			"class",
+			i,
+			"Name",
+			k.Name,
+			"Promise",
+			k.LatencyObjective,
+			"Deadline",
+			k.Deadline,
+			"Window",
+			k.DedupWindow,
+			"Importance",
+			k.PriorityWeight,
+			"LateWorth",
+			k.LateWeight,
+			"Repeat",
+			int(k.Idempotency),
+			"Group",
+			int(k.DedupScope),
+			"AimUsPer1000PromptTokens",
+			k.LatencyObjectivePer1000,
+			"TokenAim",
+			k.TokenLatencyObjective,
+		)
 	}
 	for i, k := range c.Kinds {
 		line("kind", i, "KindRole", int(k.Role), "KvTokens", k.Memory)
--- a/internal/telemetry/names_test.go
+++ b/internal/telemetry/names_test.go
@@ -10,8 +10,8 @@
 	"brackenbend/internal/golden"
 )
 
-// TestMetricNames: names, kinds, helps, labels and buckets of all metrics but those of the Go runtime and the process. The
-// golden file was recorded before the renaming and is not updated meanwhile.
+// TestMetricNames: names, kinds, helps, labels and buckets of all metrics but those of the Go runtime and the
+// process. The golden file was recorded before the renaming and is not updated meanwhile.
 func TestMetricNames(t *testing.T) {
 	m := NewMetrics()
 	for i, c := range []*prometheus.CounterVec{m.Answers, m.Attempts, m.RejectedConnections, m.EndpointUpdates, m.Releases, m.NotServed, m.ClosedConnections, m.LostRequests} {
