--- /dev/null
+++ b/internal/gateway/accesslog.go
@@ -0,0 +1,142 @@
+package gateway
+
+import (
+	"brackenbend/internal/engine"
+	"brackenbend/routing"
+	"math"
+	"strconv"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// Stages of a request, as metric label values and in log lines.
+const (
+	stagePrefill = "read"
+	stageDecode  = "write"
+)
+
+// resultNames are the results of attempts, as metric label values and in log lines.
+var resultNames = [...]string{
+	routing.Served:            "served",
+	routing.EngineError:       "errored",
+	routing.Rejected:          "turned",
+	routing.TimedOut:          "timed out",
+	routing.ConnectFailed:     "connect failed",
+	routing.ConnectionReset:   "reset",
+	routing.Cancelled:         "cancelled",
+	routing.NotSent:           "not sent",
+	routing.PrefillDone:       "read",
+	routing.RequestIncomplete: "broke unsent",
+}
+
+// pendingResult stands for the result of an attempt that has not ended.
+const pendingResult = "out"
+
+func (a *attempt) stage() string {
+	if a.decode {
+		return stageDecode
+	}
+	return stagePrefill
+}
+
+// stage is the one in which a request without a first token ended.
+func (r *inflightRequest) stage() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, a := range r.attempts {
+		a.resultMu.Lock()
+		prefilled := a.result == resultNames[routing.PrefillDone]
+		a.resultMu.Unlock()
+		if prefilled {
+			return stageDecode
+		}
+	}
+	return stagePrefill
+}
+
+// logAnswer counts a request's final answer and writes its one log line.
+func (r *inflightRequest) logAnswer(g *Gateway) {
+	r.countAnswer(g)
+	entry := g.log.Check(zap.InfoLevel, "answer "+r.result)
+	if entry == nil {
+		return
+	}
+	entry.Write(
+		zap.String("id", r.displayID()),
+		zap.String("class", r.class.Name),
+		zap.Int("status", r.response.Status),
+		zap.String("reason", r.reason),
+		zap.Int("prompt_tokens", int(math.Round(r.traits.PromptTokens))),
+		zap.Duration("first_token", time.Duration(r.firstToken.Load())),
+		zap.Duration("took", time.Since(r.acceptedAt)),
+		zap.Strings("attempts", r.attemptSummaries()),
+		zap.String("tenant", g.tenantName(r.traits.Tenant)),
+		zap.String("session", strconv.FormatUint(r.traits.Session, 16)),
+		zap.String("prefix", prefixName(r.traits.Prefix)),
+		zap.Int("prefix_tokens", int(math.Round(r.traits.PrefixTokens))),
+		zap.Int("max_out", int(r.traits.MaxOutputTokens)),
+		zap.Int64("events", r.eventCount.Load()),
+		zap.Bool("stream", r.collector == nil),
+	)
+}
+
+func (r *inflightRequest) countAnswer(g *Gateway) {
+	g.metrics.Answers.WithLabelValues(r.class.Name, r.result).Inc()
+	if r.reason != "" {
+		g.metrics.NotServed.WithLabelValues(r.result, r.reason).Inc()
+	}
+	firstToken := time.Duration(r.firstToken.Load())
+	if firstToken > 0 {
+		g.metrics.FirstToken.WithLabelValues(r.class.Name).Observe(firstToken.Seconds())
+	}
+	if firstToken == 0 && (r.result == resultRejected || r.result == resultFailed) {
+		g.metrics.LostRequests.WithLabelValues(r.stage()).Inc()
+	}
+}
+
+// attemptSummaries returns engine, result and duration of each attempt.
+func (r *inflightRequest) attemptSummaries() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	summaries := make([]string, 0, len(r.attempts))
+	for _, a := range r.attempts {
+		a.resultMu.Lock()
+		result, elapsed := a.result, a.elapsed
+		a.resultMu.Unlock()
+		if result == "" {
+			result = pendingResult
+		}
+		milliseconds := strconv.FormatInt(elapsed.Milliseconds(), 10)
+		summaries = append(summaries, a.endpoint.Name+" "+result+" "+milliseconds+"ms")
+	}
+	return summaries
+}
+
+// logFailure logs how an attempt ended that was not served: with the answer's line it shows why a request was retried,
+// rejected or failed.
+func (a *attempt) logFailure(l *eventLoop, out *engine.Outcome, elapsed time.Duration) {
+	entry := l.gateway.log.Check(zap.InfoLevel, "attempt failed")
+	if entry == nil {
+		return
+	}
+	entry.Write(
+		zap.String("id", a.request.displayID()),
+		zap.Int("attempt", a.index),
+		zap.String("engine", a.endpoint.Name),
+		zap.String("stage", a.stage()),
+		zap.String("result", resultNames[out.Result]),
+		zap.Bool("no_state", out.StateMissing),
+		zap.Duration("took", elapsed),
+		zap.Object("progress", a.handle.Progress()),
+		zap.Error(out.Err),
+	)
+}
+
+// prefixName is the form of a prompt prefix's hash in logs; "" = none.
+func prefixName(prefix uint64) string {
+	if prefix == 0 {
+		return ""
+	}
+	return strconv.FormatUint(prefix, 16)
+}
--- /dev/null
+++ b/internal/gateway/conn_request.go
@@ -0,0 +1,202 @@
+package gateway
+
+import (
+	"brackenbend/internal/api"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
+	"math"
+	"net/http"
+	"sync/atomic"
+	"time"
+)
+
+// continueResponse is the interim response to a client that waits for it before it sends the body.
+const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
+
+// handleRequest answers one request. It returns whether the connection stays open.
+func (c *clientConn) handleRequest(req *http1.Request) bool {
+	var body http1.Body
+	body.Reset(c.reader, &req.Message, c.gateway.limits)
+	if response := c.gateway.Protocol.RespondDirectly(req); response != nil {
+		return c.respond(req, &body, *response)
+	}
+	return c.serveCompletion(req, &body)
+}
+
+// respond answers a request that never was in flight. A body that was not read ends the connection.
+func (c *clientConn) respond(req *http1.Request, body *http1.Body, response Response) bool {
+	keepAlive := !req.Close && body.AtEOF() && !c.gateway.drainDeadlinePassed()
+	return c.writeResponse(response, keepAlive) == nil && keepAlive
+}
+
+// reject answers an invalid request and counts it under reason.
+func (c *clientConn) reject(req *http1.Request, body *http1.Body, reason string, e *api.Error) bool {
+	c.gateway.metrics.RejectedConnections.WithLabelValues(reason).Inc()
+	return c.respond(req, body, errorResponse(e))
+}
+
+// shed rejects a request that exceeds a limit, before its body is read.
+func (c *clientConn) shed(req *http1.Request, body *http1.Body, reason, message string) bool {
+	c.gateway.metrics.RejectedConnections.WithLabelValues(reason).Inc()
+	return c.respond(req, body, shedResponse(message))
+}
+
+// bodyReservation is the part of the bound on body bytes that is reserved for a body while it is read.
+type bodyReservation struct {
+	total *atomic.Int64
+	bytes int64
+}
+
+func (b *bodyReservation) release() { b.total.Add(-b.bytes) }
+
+// moveTo replaces the reservation by the actual size, which the request holds from here on.
+func (b *bodyReservation) moveTo(request *inflightRequest, size int64) {
+	request.bodyBytes.Store(size)
+	b.total.Add(size - b.bytes)
+	b.bytes = 0
+}
+
+// serveCompletion serves a request for a completion within the bounds on open requests and body bytes.
+func (c *clientConn) serveCompletion(req *http1.Request, body *http1.Body) bool {
+	g := c.gateway
+	if g.drainDeadlinePassed() && g.AcceptWhileDraining == 0 {
+		return c.shed(req, body, "draining", "this front is going down; nothing was done")
+	}
+	if g.openRequests.Add(1) > int64(g.Limits.MaxOpenRequests) {
+		g.openRequests.Add(-1)
+		return c.shed(req, body, "open requests", "too many requests are open at this front; nothing was done")
+	}
+	g.metrics.OpenRequests.Inc()
+	defer func() { g.openRequests.Add(-1); g.metrics.OpenRequests.Dec() }()
+
+	size, maxSize := req.ContentLength, int64(g.Limits.MaxBodyBytes)
+	if size < 0 {
+		size = maxSize
+	}
+	fits := size <= maxSize
+	if !fits {
+		size = 0 // rejected when it is read
+	}
+	if g.bodyBytes.Add(size) > int64(g.Limits.MaxBufferedBodyBytes) && fits {
+		g.bodyBytes.Add(-size)
+		return c.shed(req, body, "body memory", "too many bytes of requests are held at this front; nothing was done")
+	}
+	reservation := bodyReservation{&g.bodyBytes, size}
+	defer reservation.release()
+
+	text, ok := c.readBody(req, body, fits)
+	if !ok {
+		return false
+	}
+	return c.serveParsed(req, body, text, &reservation)
+}
+
+// readBody reads the whole body. On failure the connection ends, after an error response where that is possible.
+func (c *clientConn) readBody(req *http1.Request, body *http1.Body, fits bool) (text []byte, ok bool) {
+	if req.ExpectContinue && fits && c.write([]byte(continueResponse)) != nil {
+		return nil, false
+	}
+	if req.Chunked || req.ContentLength > int64(c.reader.Buffered()) {
+		if c.setReadDeadline(c.readDeadline(c.gateway.Limits.BodyTimeout)) != nil {
+			return nil, false
+		}
+	}
+	text, err := http1.ReadAll(body, int64(c.gateway.Limits.MaxBodyBytes))
+	if err != nil {
+		c.closeReason = closeReasonOf(err)
+		c.writeReadError(err)
+		return nil, false
+	}
+	return text, true
+}
+
+// serveParsed parses a request that has been read and sees it to its end.
+func (c *clientConn) serveParsed(req *http1.Request, body *http1.Body, text []byte, reserved *bodyReservation) bool {
+	g := c.gateway
+	request, e := c.newInflightRequest(req, text)
+	if e != nil {
+		return c.reject(req, body, "invalid", e)
+	}
+	if g.Pipelining == RejectPipelining && c.reader.Buffered() > 0 { // the client may have given up the one before
+		g.metrics.RejectedConnections.WithLabelValues("pipelined").Inc()
+		_ = c.writeResponse(errorResponse(errPipelined), false) // the connection ends either way
+		return false
+	}
+	if !g.claimClientID(request.clientID) {
+		return c.reject(req, body, "open already", &api.Error{
+			Status: http.StatusConflict, Type: errorTypeInvalidRequest, Code: codeDuplicateID,
+			Message: "a request of this id is open",
+		})
+	}
+	defer g.dropClientID(request.clientID)
+	g.mu.Lock()
+	c.hadRequest = true
+	g.mu.Unlock()
+	reserved.moveTo(request, int64(len(text)))
+	defer request.releaseBodyBytes()
+	return c.serveInflight(request)
+}
+
+// newInflightRequest parses a request.
+func (c *clientConn) newInflightRequest(req *http1.Request, body []byte) (*inflightRequest, *api.Error) {
+	g := c.gateway
+	parsed, e := g.Protocol.ParseRequest(req, body)
+	if e != nil {
+		return nil, e
+	}
+	id := g.lastRequestID.Add(1)
+	if id > math.MaxUint32 {
+		g.draining.Store(true)
+		g.log.Error("all 2^32 request ids of this run are used; restart the gateway")
+		return nil, &api.Error{
+			Status: http.StatusServiceUnavailable, Type: errorTypeServer,
+			Message: "this front must be restarted; nothing was done",
+		}
+	}
+	now := time.Now()
+	request := &inflightRequest{
+		id: routing.RequestID(id), clientID: parsed.ClientID, traits: parsed.Routing, bodies: parsed.Prompt,
+		path: parsed.Path, idempotencyKey: parsed.IdempotencyKey, class: &g.classes[parsed.Routing.Class],
+		conn: c, collector: parsed.Collector, chunked: req.Minor == 1,
+		keepAlive:  !req.Close && req.Minor == 1 && !g.drainDeadlinePassed(),
+		acceptedAt: now, done: make(chan struct{}),
+	}
+	timeout := parsed.FirstTokenTimeout
+	if hook := g.hooks.Wait; hook != nil {
+		timeout = hook(timeout)
+	}
+	request.deadline = now.Add(api.WithMargin(timeout, g.AnswerMargin))
+	if parsed.AnswerTimeout > 0 {
+		request.answerDeadline = now.Add(api.WithMargin(parsed.AnswerTimeout, g.AnswerMargin))
+	}
+	return request, nil
+}
+
+// serveInflight passes a request to the event loop and sees it to its end. It returns whether the connection stays
+// open.
+func (c *clientConn) serveInflight(request *inflightRequest) bool {
+	g := c.gateway
+	backstop := request.deadline.Add(g.AnswerMargin / 2)
+	if c.setReadDeadline(backstop) != nil {
+		return false
+	}
+	c.current.Store(request)
+	defer c.current.Store(nil)
+	g.loop.startRequest(request)
+	clientLeft := c.awaitAnswer(request, backstop)
+	if clientLeft {
+		request.result, request.reason = resultClientGone, reasonClientClosed
+	}
+	request.logAnswer(g)
+	if clientLeft {
+		c.closeReason = closeClient
+		return false
+	}
+	if request.response.Status == 0 { // it was a stream
+		return request.keepAlive && !c.pipelined && request.result != resultClientGone &&
+			(request.result != resultBroken || g.BrokenStreams == SendErrorEvent)
+	}
+	keepAlive := request.keepAlive && !c.pipelined && !g.drainDeadlinePassed()
+	request.response.requestID = request.displayID()
+	return c.writeResponse(request.response, keepAlive) == nil && keepAlive
+}
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -71,7 +71,7 @@
 // that chunk has returned. It is the next request on that connection, and not one sent beside the first.
 func TestARequestAtTheEndOfAStream(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
-	r.gateway.RejectPipelining = true
+	r.gateway.Pipelining = RejectPipelining
 	next, lastChunk := make(chan struct{}), make(chan struct{})
 	requests, streams := 0, 0
 	c := r.connect(&hookedConn{
--- a/internal/gateway/forget_test.go
+++ b/internal/gateway/forget_test.go
@@ -30,11 +30,11 @@
 	defer stop()
 	r.gateway.Shutdown(ctx) // the loop is over: its tables may be looked at
 	l := r.gateway.loop
-	if len(l.endpoints) != 2 || len(l.endpointsByID) != 2 || len(l.localities) > 2 {
-		t.Errorf("%d names, %d ids, %d places are kept for 2 engines", len(l.endpoints), len(l.endpointsByID), len(l.localities))
+	if len(l.table.byName) != 2 || len(l.table.byID) != 2 || len(l.table.localities) > 2 {
+		t.Errorf("%d names, %d ids, %d places are kept for 2 engines", len(l.table.byName), len(l.table.byID), len(l.table.localities))
 	}
-	if l.nextLocality < 6000 {
-		t.Errorf("%d numbers were given to 6000 places: one came twice", l.nextLocality)
+	if l.table.nextLocality < 6000 {
+		t.Errorf("%d numbers were given to 6000 places: one came twice", l.table.nextLocality)
 	}
 }
 
@@ -71,11 +71,11 @@
 			t.Errorf("%s: %+v, want it ready at %v", k.name, got, k.want)
 		}
 	}
-	was := l.endpointsByID[first.ID].engine
+	was := l.table.byID[first.ID].engine
 	if moved := tell("127.0.0.1:2", time.Time{}); moved.ID != first.ID {
 		t.Errorf("an engine that moved is another one: %d, was %d", moved.ID, first.ID)
 	}
-	if now := l.endpointsByID[first.ID].engine; was.IsOpen() || !now.IsOpen() || now.Address != "127.0.0.1:2" {
+	if now := l.table.byID[first.ID].engine; was.IsOpen() || !now.IsOpen() || now.Address != "127.0.0.1:2" {
 		t.Errorf("where it was is open: %t; now at %s, open: %t", was.IsOpen(), now.Address, now.IsOpen())
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -42,7 +42,7 @@
 // rig is a front with stand-in engines.
 type rig struct {
 	t       *testing.T
-	gateway       *Gateway
+	gateway *Gateway
 	addr    string
 	engines map[string]*standin.Server
 	list    []endpointslice.Endpoint
@@ -441,16 +441,16 @@
 	for range 2000 {
 		a, b := net.Pipe()
 		f := &Gateway{settings: &config.Settings{Limits: &config.Limits{WriteTimeout: time.Second}}}
-		fl := &inflightRequest{conn: newClientConn(f, a), class: &routing.Class{}, done: make(chan struct{}), chunked: true, acceptedAt: time.Now()}
-		att := &attempt{request: fl, endpoint: &engine.Endpoint{}, post: func(message) {}}
+		request := &inflightRequest{conn: newClientConn(f, a), class: &routing.Class{}, done: make(chan struct{}), chunked: true, acceptedAt: time.Now()}
+		att := &attempt{request: request, endpoint: &engine.Endpoint{}, post: func(routing.Event, localEvent) {}}
 		go io.Copy(io.Discard, b)
 		var wg sync.WaitGroup
 		var won [3]bool
 		start := make(chan struct{})
 		for i, act := range []func() bool{
-			func() bool { return fl.respond(rejectionResponse(routing.Reject{RetryAfter: time.Second})) },
+			func() bool { return request.respond(rejectionResponse(routing.Reject{RetryAfter: time.Second})) },
 			att.Begin,
-			func() bool { return fl.state.CompareAndSwap(answerPending, answerAbandoned) },
+			func() bool { return request.state.CompareAndSwap(answerPending, answerAbandoned) },
 		} {
 			wg.Add(1)
 			go func() { defer wg.Done(); <-start; won[i] = act() }()
--- /dev/null
+++ b/internal/gateway/listener.go
@@ -0,0 +1,117 @@
+package gateway
+
+import (
+	"errors"
+	"net"
+	"os"
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// Bounds on the backoff after a failed accept, which doubles each time.
+const (
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = 100 * time.Millisecond
+)
+
+// Serve accepts clients until Shutdown or a failure of the listener.
+func (g *Gateway) Serve(listener net.Listener) error {
+	if !g.setListener(listener) {
+		_ = listener.Close() // nothing was accepted on it
+		return nil
+	}
+	defer g.goroutines.Done()
+	defer func() { _ = listener.Close() }() // Shutdown may have closed it
+	backoff := minAcceptBackoff
+	for {
+		conn, err := listener.Accept()
+		switch {
+		case err == nil:
+			backoff = minAcceptBackoff
+			g.accept(conn)
+		case g.draining.Load() && (errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)):
+			return nil
+		case errors.Is(err, net.ErrClosed):
+			return err
+		default:
+			// Out of descriptors, for example. Clients wait in the backlog, also while draining; the gateway runs on.
+			g.log.Error("accept failed", zap.Error(err))
+			time.Sleep(backoff)
+			backoff = min(2*backoff, maxAcceptBackoff)
+		}
+	}
+}
+
+// setListener registers Serve with Shutdown. It returns false if Shutdown came first, and may be waiting already.
+func (g *Gateway) setListener(listener net.Listener) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.draining.Load() {
+		return false
+	}
+	g.listener = listener
+	g.goroutines.Add(1)
+	return true
+}
+
+// accept serves a connection in a goroutine of its own, or closes it if there are too many.
+func (g *Gateway) accept(conn net.Conn) {
+	g.mu.Lock()
+	if len(g.conns) >= g.Limits.MaxConnections && !g.evictIdleConn() {
+		g.mu.Unlock()
+		g.metrics.RejectedConnections.WithLabelValues("connections").Inc()
+		_ = conn.Close() // nothing was read from it or written to it
+		return
+	}
+	c := newClientConn(g, conn)
+	g.conns[c] = struct{}{}
+	g.goroutines.Add(1)
+	g.mu.Unlock()
+	g.metrics.ClientConnections.Inc()
+	go func() {
+		defer g.goroutines.Done()
+		c.serve()
+		g.mu.Lock()
+		delete(g.conns, c)
+		g.mu.Unlock()
+		g.metrics.ClientConnections.Dec()
+		g.metrics.ClosedConnections.WithLabelValues(c.closeReason).Inc()
+	}()
+}
+
+// evictIdleConn closes the connection that has been idle longest, if it has been for MinIdleTime. Connections that have
+// not sent any request go first, without that minimum: their request should have followed at once. g.mu is held.
+func (g *Gateway) evictIdleConn() bool {
+	if g.MinIdleTime == 0 {
+		return false
+	}
+	now := time.Now().UnixNano()
+	for {
+		oldest, idleSince := g.oldestIdleConn(now)
+		if oldest == nil {
+			return false
+		}
+		if oldest.closeIfIdleSince(idleSince) { // otherwise a request has arrived on it
+			delete(g.conns, oldest)
+			return true
+		}
+	}
+}
+
+// oldestIdleConn finds the connection to evict, and since when it has been idle. g.mu is held.
+func (g *Gateway) oldestIdleConn(now int64) (oldest *clientConn, idleSince int64) {
+	for c := range g.conns {
+		since := c.idleSince.Load()
+		switch {
+		case since <= 0 || c.hadRequest && now-since < int64(g.MinIdleTime):
+			continue
+		case oldest != nil && !oldest.hadRequest && c.hadRequest:
+			continue
+		}
+		if oldest == nil || oldest.hadRequest && !c.hadRequest || since < idleSince {
+			oldest, idleSince = c, since
+		}
+	}
+	return oldest, idleSince
+}
--- a/internal/gateway/openai.go
+++ b/internal/gateway/openai.go
@@ -5,74 +5,85 @@
 	"brackenbend/internal/config"
 	"brackenbend/internal/http1"
 	"brackenbend/routing"
+	"net/http"
 	"strings"
 	"sync/atomic"
 )
 
-// openAI is the way in by OpenAI's API.
+// openAI is the client protocol of OpenAI's API.
 type openAI struct {
-	classes []routing.Class
-	routes  atomic.Pointer[api.Classifier]
-	limits  *config.Limits
+	classes    []routing.Class
+	classifier atomic.Pointer[api.Classifier] // replaced by Gateway.Reload
+	limits     *config.Limits
 }
 
-func newOpenAI(set *config.Settings) *openAI {
-	o := &openAI{classes: set.RoutingConfig().Classes, limits: set.Limits}
-	o.routes.Store(set.Classifier())
+func newOpenAI(settings *config.Settings) *openAI {
+	o := &openAI{classes: settings.RoutingConfig().Classes, limits: settings.Limits}
+	o.classifier.Store(settings.Classifier())
 	return o
 }
 
 func invalidRequest(status int, code, message string) *Response {
-	e := &api.Error{Status: status, Type: "invalid_request_error", Code: code, Message: message}
-	return &Response{Status: status, Body: e.JSON()}
+	response := errorResponse(&api.Error{Status: status, Type: errorTypeInvalidRequest, Code: code, Message: message})
+	return &response
 }
 
-// RespondDirectly implements Way.
+// RespondDirectly implements ClientProtocol.
 func (o *openAI) RespondDirectly(req *http1.Request) *Response {
 	path := req.Path()
 	switch {
 	case path == api.PathChat || path == api.PathCompletions:
-		if req.Method != "POST" {
-			return invalidRequest(405, "", "use POST")
+		if req.Method != http.MethodPost {
+			return invalidRequest(http.StatusMethodNotAllowed, "", "use POST")
 		}
 		return nil
 	case path == api.PathModels || strings.HasPrefix(path, api.PathModels+"/"):
-		if req.Method != "GET" {
-			return invalidRequest(405, "", "use GET")
+		if req.Method != http.MethodGet {
+			return invalidRequest(http.StatusMethodNotAllowed, "", "use GET")
 		}
-		text, e := o.routes.Load().ModelList(strings.TrimPrefix(strings.TrimPrefix(path, api.PathModels), "/"))
-		if e != nil {
-			return &Response{Status: e.Status, Body: e.JSON()}
-		}
-		return &Response{Status: 200, Body: text}
+		return o.respondModels(strings.TrimPrefix(strings.TrimPrefix(path, api.PathModels), "/"))
+	}
+	return invalidRequest(http.StatusNotFound, codeNotFound, "nothing is served at this path")
+}
+
+// respondModels returns one model, or all with an empty name.
+func (o *openAI) respondModels(name string) *Response {
+	text, e := o.classifier.Load().ModelList(name)
+	if e != nil {
+		response := errorResponse(e)
+		return &response
 	}
-	return invalidRequest(404, "not_found", "nothing is served at this path")
+	return &Response{Status: http.StatusOK, Body: text}
 }
 
-// ParseRequest implements Way.
+// ParseRequest implements ClientProtocol.
 func (o *openAI) ParseRequest(req *http1.Request, body []byte) (*ParsedRequest, *api.Error) {
-	r, e := api.Parse(req.Path(), body)
+	request, e := api.Parse(req.Path(), body)
 	if e != nil {
 		return nil, e
 	}
-	t, e := o.routes.Load().Classify(r, req.Header)
+	traits, e := o.classifier.Load().Classify(request, req.Header)
 	if e != nil {
 		return nil, e
 	}
-	class := &o.classes[t.Class]
-	if class.Idempotency == routing.IdempotentWithKey && t.IdempotencyKey == "" {
+	class := &o.classes[traits.Class]
+	switch {
+	case class.Idempotency != routing.IdempotentWithKey:
+		traits.IdempotencyKey = ""
+	case traits.IdempotencyKey == "":
 		return nil, &api.Error{
-			Status: 400, Type: "invalid_request_error", Code: "idempotency_key_missing",
+			Status: http.StatusBadRequest, Type: errorTypeInvalidRequest, Code: codeNoIdempotencyKey,
 			Message: "requests of the class " + class.Name + " need an Idempotency-Key header",
 		}
 	}
-	if class.Idempotency != routing.IdempotentWithKey {
-		t.IdempotencyKey = ""
+	timeout := api.ClientTimeout(req.Header)
+	parsed := &ParsedRequest{
+		Routing: traits.RoutingRequest(0, 0), Prompt: request, Path: request.Path, IdempotencyKey: traits.IdempotencyKey,
+		FirstTokenTimeout: api.EffectiveTimeout(class.Deadline, timeout),
 	}
-	told := api.ClientTimeout(req.Header)
-	taken := &ParsedRequest{Routing: t.RoutingRequest(0, 0), Prompt: r, Path: r.Path, IdempotencyKey: t.IdempotencyKey, FirstTokenTimeout: api.EffectiveTimeout(class.Deadline, told)}
-	if !r.Stream {
-		taken.Collector, taken.AnswerTimeout = api.NewCollector(r.Chat, int(o.limits.MaxCollectedBytes)), told
+	if !request.Stream {
+		parsed.Collector = api.NewCollector(request.Chat, int(o.limits.MaxCollectedBytes))
+		parsed.AnswerTimeout = timeout
 	}
-	return taken, nil
+	return parsed, nil
 }
--- a/internal/gateway/release_test.go
+++ b/internal/gateway/release_test.go
@@ -16,12 +16,12 @@
 		l := r.gateway.loop
 		read, write := &attempt{endpoint: &engine.Endpoint{}, neverRan: true, ended: make(chan struct{})}, &attempt{decode: true, pending: true}
 		close(read.ended)
-		fl := &inflightRequest{attempts: []*attempt{read, write}, pendingAttempts: 1}
-		if l.releaseRequested(fl); read.releaseStarted {
+		request := &inflightRequest{attempts: []*attempt{read, write}, pendingAttempts: 1}
+		if l.releaseRequested(request); read.releaseStarted {
 			t.Errorf("%s: released under the write", name)
 		}
 		end(write)
-		if l.releaseRequested(fl); !read.releaseStarted {
+		if l.releaseRequested(request); !read.releaseStarted {
 			t.Errorf("%s: not released after the write", name)
 		}
 	}
--- /dev/null
+++ b/internal/gateway/status.go
@@ -0,0 +1,71 @@
+package gateway
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+)
+
+const (
+	tickInterval   = time.Second      // between looks at idle connections and held states
+	statusInterval = 10 * time.Second // between status lines
+	maxOverdueLogs = 5                // lines about overdue states at a time
+)
+
+// tick closes expired idle connections to engines, and has the event loop check the states held.
+func (l *eventLoop) tick() {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			l.engines.CloseExpiredIdle()
+			l.post(nil, statusDue{})
+		case <-l.done:
+			return
+		}
+	}
+}
+
+// checkStates logs states that are held beyond their TTL while no stream has begun, and every statusInterval a status
+// line.
+func (l *eventLoop) checkStates() {
+	var oldest time.Duration
+	held, pendingAttempts, overdue := 0, 0, 0
+	for _, request := range l.requests {
+		pendingAttempts += request.pendingAttempts
+		if request.heldState.since.IsZero() {
+			continue
+		}
+		held++
+		age := time.Since(request.heldState.since)
+		oldest = max(oldest, age)
+		if age > l.stateTTL() && overdue < maxOverdueLogs {
+			overdue++
+			l.logOverdue(request, age)
+		}
+	}
+	if time.Since(l.statusLoggedAt) < statusInterval {
+		return
+	}
+	l.statusLoggedAt = time.Now()
+	l.gateway.log.Info("status",
+		zap.Int("open_requests", len(l.requests)),
+		zap.Int("attempts_out", pendingAttempts),
+		zap.Int("states_held", held),
+		zap.Duration("oldest_state", oldest),
+		zap.Int("client_connections", l.gateway.connections()),
+		zap.Int64("engine_connections", l.engines.OpenConns()),
+	)
+}
+
+func (l *eventLoop) logOverdue(request *inflightRequest, age time.Duration) {
+	last := request.attempts[len(request.attempts)-1]
+	l.gateway.log.Warn("read state overdue",
+		zap.String("id", request.displayID()),
+		zap.String("reader", request.heldState.endpoint),
+		zap.Duration("held_for", age),
+		zap.String("last_attempt", last.endpoint.Name),
+		zap.Object("progress", last.handle.Progress()),
+	)
+}
--- a/internal/gateway/testhooks.go
+++ b/internal/gateway/testhooks.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// TestHooks is where tests bend a front, to see whether days and their auditor notice it. Each function may change what
-// passes; nil changes nothing. The program sets none of them.
+// TestHooks lets tests inject faults into a gateway, to see whether scenarios and their audit detect them. Each
+// function may change what passes through it; nil changes nothing. The program sets none of them.
 type TestHooks struct {
 	Settings func(*routing.Config)
-	Request  func(*routing.Request) // as told to the module
+	Request  func(*routing.Request) // before it is passed to the router
 	Wait     func(time.Duration) time.Duration
 	List     func(*endpointslice.Update)
-	Outcome  func(write bool, o *engine.Outcome) // what the outcome table made of an attempt's end
+	Outcome  func(write bool, o *engine.Outcome) // the classified end of an attempt
 	Action   func(routing.Action) []routing.Action
-	Key      func(string) string       // Idempotency-Key towards engines
-	Answer   func(whole []byte) []byte // an answer that is not a stream, as it goes out
-	Gate     func(*engine.Endpoint)    // after a server was opened or shut
+	Key      func(string) string       // Idempotency-Key sent to engines
+	Answer   func(whole []byte) []byte // a response that is not a stream, before it is written
+	Gate     func(*engine.Endpoint)    // after an endpoint was opened or closed
 }
 
-// Hooks is the seam of the fronts made from now on. Tests set it in the process of a front, before the front is made.
+// Hooks are the test hooks of gateways made from now on. Tests set it before they make a gateway.
 var Hooks TestHooks
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -312,15 +312,15 @@
 		return &Gateway{Options: Options{Limits: config.Limits{WriteTimeout: time.Minute}}}
 	}
 	for _, form := range []struct {
-		name             string
-		waits, fractions bool
-	}{{"no waits", false, false}, {"whole seconds", true, false}, {"fractions", true, true}} {
+		name       string
+		retryAfter RetryAfterFormat
+	}{{"no waits", NoRetryAfter}, {"whole seconds", RetryAfterSeconds}, {"fractions", RetryAfterFractional}} {
 		f := front()
-		f.SendRetryAfter, f.FractionalRetryAfter = form.waits, form.fractions
+		f.RetryAfter = form.retryAfter
 		for _, wait := range []time.Duration{0, time.Millisecond, time.Second, 1500 * time.Millisecond, 61 * time.Second} {
 			for _, handUp := range []bool{false, true} {
 				a := rejectionResponse(routing.Reject{RetryAfter: wait, NoAutoRetry: handUp})
-				a.id = "an-id"
+				a.requestID = "an-id"
 				fmt.Fprintf(&all, "== refusal, %s, wait %d ms, not to be repeated %v\n%s", form.name, wait.Milliseconds(), handUp,
 					send(f, a, handUp))
 			}
@@ -331,17 +331,17 @@
 		is   routing.Idempotency
 	}{{"safe", routing.Idempotent}, {"keyed", routing.IdempotentWithKey}, {"unsafe", routing.NotIdempotent}} {
 		for _, late := range []bool{false, true} {
-			fl := &inflightRequest{class: &routing.Class{Idempotency: effect.is}, deadline: now.Add(time.Hour)}
+			request := &inflightRequest{class: &routing.Class{Idempotency: effect.is}, deadline: now.Add(time.Hour)}
 			if late {
-				fl.deadline = now
+				request.deadline = now
 			}
 			for _, reason := range []string{reasonStreamBroke, reasonNoDecision, reasonAnswerTimeout} {
 				fmt.Fprintf(&all, "== failure, %s, time is up %v, %s\n%s", effect.name, late, reason,
-					send(front(), failureResponse(fl, reason), true))
+					send(front(), failureResponse(request, reason), true))
 			}
 		}
 	}
 	fmt.Fprintf(&all, "== failure of a repeat\n%s", send(front(), possibleDuplicateResponse(), false))
-	fmt.Fprintf(&all, "== two at once\n%s", send(front(), Response{Status: errPipelined.Status, Body: errPipelined.JSON()}, false))
+	fmt.Fprintf(&all, "== two at once\n%s", send(front(), errorResponse(errPipelined), false))
 	golden(t, "refusal-and-failure.golden", all.String())
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,9 +110,14 @@
 		dial = dialTime
 	}
 	linger, _ := c.drain()
+	retryAfter := gateway.NoRetryAfter
+	if site.RetryAfter {
+		retryAfter = gateway.RetryAfterFractional
+	}
 	return gateway.Options{
 		Routing: site.Routing, Kinds: site.Kinds, Tenants: site.Tenants, Seed: c.Seed, Protocol: way, Limits: b.limits(), AnswerMargin: margin,
-		FirstRequestTimeout: firstTime, MinIdleTime: idleLeast, AcceptWhileDraining: linger, CutBrokenStreams: true, RejectPipelining: true, SendRetryAfter: site.RetryAfter, FractionalRetryAfter: true,
+		FirstRequestTimeout: firstTime, MinIdleTime: idleLeast, AcceptWhileDraining: linger,
+		BrokenStreams: gateway.CloseConnection, Pipelining: gateway.RejectPipelining, RetryAfter: retryAfter,
 		Engines: &engine.Client{
 			Protocol: protocol.Engines{}, LoadReportHeader: protocol.HeaderLoadReport, StateByRequestID: true, RequireLastChunk: true, RunsWhenComplete: true, SettleDelay: settle,
 			DialTimeout: dial, HeaderTimeout: headTime, MaxStreamBytes: bodyMost, MaxConnsPerEndpoint: b.MaxConnsPerEngine, MaxConns: b.MaxEngineConns, MaxIdlePerEndpoint: b.MaxConnsPerEngine,
--- a/internal/node/protocol/protocol.go
+++ b/internal/node/protocol/protocol.go
@@ -63,7 +63,7 @@
 	return &api.Error{Status: status, Type: "invalid_request_error", Message: fmt.Sprintf(format, a...)}
 }
 
-// RespondDirectly implements gateway.Way.
+// RespondDirectly implements gateway.ClientProtocol.
 func (c *Clients) RespondDirectly(req *http1.Request) *gateway.Response {
 	switch path := req.Path(); {
 	case path == pathHealth && (req.Method == "GET" || req.Method == "HEAD"):
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// ParseRequest implements gateway.Way. Nothing that an engine could not use passes.
+// ParseRequest implements gateway.ClientProtocol. Nothing that an engine could not use passes.
 func (c *Clients) ParseRequest(req *http1.Request, body []byte) (*gateway.ParsedRequest, *api.Error) {
 	h, once := req.Header, map[string]string{}
 	for _, f := range h {
