--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -22,8 +22,8 @@
 
 	// Owned by the connection's goroutine.
 	reader      *bufio.Reader
-	pipelined   bool   // the client sent more while a request was in flight
 	closeReason string // metric label
+	pipelined   bool   // the client sent more while a request was in flight
 
 	// Owned by whoever writes to the connection: its goroutine, or the attempt that has begun to stream.
 	wroteResponse      bool
--- a/internal/gateway/release_call.go
+++ b/internal/gateway/release_call.go
@@ -90,7 +90,7 @@
 		attempts[i].Cancel()
 	}
 	for ; pending > 0; pending-- {
-		_ = <-results // of a canceled call
+		<-results //nolint:errcheck // the result of a canceled call
 	}
 	l.logRelease(r, asked, time.Since(began), err)
 	return err
