--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"bytes"
-	"flag"
 	"os"
 	"strings"
 	"testing"
 	"time"
-)
 
-var update = flag.Bool("update", false, "write the schema anew")
+	"brackenbend/internal/golden"
+)
 
 const (
 	schemaFile  = "../../deploy/brackenbend.xsd"
@@ -35,7 +34,7 @@
 }
 
 func TestCommittedSchemaIsTheCheckers(t *testing.T) {
-	if *update {
+	if golden.Updating() {
 		if err := os.WriteFile(schemaFile, Schema(), 0o644); err != nil {
 			t.Fatal(err)
 		}
