--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -3,7 +3,6 @@
 package api
 
 import (
-	"brackenbend/internal/http1"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -15,6 +14,8 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/tidwall/gjson"
+
+	"brackenbend/internal/http1"
 )
 
 // The paths served.
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -1,11 +1,12 @@
 package api
 
 import (
-	"brackenbend/internal/http1"
 	"encoding/json"
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/http1"
 )
 
 func TestParseNamesWhatIsWrong(t *testing.T) {
--- a/internal/api/classify.go
+++ b/internal/api/classify.go
@@ -1,8 +1,6 @@
 package api
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
@@ -10,6 +8,9 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // Source is where a rule or a key looks.
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
-	"brackenbend/internal/engine"
-	"brackenbend/routing"
 	"math"
 	"strconv"
 	"time"
 
 	"go.uber.org/zap"
+
+	"brackenbend/internal/engine"
+	"brackenbend/routing"
 )
 
 // Stages of a request, as metric label values and in log lines.
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -1,11 +1,12 @@
 package gateway
 
 import (
-	"brackenbend/routing"
 	"slices"
 	"time"
 
 	"go.uber.org/zap"
+
+	"brackenbend/routing"
 )
 
 // perform carries out an action of the router, or what the test hook makes of it.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -1,11 +1,12 @@
 package gateway
 
 import (
-	"brackenbend/internal/engine"
-	"brackenbend/routing"
 	"encoding/json"
 	"sync"
 	"time"
+
+	"brackenbend/internal/engine"
+	"brackenbend/routing"
 )
 
 // attempt is one send of a request to an engine.
--- a/internal/gateway/conn_read.go
+++ b/internal/gateway/conn_read.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/internal/http1"
 	"errors"
 	"io"
 	"net/http"
 	"os"
 	"time"
+
+	"brackenbend/internal/api"
+	"brackenbend/internal/http1"
 )
 
 // Why a client's connection was closed, as a metric label.
--- a/internal/gateway/conn_request.go
+++ b/internal/gateway/conn_request.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"math"
 	"net/http"
 	"sync/atomic"
 	"time"
+
+	"brackenbend/internal/api"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // continueResponse is the interim response to a client that waits for it before it sends the body.
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"brackenbend/routing"
 	"bytes"
 	"io"
 	"net"
@@ -13,6 +12,8 @@
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus/testutil"
+
+	"brackenbend/routing"
 )
 
 // hookedConn is a client's connection, at the front's end, that stops at named points.
--- a/internal/gateway/disconnect.go
+++ b/internal/gateway/disconnect.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
-	"brackenbend/internal/socket"
-	"brackenbend/routing"
 	"errors"
 	"os"
 	"time"
 
 	"go.uber.org/zap"
+
+	"brackenbend/internal/socket"
+	"brackenbend/routing"
 )
 
 // This file is the connection goroutine's wait for the end of its in-flight request. A read at the same time shows
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -1,14 +1,15 @@
 package gateway
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/engine"
-	"brackenbend/routing"
 	"maps"
 	"slices"
 	"time"
 
 	"go.uber.org/zap"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/engine"
+	"brackenbend/routing"
 )
 
 // endpointTable holds the engines of the endpoint list. It is owned by the event loop.
--- a/internal/gateway/evict_test.go
+++ b/internal/gateway/evict_test.go
@@ -1,10 +1,11 @@
 package gateway
 
 import (
-	"brackenbend/internal/http1"
 	"net"
 	"testing"
 	"time"
+
+	"brackenbend/internal/http1"
 )
 
 // racing is a client's connection on which a request arrives while something else happens.
--- a/internal/gateway/forget_test.go
+++ b/internal/gateway/forget_test.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/routing"
 	"context"
 	"fmt"
 	"net/http"
 	"testing"
 	"time"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/routing"
 )
 
 // TestEnginesThatAreGoneAreForgotten: thousands of names pass through a front; its tables hold what is listed and what
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,11 +18,6 @@
 package gateway
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/http1"
-	"brackenbend/internal/telemetry"
-	"brackenbend/routing"
 	"crypto/rand"
 	"encoding/binary"
 	"fmt"
@@ -33,6 +28,12 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/http1"
+	"brackenbend/internal/telemetry"
+	"brackenbend/routing"
 )
 
 // Gateway is one replica. Make it with New or NewFromSettings, pass it endpoint lists with UpdateEndpoints, and run it
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -1,12 +1,6 @@
 package gateway
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/engine"
-	"brackenbend/internal/fake/enginemodel"
-	"brackenbend/internal/telemetry"
-	"brackenbend/routing"
 	"bufio"
 	"context"
 	"errors"
@@ -27,7 +21,13 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
+	"brackenbend/internal/config"
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/engine"
 	standin "brackenbend/internal/fake/engine"
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/telemetry"
+	"brackenbend/routing"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/routing"
 	"encoding/json"
 	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"brackenbend/internal/api"
+	"brackenbend/routing"
 )
 
 // answerState is the state of a request's answer. Whoever moves it on from answerPending owns the answer, so that there
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -1,14 +1,15 @@
 package gateway
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/engine"
-	"brackenbend/routing"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/engine"
+	"brackenbend/routing"
 )
 
 // eventLoop is the one goroutine that owns the router. It never blocks: connections and attempts run in goroutines of
--- a/internal/gateway/openai.go
+++ b/internal/gateway/openai.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
+	"net/http"
+	"strings"
+	"sync/atomic"
+
 	"brackenbend/internal/api"
 	"brackenbend/internal/config"
 	"brackenbend/internal/http1"
 	"brackenbend/routing"
-	"net/http"
-	"strings"
-	"sync/atomic"
 )
 
 // openAI is the client protocol of OpenAI's API.
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -1,16 +1,17 @@
 package gateway
 
 import (
+	"encoding/json"
+	"time"
+
+	"go.uber.org/zap"
+
 	"brackenbend/internal/api"
 	"brackenbend/internal/config"
 	"brackenbend/internal/engine"
 	"brackenbend/internal/http1"
 	"brackenbend/internal/telemetry"
 	"brackenbend/routing"
-	"encoding/json"
-	"time"
-
-	"go.uber.org/zap"
 )
 
 // ClientProtocol is the protocol that clients speak. OpenAI's API is built in; a platform may supply another.
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -1,10 +1,11 @@
 package gateway
 
 import (
-	"brackenbend/internal/engine"
 	"cmp"
 	"slices"
 	"time"
+
+	"brackenbend/internal/engine"
 )
 
 // Releasing what prefills left at engines. Where states are identified by attempt, each prefill endpoint is asked to
--- a/internal/gateway/release_call.go
+++ b/internal/gateway/release_call.go
@@ -1,11 +1,12 @@
 package gateway
 
 import (
-	"brackenbend/internal/engine"
 	"errors"
 	"time"
 
 	"go.uber.org/zap"
+
+	"brackenbend/internal/engine"
 )
 
 // errNoEngine is the error of a release for which there is no engine to ask.
--- a/internal/gateway/release_test.go
+++ b/internal/gateway/release_test.go
@@ -1,8 +1,9 @@
 package gateway
 
 import (
-	"brackenbend/internal/engine"
 	"testing"
+
+	"brackenbend/internal/engine"
 )
 
 // TestAReleaseByAttemptSparesAWaitingWrite: engines that are told by each attempt's id can't see that a writer waits for the state. A
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -1,14 +1,15 @@
 package gateway
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/internal/engine"
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"math"
 	"net/http"
 	"strconv"
 	"time"
+
+	"brackenbend/internal/api"
+	"brackenbend/internal/engine"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // Response is a response to a client that is not a stream.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -1,14 +1,15 @@
 package gateway
 
 import (
-	"brackenbend/internal/engine"
-	"brackenbend/internal/http1"
-	"brackenbend/internal/sse"
-	"brackenbend/routing"
 	"errors"
 	"net/http"
 	"sync"
 	"time"
+
+	"brackenbend/internal/engine"
+	"brackenbend/internal/http1"
+	"brackenbend/internal/sse"
+	"brackenbend/routing"
 )
 
 // This file relays an attempt's stream to the client. All of it runs in the attempt's worker.
--- a/internal/gateway/testhooks.go
+++ b/internal/gateway/testhooks.go
@@ -1,10 +1,11 @@
 package gateway
 
 import (
+	"time"
+
 	"brackenbend/internal/endpointslice"
 	"brackenbend/internal/engine"
 	"brackenbend/routing"
-	"time"
 )
 
 // TestHooks lets tests inject faults into a gateway, to see whether scenarios and their audit detect them. Each
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -1,10 +1,6 @@
 package gateway
 
 import (
-	"brackenbend/internal/config"
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"bufio"
 	"flag"
 	"fmt"
@@ -18,6 +14,11 @@
 	"sync"
 	"testing"
 	"time"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 var update = flag.Bool("update", false, "write the golden files")
