--- /dev/null
+++ b/internal/gateway/conn_test.go
@@ -0,0 +1,191 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"brackenbend/internal/http1"
+)
+
+func TestMalformedRequestIsAnsweredAndConnectionClosed(t *testing.T) {
+	r := newRig(t, `head="2KiB" body="1KiB" head-time="200ms" body-time="200ms"`, "reader", "writer")
+	const post = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n"
+	for _, c := range []struct{ name, send, status string }{
+		{"smuggling: two lengths", post + "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}", "400"},
+		{
+			"smuggling: length and chunked",
+			post + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400",
+		},
+		{"bare LF", "GET /v1/models HTTP/1.1\nHost: a\n\n", "400"},
+		{"head too large", "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 3000) + "\r\n\r\n", "431"},
+		{"body too large", request(strings.Repeat("x", 2000), ""), "413"},
+		{
+			"chunked body too large",
+			post + "Transfer-Encoding: chunked\r\n\r\n800\r\n" + strings.Repeat("x", 2048) + "\r\n0\r\n\r\n", "413",
+		},
+		{"partial body", strings.TrimSuffix(request(chat(true, 2), "Connection: close\r\n"), "]}"), "408"},
+		{"partial head", "GET /v1/models HTTP/1.1\r\n", "408"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got := r.raw(c.send)
+			if !strings.HasPrefix(got, "HTTP/1.1 "+c.status) || strings.Count(got, "HTTP/1.1 ") != 1 {
+				t.Errorf("%.200q", got)
+			}
+		})
+	}
+}
+
+func TestRequestFraming(t *testing.T) {
+	r := newRig(t, "", "reader", "writer")
+	const lastRequest = "Connection: close\r\n"
+	t.Run("pipelined", func(t *testing.T) {
+		got := r.raw(request(chat(true, 3), "") + request(chat(true, 4), lastRequest))
+		if strings.Count(got, "HTTP/1.1 200") != 2 || strings.Count(got, "[DONE]") != 2 ||
+			strings.Index(got, "w3") < strings.Index(got, "[DONE]") {
+			t.Errorf("%q", got)
+		}
+	})
+	t.Run("a byte at a time", func(t *testing.T) {
+		got := r.raw(strings.Split(request(chat(true, 3), lastRequest), "")...)
+		if strings.Count(got, "[DONE]") != 1 {
+			t.Errorf("%q", got)
+		}
+	})
+	t.Run("100-continue", func(t *testing.T) {
+		got := r.raw(request(chat(true, 1), lastRequest+"Expect: 100-continue\r\n"))
+		if !strings.HasPrefix(got, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200") {
+			t.Errorf("%q", got)
+		}
+	})
+	t.Run("HTTP/1.0", func(t *testing.T) {
+		got := r.raw(strings.Replace(request(chat(true, 3), ""), "HTTP/1.1", "HTTP/1.0", 1))
+		if strings.Contains(got, "chunked") || !strings.HasSuffix(got, "data: [DONE]\n\n") {
+			t.Errorf("%q", got)
+		}
+	})
+}
+
+func TestLimitsShedRequestsAndConnections(t *testing.T) {
+	r := newRig(t, `open-requests="1" connections="3"`, "reader", "writer")
+	r.dial(request(chat(true, 100000), ""))
+	r.awaitOpenRequests(1)
+	if resp, text := r.post("ask", chat(true, 1)); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "1" {
+		t.Errorf("%d %q", resp.StatusCode, text)
+	}
+	http.DefaultClient.CloseIdleConnections()
+	var last net.Conn
+	for range 5 {
+		last = r.dial("")
+	}
+	_ = last.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if _, err := last.Read(make([]byte, 1)); err == nil || errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("a connection over the limit stays: %v", err)
+	}
+}
+
+// racingConn is a client's connection on which a request arrives while something else happens.
+type racingConn struct {
+	net.Conn
+	meanwhile func()
+	closed    bool
+}
+
+func (c *racingConn) Read(p []byte) (int, error) {
+	c.meanwhile()
+	return copy(p, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n"), nil
+}
+func (c *racingConn) Close() error                    { c.closed = true; return nil }
+func (c *racingConn) SetReadDeadline(time.Time) error { return nil }
+
+// TestEvictionRacesWithRequest: a request arrives in the moment in which its connection is evicted. Its client sees the
+// close and sends it again, so begun here it would run twice. A connection whose request came first stays.
+func TestEvictionRacesWithRequest(t *testing.T) {
+	for name, during := range map[string]bool{"evicted first": true, "request first": false} {
+		t.Run(name, func(t *testing.T) {
+			g := &Gateway{
+				Options: Options{MinIdleTime: time.Nanosecond},
+				limits:  http1.Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 10},
+				conns:   map[*clientConn]struct{}{},
+			}
+			conn := &racingConn{meanwhile: func() {}}
+			evicted := false
+			if during {
+				conn.meanwhile = func() {
+					time.Sleep(time.Microsecond)
+					evicted = g.evictIdleConn()
+				}
+			}
+			c := newClientConn(g, conn)
+			c.hadRequest = true
+			g.conns[c] = struct{}{}
+			req, err := c.readRequest()
+			if !during {
+				evicted = g.evictIdleConn()
+			}
+			if (req == nil) != during || (err != nil) != during || evicted != during || conn.closed != during {
+				t.Errorf("request %v, error %v, evicted %v, closed %v", req != nil, err, evicted, conn.closed)
+			}
+		})
+	}
+}
+
+// hookedConn is a client's connection, at the gateway's end, that stops at named points.
+type hookedConn struct {
+	*net.TCPConn
+	beforeRead func()
+	afterRead  func(p []byte)
+	afterWrite func(p []byte)
+}
+
+func (c *hookedConn) Read(p []byte) (int, error) {
+	if c.beforeRead != nil {
+		c.beforeRead()
+	}
+	n, err := c.TCPConn.Read(p)
+	if c.afterRead != nil && n > 0 {
+		c.afterRead(p[:n])
+	}
+	return n, err
+}
+
+func (c *hookedConn) Write(p []byte) (int, error) {
+	n, err := c.TCPConn.Write(p)
+	if c.afterWrite != nil {
+		c.afterWrite(p[:n])
+	}
+	return n, err
+}
+
+// connect makes a client's connection whose other end, with hooks, is passed to the gateway once before has returned.
+func (r *rig) connect(hooked *hookedConn, before ...func(*net.TCPConn)) *net.TCPConn {
+	r.t.Helper()
+	l := listen(r.t)
+	defer closeQuietly(l)
+	client, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.t.Cleanup(func() { closeQuietly(client) })
+	hooked.TCPConn, err = l.AcceptTCP()
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	for _, f := range before {
+		f(client.(*net.TCPConn))
+	}
+	r.gateway.accept(hooked)
+	return client.(*net.TCPConn)
+}
+
+// readAll reads until the gateway closes the connection.
+func readAll(c net.Conn) (string, error) {
+	_ = c.SetReadDeadline(time.Now().Add(patience))
+	text, err := io.ReadAll(c)
+	return string(text), err
+}
--- a/internal/gateway/release_test.go
+++ b/internal/gateway/release_test.go
@@ -6,24 +6,27 @@
 	"brackenbend/internal/engine"
 )
 
-// TestAReleaseByAttemptSparesAWaitingWrite: engines that are told by each attempt's id can't see that a writer waits for the state. A
-// release that is asked for meanwhile is left out; one that follows the write's end, or its being called off, is given.
-func TestAReleaseByAttemptSparesAWaitingWrite(t *testing.T) {
-	for name, end := range map[string]func(write *attempt){
-		"ended":      func(write *attempt) { write.pending = false },
-		"called off": func(write *attempt) { write.handle.Cancel() },
+// TestReleaseByAttemptSparesWaitingDecode: engines that are asked by an attempt's id can't see that a decode waits for
+// the state. A release that the router wants meanwhile is left out; one that follows the decode's end, or its
+// cancellation, is sent.
+func TestReleaseByAttemptSparesWaitingDecode(t *testing.T) {
+	for name, end := range map[string]func(decode *attempt){
+		"ended":    func(decode *attempt) { decode.pending = false },
+		"canceled": func(decode *attempt) { decode.handle.Cancel() },
 	} {
-		r := newRig(t, "", "reader", "writer")
-		l := r.gateway.loop
-		read, write := &attempt{endpoint: &engine.Endpoint{}, neverRan: true, ended: make(chan struct{})}, &attempt{decode: true, pending: true}
-		close(read.ended)
-		request := &inflightRequest{attempts: []*attempt{read, write}, pendingAttempts: 1}
-		if l.releaseRequested(request); read.releaseStarted {
-			t.Errorf("%s: released under the write", name)
-		}
-		end(write)
-		if l.releaseRequested(request); !read.releaseStarted {
-			t.Errorf("%s: not released after the write", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			l := newRig(t, "", "reader", "writer").gateway.loop
+			prefill := &attempt{endpoint: &engine.Endpoint{}, neverRan: true, ended: make(chan struct{})}
+			decode := &attempt{decode: true, pending: true}
+			close(prefill.ended)
+			request := &inflightRequest{attempts: []*attempt{prefill, decode}, pendingAttempts: 1}
+			if l.releaseRequested(request); prefill.releaseStarted {
+				t.Error("released while the decode was pending")
+			}
+			end(decode)
+			if l.releaseRequested(request); !prefill.releaseStarted {
+				t.Error("not released after the decode")
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/gateway/rig_test.go
@@ -0,0 +1,255 @@
+package gateway
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+	"go.uber.org/zap"
+
+	"brackenbend/internal/config"
+	"brackenbend/internal/endpointslice"
+	fakeengine "brackenbend/internal/fake/engine"
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/telemetry"
+	"brackenbend/routing"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// patience bounds each wait of a test for something that must happen.
+const patience = 20 * time.Second
+
+// rig is a gateway with fake engines.
+type rig struct {
+	t         *testing.T
+	gateway   *Gateway
+	address   string
+	engines   map[string]*fakeengine.Server // by role and number, as in "reader-0"
+	endpoints []endpointslice.Endpoint
+}
+
+const settings = `<brackenbend>
+  <front name="t" listen="127.0.0.1:0" drain="5s" answer-margin="100ms"/>
+  <limits %s/>
+  <service fronts="1" max-attempts="6" release-within="500ms" writers-read="true" cancel="true" default-class="ask"/>
+  <class name="ask" effect="safe" aim="5s" deadline="10s" late-worth="0.5"/>
+  <class name="quick" effect="unsafe" aim="1s" deadline="1s"/>
+  <class name="brief" effect="safe" aim="1s" deadline="1s"/>
+  <class name="order" effect="unsafe" aim="5s" deadline="10s"/>
+  <class name="book" effect="keyed" window="30s" aim="5s" deadline="10s"/>
+  <kind name="reader" role="reader" memory="200000tokens"/>
+  <kind name="writer" role="writer" memory="200000tokens"/>
+  <model name="m" bytes-per-token="4" max-output="64tokens"/>
+  <rule when="header" name="X-Class" equals="quick" class="quick"/>
+  <rule when="header" name="X-Class" equals="brief" class="brief"/>
+  <rule when="header" name="X-Class" equals="order" class="order"/>
+  <rule when="header" name="X-Class" equals="book" class="book"/>
+  <prefix from="system-messages"/>
+  <engines dialect="extended" dial-time="1s"/>
+  <server name="unused" kind="reader" address="127.0.0.1:1"/>
+</brackenbend>`
+
+func parseSettings(t *testing.T, text string) *config.Settings {
+	t.Helper()
+	set, err := config.Parse("test.xml", []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return set
+}
+
+// newRig starts a gateway with limits set as given, and one engine for each role.
+func newRig(t *testing.T, limits string, roles ...string) *rig {
+	t.Helper()
+	return newRigOn(t, listen(t), limits, roles...)
+}
+
+func listen(t *testing.T) *net.TCPListener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l.(*net.TCPListener)
+}
+
+// newRigOn makes a rig that serves on l.
+func newRigOn(t *testing.T, l net.Listener, limits string, roles ...string) *rig {
+	t.Helper()
+	r := &rig{t: t, engines: map[string]*fakeengine.Server{}, address: l.Addr().String()}
+	var err error
+	r.gateway, err = NewFromSettings(
+		parseSettings(t, fmt.Sprintf(settings, limits)), zap.NewNop(), telemetry.NewMetrics())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, role := range roles {
+		r.startEngine(fmt.Sprintf("%s-%d", role, i), role)
+	}
+	r.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: r.endpoints})
+	served := make(chan error, 1)
+	go func() { served <- r.gateway.Serve(l) }()
+	t.Cleanup(func() {
+		ctx, stop := context.WithTimeout(context.Background(), 3*time.Second)
+		defer stop()
+		r.gateway.Shutdown(ctx)
+		if err := <-served; err != nil {
+			t.Error(err)
+		}
+		for _, e := range r.engines {
+			e.Close()
+		}
+		http.DefaultClient.CloseIdleConnections()
+	})
+	return r
+}
+
+func (r *rig) startEngine(name, role string) {
+	r.t.Helper()
+	e, err := fakeengine.Start(fakeengine.Config{
+		Name: name, Kind: role, CancelStops: true,
+		Params: enginemodel.Params{
+			Reads: true, Writes: role != "reader", Slots: 64, Queue: 32, Memory: 200000, ReadRate: 50000, Chunk: 512,
+			Step: 2 * time.Millisecond, FetchRate: 1e6, Kept: 100000, StateLife: 30 * time.Second,
+		},
+	}, "127.0.0.1:0", false)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.engines[name] = e
+	r.endpoints = append(r.endpoints, endpointslice.Endpoint{
+		Name: name, Kind: role, Address: e.Info().Address, State: routing.EndpointReady,
+	})
+}
+
+// enginesOf returns the engines of a role.
+func (r *rig) enginesOf(role string) (engines []*fakeengine.Server) {
+	for name, e := range r.engines {
+		if strings.HasPrefix(name, role) {
+			engines = append(engines, e)
+		}
+	}
+	return engines
+}
+
+// requireNoArrivals checks that no engine was sent anything.
+func (r *rig) requireNoArrivals() {
+	r.t.Helper()
+	for name, e := range r.engines {
+		if n := e.Arrivals(); n > 0 {
+			r.t.Errorf("%s was sent %d requests", name, n)
+		}
+	}
+}
+
+// post sends a request with an http.Client and returns the response with its whole body.
+func (r *rig) post(class, body string) (*http.Response, string) {
+	r.t.Helper()
+	req, err := http.NewRequest(http.MethodPost, "http://"+r.address+"/v1/chat/completions", strings.NewReader(body))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	req.Header.Set("X-Class", class)
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	return resp, readBody(r.t, resp)
+}
+
+func readBody(t *testing.T, resp *http.Response) string {
+	t.Helper()
+	defer closeQuietly(resp.Body)
+	text, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatalf("%v after %q", err, text)
+	}
+	return string(text)
+}
+
+// dial opens a connection to the gateway and sends text on it.
+func (r *rig) dial(text string) net.Conn {
+	r.t.Helper()
+	c, err := net.Dial("tcp", r.address)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.t.Cleanup(func() { closeQuietly(c) })
+	send(r.t, c, text)
+	return c
+}
+
+func send(t *testing.T, c io.Writer, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// raw sends bytes as they are and returns all that comes back until the connection ends.
+func (r *rig) raw(parts ...string) string {
+	r.t.Helper()
+	c, err := net.Dial("tcp", r.address)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	defer closeQuietly(c)
+	for _, part := range parts {
+		if _, err := io.WriteString(c, part); err != nil {
+			break // the gateway may answer and close before it has read all
+		}
+	}
+	_ = c.SetReadDeadline(time.Now().Add(patience))
+	text, _ := io.ReadAll(c) // a reset may follow the answer
+	return string(text)
+}
+
+func (r *rig) eventually(what string, ok func() bool) {
+	r.t.Helper()
+	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			r.t.Fatalf("not in %v: %s", patience, what)
+		}
+	}
+}
+
+func (r *rig) awaitOpenRequests(n int64) {
+	r.t.Helper()
+	r.eventually(fmt.Sprintf("%d requests are open", n), func() bool { return r.gateway.openRequests.Load() == n })
+}
+
+// closeQuietly closes what may be closed or broken already.
+func closeQuietly(c io.Closer) { _ = c.Close() }
+
+func chat(stream bool, tokens int) string {
+	return fmt.Sprintf(`{"model":"m","stream":%v,"max_tokens":%d,"messages":[`+
+		`{"role":"system","content":"You help."},{"role":"user","content":"hello there"}]}`, stream, tokens)
+}
+
+// request is a whole message with more header fields.
+func request(body, more string) string {
+	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n%sContent-Length: %d\r\n\r\n%s",
+		more, len(body), body)
+}
+
+// until reads from br until what came ends with end.
+func until(t *testing.T, br *bufio.Reader, end string) string {
+	t.Helper()
+	var got strings.Builder
+	for !strings.HasSuffix(got.String(), end) {
+		b, err := br.ReadByte()
+		if err != nil {
+			t.Fatalf("%v after %q", err, got.String())
+		}
+		got.WriteByte(b)
+	}
+	return got.String()
+}
--- /dev/null
+++ b/internal/gateway/sdk_test.go
@@ -0,0 +1,188 @@
+package gateway
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"github.com/openai/openai-go/v3"
+	"github.com/openai/openai-go/v3/option"
+
+	fakeengine "brackenbend/internal/fake/engine"
+)
+
+// The published SDK is an independent peer for requests, streams, errors and retries.
+
+// newSDK makes a client for the gateway, or what stands before it, at address.
+func newSDK(address string, more ...option.RequestOption) openai.Client {
+	return openai.NewClient(append([]option.RequestOption{
+		option.WithBaseURL("http://" + address + "/v1"), option.WithAPIKey("k"),
+	}, more...)...)
+}
+
+// countRequests counts the requests that an SDK sends, its own retries among them.
+func countRequests(count *int) option.RequestOption {
+	return option.WithMiddleware(func(req *http.Request, next option.MiddlewareNext) (*http.Response, error) {
+		*count++
+		return next(req)
+	})
+}
+
+func TestSDKRequestsStreamsAndErrors(t *testing.T) {
+	r := newRig(t, "", "reader", "writer")
+	sdk := newSDK(r.address, option.WithMaxRetries(0))
+	params := openai.ChatCompletionNewParams{
+		Model: "m", MaxCompletionTokens: openai.Int(4),
+		Messages: []openai.ChatCompletionMessageParamUnion{
+			openai.SystemMessage("You help."), openai.UserMessage("hello"),
+		},
+	}
+	whole, err := sdk.Chat.Completions.New(t.Context(), params)
+	if err != nil || whole.Choices[0].Message.Content != "w0 w1 w2 w3 " || whole.Usage.CompletionTokens != 4 ||
+		whole.Choices[0].FinishReason != "length" {
+		t.Fatalf("%+v %v", whole, err)
+	}
+
+	stream := sdk.Chat.Completions.NewStreaming(t.Context(), params)
+	got := ""
+	for stream.Next() {
+		for _, choice := range stream.Current().Choices {
+			got += choice.Delta.Content
+		}
+	}
+	if stream.Err() != nil || got != "w0 w1 w2 w3 " {
+		t.Fatalf("%q %v", got, stream.Err())
+	}
+
+	completion, err := sdk.Completions.New(t.Context(), openai.CompletionNewParams{
+		Model: "m", MaxTokens: openai.Int(3),
+		Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String("hello")},
+	})
+	if err != nil || completion.Choices[0].Text != "w0 w1 w2 " {
+		t.Fatalf("%+v %v", completion, err)
+	}
+
+	models, err := sdk.Models.List(t.Context())
+	if err != nil || models.Data[0].ID != "m" {
+		t.Fatalf("%+v %v", models, err)
+	}
+
+	params.Model = "none"
+	var apiErr *openai.Error
+	_, err = sdk.Chat.Completions.New(t.Context(), params)
+	if !errors.As(err, &apiErr) || apiErr.StatusCode != 404 || apiErr.Code != "model_not_found" {
+		t.Fatalf("%v", err)
+	}
+
+	// A stream that breaks is an error to the SDK, not an end.
+	for _, e := range r.enginesOf("writer") {
+		e.SetFaults(fakeengine.Faults{ResetMid: 1})
+	}
+	params.Model, params.MaxCompletionTokens = "m", openai.Int(50)
+	stream = sdk.Chat.Completions.NewStreaming(t.Context(), params)
+	for stream.Next() { //nolint:revive // to the end
+	}
+	if stream.Err() == nil || !strings.Contains(stream.Err().Error(), "stream broke") {
+		t.Fatalf("broken stream: %v", stream.Err())
+	}
+}
+
+// TestSDKDoesNotRetryPossibleExecution: a failed request that is not idempotent makes one attempt, though the SDK
+// retries 5xx by itself.
+func TestSDKDoesNotRetryPossibleExecution(t *testing.T) {
+	r := newRig(t, "", "reader", "writer")
+	for _, e := range r.enginesOf("writer") {
+		e.SetFaults(fakeengine.Faults{FailFast: 1})
+	}
+	requests := 0
+	sdk := newSDK(r.address, option.WithHeader("X-Class", "order"), countRequests(&requests))
+	_, err := sdk.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{
+		Model: "m", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("order")},
+	})
+	var apiErr *openai.Error
+	if !errors.As(err, &apiErr) || apiErr.StatusCode != 502 || requests != 1 {
+		t.Fatalf("%d requests, %v", requests, err)
+	}
+}
+
+// lossyPath listens before a gateway and breaks its first connections as the first byte of an answer comes back.
+func lossyPath(t *testing.T, gatewayAddress string, breaks int64) (address string) {
+	t.Helper()
+	l := listen(t)
+	t.Cleanup(func() { closeQuietly(l) })
+	var left atomic.Int64
+	left.Store(breaks)
+	go func() {
+		for {
+			client, err := l.Accept()
+			if err != nil {
+				return
+			}
+			gateway, err := net.Dial("tcp", gatewayAddress)
+			if err != nil {
+				closeQuietly(client)
+				return
+			}
+			go func() {
+				_, _ = io.Copy(gateway, client) // ends with either connection
+				closeQuietly(gateway)
+			}()
+			go func() {
+				defer closeQuietly(client)
+				defer closeQuietly(gateway)
+				first := make([]byte, 1)
+				if _, err := gateway.Read(first); err != nil || left.Add(-1) >= 0 {
+					return
+				}
+				if _, err := client.Write(first); err == nil {
+					_, _ = io.Copy(client, gateway) // ends with either connection
+				}
+			}()
+		}
+	}()
+	return l.Addr().String()
+}
+
+// TestSDKRetryAfterLostAnswer: the path breaks as the answer begins, and the SDK, with its defaults, retries by itself.
+// What is not idempotent runs once, and its user learns why; what is idempotent is served by the retry.
+func TestSDKRetryAfterLostAnswer(t *testing.T) {
+	for _, c := range []struct {
+		class    string
+		requests int
+		served   bool
+		decodes  int
+	}{
+		{class: "order", requests: 2, served: false, decodes: 1},
+		{class: "ask", requests: 2, served: true, decodes: 2},
+	} {
+		t.Run(c.class, func(t *testing.T) {
+			r := newRig(t, "", "reader", "writer")
+			requests := 0
+			path := lossyPath(t, r.address, 1)
+			sdk := newSDK(path, option.WithHeader("X-Class", c.class), countRequests(&requests))
+			_, err := sdk.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{
+				Model: "m", MaxCompletionTokens: openai.Int(4),
+				Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("order")},
+			})
+			if served := err == nil; served != c.served || requests != c.requests {
+				t.Errorf("%d requests, %v", requests, err)
+			}
+			var apiErr *openai.Error
+			isDuplicate := errors.As(err, &apiErr) && apiErr.StatusCode == 502 && apiErr.Code == "earlier_try_may_have_run"
+			if !c.served && !isDuplicate {
+				t.Errorf("the user gets %v", err)
+			}
+			decodes := 0
+			for _, e := range r.enginesOf("writer") {
+				decodes += e.Arrivals()
+			}
+			if decodes != c.decodes {
+				t.Errorf("%d decodes reached the engine", decodes)
+			}
+		})
+	}
+}
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -6,25 +6,21 @@
 	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"regexp"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
 	"brackenbend/internal/config"
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/http1"
 	"brackenbend/routing"
 )
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// golden compares got with testdata/name. These files are recorded from before the renaming and aren't updated while it
-// goes on: a difference is a changed byte on the wire.
+// golden compares got with testdata/name. The files were recorded before a renaming and aren't updated during it: a
+// difference is a changed byte on the wire.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
@@ -51,130 +47,23 @@
 	waitMillis = regexp.MustCompile(`retry-after-ms: [1-9][0-9]*\r`)
 )
 
-// visible makes each line end of a message readable, so that CR and LF are held too, and replaces the id of a run.
+// visible makes each line end of a message readable, so that CR and LF are compared too, and replaces the id of a run.
 func visible(s string) string {
 	s = runID.ReplaceAllString(s, "X-Request-Id: ID\r")
 	s = strings.ReplaceAll(s, "\r", `\r`)
 	return strings.ReplaceAll(s, "\n", "\\n\n") + "\n"
 }
 
-// scripted is an engine that answers each read alike, and each write as answer says; nothing comes by chance.
-type scripted struct {
-	mu     sync.Mutex
-	answer func(c net.Conn)
-}
-
-func (s *scripted) set(answer func(c net.Conn)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.answer = answer
-}
-
-func says(text string) func(net.Conn) { return func(c net.Conn) { _, _ = io.WriteString(c, text) } }
-
-// start serves until the test ends, and returns the engine's address.
-func (s *scripted) start(t *testing.T) string {
-	t.Helper()
-	l := listenOn(t)
-	var wait sync.WaitGroup
-	wait.Add(1)
-	go func() {
-		defer wait.Done()
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			wait.Add(1)
-			go func() {
-				defer wait.Done()
-				defer c.Close()
-				s.serve(c)
-			}()
-		}
-	}()
-	t.Cleanup(func() { l.Close(); wait.Wait() })
-	return l.Addr().String()
-}
-
-func (s *scripted) serve(c net.Conn) {
-	br := bufio.NewReader(c)
-	for {
-		req, err := http.ReadRequest(br)
-		if err != nil {
-			return
-		}
-		text, err := io.ReadAll(req.Body)
-		switch {
-		case err != nil:
-			return
-		case strings.HasSuffix(req.URL.Path, "/release"):
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		case strings.Contains(string(text), `"do_remote_decode":true`):
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n"+`{"kv_transfer_params":{"a":1}}`)
-		default:
-			s.mu.Lock()
-			answer := s.answer
-			s.mu.Unlock()
-			answer(c)
-		}
-	}
-}
-
-// scriptedRig is a front with one scripted reader and one scripted writer.
-func scriptedRig(t *testing.T, limits string) (*rig, *scripted) {
-	t.Helper()
-	s := &scripted{}
-	reader, writer := s.start(t), s.start(t) // they end after the front
-	r := newRig(t, limits)
-	r.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: []endpointslice.Endpoint{
-		{Name: "reader-0", Kind: "reader", Address: reader, State: routing.EndpointReady},
-		{Name: "writer-0", Kind: "writer", Address: writer, State: routing.EndpointReady},
-	}})
-	return r, s
-}
-
-const (
-	streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	event1     = `data: {"id":"e","object":"chat.completion.chunk","created":7,"model":"m",` +
-		`"choices":[{"index":0,"delta":{"role":"assistant","content":"w0 "},"finish_reason":null}]}` + "\n\n"
-	event2 = `data: {"id":"e","object":"chat.completion.chunk","created":7,"model":"m",` +
-		`"choices":[{"index":0,"delta":{"content":"w1 "},"finish_reason":"length"}]}` + "\n\n"
-	eventUsage = `data: {"id":"e","object":"chat.completion.chunk","created":7,"model":"m","choices":[],` +
-		`"usage":{"prompt_tokens":5,"completion_tokens":2,"total_tokens":7}}` + "\n\n"
-	textEvent = `data: {"id":"e","object":"text_completion","created":7,"model":"m",` +
-		`"choices":[{"index":0,"text":"w0 ","finish_reason":"stop"}]}` + "\n\n"
-	eventDone = "data: [DONE]\n\n"
-)
-
-func chunk(s string) string { return string(http1.AppendChunk(nil, []byte(s))) }
-
-var wholeStream = streamHead + chunk(": a comment\n\n"+event1+event2) + chunk(eventUsage+eventDone) + "0\r\n\r\n"
-
-// until reads from br until what came ends with end.
-func until(t *testing.T, br *bufio.Reader, end string) string {
-	t.Helper()
-	var got strings.Builder
-	for !strings.HasSuffix(got.String(), end) {
-		b, err := br.ReadByte()
-		if err != nil {
-			t.Fatalf("%v after %q", err, got.String())
-		}
-		got.WriteByte(b)
-	}
-	return got.String()
-}
-
 const ending = "Connection: close\r\n"
 
-// TestClientAnswerBytes holds what clients of OpenAI's API get, byte for byte.
+// TestClientAnswerBytes records what clients of OpenAI's API get, byte for byte.
 func TestClientAnswerBytes(t *testing.T) {
-	r, engines := scriptedRig(t, `head="2KiB" body="1KiB"`)
+	r, engine := newScriptedRig(t, `head="2KiB" body="1KiB"`)
 	post := func(body, more string) string { return request(body, more+ending) }
 	text := strings.Replace(post(`{"model":"m","prompt":"hello"}`, ""), "/v1/chat/completions", "/v1/completions", 1)
 	plain := func(line string) string { return line + " HTTP/1.1\r\nHost: a\r\n" + ending + "\r\n" }
 	error400 := "HTTP/1.1 400 x\r\nContent-Length: 26\r\n\r\n" + `{"error":{"message":"no"}}`
-	for _, k := range []struct{ name, answer, send string }{
+	for _, c := range []struct{ name, answer, send string }{
 		{"stream", wholeStream, post(chat(true, 5), "")},
 		{"stream, unsafe", wholeStream, post(chat(true, 5), "X-Class: order\r\n")},
 		{"stream, keyed", wholeStream, post(chat(true, 5), "X-Class: book\r\nIdempotency-Key: k\r\n")},
@@ -231,34 +120,27 @@
 		{"417", "", request("{}", "Expect: a miracle\r\n")},
 		{"505", "", "GET /v1/models HTTP/2.0\r\nHost: a\r\n\r\n"},
 	} {
-		engines.set(says(k.answer))
-		got := r.raw(k.send)
-		name := strings.NewReplacer(", ", "-", " ", "-", "/", "", "'", "").Replace(k.name)
+		engine.setAnswer(writes(c.answer))
+		got := r.raw(c.send)
+		name := strings.NewReplacer(", ", "-", " ", "-", "/", "", "'", "").Replace(c.name)
 		golden(t, "client-"+name+".golden", visible(got))
 	}
 }
 
-// TestStreamChunkBytes holds the chunks of a stream whose events come one by one, on a connection that stays.
+// TestStreamChunkBytes records the chunks of a stream whose events come one by one, on a connection that stays.
 func TestStreamChunkBytes(t *testing.T) {
-	r, engines := scriptedRig(t, "")
+	r, engine := newScriptedRig(t, "")
 	next := make(chan struct{})
-	engines.set(func(c net.Conn) {
+	engine.setAnswer(func(c net.Conn) {
 		last := chunk(eventDone) + "0\r\n\r\n"
 		for _, part := range []string{streamHead + chunk(event1), chunk(event2), chunk(eventUsage), last} {
-			_, _ = io.WriteString(c, part)
+			writes(part)(c)
 			<-next
 		}
 	})
-	c, err := net.Dial("tcp", r.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	c := r.dial(request(chat(true, 5), ""))
+	_ = c.SetReadDeadline(time.Now().Add(patience))
 	br := bufio.NewReader(c)
-	if _, err := io.WriteString(c, request(chat(true, 5), "")); err != nil {
-		t.Fatal(err)
-	}
 	all := ""
 	for _, end := range []string{event1, event2, eventUsage, eventDone} {
 		all += until(t, br, end+"\r\n")
@@ -268,8 +150,8 @@
 	golden(t, "stream-chunks.golden", visible(all))
 }
 
-// TestRefusalBytesOnSocket: with a reader alone all is refused. The wait is the module's, and replaced.
-func TestRefusalBytesOnSocket(t *testing.T) {
+// TestRejectionBytesOnSocket: without a decode endpoint everything is rejected. The wait is the router's, and replaced.
+func TestRejectionBytesOnSocket(t *testing.T) {
 	r := newRig(t, "", "reader")
 	for _, class := range []string{"brief", "quick"} {
 		got := r.raw(request(chat(true, 5), "X-Class: "+class+"\r\n"+ending))
@@ -278,71 +160,79 @@
 	}
 }
 
-// TestTimeoutBytesOnSocket: a write that is not answered ends with the client's time.
+// TestTimeoutBytesOnSocket: a decode that is not answered ends with the client's timeout.
 func TestTimeoutBytesOnSocket(t *testing.T) {
 	for _, stream := range []bool{true, false} {
-		t.Run(fmt.Sprintf("stream %v", stream), func(t *testing.T) { // each with a front that has seen no timeout yet
-			r, engines := scriptedRig(t, "")
-			engines.set(func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
+		// Each has a gateway that has seen no timeout yet.
+		t.Run(fmt.Sprintf("stream %v", stream), func(t *testing.T) {
+			r, engine := newScriptedRig(t, "")
+			engine.setAnswer(func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // ends with the connection
 			got := r.raw(request(chat(stream, 5), "X-Class: quick\r\n"+ending))
 			golden(t, fmt.Sprintf("timeout-stream-%v.golden", stream), visible(got))
 		})
 	}
 }
 
-// TestRefusalAndFailureBytes holds every form of a refusal and of a failure, with waits that are told, not measured.
-func TestRefusalAndFailureBytes(t *testing.T) {
-	var all strings.Builder
-	now := time.Now()
-	send := func(f *Gateway, a Response, keep bool) string {
-		ours, theirs := net.Pipe()
-		defer theirs.Close()
-		go func() {
-			defer ours.Close()
-			if err := newClientConn(f, ours).writeResponse(a, keep); err != nil {
-				t.Error(err)
-			}
-		}()
-		text, err := io.ReadAll(theirs)
-		if err != nil {
+// written returns the bytes of a response, as a connection of g writes it.
+func written(t *testing.T, g *Gateway, response Response, keepAlive bool) string {
+	t.Helper()
+	ours, theirs := net.Pipe()
+	defer closeQuietly(theirs)
+	go func() {
+		defer closeQuietly(ours)
+		if err := newClientConn(g, ours).writeResponse(response, keepAlive); err != nil {
 			t.Error(err)
 		}
-		return visible(string(text))
+	}()
+	text, err := io.ReadAll(theirs)
+	if err != nil {
+		t.Error(err)
 	}
-	front := func() *Gateway {
-		return &Gateway{Options: Options{Limits: config.Limits{WriteTimeout: time.Minute}}}
+	return visible(string(text))
+}
+
+// TestRejectionAndFailureBytes records every form of a rejection and of a failure, with given waits, not measured ones.
+func TestRejectionAndFailureBytes(t *testing.T) {
+	var all strings.Builder
+	newGateway := func(format RetryAfterFormat) *Gateway {
+		return &Gateway{Options: Options{
+			Limits: config.Limits{WriteTimeout: time.Minute}, RetryAfter: format,
+		}}
 	}
 	for _, form := range []struct {
-		name       string
-		retryAfter RetryAfterFormat
+		name   string
+		format RetryAfterFormat
 	}{{"no waits", NoRetryAfter}, {"whole seconds", RetryAfterSeconds}, {"fractions", RetryAfterFractional}} {
-		f := front()
-		f.RetryAfter = form.retryAfter
-		for _, wait := range []time.Duration{0, time.Millisecond, time.Second, 1500 * time.Millisecond, 61 * time.Second} {
-			for _, handUp := range []bool{false, true} {
-				a := rejectionResponse(routing.Reject{RetryAfter: wait, NoAutoRetry: handUp})
-				a.requestID = "an-id"
-				fmt.Fprintf(&all, "== refusal, %s, wait %d ms, not to be repeated %v\n%s", form.name, wait.Milliseconds(), handUp,
-					send(f, a, handUp))
+		g := newGateway(form.format)
+		for _, wait := range []time.Duration{
+			0, time.Millisecond, time.Second, 1500 * time.Millisecond, 61 * time.Second,
+		} {
+			for _, noAutoRetry := range []bool{false, true} {
+				response := rejectionResponse(routing.Reject{RetryAfter: wait, NoAutoRetry: noAutoRetry})
+				response.requestID = "an-id"
+				fmt.Fprintf(&all, "== refusal, %s, wait %d ms, not to be repeated %v\n%s",
+					form.name, wait.Milliseconds(), noAutoRetry, written(t, g, response, noAutoRetry))
 			}
 		}
 	}
-	for _, effect := range []struct {
+	g := newGateway(NoRetryAfter)
+	now := time.Now()
+	for _, class := range []struct {
 		name string
 		is   routing.Idempotency
 	}{{"safe", routing.Idempotent}, {"keyed", routing.IdempotentWithKey}, {"unsafe", routing.NotIdempotent}} {
 		for _, late := range []bool{false, true} {
-			request := &inflightRequest{class: &routing.Class{Idempotency: effect.is}, deadline: now.Add(time.Hour)}
+			request := &inflightRequest{class: &routing.Class{Idempotency: class.is}, deadline: now.Add(time.Hour)}
 			if late {
 				request.deadline = now
 			}
 			for _, reason := range []string{reasonStreamBroke, reasonNoDecision, reasonAnswerTimeout} {
-				fmt.Fprintf(&all, "== failure, %s, time is up %v, %s\n%s", effect.name, late, reason,
-					send(front(), failureResponse(request, reason), true))
+				fmt.Fprintf(&all, "== failure, %s, time is up %v, %s\n%s",
+					class.name, late, reason, written(t, g, failureResponse(request, reason), true))
 			}
 		}
 	}
-	fmt.Fprintf(&all, "== failure of a repeat\n%s", send(front(), possibleDuplicateResponse(), false))
-	fmt.Fprintf(&all, "== two at once\n%s", send(front(), errorResponse(errPipelined), false))
+	fmt.Fprintf(&all, "== failure of a repeat\n%s", written(t, g, possibleDuplicateResponse(), false))
+	fmt.Fprintf(&all, "== two at once\n%s", written(t, g, errorResponse(errPipelined), false))
 	golden(t, "refusal-and-failure.golden", all.String())
 }
