--- a/internal/api/classify.go
+++ b/internal/api/classify.go
@@ -1,9 +1,7 @@
 package api
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
-	"encoding/json"
+	"net/http"
 	"strings"
 	"time"
 
@@ -13,13 +11,13 @@
 	"brackenbend/routing"
 )
 
-// Source is where a rule or a key looks.
+// Source is the part of a request that a rule or a key reads.
 type Source uint8
 
-// The sources. Not every one fits every use; the settings' checker says which do.
+// The sources. Not every one fits every use; the settings' checker rejects those that do not.
 const (
 	FromPath           Source = iota // the request's path
-	FromModel                        // the model asked for
+	FromModel                        // the model
 	FromHeader                       // a header field
 	FromAPIKey                       // the SHA-256, in hex, of the bearer token
 	FromUser                         // the user field of the body
@@ -28,24 +26,24 @@
 	FromOpening                      // the first bytes of the text
 )
 
-// Match is one condition; a rule's conditions must all hold.
+// Match is a condition on a request.
 type Match struct {
 	From   Source
-	Name   string // of a header
+	Name   string // of a header field
 	Equals string // the value, or
 	Prefix string // how it begins
 }
 
-// Rule gives the index of a class or tenant to the requests that match.
+// Rule assigns the class or tenant of an index to the requests that match.
 type Rule struct {
 	Match Match
 	Index int
 }
 
-// Key says how sessions or shared beginnings are told apart: the first source that gives something counts.
+// Key distinguishes sessions or shared prefixes: the first source that has a value counts.
 type Key struct {
 	From  Source
-	Name  string // of a header
+	Name  string // of a header field
 	Bytes int    // for FromOpening
 }
 
@@ -53,85 +51,78 @@
 type Model struct {
 	Name          string
 	BytesPerToken float64
-	MaxOutput     int // tokens; taken where a request names no limit
+	MaxOutput     int // tokens, for requests that give no limit
 }
 
-// Classifier reads class, tenant, session, prefix and lengths off requests.
+// Classifier reads class, tenant, session, prefix and lengths from requests. It is not changed once in use.
 type Classifier struct {
 	Classes, Tenants            []Rule
-	DefaultClass, DefaultTenant int // -1 = refused
+	DefaultClass, DefaultTenant int // -1 = the request is invalid
 	Sessions, Prefixes          []Key
 	Models                      []Model
 }
 
-// Classification are what the decision module is told of a request.
+// Classification is what routing needs to know of a request.
 type Classification struct {
 	Class, Tenant                 int
-	Session, Prefix               uint64 // 0 = none
+	Session, Prefix               uint64 // hashes; 0 = none
 	PromptTokens                  float64
-	PrefixTokens, MaxOutputTokens float64 // tokens
+	PrefixTokens, MaxOutputTokens float64
 	IdempotencyKey                string
-	Retry                         bool // its client repeats it by itself
+	Retry                         bool // the client's SDK retries by itself
 }
 
-// RoutingRequest is the request as the decision module is told of it; due is by the module's clock.
-func (t *Classification) RoutingRequest(id routing.RequestID, due time.Duration) routing.Request {
+// RoutingRequest is the request for the router; deadline is on the router's clock.
+func (c *Classification) RoutingRequest(id routing.RequestID, deadline time.Duration) routing.Request {
 	return routing.Request{
-		ID: id, Class: t.Class, Tenant: t.Tenant, Session: t.Session, Prefix: t.Prefix, PromptTokens: t.PromptTokens,
-		PrefixTokens: t.PrefixTokens, MaxOutputTokens: t.MaxOutputTokens, Deadline: due, Retry: t.Retry, PossibleDuplicate: t.Retry,
+		ID: id, Class: c.Class, Tenant: c.Tenant, Session: c.Session, Prefix: c.Prefix,
+		PromptTokens: c.PromptTokens, PrefixTokens: c.PrefixTokens, MaxOutputTokens: c.MaxOutputTokens,
+		Deadline: deadline, Retry: c.Retry, PossibleDuplicate: c.Retry,
 	}
 }
 
-// EffectiveTimeout is how long a client waits: its class's time, or what it told if that is sooner (0 = it told nothing).
-func EffectiveTimeout(class, told time.Duration) time.Duration {
-	if told > 0 && told < class {
-		return told
-	}
-	return class
-}
-
-// WithMargin is how long a front may take for an answer that must arrive within wait.
-func WithMargin(wait, margin time.Duration) time.Duration { return max(wait-margin, wait/2) }
-
-// Classify reads the traits, or says which part of the request fits no rule.
+// Classify classifies a request. The error says which part of it fits no rule.
 func (c *Classifier) Classify(r *Request, h http1.Header) (Classification, *Error) {
-	var t Classification
-	var model *Model
-	for i := range c.Models {
-		if c.Models[i].Name == r.Model {
-			model = &c.Models[i]
-		}
-	}
+	var result Classification
+	model := c.model(r.Model)
 	if model == nil {
-		return t, &Error{
-			Status: 404, Type: "invalid_request_error", Param: "model", Code: "model_not_found",
-			Message: "the model " + quote(r.Model) + " is not served here",
-		}
+		return result, modelNotFound(r.Model)
 	}
-	key := apiKey(h)
-	if t.Class = pickRule(c.Classes, c.DefaultClass, r, h, key); t.Class < 0 {
-		return t, invalid("", "no rule gives this request a class")
+	apiKey := hashedAPIKey(h)
+	if result.Class = pickRule(c.Classes, c.DefaultClass, r, h, apiKey); result.Class < 0 {
+		return result, invalid("", "no rule gives this request a class")
 	}
-	if t.Tenant = pickRule(c.Tenants, c.DefaultTenant, r, h, key); t.Tenant < 0 {
-		return t, &Error{
-			Status: 401, Type: "invalid_request_error", Code: "invalid_api_key",
+	if result.Tenant = pickRule(c.Tenants, c.DefaultTenant, r, h, apiKey); result.Tenant < 0 {
+		return result, &Error{
+			Status: http.StatusUnauthorized, Type: TypeInvalidRequest, Code: codeInvalidAPIKey,
 			Message: "no rule gives this request a tenant",
 		}
 	}
-	t.PromptTokens = r.EstimateTokens(model.BytesPerToken)
-	t.MaxOutputTokens = float64(r.MaxTokens)
+	result.PromptTokens = r.EstimateTokens(model.BytesPerToken)
+	result.MaxOutputTokens = float64(r.MaxTokens)
 	if r.MaxTokens == 0 {
-		t.MaxOutputTokens = float64(model.MaxOutput)
+		result.MaxOutputTokens = float64(model.MaxOutput)
 	}
-	t.Session, _ = pickKey(c.Sessions, r, h)
+	result.Session, _ = pickKey(c.Sessions, r, h)
 	var size int
-	t.Prefix, size = pickKey(c.Prefixes, r, h)
-	t.PrefixTokens = min(float64(size)/model.BytesPerToken, t.PromptTokens)
-	t.IdempotencyKey, t.Retry = h.Get("Idempotency-Key"), IsRetry(h)
-	return t, nil
+	result.Prefix, size = pickKey(c.Prefixes, r, h)
+	result.PrefixTokens = min(float64(size)/model.BytesPerToken, result.PromptTokens)
+	result.IdempotencyKey, result.Retry = h.Get("Idempotency-Key"), IsRetry(h)
+	return result, nil
 }
 
-func pickRule(rules []Rule, none int, r *Request, h http1.Header, key string) int {
+// model returns the last model of that name, or nil.
+func (c *Classifier) model(name string) (model *Model) {
+	for i := range c.Models {
+		if c.Models[i].Name == name {
+			model = &c.Models[i]
+		}
+	}
+	return model
+}
+
+// pickRule returns the index of the first rule that matches, or the default.
+func pickRule(rules []Rule, defaultIndex int, r *Request, h http1.Header, apiKey string) int {
 	for _, rule := range rules {
 		m := &rule.Match
 		v := ""
@@ -143,65 +134,51 @@
 		case FromHeader:
 			v = h.Get(m.Name)
 		case FromAPIKey:
-			v = key
+			v = apiKey
 		case FromUser:
 			v = r.User
+		case FromSystemMessages, FromFirstMessage, FromOpening: // sources of keys only
 		}
 		if m.Equals != "" && v == m.Equals || m.Prefix != "" && strings.HasPrefix(v, m.Prefix) {
 			return rule.Index
 		}
 	}
-	return none
+	return defaultIndex
 }
 
-func pickKey(keys []Key, r *Request, h http1.Header) (uint64, int) {
-	for _, k := range keys {
-		var v uint64
-		size := 0
-		switch k.From {
+// pickKey returns the hash of the first source that has a value, with the number of bytes of the prompt that it covers.
+func pickKey(keys []Key, r *Request, h http1.Header) (hash uint64, size int) {
+	for _, key := range keys {
+		hash, size = 0, 0
+		switch key.From {
 		case FromHeader:
-			v = textKey(h.Get(k.Name))
+			hash = hashText(h.Get(key.Name))
 		case FromUser:
-			v = textKey(r.User)
+			hash = hashText(r.User)
 		case FromSystemMessages:
-			v, size = r.SystemPrefix()
+			hash, size = r.SystemPrefix()
 		case FromFirstMessage:
-			v = r.FirstTurnHash()
+			hash = r.FirstTurnHash()
 		case FromOpening:
-			v, size = r.Prefix(k.Bytes)
+			hash, size = r.Prefix(key.Bytes)
+		case FromPath, FromModel, FromAPIKey: // sources of rules only
 		}
-		if v != 0 {
-			return v, size
+		if hash != 0 {
+			return hash, size
 		}
 	}
 	return 0, 0
 }
 
-func textKey(s string) uint64 {
+// hashText is a hash that is 0 for no text only.
+func hashText(s string) uint64 {
 	if s == "" {
 		return 0
 	}
 	return max(xxhash.Sum64String(s), 1)
 }
 
-// apiKey is the hash of the bearer token, so that settings need not hold secrets.
-func apiKey(h http1.Header) string {
-	scheme, token, _ := strings.Cut(h.Get("Authorization"), " ")
-	if !strings.EqualFold(scheme, "Bearer") || token == "" {
-		return ""
-	}
-	sum := sha256.Sum256([]byte(strings.TrimSpace(token)))
-	return hex.EncodeToString(sum[:])
-}
-
-func quote(s string) string {
-	if len(s) > 60 {
-		s = s[:60] + "..."
-	}
-	return "'" + strings.ToValidUTF8(s, "?") + "'"
-}
-
-// ModelList is the answer to GET /v1/models, or for one model by its name.
+// ModelList is the answer to GET /v1/models, or for one model with its name.
 func (c *Classifier) ModelList(name string) ([]byte, *Error) {
 	type object struct {
 		ID      string `json:"id"`
@@ -211,25 +188,14 @@
 	}
 	var list []object
 	for _, m := range c.Models {
-		o := object{m.Name, "model", 0, "brackenbend"}
+		model := object{m.Name, "model", 0, "brackenbend"}
 		if name == m.Name {
-			return marshal(o), nil
+			return mustMarshal(model), nil
 		}
-		list = append(list, o)
+		list = append(list, model)
 	}
 	if name != "" {
-		return nil, &Error{
-			Status: 404, Type: "invalid_request_error", Param: "model", Code: "model_not_found",
-			Message: "the model " + quote(name) + " is not served here",
-		}
-	}
-	return marshal(map[string]any{"object": "list", "data": list}), nil
-}
-
-func marshal(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil { // only plain values come here
-		panic(err)
+		return nil, modelNotFound(name)
 	}
-	return b
+	return mustMarshal(map[string]any{"object": "list", "data": list}), nil
 }
--- /dev/null
+++ b/internal/api/collector_test.go
@@ -0,0 +1,67 @@
+package api
+
+import (
+	"encoding/json"
+	"errors"
+	"testing"
+)
+
+func TestCollectorJoinsEvents(t *testing.T) {
+	c := NewCollector(true, 1<<16)
+	for _, event := range []string{
+		`{"id":"c1","object":"chat.completion.chunk","created":5,"model":"m",` +
+			`"choices":[{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]}`,
+		`{"id":"c1","choices":[{"index":0,"delta":{"content":"Hel"}},{"index":1,"delta":{"content":"x"}}]}`,
+		`{"id":"c1","choices":[{"index":0,"delta":{"content":"lo","tool_calls":` +
+			`[{"index":0,"id":"t","type":"function","function":{"name":"f","arguments":"{\"a\""}}]}}]}`,
+		`{"id":"c1","choices":[{"index":0,"delta":{"tool_calls":` +
+			`[{"index":0,"function":{"arguments":":1}"}}]},"finish_reason":"tool_calls"}]}`,
+		`{"id":"c1","choices":[],"usage":{"total_tokens":9}}`,
+	} {
+		if err := c.Add([]byte(event)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	b, err := c.JSON()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got struct {
+		Object  string
+		Choices []struct {
+			Message struct {
+				Role, Content string
+				ToolCalls     []struct {
+					ID       string
+					Index    *int
+					Function struct{ Name, Arguments string }
+				} `json:"tool_calls"`
+			}
+			Finish string `json:"finish_reason"`
+		}
+		Usage struct {
+			Total int `json:"total_tokens"`
+		}
+	}
+	if err := json.Unmarshal(b, &got); err != nil {
+		t.Fatal(err)
+	}
+	first := got.Choices[0]
+	if got.Object != "chat.completion" || first.Message.Content != "Hello" || first.Finish != "tool_calls" ||
+		got.Usage.Total != 9 || got.Choices[1].Message.Role != "assistant" {
+		t.Errorf("%s", b)
+	}
+	call := first.Message.ToolCalls[0]
+	if call.Function.Arguments != `{"a":1}` || call.ID != "t" || call.Index != nil {
+		t.Errorf("%s", b)
+	}
+}
+
+func TestCollectorBounds(t *testing.T) {
+	if err := NewCollector(true, 10).Add([]byte(`{"choices":[]}`)); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("over the limit: %v", err)
+	}
+	if err := NewCollector(false, 100).Add([]byte(`{"choices":[{"index":1e9}]}`)); err == nil {
+		t.Error("an index of 1e9 was accepted")
+	}
+}
--- /dev/null
+++ b/internal/api/prefix.go
@@ -0,0 +1,76 @@
+package api
+
+import (
+	"math"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// EstimateTokens estimates the prompt's length from its bytes.
+func (r *Request) EstimateTokens(bytesPerToken float64) float64 {
+	if r.PromptTokens > 0 {
+		return float64(r.PromptTokens)
+	}
+	n := len(r.Prompt)
+	for _, m := range r.Messages {
+		n += len(m.Role) + len(m.Text)
+	}
+	return math.Ceil(float64(n) / bytesPerToken)
+}
+
+// newHash begins a hash of the model's name: prefix caches are shared within one model only. Writing to it can't fail.
+func (r *Request) newHash() *xxhash.Digest {
+	digest := xxhash.New()
+	_, _ = digest.WriteString(r.Model)
+	return digest
+}
+
+// SystemPrefix is the hash and the size in bytes of the leading system and developer messages, which sessions share;
+// 0, 0 if there are none. A completion's prompt has no such part.
+func (r *Request) SystemPrefix() (hash uint64, size int) {
+	digest := r.newHash()
+	for _, m := range r.Messages {
+		if m.Role != "system" && m.Role != "developer" {
+			break
+		}
+		_, _ = digest.WriteString("\x00" + m.Text) // can't fail
+		size += len(m.Role) + len(m.Text)
+	}
+	if size == 0 {
+		return 0, 0
+	}
+	return digest.Sum64(), size
+}
+
+// FirstTurnHash is the hash of everything up to the first user message, which all turns of a conversation share.
+func (r *Request) FirstTurnHash() uint64 {
+	digest := r.newHash()
+	for _, m := range r.Messages {
+		_, _ = digest.WriteString("\x00" + m.Role + "\x00" + m.Text) // can't fail
+		if m.Role == "user" {
+			return digest.Sum64()
+		}
+	}
+	return 0
+}
+
+// Prefix is the hash of the first n bytes of the whole text, with the number of bytes that it covers; 0, 0 if the text
+// is shorter.
+func (r *Request) Prefix(n int) (hash uint64, size int) {
+	digest := r.newHash()
+	left := n
+	add := func(s string) {
+		s = s[:min(len(s), left)]
+		left -= len(s)
+		_, _ = digest.WriteString(s) // can't fail
+	}
+	add(r.Prompt)
+	for _, m := range r.Messages {
+		add(m.Role)
+		add(m.Text)
+	}
+	if left > 0 {
+		return 0, 0
+	}
+	return digest.Sum64(), n
+}
--- a/internal/gateway/conn_read.go
+++ b/internal/gateway/conn_read.go
@@ -112,7 +112,7 @@
 	}
 	c.gateway.metrics.RejectedConnections.WithLabelValues("malformed").Inc()
 	response := errorResponse(&api.Error{
-		Status: malformed.Status, Type: errorTypeInvalidRequest, Code: codeMalformed, Message: malformed.Reason,
+		Status: malformed.Status, Type: api.TypeInvalidRequest, Code: codeMalformed, Message: malformed.Reason,
 	})
 	_ = c.writeResponse(response, false) // the connection ends either way
 }
--- a/internal/gateway/conn_request.go
+++ b/internal/gateway/conn_request.go
@@ -125,7 +125,7 @@
 	}
 	if !g.claimClientID(request.clientID) {
 		return c.reject(req, body, "open already", &api.Error{
-			Status: http.StatusConflict, Type: errorTypeInvalidRequest, Code: codeDuplicateID,
+			Status: http.StatusConflict, Type: api.TypeInvalidRequest, Code: codeDuplicateID,
 			Message: "a request of this id is open",
 		})
 	}
@@ -150,7 +150,7 @@
 		g.draining.Store(true)
 		g.log.Error("all 2^32 request ids of this run are used; restart the gateway")
 		return nil, &api.Error{
-			Status: http.StatusServiceUnavailable, Type: errorTypeServer,
+			Status: http.StatusServiceUnavailable, Type: api.TypeServer,
 			Message: "this front must be restarted; nothing was done",
 		}
 	}
--- a/internal/gateway/openai.go
+++ b/internal/gateway/openai.go
@@ -25,7 +25,7 @@
 }
 
 func invalidRequest(status int, code, message string) *Response {
-	response := errorResponse(&api.Error{Status: status, Type: errorTypeInvalidRequest, Code: code, Message: message})
+	response := errorResponse(&api.Error{Status: status, Type: api.TypeInvalidRequest, Code: code, Message: message})
 	return &response
 }
 
@@ -73,7 +73,7 @@
 		traits.IdempotencyKey = ""
 	case traits.IdempotencyKey == "":
 		return nil, &api.Error{
-			Status: http.StatusBadRequest, Type: errorTypeInvalidRequest, Code: codeNoIdempotencyKey,
+			Status: http.StatusBadRequest, Type: api.TypeInvalidRequest, Code: codeNoIdempotencyKey,
 			Message: "requests of the class " + class.Name + " need an Idempotency-Key header",
 		}
 	}
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -22,13 +22,6 @@
 	reason      string        // why the request was not served, for logs and metrics; "" if it was
 }
 
-// Types of errors, as OpenAI's API names them.
-const (
-	errorTypeInvalidRequest = "invalid_request_error"
-	errorTypeRateLimit      = "rate_limit_error"
-	errorTypeServer         = "server_error"
-)
-
 // Codes of errors.
 const (
 	codeBusy              = "busy"                     // rejected by the router; retrying is harmless
@@ -55,7 +48,7 @@
 
 // errPipelined answers a client that sends a request before the answer to the one before.
 var errPipelined = &api.Error{
-	Status: http.StatusBadRequest, Type: errorTypeInvalidRequest, Code: codePipelined,
+	Status: http.StatusBadRequest, Type: api.TypeInvalidRequest, Code: codePipelined,
 	Message: "one request at a time on a connection",
 }
 
@@ -64,7 +57,7 @@
 // shedResponse answers a request that exceeds a limit of the gateway and was not read.
 func shedResponse(message string) Response {
 	response := errorResponse(&api.Error{
-		Status: http.StatusServiceUnavailable, Type: errorTypeServer, Code: codeOverloaded, Message: message,
+		Status: http.StatusServiceUnavailable, Type: api.TypeServer, Code: codeOverloaded, Message: message,
 	})
 	response.retryAfter = time.Second
 	return response
@@ -73,7 +66,7 @@
 // rejectionResponse answers a request that the router rejected; retrying it is harmless.
 func rejectionResponse(rejection routing.Reject) Response {
 	response := errorResponse(&api.Error{
-		Status: http.StatusTooManyRequests, Type: errorTypeRateLimit, Code: codeBusy,
+		Status: http.StatusTooManyRequests, Type: api.TypeRateLimit, Code: codeBusy,
 		Message: "not now; trying again after the told wait is harmless",
 	})
 	response.retryAfter = rejection.RetryAfter
@@ -85,7 +78,7 @@
 // possibleDuplicateResponse answers a client's own retry that was not run, since an earlier one may have run.
 func possibleDuplicateResponse() Response {
 	response := errorResponse(&api.Error{
-		Status: http.StatusBadGateway, Type: errorTypeServer, Code: codePossibleDuplicate,
+		Status: http.StatusBadGateway, Type: api.TypeServer, Code: codePossibleDuplicate,
 		Message: "the client repeated this request by itself (X-Stainless-Retry-Count), and an earlier try may have run; " +
 			"this one did not. Find out whether it ran before asking anew",
 	})
@@ -98,7 +91,7 @@
 func failureResponse(request *inflightRequest, reason string) Response {
 	idempotent := request.class.Idempotency == routing.Idempotent
 	e := &api.Error{
-		Status: http.StatusBadGateway, Type: errorTypeServer, Code: codeFailed,
+		Status: http.StatusBadGateway, Type: api.TypeServer, Code: codeFailed,
 		Message: "the request failed; it may have run",
 	}
 	if idempotent {
@@ -115,7 +108,7 @@
 
 // brokenStreamEvent is the last event of a stream that broke, under the policy SendErrorEvent.
 func brokenStreamEvent() []byte {
-	e := &api.Error{Type: errorTypeServer, Code: codeStreamBroken, Message: "the stream broke; it may have run on"}
+	e := &api.Error{Type: api.TypeServer, Code: codeStreamBroken, Message: "the stream broke; it may have run on"}
 	return append(append([]byte("data: "), e.JSON()...), "\n\n"...)
 }
 
