--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -1,11 +1,12 @@
 package engine
 
 import (
-	"brackenbend/routing"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // Endpoint is one engine and the connections to it.
@@ -63,11 +64,11 @@
 
 // removeConn closes a connection that is not, or is about to be no longer, among the idle ones; e.mu is held.
 func (e *Endpoint) removeConn(pc *persistConn) {
-	pc.close()
+	_ = pc.Close() // nothing more is sent or read on it, whether or not the close succeeds
 	e.uncountConn()
 }
 
-// countConn counts a connection that is about to be opened; e.mu is held.
+// countConn counts a connection that is about to be opened, which then adds to totalOpen; e.mu is held.
 func (e *Endpoint) countConn() { e.open++ }
 
 // uncountConn takes a connection that is closed, or was never opened, out of the counts; e.mu is held.
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -1,11 +1,12 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"encoding/json"
 	"errors"
 	"os"
+
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // Outcome is how an attempt ended.
@@ -28,8 +29,8 @@
 
 // failure is what is known of an attempt that ended with an error.
 type failure struct {
-	err        error // nil where the response was whole but the attempt was cancelled meanwhile
-	cancelled  bool
+	err        error // nil where the response was complete but the attempt was canceled meanwhile
+	canceled   bool
 	connected  bool // a connection was there to send the request on
 	mayHaveRun bool // the engine may act on what it accepted of the request
 }
@@ -50,14 +51,14 @@
 	// the client got another response, is gone, or reads nothing
 	{matches: isOneOf(errResponseClaimed), result: routing.Cancelled},
 	{matches: isSinkError, result: routing.Cancelled},
-	// cancelled before, and after, the engine may have started
-	{matches: func(f failure) bool { return f.cancelled && !f.mayHaveRun }, result: routing.NotSent},
-	{matches: func(f failure) bool { return f.cancelled }, result: routing.Cancelled},
+	// canceled before, and after, the engine may have started
+	{matches: func(f failure) bool { return f.canceled && !f.mayHaveRun }, result: routing.NotSent},
+	{matches: func(f failure) bool { return f.canceled }, result: routing.Cancelled},
 	// the request is not complete at the engine
 	{matches: func(f failure) bool { return !f.mayHaveRun && f.connected }, result: routing.RequestIncomplete},
 	// dial refused, unreachable or timed out
 	{matches: func(f failure) bool { return !f.mayHaveRun }, result: routing.ConnectFailed},
-	// no first token, no whole reply, or silence within a stream, for too long
+	// no first token, no complete reply, or silence within a stream, for too long
 	{matches: isOneOf(os.ErrDeadlineExceeded), result: routing.TimedOut},
 	// a malformed response is a response: a decode has fetched its read state, which is gone with it
 	{matches: isProtocolError, result: routing.EngineError, stateMissing: true},
@@ -89,7 +90,7 @@
 // failureOutcome is the outcome of the attempt that ended with err.
 func (a *Attempt) failureOutcome(err error) Outcome {
 	f := failure{
-		err: err, cancelled: a.Cancelled(), connected: a.delivery.connected, mayHaveRun: a.delivery.mayHaveRun,
+		err: err, canceled: a.Canceled(), connected: a.delivery.connected, mayHaveRun: a.delivery.mayHaveRun,
 	}
 	out := Outcome{Err: err}
 	for _, row := range failureTable {
--- a/internal/engine/roundtrip.go
+++ b/internal/engine/roundtrip.go
@@ -1,13 +1,14 @@
 package engine
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"errors"
 	"net"
 	"net/http"
 	"os"
 	"time"
+
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // earlyResponseTimeout is how long a response is waited for once the engine has stopped reading the request. It has
@@ -29,7 +30,7 @@
 // roundTrip gets a connection, sends the request and reads the response's header. On failure it returns the outcome
 // and no connection.
 func (c *Client) roundTrip(a *Attempt, e *Endpoint, call *Call) (*persistConn, *http1.Response, *Outcome) {
-	if a.Cancelled() || !e.IsOpen() || call.mustNotSend() || call.deadlinePassed() {
+	if a.Canceled() || !e.IsOpen() || call.mustNotSend() || call.deadlinePassed() {
 		return nil, nil, c.abandon(a, e, nil, call, errNotSent)
 	}
 	a.start()
@@ -73,7 +74,7 @@
 	a.advance(func(p *Progress, elapsed time.Duration) { p.Written = elapsed })
 	resp, err := c.readResponseHeader(pc, call.Deadline)
 	if err != nil {
-		if pc.reused && pc.br.Buffered() == 0 && !a.Cancelled() {
+		if pc.reused && pc.br.Buffered() == 0 && !a.Canceled() {
 			c.onReuseFailure(e, err)
 		}
 		return nil, err
@@ -85,7 +86,7 @@
 
 // prepareConn binds the connection to the attempt and sets its deadlines.
 func prepareConn(a *Attempt, e *Endpoint, pc *persistConn, call *Call) error {
-	if !a.attachConn(pc.Conn) || !e.IsOpen() || call.mustNotSend() { // cancelled or drained while the dial was pending
+	if !a.attachConn(pc.Conn) || !e.IsOpen() || call.mustNotSend() { // canceled or drained while the dial was pending
 		return errNotSent
 	}
 	if err := pc.SetReadDeadline(call.Deadline); err != nil {
@@ -118,7 +119,7 @@
 	return written + int64(n), err
 }
 
-// requestMessage is a call's whole request; the body is not copied.
+// requestMessage is a call's complete request; the body is not copied.
 func (c *Client) requestMessage(e *Endpoint, call *Call) *net.Buffers {
 	head := make([]byte, 0, requestHeadCapacity)
 	head = append(c.Protocol.AppendHead(head, e, call), "\r\n"...)
@@ -135,7 +136,7 @@
 		return errEarlyResponse
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		return err
-	case a.Cancelled() || !e.IsOpen() || call.mustNotSend():
+	case a.Canceled() || !e.IsOpen() || call.mustNotSend():
 		return errNotSent
 	}
 	return pc.SetReadDeadline(call.Deadline)
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -106,14 +106,14 @@
 		return r.answered()
 	}
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		return a.pending && (!a.decode || a.handle.Cancelled())
+		return a.pending && (!a.decode || a.handle.Canceled())
 	})
 }
 
 // decodeWaits reports that a decode is pending and was not canceled.
 func (r *inflightRequest) decodeWaits() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		return a.pending && a.decode && !a.handle.Cancelled()
+		return a.pending && a.decode && !a.handle.Canceled()
 	})
 }
 
