--- /dev/null
+++ b/internal/node/protocol/engine.go
@@ -0,0 +1,75 @@
+package protocol
+
+import (
+	"brackenbend/internal/engine"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/tidwall/gjson"
+)
+
+// releaseMessageSize is the usual size of a release in bytes, so that it is allocated once.
+const releaseMessageSize = 96
+
+// Engines is the engine protocol of the platform. It holds no state.
+type Engines struct{}
+
+var _ engine.Protocol = Engines{}
+
+// AppendHead implements engine.Protocol. The deadline it sends is the time for which the node will wait.
+func (Engines) AppendHead(b []byte, endpoint *engine.Endpoint, call *engine.Call) []byte {
+	b = append(b, "POST "...)
+	b = append(b, call.Path...)
+	b = append(b, " HTTP/1.1\r\n"...)
+	b = http1.AppendField(b, "Host", endpoint.Address)
+	b = http1.AppendField(b, "Content-Type", "application/json")
+	b = http1.AppendField(b, "Content-Length", strconv.Itoa(len(call.Body)))
+	b = http1.AppendField(b, headerRequestID, call.ID)
+	if call.IdempotencyKey != "" { // engines recognize repeats of a request by it
+		b = http1.AppendField(b, engine.HeaderIdempotencyKey, call.IdempotencyKey)
+	}
+	milliseconds := max(time.Until(call.Deadline).Milliseconds(), 1)
+	return http1.AppendField(b, headerDeadline, strconv.FormatInt(milliseconds, 10))
+}
+
+// ParseReply implements engine.Protocol.
+func (Engines) ParseReply(prefill bool, resp *http1.Response, body []byte, _ error) engine.Outcome {
+	if prefill && resp.Status == http.StatusAccepted {
+		return engine.Outcome{Result: routing.PrefillDone, CachedTokens: parseCachedTokens(body)}
+	}
+	out := engine.Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: answered %d", resp.Status)}
+	if resp.Header.Get(headerDeclined) != declinedTrue {
+		return out
+	}
+	switch resp.Status {
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		out.Result = routing.Rejected
+	case http.StatusGone:
+		out.Result, out.StateMissing = routing.Rejected, true
+	}
+	return out
+}
+
+// parseCachedTokens reads how many tokens a prefill found cached; 0 where the reply gives no usable number.
+func parseCachedTokens(body []byte) float64 {
+	tokens := gjson.GetBytes(body, "cached_tokens")
+	if !gjson.ValidBytes(body) || tokens.Type != gjson.Number || tokens.Num < 0 || tokens.Num > maxTokens {
+		return 0
+	}
+	return tokens.Num
+}
+
+// ReleaseMessage implements engine.Protocol.
+func (Engines) ReleaseMessage(endpoint *engine.Endpoint, id string) []byte {
+	b := append(make([]byte, 0, releaseMessageSize), "DELETE "+pathStatePrefix...)
+	b = append(b, id...)
+	b = append(b, " HTTP/1.1\r\n"...)
+	return append(http1.AppendField(b, "Host", endpoint.Address), "\r\n"...)
+}
+
+// ReleaseAccepted implements engine.Protocol.
+func (Engines) ReleaseAccepted(status int) bool { return status/100 == 2 }
