--- /dev/null
+++ b/internal/endpointslice/client.go
@@ -0,0 +1,195 @@
+package endpointslice
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Bounds on what the API server may send.
+const (
+	maxEventBytes = 8 << 20 // one watch event
+	maxPageBytes  = 64 << 20
+	maxErrorBytes = 300 // of an error reply, for the log
+
+	pageSize = 500 // slices in one page of a list
+)
+
+// slicePage is one page of a list.
+type slicePage struct {
+	Metadata struct {
+		ResourceVersion string `json:"resourceVersion"`
+		Continue        string `json:"continue"`
+	} `json:"metadata"`
+	Items []*EndpointSlice `json:"items"`
+}
+
+// list fetches all pages of the list and its resource version.
+func (w *Watcher) list(ctx context.Context) ([]*EndpointSlice, string, error) {
+	ctx, cancel := context.WithTimeout(ctx, w.WatchTimeout)
+	defer cancel()
+	var all []*EndpointSlice
+	continueToken := ""
+	for {
+		page, err := w.listPage(ctx, continueToken)
+		if err != nil {
+			return nil, "", err
+		}
+		for _, slice := range page.Items {
+			if err := slice.validate(); err != nil {
+				return nil, "", err
+			}
+			all = append(all, slice)
+		}
+		if continueToken = page.Metadata.Continue; continueToken != "" {
+			continue
+		}
+		if page.Metadata.ResourceVersion == "" {
+			return nil, "", errors.New("endpointslice: list without a resourceVersion")
+		}
+		return all, page.Metadata.ResourceVersion, nil
+	}
+}
+
+func (w *Watcher) listPage(ctx context.Context, continueToken string) (*slicePage, error) {
+	query := url.Values{"limit": {strconv.Itoa(pageSize)}}
+	if continueToken != "" {
+		query.Set("continue", continueToken)
+	}
+	resp, err := w.get(ctx, query)
+	if err != nil {
+		return nil, err
+	}
+	defer closeBody(resp)
+	var page slicePage
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxPageBytes)).Decode(&page); err != nil {
+		return nil, fmt.Errorf("endpointslice: list: %w", err)
+	}
+	return &page, nil
+}
+
+// watch applies events until the watch ends. nil: the server ended it, which it may at any time.
+func (w *Watcher) watch(ctx context.Context) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	silence := time.AfterFunc(w.WatchTimeout, func() { cancel(errWatchSilent) })
+	defer silence.Stop()
+	resp, err := w.get(ctx, url.Values{
+		"watch": {"1"}, "resourceVersion": {w.resourceVersion}, "allowWatchBookmarks": {"true"},
+	})
+	if err != nil {
+		return err
+	}
+	defer closeBody(resp)
+	lines := bufio.NewScanner(resp.Body)
+	lines.Buffer(nil, maxEventBytes)
+	for lines.Scan() {
+		silence.Reset(w.WatchTimeout)
+		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
+			continue
+		}
+		event, err := parseEvent(lines.Bytes())
+		if err != nil {
+			return err
+		}
+		if err := w.applyEvent(event); err != nil {
+			return err
+		}
+	}
+	if cause := context.Cause(ctx); cause != nil {
+		return cause
+	}
+	return lines.Err()
+}
+
+// get requests the slices; any reply but 200 is an error.
+func (w *Watcher) get(ctx context.Context, query url.Values) (*http.Response, error) {
+	if w.Selector != "" {
+		query.Set("labelSelector", w.Selector)
+	}
+	target := strings.TrimSuffix(w.URL, "/") + "/apis/discovery.k8s.io/v1/namespaces/" + url.PathEscape(w.Namespace) +
+		"/endpointslices?" + query.Encode()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+	if err != nil {
+		return nil, err
+	}
+	req.Header.Set("Accept", "application/json")
+	req.Header.Set("User-Agent", w.UserAgent)
+	if w.TokenFile != "" {
+		token, err := os.ReadFile(w.TokenFile)
+		if err != nil {
+			return nil, fmt.Errorf("endpointslice: token-file: %w", err)
+		}
+		req.Header.Set("Authorization", "Bearer "+strings.TrimSpace(string(token)))
+	}
+	resp, err := w.Client.Do(req)
+	if err != nil {
+		return nil, err
+	}
+	if resp.StatusCode == http.StatusOK {
+		return resp, nil
+	}
+	defer closeBody(resp)
+	if resp.StatusCode == http.StatusGone {
+		return nil, errExpired
+	}
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // for the log; what came before a break is enough
+	return nil, fmt.Errorf("endpointslice: answered %d: %s", resp.StatusCode, bytes.TrimSpace(text))
+}
+
+// closeBody ends a response that is not needed any more; nothing depends on how its connection ends.
+func closeBody(resp *http.Response) { _ = resp.Body.Close() }
+
+// watchEvent is one event of a watch; of a bookmark only the resource version counts.
+type watchEvent struct {
+	eventType string
+	slice     *EndpointSlice
+}
+
+// parseEvent reads one line of a watch. An event that reports an error is returned as one.
+func parseEvent(line []byte) (*watchEvent, error) {
+	var event struct {
+		Type   string          `json:"type"`
+		Object json.RawMessage `json:"object"`
+	}
+	if err := json.Unmarshal(line, &event); err != nil {
+		return nil, fmt.Errorf("endpointslice: watch event: %w", err)
+	}
+	switch event.Type {
+	case eventError:
+		return nil, parseStatus(event.Object)
+	case eventAdded, eventModified, eventDeleted, eventBookmark:
+	default:
+		return nil, fmt.Errorf("endpointslice: watch event of unknown type %.40q", event.Type)
+	}
+	var slice EndpointSlice
+	if err := json.Unmarshal(event.Object, &slice); err != nil {
+		return nil, fmt.Errorf("endpointslice: watch event: %w", err)
+	}
+	if slice.Metadata.ResourceVersion == "" {
+		return nil, errors.New("endpointslice: watch event without a resourceVersion")
+	}
+	return &watchEvent{event.Type, &slice}, nil
+}
+
+// parseStatus makes an error of the object of an error event.
+func parseStatus(object []byte) error {
+	var status struct {
+		Code    int    `json:"code"`
+		Message string `json:"message"`
+	}
+	if json.Unmarshal(object, &status) == nil && status.Code == http.StatusGone {
+		return errExpired
+	}
+	return fmt.Errorf("endpointslice: watch: %d %s", status.Code, status.Message)
+}
--- /dev/null
+++ b/internal/endpointslice/store_test.go
@@ -0,0 +1,48 @@
+package endpointslice
+
+import (
+	"brackenbend/routing"
+	"fmt"
+	"testing"
+)
+
+// storeHarness applies events about slices of one endpoint each.
+type storeHarness struct {
+	t *testing.T
+	*store
+}
+
+func (h *storeHarness) event(eventType, name string, version int) []Endpoint {
+	h.t.Helper()
+	slice := &EndpointSlice{}
+	slice.Metadata.Name, slice.Metadata.ResourceVersion = name, fmt.Sprint(version)
+	port := int32(80)
+	slice.Ports = []Port{{Port: &port}}
+	address := fmt.Sprintf("10.0.%d.%d", version/250%250, version%250)
+	slice.Endpoints = []SliceEndpoint{{Addresses: []string{address}}}
+	return h.apply(eventType, slice)
+}
+
+// TestStoreForgetsDeletedNames: thousands of slices come and go; what is remembered of them is bounded, and an old
+// event of one that was forgotten is still ignored.
+func TestStoreForgetsDeletedNames(t *testing.T) {
+	h := &storeHarness{t, newStore("", "")}
+	h.event(eventAdded, "stays", 1)
+	for i := range 20000 {
+		name := fmt.Sprint("pod-", i)
+		h.event(eventAdded, name, 2*i+2)
+		h.event(eventDeleted, name, 2*i+3)
+		if n := len(h.versions); n > minDeletedVersions+2*2+1 {
+			t.Fatalf("%d names are remembered", n)
+		}
+	}
+	if got := h.event(eventAdded, "pod-0", 2); got != nil {
+		t.Errorf("an old event of a forgotten name was applied: %v", got)
+	}
+	if got := h.event(eventAdded, "pod-0", 50000); len(got) != 1 || got[0].State != routing.EndpointReady {
+		t.Errorf("a name that is used again was not added: %v", got)
+	}
+	if got := h.event(eventDeleted, "stays", 50001); len(got) != 1 || got[0].State != routing.EndpointGone {
+		t.Errorf("the removed endpoint: %v", got)
+	}
+}
