--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command benchlink joins the decision module to the simulator's wire: one Router an instance, nothing shared.
+// Command simadapter joins routers to the operators' simulator: batches come on standard input, replies go to standard
+// output. Each instance that the simulator names has a router of its own; routers share nothing. There is one goroutine.
 package main
 
 import (
@@ -11,21 +12,24 @@
 	"os"
 )
 
+// inputBufferSize is the size of the buffer on standard input in bytes. It saves reads of small batches.
+const inputBufferSize = 1 << 16
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	dec := simprotocol.NewDecoder(bufio.NewReaderSize(in, 1<<16))
-	w := bufio.NewWriter(out)
-	routers := map[uint16]*routing.Router{}
+	decoder := simprotocol.NewDecoder(bufio.NewReaderSize(in, inputBufferSize))
+	writer := bufio.NewWriter(out)
+	adapter := &adapter{routers: map[uint16]*routing.Router{}}
 	var buf []byte
 	for {
-		batch, err := dec.Next()
+		batch, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -33,72 +37,113 @@
 			return err
 		}
 		reply := simprotocol.NewReply(buf, batch.Seq)
-		if err := answer(batch, routers, reply); err != nil {
+		if err := adapter.answer(batch, reply); err != nil {
 			return err
 		}
 		buf = reply.Bytes()
-		if _, err := w.Write(buf); err != nil {
+		if _, err := writer.Write(buf); err != nil {
 			return fmt.Errorf("reply %d: %w", batch.Seq, err)
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("reply %d: %w", batch.Seq, err)
 		}
 	}
 }
 
+// adapter holds the routers of the running instances.
+type adapter struct {
+	routers map[uint16]*routing.Router
+}
+
+// instanceEvents holds the routing events of a batch.
+type instanceEvents struct {
+	byInstance map[uint16][]routing.Event
+	order      []uint16 // instances by their first event; one that was restarted in the batch may stand twice
+}
+
+func (e *instanceEvents) add(instance uint16, event routing.Event) {
+	if len(e.byInstance[instance]) == 0 {
+		e.order = append(e.order, instance)
+	}
+	e.byInstance[instance] = append(e.byInstance[instance], event)
+}
+
+// take removes and returns the events of an instance.
+func (e *instanceEvents) take(instance uint16) []routing.Event {
+	events := e.byInstance[instance]
+	delete(e.byInstance, instance)
+	return events
+}
+
 // answer steps each instance named in the batch once, with its events in order.
-func answer(b *simprotocol.Batch, routers map[uint16]*routing.Router, reply *simprotocol.Reply) error {
-	events := map[uint16][]routing.Event{}
-	var order []uint16
-	for _, it := range b.Items {
-		switch ev := it.Event.(type) {
-		case simprotocol.Stop:
-			delete(routers, it.Instance)
-			events[it.Instance] = nil
-		case simprotocol.Start:
-			s, err := simprotocol.ParseSettings(ev.Info)
-			if err != nil {
-				return fmt.Errorf("instance %d: %w", it.Instance, err)
-			}
-			r, err := routing.New(s, ev.Seed)
-			if err != nil {
-				return fmt.Errorf("instance %d: %w", it.Instance, err)
-			}
-			routers[it.Instance], events[it.Instance] = r, nil
-		case routing.Event:
-			if _, ok := routers[it.Instance]; !ok {
-				return fmt.Errorf("batch %d: event for instance %d, which has not started", b.Seq, it.Instance)
-			}
-			if len(events[it.Instance]) == 0 {
-				order = append(order, it.Instance)
-			}
-			events[it.Instance] = append(events[it.Instance], ev)
-		}
+func (a *adapter) answer(batch *simprotocol.Batch, reply *simprotocol.Reply) error {
+	events, err := a.collect(batch)
+	if err != nil {
+		return err
 	}
-	for _, inst := range order {
-		evs := events[inst]
-		events[inst] = nil
-		if len(evs) == 0 {
+	for _, instance := range events.order {
+		instanceEvents := events.take(instance)
+		if len(instanceEvents) == 0 { // stopped, or answered already
 			continue
 		}
-		actions, fault := step(routers[inst], b, evs)
-		if fault != "" {
-			reply.Fault(inst, fault)
+		actions, err := step(a.routers[instance], batch, instanceEvents)
+		if err != nil {
+			reply.Fault(instance, err.Error())
 			continue
 		}
-		if err := reply.Add(inst, actions); err != nil {
+		if err := reply.Add(instance, actions); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// step turns a panic of the module into a fault with its text.
-func step(r *routing.Router, b *simprotocol.Batch, evs []routing.Event) (actions []routing.Action, fault string) {
+// collect starts and stops instances and gathers the events of those that run. Events before a start or a stop in the
+// same batch are dropped.
+func (a *adapter) collect(batch *simprotocol.Batch) (*instanceEvents, error) {
+	events := &instanceEvents{byInstance: map[uint16][]routing.Event{}}
+	for _, item := range batch.Items {
+		switch event := item.Event.(type) {
+		case simprotocol.Start:
+			if err := a.start(item.Instance, event); err != nil {
+				return nil, fmt.Errorf("instance %d: %w", item.Instance, err)
+			}
+			events.take(item.Instance)
+		case simprotocol.Stop:
+			delete(a.routers, item.Instance)
+			events.take(item.Instance)
+		case routing.Event:
+			if _, running := a.routers[item.Instance]; !running {
+				return nil, fmt.Errorf("batch %d: event for instance %d, which has not started", batch.Seq, item.Instance)
+			}
+			events.add(item.Instance, event)
+		}
+	}
+	return events, nil
+}
+
+// start gives an instance a router.
+func (a *adapter) start(instance uint16, start simprotocol.Start) error {
+	config, err := simprotocol.ParseSettings(start.Info)
+	if err != nil {
+		return err
+	}
+	router, err := routing.New(config, start.Seed)
+	if err != nil {
+		return err
+	}
+	a.routers[instance] = router
+	return nil
+}
+
+// step makes an error of a router's panic, so that the other instances go on.
+func step(
+	router *routing.Router, batch *simprotocol.Batch, events []routing.Event,
+) (actions []routing.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			fault = fmt.Sprintf("decision module: %v", p)
+			actions, err = nil, fmt.Errorf("decision module: %v", p)
 		}
 	}()
-	return r.Step(b.Now, evs), ""
+	return router.Step(batch.Now, events), nil
 }
--- a/internal/node/budget.go
+++ b/internal/node/budget.go
@@ -45,8 +45,8 @@
 	b.MaxEngineConns = left - b.MaxClientConns
 	b.MaxConnsPerEngine = b.MaxEngineConns
 	b.MaxOpenRequests = b.MaxClientConns
-	if c.Site.MaxOpen > 0 {
-		b.MaxOpenRequests = min(b.MaxOpenRequests, c.Site.MaxOpen)
+	if c.Site.MaxOpenRequests > 0 {
+		b.MaxOpenRequests = min(b.MaxOpenRequests, c.Site.MaxOpenRequests)
 	}
 	b.SoftHeapLimit = memory * 6 / 10
 	b.HeapFloor = uint64(memory / 5)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -101,11 +101,11 @@
 
 func options(c *Config, b ResourceLimits, way gateway.ClientProtocol) gateway.Options {
 	site := c.Site
-	idle := site.ConnIdle
+	idle := site.ConnIdleTimeout
 	if idle <= 0 {
 		idle = idleTime
 	}
-	dial := site.Dial
+	dial := site.DialTimeout
 	if dial <= 0 {
 		dial = dialTime
 	}
--- /dev/null
+++ b/internal/simprotocol/decoder.go
@@ -0,0 +1,136 @@
+package simprotocol
+
+import (
+	"brackenbend/routing"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+)
+
+// readStep is how many bytes of a body are read at once, so that a false length can't make the decoder allocate far
+// more than arrives.
+const readStep = 1 << 20
+
+// Decoder reads batches. It keeps the numbered lists from one batch to the next.
+type Decoder struct {
+	r     io.Reader
+	buf   []byte
+	lists [maxLists]endpointList
+}
+
+type endpointList struct {
+	endpoints []routing.Endpoint
+	defined   bool
+}
+
+// NewDecoder returns a decoder that reads batches from r.
+func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
+
+// Next returns the next batch, and io.EOF at a clean end of input.
+func (d *Decoder) Next() (*Batch, error) {
+	var header [batchHeaderSize]byte
+	if _, err := io.ReadFull(d.r, header[:]); err != nil {
+		if errors.Is(err, io.EOF) {
+			return nil, io.EOF
+		}
+		return nil, fmt.Errorf("batch header: %w", err)
+	}
+	size := binary.BigEndian.Uint32(header[0:])
+	if size < batchHeaderSize || size > MaxFrame {
+		return nil, fmt.Errorf("batch header: length %d is out of range", size)
+	}
+	body, err := d.readBody(int(size) - batchHeaderSize)
+	if err != nil {
+		return nil, fmt.Errorf("batch body: %w", err)
+	}
+	batch := &Batch{
+		Now: fromMicros(binary.BigEndian.Uint64(header[8:])),
+		Seq: binary.BigEndian.Uint32(header[16:]),
+	}
+	return batch, d.decodeRecords(batch, body, binary.BigEndian.Uint32(header[4:]))
+}
+
+// readBody reads n bytes into the decoder's buffer.
+func (d *Decoder) readBody(n int) ([]byte, error) {
+	d.buf = d.buf[:0]
+	for len(d.buf) < n {
+		step, old := min(readStep, n-len(d.buf)), len(d.buf)
+		if cap(d.buf) < old+step {
+			d.buf = append(d.buf, make([]byte, step)...)
+		} else {
+			d.buf = d.buf[:old+step]
+		}
+		if _, err := io.ReadFull(d.r, d.buf[old:]); err != nil {
+			if errors.Is(err, io.EOF) {
+				err = io.ErrUnexpectedEOF
+			}
+			return nil, err
+		}
+	}
+	return d.buf, nil
+}
+
+func (d *Decoder) decodeRecords(batch *Batch, body []byte, count uint32) error {
+	f := &fieldReader{rest: body}
+	instance, hasInstance := uint16(0), false
+	for i := uint32(0); i < count; i++ {
+		code := f.u8()
+		var event any
+		switch code {
+		case recordInstance:
+			instance, hasInstance = f.u16(), true
+		case recordDefineList:
+			d.defineList(f)
+		default:
+			if !hasInstance && f.err == nil {
+				return fmt.Errorf("record %d: event before any instance is named", i)
+			}
+			event = d.decodeEvent(f, code)
+		}
+		if f.err != nil {
+			return fmt.Errorf("record %d (code %d): %w", i, code, f.err)
+		}
+		if event != nil {
+			batch.Items = append(batch.Items, Item{instance, event})
+		}
+	}
+	if len(f.rest) != 0 {
+		return fmt.Errorf("batch: %d bytes left after %d records", len(f.rest), count)
+	}
+	return nil
+}
+
+// defineList decodes a numbered list, which endpoint list events refer to. It replaces an earlier one of its number.
+func (d *Decoder) defineList(f *fieldReader) {
+	number, length := f.u8(), f.u32()
+	if f.err == nil && (number >= maxLists || uint64(length)*endpointSize > uint64(len(f.rest))) {
+		f.err = fmt.Errorf("list %d of %d entries does not fit", number, length)
+	}
+	if f.err != nil {
+		return
+	}
+	endpoints := make([]routing.Endpoint, length)
+	for i := range endpoints {
+		endpoints[i] = decodeEndpoint(f)
+		if f.err == nil && endpoints[i].State > maxEndpointState {
+			f.err = fmt.Errorf("entry %d: unknown state %d", i, endpoints[i].State)
+		}
+		if f.err != nil {
+			return
+		}
+	}
+	d.lists[number] = endpointList{endpoints, true}
+}
+
+func decodeEndpoint(f *fieldReader) routing.Endpoint {
+	var e routing.Endpoint
+	e.Weight = f.f32()
+	e.Kind = int(f.u8())
+	e.State = routing.EndpointState(f.u8())
+	e.ID = routing.EndpointID(f.u32())
+	e.Zone = int(f.u16())
+	e.StartedAt = fromMicros(f.u64())
+	e.Cell = int(f.u16())
+	return e
+}
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -7,145 +7,233 @@
 	"time"
 )
 
-type bootClass struct {
-	Name                      string
-	Promise, Deadline, Window float64
-	Importance, LateWorth     float64
-	Repeat, Group             string
+// Site is all of the settings that the program uses: the router's, and what a node needs beside them.
+type Site struct {
+	Routing         routing.Config
+	Kinds, Tenants  []string
+	ConnIdleTimeout time.Duration // how long an idle connection to an engine may be kept; 0 = not set
+	DialTimeout     time.Duration // 0 = not set
+	MaxOpenRequests int           // 0 = no bound
+	RetryAfter      bool          // rejected clients are told when to retry
 }
 
-type boot struct {
-	Balancers int
-	Zone      int
-	Discovery string
-	Kinds     []string
-	Classes   []bootClass
-	Tenants   []struct {
-		Name             string
-		QuotaPerS, Share float64
-	}
-	FamilyInfo struct {
-		Ahead, LocalRead, Resume           bool
-		AimUsPer1000PromptTokens, TokenAim []float64
-		KindRole                           []string
-		KvTokens                           []float64
-		Release                            float64
+// ParseSettings maps the settings text to the router's configuration.
+func ParseSettings(text []byte) (routing.Config, error) {
+	site, err := ParseSite(text)
+	return site.Routing, err
+}
+
+// ParseSite reads the settings text. Unknown keys are skipped; absent ones are zero, which routing.Config documents.
+func ParseSite(text []byte) (Site, error) {
+	var file settingsFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return Site{}, fmt.Errorf("settings: %w", err)
 	}
-	Caps struct {
-		AttemptsCap, MaxOpen             int
-		Cancel, SecondCopies, RetryAfter bool
-		MaxRetryAfter                    float64
-		ConnIdle, DialTimeout            float64
+	config, err := file.routingConfig()
+	site := Site{
+		Routing:         config,
+		Kinds:           file.Kinds,
+		ConnIdleTimeout: micros(file.Caps.ConnIdle),
+		DialTimeout:     micros(file.Caps.DialTimeout),
+		MaxOpenRequests: file.Caps.MaxOpen,
+		RetryAfter:      file.Caps.RetryAfter,
 	}
-	Invariants struct {
-		AskWithin, Cold, ColdFrom, GraceToAnswer, OverloadFactor, StopSendingWithin, TipAfter float64
+	for _, tenant := range file.Tenants {
+		site.Tenants = append(site.Tenants, tenant.Name)
 	}
-	OverShareWorth float64
-	WorthBy        string
-	Report         struct{ Fields []string }
+	return site, err
 }
 
-var (
-	roles   = map[string]routing.Role{"read": routing.RolePrefill, "write": routing.RoleDecode, "both": routing.RoleMixed}
-	effects = map[string]routing.Idempotency{"free": routing.Idempotent, "guarded": routing.IdempotentWithKey, "single_shot": routing.NotIdempotent}
-	groups  = map[string]routing.DedupScope{
-		"": routing.DedupAll, "all": routing.DedupAll, "zone": routing.DedupZone,
-		"cell": routing.DedupCell,
-	}
-)
+// settingsFile is the settings text; the names of its keys are the simulator's. Time spans are in microseconds; they
+// are plain numbers, so that errors of the JSON decoder name a type that the operators know.
+type settingsFile struct {
+	Balancers      int                `json:"Balancers"`
+	Zone           int                `json:"Zone"`
+	Discovery      string             `json:"Discovery"`
+	Kinds          []string           `json:"Kinds"`
+	Classes        []classSettings    `json:"Classes"`
+	Tenants        []tenantSettings   `json:"Tenants"`
+	FamilyInfo     familySettings     `json:"FamilyInfo"`
+	Caps           capabilitySettings `json:"Caps"`
+	Invariants     invariantSettings  `json:"Invariants"`
+	OverShareWorth float64            `json:"OverShareWorth"`
+	WorthBy        string             `json:"WorthBy"`
+	Report         reportSettings     `json:"Report"`
+}
 
-// Site is all of the settings that the program uses: what the module is told, and what a front node needs beside it.
-type Site struct {
-	Routing        routing.Config
-	Kinds, Tenants []string
-	ConnIdle, Dial time.Duration // an idle connection's life, and the wait for one to come up
-	MaxOpen        int
-	RetryAfter     bool // clients are told when to come back
+// classSettings is one request class.
+type classSettings struct {
+	Name       string  `json:"Name"`
+	Promise    float64 `json:"Promise"`
+	Deadline   float64 `json:"Deadline"`
+	Window     float64 `json:"Window"`
+	Importance float64 `json:"Importance"`
+	LateWorth  float64 `json:"LateWorth"`
+	Repeat     string  `json:"Repeat"`
+	Group      string  `json:"Group"`
 }
 
-// ParseSettings maps the settings text to the module's terms.
-func ParseSettings(text []byte) (routing.Config, error) {
-	s, err := ParseSite(text)
-	return s.Routing, err
+type tenantSettings struct {
+	Name      string  `json:"Name"`
+	QuotaPerS float64 `json:"QuotaPerS"`
+	Share     float64 `json:"Share"`
 }
 
-// ParseSite reads the settings text. Unknown keys are skipped; absent ones are zero, which routing.Settings documents.
-func ParseSite(text []byte) (Site, error) {
-	var b boot
-	if err := json.Unmarshal(text, &b); err != nil {
-		return Site{}, fmt.Errorf("settings: %w", err)
+// familySettings describes the two stages of requests; its lists go by class or by kind of engine.
+type familySettings struct {
+	Ahead                    bool      `json:"Ahead"`
+	LocalRead                bool      `json:"LocalRead"`
+	Resume                   bool      `json:"Resume"`
+	AimUsPer1000PromptTokens []float64 `json:"AimUsPer1000PromptTokens"` // by class
+	TokenAim                 []float64 `json:"TokenAim"`                 // by class
+	KindRole                 []string  `json:"KindRole"`                 // by kind
+	KvTokens                 []float64 `json:"KvTokens"`                 // by kind
+	Release                  float64   `json:"Release"`
+}
+
+// capabilitySettings says what the router may do.
+type capabilitySettings struct {
+	AttemptsCap   int     `json:"AttemptsCap"`
+	MaxOpen       int     `json:"MaxOpen"`
+	Cancel        bool    `json:"Cancel"`
+	SecondCopies  bool    `json:"SecondCopies"`
+	RetryAfter    bool    `json:"RetryAfter"`
+	MaxRetryAfter float64 `json:"MaxRetryAfter"`
+	ConnIdle      float64 `json:"ConnIdle"`
+	DialTimeout   float64 `json:"DialTimeout"`
+}
+
+// invariantSettings holds the bounds that the simulator checks.
+type invariantSettings struct {
+	AskWithin         float64 `json:"AskWithin"`
+	Cold              float64 `json:"Cold"`
+	ColdFrom          float64 `json:"ColdFrom"`
+	GraceToAnswer     float64 `json:"GraceToAnswer"`
+	OverloadFactor    float64 `json:"OverloadFactor"`
+	StopSendingWithin float64 `json:"StopSendingWithin"`
+	TipAfter          float64 `json:"TipAfter"`
+}
+
+type reportSettings struct {
+	Fields []string `json:"Fields"`
+}
+
+// Values of settings, by the simulator's names.
+const (
+	discoveryPoll = "ask"  // of Discovery
+	worthByWork   = "work" // of WorthBy
+)
+
+var (
+	roles = map[string]routing.Role{
+		"read":  routing.RolePrefill,
+		"write": routing.RoleDecode,
+		"both":  routing.RoleMixed,
 	}
-	s, err := b.choice()
-	site := Site{
-		Routing: s, Kinds: b.Kinds, ConnIdle: micro(b.Caps.ConnIdle), Dial: micro(b.Caps.DialTimeout), MaxOpen: b.Caps.MaxOpen,
-		RetryAfter: b.Caps.RetryAfter,
+	idempotencies = map[string]routing.Idempotency{
+		"free":        routing.Idempotent,
+		"guarded":     routing.IdempotentWithKey,
+		"single_shot": routing.NotIdempotent,
 	}
-	for _, t := range b.Tenants {
-		site.Tenants = append(site.Tenants, t.Name)
+	dedupScopes = map[string]routing.DedupScope{
+		"":     routing.DedupAll,
+		"all":  routing.DedupAll,
+		"zone": routing.DedupZone,
+		"cell": routing.DedupCell,
 	}
-	return site, err
-}
+)
+
+// routingConfig maps the settings to the router's terms. With an error it returns what was mapped so far.
+func (file *settingsFile) routingConfig() (routing.Config, error) {
+	caps, family, invariants := &file.Caps, &file.FamilyInfo, &file.Invariants
+	config := routing.Config{
+		Replicas:         file.Balancers,
+		Zone:             file.Zone,
+		OverQuotaWeight:  file.OverShareWorth,
+		WeightByWork:     file.WorthBy == worthByWork,
+		PollEndpoints:    file.Discovery == discoveryPoll,
+		LoadReportFields: file.Report.Fields,
+
+		MaxAttempts:   caps.AttemptsCap,
+		CanCancel:     caps.Cancel,
+		Hedging:       caps.SecondCopies,
+		MaxRetryAfter: micros(caps.MaxRetryAfter),
+
+		ReserveAhead:     family.Ahead,
+		DecodeCanPrefill: family.LocalRead,
+		ResumeStreams:    family.Resume,
+		StateTTL:         micros(family.Release),
 
-func (b *boot) choice() (routing.Config, error) {
-	f, inv := b.FamilyInfo, b.Invariants
-	s := routing.Config{
-		Replicas: b.Balancers, Zone: b.Zone, OverQuotaWeight: b.OverShareWorth, WeightByWork: b.WorthBy == "work",
-		MaxAttempts: b.Caps.AttemptsCap, CanCancel: b.Caps.Cancel, Hedging: b.Caps.SecondCopies,
-		MaxRetryAfter: micro(b.Caps.MaxRetryAfter), ReserveAhead: f.Ahead, DecodeCanPrefill: f.LocalRead, ResumeStreams: f.Resume,
-		StateTTL: micro(f.Release), AnswerSlack: micro(inv.GraceToAnswer), DrainGrace: micro(inv.StopSendingWithin),
-		SlowStartFrom: inv.ColdFrom, SlowStartFor: micro(inv.Cold), OverloadFactor: inv.OverloadFactor, OverloadAfter: micro(inv.TipAfter),
-		PollEndpoints: b.Discovery == "ask", PollInterval: micro(inv.AskWithin), LoadReportFields: b.Report.Fields,
+		AnswerSlack:    micros(invariants.GraceToAnswer),
+		DrainGrace:     micros(invariants.StopSendingWithin),
+		SlowStartFrom:  invariants.ColdFrom,
+		SlowStartFor:   micros(invariants.Cold),
+		OverloadFactor: invariants.OverloadFactor,
+		OverloadAfter:  micros(invariants.TipAfter),
+		PollInterval:   micros(invariants.AskWithin),
 	}
-	for _, t := range b.Tenants {
-		s.Tenants = append(s.Tenants, routing.Tenant{QuotaPerS: t.QuotaPerS, Share: t.Share})
+	for _, tenant := range file.Tenants {
+		config.Tenants = append(config.Tenants, routing.Tenant{QuotaPerS: tenant.QuotaPerS, Share: tenant.Share})
 	}
-	if err := addKinds(&s, b); err != nil {
-		return s, err
+	var err error
+	if config.Kinds, err = file.routingKinds(); err != nil {
+		return config, err
 	}
-	return s, addClasses(&s, b)
+	config.Classes, err = file.routingClasses()
+	return config, err
 }
 
-func addKinds(s *routing.Config, b *boot) error {
-	for i := range max(len(b.Kinds), len(b.FamilyInfo.KindRole)) {
-		k := routing.Kind{Role: routing.RoleMixed}
-		if i < len(b.FamilyInfo.KindRole) {
-			role, ok := roles[b.FamilyInfo.KindRole[i]]
-			if !ok {
-				return fmt.Errorf("settings: FamilyInfo.KindRole[%d]: unknown role %q", i, b.FamilyInfo.KindRole[i])
+func (file *settingsFile) routingKinds() ([]routing.Kind, error) {
+	var kinds []routing.Kind
+	family := &file.FamilyInfo
+	for i := range max(len(file.Kinds), len(family.KindRole)) {
+		kind := routing.Kind{Role: routing.RoleMixed, Memory: valueAt(family.KvTokens, i)}
+		if i < len(family.KindRole) {
+			role, known := roles[family.KindRole[i]]
+			if !known {
+				return kinds, fmt.Errorf("settings: FamilyInfo.KindRole[%d]: unknown role %q", i, family.KindRole[i])
 			}
-			k.Role = role
+			kind.Role = role
 		}
-		k.Memory = at(b.FamilyInfo.KvTokens, i)
-		s.Kinds = append(s.Kinds, k)
+		kinds = append(kinds, kind)
 	}
-	return nil
+	return kinds, nil
 }
 
-func addClasses(s *routing.Config, b *boot) error {
-	for i, c := range b.Classes {
-		effect, ok := effects[c.Repeat]
-		if !ok {
-			return fmt.Errorf("settings: Classes[%d].Repeat: unknown %q", i, c.Repeat)
+func (file *settingsFile) routingClasses() ([]routing.Class, error) {
+	var classes []routing.Class
+	for i, class := range file.Classes {
+		idempotency, known := idempotencies[class.Repeat]
+		if !known {
+			return classes, fmt.Errorf("settings: Classes[%d].Repeat: unknown %q", i, class.Repeat)
 		}
-		group, ok := groups[c.Group]
-		if !ok {
-			return fmt.Errorf("settings: Classes[%d].Group: unknown %q", i, c.Group)
+		dedupScope, known := dedupScopes[class.Group]
+		if !known {
+			return classes, fmt.Errorf("settings: Classes[%d].Group: unknown %q", i, class.Group)
 		}
-		s.Classes = append(s.Classes, routing.Class{
-			Name: c.Name, LatencyObjective: micro(c.Promise), Deadline: micro(c.Deadline),
-			LatencyObjectivePer1000: micro(at(b.FamilyInfo.AimUsPer1000PromptTokens, i)), TokenLatencyObjective: micro(at(b.FamilyInfo.TokenAim, i)),
-			PriorityWeight: c.Importance, LateWeight: c.LateWorth, Idempotency: effect, DedupScope: group, DedupWindow: micro(c.Window),
+		classes = append(classes, routing.Class{
+			Name:                    class.Name,
+			LatencyObjective:        micros(class.Promise),
+			LatencyObjectivePer1000: micros(valueAt(file.FamilyInfo.AimUsPer1000PromptTokens, i)),
+			TokenLatencyObjective:   micros(valueAt(file.FamilyInfo.TokenAim, i)),
+			Deadline:                micros(class.Deadline),
+			PriorityWeight:          class.Importance,
+			LateWeight:              class.LateWorth,
+			Idempotency:             idempotency,
+			DedupScope:              dedupScope,
+			DedupWindow:             micros(class.Window),
 		})
 	}
-	return nil
+	return classes, nil
 }
 
-func at(v []float64, i int) float64 {
-	if i < len(v) {
-		return v[i]
+// valueAt is values[i], or zero where the list is shorter.
+func valueAt(values []float64, i int) float64 {
+	if i < len(values) {
+		return values[i]
 	}
 	return 0
 }
 
-// micro takes microseconds as the settings give them.
-func micro(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
+// micros converts a time span of the settings, which are in microseconds.
+func micros(us float64) time.Duration { return time.Duration(us * float64(time.Microsecond)) }
