--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
 // Command simadapter joins routers to the operators' simulator: batches come on standard input, replies go to standard
-// output. Each instance that the simulator names has a router of its own; routers share nothing. There is one goroutine.
+// output. Each instance that the simulator names has a router of its own; routers share nothing. One goroutine runs.
 package main
 
 import (
--- /dev/null
+++ b/internal/node/discovery/list.go
@@ -0,0 +1,134 @@
+package discovery
+
+import (
+	"brackenbend/internal/endpointslice"
+	"brackenbend/routing"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+	"time"
+)
+
+// List is a reply of discovery: all engines, or those that changed since a revision.
+type List struct {
+	Revision int64    `json:"revision"`
+	Complete bool     `json:"complete"`
+	Members  []Member `json:"members"`
+}
+
+// Member is one engine.
+type Member struct {
+	ID       string  `json:"id"`
+	HostPort string  `json:"host_port"`
+	Locality string  `json:"locality"`
+	Flavor   string  `json:"flavor"`
+	Cell     int64   `json:"cell"`
+	Phase    string  `json:"phase"`
+	Size     float64 `json:"size"`
+	UpSince  int64   `json:"up_since_ms"` // Unix time; 0 = long ago
+}
+
+// phases maps the phases of members to the states of endpoints.
+var phases = map[string]routing.EndpointState{
+	"Ready":       routing.EndpointReady,
+	"Terminating": routing.EndpointDraining,
+	"Gone":        routing.EndpointGone,
+}
+
+// Bounds on what is accepted, far above the fleets of the platform; they bound memory and log lines.
+const (
+	maxMembers     = 20000
+	maxMemberBytes = 512 // of all names of one member
+)
+
+// Parse reads a list. The fields revision, complete and members are required.
+func Parse(text []byte) (*List, error) {
+	var list struct {
+		Revision *int64    `json:"revision"`
+		Complete *bool     `json:"complete"`
+		Members  *[]Member `json:"members"`
+	}
+	if err := json.Unmarshal(text, &list); err != nil {
+		return nil, fmt.Errorf("discovery: %w", err)
+	}
+	if list.Revision == nil || list.Complete == nil || list.Members == nil {
+		return nil, errors.New("discovery: a list needs revision, complete and members")
+	}
+	return &List{*list.Revision, *list.Complete, *list.Members}, nil
+}
+
+// memberError is a problem of one member of a list.
+type memberError struct {
+	index int
+	id    string // "" = none, or too long to be shown
+	err   error
+}
+
+func (e *memberError) Error() string {
+	if e.id == "" {
+		return fmt.Sprintf("discovery: members[%d]: %v", e.index, e.err)
+	}
+	return fmt.Sprintf("discovery: members[%d] (%s): %v", e.index, e.id, e.err)
+}
+
+func (e *memberError) Unwrap() error { return e.err }
+
+// Update converts the list. One invalid member makes the whole list invalid: if it were left out, its engine would
+// count as gone.
+func (l *List) Update() (endpointslice.Update, error) {
+	update := endpointslice.Update{Scope: routing.ListChanges}
+	if l.Complete {
+		update.Scope = routing.ListFull
+	}
+	if len(l.Members) > maxMembers {
+		return update, fmt.Errorf("discovery: %d members, %d at most", len(l.Members), maxMembers)
+	}
+	update.Endpoints = make([]endpointslice.Endpoint, 0, len(l.Members))
+	for i := range l.Members {
+		member := &l.Members[i]
+		if err := member.checkNames(); err != nil {
+			return update, &memberError{index: i, err: err}
+		}
+		endpoint, err := member.endpoint()
+		if err != nil {
+			return update, &memberError{index: i, id: member.ID, err: err}
+		}
+		update.Endpoints = append(update.Endpoints, endpoint)
+	}
+	return update, nil
+}
+
+func (m *Member) checkNames() error {
+	if m.ID == "" || len(m.ID)+len(m.HostPort)+len(m.Locality)+len(m.Flavor) > maxMemberBytes {
+		return fmt.Errorf("no id, or names of over %d bytes", maxMemberBytes)
+	}
+	return nil
+}
+
+// endpoint converts a member.
+func (m *Member) endpoint() (endpointslice.Endpoint, error) {
+	state, known := phases[m.Phase]
+	if !known {
+		return endpointslice.Endpoint{}, fmt.Errorf("unknown phase %q", m.Phase)
+	}
+	if _, _, err := net.SplitHostPort(m.HostPort); err != nil && state != routing.EndpointGone {
+		return endpointslice.Endpoint{}, fmt.Errorf("host_port: %w", err)
+	}
+	if m.UpSince < 0 {
+		return endpointslice.Endpoint{}, errors.New("negative up_since_ms")
+	}
+	endpoint := endpointslice.Endpoint{
+		Name:    m.ID,
+		Address: m.HostPort,
+		Kind:    m.Flavor,
+		Zone:    m.Locality,
+		Cell:    strconv.FormatInt(m.Cell, 10),
+		State:   state,
+	}
+	if m.UpSince > 0 {
+		endpoint.Started = time.UnixMilli(m.UpSince)
+	}
+	return endpoint, nil
+}
