--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,5 +1,3 @@
-// Package node is a front node of the platform: its configuration, its budgets, and its life from start to SIGTERM.
-// The protocol is dialect's, the list discovery's; requests are the front's and decisions the module's.
 package node
 
 import (
@@ -13,32 +11,68 @@
 	"strconv"
 )
 
-// Config is what a front node is told at its start.
+// Config is the configuration of a node.
 type Config struct {
 	Name       string
-	Listen     string
-	Discovery  string
+	Listen     string // host:port
+	Discovery  string // host:port
 	Seed       uint64
 	Cores      float64
-	Memory     int64 // bytes; 0 = not told
-	Sockets    int   // 0 = not told
-	CachedList *discovery.List
+	Memory     int64           // bytes; 0 = not set
+	Sockets    int             // 0 = not set
+	CachedList *discovery.List // to start with; nil = none
 	Site       simprotocol.Site
 }
 
+// Environment variables that replace fields which the configuration file leaves out.
+const (
+	envName      = "LB_NAME"
+	envListen    = "LB_LISTEN"
+	envDiscovery = "LB_DISCOVERY"
+)
+
+// maxConfigBytes bounds the configuration file; a list of all engines that discovery may give fits.
+const maxConfigBytes = 16 << 20
+
 // ErrConfig marks errors of the configuration.
 var ErrConfig = errors.New("configuration")
 
-// configMost bounds the configuration file.
-const configMost = 16 << 20
+// FieldError is a problem of one field of the configuration file.
+type FieldError struct {
+	Field string // by its name in the file, after that of the object that holds it, as in "limits: sockets"
+	Err   error
+}
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns the problem.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+// configFile is the form of the configuration file.
+type configFile struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Discovery string          `json:"discovery"`
+	Seed      string          `json:"seed"` // hexadecimal
+	Limits    configLimits    `json:"limits"`
+	Known     json.RawMessage `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
+}
+
+type configLimits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB float64 `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
 
-// Load reads the file that LB_CONFIG names; LB_NAME, LB_LISTEN and LB_DISCOVERY stand in for what it leaves out.
+// Load reads a configuration file. The environment variables LB_NAME, LB_LISTEN and LB_DISCOVERY replace what it leaves
+// out. All errors are ErrConfig.
 func Load(file string, env func(string) string) (*Config, error) {
-	c, err := load(file, env)
+	config, err := load(file, env)
 	if err != nil {
 		return nil, fmt.Errorf("%w %s: %w", ErrConfig, file, err)
 	}
-	return c, nil
+	return config, nil
 }
 
 func load(file string, env func(string) string) (*Config, error) {
@@ -46,8 +80,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > configMost {
-		return nil, fmt.Errorf("%d bytes, %d at most", info.Size(), configMost)
+	if info.Size() > maxConfigBytes {
+		return nil, fmt.Errorf("%d bytes, %d at most", info.Size(), maxConfigBytes)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -57,56 +91,81 @@
 }
 
 func parse(text []byte, env func(string) string) (*Config, error) {
-	var f struct {
-		Name, Listen, Discovery, Seed string
-		Limits                        struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		}
-		Known    json.RawMessage
-		Settings json.RawMessage
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	or := func(v, name string) string {
-		if v == "" {
+	valueOrEnv := func(value, name string) string {
+		if value == "" {
 			return env(name)
 		}
-		return v
+		return value
 	}
-	c := &Config{
-		Name: or(f.Name, "LB_NAME"), Listen: or(f.Listen, "LB_LISTEN"), Discovery: or(f.Discovery, "LB_DISCOVERY"),
-		Cores: f.Limits.Cores, Memory: int64(f.Limits.MemoryMB * (1 << 20)), Sockets: f.Limits.Sockets,
-	}
-	for name, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
-		if _, _, err := net.SplitHostPort(address); err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
-		}
+	config := &Config{
+		Name:      valueOrEnv(file.Name, envName),
+		Listen:    valueOrEnv(file.Listen, envListen),
+		Discovery: valueOrEnv(file.Discovery, envDiscovery),
+		Cores:     file.Limits.Cores,
+		Memory:    int64(file.Limits.MemoryMB * (1 << 20)),
+		Sockets:   file.Limits.Sockets,
 	}
-	if c.Cores < 0 || c.Memory < 0 || c.Sockets < 0 {
-		return nil, errors.New("limits: negative")
+	if err := config.validateAddresses(); err != nil {
+		return nil, err
 	}
-	if c.Sockets > 0 && c.Sockets < socketsLeast {
-		return nil, fmt.Errorf("limits: sockets: %d, %d at least", c.Sockets, socketsLeast)
+	if err := config.validateLimits(); err != nil {
+		return nil, err
 	}
 	var err error
-	if f.Seed != "" {
-		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("seed: %w", err)
-		}
+	if config.Seed, err = parseSeed(file.Seed); err != nil {
+		return nil, &FieldError{"seed", err}
 	}
-	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if c.CachedList, err = discovery.Parse(f.Known); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
-		}
+	if config.CachedList, err = parseCachedList(file.Known); err != nil {
+		return nil, &FieldError{"known", err}
+	}
+	if len(file.Settings) == 0 {
+		return nil, &FieldError{"settings", errors.New("missing")}
 	}
-	if len(f.Settings) == 0 {
-		return nil, errors.New("settings: missing")
+	if config.Site, err = simprotocol.ParseSite(file.Settings); err != nil {
+		return nil, err
 	}
-	if c.Site, err = simprotocol.ParseSite(f.Settings); err != nil {
+	if err := config.Site.Routing.Validate(); err != nil {
 		return nil, err
 	}
-	return c, c.Site.Routing.Validate()
+	return config, nil
+}
+
+func (c *Config) validateAddresses() error {
+	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
+		return &FieldError{"listen", err}
+	}
+	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
+		return &FieldError{"discovery", err}
+	}
+	return nil
+}
+
+func (c *Config) validateLimits() error {
+	if c.Cores < 0 || c.Memory < 0 || c.Sockets < 0 {
+		return &FieldError{"limits", errors.New("negative")}
+	}
+	if c.Sockets > 0 && c.Sockets < minSockets {
+		return &FieldError{"limits: sockets", fmt.Errorf("%d, %d at least", c.Sockets, minSockets)}
+	}
+	return nil
+}
+
+// parseSeed reads a seed in hexadecimal; 0 where none is given.
+func parseSeed(text string) (uint64, error) {
+	if text == "" {
+		return 0, nil
+	}
+	return strconv.ParseUint(text, 16, 64)
+}
+
+// parseCachedList reads the list to start with; nil where none is given.
+func parseCachedList(text json.RawMessage) (*discovery.List, error) {
+	if len(text) == 0 || string(text) == "null" {
+		return nil, nil
+	}
+	return discovery.Parse(text)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -495,13 +495,13 @@
 	r := newStub(t, "r1", "prefill", func(s *stub, w http.ResponseWriter, q *http.Request) { <-held; reads(s, w, q) })
 	w := newStub(t, "w1", "decode", writes)
 	n, _ := start(t, setup{deadline: time.Hour}, r, w)
-	n.front.AcceptWhileDraining = 2 * time.Second // the clients below may be scheduled late
+	n.gateway.AcceptWhileDraining = 2 * time.Second // the clients below may be scheduled late
 	c, quiet := dial(t, n), dial(t, n)
 	c.send(t, message("aa01", "order"))
 	r.await("POST aa01")
 	ended := make(chan struct{})
 	go func() { n.Stop(); close(ended) }()
-	for n.front.NotReady() != "draining" {
+	for n.gateway.NotReady() != "draining" {
 		time.Sleep(time.Millisecond)
 	}
 	late := dial(t, n) // connections keep coming for a while
@@ -570,7 +570,7 @@
 		var c Config
 		c.Site.Routing.ResumeStreams = k.resume
 		c.Site.Routing.Classes = []routing.Class{{Deadline: 100 * ms}, {Deadline: k.longest}}
-		if linger, cut := c.drain(); linger != k.linger || cut != k.cut {
+		if linger, cut := c.acceptWhileDraining(), c.drainTimeout(); linger != k.linger || cut != k.cut {
 			t.Errorf("longest deadline %v, resume %t: takes in for %v, cuts after %v", k.longest, k.resume, linger, cut)
 		}
 	}
@@ -632,13 +632,13 @@
 }
 
 func TestBudgetsFitTheLimits(t *testing.T) {
-	for _, sockets := range []int{socketsLeast, 256, 1024} {
+	for _, sockets := range []int{minSockets, 256, 1024} {
 		for _, mb := range []int64{32, 192} {
 			b := (&Config{Sockets: sockets, Memory: mb << 20, Cores: 0.4}).ResourceLimits()
-			if b.MaxClientConns+b.MaxEngineConns+otherSockets > sockets || b.MaxClientConns < sockets/3 || b.Procs != 1 {
+			if b.MaxClientConns+b.MaxEngineConns+reservedSockets > sockets || b.MaxClientConns < sockets/3 || b.Procs != 1 {
 				t.Errorf("%d sockets: %+v", sockets, b)
 			}
-			if b.SoftHeapLimit >= mb<<20 || int64(b.HeapFloor) >= b.SoftHeapLimit || b.MaxBufferedBodyBytes >= b.SoftHeapLimit || b.MaxBufferedBodyBytes < bodyMost {
+			if b.SoftHeapLimit >= mb<<20 || int64(b.HeapFloor) >= b.SoftHeapLimit || b.MaxBufferedBodyBytes >= b.SoftHeapLimit || b.MaxBufferedBodyBytes < maxMessageBytes {
 				t.Errorf("%d MB: %+v", mb, b)
 			}
 		}
@@ -647,15 +647,15 @@
 
 // TestNewsOfEnginesIsTakenWithinThePlatformsTime: the calls' times, each at its worst, and what the node itself may be late.
 func TestNewsOfEnginesIsTakenWithinThePlatformsTime(t *testing.T) {
-	w := discovery.Watcher{WatchTimeout: watchHold, ConnectTimeout: watchConnect, FirstByteTimeout: beginMost, ResponseTimeout: watchAnswer, MaxBackoff: watchPause}
-	if late := w.MaxStaleness() + ownLate; late > told {
-		t.Errorf("a change may go unnoticed for %v, %v are allowed", late, told)
+	w := discovery.Watcher{WatchTimeout: watchTimeout, ConnectTimeout: discoveryConnectTimeout, FirstByteTimeout: maxFirstByteTimeout, ResponseTimeout: discoveryResponseTimeout, MaxBackoff: discoveryMaxBackoff}
+	if late := w.MaxStaleness() + maxSchedulingDelay; late > maxStaleness {
+		t.Errorf("a change may go unnoticed for %v, %v are allowed", late, maxStaleness)
 	}
-	if watchHold < 2*time.Second {
-		t.Errorf("a watch waits %v: that is polling", watchHold)
+	if watchTimeout < 2*time.Second {
+		t.Errorf("a watch waits %v: that is polling", watchTimeout)
 	}
 	const moved = 4 * time.Second // after SIGHUP
-	if late := w.MaxStaleness() - watchHold - beginMost + ownLate; late > moved {
+	if late := w.MaxStaleness() - watchTimeout - maxFirstByteTimeout + maxSchedulingDelay; late > moved {
 		t.Errorf("after a move the list may take %v", late)
 	}
 }
--- a/internal/node/release_test.go
+++ b/internal/node/release_test.go
@@ -199,7 +199,7 @@
 			d.news <- list(2, false, strings.Replace(member(r, "Ready"), `"up_since_ms":0`, `"up_since_ms":1700000000123`, 1))
 			d.news <- list(2, false) // the node has taken the one before
 		}
-		time.Sleep(2 * rest) // a connection may be used again then
+		time.Sleep(2 * reuseDelay) // a connection may be used again then
 		c.send(t, message(id, "enquiry"))
 		if resp, _, whole := c.answer(t); resp.StatusCode != 200 || !whole {
 			t.Errorf("%s: %d", id, resp.StatusCode)
