--- a/cmd/simadapter/exchange_test.go
+++ b/cmd/simadapter/exchange_test.go
@@ -26,7 +26,7 @@
 	rows := "0b 02 00000003 3f800000 00 01 00000028 0000 0000000000000000 0000 3f800000 01 01 00000029 0000 0000000000000000 0000" +
 		" 3f800000 00 02 0000002a 0000 0000000000000000 0000"
 	batches := [][]string{
-		{hex.EncodeToString(start(1, settings)), hex.EncodeToString(start(2, string(full)))},
+		{hex.EncodeToString(encodeStart(1, settings)), hex.EncodeToString(encodeStart(2, string(full)))},
 		{rows, "0c 0001", "01 03 00000001 02", "0c 0002", "01 01 00000001 02"},
 		{"0c 0001", order(7, "44e10000"), order(8, "43e10000"), "0c 0002", order(9, "42e10000")},
 		{"0c 0001", "04 00000007 0000 00000028 00004844 00 00000400 0066 02 3f000000 3f800000", "0a 00000007 0000 00000028 01 00000000"},
@@ -40,7 +40,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := batch(uint32(i+1), uint32(len(records)), body)
+		b := encodeBatch(uint32(i+1), uint32(len(records)), body)
 		if i == 0 { // each start has its own instance in front
 			binary.BigEndian.PutUint32(b[4:], 4)
 		}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -22,9 +22,9 @@
 	return append(out, body...)
 }
 
-// encodeStart encodes two records: what follows is for instance 1, and its start with these settings.
-func encodeStart(settings string) []byte {
-	out := []byte{12, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 1}
+// encodeStart encodes two records: what follows is for this instance, and its start with these settings.
+func encodeStart(instance byte, settings string) []byte {
+	out := []byte{12, 0, instance, 0, 0, 0, 0, 0, 0, 0, 0, 1}
 	out = binary.BigEndian.AppendUint32(out, uint32(len(settings)))
 	return append(out, settings...)
 }
@@ -47,7 +47,7 @@
 		list = append(list, 0x3f, 0x80, 0, 0, i, 1, 0, 0, 0, 40+i)
 		list = append(list, make([]byte, 12)...)
 	}
-	body := append(encodeStart(settings), list...)
+	body := append(encodeStart(1, settings), list...)
 	body = append(body, 1, 3, 0, 0, 0, 1, 0)
 	request := make([]byte, 52)
 	request[0], request[4] = 2, 7
@@ -69,13 +69,13 @@
 		in   []byte
 		want string
 	}{
-		{"truncated", encodeBatch(1, 1, encodeStart(settings))[:30], "batch body"},
-		{"settings not JSON", encodeBatch(1, 2, encodeStart("{")), "settings"},
-		{"no classes", encodeBatch(1, 2, encodeStart(`{"Kinds":["r"]}`)), "Classes"},
-		{"unknown role", encodeBatch(1, 2, encodeStart(`{"FamilyInfo":{"KindRole":["x"]}}`)), "KindRole[0]"},
-		{"negative time", encodeBatch(1, 2, encodeStart(strings.Replace(settings, "1000000}", "-1}", 1))), "negative time"},
+		{"truncated", encodeBatch(1, 1, encodeStart(1, settings))[:30], "batch body"},
+		{"settings not JSON", encodeBatch(1, 2, encodeStart(1, "{")), "settings"},
+		{"no classes", encodeBatch(1, 2, encodeStart(1, `{"Kinds":["r"]}`)), "Classes"},
+		{"unknown role", encodeBatch(1, 2, encodeStart(1, `{"FamilyInfo":{"KindRole":["x"]}}`)), "KindRole[0]"},
+		{"negative time", encodeBatch(1, 2, encodeStart(1, strings.Replace(settings, "1000000}", "-1}", 1))), "negative time"},
 		{"not started", encodeBatch(1, 2, []byte{12, 0, 1, 5, 0, 0, 0, 1}), "has not started"},
-		{"event after stop", encodeBatch(1, 4, append(encodeStart(settings), 9, 5, 0, 0, 0, 1)), "has not started"},
+		{"event after stop", encodeBatch(1, 4, append(encodeStart(1, settings), 9, 5, 0, 0, 0, 1)), "has not started"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/node/config_golden_test.go
+++ b/internal/node/config_golden_test.go
@@ -31,13 +31,13 @@
 			}
 		}
 		site := c.Site
-		got.WriteString(settingsText(site.Routing))
+		got.WriteString(configText(site.Routing))
 		fmt.Fprintf(&got, "  Kinds = %q\n  Tenants = %q\n  Caps.ConnIdle = %v\n  Caps.DialTimeout = %v\n  Caps.MaxOpen = %d\n",
-			site.Kinds, site.Tenants, site.ConnIdle, site.Dial, site.MaxOpen)
+			site.Kinds, site.Tenants, site.ConnIdleTimeout, site.DialTimeout, site.MaxOpenRequests)
 		fmt.Fprintf(&got, "  Caps.RetryAfter = %t\n", site.RetryAfter)
 		b := c.ResourceLimits()
 		fmt.Fprintf(&got, "  budget: clients %d engines %d one engine %d open %d bodies %d heap %d floor %d procs %d; watch begin %v\n",
-			b.MaxClientConns, b.MaxEngineConns, b.MaxConnsPerEngine, b.MaxOpenRequests, b.MaxBufferedBodyBytes, b.SoftHeapLimit, b.HeapFloor, b.Procs, c.watchBegin())
+			b.MaxClientConns, b.MaxEngineConns, b.MaxConnsPerEngine, b.MaxOpenRequests, b.MaxBufferedBodyBytes, b.SoftHeapLimit, b.HeapFloor, b.Procs, c.firstByteTimeout())
 	}
 	golden(t, "configs.txt", got.String())
 }
@@ -82,8 +82,8 @@
 	golden(t, "errors.txt", got.String())
 }
 
-// settingsText writes what the decision module is told, one line a key, in an order of its own.
-func settingsText(c routing.Config) string {
+// configText writes what the decision module is told, one line a key, in an order of its own.
+func configText(c routing.Config) string {
 	var s strings.Builder
 	line := func(key string, v ...any) { fmt.Fprintf(&s, "  %s = %s", key, fmt.Sprintln(v...)) }
 	line("Balancers", c.Replicas)
--- a/internal/node/discovery/bytes_test.go
+++ b/internal/node/discovery/bytes_test.go
@@ -87,7 +87,7 @@
 func TestDiscoveryListParsing(t *testing.T) {
 	var got strings.Builder
 	for _, text := range []string{
-		`{"revision":41,"complete":true,"members":[` + one + `,{"id":"s-2","phase":"Gone"},{"id":"s-3","host_port":"[::1]:1",` +
+		`{"revision":41,"complete":true,"members":[` + member1 + `,{"id":"s-2","phase":"Gone"},{"id":"s-3","host_port":"[::1]:1",` +
 			`"phase":"Terminating","cell":-4}]}`,
 		`{"revision":42,"complete":false,"members":[]}`,
 		`{"REVISION":43,"Complete":true,"MEMBERS":[{"ID":"x","Host_Port":"a:1","PHASE":"Ready"}],"more":1}`,
--- a/internal/simprotocol/stored_test.go
+++ b/internal/simprotocol/stored_test.go
@@ -20,9 +20,9 @@
 			t.Fatal(err)
 		}
 		site, err := ParseSite(text)
-		fmt.Fprintf(&got, "%s: error %v\n%s", name, err, settingsText(site.Routing))
+		fmt.Fprintf(&got, "%s: error %v\n%s", name, err, configText(site.Routing))
 		fmt.Fprintf(&got, "  Kinds = %q\n  Tenants = %q\n  Caps.ConnIdle = %v\n  Caps.DialTimeout = %v\n  Caps.MaxOpen = %d\n",
-			site.Kinds, site.Tenants, site.ConnIdle, site.Dial, site.MaxOpen)
+			site.Kinds, site.Tenants, site.ConnIdleTimeout, site.DialTimeout, site.MaxOpenRequests)
 		fmt.Fprintf(&got, "  Caps.RetryAfter = %t\n", site.RetryAfter)
 	}
 	for _, text := range []string{
@@ -52,8 +52,8 @@
 	return s
 }
 
-// settingsText writes what the decision module is told, one line a key, in an order of its own.
-func settingsText(c routing.Config) string {
+// configText writes what the decision module is told, one line a key, in an order of its own.
+func configText(c routing.Config) string {
 	var s strings.Builder
 	line := func(key string, v ...any) { fmt.Fprintf(&s, "  %s = %s", key, fmt.Sprintln(v...)) }
 	line("Balancers", c.Replicas)
