--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -73,7 +73,11 @@
 		{"settings not JSON", encodeBatch(1, 2, encodeStart(1, "{")), "settings"},
 		{"no classes", encodeBatch(1, 2, encodeStart(1, `{"Kinds":["r"]}`)), "Classes"},
 		{"unknown role", encodeBatch(1, 2, encodeStart(1, `{"FamilyInfo":{"KindRole":["x"]}}`)), "KindRole[0]"},
-		{"negative time", encodeBatch(1, 2, encodeStart(1, strings.Replace(settings, "1000000}", "-1}", 1))), "negative time"},
+		{
+			"negative time",
+			encodeBatch(1, 2, encodeStart(1, strings.Replace(settings, "1000000}", "-1}", 1))),
+			"negative time",
+		},
 		{"not started", encodeBatch(1, 2, []byte{12, 0, 1, 5, 0, 0, 0, 1}), "has not started"},
 		{"event after stop", encodeBatch(1, 4, append(encodeStart(1, settings), 9, 5, 0, 0, 0, 1)), "has not started"},
 	}
--- a/internal/node/config_golden_test.go
+++ b/internal/node/config_golden_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"brackenbend/internal/golden"
 	"brackenbend/routing"
 	"fmt"
 	"os"
@@ -9,47 +10,55 @@
 	"testing"
 )
 
-// TestConfigParsing: recorded documents, and what came of them before the renaming; not updated meanwhile.
+// TestConfigParsing: recorded files, and what came of them before the code was renamed; not updated meanwhile.
 func TestConfigParsing(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"LB_NAME": "env-name", "LB_LISTEN": "0.0.0.0:1", "LB_DISCOVERY": "[::1]:2"}[name]
 	}
 	var got strings.Builder
 	for _, name := range []string{"config-full.json", "config-env.json", "config-case.json"} {
-		c, err := Load(filepath.Join("testdata", name), env)
+		config, err := Load(filepath.Join("testdata", name), env)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&got, "%s\n  name = %q\n  listen = %q\n  discovery = %q\n  seed = %x\n  limits.cores = %v\n  limits.memory = %d bytes\n",
-			name, c.Name, c.Listen, c.Discovery, c.Seed, c.Cores, c.Memory)
-		fmt.Fprintf(&got, "  limits.sockets = %d\n", c.Sockets)
-		if c.CachedList != nil {
-			fmt.Fprintf(&got, "  known: revision=%d complete=%t\n", c.CachedList.Revision, c.CachedList.Complete)
-			for _, m := range c.CachedList.Members {
-				fmt.Fprintf(&got, "  known: id=%q host_port=%q locality=%q flavor=%q cell=%d phase=%q size=%v up_since_ms=%d\n",
-					m.ID, m.HostPort, m.Locality, m.Flavor, m.Cell, m.Phase, m.Size, m.UpSince)
-			}
+		got.WriteString(name + "\n")
+		got.WriteString(nodeConfigText(config))
+	}
+	golden.Check(t, "configs.txt", got.String())
+}
+
+// nodeConfigText writes a node's configuration by the keys of the file.
+func nodeConfigText(c *Config) string {
+	var s strings.Builder
+	fmt.Fprintf(&s, "  name = %q\n  listen = %q\n  discovery = %q\n  seed = %x\n", c.Name, c.Listen, c.Discovery, c.Seed)
+	fmt.Fprintf(&s, "  limits.cores = %v\n  limits.memory = %d bytes\n  limits.sockets = %d\n", c.Cores, c.Memory, c.Sockets)
+	if c.CachedList != nil {
+		fmt.Fprintf(&s, "  known: revision=%d complete=%t\n", c.CachedList.Revision, c.CachedList.Complete)
+		for _, m := range c.CachedList.Members {
+			fmt.Fprintf(&s, "  known: id=%q host_port=%q locality=%q flavor=%q cell=%d phase=%q size=%v up_since_ms=%d\n",
+				m.ID, m.HostPort, m.Locality, m.Flavor, m.Cell, m.Phase, m.Size, m.UpSince)
 		}
-		site := c.Site
-		got.WriteString(configText(site.Routing))
-		fmt.Fprintf(&got, "  Kinds = %q\n  Tenants = %q\n  Caps.ConnIdle = %v\n  Caps.DialTimeout = %v\n  Caps.MaxOpen = %d\n",
-			site.Kinds, site.Tenants, site.ConnIdleTimeout, site.DialTimeout, site.MaxOpenRequests)
-		fmt.Fprintf(&got, "  Caps.RetryAfter = %t\n", site.RetryAfter)
-		b := c.ResourceLimits()
-		fmt.Fprintf(&got, "  budget: clients %d engines %d one engine %d open %d bodies %d heap %d floor %d procs %d; watch begin %v\n",
-			b.MaxClientConns, b.MaxEngineConns, b.MaxConnsPerEngine, b.MaxOpenRequests, b.MaxBufferedBodyBytes, b.SoftHeapLimit, b.HeapFloor, b.Procs, c.firstByteTimeout())
 	}
-	golden(t, "configs.txt", got.String())
+	site := &c.Site
+	s.WriteString(routingConfigText(site.Routing))
+	fmt.Fprintf(&s, "  Kinds = %q\n  Tenants = %q\n", site.Kinds, site.Tenants)
+	fmt.Fprintf(&s, "  Caps.ConnIdle = %v\n  Caps.DialTimeout = %v\n", site.ConnIdleTimeout, site.DialTimeout)
+	fmt.Fprintf(&s, "  Caps.MaxOpen = %d\n  Caps.RetryAfter = %t\n", site.MaxOpenRequests, site.RetryAfter)
+	l := c.ResourceLimits()
+	fmt.Fprintf(&s, "  budget: clients %d engines %d one engine %d open %d bodies %d heap %d floor %d procs %d; watch begin %v\n",
+		l.MaxClientConns, l.MaxEngineConns, l.MaxConnsPerEngine, l.MaxOpenRequests,
+		l.MaxBufferedBodyBytes, l.SoftHeapLimit, l.HeapFloor, l.Procs, c.firstByteTimeout())
+	return s.String()
 }
 
-// TestConfigErrors: the texts for documents that are refused.
+// TestConfigErrors: the texts for files that are rejected.
 func TestConfigErrors(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "config-full.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	for _, k := range [][2]string{
+	for _, edit := range []struct{ old, replacement string }{
 		{`"127.0.0.1:8080"`, `"here"`},
 		{`"127.0.0.1:9090"`, `"there"`},
 		{`"cores":0.5`, `"cores":-1`},
@@ -67,23 +76,23 @@
 		{`{"name"`, `"name"`},
 		{`"Classes"`, `"NoClasses"`},
 	} {
-		if !strings.Contains(string(text), k[0]) {
-			t.Fatalf("the document lacks %s", k[0])
+		if !strings.Contains(string(text), edit.old) {
+			t.Fatalf("the file lacks %s", edit.old)
 		}
-		_, err := parse([]byte(strings.Replace(string(text), k[0], k[1], 1)), func(string) string { return "" })
-		fmt.Fprintf(&got, "%s -> %s\n  %v\n", k[0], k[1], err)
+		_, err := parse([]byte(strings.Replace(string(text), edit.old, edit.replacement, 1)), noEnv)
+		fmt.Fprintf(&got, "%s -> %s\n  %v\n", edit.old, edit.replacement, err)
 	}
-	_, err = parse([]byte(`{"settings":{}}`), func(string) string { return "" })
-	if err == nil || !strings.Contains(err.Error(), ": missing port in address") { // of listen and discovery whichever comes first
+	_, err = parse([]byte(`{"settings":{}}`), noEnv)
+	if err == nil || err.Error() != "listen: missing port in address" {
 		t.Errorf("neither listen nor discovery: %v", err)
 	}
-	_, err = Load(filepath.Join("testdata", "none.json"), func(string) string { return "" })
+	_, err = Load(filepath.Join("testdata", "none.json"), noEnv)
 	fmt.Fprintf(&got, "no file\n  %v\n", err)
-	golden(t, "errors.txt", got.String())
+	golden.Check(t, "errors.txt", got.String())
 }
 
-// configText writes what the decision module is told, one line a key, in an order of its own.
-func configText(c routing.Config) string {
+// routingConfigText writes the router's configuration, one line a key of the settings.
+func routingConfigText(c routing.Config) string {
 	var s strings.Builder
 	line := func(key string, v ...any) { fmt.Fprintf(&s, "  %s = %s", key, fmt.Sprintln(v...)) }
 	line("Balancers", c.Replicas)
@@ -110,8 +119,9 @@
 		line("Report.Fields", f)
 	}
 	for i, k := range c.Classes {
-		line("class", i, "Name", k.Name, "Promise", k.LatencyObjective, "Deadline", k.Deadline, "Window", k.DedupWindow, "Importance", k.PriorityWeight,
-			"LateWorth", k.LateWeight, "Repeat", int(k.Idempotency), "Group", int(k.DedupScope), "AimUsPer1000PromptTokens", k.LatencyObjectivePer1000,
+		line("class", i, "Name", k.Name, "Promise", k.LatencyObjective, "Deadline", k.Deadline, "Window", k.DedupWindow,
+			"Importance", k.PriorityWeight, "LateWorth", k.LateWeight, "Repeat", int(k.Idempotency),
+			"Group", int(k.DedupScope), "AimUsPer1000PromptTokens", k.LatencyObjectivePer1000,
 			"TokenAim", k.TokenLatencyObjective)
 	}
 	for i, k := range c.Kinds {
--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -1,14 +1,10 @@
 package node
 
 import (
-	"brackenbend/internal/http1"
-	"flag"
+	"brackenbend/internal/golden"
 	"fmt"
 	"io"
 	"maps"
-	"net/http"
-	"os"
-	"path/filepath"
 	"regexp"
 	"slices"
 	"strings"
@@ -16,153 +12,138 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files")
+// recordTimeout bounds an exchange that is compared with what was recorded.
+const recordTimeout = 20 * time.Second
 
-// golden compares got with testdata/name. These files are recorded from before the renaming and aren't updated while it
-// goes on: a difference is a changed byte on the wire.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
-var waits = regexp.MustCompile(`Retry-After: [0-9]+\.[0-9]{3}\r\nretry-after-ms: [0-9]+\r`)
+// retryAfterFields matches the fields that give a measured wait.
+var retryAfterFields = regexp.MustCompile(`Retry-After: [0-9]+\.[0-9]{3}\r\nretry-after-ms: [0-9]+\r`)
 
-// visible makes each line end of a message readable, so that CR and LF are held too, and replaces a measured wait.
+// visible makes each line end of a message readable, so that CR and LF are compared too, and replaces a measured wait.
 func visible(s string) string {
-	s = waits.ReplaceAllString(s, "Retry-After: S.MMM\r\nretry-after-ms: MS\r")
+	s = retryAfterFields.ReplaceAllString(s, "Retry-After: S.MMM\r\nretry-after-ms: MS\r")
 	s = strings.ReplaceAll(s, "\r", `\r`)
 	return strings.ReplaceAll(s, "\n", "\\n\n") + "\n"
 }
 
-// exchanged sends text on a connection of its own and returns all that comes back until the node ends it.
-func exchanged(t *testing.T, n *Node, text string) string {
+// exchange sends text on a connection of its own and returns all that comes back until the node ends it.
+func exchange(t *testing.T, n *Node, text string) string {
 	t.Helper()
-	c := dial(t, n)
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	c := dialNode(t, n)
+	defer closeConn(c)
+	_ = c.SetDeadline(time.Now().Add(recordTimeout)) // without it a failing test only ends later
 	c.send(t, text)
-	got, err := io.ReadAll(c.br)
+	received, err := io.ReadAll(c.reader)
 	if err != nil {
-		t.Errorf("%v after %q", err, got)
+		t.Errorf("%v after %q", err, received)
 	}
-	return string(got)
+	return string(received)
 }
 
-const ending = "Connection: close\r\n\r\n"
+const closeHeader = "Connection: close\r\n\r\n"
+
+// closingRequest is a chat request that asks for its connection to be closed.
+func closingRequest(id, class string, replace ...string) string {
+	return strings.Replace(chatRequest(id, class, replace...), "\r\n\r\n", "\r\n"+closeHeader, 1)
+}
 
-// closing is a request whose connection is not to stay.
-func closing(id, class string, change ...string) string {
-	return strings.Replace(message(id, class, change...), "\r\n\r\n", "\r\n"+ending, 1)
+// bodylessRequest is a request without a body that asks for its connection to be closed.
+func bodylessRequest(method, path string) string {
+	return method + " " + path + " HTTP/1.1\r\nHost: a\r\n" + closeHeader
 }
 
-// TestClientAnswerBytes holds what clients of a front node get, byte for byte.
-func TestClientAnswerBytes(t *testing.T) {
-	streamHead := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	framed := func(s string) string { return string(http1.AppendChunk(nil, []byte(s))) }
-	whole := raw(streamHead + framed(strings.Join(stream, "")) + "0\r\n\r\n")
-	broken := raw(streamHead + framed(stream[0]) + "0\r\n\r\n")
-	failing := raw("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
-	length := fmt.Sprintf("Content-Length: %d", len(body))
-	plain := func(line string) string { return line + " HTTP/1.1\r\nHost: a\r\n" + ending }
+// truncateBody takes all but the first three bytes of a chat request's body away.
+func truncateBody(request string) string { return request[:len(request)-len(chatBody)+3] }
+
+// TestClientResponseBytes holds what clients of a node get, byte for byte.
+func TestClientResponseBytes(t *testing.T) {
+	complete := replyRaw(chunkedStreamHead + chunk(completeStream) + "0\r\n\r\n")
+	broken := replyRaw(chunkedStreamHead + chunk(streamEvents[0]) + "0\r\n\r\n")
+	failing := replyRaw("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
+	length := fmt.Sprintf("Content-Length: %d", len(chatBody))
 	for _, group := range []struct {
-		name   string
-		answer func(*stub, http.ResponseWriter, *http.Request)
-		cases  map[string]string // what is sent, by name
+		name     string
+		handle   engineHandler
+		requests map[string]string // by name
 	}{
-		{"served", whole, map[string]string{
-			"stream":             closing("a1", "enquiry"),
-			"stream-unsafe":      closing("a2", "order"),
-			"health":             plain("GET /healthz"),
-			"health-head":        plain("HEAD /healthz"),
-			"health-post":        plain("POST /healthz"),
+		{"served", complete, map[string]string{
+			"stream":             closingRequest("a1", "enquiry"),
+			"stream-unsafe":      closingRequest("a2", "order"),
+			"health":             bodylessRequest("GET", "/healthz"),
+			"health-head":        bodylessRequest("HEAD", "/healthz"),
+			"health-post":        bodylessRequest("POST", "/healthz"),
 			"health-1.0":         "GET /healthz HTTP/1.0\r\nHost: a\r\n\r\n",
-			"health-keep-alive":  "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n" + plain("GET /healthz"),
-			"404":                closing("b1", "order", "/v1/chat/completions", "/v1/embeddings"),
-			"404-state":          plain("DELETE /state/a1"),
-			"405":                plain("GET /v1/chat/completions"),
-			"413":                message("b1", "order", length, "Content-Length: 62914560"),
-			"417":                message("b1", "order", length, length+"\r\nExpect: a miracle"),
+			"health-keep-alive":  "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n" + bodylessRequest("GET", "/healthz"),
+			"404":                closingRequest("b1", "order", "/v1/chat/completions", "/v1/embeddings"),
+			"404-state":          bodylessRequest("DELETE", "/state/a1"),
+			"405":                bodylessRequest("GET", "/v1/chat/completions"),
+			"413":                chatRequest("b1", "order", length, "Content-Length: 62914560"),
+			"417":                chatRequest("b1", "order", length, length+"\r\nExpect: a miracle"),
 			"431":                "GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("a", 20<<10) + "\r\n\r\n",
-			"505":                message("b1", "order", "HTTP/1.1", "HTTP/1.0"),
-			"two-at-once":        message("b1", "order") + message("b2", "order"),
-			"negative-length":    message("b1", "order", length, "Content-Length: -5"),
-			"two-lengths":        message("b1", "order", length, length+"\r\n"+length),
-			"both-lengths":       message("b1", "order", length, length+"\r\nTransfer-Encoding: chunked"),
-			"unknown-class":      closing("b1", "nothing"),
-			"unknown-tenant":     closing("b1", "order", "acme", "other"),
-			"deadline-in-words":  closing("b1", "order", "4800", "soon"),
-			"no-id":              closing("", "order"),
-			"id-with-slash":      closing("a/b", "order"),
-			"field-twice":        closing("b1", "order", "Req-Key: 7f", "Req-Key: 7f\r\nreq-key: 7f"),
-			"unknown-retry":      closing("b1", "order", "Req-Key: 7f", "Req-Retry: maybe"),
-			"repeat-unsafe":      closing("b1", "order", "Req-Key: 7f", "Req-Retry: 1"),
-			"no-prompt-length":   closing("b1", "order", "prompt_len=20,", ""),
-			"bad-prompt-length":  closing("b1", "order", "prompt_len=20", "prompt_len=many"),
-			"prompt-given-twice": closing("b1", "order", "prompt_len=20", "prompt_len=20,prompt_len=20"),
-			"not-json":           cut(closing("b1", "order", length, "Content-Length: 3")),
+			"505":                chatRequest("b1", "order", "HTTP/1.1", "HTTP/1.0"),
+			"two-at-once":        chatRequest("b1", "order") + chatRequest("b2", "order"),
+			"negative-length":    chatRequest("b1", "order", length, "Content-Length: -5"),
+			"two-lengths":        chatRequest("b1", "order", length, length+"\r\n"+length),
+			"both-lengths":       chatRequest("b1", "order", length, length+"\r\nTransfer-Encoding: chunked"),
+			"unknown-class":      closingRequest("b1", "nothing"),
+			"unknown-tenant":     closingRequest("b1", "order", "acme", "other"),
+			"deadline-in-words":  closingRequest("b1", "order", "4800", "soon"),
+			"no-id":              closingRequest("", "order"),
+			"id-with-slash":      closingRequest("a/b", "order"),
+			"field-twice":        closingRequest("b1", "order", "Req-Key: 7f", "Req-Key: 7f\r\nreq-key: 7f"),
+			"unknown-retry":      closingRequest("b1", "order", "Req-Key: 7f", "Req-Retry: maybe"),
+			"repeat-unsafe":      closingRequest("b1", "order", "Req-Key: 7f", "Req-Retry: 1"),
+			"no-prompt-length":   closingRequest("b1", "order", "prompt_len=20,", ""),
+			"bad-prompt-length":  closingRequest("b1", "order", "prompt_len=20", "prompt_len=many"),
+			"prompt-given-twice": closingRequest("b1", "order", "prompt_len=20", "prompt_len=20,prompt_len=20"),
+			"not-json":           truncateBody(closingRequest("b1", "order", length, "Content-Length: 3")),
+		}},
+		{"failing", failing, map[string]string{"unsafe": closingRequest("a1", "order")}},
+		{"broken", broken, map[string]string{
+			"stream":            closingRequest("a1", "order"),
+			"stream-keep-alive": chatRequest("a1", "order"),
 		}},
-		{"failing", failing, map[string]string{"unsafe": closing("a1", "order")}},
-		{"broken", broken, map[string]string{"stream": closing("a1", "order"), "stream-keep-alive": message("a1", "order")}},
 	} {
-		n, _ := start(t, setup{}, newStub(t, "r1", "prefill", reads), newStub(t, "w1", "decode", group.answer))
-		for _, name := range slices.Sorted(maps.Keys(group.cases)) {
-			golden(t, "client-"+group.name+"-"+name+".golden", visible(exchanged(t, n, group.cases[name])))
+		n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, group.handle))
+		for _, name := range slices.Sorted(maps.Keys(group.requests)) {
+			file := "client-" + group.name + "-" + name + ".golden"
+			golden.Check(t, file, visible(exchange(t, n, group.requests[name])))
 		}
 	}
 }
 
-// cut takes all but the first three bytes of the body away.
-func cut(text string) string { return text[:len(text)-len(body)+3] }
-
 // TestKeepAliveBytes holds two streams one after another on one connection.
 func TestKeepAliveBytes(t *testing.T) {
-	whole := raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-		string(http1.AppendChunk(nil, []byte(strings.Join(stream, "")))) + "0\r\n\r\n")
-	n, _ := start(t, setup{}, newStub(t, "r1", "prefill", reads), newStub(t, "w1", "decode", whole))
-	c := dial(t, n)
-	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	complete := replyRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(completeStream) + "0\r\n\r\n")
+	n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, complete))
+	c := dialNode(t, n)
+	_ = c.SetDeadline(time.Now().Add(recordTimeout)) // without it a failing test only ends later
 	all := ""
 	for _, id := range []string{"a1", "a2"} {
-		c.send(t, message(id, "order"))
-		for got := ""; !strings.HasSuffix(got, "0\r\n\r\n"); {
-			line, err := c.br.ReadString('\n')
+		c.send(t, chatRequest(id, "order"))
+		for received := ""; !strings.HasSuffix(received, "0\r\n\r\n"); {
+			line, err := c.reader.ReadString('\n')
 			if err != nil {
 				t.Fatalf("%v after %q", err, all)
 			}
-			got, all = got+line, all+line
+			received, all = received+line, all+line
 		}
 	}
-	golden(t, "client-keep-alive.golden", visible(all))
+	golden.Check(t, "client-keep-alive.golden", visible(all))
 }
 
-// TestHealthBytesWithoutEngines holds the health answer of a node that starts with no list: it counts as ready.
+// TestHealthBytesWithoutEngines holds the health response of a node that starts without a list: it is ready.
 func TestHealthBytesWithoutEngines(t *testing.T) {
-	n, _ := start(t, setup{})
+	n, _ := startNode(t, nodeSetup{})
 	for _, method := range []string{"GET", "HEAD"} {
-		got := exchanged(t, n, method+" /healthz HTTP/1.1\r\nHost: a\r\n"+ending)
-		golden(t, "health-without-engines-"+strings.ToLower(method)+".golden", visible(got))
+		received := exchange(t, n, bodylessRequest(method, "/healthz"))
+		golden.Check(t, "health-without-engines-"+strings.ToLower(method)+".golden", visible(received))
 	}
 }
 
-// TestRefusalBytes: without a writer all is refused. The wait is the module's, and replaced.
-func TestRefusalBytes(t *testing.T) {
-	n, _ := start(t, setup{deadline: time.Second}, newStub(t, "r1", "prefill", reads))
+// TestRejectionBytes: without a decode engine all is rejected. The wait is the router's, and replaced.
+func TestRejectionBytes(t *testing.T) {
+	n, _ := startNode(t, nodeSetup{deadline: time.Second}, newPrefillEngine(t, replyPrefill))
 	for _, class := range []string{"enquiry", "order"} {
-		golden(t, "refusal-"+class+".golden", visible(exchanged(t, n, closing("a1", class))))
+		golden.Check(t, "refusal-"+class+".golden", visible(exchange(t, n, closingRequest("a1", class))))
 	}
 }
--- a/internal/simprotocol/stored_test.go
+++ b/internal/simprotocol/stored_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// TestSettingsParsing: the keys of the settings text are a protocol's. What comes of recorded texts was recorded before the
-// renaming and is not updated meanwhile.
+// TestSettingsParsing: the keys of the settings text are a protocol's. What comes of recorded texts was recorded before
+// the code was renamed and is not updated meanwhile.
 func TestSettingsParsing(t *testing.T) {
 	var got strings.Builder
 	for _, name := range []string{"settings-full.json", "settings-case.json", "settings-short.json"} {
@@ -20,10 +20,10 @@
 			t.Fatal(err)
 		}
 		site, err := ParseSite(text)
-		fmt.Fprintf(&got, "%s: error %v\n%s", name, err, configText(site.Routing))
-		fmt.Fprintf(&got, "  Kinds = %q\n  Tenants = %q\n  Caps.ConnIdle = %v\n  Caps.DialTimeout = %v\n  Caps.MaxOpen = %d\n",
-			site.Kinds, site.Tenants, site.ConnIdleTimeout, site.DialTimeout, site.MaxOpenRequests)
-		fmt.Fprintf(&got, "  Caps.RetryAfter = %t\n", site.RetryAfter)
+		fmt.Fprintf(&got, "%s: error %v\n%s", name, err, routingConfigText(site.Routing))
+		fmt.Fprintf(&got, "  Kinds = %q\n  Tenants = %q\n", site.Kinds, site.Tenants)
+		fmt.Fprintf(&got, "  Caps.ConnIdle = %v\n  Caps.DialTimeout = %v\n", site.ConnIdleTimeout, site.DialTimeout)
+		fmt.Fprintf(&got, "  Caps.MaxOpen = %d\n  Caps.RetryAfter = %t\n", site.MaxOpenRequests, site.RetryAfter)
 	}
 	for _, text := range []string{
 		`[`, `[]`, `{"Zone":"a"}`, `{"Balancers":1.5}`, `{"Caps":{"Cancel":1}}`, `{"Classes":[{"Promise":"1s"}]}`,
@@ -52,8 +52,8 @@
 	return s
 }
 
-// configText writes what the decision module is told, one line a key, in an order of its own.
-func configText(c routing.Config) string {
+// routingConfigText writes the router's configuration, one line a key of the settings.
+func routingConfigText(c routing.Config) string {
 	var s strings.Builder
 	line := func(key string, v ...any) { fmt.Fprintf(&s, "  %s = %s", key, fmt.Sprintln(v...)) }
 	line("Balancers", c.Replicas)
@@ -80,8 +80,9 @@
 		line("Report.Fields", f)
 	}
 	for i, k := range c.Classes {
-		line("class", i, "Name", k.Name, "Promise", k.LatencyObjective, "Deadline", k.Deadline, "Window", k.DedupWindow, "Importance", k.PriorityWeight,
-			"LateWorth", k.LateWeight, "Repeat", int(k.Idempotency), "Group", int(k.DedupScope), "AimUsPer1000PromptTokens", k.LatencyObjectivePer1000,
+		line("class", i, "Name", k.Name, "Promise", k.LatencyObjective, "Deadline", k.Deadline, "Window", k.DedupWindow,
+			"Importance", k.PriorityWeight, "LateWorth", k.LateWeight, "Repeat", int(k.Idempotency),
+			"Group", int(k.DedupScope), "AimUsPer1000PromptTokens", k.LatencyObjectivePer1000,
 			"TokenAim", k.TokenLatencyObjective)
 	}
 	for i, k := range c.Kinds {
