--- a/internal/node/protocol/wire_test.go
+++ b/internal/node/protocol/wire_test.go
@@ -2,47 +2,21 @@
 
 import (
 	"brackenbend/internal/engine"
+	"brackenbend/internal/golden"
 	"brackenbend/internal/http1"
 	"brackenbend/routing"
 	"bufio"
 	"bytes"
-	"flag"
 	"fmt"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files")
-
-// golden compares got with testdata/name. The files were recorded before the code was renamed and aren't updated while
-// that goes on: a difference is a changed byte on the wire.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
-// visible makes each line end of a message readable, so that CR and LF are held too.
+// visible makes each line end of a message readable, so that CR and LF are compared too.
 func visible(s string) string {
 	s = strings.ReplaceAll(s, "\r", `\r`)
 	return strings.ReplaceAll(s, "\n", "\\n\n") + "\n"
@@ -142,7 +116,7 @@
 					SingleUseConn: tc.singleUseConn, Body: body, Deadline: time.Now().Add(time.Minute),
 				}
 			}
-			golden(t, tc.golden, exchangeAll(t, newEngineClient(), call))
+			golden.Check(t, tc.golden, exchangeAll(t, newEngineClient(), call))
 		})
 	}
 }
