--- a/cmd/simadapter/exchange_test.go
+++ b/cmd/simadapter/exchange_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"brackenbend/internal/golden"
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
@@ -10,6 +9,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"brackenbend/internal/golden"
 )
 
 // recordedRequest is the record of a request; prompt is its prompt's tokens as a number of 32 bits.
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -3,13 +3,14 @@
 package main
 
 import (
-	"brackenbend/internal/simprotocol"
-	"brackenbend/routing"
 	"bufio"
 	"errors"
 	"fmt"
 	"io"
 	"os"
+
+	"brackenbend/internal/simprotocol"
+	"brackenbend/routing"
 )
 
 // inputBufferSize is the size of the buffer on standard input in bytes. It saves reads of small batches.
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -1,13 +1,14 @@
 package main
 
 import (
-	"brackenbend/internal/simprotocol"
-	"brackenbend/routing"
 	"bytes"
 	"encoding/binary"
 	"io"
 	"strings"
 	"testing"
+
+	"brackenbend/internal/simprotocol"
+	"brackenbend/routing"
 )
 
 const settings = `{"Kinds":["r","w"],"FamilyInfo":{"KindRole":["read","write"]},` +
--- a/internal/endpointslice/bytes_test.go
+++ b/internal/endpointslice/bytes_test.go
@@ -1,9 +1,6 @@
 package endpointslice_test
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/golden"
-	"brackenbend/routing"
 	"bufio"
 	"context"
 	"fmt"
@@ -14,6 +11,10 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/golden"
+	"brackenbend/routing"
 )
 
 const sliceJSON = `{"metadata":{"name":"s1","resourceVersion":"%d","labels":{"brackenbend.dev/kind":"decode",` +
--- a/internal/endpointslice/cache.go
+++ b/internal/endpointslice/cache.go
@@ -1,11 +1,12 @@
 package endpointslice
 
 import (
-	"brackenbend/internal/atomicfile"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
+
+	"brackenbend/internal/atomicfile"
 )
 
 // cacheVersion is the version of the form of cache files.
--- a/internal/endpointslice/endpointslice.go
+++ b/internal/endpointslice/endpointslice.go
@@ -7,11 +7,12 @@
 package endpointslice
 
 import (
-	"brackenbend/routing"
 	"strconv"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+
+	"brackenbend/routing"
 )
 
 // Endpoint is one engine of the list. Its JSON form is stored in the cache file.
--- a/internal/endpointslice/slice.go
+++ b/internal/endpointslice/slice.go
@@ -1,13 +1,14 @@
 package endpointslice
 
 import (
-	"brackenbend/routing"
 	"encoding/json"
 	"errors"
 	"net"
 	"net/netip"
 	"strconv"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // The part of discovery.k8s.io/v1 that is used.
--- a/internal/endpointslice/store.go
+++ b/internal/endpointslice/store.go
@@ -1,12 +1,13 @@
 package endpointslice
 
 import (
-	"brackenbend/routing"
 	"cmp"
 	"maps"
 	"slices"
 	"strconv"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // Types of watch events.
--- a/internal/endpointslice/store_test.go
+++ b/internal/endpointslice/store_test.go
@@ -1,9 +1,10 @@
 package endpointslice
 
 import (
-	"brackenbend/routing"
 	"fmt"
 	"testing"
+
+	"brackenbend/routing"
 )
 
 // storeHarness applies events about slices of one endpoint each.
--- a/internal/endpointslice/watch.go
+++ b/internal/endpointslice/watch.go
@@ -1,12 +1,13 @@
 package endpointslice
 
 import (
-	"brackenbend/routing"
 	"context"
 	"errors"
 	"math/rand/v2"
 	"net/http"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // Watcher lists and watches EndpointSlices. Its exported fields are set before Run.
--- a/internal/endpointslice/watch_test.go
+++ b/internal/endpointslice/watch_test.go
@@ -1,9 +1,6 @@
 package endpointslice_test
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/fake/apiserver"
-	"brackenbend/routing"
 	"context"
 	"net/http"
 	"os"
@@ -12,6 +9,10 @@
 	"sync"
 	"testing"
 	"time"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/fake/apiserver"
+	"brackenbend/routing"
 )
 
 // eventuallyTimeout bounds the wait for a list; long, since the machine may be busy.
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,14 +1,15 @@
 package node
 
 import (
-	"brackenbend/internal/node/discovery"
-	"brackenbend/internal/simprotocol"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
 	"os"
 	"strconv"
+
+	"brackenbend/internal/node/discovery"
+	"brackenbend/internal/simprotocol"
 )
 
 // Config is the configuration of a node.
--- a/internal/node/config_golden_test.go
+++ b/internal/node/config_golden_test.go
@@ -1,13 +1,14 @@
 package node
 
 import (
-	"brackenbend/internal/golden"
-	"brackenbend/routing"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"brackenbend/internal/golden"
+	"brackenbend/routing"
 )
 
 // TestConfigParsing: recorded files, and what came of them before the code was renamed; not updated meanwhile.
--- a/internal/node/discovery/bytes_test.go
+++ b/internal/node/discovery/bytes_test.go
@@ -1,14 +1,15 @@
 package discovery
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/golden"
 	"bufio"
 	"fmt"
 	"net"
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/golden"
 )
 
 // recordTimeout bounds an exchange that is compared with what was recorded.
--- a/internal/node/discovery/conn.go
+++ b/internal/node/discovery/conn.go
@@ -1,13 +1,14 @@
 package discovery
 
 import (
-	"brackenbend/internal/http1"
 	"bufio"
 	"context"
 	"fmt"
 	"net"
 	"net/http"
 	"time"
+
+	"brackenbend/internal/http1"
 )
 
 // pathList is the path of the list; with a revision it is a watch.
--- a/internal/node/discovery/discovery.go
+++ b/internal/node/discovery/discovery.go
@@ -8,12 +8,13 @@
 package discovery
 
 import (
-	"brackenbend/internal/endpointslice"
 	"context"
 	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
+
+	"brackenbend/internal/endpointslice"
 )
 
 // Watcher lists and watches engines. Its exported fields are set before Run.
--- a/internal/node/discovery/list.go
+++ b/internal/node/discovery/list.go
@@ -1,14 +1,15 @@
 package discovery
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/routing"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
 	"strconv"
 	"time"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/routing"
 )
 
 // List is a reply of discovery: all engines, or those that changed since a revision.
--- a/internal/node/discovery/list_test.go
+++ b/internal/node/discovery/list_test.go
@@ -1,11 +1,12 @@
 package discovery
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/routing"
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/routing"
 )
 
 // member1 is one member of a list.
--- a/internal/node/discovery/watch_test.go
+++ b/internal/node/discovery/watch_test.go
@@ -1,8 +1,6 @@
 package discovery
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/routing"
 	"context"
 	"fmt"
 	"math/rand/v2"
@@ -13,6 +11,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/routing"
 )
 
 // runWatcher runs a watcher; the function returned ends it and waits for its end.
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -1,10 +1,11 @@
 package node
 
 import (
-	"brackenbend/routing"
 	"fmt"
 	"testing"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // TestDrainWindows: clients that resume broken streams must find another node, so streams are ended before the platform
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"brackenbend/internal/http1"
 	"bufio"
 	"cmp"
 	"fmt"
@@ -18,6 +17,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"brackenbend/internal/http1"
 )
 
 // engineHandler answers a prefill or a decode.
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -1,11 +1,12 @@
 package node
 
 import (
-	"brackenbend/internal/gctuning"
 	"math"
 	"os"
 	"runtime"
 	"runtime/debug"
+
+	"brackenbend/internal/gctuning"
 )
 
 // minSockets is the fewest descriptors that a node can work with.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -7,12 +7,6 @@
 package node
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/gateway"
-	"brackenbend/internal/node/discovery"
-	"brackenbend/internal/node/protocol"
-	"brackenbend/internal/telemetry"
-	"brackenbend/routing"
 	"context"
 	"fmt"
 	"net"
@@ -20,6 +14,13 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/gateway"
+	"brackenbend/internal/node/discovery"
+	"brackenbend/internal/node/protocol"
+	"brackenbend/internal/telemetry"
+	"brackenbend/routing"
 )
 
 // Node is a running replica.
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -1,13 +1,14 @@
 package node
 
 import (
+	"cmp"
+	"time"
+
 	"brackenbend/internal/config"
 	"brackenbend/internal/engine"
 	"brackenbend/internal/gateway"
 	"brackenbend/internal/http1"
 	"brackenbend/internal/node/protocol"
-	"cmp"
-	"time"
 )
 
 // Bounds on messages, as the platform's protocol page gives them.
--- a/internal/node/protocol/client.go
+++ b/internal/node/protocol/client.go
@@ -1,11 +1,6 @@
 package protocol
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/internal/engine"
-	"brackenbend/internal/gateway"
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"encoding/json"
 	"fmt"
 	"math"
@@ -17,6 +12,12 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/tidwall/gjson"
+
+	"brackenbend/internal/api"
+	"brackenbend/internal/engine"
+	"brackenbend/internal/gateway"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // Clients is the client protocol of the platform. Its fields are set before its first use.
--- a/internal/node/protocol/client_test.go
+++ b/internal/node/protocol/client_test.go
@@ -1,13 +1,14 @@
 package protocol
 
 import (
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"bufio"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 var clients = &Clients{
--- a/internal/node/protocol/engine.go
+++ b/internal/node/protocol/engine.go
@@ -1,15 +1,16 @@
 package protocol
 
 import (
-	"brackenbend/internal/engine"
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"fmt"
 	"net/http"
 	"strconv"
 	"time"
 
 	"github.com/tidwall/gjson"
+
+	"brackenbend/internal/engine"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // releaseMessageSize is the usual size of a release in bytes, so that it is allocated once.
--- a/internal/node/protocol/engine_test.go
+++ b/internal/node/protocol/engine_test.go
@@ -1,13 +1,14 @@
 package protocol
 
 import (
-	"brackenbend/internal/engine"
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"fmt"
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/engine"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // TestParseReply holds the platform's table of complete replies, row for row; broken ones are the engine package's.
--- a/internal/node/protocol/wire_test.go
+++ b/internal/node/protocol/wire_test.go
@@ -1,10 +1,6 @@
 package protocol
 
 import (
-	"brackenbend/internal/engine"
-	"brackenbend/internal/golden"
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"bufio"
 	"bytes"
 	"fmt"
@@ -14,6 +10,11 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/engine"
+	"brackenbend/internal/golden"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // visible makes each line end of a message readable, so that CR and LF are compared too.
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -1,11 +1,12 @@
 package node
 
 import (
-	"brackenbend/internal/endpointslice"
-	"brackenbend/internal/node/discovery"
 	"time"
 
 	"go.uber.org/zap"
+
+	"brackenbend/internal/endpointslice"
+	"brackenbend/internal/node/discovery"
 )
 
 // Timeouts of the calls to discovery. Discovery is an agent on the node's machine, so connections and replies take
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -1,9 +1,10 @@
 package node
 
 import (
-	"brackenbend/internal/node/discovery"
 	"testing"
 	"time"
+
+	"brackenbend/internal/node/discovery"
 )
 
 // TestWatchTimeoutsKeepPlatformStaleness adds up the timeouts, each at its worst, and the node's own delay.
--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"brackenbend/internal/golden"
 	"fmt"
 	"io"
 	"maps"
@@ -10,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/golden"
 )
 
 // recordTimeout bounds an exchange that is compared with what was recorded.
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -1,11 +1,12 @@
 package simprotocol
 
 import (
-	"brackenbend/routing"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
+
+	"brackenbend/routing"
 )
 
 // readStep is how many bytes of a body are read at once, so that a false length can't make the decoder allocate far
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -1,7 +1,6 @@
 package simprotocol
 
 import (
-	"brackenbend/routing"
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
@@ -11,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/routing"
 )
 
 const us = time.Microsecond
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -1,9 +1,10 @@
 package simprotocol
 
 import (
-	"brackenbend/routing"
 	"errors"
 	"fmt"
+
+	"brackenbend/routing"
 )
 
 // decodeEvent decodes a record for one instance; nil where the router has no use for it.
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -1,10 +1,11 @@
 package simprotocol
 
 import (
-	"brackenbend/routing"
 	"encoding/binary"
 	"fmt"
 	"math"
+
+	"brackenbend/routing"
 )
 
 // Reply encodes the answer to one batch.
--- a/internal/simprotocol/reply_test.go
+++ b/internal/simprotocol/reply_test.go
@@ -1,11 +1,12 @@
 package simprotocol
 
 import (
-	"brackenbend/routing"
 	"bytes"
 	"math"
 	"testing"
 	"time"
+
+	"brackenbend/routing"
 )
 
 func TestReplyEncodesActions(t *testing.T) {
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -1,10 +1,11 @@
 package simprotocol
 
 import (
-	"brackenbend/routing"
 	"encoding/json"
 	"fmt"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // Site is all of the settings that the program uses: the router's, and what a node needs beside them.
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -1,10 +1,11 @@
 package simprotocol
 
 import (
-	"brackenbend/routing"
 	"reflect"
 	"testing"
 	"time"
+
+	"brackenbend/routing"
 )
 
 const settingsText = `{
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -6,9 +6,10 @@
 package simprotocol
 
 import (
-	"brackenbend/routing"
 	"math"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // MaxFrame is the longest batch that is accepted, in bytes. It bounds the memory that a corrupt length can take.
--- a/internal/simprotocol/stored_test.go
+++ b/internal/simprotocol/stored_test.go
@@ -1,13 +1,14 @@
 package simprotocol
 
 import (
-	"brackenbend/internal/golden"
-	"brackenbend/routing"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"brackenbend/internal/golden"
+	"brackenbend/routing"
 )
 
 // TestSettingsParsing: the keys of the settings text are a protocol's. What comes of recorded texts was recorded before
