--- a/roles/life_test.go
+++ b/roles/lifecycle_test.go
@@ -94,7 +94,7 @@
 
 // invariants hold in every state.
 func (x *explorer) invariants(w world) {
-	if m := w.book.stagesCovered(); !m[0] || !m[1] {
+	if m := w.book.stagesCovered(); !m.prefill || !m.decode {
 		x.fail("a stage is left without an engine", w)
 	}
 	for id, e := range w.book.Entries {
--- a/roles/memory.go
+++ b/roles/memory.go
@@ -9,27 +9,34 @@
 	"time"
 )
 
-// Memory is what a planner has learned, to be kept where another can find it: experts' pasts and losses, which of them
-// leads, what a change takes, and which engines are left alone. It is plain data; times in it are ages at the moment
-// when it was taken.
+// maxStoredCooldowns bounds the cooldowns in a Memory, and so the size of its stored form.
+const maxStoredCooldowns = 10000
+
+// maxPlausible bounds the figures of a Memory that is restored: far above anything measured, and far below where sums
+// lose precision.
+const maxPlausible = 1e15
+
+// Memory is what a planner has learned, to be stored where its successor finds it: the experts' history and losses, the
+// leading expert, what a change takes, and which engines are in cooldown. It is plain data; times in it are ages at the
+// moment when it was taken.
 type Memory struct {
 	Experts    []ExpertMemory   `json:"experts"`
 	Lead       int              `json:"lead"`
 	ChangeCost float64          `json:"cost"`  // seconds of an engine that a change takes
-	LastSplit  [2]int           `json:"stood"` // readers and writers as the planner left them
+	LastSplit  [2]int           `json:"stood"` // prefill and decode engines after the planner's last step
 	Cooldowns  []CooldownMemory `json:"bars,omitempty"`
 }
 
-// ExpertMemory is one expert's part.
+// ExpertMemory is one expert's part of a Memory.
 type ExpertMemory struct {
-	Memory  time.Duration `json:"memory"` // how long it looks back; another program's experts may differ
+	Memory  time.Duration `json:"memory"` // its lookback; another version's experts may differ
 	Loss    float64       `json:"loss"`
 	Readers int           `json:"readers"`
 	Writers int           `json:"writers"`
 	Past    []PastMemory  `json:"past"` // oldest first
 }
 
-// PastMemory is the work of some time, in engines times seconds.
+// PastMemory is the work of some time, in engine seconds.
 type PastMemory struct {
 	Age     time.Duration `json:"age"`
 	Reading float64       `json:"reading"`
@@ -37,101 +44,129 @@
 	Seconds float64       `json:"seconds"`
 }
 
-// CooldownMemory is an engine that is left alone.
+// CooldownMemory is an engine in cooldown.
 type CooldownMemory struct {
 	ID        string        `json:"id"`
 	Remaining time.Duration `json:"left"`
 	Pause     time.Duration `json:"pause"`
 }
 
-// maxBars bounds the engines that a memory names.
-const maxBars = 10000
-
-// Memory gives what the planner knows. ok is false before it has seen a fleet that it believes.
+// Memory returns what the planner has learned. ok is false before the planner has made a plan from trusted reports.
 func (p *Planner) Memory() (m Memory, ok bool) {
-	m = Memory{Lead: p.lead, ChangeCost: p.cost, LastSplit: p.stood}
+	m = Memory{
+		Lead: p.leader, ChangeCost: p.changeSeconds, LastSplit: [2]int{p.lastSplit.readers, p.lastSplit.writers},
+	}
 	for _, x := range p.experts {
 		if !x.started {
 			return Memory{}, false
 		}
-		e := ExpertMemory{Memory: x.memory, Loss: x.loss, Readers: x.readers, Writers: x.writers}
-		for _, c := range x.coming { // they will have come
-			if c.to == Prefill {
-				e.Readers++
-			} else {
-				e.Writers++
-			}
-		}
-		for _, w := range x.past {
-			e.Past = append(e.Past, PastMemory{p.now - w.at, w.reading, w.writing, w.seconds})
-		}
-		m.Experts = append(m.Experts, e)
+		m.Experts = append(m.Experts, x.export(p.now))
 	}
-	for id, b := range p.cooldowns {
-		if b.until > p.now && len(m.Cooldowns) < maxBars {
-			m.Cooldowns = append(m.Cooldowns, CooldownMemory{id, b.until - p.now, b.pause})
+	for id, c := range p.cooldowns {
+		if c.until > p.now && len(m.Cooldowns) < maxStoredCooldowns {
+			m.Cooldowns = append(m.Cooldowns, CooldownMemory{ID: id, Remaining: c.until - p.now, Pause: c.pause})
 		}
 	}
 	slices.SortFunc(m.Cooldowns, func(a, b CooldownMemory) int { return cmp.Compare(a.ID, b.ID) })
 	return m, true
 }
 
-// Recall gives a planner that has seen nothing yet what another had learned at an age ago. A memory that can't be right
-// is refused whole, and the planner begins as a new one does. now is what the next Step will be given, or less.
+// export is the expert's memory at now. Pending simulated changes count as done.
+func (x *expert) export(now time.Duration) ExpertMemory {
+	wanted := x.wantedReaders()
+	e := ExpertMemory{
+		Memory: x.lookback, Loss: x.loss, Readers: wanted, Writers: x.readers + x.writers + len(x.pending) - wanted,
+	}
+	for _, s := range x.history {
+		e.Past = append(e.Past, PastMemory{
+			Age: now - s.start, Reading: s.prefill, Writing: s.decode, Seconds: s.seconds,
+		})
+	}
+	return e
+}
+
+// Recall gives a planner that has not planned yet what another had learned, age ago. An implausible memory is refused as
+// a whole, and the planner starts as a new one does. now must not be later than the time of the next Step.
 func (p *Planner) Recall(m Memory, age, now time.Duration) error {
-	switch {
-	case p.began:
+	if p.started {
 		return errors.New("roles: memory: the planner has begun already")
-	case age < 0:
+	}
+	if age < 0 {
 		return errors.New("roles: memory: it comes from the future")
-	case len(m.Experts) != len(p.experts) || m.Lead < 0 || m.Lead >= len(p.experts):
-		return fmt.Errorf("roles: memory: %d experts, lead %d; this planner has %d", len(m.Experts), m.Lead, len(p.experts))
-	case !plain(m.ChangeCost) || m.ChangeCost > p.set.ChangeTimeout.Seconds():
-		return fmt.Errorf("roles: memory: a change of %v s", m.ChangeCost)
-	case m.LastSplit[0] < 0 || m.LastSplit[1] < 0 || len(m.Cooldowns) > maxBars:
-		return errors.New("roles: memory: engines that can't be")
+	}
+	if err := p.checkMemory(m); err != nil {
+		return err
 	}
 	for i, e := range m.Experts {
-		if err := e.check(p.experts[i].memory); err != nil {
-			return err
-		}
+		p.experts[i].restore(e, age, now)
 	}
-	for _, b := range m.Cooldowns {
-		if b.Remaining < 0 || b.Pause < 0 || b.Remaining > barMost || b.Pause > barMost {
-			return fmt.Errorf("roles: memory: engine %s is left alone for %v of %v", b.ID, b.Remaining, b.Pause)
+	for _, c := range m.Cooldowns {
+		if c.Remaining > age {
+			p.cooldowns[c.ID] = cooldown{until: now + c.Remaining - age, pause: c.Pause}
 		}
 	}
+	p.leader, p.changeSeconds = m.Lead, m.ChangeCost
+	p.lastSplit = split{readers: m.LastSplit[0], writers: m.LastSplit[1]}
+	return nil
+}
+
+func (x *expert) restore(e ExpertMemory, age, now time.Duration) {
+	x.readers, x.writers, x.started = e.Readers, e.Writers, true
+	x.loss = e.Loss * math.Exp(-age.Seconds()/x.lossWindow.Seconds())
+	for _, past := range e.Past {
+		x.history = append(x.history, workSample{
+			start: now - age - past.Age, prefill: past.Reading, decode: past.Writing, seconds: past.Seconds,
+		})
+	}
+}
+
+// checkMemory returns an error if m is implausible for this planner.
+func (p *Planner) checkMemory(m Memory) error {
+	switch {
+	case len(m.Experts) != len(p.experts) || m.Lead < 0 || m.Lead >= len(p.experts):
+		return fmt.Errorf("roles: memory: %d experts, lead %d; this planner has %d",
+			len(m.Experts), m.Lead, len(p.experts))
+	case !plausible(m.ChangeCost) || m.ChangeCost > p.config.ChangeTimeout.Seconds():
+		return fmt.Errorf("roles: memory: a change of %v s", m.ChangeCost)
+	case m.LastSplit[0] < 0 || m.LastSplit[1] < 0 || len(m.Cooldowns) > maxStoredCooldowns:
+		return errors.New("roles: memory: engines that can't be")
+	}
 	for i, e := range m.Experts {
-		x := p.experts[i]
-		x.readers, x.writers, x.loss, x.started = e.Readers, e.Writers, e.Loss*math.Exp(-age.Seconds()/x.losses.Seconds()), true
-		for _, w := range e.Past {
-			x.past = append(x.past, work{at: now - age - w.Age, reading: w.Reading, writing: w.Writing, seconds: w.Seconds})
+		if err := e.check(p.experts[i].lookback); err != nil {
+			return err
 		}
 	}
-	for _, b := range m.Cooldowns {
-		if b.Remaining > age {
-			p.cooldowns[b.ID] = cooldown{now + b.Remaining - age, b.Pause}
+	for _, c := range m.Cooldowns {
+		if c.Remaining < 0 || c.Pause < 0 || c.Remaining > maxCooldown || c.Pause > maxCooldown {
+			return fmt.Errorf("roles: memory: engine %s is left alone for %v of %v", c.ID, c.Remaining, c.Pause)
 		}
 	}
-	p.lead, p.cost, p.stood = m.Lead, m.ChangeCost, m.LastSplit
 	return nil
 }
 
-func (e *ExpertMemory) check(memory time.Duration) error {
+// check returns an error if e is implausible for an expert with the given lookback.
+func (e *ExpertMemory) check(lookback time.Duration) error {
+	// One history is historyBuckets samples; the limit leaves room for irregular steps and refuses anything larger.
+	const maxSamples = 4 * historyBuckets
 	switch {
-	case e.Memory != memory:
-		return fmt.Errorf("roles: memory: an expert that looks back %v where %v is meant", e.Memory, memory)
-	case !plain(e.Loss) || e.Readers < 0 || e.Writers < 0 || len(e.Past) == 0 || len(e.Past) > 4*buckets:
+	case e.Memory != lookback:
+		return fmt.Errorf("roles: memory: an expert that looks back %v where %v is meant", e.Memory, lookback)
+	case !plausible(e.Loss) || e.Readers < 0 || e.Writers < 0 || len(e.Past) == 0 || len(e.Past) > maxSamples:
 		return fmt.Errorf("roles: memory: the expert that looks back %v: figures that can't be", e.Memory)
 	}
-	last := time.Duration(math.MaxInt64)
-	for _, w := range e.Past {
-		if w.Age < 0 || w.Age > last || !plain(w.Reading) || !plain(w.Writing) || !plain(w.Seconds) || w.Seconds == 0 {
+	previous := time.Duration(math.MaxInt64)
+	for _, past := range e.Past {
+		if !past.plausible() || past.Age > previous {
 			return fmt.Errorf("roles: memory: the expert that looks back %v: a past that can't be", e.Memory)
 		}
-		last = w.Age
+		previous = past.Age
 	}
 	return nil
 }
 
-func plain(v float64) bool { return v >= 0 && v < 1e15 } // false for what is no number
+func (w PastMemory) plausible() bool {
+	return w.Age >= 0 && plausible(w.Reading) && plausible(w.Writing) && plausible(w.Seconds) && w.Seconds != 0
+}
+
+// plausible is false for negative and infinite values, and for NaN.
+func plausible(v float64) bool { return v >= 0 && v < maxPlausible }
--- a/roles/roles_test.go
+++ b/roles/planner_test.go
@@ -159,7 +159,7 @@
 					}
 				}
 				switch {
-				case !was.free() || !was.Ready || was.moving():
+				case !was.flexible() || !was.Ready || was.changing():
 					t.Fatalf("%+v was changed: %+v", was, c)
 				case !need && was.ChangedAt > 0 && w.now-was.ChangedAt < set.MinDwell:
 					t.Fatalf("%s changed again after %v: %s", c.ID, w.now-was.ChangedAt, c.Reason)
@@ -169,7 +169,7 @@
 			}
 			can := 0
 			for _, x := range w.engines {
-				if x.Ready && x.free() && !x.moving() {
+				if x.Ready && x.flexible() && !x.changing() {
 					can++
 				}
 			}
@@ -183,7 +183,7 @@
 // going counts the engines that have a role or are on their way to it.
 func going(es []Engine, r Role) (n int) {
 	for _, e := range es {
-		if (e.Ready || e.moving()) && e.Target == r {
+		if (e.Ready || e.changing()) && e.Target == r {
 			n++
 		}
 	}
@@ -438,7 +438,7 @@
 			plan := p.Step(town.now, town.engines, nil)
 			orders += len(plan.Changes)
 			town.obey(plan, 8*time.Second)
-			leads = append(leads, p.lead)
+			leads = append(leads, p.leader)
 		}
 		return leads
 	}
@@ -462,13 +462,13 @@
 	if err := again.Recall(back, 0, town.now); err != nil {
 		t.Fatal(err)
 	}
-	if got, _ := again.Memory(); !reflect.DeepEqual(got.Experts[0].Past[0].Reading, m.Experts[0].Past[0].Reading) || again.lead != first.lead {
-		t.Errorf("lead %d, was %d", again.lead, first.lead)
+	if got, _ := again.Memory(); !reflect.DeepEqual(got.Experts[0].Past[0].Reading, m.Experts[0].Past[0].Reading) || again.leader != first.leader {
+		t.Errorf("lead %d, was %d", again.leader, first.leader)
 	}
 	orders = 0
 	for _, lead := range play(again, 3000, 4000) {
-		if lead != first.lead {
-			t.Fatalf("the expert that leads changed from %d to %d", first.lead, lead)
+		if lead != first.leader {
+			t.Fatalf("the expert that leads changed from %d to %d", first.leader, lead)
 		}
 	}
 	if orders > 0 {
@@ -500,7 +500,7 @@
 		"no time":             func(m *Memory) { m.Experts[0].Past[0].Seconds = 0 },
 		"out of order":        func(m *Memory) { m.Experts[0].Past[0].Age = -1 },
 		"an engine for ever":  func(m *Memory) { m.Cooldowns = []CooldownMemory{{"e", time.Hour, 1000 * time.Hour}} },
-		"too many are barred": func(m *Memory) { m.Cooldowns = make([]CooldownMemory, maxBars+1) },
+		"too many are barred": func(m *Memory) { m.Cooldowns = make([]CooldownMemory, maxStoredCooldowns+1) },
 	} {
 		m, ok := p.Memory()
 		if !ok {
@@ -511,7 +511,7 @@
 		if err := fresh.Recall(m, 0, town.now); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if fresh.experts[0].started || fresh.lead != 0 || len(fresh.cooldowns) > 0 {
+		if fresh.experts[0].started || fresh.leader != 0 || len(fresh.cooldowns) > 0 {
 			t.Errorf("%s: refused, and half taken", name)
 		}
 	}
--- a/roles/stored_test.go
+++ b/roles/stored_test.go
@@ -88,7 +88,7 @@
 		Cooldowns: []CooldownMemory{{ID: "e0", Remaining: time.Second, Pause: time.Minute}, {ID: "e1", Remaining: time.Minute, Pause: 2 * time.Minute}},
 	}
 	for i, x := range p.experts {
-		m.Experts = append(m.Experts, ExpertMemory{Memory: x.memory, Loss: float64(i) / 3, Readers: i, Writers: i + 1, Past: []PastMemory{
+		m.Experts = append(m.Experts, ExpertMemory{Memory: x.lookback, Loss: float64(i) / 3, Readers: i, Writers: i + 1, Past: []PastMemory{
 			{Age: 3 * time.Second, Reading: 1.5, Writing: 1e-9, Seconds: 1}, {Age: time.Second, Reading: 2, Writing: 0.1, Seconds: 2},
 		}})
 	}
