--- a/roles/assignments.go
+++ b/roles/assignments.go
@@ -57,8 +57,8 @@
 	ErrSameRole       = errors.New("roles: it has that role")
 )
 
-// Write is the API server's part: a is the stored table, and next a table made from the version that it names. It returns
-// next with the following version, or ErrConflict if the stored version is another.
+// Write is the API server's part: a is the stored table, and next a table made from the version that it names. It
+// returns next with the following version, or ErrConflict if the stored version is another.
 func (a Assignments) Write(next Assignments) (Assignments, error) {
 	if next.Version != a.Version {
 		return a, fmt.Errorf("%w (from version %d, now %d)", ErrConflict, next.Version, a.Version)
--- /dev/null
+++ b/roles/assignments_test.go
@@ -0,0 +1,128 @@
+package roles
+
+import (
+	"errors"
+	"testing"
+	"time"
+)
+
+// flexibleAssignment is an engine that serves in a role and may be given any other.
+func flexibleAssignment(role Role) Assignment {
+	return Assignment{Role: role, Target: role, Serving: true, CanPrefill: true, CanDecode: true}
+}
+
+// mixedTable has an engine of each kind: flexible, pinned, and able to do one stage only.
+func mixedTable() Assignments {
+	pinned := flexibleAssignment(Prefill)
+	pinned.Pinned = true
+	return Assignments{Entries: map[string]Assignment{
+		"flexible":     flexibleAssignment(Prefill),
+		"pinned":       pinned,
+		"prefill only": {Role: Prefill, Target: Prefill, Serving: true, CanPrefill: true},
+		"decode only":  {Role: Decode, Target: Decode, Serving: true, CanDecode: true},
+	}}
+}
+
+func mustStart(t *testing.T, table Assignments, id string, to Role, reason string) Assignments {
+	t.Helper()
+	next, err := table.Start(id, to, reason)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return next
+}
+
+func TestStartRefusesWithTypedErrors(t *testing.T) {
+	table := mixedTable()
+	for _, c := range []struct {
+		id   string
+		to   Role
+		want error
+	}{
+		{"unknown", Decode, ErrUnknownEngine},
+		{"flexible", Prefill, ErrSameRole},
+		{"pinned", Decode, ErrRoleNotAllowed},
+		{"prefill only", Decode, ErrRoleNotAllowed},
+		{"prefill only", Both, ErrRoleNotAllowed},
+		{"decode only", Prefill, ErrRoleNotAllowed},
+	} {
+		if _, err := table.Start(c.id, c.to, ""); !errors.Is(err, c.want) {
+			t.Errorf("%s to %v: %v, want %v", c.id, c.to, err, c.want)
+		}
+	}
+	pending := mustStart(t, table, "flexible", Decode, "why")
+	if _, err := pending.Start("flexible", Both, ""); !errors.Is(err, ErrChangePending) {
+		t.Errorf("a second command: %v, want %v", err, ErrChangePending)
+	}
+	if _, err := table.Revert("flexible", ""); !errors.Is(err, ErrSameRole) {
+		t.Errorf("a revert of nothing: %v, want %v", err, ErrSameRole)
+	}
+}
+
+func TestStartLeavesItsReceiverUnchanged(t *testing.T) {
+	table := mixedTable()
+	mustStart(t, table, "flexible", Decode, "why")
+	if got := table.Entries["flexible"].Target; got != Prefill {
+		t.Errorf("the table that was read has target %v now", got)
+	}
+}
+
+// TestAddingAStageKeepsServing: an engine that becomes Both goes on serving its old role meanwhile.
+func TestAddingAStageKeepsServing(t *testing.T) {
+	next := mustStart(t, mixedTable(), "flexible", Both, "more")
+	if e := next.Entries["flexible"]; !e.Serving || e.Role != Prefill || len(next.PendingCommands()) != 1 {
+		t.Errorf("entry %+v, %d commands", e, len(next.PendingCommands()))
+	}
+	s := EngineState{Role: Prefill, Target: Both}
+	if !s.Serves(Prefill) || s.Serves(Decode) || s.Serves(Both) || s.StatusReport().Serving {
+		t.Errorf("%+v serves prefill %v, decode %v, both %v, reports %+v",
+			s, s.Serves(Prefill), s.Serves(Decode), s.Serves(Both), s.StatusReport())
+	}
+}
+
+// TestRevertIsConfirmedByItsOwnReportOnly: a report of the reverted command changes nothing.
+func TestRevertIsConfirmedByItsOwnReportOnly(t *testing.T) {
+	pending := mustStart(t, mixedTable(), "flexible", Decode, "why")
+	reverted, err := pending.Revert("flexible", "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, changed := reverted.ApplyStatus("flexible", StatusReport{Order: 1, Role: Decode, Serving: true}, 0); changed {
+		t.Error("the report of a reverted command confirmed it")
+	}
+	report := StatusReport{Order: 2, Role: Prefill, Serving: true}
+	confirmed, changed := reverted.ApplyStatus("flexible", report, time.Second)
+	e := confirmed.Entries["flexible"]
+	if !changed || !e.Serving || e.Role != Prefill || e.ChangedAt != time.Second {
+		t.Errorf("changed %v: %+v", changed, e)
+	}
+}
+
+// TestApplyPlanAppliesWhatIsAllowed: changes are applied one by one; a refused one is returned and changes nothing.
+func TestApplyPlanAppliesWhatIsAllowed(t *testing.T) {
+	table := Assignments{Entries: map[string]Assignment{
+		"a": flexibleAssignment(Prefill), "b": flexibleAssignment(Prefill), "c": flexibleAssignment(Decode),
+	}}
+	next, done, refused := table.ApplyPlan(Plan{
+		Reverts: []string{"a"},
+		Changes: []Change{
+			{ID: "a", Target: Decode}, {ID: "b", Target: Decode}, {ID: "x", Target: Prefill}, {ID: "c", Target: Prefill},
+		},
+	})
+	if len(done.Reverts) != 0 || len(done.Changes) != 2 {
+		t.Errorf("done %+v", done)
+	}
+	if len(refused) != 2 || !errors.Is(refused["b"], ErrLastOfStage) || !errors.Is(refused["x"], ErrUnknownEngine) {
+		t.Errorf("refused %v", refused)
+	}
+	serving, changing := next.CountServing()
+	if changing != 2 || serving != [3]int{1, 0, 0} || len(table.PendingCommands()) != 0 {
+		t.Errorf("%v serving, %d changing, %d commands in the old table", serving, changing, len(table.PendingCommands()))
+	}
+	if n, err := next.SwitchStage("b", "test"); err != nil || n.Entries["b"].Target != Decode {
+		t.Errorf("%+v %v", n.Entries["b"], err)
+	}
+	if _, err := table.SwitchStage("c", "test"); !errors.Is(err, ErrLastOfStage) {
+		t.Errorf("the last decode engine was switched: %v", err)
+	}
+}
--- a/roles/changes.go
+++ b/roles/changes.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// revertOpposing reverts pending changes away from the role that is wanted now, limit at most, rather than changing other
-// engines. It returns how many.
+// revertOpposing reverts pending changes away from the role that is wanted now, limit at most, rather than changing
+// other engines. It returns how many.
 func (p *Planner) revertOpposing(f *fleet, plan *Plan, wanted Role, limit int) (reverted int) {
 	for i := range f.engines {
 		e := &f.engines[i]
--- a/roles/cost.go
+++ b/roles/cost.go
@@ -23,8 +23,8 @@
 	return stageCost(prefillWork, readers, soft) + stageCost(decodeWork, writers, soft)
 }
 
-// stageCost is the work, in engines, that a stage is expected to lose: what exceeds its engines, and near full load what
-// a queue loses by chance. It is a soft maximum of two lines, so it is convex in engines.
+// stageCost is the work, in engines, that a stage is expected to lose: what exceeds its engines, and near full load
+// what a queue loses by chance. It is a soft maximum of two lines, so it is convex in engines.
 func stageCost(work, engines, soft float64) float64 {
 	z := (work - engineCapacity*engines) / soft
 	if z > linearFrom {
--- a/roles/expert.go
+++ b/roles/expert.go
@@ -19,9 +19,10 @@
 )
 
 // expert is one estimator of the wanted split: it looks back for a fixed time and wants the number of prefill engines
-// that would have cost least over that time. It simulates changes of a fleet of its own, with the duration and bounds of
-// real changes, so that the cost of a late change, or of changing at all, counts against it. On a mix that oscillates,
-// the expert that looks back over several periods loses least; on one that shifts, the one with a short lookback.
+// that would have cost least over that time. It simulates changes of a fleet of its own, with the duration and bounds
+// of real changes, so that the cost of a late change, or of changing at all, counts against it. On a mix that
+// oscillates, the expert that looks back over several periods loses least; on one that shifts, the one with a short
+// lookback.
 type expert struct {
 	lookback         time.Duration
 	lossWindow       time.Duration // time constant with which old losses are forgotten
--- a/roles/fleet.go
+++ b/roles/fleet.go
@@ -46,8 +46,8 @@
 	Lost    float64 // total work that was rejected or given up as too late
 }
 
-// Replica is the load report of one replica: the work that it had to reject, which no engine ever saw. Replicas without
-// a trusted report are left out; the plan is then made of what engines report, and sees less of an overload.
+// Replica is the load report of one replica: the work that it had to reject, which no engine ever saw. Replicas
+// without a trusted report are left out; the plan is then made of what engines report, and sees less of an overload.
 type Replica struct {
 	ID     string
 	Report *Report
--- a/roles/lifecycle.go
+++ b/roles/lifecycle.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// The life cycle of a change. The assignment table, stored by the API server, holds for every engine the role that it is
-// listed in and the newest command to it. Any number of planners write it: a write names the version that it was made
-// from and is refused if the table has been written since, so a planner that was paused, cut off or started twice can't
-// act on an old version, and what is checked against the table holds over all planners. An engine follows the newest
-// command that has reached it and keeps it on disk.
+// The life cycle of a change. The assignment table, stored by the API server, holds for every engine the role that it
+// is listed in and the newest command to it. Any number of planners write it: a write names the version that it was
+// made from and is refused if the table has been written since, so a planner that was paused, cut off or started
+// twice can't act on an old version, and what is checked against the table holds over all planners. An engine follows
+// the newest command that has reached it and keeps it on disk.
 //
 //	planner                      assignment table              engine
 //	Start, Write ──────────────▶ command: listed as draining
@@ -19,8 +19,8 @@
 //	Write ─────────────────────▶ confirmed: listed in its new role
 //
 // Every message may be lost, late or repeated, and every party may crash at any point: a command is repeated until a
-// status report confirms it. A command is reverted by a newer one back to the role in force.
-// A command that only adds a stage (to Both) drains nothing: the engine stays listed in its old role until it does both.
+// status report confirms it. A command is reverted by a newer one back to the role in force. A command that only adds
+// a stage (to Both) drains nothing: the engine stays listed in its old role until it does both.
 
 // revertReason is the stored reason of the commands that revert a planner's change.
 const revertReason = "it took too long, or the work turned"
@@ -89,9 +89,9 @@
 	return next, nil
 }
 
-// ApplyStatus applies an engine's status report at now, and reports whether the table has changed and must be written. A
-// report that carries the newest command's number confirms it. An engine that serves in another role than it is listed
-// in, because it has lost its disk, is commanded back and does not serve meanwhile.
+// ApplyStatus applies an engine's status report at now, and reports whether the table has changed and must be
+// written. A report that carries the newest command's number confirms it. An engine that serves in another role than
+// it is listed in, because it has lost its disk, is commanded back and does not serve meanwhile.
 func (a Assignments) ApplyStatus(id string, status StatusReport, now time.Duration) (Assignments, bool) {
 	e, ok := a.Entries[id]
 	if !ok || !status.Serving {
@@ -124,8 +124,8 @@
 	return pending
 }
 
-// ApplyPlan applies the parts of a plan that the table allows: done is what was applied, refused the error of each change
-// that was not.
+// ApplyPlan applies the parts of a plan that the table allows: done is what was applied, refused the error of each
+// change that was not.
 func (a Assignments) ApplyPlan(plan Plan) (next Assignments, done Plan, refused map[string]error) {
 	next = a
 	for _, id := range plan.Reverts {
@@ -162,8 +162,8 @@
 	return StatusReport{Order: s.Order, Role: s.Role, Serving: s.Target == s.Role}
 }
 
-// Accept follows a command if it is newer than any before. While Target differs from Role the engine drains: it accepts
-// no new work of its old role and finishes what it has, also after a crash.
+// Accept follows a command if it is newer than any before. While Target differs from Role the engine drains: it
+// accepts no new work of its old role and finishes what it has, also after a crash.
 func (s EngineState) Accept(command Command) EngineState {
 	if command.Order > s.Order {
 		s.Order, s.Target = command.Order, command.Target
--- a/roles/lifecycle_test.go
+++ b/roles/lifecycle_test.go
@@ -1,365 +1,378 @@
 package roles
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"maps"
 	"slices"
 	"strings"
 	"testing"
-	"time"
 )
 
-// world is one state of a small fleet: the book, the engines, and two planners with the book as each last read it. Words
-// on their way are sets from which any may be taken at any time, again and again (late, repeated) or never (lost).
-type world struct {
-	book     Assignments
-	cache    [2]Assignments
-	seats    map[string]EngineState
-	tells    map[Command]bool
-	words    map[string]map[StatusReport]bool // by engine
-	amnesias int                              // disks lost so far
+// systemState is one state of a small system: the assignment table, the engines, and two planners with the table as
+// each last read it. Messages in transit are sets from which any may be delivered at any time, again and again (late,
+// repeated) or never (lost).
+type systemState struct {
+	table      Assignments
+	cached     [2]Assignments // by planner
+	engines    map[string]EngineState
+	commands   map[Command]bool
+	reports    map[string]map[StatusReport]bool // by engine
+	diskLosses int                              // disks lost so far
 }
 
-func (w world) clone() world {
-	w.seats, w.tells = maps.Clone(w.seats), maps.Clone(w.tells)
-	words := map[string]map[StatusReport]bool{}
-	for id, set := range w.words {
-		words[id] = maps.Clone(set)
-	}
-	w.words = words
-	return w
+func (s systemState) clone() systemState {
+	s.engines, s.commands = maps.Clone(s.engines), maps.Clone(s.commands)
+	reports := map[string]map[StatusReport]bool{}
+	for id, set := range s.reports {
+		reports[id] = maps.Clone(set)
+	}
+	s.reports = reports
+	return s
 }
 
-func show(b Assignments) string {
-	var s strings.Builder
-	fmt.Fprint(&s, b.Version, " ", b.Orders)
-	for _, id := range slices.Sorted(maps.Keys(b.Entries)) {
-		e := b.Entries[id]
-		fmt.Fprint(&s, "|", e.Role, e.Order, e.Target, e.Serving)
-	}
-	return s.String()
+func formatTable(table Assignments) string {
+	var b strings.Builder
+	fmt.Fprint(&b, table.Version, " ", table.Orders)
+	for _, id := range table.Names() {
+		e := table.Entries[id]
+		fmt.Fprint(&b, "|", e.Role, e.Order, e.Target, e.Serving)
+	}
+	return b.String()
 }
 
-func (w world) key() string {
-	var s strings.Builder
-	s.WriteString(show(w.book) + "#" + show(w.cache[0]) + "#" + show(w.cache[1]))
-	for _, id := range slices.Sorted(maps.Keys(w.seats)) {
-		fmt.Fprint(&s, "#", w.seats[id])
-		for _, x := range slices.SortedFunc(maps.Keys(w.words[id]), func(a, b StatusReport) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }) {
-			fmt.Fprint(&s, x)
+// sortedByText gives the elements of a set in the order of their printed forms.
+func sortedByText[T comparable](set map[T]bool) []T {
+	return slices.SortedFunc(maps.Keys(set), func(a, b T) int { return cmp.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
+}
+
+// key identifies a state.
+func (s systemState) key() string {
+	var b strings.Builder
+	b.WriteString(formatTable(s.table) + "#" + formatTable(s.cached[0]) + "#" + formatTable(s.cached[1]))
+	for _, id := range slices.Sorted(maps.Keys(s.engines)) {
+		fmt.Fprint(&b, "#", s.engines[id])
+		for _, report := range sortedByText(s.reports[id]) {
+			fmt.Fprint(&b, report)
 		}
 	}
-	for _, x := range slices.SortedFunc(maps.Keys(w.tells), func(a, b Command) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }) {
-		fmt.Fprint(&s, x)
+	for _, command := range sortedByText(s.commands) {
+		fmt.Fprint(&b, command)
 	}
-	fmt.Fprint(&s, w.amnesias)
-	return s.String()
+	fmt.Fprint(&b, s.diskLosses)
+	return b.String()
 }
 
-// explorer walks all states that can be reached, within bounds on orders, crashes and memories lost.
+// implementation is what the explored system runs: an engine's part and the API server's. Tests replace either by a
+// faulty one.
+type implementation struct {
+	accept func(EngineState, Command) EngineState
+	write  func(stored, next Assignments) (Assignments, error)
+}
+
+func correctImplementation() implementation {
+	return implementation{accept: EngineState.Accept, write: Assignments.Write}
+}
+
+// bounds limits an exploration.
+type bounds struct {
+	commands   uint64
+	diskLosses int
+}
+
+// explorer visits all states that can be reached within its bounds.
 type explorer struct {
-	orders                     uint64
-	amnesias                   int
-	take                       func(EngineState, Command) EngineState
-	put                        func(held, b Assignments) (Assignments, error)
-	broken                     string // the first state that breaks an invariant
-	seen                       map[string]int
-	all                        []world
-	into                       [][]int // predecessors
-	staleRefused, lastRefused  bool
-	calledOff, healed, settled bool
+	bounds       bounds
+	system       implementation
+	violation    string // the first state that violates an invariant
+	indexes      map[string]int
+	states       []systemState
+	predecessors [][]int
+	met          eventsMet
 }
 
-func (x *explorer) add(from int, w world) {
-	k := w.key()
-	i, ok := x.seen[k]
-	if !ok {
-		i = len(x.all)
-		x.seen[k] = i
-		x.all = append(x.all, w)
-		x.into = append(x.into, nil)
-		x.invariants(w)
+// eventsMet says which kinds of events an exploration has met.
+type eventsMet struct{ conflict, lastOfStage, reverted, corrected, confirmed bool }
+
+func (x *explorer) add(from int, s systemState) {
+	key := s.key()
+	i, known := x.indexes[key]
+	if !known {
+		i = len(x.states)
+		x.indexes[key] = i
+		x.states = append(x.states, s)
+		x.predecessors = append(x.predecessors, nil)
+		x.checkInvariants(s)
 	}
 	if from >= 0 {
-		x.into[i] = append(x.into[i], from)
+		x.predecessors[i] = append(x.predecessors[i], from)
 	}
 }
 
-func (x *explorer) fail(what string, w world) {
-	if x.broken == "" {
-		x.broken = what + ": " + w.key()
+func (x *explorer) fail(what string, s systemState) {
+	if x.violation == "" {
+		x.violation = what + ": " + s.key()
 	}
 }
 
-// invariants hold in every state.
-func (x *explorer) invariants(w world) {
-	if m := w.book.stagesCovered(); !m.prefill || !m.decode {
-		x.fail("a stage is left without an engine", w)
+// checkInvariants checks what must hold in every state.
+func (x *explorer) checkInvariants(s systemState) {
+	if covered := s.table.stagesCovered(); !covered.prefill || !covered.decode {
+		x.fail("a stage is left without an engine", s)
 	}
-	for id, e := range w.book.Entries {
-		s := w.seats[id]
+	for id, e := range s.table.Entries {
+		engine := s.engines[id]
 		if e.Serving && !e.Target.covers(e.Role) {
-			x.fail(id+" is open while it is ordered elsewhere", w)
+			x.fail(id+" is listed as serving while it is commanded to another role", s)
 		}
-		if s.Order > e.Order {
-			x.fail(id+" obeys an order that the book does not know", w)
+		if engine.Order > e.Order {
+			x.fail(id+" follows a command that the table does not know", s)
 		}
-		if e.Serving && w.amnesias == 0 && (!s.Serves(e.Role) || e.Target == e.Role && s.StatusReport() != (StatusReport{e.Order, e.Role, true})) {
-			x.fail(id+" is listed open as what it is not", w)
+		confirmed := StatusReport{Order: e.Order, Role: e.Role, Serving: true}
+		if e.Serving && s.diskLosses == 0 &&
+			(!engine.Serves(e.Role) || e.Target == e.Role && engine.StatusReport() != confirmed) {
+			x.fail(id+" is listed as serving in a role that it does not serve", s)
 		}
 	}
 }
 
-// write lets a planner write what it made from its cache.
-func (x *explorer) write(i int, w world, p int, b Assignments) (ok bool) {
-	n := w.clone()
-	held, err := x.put(w.book, b)
+// write lets a planner write a table made from its cached one. It reports whether the write was accepted.
+func (x *explorer) write(i int, s systemState, planner int, next Assignments) bool {
+	stored, err := x.system.write(s.table, next)
 	if errors.Is(err, ErrConflict) {
-		x.staleRefused = true
+		x.met.conflict = true
 		return false
 	}
-	n.book = held
-	n.cache[p] = held
+	n := s.clone()
+	n.table = stored
+	n.cached[planner] = stored
 	x.add(i, n)
 	return true
 }
 
+// step adds all states that follow from one event in state i.
 func (x *explorer) step(i int) {
-	w := x.all[i]
-	for p := range w.cache {
-		if w.cache[p].Version != w.book.Version { // it reads the book; a planner that crashed does the same
-			n := w.clone()
-			n.cache[p] = w.book
-			x.add(i, n)
+	s := x.states[i]
+	for planner := range s.cached {
+		x.stepPlanner(i, s, planner)
+	}
+	for id := range s.engines {
+		x.stepEngine(i, s, id)
+	}
+}
+
+func (x *explorer) stepPlanner(i int, s systemState, planner int) {
+	cached := s.cached[planner]
+	if cached.Version != s.table.Version { // it reads the table; a planner that crashed does the same
+		n := s.clone()
+		n.cached[planner] = s.table
+		x.add(i, n)
+	}
+	for id := range cached.Entries {
+		if cached.Orders < x.bounds.commands {
+			x.stepCommand(i, s, planner, id)
 		}
-		c := w.cache[p]
-		for id := range c.Entries {
-			if c.Orders < x.orders {
-				for to := Prefill; to <= Both; to++ {
-					b, err := c.Start(id, to, "")
-					if err == nil {
-						x.write(i, w, p, b)
-					}
-					x.lastRefused = x.lastRefused || errors.Is(err, ErrLastOfStage)
-				}
-				if b, err := c.Revert(id, ""); err == nil && x.write(i, w, p, b) {
-					x.calledOff = true
-				}
-			}
-			for word := range w.words[id] {
-				if b, changed := c.ApplyStatus(id, word, 0); changed && (b.Orders == c.Orders || c.Orders < x.orders+2) {
-					if x.write(i, w, p, b) {
-						x.settled = x.settled || b.Orders == c.Orders
-						x.healed = x.healed || b.Orders > c.Orders
-					}
-				}
+		for report := range s.reports[id] {
+			next, changed := cached.ApplyStatus(id, report, 0)
+			correction := next.Orders > cached.Orders
+			if !changed || correction && cached.Orders >= x.bounds.commands+2 {
+				continue
 			}
-		}
-		for _, t := range c.PendingCommands() {
-			if !w.tells[t] {
-				n := w.clone()
-				n.tells[t] = true
-				x.add(i, n)
+			if x.write(i, s, planner, next) {
+				x.met.confirmed = x.met.confirmed || !correction
+				x.met.corrected = x.met.corrected || correction
 			}
 		}
 	}
-	for id, s := range w.seats {
-		if word := s.StatusReport(); !w.words[id][word] {
-			n := w.clone()
-			n.words[id][word] = true
+	for _, command := range cached.PendingCommands() {
+		if !s.commands[command] {
+			n := s.clone()
+			n.commands[command] = true
 			x.add(i, n)
 		}
-		for t := range w.tells {
-			if taken := x.take(s, t); t.ID == id && taken != s {
-				n := w.clone()
-				n.seats[id] = taken
-				x.add(i, n)
-			}
-		}
-		if s.Target != s.Role { // it runs empty, or crashes and comes back empty
-			n := w.clone()
-			n.seats[id] = s.FinishDraining()
-			x.add(i, n)
+	}
+}
+
+// stepCommand lets a planner start each change of an engine, or revert the pending one.
+func (x *explorer) stepCommand(i int, s systemState, planner int, id string) {
+	cached := s.cached[planner]
+	for to := Prefill; to <= Both; to++ {
+		next, err := cached.Start(id, to, "")
+		if err == nil {
+			x.write(i, s, planner, next)
 		}
-		if w.amnesias < x.amnesias && s.Order > 0 { // it loses its disk and starts as it was first installed
-			n := w.clone()
-			n.amnesias++
-			n.seats[id] = EngineState{Role: Prefill, Target: Prefill}
+		x.met.lastOfStage = x.met.lastOfStage || errors.Is(err, ErrLastOfStage)
+	}
+	if next, err := cached.Revert(id, ""); err == nil && x.write(i, s, planner, next) {
+		x.met.reverted = true
+	}
+}
+
+func (x *explorer) stepEngine(i int, s systemState, id string) {
+	engine := s.engines[id]
+	if report := engine.StatusReport(); !s.reports[id][report] {
+		n := s.clone()
+		n.reports[id][report] = true
+		x.add(i, n)
+	}
+	for command := range s.commands {
+		if accepted := x.system.accept(engine, command); command.ID == id && accepted != engine {
+			n := s.clone()
+			n.engines[id] = accepted
 			x.add(i, n)
 		}
 	}
+	if engine.Target != engine.Role { // it has drained, or crashes and restarts without work
+		n := s.clone()
+		n.engines[id] = engine.FinishDraining()
+		x.add(i, n)
+	}
+	if s.diskLosses < x.bounds.diskLosses && engine.Order > 0 { // it loses its disk and starts as it was first installed
+		n := s.clone()
+		n.diskLosses++
+		n.engines[id] = EngineState{Role: Prefill, Target: Prefill}
+		x.add(i, n)
+	}
 }
 
-// live tells whether from every state all orders can still be settled, with no engine listed as what it is not.
-func (x *explorer) live() {
-	good := make([]bool, len(x.all))
-	var todo []int
-	for i, w := range x.all {
-		done := true
-		for id, e := range w.book.Entries {
-			s := w.seats[id]
-			done = done && e.Serving && s.Role == e.Role && s.Target == e.Role
+// allConfirmed reports whether every command is confirmed and every engine is what it is listed as.
+func (s systemState) allConfirmed() bool {
+	for id, e := range s.table.Entries {
+		engine := s.engines[id]
+		if !e.Serving || engine.Role != e.Role || engine.Target != e.Role {
+			return false
 		}
-		if good[i] = done; done {
-			todo = append(todo, i)
+	}
+	return true
+}
+
+// checkLiveness checks that from every state all commands can still be confirmed.
+func (x *explorer) checkLiveness() {
+	live := make([]bool, len(x.states))
+	var queue []int
+	for i, s := range x.states {
+		if live[i] = s.allConfirmed(); live[i] {
+			queue = append(queue, i)
 		}
 	}
-	for len(todo) > 0 {
-		i := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		for _, j := range x.into[i] {
-			if !good[j] {
-				good[j] = true
-				todo = append(todo, j)
+	for len(queue) > 0 {
+		i := queue[len(queue)-1]
+		queue = queue[:len(queue)-1]
+		for _, j := range x.predecessors[i] {
+			if !live[j] {
+				live[j] = true
+				queue = append(queue, j)
 			}
 		}
 	}
-	if i := slices.Index(good, false); i >= 0 {
-		x.fail("from here no order is ever settled", x.all[i])
-	}
-}
-
-// TestEveryCourseOfAChange explores the life cycle in full for small fleets with two planners, words lost, late and
-// repeated, planners with old news and engines that lose their disk. In every state: each stage has an engine meant for
-// it; no engine obeys an order that the book does not know; none is listed open as what it is not, unless it lost its
-// disk; and from every state everything can be settled.
-func TestEveryCourseOfAChange(t *testing.T) {
-	for name, c := range map[string]struct {
-		fleet    []Role
-		orders   uint64
-		amnesias int
-	}{
-		"two engines":                     {[]Role{Prefill, Decode}, 2, 0},
-		"two engines, one loses its disk": {[]Role{Prefill, Decode}, 1, 1},
-		"three engines":                   {[]Role{Prefill, Prefill, Decode}, 1, 0},
-	} {
-		t.Run(name, func(t *testing.T) {
-			x := explore(c.fleet, c.orders, c.amnesias, EngineState.Accept, Assignments.Write)
-			if x.broken != "" {
-				t.Fatal(x.broken)
-			}
-			t.Logf("%d states", len(x.all))
-			if !x.staleRefused || !x.lastRefused || !x.settled || c.orders > 1 && !x.calledOff || c.amnesias > 0 && !x.healed {
-				t.Errorf("a course was never met: %+v", [...]bool{x.staleRefused, x.lastRefused, x.settled, x.calledOff, x.healed})
-			}
-		})
+	if i := slices.Index(live, false); i >= 0 {
+		x.fail("from here no command is ever confirmed", x.states[i])
 	}
 }
 
-// explore walks all courses from a fleet at rest, until an invariant breaks.
-func explore(fleet []Role, orders uint64, amnesias int, take func(EngineState, Command) EngineState, put func(held, b Assignments) (Assignments, error)) *explorer {
-	w := world{seats: map[string]EngineState{}, tells: map[Command]bool{}, words: map[string]map[StatusReport]bool{}}
-	w.book.Entries = map[string]Assignment{}
-	for i, r := range fleet {
+// explore visits all states from an idle fleet, until an invariant is violated.
+func explore(fleet []Role, limit bounds, system implementation) *explorer {
+	start := systemState{
+		engines:  map[string]EngineState{},
+		commands: map[Command]bool{},
+		reports:  map[string]map[StatusReport]bool{},
+	}
+	start.table.Entries = map[string]Assignment{}
+	for i, role := range fleet {
 		id := fmt.Sprint("e", i)
-		w.book.Entries[id] = Assignment{Role: r, Target: r, Serving: true, CanPrefill: true, CanDecode: true}
-		w.seats[id] = EngineState{Role: r, Target: r}
-		w.words[id] = map[StatusReport]bool{}
-	}
-	w.cache = [2]Assignments{w.book, w.book}
-	x := &explorer{orders: orders, amnesias: amnesias, take: take, put: put, seen: map[string]int{}}
-	x.add(-1, w)
-	for i := 0; i < len(x.all) && x.broken == ""; i++ {
+		start.table.Entries[id] = flexibleAssignment(role)
+		start.engines[id] = EngineState{Role: role, Target: role}
+		start.reports[id] = map[StatusReport]bool{}
+	}
+	start.cached = [2]Assignments{start.table, start.table}
+	x := &explorer{bounds: limit, system: system, indexes: map[string]int{}}
+	x.add(-1, start)
+	for i := 0; i < len(x.states) && x.violation == ""; i++ {
 		x.step(i)
 	}
-	if x.broken == "" {
-		x.live()
+	if x.violation == "" {
+		x.checkLiveness()
 	}
 	return x
 }
 
-// TestExplorerSeesABrokenLife: engines and registers that do it wrong break an invariant, each its own.
-func TestExplorerSeesABrokenLife(t *testing.T) {
+// TestLifecycleHoldsInEveryState explores the life cycle in full for small fleets with two planners, messages lost,
+// late and repeated, planners with an old table and engines that lose their disk. In every state: each stage has an
+// engine whose target includes it; no engine follows a command that the table does not know; none is listed as
+// serving in a role that it does not serve, unless it lost its disk; and from every state everything can be
+// confirmed.
+func TestLifecycleHoldsInEveryState(t *testing.T) {
 	for name, c := range map[string]struct {
 		fleet []Role
-		take  func(EngineState, Command) EngineState
-		put   func(held, b Assignments) (Assignments, error)
-		says  string
+		limit bounds
 	}{
-		"an engine that obeys old orders": {[]Role{Prefill, Decode}, func(s EngineState, t Command) EngineState { s.Order, s.Target = t.Order, t.Target; return s }, Assignments.Write, "is listed open as what it is not"},
-		"an engine that obeys nothing":    {[]Role{Prefill, Decode}, func(s EngineState, _ Command) EngineState { return s }, Assignments.Write, "no order is ever settled"},
-		"a register that takes old news": {[]Role{Prefill, Prefill, Decode}, EngineState.Accept, func(held, b Assignments) (Assignments, error) {
-			b.Version = held.Version + 1
-			entries := maps.Clone(held.Entries) // each engine's entry by itself, as where every one is an object of its own
-			for id, e := range b.Entries {
-				if e.Order > entries[id].Order {
-					entries[id] = e
-				}
-			}
-			b.Entries = entries
-			return b, nil
-		}, "a stage is left without an engine"},
+		"two engines":                     {[]Role{Prefill, Decode}, bounds{commands: 2}},
+		"two engines, one loses its disk": {[]Role{Prefill, Decode}, bounds{commands: 1, diskLosses: 1}},
+		"three engines":                   {[]Role{Prefill, Prefill, Decode}, bounds{commands: 1}},
 	} {
-		if x := explore(c.fleet, 2, 0, c.take, c.put); !strings.Contains(x.broken, c.says) {
-			t.Errorf("%s: %q is seen, want %q", name, x.broken, c.says)
-		}
+		t.Run(name, func(t *testing.T) {
+			x := explore(c.fleet, c.limit, correctImplementation())
+			if x.violation != "" {
+				t.Fatal(x.violation)
+			}
+			t.Logf("%d states", len(x.states))
+			want := eventsMet{
+				conflict: true, lastOfStage: true, confirmed: true,
+				reverted:  c.limit.commands > 1 || x.met.reverted,
+				corrected: c.limit.diskLosses > 0 || x.met.corrected,
+			}
+			if x.met != want {
+				t.Errorf("met %+v, want %+v", x.met, want)
+			}
+		})
 	}
 }
 
-func TestBookRefuses(t *testing.T) {
-	b := Assignments{Entries: map[string]Assignment{
-		"a":      {Role: Prefill, Target: Prefill, Serving: true, CanPrefill: true, CanDecode: true},
-		"pinned": {Role: Prefill, Target: Prefill, Serving: true, Pinned: true, CanPrefill: true, CanDecode: true},
-		"reader": {Role: Prefill, Target: Prefill, Serving: true, CanPrefill: true}, "w": {Role: Decode, Target: Decode, Serving: true, CanDecode: true},
-	}}
-	for _, c := range []struct {
-		id   string
-		to   Role
-		want error
-	}{{"none", Decode, ErrUnknownEngine}, {"a", Prefill, ErrSameRole}, {"pinned", Decode, ErrRoleNotAllowed}, {"reader", Decode, ErrRoleNotAllowed}, {"reader", Both, ErrRoleNotAllowed}, {"w", Prefill, ErrRoleNotAllowed}} {
-		if _, err := b.Start(c.id, c.to, ""); !errors.Is(err, c.want) {
-			t.Errorf("%s to %v: %v, want %v", c.id, c.to, err, c.want)
+// TestExplorerDetectsFaultyImplementations: faulty engines and API servers each violate an invariant.
+func TestExplorerDetectsFaultyImplementations(t *testing.T) {
+	acceptsOldCommands := func(s EngineState, command Command) EngineState {
+		s.Order, s.Target = command.Order, command.Target
+		return s
+	}
+	acceptsNothing := func(s EngineState, _ Command) EngineState { return s }
+	mergesOldVersions := func(stored, next Assignments) (Assignments, error) {
+		next.Version = stored.Version + 1
+		entries := maps.Clone(stored.Entries) // each entry separately, as if it were an object of its own
+		for id, e := range next.Entries {
+			if e.Order > entries[id].Order {
+				entries[id] = e
+			}
 		}
+		next.Entries = entries
+		return next, nil
 	}
-	busy, err := b.Start("a", Decode, "why")
-	if err != nil || b.Entries["a"].Target != Prefill {
-		t.Fatalf("the book that was read was changed, or %v", err)
-	}
-	if _, err := busy.Start("a", Both, ""); !errors.Is(err, ErrChangePending) {
-		t.Error(err)
-	}
-	if _, err := b.Revert("a", ""); !errors.Is(err, ErrSameRole) {
-		t.Error(err)
-	}
-	wider, err := b.Start("a", Both, "more")
-	if e := wider.Entries["a"]; err != nil || !e.Serving || e.Role != Prefill || len(wider.PendingCommands()) != 1 {
-		t.Errorf("an engine that only adds a stage is closed meanwhile: %+v %v", e, err)
-	}
-	if s := (EngineState{Role: Prefill, Target: Both}); !s.Serves(Prefill) || s.Serves(Decode) || s.Serves(Both) || s.StatusReport().Serving {
-		t.Errorf("%+v", s)
-	}
-	off, err := busy.Revert("a", "")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, changed := off.ApplyStatus("a", StatusReport{1, Decode, true}, 0); changed {
-		t.Error("the word of an order that was called off settled it")
-	}
-	back, changed := off.ApplyStatus("a", StatusReport{2, Prefill, true}, time.Second)
-	if e := back.Entries["a"]; !changed || !e.Serving || e.Role != Prefill || e.ChangedAt != time.Second {
-		t.Errorf("%+v", e)
-	}
-}
-
-// TestCarryTakesWhatTheBookLets: a plan's changes one by one; what is refused is told and changes nothing.
-func TestCarryTakesWhatTheBookLets(t *testing.T) {
-	b := Assignments{Entries: map[string]Assignment{
-		"a": {Role: Prefill, Target: Prefill, Serving: true, CanPrefill: true, CanDecode: true},
-		"b": {Role: Prefill, Target: Prefill, Serving: true, CanPrefill: true, CanDecode: true}, "c": {Role: Decode, Target: Decode, Serving: true, CanPrefill: true, CanDecode: true},
-	}}
-	next, done, refused := b.ApplyPlan(Plan{Reverts: []string{"a"}, Changes: []Change{{ID: "a", Target: Decode}, {ID: "b", Target: Decode}, {ID: "x", Target: Prefill}, {ID: "c", Target: Prefill}}})
-	open, changing := next.CountServing()
-	if len(done.Reverts) != 0 || len(done.Changes) != 2 || !errors.Is(refused["b"], ErrLastOfStage) || !errors.Is(refused["x"], ErrUnknownEngine) || len(refused) != 2 {
-		t.Errorf("%+v %v", done, refused)
-	}
-	if changing != 2 || open != [3]int{1, 0, 0} || len(b.PendingCommands()) != 0 {
-		t.Errorf("%v open, %d changing", open, changing)
-	}
-	if n, err := next.SwitchStage("b", "test"); err != nil || n.Entries["b"].Target != Decode {
-		t.Errorf("%+v %v", n.Entries["b"], err)
-	}
-	if _, err := b.SwitchStage("c", "test"); !errors.Is(err, ErrLastOfStage) {
-		t.Errorf("the last writer was turned: %v", err)
+	for name, c := range map[string]struct {
+		fleet  []Role
+		system implementation
+		want   string
+	}{
+		"an engine that accepts old commands": {
+			fleet:  []Role{Prefill, Decode},
+			system: implementation{accept: acceptsOldCommands, write: Assignments.Write},
+			want:   "is listed as serving in a role that it does not serve",
+		},
+		"an engine that accepts nothing": {
+			fleet:  []Role{Prefill, Decode},
+			system: implementation{accept: acceptsNothing, write: Assignments.Write},
+			want:   "no command is ever confirmed",
+		},
+		"an API server that accepts old versions": {
+			fleet:  []Role{Prefill, Prefill, Decode},
+			system: implementation{accept: EngineState.Accept, write: mergesOldVersions},
+			want:   "a stage is left without an engine",
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			x := explore(c.fleet, bounds{commands: 2}, c.system)
+			if !strings.Contains(x.violation, c.want) {
+				t.Errorf("found %q, want %q", x.violation, c.want)
+			}
+		})
 	}
 }
--- a/roles/memory.go
+++ b/roles/memory.go
@@ -16,9 +16,9 @@
 // lose precision.
 const maxPlausible = 1e15
 
-// Memory is what a planner has learned, to be stored where its successor finds it: the experts' history and losses, the
-// leading expert, what a change takes, and which engines are in cooldown. It is plain data; times in it are ages at the
-// moment when it was taken.
+// Memory is what a planner has learned, to be stored where its successor finds it: the experts' history and losses,
+// the leading expert, what a change takes, and which engines are in cooldown. It is plain data; times in it are ages
+// at the moment when it was taken.
 type Memory struct {
 	Experts    []ExpertMemory   `json:"experts"`
 	Lead       int              `json:"lead"`
@@ -85,8 +85,8 @@
 	return e
 }
 
-// Recall gives a planner that has not planned yet what another had learned, age ago. An implausible memory is refused as
-// a whole, and the planner starts as a new one does. now must not be later than the time of the next Step.
+// Recall gives a planner that has not planned yet what another had learned, age ago. An implausible memory is refused
+// as a whole, and the planner starts as a new one does. now must not be later than the time of the next Step.
 func (p *Planner) Recall(m Memory, age, now time.Duration) error {
 	if p.started {
 		return errors.New("roles: memory: the planner has begun already")
--- a/roles/planner.go
+++ b/roles/planner.go
@@ -82,8 +82,8 @@
 	return p, nil
 }
 
-// Step takes the fleet as it is at now and plans. It is meant to be called about once a second; the interval has little
-// influence on the plans. Engines that are not named are forgotten.
+// Step takes the fleet as it is at now and plans. It is meant to be called about once a second; the interval has
+// little influence on the plans. Engines that are not named are forgotten.
 func (p *Planner) Step(now time.Duration, engines []Engine, replicas []Replica) Plan {
 	dt := min(max((now-p.now).Seconds(), 0), maxStepSeconds)
 	if !p.started {
--- a/roles/planner_test.go
+++ b/roles/planner_test.go
@@ -103,9 +103,9 @@
 	return p
 }
 
-// TestPlansKeepTheirBounds: random fleets, loads, deaths, pins and broken figures. Each plan changes only engines that
-// are free, never more often than is stated unless a stage has no engine at all, never too many at once, and leaves each
-// stage an engine where two can serve.
+// TestPlansKeepTheirBounds: random fleets, loads, deaths, pins and broken figures. Each plan changes only engines
+// that are free, never more often than is stated unless a stage has no engine at all, never too many at once, and
+// leaves each stage an engine where two can serve.
 func TestPlansKeepTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newTown(rapid.IntRange(1, 12).Draw(t, "readers"), rapid.IntRange(1, 12).Draw(t, "writers"))
--- a/roles/recorded_test.go
+++ b/roles/recorded_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// encodePlan writes a plan in a form of its own, which stays the same when types and fields are renamed. Times are nanoseconds;
-// the texts of reasons are for logs and are left out.
+// encodePlan writes a plan in a form of its own, which stays the same when types and fields are renamed. Times are
+// nanoseconds; the texts of reasons are for logs and are left out.
 func encodePlan(p Plan) string {
 	var b strings.Builder
 	for _, c := range p.Changes {
@@ -95,7 +95,8 @@
 	fmt.Fprintf(h, "%v %s\n", ok, text)
 }
 
-// playAssignments gives random orders and status reports to an assignment table and returns the digest of its stored forms.
+// playAssignments gives random orders and status reports to an assignment table and returns the digest of its stored
+// forms.
 func playAssignments(t *testing.T, seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	table := Assignments{Entries: map[string]Assignment{}}
@@ -143,9 +144,9 @@
 	return fmt.Sprintf("%x", h.Sum(nil)[:12])
 }
 
-// TestRecordedPlans compares the planner's plans, its stored memory and the assignment table with those of the code that recorded
-// them. The encoding holds no name of a type or field, so a digest that differs is a decision that differs: a change that is not
-// meant to change decisions must never write the file anew.
+// TestRecordedPlans compares the planner's plans, its stored memory and the assignment table with those of the code
+// that recorded them. The encoding holds no name of a type or field, so a digest that differs is a decision that
+// differs: a change that is not meant to change decisions must never write the file anew.
 func TestRecordedPlans(t *testing.T) {
 	var got []string
 	for _, f := range []recordedFleet{
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -1,7 +1,7 @@
 // Package roles decides which engines prefill, which decode and which do both, where engines can do either. It is free
 // of I/O, clock and goroutines: Planner.Step takes a view of the fleet and returns the changes to make now.
 //
-//   - planner.go decides how many engines each stage wants, expert.go and cost.go hold the estimators behind that number
+//   - planner.go decides how many engines each stage wants, from the estimators in expert.go and cost.go
 //   - fleet.go sums up a view of the fleet, demand.go decides which load reports are trusted
 //   - changes.go and selection.go decide which engines change, cooldown.go which are left alone
 //   - assignments.go and lifecycle.go are the life cycle of one change between planner, assignment table and engine
@@ -9,8 +9,8 @@
 //
 // docs/roles.md explains the decision rule, its bounds and the alternatives.
 //
-// Nothing here knows a deployment: work is counted in engines, as the time that engines were busy with a stage, so that
-// a prefill engine that is busy half of the time is half an engine of prefill work, whatever its speed.
+// Nothing here knows a deployment: work is counted in engines, as the time that engines were busy with a stage, so
+// that a prefill engine that is busy half of the time is half an engine of prefill work, whatever its speed.
 package roles
 
 import "fmt"
--- a/roles/stored_test.go
+++ b/roles/stored_test.go
@@ -35,8 +35,8 @@
 	return v
 }
 
-// TestStoredBook, and the words between planner and engines. The golden files were recorded before the renaming and are not
-// updated meanwhile.
+// TestStoredBook, and the words between planner and engines. The golden files were recorded before the renaming and
+// are not updated meanwhile.
 func TestStoredBook(t *testing.T) {
 	b := Assignments{Version: 7, Orders: 1<<53 + 1, Entries: map[string]Assignment{
 		"all": {Role: Prefill, Order: 4, Target: Decode, Serving: true, ChangedAt: 5, ReopenedAt: 6, Pinned: true, CanPrefill: true, CanDecode: true, Reason: "w"},
