--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -1,65 +1,84 @@
 package planner
 
 import (
-	"brackenbend/roles"
-
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
+
+	"brackenbend/roles"
 )
 
+const metricPrefix = "brackenbend_planner_"
+
 // Metrics are what a planner measures of itself and of the fleet as it sees it. Labels are roles and stages only.
+// Metric names and label values must not change; fields use the terms of the code.
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	engines    *prometheus.GaugeVec // by role and state
-	asked      *prometheus.GaugeVec // by stage, in engines
-	wanted     prometheus.Gauge
-	memory     prometheus.Gauge
-	changeTime prometheus.Gauge
-	unbelieved prometheus.Gauge
-	believed   prometheus.Gauge
-	changes    *prometheus.CounterVec // by role
-	calledOff  prometheus.Counter
-	looks      *prometheus.CounterVec // by result
+	engines          *prometheus.GaugeVec // by role and state
+	demand           *prometheus.GaugeVec // by stage, in engines
+	wantedReaders    prometheus.Gauge
+	lookback         prometheus.Gauge
+	changeTime       prometheus.Gauge
+	untrustedReports prometheus.Gauge
+	trusted          prometheus.Gauge
+	changes          *prometheus.CounterVec // by role
+	reverts          prometheus.Counter
+	rounds           *prometheus.CounterVec // by result
 }
 
-// NewMetrics makes and registers them.
+// NewMetrics returns metrics in a registry of their own.
 func NewMetrics() *Metrics {
-	m := &Metrics{Registry: prometheus.NewRegistry()}
-	gauge := func(name, help string) prometheus.Gauge {
-		g := prometheus.NewGauge(prometheus.GaugeOpts{Name: "brackenbend_planner_" + name, Help: help})
-		m.Registry.MustRegister(g)
-		return g
+	m := &Metrics{
+		Registry:      prometheus.NewRegistry(),
+		engines:       newGaugeVec("engines", "Engines in the book, by role and state (serves, changing).", "role", "state"),
+		demand:        newGaugeVec("asked_engines", "Work asked for, by stage, in engines.", "stage"),
+		wantedReaders: newGauge("wanted_readers", "Readers wanted."),
+		lookback: newGauge("memory_seconds",
+			"How long the expert that leads looks back; 0 while nothing is planned."),
+		changeTime: newGauge("change_seconds", "What a change takes, as seen."),
+		untrustedReports: newGauge("unbelieved_engines",
+			"Engines whose figures are missing, late, frozen or not finite."),
+		trusted: newGauge("believed", "1 while the figures are enough to plan by."),
+		changes: newCounterVec("changes_total", "Changes ordered by this planner, by the role ordered.", "role"),
+		reverts: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: metricPrefix + "called_off_total", Help: "Changes called off by this planner.",
+		}),
+		rounds: newCounterVec("looks_total", "Looks at the fleet, by result (done, failed).", "result"),
 	}
-	m.engines = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "brackenbend_planner_engines", Help: "Engines in the book, by role and state (serves, changing)."}, []string{"role", "state"})
-	m.asked = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "brackenbend_planner_asked_engines", Help: "Work asked for, by stage, in engines."}, []string{"stage"})
-	m.changes = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "brackenbend_planner_changes_total", Help: "Changes ordered by this planner, by the role ordered."}, []string{"role"})
-	m.looks = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "brackenbend_planner_looks_total", Help: "Looks at the fleet, by result (done, failed)."}, []string{"result"})
-	m.calledOff = prometheus.NewCounter(prometheus.CounterOpts{Name: "brackenbend_planner_called_off_total", Help: "Changes called off by this planner."})
-	m.Registry.MustRegister(m.engines, m.asked, m.changes, m.looks, m.calledOff, collectors.NewGoCollector(),
-		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.wanted = gauge("wanted_readers", "Readers wanted.")
-	m.memory = gauge("memory_seconds", "How long the expert that leads looks back; 0 while nothing is planned.")
-	m.changeTime = gauge("change_seconds", "What a change takes, as seen.")
-	m.unbelieved = gauge("unbelieved_engines", "Engines whose figures are missing, late, frozen or not finite.")
-	m.believed = gauge("believed", "1 while the figures are enough to plan by.")
+	m.Registry.MustRegister(
+		m.engines, m.demand, m.wantedReaders, m.lookback, m.changeTime, m.untrustedReports, m.trusted,
+		m.changes, m.reverts, m.rounds,
+		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
+	)
 	return m
 }
 
-// plan books a look that was planned.
-func (m *Metrics) plan(p roles.Plan, b roles.Assignments) {
-	m.asked.WithLabelValues("reading").Set(p.Reading)
-	m.asked.WithLabelValues("writing").Set(p.Writing)
-	m.wanted.Set(float64(p.Readers))
-	m.memory.Set(p.Lookback.Seconds())
-	m.changeTime.Set(p.ChangeTime.Seconds())
-	m.unbelieved.Set(float64(p.UntrustedReports))
-	m.believed.Set(0)
-	if p.Trusted {
-		m.believed.Set(1)
+func newGauge(name, help string) prometheus.Gauge {
+	return prometheus.NewGauge(prometheus.GaugeOpts{Name: metricPrefix + name, Help: help})
+}
+
+func newGaugeVec(name, help string, labels ...string) *prometheus.GaugeVec {
+	return prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: metricPrefix + name, Help: help}, labels)
+}
+
+func newCounterVec(name, help, label string) *prometheus.CounterVec {
+	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: metricPrefix + name, Help: help}, []string{label})
+}
+
+// observe records a round that was planned.
+func (m *Metrics) observe(plan roles.Plan, table roles.Assignments) {
+	m.demand.WithLabelValues("reading").Set(plan.Reading)
+	m.demand.WithLabelValues("writing").Set(plan.Writing)
+	m.wantedReaders.Set(float64(plan.Readers))
+	m.lookback.Set(plan.Lookback.Seconds())
+	m.changeTime.Set(plan.ChangeTime.Seconds())
+	m.untrustedReports.Set(float64(plan.UntrustedReports))
+	m.trusted.Set(0)
+	if plan.Trusted {
+		m.trusted.Set(1)
 	}
 	m.engines.Reset()
-	for _, e := range b.Entries {
+	for _, e := range table.Entries {
 		state := "serves"
 		if !e.Serving {
 			state = "changing"
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -1,11 +1,6 @@
 package planner_test
 
 import (
-	"brackenbend/internal/fake/apiserver"
-	"brackenbend/internal/fake/engine"
-	"brackenbend/internal/fake/enginemodel"
-	"brackenbend/internal/planner"
-	"brackenbend/roles"
 	"context"
 	"errors"
 	"fmt"
@@ -18,6 +13,12 @@
 
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
+
+	"brackenbend/internal/fake/apiserver"
+	"brackenbend/internal/fake/engine"
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/planner"
+	"brackenbend/roles"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -160,8 +161,8 @@
 	}
 }
 
-// TestHeldStateIsTakenFirst: an engine that is ordered away while it holds a state for a writer takes nothing new, keeps
-// the state until it is taken, and switches then.
+// TestHeldStateIsTakenFirst: an engine that is ordered away while it holds a state for a writer takes nothing new,
+// keeps the state until it is taken, and switches then.
 func TestHeldStateIsTakenFirst(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	reader := "http://" + f.engines["e0"].Info().Address
--- /dev/null
+++ b/internal/planner/protocol.go
@@ -0,0 +1,59 @@
+package planner
+
+import (
+	"time"
+
+	"brackenbend/roles"
+)
+
+const (
+	// Path is where engines report their status (GET) and take commands (POST).
+	Path = "/v1/brackenbend/role"
+	// PathAssignments is where the API server keeps the assignment table (GET and PUT).
+	PathAssignments = "/v1/brackenbend/roles"
+	// PathMemory is where the API server keeps what planners have learned (GET and PUT; 404 before the first PUT), so
+	// that a planner that is restarted, or started elsewhere, continues from there. Nothing depends on it: the last
+	// write wins.
+	PathMemory = "/v1/brackenbend/roles/memory"
+)
+
+// Saved is a planner's memory as the API server keeps it.
+type Saved struct {
+	At     time.Time    `json:"at"`
+	Memory roles.Memory `json:"memory"`
+}
+
+// Stage is roles.Stage as engines report it: totals in seconds of the whole engine, and of requests.
+type Stage struct {
+	Done    float64 `json:"done"`
+	Waiting float64 `json:"waiting"`
+	Lost    float64 `json:"lost"`
+	Count   float64 `json:"count"` // prompts prefilled, or answers completed
+}
+
+// load is the part that the planner decides by.
+func (s Stage) load() roles.Stage {
+	return roles.Stage{Done: s.Done, Waiting: s.Waiting, Lost: s.Lost}
+}
+
+// Status is an engine's answer to a poll.
+type Status struct {
+	roles.StatusReport
+
+	Held  int   `json:"held"` // outstanding requests and read states
+	Read  Stage `json:"read"`
+	Write Stage `json:"write"`
+}
+
+// Listing is one engine as the API server lists it, beside its assignment.
+type Listing struct {
+	Address string `json:"address"`
+	Place   string `json:"place"` // its locality: zone and cell
+	Up      bool   `json:"up"`
+}
+
+// View is what the API server returns: the assignment table, and where the engines are.
+type View struct {
+	Assignments roles.Assignments  `json:"book"`
+	Listings    map[string]Listing `json:"listings"`
+}
--- /dev/null
+++ b/internal/planner/replicas.go
@@ -0,0 +1,132 @@
+package planner
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"slices"
+	"time"
+
+	dto "github.com/prometheus/client_model/go"
+	"github.com/prometheus/common/expfmt"
+	"github.com/prometheus/common/model"
+	"go.uber.org/zap"
+
+	"brackenbend/internal/telemetry"
+	"brackenbend/roles"
+)
+
+// LostCounts are a replica's totals of lost requests, by the stage that they were lost at.
+type LostCounts struct{ Prefill, Decode float64 }
+
+// LostWork turns replicas' counts of lost requests into work, by the mean cost of a request.
+type LostWork struct {
+	counts map[string]LostCounts // by replica, as last read
+	totals map[string]*roles.Report
+}
+
+// NewLostWork returns a LostWork with no counts.
+func NewLostWork() LostWork {
+	return LostWork{counts: map[string]LostCounts{}, totals: map[string]*roles.Report{}}
+}
+
+// MeanCosts is what a request takes of each stage, in engine seconds, on the mean over the lifetimes of all engines
+// that answered.
+func MeanCosts(statuses map[string]Status) (prefill, decode float64) {
+	var read, write Stage
+	for _, id := range slices.Sorted(maps.Keys(statuses)) { // sorted, so that rounding is the same every time
+		status := statuses[id]
+		read.Done, read.Count = read.Done+status.Read.Done, read.Count+status.Read.Count
+		write.Done, write.Count = write.Done+status.Write.Done, write.Count+status.Write.Count
+	}
+	return read.Done / max(read.Count, 1), write.Done / max(write.Count, 1)
+}
+
+// Add takes a replica's counts at now and the mean costs of a request, and returns the replica's report. A request
+// lost before its prefill would have had to be decoded too.
+func (l *LostWork) Add(
+	replica string, counts LostCounts, now time.Duration, prefillCost, decodeCost float64,
+) *roles.Report {
+	previous, known := l.counts[replica]
+	l.counts[replica] = counts
+	report := l.totals[replica]
+	if report == nil {
+		report = &roles.Report{}
+		l.totals[replica] = report
+	}
+	report.At = now
+	restarted := counts.Prefill < previous.Prefill || counts.Decode < previous.Decode
+	if !known || restarted {
+		return report
+	}
+	beforePrefill, beforeDecode := counts.Prefill-previous.Prefill, counts.Decode-previous.Decode
+	report.Read.Lost += beforePrefill * prefillCost
+	report.Write.Lost += (beforePrefill + beforeDecode) * decodeCost
+	return report
+}
+
+// pollReplicas reads the replicas' counters; those that do not answer are left out.
+func (r *Runner) pollReplicas(ctx context.Context) []roles.Replica {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout*r.Interval)
+	defer cancel()
+	answers := make([]*LostCounts, len(r.Replicas))
+	forEachLimited(r.MaxConcurrentPolls, len(r.Replicas), func(i int) {
+		counts, err := r.scrapeLostCounts(ctx, "http://"+r.Replicas[i]+"/metrics")
+		if err != nil {
+			r.Log.Debug("replica poll failed", zap.String("replica", r.Replicas[i]), zap.Error(err))
+			return
+		}
+		answers[i] = &counts
+	})
+	prefillCost, decodeCost := MeanCosts(r.statuses)
+	var replicas []roles.Replica
+	for i, address := range r.Replicas {
+		if answers[i] == nil {
+			continue
+		}
+		report := *r.lost.Add(address, *answers[i], r.now(), prefillCost, decodeCost)
+		replicas = append(replicas, roles.Replica{ID: address, Report: &report})
+	}
+	return replicas
+}
+
+// scrapeLostCounts reads a replica's counters of lost requests in the Prometheus text format.
+func (r *Runner) scrapeLostCounts(ctx context.Context, url string) (counts LostCounts, err error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return counts, err
+	}
+	resp, err := r.Register.HTTP.Do(req)
+	if err != nil {
+		return counts, err
+	}
+	defer closeBody(resp)
+	if resp.StatusCode != http.StatusOK {
+		return counts, &StatusError{Method: http.MethodGet, URL: url, Code: resp.StatusCode}
+	}
+	parser := expfmt.NewTextParser(model.UTF8Validation)
+	families, err := parser.TextToMetricFamilies(io.LimitReader(resp.Body, maxResponseBytes))
+	if err != nil {
+		return counts, fmt.Errorf("%s: %w", url, err)
+	}
+	for _, metric := range families["brackenbend_"+telemetry.LostRequestsName].GetMetric() {
+		switch labelValue(metric, "stage") {
+		case "read":
+			counts.Prefill += metric.GetCounter().GetValue()
+		case "write":
+			counts.Decode += metric.GetCounter().GetValue()
+		}
+	}
+	return counts, nil
+}
+
+func labelValue(metric *dto.Metric, name string) string {
+	for _, label := range metric.GetLabel() {
+		if label.GetName() == name {
+			return label.GetValue()
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/planner/replicas_test.go
@@ -0,0 +1,63 @@
+package planner
+
+import (
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"brackenbend/internal/telemetry"
+)
+
+// serveMetrics serves a replica's metrics until the test ends and returns their address.
+func serveMetrics(t *testing.T, metrics *telemetry.Metrics) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	served := make(chan error, 1)
+	go func() { served <- metrics.Serve(l, func() string { return "" }) }()
+	t.Cleanup(func() {
+		_ = l.Close() // ends Serve, which returns the error of the listener
+		<-served
+	})
+	return l.Addr().String()
+}
+
+// TestPollReplicasTurnsLostRequestsIntoWork reads the counters of a real replica's metrics.
+func TestPollReplicasTurnsLostRequestsIntoWork(t *testing.T) {
+	metrics := telemetry.NewMetrics()
+	r := &Runner{
+		Register: Client{HTTP: &http.Client{
+			Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 20 * time.Second,
+		}},
+		Replicas:           []string{serveMetrics(t, metrics), "127.0.0.1:1"}, // the second does not answer
+		Interval:           10 * time.Second,
+		MaxConcurrentPolls: 2,
+		Log:                zap.NewNop(),
+		lost:               NewLostWork(),
+		startedAt:          time.Now(),
+		statuses: map[string]Status{
+			"prefill": {Read: Stage{Done: 10, Count: 100}},
+			"decode":  {Write: Stage{Done: 40, Count: 80}},
+		},
+	}
+	first := r.pollReplicas(t.Context())
+	if len(first) != 1 || first[0].Report.Read.Lost != 0 {
+		t.Fatalf("%+v", first)
+	}
+	metrics.LostRequests.WithLabelValues("read").Add(20)
+	metrics.LostRequests.WithLabelValues("write").Add(4)
+	second := r.pollReplicas(t.Context())
+	if len(second) != 1 || second[0].Report.Read.Lost != 2 || second[0].Report.Write.Lost != 12 {
+		t.Errorf("%+v", second[0].Report)
+	}
+	// A replica that restarts begins at zero, and its totals do not decrease.
+	restarted := r.lost.Add(r.Replicas[0], LostCounts{Prefill: 1}, 0, 1, 1)
+	if restarted.Read.Lost != 2 || restarted.Write.Lost != 12 {
+		t.Errorf("%+v", restarted)
+	}
+}
--- /dev/null
+++ b/internal/planner/runner.go
@@ -0,0 +1,198 @@
+// Package planner runs a role planner (package roles) against the API server and the engines: in each round it reads
+// the assignment table, polls the engines, writes what the planner decides and sends the engines their commands. It
+// decides nothing itself. Any number of planners may run: each write names the version of the table that it was made
+// from.
+//
+// Runner.Run's goroutine owns all state of a Runner; polls and commands run in goroutines that end before a round
+// does.
+package planner
+
+import (
+	"cmp"
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"brackenbend/roles"
+)
+
+const (
+	defaultInterval           = time.Second
+	defaultMaxConcurrentPolls = 32
+	defaultSaveInterval       = 30 * time.Second
+
+	// roundTimeout and pollTimeout bound a round and its polls, in intervals: a slow engine delays the next round but
+	// does not stop planning.
+	roundTimeout = 5
+	pollTimeout  = 2
+
+	// epoch is the planner clock's time at the start of a Runner, so that what happened before has a time as well.
+	epoch = 24 * time.Hour
+)
+
+// Policy decides: roles.Planner, or another one for comparisons.
+type Policy interface {
+	Step(now time.Duration, engines []roles.Engine, replicas []roles.Replica) roles.Plan
+}
+
+// Runner runs a planner. Its exported fields are its configuration and must not change while it runs.
+type Runner struct {
+	Register           Client // of the API server
+	Settings           roles.Config
+	Replicas           []string      // metrics addresses, host:port, of replicas that are asked what they lost; may be empty
+	Interval           time.Duration // between rounds; 0 = 1 s
+	MaxConcurrentPolls int           // engines asked at once; 0 = 32
+	SaveInterval       time.Duration // between two saves of what was learned; 0 = 30 s
+	Log                *zap.Logger
+	Policy             Policy           // decides in place of roles.Planner, for comparisons; nil = roles.Planner
+	OnPlan             func(roles.Plan) // called in each round; may be nil
+	Metrics            *Metrics         // may be nil
+
+	planner   *roles.Planner
+	startedAt time.Time
+	cells     map[string]int    // numbers of localities, for roles.Engine.Cell
+	statuses  map[string]Status // of the engines that answered the last poll
+	lost      LostWork
+	memory    memoryState
+}
+
+// now is the planner's clock. Times in the assignment table are of the wall clock, so that they outlive planners.
+func (r *Runner) now() time.Duration { return epoch + time.Since(r.startedAt) }
+
+// wallClock is the time as the assignment table keeps it.
+func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
+
+// Run plans until ctx ends. An API server or engines that do not answer are no reason to return, nor to change
+// anything.
+func (r *Runner) Run(ctx context.Context) error {
+	if err := r.init(); err != nil {
+		return err
+	}
+	ticker := time.NewTicker(r.Interval)
+	defer ticker.Stop()
+	for {
+		result := "done"
+		if err := r.round(ctx); err != nil && ctx.Err() == nil {
+			r.Log.Warn("planning failed", zap.Error(err))
+			result = "failed"
+		}
+		r.Metrics.rounds.WithLabelValues(result).Inc()
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-ticker.C:
+		}
+	}
+}
+
+func (r *Runner) init() error {
+	var err error
+	if r.planner, err = roles.New(r.Settings); err != nil {
+		return err
+	}
+	r.Interval = cmp.Or(r.Interval, defaultInterval)
+	r.MaxConcurrentPolls = cmp.Or(r.MaxConcurrentPolls, defaultMaxConcurrentPolls)
+	r.SaveInterval = cmp.Or(r.SaveInterval, defaultSaveInterval)
+	if r.Metrics == nil {
+		r.Metrics = NewMetrics()
+	}
+	r.startedAt, r.cells, r.lost = time.Now(), map[string]int{}, NewLostWork()
+	return nil
+}
+
+// round reads the assignment table, polls the engines and replicas, plans, writes the table and sends commands.
+func (r *Runner) round(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, roundTimeout*r.Interval)
+	defer cancel()
+	view, err := r.Register.View(ctx)
+	if err != nil {
+		return err
+	}
+	r.restoreMemory(ctx)
+	polledAt := r.pollEngines(ctx, view)
+	table, confirmed := r.applyStatuses(view.Assignments)
+	now := r.now()
+	engines := Engines(view, r.statuses, r.cells, polledAt, now, wallClock())
+	plan := r.policy().Step(now, engines, r.pollReplicas(ctx))
+	if r.OnPlan != nil {
+		r.OnPlan(plan)
+	}
+	r.Metrics.observe(plan, table)
+	table, done, refused := table.ApplyPlan(plan)
+	r.logPlan(done, refused)
+	if confirmed || len(done.Reverts)+len(done.Changes) > 0 {
+		if table, err = r.Register.Write(ctx, table); err != nil {
+			return err // no command is sent that is not written
+		}
+	}
+	r.sendCommands(ctx, view, table)
+	r.saveMemory(ctx)
+	return nil
+}
+
+func (r *Runner) policy() Policy {
+	if r.Policy != nil {
+		return r.Policy
+	}
+	return r.planner
+}
+
+// applyStatuses applies the engines' status reports to the table, and reports whether any of them changed it.
+func (r *Runner) applyStatuses(table roles.Assignments) (next roles.Assignments, changed bool) {
+	next = table
+	for _, id := range table.Names() {
+		status, ok := r.statuses[id]
+		if !ok {
+			continue
+		}
+		var confirmed bool
+		next, confirmed = next.ApplyStatus(id, status.StatusReport, wallClock())
+		changed = changed || confirmed
+	}
+	return next, changed
+}
+
+// logPlan logs and counts what was applied of a plan, and logs what was refused.
+func (r *Runner) logPlan(done roles.Plan, refused map[string]error) {
+	for _, id := range done.Reverts {
+		r.Metrics.reverts.Inc()
+		r.Log.Info("change reverted", zap.String("engine", id))
+	}
+	for _, change := range done.Changes {
+		r.Metrics.changes.WithLabelValues(change.Target.String()).Inc()
+		r.Log.Info("change started",
+			zap.String("engine", change.ID), zap.Stringer("to", change.Target), zap.String("why", change.Reason))
+	}
+	for id, err := range refused {
+		r.Log.Warn("change refused", zap.String("engine", id), zap.Error(err))
+	}
+}
+
+// Engines is a planner's view of the assignment table and the engines' statuses, polled at polledAt. now is the
+// planner's clock and wall that of the table; cells keeps the numbers given to localities.
+func Engines(
+	view View, statuses map[string]Status, cells map[string]int, polledAt, now, wall time.Duration,
+) []roles.Engine {
+	var engines []roles.Engine
+	for _, id := range view.Assignments.Names() {
+		entry, listing := view.Assignments.Entries[id], view.Listings[id]
+		if _, ok := cells[listing.Place]; !ok {
+			cells[listing.Place] = len(cells)
+		}
+		e := roles.Engine{
+			ID: id, Role: entry.Role, Target: entry.Target, Ready: listing.Up && entry.Serving,
+			CanPrefill: entry.CanPrefill, CanDecode: entry.CanDecode, Pinned: entry.Pinned,
+			Cell: cells[listing.Place],
+		}
+		if entry.ChangedAt > 0 {
+			e.ChangedAt = max(now-max(wall-entry.ChangedAt, 0), 1)
+		}
+		if status, ok := statuses[id]; ok && listing.Up {
+			e.Outstanding = status.Held
+			e.Report = &roles.Report{At: polledAt, Read: status.Read.load(), Write: status.Write.load()}
+		}
+		engines = append(engines, e)
+	}
+	return engines
+}
--- a/internal/simulation/fleet/roles.go
+++ b/internal/simulation/fleet/roles.go
@@ -300,7 +300,8 @@
 	read, write := planner.MeanCosts(p.words)
 	var fronts []roles.Replica
 	for _, name := range slices.Sorted(maps.Keys(p.counts)) {
-		report := *p.lost.Add(name, p.counts[name], now, read, write)
+		counts := planner.LostCounts{Prefill: p.counts[name][0], Decode: p.counts[name][1]}
+		report := *p.lost.Add(name, counts, now, read, write)
 		fronts = append(fronts, roles.Replica{ID: name, Report: &report})
 	}
 	plan := p.p.Step(now, planner.Engines(p.view.view, p.words, p.places, now, now, now), fronts)
--- a/roles/recorded_test.go
+++ b/roles/recorded_test.go
@@ -1,7 +1,6 @@
 package roles
 
 import (
-	"brackenbend/internal/golden"
 	"crypto/sha256"
 	"encoding/json"
 	"fmt"
@@ -10,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brackenbend/internal/golden"
 )
 
 // digest is a hash of text that is written to it piece by piece.
--- a/roles/stored_test.go
+++ b/roles/stored_test.go
@@ -1,12 +1,13 @@
 package roles
 
 import (
-	"brackenbend/internal/golden"
 	"encoding/json"
 	"os"
 	"path/filepath"
 	"testing"
 	"time"
+
+	"brackenbend/internal/golden"
 )
 
 func marshal(t *testing.T, v any) string {
