--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -23,300 +23,356 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// eventuallyTimeout is how long tests wait for what a planner does within a few rounds of 10 ms, on a loaded machine.
+const eventuallyTimeout = 20 * time.Second
+
+// kinds are the engine kinds that engines are listed as, by role.
 var kinds = map[roles.Role]string{roles.Prefill: "prefill", roles.Decode: "decode", roles.Both: "mixed"}
 
-func params(r roles.Role) enginemodel.Params {
+func engineParams(role roles.Role) enginemodel.Params {
 	return enginemodel.Params{
-		Reads: r.Prefills(), Writes: r.Decodes(), Slots: 16, Queue: 32, Memory: 200000, ReadRate: 50000, Chunk: 512,
+		Reads: role.Prefills(), Writes: role.Decodes(), Slots: 16, Queue: 32, Memory: 200000, ReadRate: 50000, Chunk: 512,
 		Step: 2 * time.Millisecond, FetchRate: 1e6, Kept: 100000, StateLife: 30 * time.Second,
 	}
 }
 
-// fleet is a register with engines that may change role.
+// fleet is a fake API server with fake engines that may change role.
 type fleet struct {
 	t       *testing.T
-	reg     *apiserver.Server
+	api     *apiserver.Server
 	engines map[string]*engine.Server
 	client  planner.Client
 	http    *http.Client
 	metrics *planner.Metrics // of the newest planner
 }
 
-func newFleet(t *testing.T, has ...roles.Role) *fleet {
+func newFleet(t *testing.T, engineRoles ...roles.Role) *fleet {
 	t.Helper()
-	f := &fleet{t: t, engines: map[string]*engine.Server{}, http: &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	f.register("")
-	for i, r := range has {
-		all := map[roles.Role]enginemodel.Params{}
-		for x := range kinds {
-			all[x] = params(x)
-		}
-		name := fmt.Sprint("e", i)
-		f.reg.Shift(name, r, kinds)
-		s, err := engine.Start(engine.Config{
-			Name: name, Params: params(r), Roles: all, Seat: roles.EngineState{Role: r, Target: r}, Switch: 5 * time.Millisecond,
-			CancelStops: true, Changed: f.list,
-		}, "127.0.0.1:0", false)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(s.Close)
-		f.engines[name] = s
+	f := &fleet{
+		t: t, engines: map[string]*engine.Server{},
+		http: &http.Client{Timeout: eventuallyTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
+	f.startAPIServer("")
+	for i, role := range engineRoles {
+		f.startEngine(fmt.Sprint("e", i), role)
 	}
 	return f
 }
 
-func (f *fleet) register(book string) {
+func (f *fleet) startEngine(name string, role roles.Role) {
+	f.t.Helper()
+	paramsByRole := map[roles.Role]enginemodel.Params{}
+	for r := range kinds {
+		paramsByRole[r] = engineParams(r)
+	}
+	f.api.Shift(name, role, kinds)
+	s, err := engine.Start(engine.Config{
+		Name: name, Params: engineParams(role), Roles: paramsByRole,
+		Seat: roles.EngineState{Role: role, Target: role}, Switch: 5 * time.Millisecond,
+		CancelStops: true, Changed: f.list,
+	}, "127.0.0.1:0", false)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.t.Cleanup(s.Close)
+	f.engines[name] = s
+}
+
+// startAPIServer starts an API server that keeps the assignment table in a file, or in memory only if file is "".
+func (f *fleet) startAPIServer(file string) {
 	f.t.Helper()
 	var err error
-	if f.reg, err = apiserver.Start("127.0.0.1:0", nil); err != nil {
+	if f.api, err = apiserver.Start("127.0.0.1:0", nil); err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(f.reg.Close)
-	if err := f.reg.KeepBook(book); err != nil {
+	f.t.Cleanup(f.api.Close)
+	if err := f.api.KeepBook(file); err != nil {
 		f.t.Fatal(err)
 	}
-	f.client = planner.Client{URL: f.reg.URL(), HTTP: f.http}
+	f.client = planner.Client{URL: f.api.URL(), HTTP: f.http}
 }
 
+// restartAPIServer replaces the API server by one that starts from file. All engines are listed anew.
+func (f *fleet) restartAPIServer(file string) {
+	f.t.Helper()
+	f.api.Close()
+	f.startAPIServer(file)
+	for name, s := range f.engines {
+		f.api.Shift(name, s.Seat().Role, kinds)
+		f.list(s)
+	}
+}
+
+// list lists an engine as it is now.
 func (f *fleet) list(s *engine.Server) {
-	in := s.Info()
-	f.reg.Set(apiserver.Entry{Name: in.Name, Zone: "z", Cell: "c", Address: in.Address, UID: in.UID, Ready: in.Up, Started: in.Started})
+	info := s.Info()
+	f.api.Set(apiserver.Entry{
+		Name: info.Name, Zone: "z", Cell: "c", Address: info.Address, UID: info.UID, Ready: info.Up, Started: info.Started,
+	})
 }
 
-// run starts a planner; the function that it returns ends it as a crash does.
-func (f *fleet) run(s roles.Config) (kill func()) {
-	ctx, stop := context.WithCancel(context.Background())
+// runPlanner starts a planner; the function that it returns ends it as a crash does.
+func (f *fleet) runPlanner(config roles.Config) (kill func()) {
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	f.metrics = planner.NewMetrics()
-	r := &planner.Runner{Metrics: f.metrics, Register: f.client, Settings: s, Interval: 10 * time.Millisecond, SaveInterval: 20 * time.Millisecond, Log: zap.NewNop()}
+	r := &planner.Runner{
+		Metrics: f.metrics, Register: f.client, Settings: config, Interval: 10 * time.Millisecond,
+		SaveInterval: 20 * time.Millisecond, Log: zap.NewNop(),
+	}
 	go func() {
 		defer close(done)
 		if err := r.Run(ctx); err != nil {
 			f.t.Error(err)
 		}
 	}()
-	kill = func() { stop(); <-done }
+	kill = func() { cancel(); <-done }
 	f.t.Cleanup(kill)
 	return kill
 }
 
-func (f *fleet) force(id string, to roles.Role) {
+// startChange writes a command to an engine into the table, as an operator does.
+func (f *fleet) startChange(id string, to roles.Role) {
 	f.t.Helper()
-	if _, err := f.client.Update(f.t.Context(), func(b roles.Assignments) (roles.Assignments, error) { return b.Start(id, to, "test") }); err != nil {
+	_, err := f.client.Update(f.t.Context(), func(table roles.Assignments) (roles.Assignments, error) {
+		return table.Start(id, to, "test")
+	})
+	if err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *fleet) eventually(what string, ok func(b roles.Assignments) bool) {
+func (f *fleet) eventually(what string, ok func(roles.Assignments) bool) {
 	f.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(f.reg.Book()); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			f.t.Fatalf("%s: %+v", what, f.reg.Book())
+	deadline := time.Now().Add(eventuallyTimeout)
+	for !ok(f.api.Book()) {
+		if time.Now().After(deadline) {
+			f.t.Fatalf("%s: %+v", what, f.api.Book())
 		}
+		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// is tells whether an engine is settled in a role, by the book and by itself.
-func (f *fleet) is(id string, r roles.Role) func(roles.Assignments) bool {
-	return func(b roles.Assignments) bool {
-		e, s := b.Entries[id], f.engines[id].Seat()
-		return e.Serving && e.Role == r && s.Role == r && s.Target == r
+// confirmed reports whether an engine has a role, by the table and by itself.
+func (f *fleet) confirmed(id string, role roles.Role) func(roles.Assignments) bool {
+	return func(table roles.Assignments) bool {
+		entry, state := table.Entries[id], f.engines[id].Seat()
+		return entry.Serving && entry.Role == role && state.Role == role && state.Target == role
 	}
 }
 
-var quiet = roles.Config{MinDwell: time.Hour}
-
-func TestAnOrderIsCarriedOut(t *testing.T) {
-	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
-	f.run(quiet)
-	f.force("e0", roles.Decode)
-	f.eventually("settled", f.is("e0", roles.Decode))
-	serves := func() (n float64) {
-		all, err := f.metrics.Registry.Gather()
-		if err != nil {
-			t.Fatal(err)
+// servingByMetrics is the number of engines that the planner's metrics show as serving in a role.
+func (f *fleet) servingByMetrics(role roles.Role) (n float64) {
+	f.t.Helper()
+	families, err := f.metrics.Registry.Gather()
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	for _, family := range families {
+		if family.GetName() != "brackenbend_planner_engines" {
+			continue
 		}
-		for _, m := range all {
-			if m.GetName() == "brackenbend_planner_engines" {
-				for _, x := range m.Metric {
-					n += x.GetGauge().GetValue() * map[bool]float64{true: 1}[x.Label[0].GetValue() == "writer" && x.Label[1].GetValue() == "serves"]
-				}
+		for _, metric := range family.Metric {
+			if metric.Label[0].GetValue() == role.String() && metric.Label[1].GetValue() == "serves" {
+				n += metric.GetGauge().GetValue()
 			}
 		}
-		return n
 	}
-	f.eventually("shown by the metrics", func(roles.Assignments) bool { return serves() == 2 })
-	if e, _ := f.reg.Entry("e1"); e.Name != "e1" {
+	return n
+}
+
+// commandsOnly is a configuration with which the planner changes nothing by itself.
+var commandsOnly = roles.Config{MinDwell: time.Hour}
+
+func TestCommandIsCarriedOut(t *testing.T) {
+	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
+	f.runPlanner(commandsOnly)
+	f.startChange("e0", roles.Decode)
+	f.eventually("confirmed", f.confirmed("e0", roles.Decode))
+	f.eventually("shown by the metrics", func(roles.Assignments) bool { return f.servingByMetrics(roles.Decode) == 2 })
+	if e, _ := f.api.Entry("e1"); e.Name != "e1" {
 		t.Errorf("%+v", e)
 	}
-	resp, err := f.http.Get(f.reg.URL() + "/apis/discovery.k8s.io/v1/namespaces/default/endpointslices")
+	resp, err := f.http.Get(f.api.URL() + "/apis/discovery.k8s.io/v1/namespaces/default/endpointslices")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // read to its end
 	text, err := io.ReadAll(resp.Body)
-	if err != nil || strings.Count(string(text), `"brackenbend.dev/kind":"decode"`) != 2 || !strings.Contains(string(text), "brackenbend.dev/started") {
-		t.Errorf("fronts are told %s %v", text, err)
+	if err != nil || strings.Count(string(text), `"brackenbend.dev/kind":"decode"`) != 2 ||
+		!strings.Contains(string(text), "brackenbend.dev/started") {
+		t.Errorf("replicas are told %s %v", text, err)
 	}
 }
 
-// TestHeldStateIsTakenFirst: an engine that is ordered away while it holds a state for a writer takes nothing new,
-// keeps the state until it is taken, and switches then.
-func TestHeldStateIsTakenFirst(t *testing.T) {
-	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
-	reader := "http://" + f.engines["e0"].Info().Address
-	post := func(url, id, body string) *http.Response {
-		req, _ := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
-		req.Header.Set("X-Request-Id", id)
-		resp, err := f.http.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp.Body.Close()
-		return resp
-	}
-	read := `{"model":"m","messages":[{"role":"user","content":"hello"}],"kv_transfer_params":{"do_remote_decode":true}}`
-	if resp := post(reader+"/v1/chat/completions", "r1", read); resp.StatusCode != 200 || f.engines["e0"].States() != 1 {
-		t.Fatalf("%d, %d states", resp.StatusCode, f.engines["e0"].States())
-	}
-	f.run(quiet)
-	f.force("e0", roles.Decode)
-	for end := time.Now().Add(20 * time.Second); f.engines["e0"].Seat().Target != roles.Decode; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("the order was not heard")
-		}
+// post sends a request to an engine and returns its response, without the body.
+func (f *fleet) post(url, id, body string) *http.Response {
+	f.t.Helper()
+	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
+	if err != nil {
+		f.t.Fatal(err)
 	}
-	if resp := post(reader+"/v1/chat/completions", "r2", read); resp.StatusCode != 503 || resp.Header.Get("X-Brackenbend-Never-Ran") != "1" {
+	req.Header.Set("X-Request-Id", id)
+	resp, err := f.http.Do(req)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	_ = resp.Body.Close() // not needed
+	return resp
+}
+
+// TestDrainingEngineKeepsReadState: an engine that is commanded to decode while it holds a read state accepts no new
+// work, keeps the state until it is fetched, and switches then.
+func TestDrainingEngineKeepsReadState(t *testing.T) {
+	const prefillRequest = `{"model":"m","messages":[{"role":"user","content":"hello"}],` +
+		`"kv_transfer_params":{"do_remote_decode":true}}`
+	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
+	engine := f.engines["e0"]
+	url := "http://" + engine.Info().Address
+	resp := f.post(url+"/v1/chat/completions", "r1", prefillRequest)
+	if resp.StatusCode != http.StatusOK || engine.States() != 1 {
+		t.Fatalf("%d, %d states", resp.StatusCode, engine.States())
+	}
+	f.runPlanner(commandsOnly)
+	f.startChange("e0", roles.Decode)
+	f.eventually("the command has arrived", func(roles.Assignments) bool {
+		return engine.Seat().Target == roles.Decode
+	})
+	resp = f.post(url+"/v1/chat/completions", "r2", prefillRequest)
+	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Brackenbend-Never-Ran") != "1" {
 		t.Errorf("new work was answered %d while it drains", resp.StatusCode)
 	}
-	if s := f.engines["e0"].Seat(); s.Role != roles.Prefill || f.engines["e0"].States() != 1 {
-		t.Errorf("it switched to %v with a state held", s.Role)
+	if state := engine.Seat(); state.Role != roles.Prefill || engine.States() != 1 {
+		t.Errorf("it switched to %v with a state held", state.Role)
 	}
-	if resp := post(reader+"/standin/take", "", `{"id":"r1"}`); resp.StatusCode != 200 {
+	if resp := f.post(url+"/standin/take", "", `{"id":"r1"}`); resp.StatusCode != http.StatusOK {
 		t.Errorf("the state was lost: %d", resp.StatusCode)
 	}
-	f.eventually("settled", f.is("e0", roles.Decode))
+	f.eventually("confirmed", f.confirmed("e0", roles.Decode))
 }
 
-// TestCrashesOnTheWay: the planner dies with the order written and not told, the engine dies with the order heard, the
-// register restarts from its disk; whoever comes next goes on.
-func TestCrashesOnTheWay(t *testing.T) {
+// TestChangeSurvivesCrashes: the planner crashes with a command written and not sent, the engine crashes with a
+// command accepted, the API server restarts from its disk; the change is completed each time.
+func TestChangeSurvivesCrashes(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
-	book := filepath.Join(t.TempDir(), "book.json")
-	if err := f.reg.KeepBook(book); err != nil {
+	file := filepath.Join(t.TempDir(), "book.json")
+	if err := f.api.KeepBook(file); err != nil {
 		t.Fatal(err)
 	}
-	f.force("e0", roles.Decode) // written; nobody tells it
-	kill := f.run(quiet)
-	f.eventually("told by the next planner", f.is("e0", roles.Decode))
+	f.startChange("e0", roles.Decode) // written; no planner runs that would send it
+	kill := f.runPlanner(commandsOnly)
+	f.eventually("completed by the next planner", f.confirmed("e0", roles.Decode))
 	kill()
 
-	f.force("e1", roles.Both)
-	resp, err := f.http.Post("http://"+f.engines["e1"].Info().Address+planner.Path, "application/json", strings.NewReader(`{"id":"e1","order":2,"to":"both"}`))
-	if err != nil || resp.StatusCode != 200 {
+	f.startChange("e1", roles.Both)
+	e1 := f.engines["e1"]
+	resp := f.post("http://"+e1.Info().Address+planner.Path, "", `{"id":"e1","order":2,"to":"both"}`)
+	if resp.StatusCode != http.StatusOK {
+		t.Fatalf("the command was answered %d", resp.StatusCode)
+	}
+	e1.Crash()
+	if err := e1.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
-	f.engines["e1"].Crash()
-	if err := f.engines["e1"].Restart(); err != nil {
-		t.Fatal(err)
+	before := f.api.Book()
+	f.restartAPIServer(file)
+	if got := f.api.Book(); got.Orders != before.Orders || got.Entries["e1"] != before.Entries["e1"] {
+		t.Fatalf("the API server came back with %+v, it had %+v", got, before)
 	}
-	f.reg.Close()
-	was := f.reg.Book()
-	f.register(book)
-	if got := f.reg.Book(); got.Orders != was.Orders || got.Entries["e1"] != was.Entries["e1"] {
-		t.Fatalf("the register came back with %+v, it had %+v", got, was)
-	}
-	for name, s := range f.engines {
-		f.reg.Shift(name, s.Seat().Role, kinds)
-		f.list(s)
-	}
-	f.run(quiet)
-	f.eventually("settled", f.is("e1", roles.Both))
+	f.runPlanner(commandsOnly)
+	f.eventually("confirmed", f.confirmed("e1", roles.Both))
 }
 
-// TestOldNewsIsRefused: a planner that was paused writes from the book that it read before another wrote.
-func TestOldNewsIsRefused(t *testing.T) {
+// TestWriteOfOldVersionIsRefused: a planner that was paused writes a table made before another writer's.
+func TestWriteOfOldVersionIsRefused(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	old, err := f.client.View(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.force("e0", roles.Decode)
-	b, err := old.Assignments.Start("e1", roles.Decode, "old news")
+	f.startChange("e0", roles.Decode)
+	table, err := old.Assignments.Start("e1", roles.Decode, "old version")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.client.Write(t.Context(), b); !errors.Is(err, roles.ErrConflict) {
+	if _, err := f.client.Write(t.Context(), table); !errors.Is(err, roles.ErrConflict) {
 		t.Errorf("%v", err)
 	}
-	if _, err := f.client.Update(t.Context(), func(b roles.Assignments) (roles.Assignments, error) { return b.Start("e1", roles.Decode, "") }); !errors.Is(err, roles.ErrLastOfStage) {
-		t.Errorf("the last reader was given away: %v", err)
+	_, err = f.client.Update(t.Context(), func(table roles.Assignments) (roles.Assignments, error) {
+		return table.Start("e1", roles.Decode, "")
+	})
+	if !errors.Is(err, roles.ErrLastOfStage) {
+		t.Errorf("the last prefill engine was changed: %v", err)
 	}
 }
 
-// TestNoRegisterNoChange: while the register is cut off a planner does nothing, and goes on after.
-func TestNoRegisterNoChange(t *testing.T) {
+// TestUnreachableAPIServerStopsChanges: while the API server does not answer a planner does nothing, and it continues
+// after.
+func TestUnreachableAPIServerStopsChanges(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
-	f.force("e0", roles.Decode)
-	f.reg.Cut(true)
-	f.run(quiet)
+	f.startChange("e0", roles.Decode)
+	f.api.Cut(true)
+	f.runPlanner(commandsOnly)
 	if _, err := f.client.View(t.Context()); err == nil {
-		t.Error("a register that is cut off answers")
+		t.Error("an API server that is cut off answers")
 	}
 	if f.engines["e0"].Seat().Order != 0 {
-		t.Error("an engine was told without the book")
+		t.Error("an engine got a command without the table")
 	}
-	f.reg.Cut(false)
-	f.eventually("settled", f.is("e0", roles.Decode))
+	f.api.Cut(false)
+	f.eventually("confirmed", f.confirmed("e0", roles.Decode))
+}
+
+// memorySavedAfter waits for a memory that a planner saved after a time.
+func (f *fleet) memorySavedAfter(after time.Time) (saved planner.Saved) {
+	f.t.Helper()
+	f.eventually("a memory is saved", func(roles.Assignments) bool {
+		var ok bool
+		var err error
+		saved, ok, err = f.client.LoadMemory(f.t.Context())
+		if err != nil {
+			f.t.Fatal(err)
+		}
+		return ok && saved.At.After(after) && len(saved.Memory.Experts) > 0
+	})
+	return saved
 }
 
-// TestWhatWasLearnedOutlivesThePlanner, and the register that keeps it; what can't be right is passed over.
-func TestWhatWasLearnedOutlivesThePlanner(t *testing.T) {
-	book := filepath.Join(t.TempDir(), "book.json")
+// oldestWork is the age of the oldest work that a memory holds.
+func oldestWork(saved planner.Saved) time.Duration { return saved.Memory.Experts[0].Past[0].Age }
+
+// TestMemoryOutlivesPlannerAndAPIServer: a second planner continues with the memory of the first, and one that finds
+// an implausible memory starts anew.
+func TestMemoryOutlivesPlannerAndAPIServer(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "book.json")
 	f := newFleet(t, roles.Prefill, roles.Decode)
-	if err := f.reg.KeepBook(book); err != nil {
+	if err := f.api.KeepBook(file); err != nil {
 		t.Fatal(err)
 	}
-	left := func(after time.Time) (s planner.Saved) {
-		f.eventually("a memory is left", func(roles.Assignments) bool {
-			var ok bool
-			var err error
-			s, ok, err = f.client.LoadMemory(t.Context())
-			if err != nil {
-				t.Fatal(err)
-			}
-			return ok && s.At.After(after) && len(s.Memory.Experts) > 0
-		})
-		return s
-	}
 	if _, ok, err := f.client.LoadMemory(t.Context()); ok || err != nil {
 		t.Fatalf("%v %v before there was a planner", ok, err)
 	}
-	kill := f.run(quiet)
-	left(time.Time{})
+	kill := f.runPlanner(commandsOnly)
+	f.memorySavedAfter(time.Time{})
 	kill()
-	f.reg.Close()
-	f.register(book)
-	for id, e := range f.engines {
-		f.reg.Shift(id, e.Seat().Role, kinds)
-		f.list(e)
-	}
-	oldest := func(s planner.Saved) time.Duration { return s.Memory.Experts[0].Past[0].Age }
-	began := time.Now()
-	kill = f.run(quiet)
-	s := left(began)
-	if oldest(s) <= s.At.Sub(began) {
-		t.Errorf("the second planner knows nothing of the time before it: oldest %v, it began %v before", oldest(s), s.At.Sub(began))
+	f.restartAPIServer(file)
+
+	startedAt := time.Now()
+	kill = f.runPlanner(commandsOnly)
+	saved := f.memorySavedAfter(startedAt)
+	if running := saved.At.Sub(startedAt); oldestWork(saved) <= running {
+		t.Errorf("the second planner's oldest work is %v old, it has run for %v", oldestWork(saved), running)
 	}
 	kill()
-	if err := f.client.SaveMemory(t.Context(), planner.Saved{At: time.Now(), Memory: roles.Memory{Lead: 99}}); err != nil {
+
+	implausible := planner.Saved{At: time.Now(), Memory: roles.Memory{Lead: 99}}
+	if err := f.client.SaveMemory(t.Context(), implausible); err != nil {
 		t.Fatal(err)
 	}
-	began = time.Now()
-	f.run(quiet)
-	if s := left(began); oldest(s) > s.At.Sub(began) {
-		t.Errorf("a third planner, with a memory that can't be, knows of a time before it: %v", oldest(s))
+	startedAt = time.Now()
+	f.runPlanner(commandsOnly)
+	saved = f.memorySavedAfter(startedAt)
+	if running := saved.At.Sub(startedAt); oldestWork(saved) > running {
+		t.Errorf("a planner without a memory has work %v old, it has run for %v", oldestWork(saved), running)
 	}
 }
--- a/internal/planner/recorded_test.go
+++ b/internal/planner/recorded_test.go
@@ -128,7 +128,8 @@
 
 const storedBook = `{"version":7,"orders":4,"entries":{` +
 	`"e0":{"role":"reader","to":"reader","open":true,"reads":true,"writes":true},` +
-	`"e1":{"role":"writer","order":4,"to":"reader","open":false,"changed":5,"began":6,"reads":true,"writes":true,"why":"w"},` +
+	`"e1":{"role":"writer","order":4,"to":"reader","open":false,"changed":5,"began":6,` +
+	`"reads":true,"writes":true,"why":"w"},` +
 	`"e2":{"role":"both","order":2,"to":"both","open":true,"pinned":true,"reads":true,"writes":true},` +
 	`"e3":{"role":"reader","to":"reader","open":true,"reads":true,"writes":true}}}`
 
--- a/internal/planner/replicas_test.go
+++ b/internal/planner/replicas_test.go
@@ -18,11 +18,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	served := make(chan error, 1)
-	go func() { served <- metrics.Serve(l, func() string { return "" }) }()
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = metrics.Serve(l, func() string { return "" }) // ends with the listener
+	}()
 	t.Cleanup(func() {
-		_ = l.Close() // ends Serve, which returns the error of the listener
-		<-served
+		_ = l.Close() // ends Serve
+		<-done
 	})
 	return l.Addr().String()
 }
--- a/internal/planner/runner.go
+++ b/internal/planner/runner.go
@@ -40,7 +40,7 @@
 type Runner struct {
 	Register           Client // of the API server
 	Settings           roles.Config
-	Replicas           []string      // metrics addresses, host:port, of replicas that are asked what they lost; may be empty
+	Replicas           []string      // metrics addresses, host:port, of replicas polled for lost requests; may be empty
 	Interval           time.Duration // between rounds; 0 = 1 s
 	MaxConcurrentPolls int           // engines asked at once; 0 = 32
 	SaveInterval       time.Duration // between two saves of what was learned; 0 = 30 s
