--- a/cmd/brackenbend/load.go
+++ b/cmd/brackenbend/load.go
@@ -35,7 +35,7 @@
 }
 
 func loadCommand() *cobra.Command {
-	run := loadRun{plan: load.Plan{Length: 30 * time.Second, Most: 2000}}
+	run := loadRun{plan: load.Plan{Length: 30 * time.Second, MaxOpen: 2000}}
 	cmd := &cobra.Command{
 		Use:   "load REPLICA...",
 		Short: "Send load at running replicas and measure what clients see",
@@ -58,8 +58,8 @@
 	f.StringVar(&r.plan.Model, "model", "day", "model that is asked for")
 	f.Float64Var(&r.rate, "rate", 0, "requests a second; 0 = the scenario's")
 	f.DurationVar(&r.plan.Length, "for", r.plan.Length, "how long sessions begin, up to 1h")
-	f.IntVar(&r.plan.Most, "most", r.plan.Most, "requests open at once; sessions past it do not begin and are counted")
-	f.BoolVar(&r.plan.Anywhere, "anywhere", false, "send to addresses that are not loopback")
+	f.IntVar(&r.plan.MaxOpen, "most", r.plan.MaxOpen, "requests open at once; sessions past it do not begin and are counted")
+	f.BoolVar(&r.plan.AllowRemote, "anywhere", false, "send to addresses that are not loopback")
 	f.StringVar(&r.htmlFile, "html", "", "write a page with plots")
 	f.StringVar(&r.jsonFile, "json", "", "write all figures")
 	f.BoolVarP(&r.quiet, "quiet", "q", false, "no progress bar")
@@ -111,7 +111,7 @@
 	if r.rate > 0 {
 		clients.Rate = config.Rate(r.rate)
 	}
-	r.plan.Day, r.plan.Fronts = clients, replicas
+	r.plan.Scenario, r.plan.Replicas = clients, replicas
 	return nil
 }
 
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -43,6 +43,10 @@
 // gatewayOptions are the options of the node's gateway.
 func (c *Config) gatewayOptions(limits ResourceLimits, clients gateway.ClientProtocol) gateway.Options {
 	site := &c.Site
+	retryAfter := gateway.NoRetryAfter
+	if site.RetryAfter {
+		retryAfter = gateway.RetryAfterFractional
+	}
 	return gateway.Options{
 		Routing:             site.Routing,
 		Kinds:               site.Kinds,
@@ -55,8 +59,9 @@
 		FirstRequestTimeout: firstRequestTimeout,
 		MinIdleTime:         minClientIdleTime,
 		AcceptWhileDraining: c.acceptWhileDraining(),
-
-		CutBrokenStreams: true, RejectPipelining: true, SendRetryAfter: site.RetryAfter, FractionalRetryAfter: true,
+		BrokenStreams:       gateway.CloseConnection,
+		Pipelining:          gateway.RejectPipelining,
+		RetryAfter:          retryAfter,
 	}
 }
 
