--- a/internal/fake/apiserver/apiserver.go
+++ b/internal/fake/apiserver/apiserver.go
@@ -128,8 +128,8 @@
 	return e, ok
 }
 
-// Stale sends an old event of a removed engine again, with its old version.
-func (s *Server) Stale(name string) {
+// SendStaleEvent sends an old event of a removed engine again, with its old version.
+func (s *Server) SendStaleEvent(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.history {
@@ -165,8 +165,8 @@
 	s.delay = d
 }
 
-// Cut ends all watches and, while on, answers nothing but 503.
-func (s *Server) Cut(on bool) {
+// SetUnreachable ends all watches and, while on, answers nothing but 503.
+func (s *Server) SetUnreachable(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cut = on
@@ -276,14 +276,14 @@
 		}
 	}
 	s.mu.Unlock()
-	s.told(audit.ToldReady, front, ready)
+	s.told(audit.NotifiedReady, front, ready)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{
 		"kind": "EndpointSliceList", "apiVersion": "discovery.k8s.io/v1",
 		"metadata": map[string]any{"resourceVersion": strconv.Itoa(version), "continue": next}, "items": items,
 	})
 	if next == "" && http.NewResponseController(w).Flush() == nil {
-		s.told(audit.Told, front, not)
+		s.told(audit.NotifiedGone, front, not)
 	}
 }
 
@@ -295,7 +295,7 @@
 		return
 	}
 	for _, name := range engines {
-		s.Record.Add(audit.Event{Kind: kind, Front: front, Engine: name})
+		s.Record.Add(audit.Event{Kind: kind, Replica: front, Engine: name})
 	}
 }
 
@@ -374,7 +374,7 @@
 		}
 		s.mu.Unlock()
 		ready, not := words(due)
-		s.told(audit.ToldReady, front, ready)
+		s.told(audit.NotifiedReady, front, ready)
 		for _, c := range due {
 			if enc.Encode(map[string]any{"type": c.kind, "object": s.slice(c.entry, c.version)}) != nil {
 				return
@@ -385,7 +385,7 @@
 			if rc.Flush() != nil {
 				return
 			}
-			s.told(audit.Told, front, not)
+			s.told(audit.NotifiedGone, front, not)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/fake/apiserver/apiserver_test.go
+++ b/internal/fake/apiserver/apiserver_test.go
@@ -29,7 +29,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.seen += string(b)
-	if strings.Contains(p.seen, `"ready":true`) && count(p.rec, audit.ToldReady, "e") == 0 {
+	if strings.Contains(p.seen, `"ready":true`) && count(p.rec, audit.NotifiedReady, "e") == 0 {
 		p.t.Error("bytes that say ready are written, the record does not allow it yet")
 	}
 	return len(b), nil
@@ -38,7 +38,7 @@
 func (p *peer) Flush() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n := count(p.rec, audit.Told, "e"); strings.Contains(p.seen, `"ready":false`) && !strings.Contains(p.left, `"ready":false`) && n != 0 {
+	if n := count(p.rec, audit.NotifiedGone, "e"); strings.Contains(p.seen, `"ready":false`) && !strings.Contains(p.left, `"ready":false`) && n != 0 {
 		p.t.Error("the record says that the front was told of a drain whose bytes have not left")
 	}
 	p.left = p.seen
@@ -81,9 +81,9 @@
 				r.SetPathValue("ns", "default")
 				s.serve(p, r)
 			}()
-			want := audit.ToldReady
+			want := audit.NotifiedReady
 			if drains {
-				want = audit.Told
+				want = audit.NotifiedGone
 			}
 			for end := time.Now().Add(20 * time.Second); count(rec, want, "e") == 0; {
 				if time.Now().After(end) {
