--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -74,7 +74,7 @@
 		decode: entry.engine.Role != routing.RolePrefill, id: request.clientID,
 		deadline: request.deadline, connectTimeout: send.ConnectTimeout,
 		newConn:    slices.ContainsFunc(request.attempts, (*attempt).lostOnReusedConn),
-		startAfter: request.releaseDone, ended: make(chan struct{}), pending: true,
+		startAfter: request.release.done, ended: make(chan struct{}), pending: true,
 	}
 	if a.id == "" {
 		a.id = l.gateway.attemptID(request.id, a.index)
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -80,7 +80,7 @@
 // still sends is read and discarded within bounds of bytes and time.
 func (c *clientConn) close() {
 	half, ok := c.conn.(interface{ CloseWrite() error })
-	if ok && (c.wroteResponse || c.gateway.draining.Load()) && half.CloseWrite() == nil {
+	if ok && (c.wroteResponse || c.gateway.drain.started.Load()) && half.CloseWrite() == nil {
 		_ = c.conn.SetReadDeadline(time.Now().Add(lingerTime)) // fails on a broken connection, as the read does
 		_, _ = io.CopyN(io.Discard, c.conn, lingerBytes)       // any error ends the wait
 	}
--- a/internal/gateway/conn_read.go
+++ b/internal/gateway/conn_read.go
@@ -67,14 +67,14 @@
 	}
 	c.idleSince.Store(time.Now().UnixNano())
 	var err error
-	if !c.gateway.draining.Load() { // otherwise Shutdown may have passed this connection before idleSince was set
+	if !c.gateway.drain.started.Load() { // otherwise Shutdown may have passed this connection before idleSince was set
 		_, err = c.reader.Peek(1)
 	}
 	if !c.leaveIdle() {
 		return errEvicted
 	}
-	draining := c.gateway.draining.Load()
-	if draining && c.setReadDeadline(c.gateway.drainGraceEnd()) == nil {
+	draining := c.gateway.drain.started.Load()
+	if draining && c.setReadDeadline(c.gateway.drain.graceEnd()) == nil {
 		_, err = c.reader.Peek(1)
 	}
 	switch {
--- a/internal/gateway/conn_request.go
+++ b/internal/gateway/conn_request.go
@@ -26,7 +26,7 @@
 
 // respond answers a request that never was in flight. A body that was not read ends the connection.
 func (c *clientConn) respond(req *http1.Request, body *http1.Body, response Response) bool {
-	keepAlive := !req.Close && body.AtEOF() && !c.gateway.drainDeadlinePassed()
+	keepAlive := !req.Close && body.AtEOF() && !c.gateway.drain.deadlinePassed()
 	return c.writeResponse(response, keepAlive) == nil && keepAlive
 }
 
@@ -60,7 +60,7 @@
 // serveCompletion serves a request for a completion within the bounds on open requests and body bytes.
 func (c *clientConn) serveCompletion(req *http1.Request, body *http1.Body) bool {
 	g := c.gateway
-	if g.drainDeadlinePassed() && g.AcceptWhileDraining == 0 {
+	if g.drain.deadlinePassed() && g.AcceptWhileDraining == 0 {
 		return c.shed(req, body, "draining", "this front is going down; nothing was done")
 	}
 	if g.openRequests.Add(1) > int64(g.Limits.MaxOpenRequests) {
@@ -147,7 +147,7 @@
 	}
 	id := g.lastRequestID.Add(1)
 	if id > math.MaxUint32 {
-		g.draining.Store(true)
+		g.drain.started.Store(true)
 		g.log.Error("all 2^32 request ids of this run are used; restart the gateway")
 		return nil, &api.Error{
 			Status: http.StatusServiceUnavailable, Type: api.TypeServer,
@@ -159,7 +159,7 @@
 		id: routing.RequestID(id), clientID: parsed.ClientID, traits: parsed.Routing, bodies: parsed.Prompt,
 		path: parsed.Path, idempotencyKey: parsed.IdempotencyKey, class: &g.classes[parsed.Routing.Class],
 		conn: c, collector: parsed.Collector, chunked: req.Minor == 1,
-		keepAlive:  !req.Close && req.Minor == 1 && !g.drainDeadlinePassed(),
+		keepAlive:  !req.Close && req.Minor == 1 && !g.drain.deadlinePassed(),
 		acceptedAt: now, done: make(chan struct{}),
 	}
 	timeout := parsed.FirstTokenTimeout
@@ -197,7 +197,7 @@
 		return request.keepAlive && !c.pipelined && request.result != resultClientGone &&
 			(request.result != resultBroken || g.BrokenStreams == SendErrorEvent)
 	}
-	keepAlive := request.keepAlive && !c.pipelined && !g.drainDeadlinePassed()
+	keepAlive := request.keepAlive && !c.pipelined && !g.drain.deadlinePassed()
 	request.response.requestID = request.displayID()
 	return c.writeResponse(request.response, keepAlive) == nil && keepAlive
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,7 +25,6 @@
 	"strconv"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"go.uber.org/zap"
 
@@ -59,9 +58,7 @@
 	clientIDs map[string]struct{} // of open requests, where clients choose ids
 	listener  net.Listener
 
-	draining      atomic.Bool
-	drainGrace    time.Duration // set before draining
-	drainDeadline atomic.Int64  // end of AcceptWhileDraining, as Unix time in nanoseconds; set before draining
+	drain drainState
 
 	goroutines sync.WaitGroup // Serve and the connections
 }
@@ -85,7 +82,7 @@
 	}
 	g := &Gateway{
 		Options: options, hooks: hooks, classes: options.Routing.Classes, kinds: options.Routing.Kinds,
-		log: log, metrics: metrics, runID: fmt.Sprintf("%x", random[8:]), drainGrace: defaultDrainGrace,
+		log: log, metrics: metrics, runID: fmt.Sprintf("%x", random[8:]), drain: drainState{grace: defaultDrainGrace},
 		limits: http1.Limits{
 			MaxHeaderBytes:  int(options.Limits.MaxHeaderBytes),
 			MaxHeaderFields: options.Limits.MaxHeaderFields,
@@ -113,7 +110,7 @@
 // NotReady returns why the gateway should get no traffic, or "" when it should.
 func (g *Gateway) NotReady() string {
 	switch {
-	case g.draining.Load():
+	case g.drain.started.Load():
 		return "draining"
 	case !g.loop.hasEndpoints.Load():
 		return "no list of engines yet"
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -22,14 +22,14 @@
 // stateHeld records a successful prefill at the endpoint.
 func (l *eventLoop) stateHeld(request *inflightRequest, endpoint string) {
 	l.endState(request, stateMissing) // that of an earlier prefill, which this one has replaced
-	request.heldState = readState{endpoint, time.Now()}
+	request.release.held = readState{endpoint, time.Now()}
 	l.gateway.metrics.StatesHeld.Inc()
 }
 
 // endState records how the time of the state that request holds ended, if it holds one.
 func (l *eventLoop) endState(request *inflightRequest, end string) {
-	l.observeStateEnd(request.heldState, end)
-	request.heldState = readState{}
+	l.observeStateEnd(request.release.held, end)
+	request.release.held = readState{}
 }
 
 // observeStateEnd is safe for concurrent use.
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -67,11 +67,16 @@
 	// Owned by the event loop.
 	pendingAttempts int
 	kvParams        json.RawMessage // KV transfer parameters of the last prefill
-	heldState       readState       // what a prefill endpoint holds for it, as far as known
 	delayedResponse *Response       // sent when pendingAttempts is 0: see reject
-	releaseWanted   bool            // the router wants released what may be held
-	lastRelease     *release
-	releaseDone     <-chan struct{} // the next attempt waits until it is closed; nil = it need not wait
+	release         releaseProgress
+}
+
+// releaseProgress is what is known of the read state that engines may hold for a request, and of its release.
+type releaseProgress struct {
+	held   readState       // at an endpoint, as far as known
+	wanted bool            // the router wants released what may be held
+	last   *release        // the one started last
+	done   <-chan struct{} // the next attempt waits until it is closed; nil = it need not wait
 }
 
 // Results of requests, as metric label values and in log lines.
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -30,7 +30,7 @@
 		case err == nil:
 			backoff = minAcceptBackoff
 			g.accept(conn)
-		case g.draining.Load() && (errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)):
+		case g.drain.started.Load() && (errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)):
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
@@ -47,7 +47,7 @@
 func (g *Gateway) setListener(listener net.Listener) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.draining.Load() {
+	if g.drain.started.Load() {
 		return false
 	}
 	g.listener = listener
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -202,7 +202,7 @@
 	case routing.FirstToken:
 		if request := l.requests[event.Request]; request != nil {
 			l.endState(request, stateFetched)
-			request.releaseWanted = false // what engines hold for it is dropped when the stream begins
+			request.release.wanted = false // what engines hold for it is dropped when the stream begins
 		}
 	case routing.Outcome:
 		if request := l.touch(event.Request); request != nil {
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -67,7 +67,7 @@
 	if !l.releasesState {
 		return
 	}
-	request.releaseWanted = true
+	request.release.wanted = true
 	if l.engines.StateByRequestID {
 		if !request.releasedLater() {
 			l.releaseNow(request, 0)
@@ -88,8 +88,8 @@
 func (l *eventLoop) releaseAttempt(request *inflightRequest, a *attempt) {
 	a.releaseStarted = true
 	held := readState{}
-	if a.endpoint.Name == request.heldState.endpoint {
-		held, request.heldState = request.heldState, held
+	if a.endpoint.Name == request.release.held.endpoint {
+		held, request.release.held = request.release.held, held
 	}
 	l.work.Add(1)
 	go func() {
@@ -121,17 +121,17 @@
 // the state of a prefill that follows, too.
 func (l *eventLoop) releaseNow(request *inflightRequest, rounds int) {
 	done := make(chan struct{})
-	request.releaseDone = done
+	request.release.done = done
 	l.startRelease(l.newRelease(request, rounds), func() { close(done) })
 }
 
 // newRelease makes a release of what the request may hold, which is not counted as held any more.
 func (l *eventLoop) newRelease(request *inflightRequest, rounds int) *release {
 	r := &release{
-		id: request.clientID, endpoints: l.releaseOrder(request), held: request.heldState, request: request,
+		id: request.clientID, endpoints: l.releaseOrder(request), held: request.release.held, request: request,
 		rounds: rounds,
 	}
-	request.heldState = readState{}
+	request.release.held = readState{}
 	return r
 }
 
@@ -160,9 +160,9 @@
 	prefillRan := false
 	for _, a := range request.attempts {
 		prefillRan = prefillRan || !a.decode && !a.neverRan
-		request.releaseWanted = request.releaseWanted || a.mayHoldState && !a.releaseStarted
+		request.release.wanted = request.release.wanted || a.mayHoldState && !a.releaseStarted
 	}
-	if request.releaseWanted && prefillRan {
+	if request.release.wanted && prefillRan {
 		l.startRelease(l.newRelease(request, 0), func() {})
 		return
 	}
--- a/internal/gateway/release_call.go
+++ b/internal/gateway/release_call.go
@@ -19,7 +19,7 @@
 // there is no order between two connections: the release waits for a moment, and is repeated where no prefill can
 // follow it.
 func (l *eventLoop) startRelease(r *release, done func()) {
-	r.request.lastRelease = r
+	r.request.release.last = r
 	last := r.request.attempts[len(r.request.attempts)-1]
 	r.repeat = r.rounds == 0 && !last.pending && last.decodeAborted
 	l.work.Add(1)
@@ -43,7 +43,7 @@
 func (l *eventLoop) retryRelease(r *release) {
 	request := r.request
 	switch isOpen := l.requests[request.id] == request; {
-	case request.lastRelease != r: // a later one has been started
+	case request.release.last != r: // a later one has been started
 		l.observeStateEnd(r.held, stateReleaseFailed)
 	case l.stopping || r.rounds > maxReleaseRetries:
 		l.gateway.log.Error("read state given up", zap.String("request", r.id), zap.Int("rounds", r.rounds))
@@ -52,10 +52,10 @@
 		r.endpoints = l.releaseOrder(request)
 		l.startRelease(r, func() {})
 	case request.releasedLater():
-		request.releaseWanted = true
+		request.release.wanted = true
 		l.observeStateEnd(r.held, stateReleaseFailed)
 	default:
-		request.heldState = r.held
+		request.release.held = r.held
 		l.releaseNow(request, r.rounds)
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync/atomic"
 	"time"
 )
 
@@ -9,19 +10,26 @@
 // idle connections: a request that crosses the close of its connection would remain without an answer.
 const defaultDrainGrace = 50 * time.Millisecond
 
-// drainGraceEnd returns until when a draining gateway waits for connections and requests that may still come: the drain
-// deadline, but at least the drain grace from now.
-func (g *Gateway) drainGraceEnd() time.Time {
-	end := time.Now().Add(g.drainGrace)
-	if deadline := time.Unix(0, g.drainDeadline.Load()); deadline.After(end) {
+// drainState is the progress of a graceful shutdown.
+type drainState struct {
+	started  atomic.Bool
+	grace    time.Duration // set before started
+	deadline atomic.Int64  // end of AcceptWhileDraining, as Unix time in nanoseconds; set before started
+}
+
+// graceEnd returns until when a draining gateway waits for connections and requests that may still come: the deadline,
+// but at least the grace from now.
+func (d *drainState) graceEnd() time.Time {
+	end := time.Now().Add(d.grace)
+	if deadline := time.Unix(0, d.deadline.Load()); deadline.After(end) {
 		return deadline
 	}
 	return end
 }
 
-// drainDeadlinePassed reports that no further requests are accepted and each answer ends its connection.
-func (g *Gateway) drainDeadlinePassed() bool {
-	return g.draining.Load() && time.Now().UnixNano() >= g.drainDeadline.Load()
+// deadlinePassed reports that no further requests are accepted and each answer ends its connection.
+func (d *drainState) deadlinePassed() bool {
+	return d.started.Load() && time.Now().UnixNano() >= d.deadline.Load()
 }
 
 // Shutdown shuts down gracefully: it stops accepting and waits until open requests are answered. Once ctx is done the
@@ -45,12 +53,12 @@
 }
 
 func (g *Gateway) startDraining() {
-	g.drainDeadline.Store(time.Now().Add(g.AcceptWhileDraining).UnixNano())
+	g.drain.deadline.Store(time.Now().Add(g.AcceptWhileDraining).UnixNano())
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.draining.Store(true)
+	g.drain.started.Store(true)
 	if l, ok := g.listener.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = l.SetDeadline(g.drainGraceEnd()) // connections in the backlog are still accepted; fails only on a closed one
+		_ = l.SetDeadline(g.drain.graceEnd()) // connections in the backlog are still accepted; fails only on a closed one
 	} else if g.listener != nil {
 		_ = g.listener.Close() // Serve, which ends by it, reports what matters
 	}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -20,10 +20,10 @@
 	go func() { got <- r.raw(request(chat(true, 200), "")) }()
 	r.awaitOpenRequests(1)
 	idle := r.dial("")
-	r.gateway.drainGrace = 2 * time.Second // the client below may be scheduled late
+	r.gateway.drain.grace = 2 * time.Second // the client below may be scheduled late
 	late := make(chan string, 1)
 	go func() { // on a connection that was idle, just as the gateway begins to drain
-		for !r.gateway.draining.Load() {
+		for !r.gateway.drain.started.Load() {
 			runtime.Gosched()
 		}
 		_, _ = io.WriteString(idle, request(chat(true, 1), "")) // the answer shows whether it failed
@@ -129,7 +129,7 @@
 		r.gateway.Shutdown(t.Context())
 		close(ended)
 	}()
-	r.eventually("it drains", r.gateway.draining.Load)
+	r.eventually("it drains", r.gateway.drain.started.Load)
 	r.dial("")
 	<-l.failed
 	if got := r.raw(request(chat(true, 3), "Connection: close\r\n")); !strings.Contains(got, "[DONE]") {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -34,11 +34,11 @@
 	held, pendingAttempts, overdue := 0, 0, 0
 	for _, request := range l.requests {
 		pendingAttempts += request.pendingAttempts
-		if request.heldState.since.IsZero() {
+		if request.release.held.since.IsZero() {
 			continue
 		}
 		held++
-		age := time.Since(request.heldState.since)
+		age := time.Since(request.release.held.since)
 		oldest = max(oldest, age)
 		if age > l.stateTTL() && overdue < maxOverdueLogs {
 			overdue++
@@ -63,7 +63,7 @@
 	last := request.attempts[len(request.attempts)-1]
 	l.gateway.log.Warn("read state overdue",
 		zap.String("id", request.displayID()),
-		zap.String("reader", request.heldState.endpoint),
+		zap.String("reader", request.release.held.endpoint),
 		zap.Duration("held_for", age),
 		zap.String("last_attempt", last.endpoint.Name),
 		zap.Object("progress", last.handle.Progress()),
