--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -32,7 +32,7 @@
 
 	// Set by the worker before ended is closed.
 	neverRan      bool
-	mayHoldState  bool // a prefill that may have left a state of which the gateway was not told
+	mayHoldState  bool // a prefill that may have left a state that no reply confirmed
 	decodeAborted bool // a decode ended by the gateway, which its engine may not have seen yet
 
 	// Owned by the event loop.
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -17,7 +17,7 @@
 	Status      int
 	Body        []byte
 	retryAfter  time.Duration // of a rejection; 0 = none
-	noAutoRetry bool          // tells SDKs not to retry by themselves
+	noAutoRetry bool          // SDKs must not retry by themselves
 	requestID   string        // X-Request-Id; "" = no field
 	reason      string        // why the request was not served, for logs and metrics; "" if it was
 }
@@ -87,7 +87,8 @@
 	return response
 }
 
-// failureResponse promises nothing about effects. Where there may be some, SDKs are told not to retry by themselves.
+// failureResponse promises nothing about effects. Where there may be some, the response forbids SDKs to retry
+// by themselves.
 func failureResponse(request *inflightRequest, reason string) Response {
 	idempotent := request.class.Idempotency == routing.Idempotent
 	e := &api.Error{
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -2,45 +2,20 @@
 
 import (
 	"bufio"
-	"flag"
 	"fmt"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 
 	"brackenbend/internal/config"
+	"brackenbend/internal/golden"
 	"brackenbend/routing"
 )
 
-var update = flag.Bool("update", false, "write the golden files")
-
-// golden compares got with testdata/name. The files were recorded before a renaming and aren't updated during it: a
-// difference is a changed byte on the wire.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
+// What differs from run to run.
 var (
 	runID      = regexp.MustCompile(`X-Request-Id: [0-9a-f]{16}-[0-9a-f]+-0\r`)
 	waitWhole  = regexp.MustCompile(`Retry-After: [1-9][0-9]*\r`)
@@ -123,7 +98,7 @@
 		engine.setAnswer(writes(c.answer))
 		got := r.raw(c.send)
 		name := strings.NewReplacer(", ", "-", " ", "-", "/", "", "'", "").Replace(c.name)
-		golden(t, "client-"+name+".golden", visible(got))
+		golden.Check(t, "client-"+name+".golden", visible(got))
 	}
 }
 
@@ -147,7 +122,7 @@
 		next <- struct{}{}
 	}
 	all += until(t, br, "0\r\n\r\n")
-	golden(t, "stream-chunks.golden", visible(all))
+	golden.Check(t, "stream-chunks.golden", visible(all))
 }
 
 // TestRejectionBytesOnSocket: without a decode endpoint everything is rejected. The wait is the router's, and replaced.
@@ -156,7 +131,7 @@
 	for _, class := range []string{"brief", "quick"} {
 		got := r.raw(request(chat(true, 5), "X-Class: "+class+"\r\n"+ending))
 		got = waitWhole.ReplaceAllString(got, "Retry-After: S\r")
-		golden(t, "refusal-"+class+".golden", visible(waitMillis.ReplaceAllString(got, "retry-after-ms: MS\r")))
+		golden.Check(t, "refusal-"+class+".golden", visible(waitMillis.ReplaceAllString(got, "retry-after-ms: MS\r")))
 	}
 }
 
@@ -168,7 +143,7 @@
 			r, engine := newScriptedRig(t, "")
 			engine.setAnswer(func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // ends with the connection
 			got := r.raw(request(chat(stream, 5), "X-Class: quick\r\n"+ending))
-			golden(t, fmt.Sprintf("timeout-stream-%v.golden", stream), visible(got))
+			golden.Check(t, fmt.Sprintf("timeout-stream-%v.golden", stream), visible(got))
 		})
 	}
 }
@@ -234,5 +209,5 @@
 	}
 	fmt.Fprintf(&all, "== failure of a repeat\n%s", written(t, g, possibleDuplicateResponse(), false))
 	fmt.Fprintf(&all, "== two at once\n%s", written(t, g, errorResponse(errPipelined), false))
-	golden(t, "refusal-and-failure.golden", all.String())
+	golden.Check(t, "refusal-and-failure.golden", all.String())
 }
