--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -140,7 +140,7 @@
 		}
 		kinds[role] = kind
 	}
-	if err := server.KeepAssignments(s.assignmentsFile); err != nil {
+	if err := server.PersistAssignments(s.assignmentsFile); err != nil {
 		return exitError{fmt.Errorf("--book: %w", err), exitConfig}
 	}
 	for _, arg := range engines {
@@ -150,7 +150,7 @@
 		}
 		for role, kind := range kinds {
 			if kind == entry.Kind {
-				server.AllowRoleChange(entry.Name, role, kinds)
+				server.ManageRole(entry.Name, role, kinds)
 			}
 		}
 		server.Set(entry)
--- a/internal/fake/apiserver/book.go
+++ b/internal/fake/apiserver/book.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// AllowRoleChange makes an engine one whose role may change: the book has an entry for it from now on, and the list follows the
+// ManageRole makes an engine one whose role may change: the book has an entry for it from now on, and the list follows the
 // book. kinds names the kind that it is listed as in each role.
-func (s *Server) AllowRoleChange(name string, role roles.Role, kinds map[roles.Role]string) {
+func (s *Server) ManageRole(name string, role roles.Role, kinds map[roles.Role]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Entries == nil {
@@ -27,8 +27,8 @@
 	}
 }
 
-// KeepAssignments reads the book from a file, where there is one, and keeps it there from now on.
-func (s *Server) KeepAssignments(path string) error {
+// PersistAssignments reads the book from a file, where there is one, and keeps it there from now on.
+func (s *Server) PersistAssignments(path string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.bookFile = path
--- a/internal/fake/apiserver/stored_test.go
+++ b/internal/fake/apiserver/stored_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if err := s.KeepAssignments(file); err != nil {
+	if err := s.PersistAssignments(file); err != nil {
 		t.Fatal(err)
 	}
 	s.Set(Entry{Name: "all", Kind: "k", Zone: "z", Cell: "c", Address: "127.0.0.1:9000", UID: "1", Ready: true})
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -65,7 +65,7 @@
 	for r := range kinds {
 		paramsByRole[r] = engineParams(r)
 	}
-	f.api.AllowRoleChange(name, role, kinds)
+	f.api.ManageRole(name, role, kinds)
 	s, err := engine.Start(engine.Config{
 		Name: name, Params: engineParams(role), Roles: paramsByRole,
 		InitialState: roles.EngineState{Role: role, Target: role}, SwitchTime: 5 * time.Millisecond,
@@ -86,7 +86,7 @@
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(f.api.Close)
-	if err := f.api.KeepAssignments(file); err != nil {
+	if err := f.api.PersistAssignments(file); err != nil {
 		f.t.Fatal(err)
 	}
 	f.client = planner.Client{URL: f.api.URL(), HTTP: f.http}
@@ -98,7 +98,7 @@
 	f.api.Close()
 	f.startAPIServer(file)
 	for name, s := range f.engines {
-		f.api.AllowRoleChange(name, s.EngineState().Role, kinds)
+		f.api.ManageRole(name, s.EngineState().Role, kinds)
 		f.list(s)
 	}
 }
@@ -256,7 +256,7 @@
 func TestChangeSurvivesCrashes(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	file := filepath.Join(t.TempDir(), "book.json")
-	if err := f.api.KeepAssignments(file); err != nil {
+	if err := f.api.PersistAssignments(file); err != nil {
 		t.Fatal(err)
 	}
 	f.startChange("e0", roles.Decode) // written; no planner runs that would send it
@@ -346,7 +346,7 @@
 func TestMemoryOutlivesPlannerAndAPIServer(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "book.json")
 	f := newFleet(t, roles.Prefill, roles.Decode)
-	if err := f.api.KeepAssignments(file); err != nil {
+	if err := f.api.PersistAssignments(file); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok, err := f.client.LoadMemory(t.Context()); ok || err != nil {
--- a/internal/scenariorun/roles.go
+++ b/internal/scenariorun/roles.go
@@ -38,7 +38,7 @@
 // join makes an engine one of those that shift.
 func (s *shift) join(cfg *engine.Config, r roles.Role) {
 	cfg.Roles, cfg.InitialState, cfg.SwitchTime = s.params, roles.EngineState{Role: r, Target: r}, s.swap
-	s.r.reg.AllowRoleChange(cfg.Name, r, s.kinds)
+	s.r.reg.ManageRole(cfg.Name, r, s.kinds)
 }
 
 // RoleSample is how the engines that shift stood at one time.
