--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -102,7 +102,7 @@
 				}
 				kinds[r] = kind
 			}
-			if err := s.KeepBook(book); err != nil {
+			if err := s.PersistAssignments(book); err != nil {
 				return coded{fmt.Errorf("--book: %w", err), exitConfig}
 			}
 			for _, a := range args {
@@ -112,7 +112,7 @@
 				}
 				for r, k := range kinds {
 					if k == kind {
-						s.Shift(name, r, kinds)
+						s.ManageRole(name, r, kinds)
 					}
 				}
 				s.Set(apiserver.Entry{Name: name, Kind: kind, Zone: "zone-1", Cell: "cell-1", Address: addr, UID: name + "-1", Ready: true})
--- a/internal/fake/apiserver/apiserver_test.go
+++ b/internal/fake/apiserver/apiserver_test.go
@@ -1,139 +1,169 @@
 package apiserver
 
 import (
-	"brackenbend/internal/audit"
 	"context"
+	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"strings"
 	"sync"
 	"testing"
 	"time"
+
+	"brackenbend/internal/audit"
 )
 
-// peer is a front's end of an answer: at each byte and each flush it looks at what the record holds by then.
-type peer struct {
-	t      *testing.T
-	rec    *audit.Record
-	header http.Header
-	mu     sync.Mutex
-	seen   string // bytes so far
-	left   string // bytes that have left
-	news   chan struct{}
+// eventuallyTimeout is how long tests wait for what happens within milliseconds, on a loaded machine.
+const eventuallyTimeout = 20 * time.Second
+
+const slicesPath = "/apis/discovery.k8s.io/v1/namespaces/default/endpointslices"
+
+func startServer(t *testing.T, record *audit.Record) *Server {
+	t.Helper()
+	s, err := Start("127.0.0.1:0", record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	return s
+}
+
+// checkingWriter is a replica's end of a response: at each write and each flush it checks what the record holds by
+// then.
+type checkingWriter struct {
+	t       *testing.T
+	record  *audit.Record
+	header  http.Header
+	mu      sync.Mutex
+	written string
+	flushed string
+	flushes chan struct{}
 }
 
-func (p *peer) Header() http.Header { return p.header }
-func (p *peer) WriteHeader(int)     {}
+func newCheckingWriter(t *testing.T, record *audit.Record) *checkingWriter {
+	return &checkingWriter{t: t, record: record, header: http.Header{}, flushes: make(chan struct{}, 1)}
+}
 
-func (p *peer) Write(b []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.seen += string(b)
-	if strings.Contains(p.seen, `"ready":true`) && count(p.rec, audit.ToldReady, "e") == 0 {
-		p.t.Error("bytes that say ready are written, the record does not allow it yet")
+func (w *checkingWriter) Header() http.Header { return w.header }
+func (w *checkingWriter) WriteHeader(int)     {}
+
+func (w *checkingWriter) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.written += string(b)
+	if strings.Contains(w.written, `"ready":true`) && countEvents(w.record, audit.ToldReady) == 0 {
+		w.t.Error("bytes that say ready are written before the record allows it")
 	}
 	return len(b), nil
 }
 
-func (p *peer) Flush() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if n := count(p.rec, audit.Told, "e"); strings.Contains(p.seen, `"ready":false`) && !strings.Contains(p.left, `"ready":false`) && n != 0 {
-		p.t.Error("the record says that the front was told of a drain whose bytes have not left")
+func (w *checkingWriter) Flush() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	const drains = `"ready":false`
+	unsent := strings.Contains(w.written, drains) && !strings.Contains(w.flushed, drains)
+	if unsent && countEvents(w.record, audit.Told) != 0 {
+		w.t.Error("the record says that the replica was told of a drain before the bytes are sent")
 	}
-	p.left = p.seen
+	w.flushed = w.written
 	select {
-	case p.news <- struct{}{}:
+	case w.flushes <- struct{}{}:
 	default:
 	}
 }
 
-func count(rec *audit.Record, k audit.Kind, engine string) (n int) {
-	for _, e := range rec.Events() {
-		if e.Kind == k && e.Engine == engine {
+// countEvents counts the events of a kind about the engine "e".
+func countEvents(record *audit.Record, kind audit.Kind) (n int) {
+	for _, e := range record.Events() {
+		if e.Kind == kind && e.Engine == "e" {
 			n++
 		}
 	}
 	return n
 }
 
-// TestTheRecordNeverRunsAheadOfADrainNorBehindAReady: else the auditor sees a rule broken by a front that kept it.
-func TestTheRecordNeverRunsAheadOfADrainNorBehindAReady(t *testing.T) {
-	const path = "/apis/discovery.k8s.io/v1/namespaces/default/endpointslices"
-	for _, watch := range []bool{false, true} {
-		for _, drains := range []bool{false, true} {
-			rec := audit.NewRecord()
-			s, err := Start("127.0.0.1:0", rec)
-			if err != nil {
-				t.Fatal(err)
-			}
-			p := &peer{t: t, rec: rec, header: http.Header{}, news: make(chan struct{}, 1)}
-			s.Set(Entry{Name: "e", Address: "127.0.0.1:1", Ready: true, Draining: drains})
-			ctx, stop := context.WithCancel(context.Background())
-			target := path
-			if watch {
-				target += "?watch=1&resourceVersion=1"
-			}
-			done := make(chan struct{})
-			go func() {
-				defer close(done)
-				r := httptest.NewRequest(http.MethodGet, target, nil).WithContext(ctx)
-				r.SetPathValue("ns", "default")
-				s.serve(p, r)
-			}()
-			want := audit.ToldReady
-			if drains {
-				want = audit.Told
-			}
-			for end := time.Now().Add(20 * time.Second); count(rec, want, "e") == 0; {
-				if time.Now().After(end) {
-					t.Fatalf("watch %v, drains %v: never recorded", watch, drains)
-				}
-				select {
-				case <-p.news:
-				case <-time.After(time.Millisecond):
-				}
-			}
-			stop()
-			<-done
-			s.Close()
+// TestRecordOrder: that an engine is ready is recorded before it is sent, and that it drains after. Otherwise the
+// auditor finds violations by a replica that kept the rules.
+func TestRecordOrder(t *testing.T) {
+	for name, target := range map[string]string{
+		"list":  slicesPath,
+		"watch": slicesPath + "?watch=1&resourceVersion=1",
+	} {
+		for _, draining := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, draining %v", name, draining), func(t *testing.T) {
+				checkRecordOrder(t, target, draining)
+			})
 		}
 	}
 }
 
-func TestWordsOfABatch(t *testing.T) {
-	e := func(ready bool) change { return change{kind: "MODIFIED", entry: Entry{Name: "e", Ready: ready}} }
-	for _, c := range []struct {
-		due        []change
-		ready, not int
-	}{
-		{[]change{e(true)}, 1, 0},
-		{[]change{e(false)}, 0, 1},
-		{[]change{e(true), e(false)}, 1, 1},
-		{[]change{e(false), e(true)}, 1, 0},
-		{[]change{{kind: "DELETED", entry: Entry{Name: "e", Ready: true}}}, 0, 1},
-	} {
-		if ready, not := words(c.due); len(ready) != c.ready || len(not) != c.not {
-			t.Errorf("%v: ready %v, not %v", c.due, ready, not)
+func checkRecordOrder(t *testing.T, target string, draining bool) {
+	t.Helper()
+	record := audit.NewRecord()
+	s := startServer(t, record)
+	w := newCheckingWriter(t, record)
+	s.Set(Entry{Name: "e", Address: "127.0.0.1:1", Ready: true, Draining: draining})
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		r := httptest.NewRequest(http.MethodGet, target, nil).WithContext(ctx)
+		r.SetPathValue("ns", "default")
+		s.serveSlices(w, r)
+	}()
+	defer func() {
+		cancel()
+		<-done
+	}()
+	want := audit.ToldReady
+	if draining {
+		want = audit.Told
+	}
+	for deadline := time.Now().Add(eventuallyTimeout); countEvents(record, want) == 0; {
+		if time.Now().After(deadline) {
+			t.Fatal("never recorded")
+		}
+		select {
+		case <-w.flushes:
+		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-// TestCutEndsWatchesThatBegin: a watch that arrives as the register is cut off is ended too, or turned away. It was
-// let in, and nothing ended it any more.
-func TestCutEndsWatchesThatBegin(t *testing.T) {
-	s, err := Start("127.0.0.1:0", nil)
-	if err != nil {
-		t.Fatal(err)
+func TestSummarizeBatch(t *testing.T) {
+	ready := event{kind: modified, entry: Entry{Name: "e", Ready: true}}
+	down := event{kind: modified, entry: Entry{Name: "e"}}
+	removed := event{kind: deleted, entry: Entry{Name: "e", Ready: true}}
+	for name, c := range map[string]struct {
+		events           []event
+		ready, notUsable int
+	}{
+		"ready":           {[]event{ready}, 1, 0},
+		"down":            {[]event{down}, 0, 1},
+		"ready then down": {[]event{ready, down}, 1, 1},
+		"down then ready": {[]event{down, ready}, 1, 0},
+		"removed":         {[]event{removed}, 0, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			gotReady, gotNotUsable := summarize(c.events)
+			if len(gotReady) != c.ready || len(gotNotUsable) != c.notUsable {
+				t.Errorf("ready %v, not usable %v; want %d and %d", gotReady, gotNotUsable, c.ready, c.notUsable)
+			}
+		})
 	}
-	defer s.Close()
-	s.cut = true // after serve had looked
-	for _, late := range []string{"1", "0"} {
+}
+
+// TestCutRejectsWatchesThatBegin: a watch that arrives while the server becomes unreachable is rejected. It once was
+// accepted, and nothing ended it any more.
+func TestCutRejectsWatchesThatBegin(t *testing.T) {
+	s := startServer(t, nil)
+	s.unreachable = true // after serveSlices has checked it
+	for _, version := range []string{"1", "0"} {
 		w := httptest.NewRecorder()
-		r := httptest.NewRequest("GET", "/?watch=1&resourceVersion="+late, nil)
+		r := httptest.NewRequest(http.MethodGet, "/?watch=1&resourceVersion="+version, nil)
 		s.watch(w, r, "")
 		if w.Code != http.StatusServiceUnavailable {
-			t.Errorf("from version %s: answered %d", late, w.Code)
+			t.Errorf("from version %s: answered %d", version, w.Code)
 		}
 	}
 }
--- /dev/null
+++ b/internal/fake/apiserver/list.go
@@ -0,0 +1,154 @@
+package apiserver
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"brackenbend/internal/audit"
+)
+
+// errExpired means that a continue token or a resource version is too old.
+var errExpired = errors.New("expired")
+
+// serveSlices answers a list or watch request. The user agent names the replica.
+func (s *Server) serveSlices(w http.ResponseWriter, r *http.Request) {
+	replica, _ := strings.CutPrefix(r.UserAgent(), "brackenbend/")
+	switch {
+	case s.isUnreachable():
+		writeUnavailable(w)
+	case r.PathValue("ns") != s.Namespace:
+		writeStatus(w, http.StatusNotFound, "NotFound", "no such namespace")
+	case r.FormValue("watch") == "1" || r.FormValue("watch") == "true":
+		s.watch(w, r, replica)
+	default:
+		s.list(w, r, replica)
+	}
+}
+
+// listPage is one page of the endpoint list.
+type listPage struct {
+	version       int
+	items         []any
+	continueToken string   // of the next page; "" = the last one
+	ready         []string // engines that the page says are ready
+	notUsable     []string // engines that drain or are removed
+}
+
+func (s *Server) list(w http.ResponseWriter, r *http.Request, replica string) {
+	limit, err := strconv.Atoi(r.FormValue("limit"))
+	if err != nil {
+		limit = 0
+	}
+	page, err := s.page(r.FormValue("continue"), limit)
+	if err != nil {
+		writeStatus(w, http.StatusGone, "Expired", "the list has changed")
+		return
+	}
+	s.recordTold(audit.ToldReady, replica, page.ready)
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(map[string]any{ // a client that is gone shows at the flush
+		"kind": "EndpointSliceList", "apiVersion": "discovery.k8s.io/v1",
+		"metadata": map[string]any{"resourceVersion": strconv.Itoa(page.version), "continue": page.continueToken},
+		"items":    page.items,
+	})
+	if page.continueToken == "" && http.NewResponseController(w).Flush() == nil {
+		s.recordTold(audit.Told, replica, page.notUsable)
+	}
+}
+
+// page is the page of the list that starts where the continue token says, with at most limit items; 0 = all.
+func (s *Server) page(continueToken string, limit int) (listPage, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if limit <= 0 {
+		limit = len(s.order)
+	}
+	start := 0
+	if continueToken != "" {
+		var version int
+		_, err := fmt.Sscanf(continueToken, "%d-%d", &version, &start)
+		if err != nil || version != s.log.version {
+			return listPage{}, errExpired
+		}
+	}
+	page := listPage{version: s.log.version, items: []any{}}
+	for i := start; i < len(s.order); i++ {
+		if len(page.items) == limit {
+			page.continueToken = fmt.Sprintf("%d-%d", page.version, i)
+			break
+		}
+		e := s.listed(s.entries[s.order[i]])
+		page.items = append(page.items, s.sliceObject(e, s.versions[e.Name]))
+		if e.usable() {
+			page.ready = append(page.ready, e.Name)
+		}
+	}
+	for name := range s.known {
+		if !s.listed(s.entries[name]).usable() {
+			page.notUsable = append(page.notUsable, name)
+		}
+	}
+	return page, nil
+}
+
+// recordTold records what a replica is told. That engines are ready is recorded before a byte of it is sent, since the
+// replica may act on it before this process runs again; that they drain or are removed after the bytes are sent, since
+// the replica can't know before.
+func (s *Server) recordTold(kind audit.Kind, replica string, engines []string) {
+	if s.Record == nil {
+		return
+	}
+	for _, name := range engines {
+		s.Record.Add(audit.Event{Kind: kind, Front: replica, Engine: name})
+	}
+}
+
+// sliceObject is an entry as an EndpointSlice.
+func (s *Server) sliceObject(e Entry, version int) map[string]any {
+	// An address that can't be split is listed as none: it comes from a test or a fake engine, never from a client.
+	host, port, _ := net.SplitHostPort(e.Address)
+	portNumber, _ := strconv.Atoi(port)
+	metadata := map[string]any{
+		"name": "engines-" + e.Name, "namespace": s.Namespace, "resourceVersion": strconv.Itoa(version),
+		"labels": map[string]string{
+			"app": "engines", "brackenbend.dev/kind": e.Kind, "brackenbend.dev/cell": e.Cell,
+		},
+	}
+	if !e.Started.IsZero() {
+		started, _ := json.Marshal(map[string]time.Time{e.Name: e.Started}) // fails after the year 9999 only
+		metadata["annotations"] = map[string]string{"brackenbend.dev/started": string(started)}
+	}
+	return map[string]any{
+		"apiVersion": "discovery.k8s.io/v1", "kind": "EndpointSlice", "metadata": metadata, "addressType": "IPv4",
+		"ports": []any{map[string]any{"name": "http", "port": portNumber, "protocol": "TCP"}},
+		"endpoints": []any{map[string]any{
+			"addresses":  []string{host},
+			"zone":       e.Zone,
+			"conditions": map[string]bool{"ready": e.usable(), "serving": e.Ready, "terminating": e.Draining},
+			"targetRef":  map[string]string{"kind": "Pod", "name": e.Name, "uid": e.UID},
+		}},
+	}
+}
+
+func writeStatus(w http.ResponseWriter, code int, reason, message string) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(code)
+	_ = json.NewEncoder(w).Encode(statusObject(code, reason, message)) // a client that is gone does not matter
+}
+
+func writeUnavailable(w http.ResponseWriter) {
+	writeStatus(w, http.StatusServiceUnavailable, "ServiceUnavailable", "cut off")
+}
+
+// statusObject is an error as the API server transmits it.
+func statusObject(code int, reason, message string) map[string]any {
+	return map[string]any{
+		"kind": "Status", "apiVersion": "v1", "status": "Failure", "reason": reason, "code": code, "message": message,
+	}
+}
--- a/internal/fake/apiserver/stored_test.go
+++ b/internal/fake/apiserver/stored_test.go
@@ -1,64 +1,78 @@
 package apiserver
 
 import (
-	"brackenbend/internal/golden"
 	"io"
 	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"brackenbend/internal/golden"
 )
 
-// TestStoredBookIsServed: the book and the memory that a register kept on disk before the renaming are read whole, served,
-// and written to disk again in the same form. The golden files are not updated while the renaming goes on.
-func TestStoredBookIsServed(t *testing.T) {
-	dir := t.TempDir()
-	file := filepath.Join(dir, "book.json")
-	for name, to := range map[string]string{"book.json": file, "book.json.memory": file + ".memory"} {
-		text, err := os.ReadFile(filepath.Join("testdata", name))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(to, text, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	s, err := Start("127.0.0.1:0", nil)
+// copyFile copies a file of testdata.
+func copyFile(t *testing.T, name, to string) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	if err := s.KeepBook(file); err != nil {
+	if err := os.WriteFile(to, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// exchange sends a request and returns it with its response as text.
+func exchange(t *testing.T, s *Server, method, path, body string) string {
+	t.Helper()
+	req, err := http.NewRequest(method, s.URL()+path, strings.NewReader(body))
+	if err != nil {
 		t.Fatal(err)
 	}
-	s.Set(Entry{Name: "all", Kind: "k", Zone: "z", Cell: "c", Address: "127.0.0.1:9000", UID: "1", Ready: true})
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	call := func(method, path, body string) string {
-		req, err := http.NewRequest(method, s.URL()+path, strings.NewReader(body))
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp, err := client.Do(req)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer resp.Body.Close()
-		text, err := io.ReadAll(resp.Body)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return method + " " + path + "\n" + resp.Status + "\n" + resp.Header.Get("Content-Type") + "\n" + string(text)
+	resp, err := client.Do(req)
+	if err != nil {
+		t.Fatal(err)
 	}
-	book, err := os.ReadFile(file)
+	defer func() { _ = resp.Body.Close() }() // read to its end
+	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	const roles, memory = "/v1/brackenbend/roles", "/v1/brackenbend/roles/memory"
-	got := call("GET", roles, "") + call("GET", memory, "") + call("PUT", roles, string(book)) + call("PUT", roles, string(book)) +
-		call("PUT", roles, "noise") + call("PUT", memory, `{"at":"2026-01-02T03:04:05Z"}`) + call("PUT", memory, "noise") +
-		call("GET", memory, "")
-	golden.Check(t, "served.txt", got)
+	return method + " " + path + "\n" + resp.Status + "\n" + resp.Header.Get("Content-Type") + "\n" + string(text)
+}
+
+// TestStoredAssignmentsAreServed: the assignment table and the memory that a released version kept on disk are read,
+// served, and written to disk again in the same form. The golden files must not be updated.
+func TestStoredAssignmentsAreServed(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "book.json")
+	copyFile(t, "book.json", file)
+	copyFile(t, "book.json.memory", file+".memory")
+	s := startServer(t, nil)
+	if err := s.PersistAssignments(file); err != nil {
+		t.Fatal(err)
+	}
+	s.Set(Entry{Name: "all", Kind: "k", Zone: "z", Cell: "c", Address: "127.0.0.1:9000", UID: "1", Ready: true})
+	stored, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const assignments, memory = "/v1/brackenbend/roles", "/v1/brackenbend/roles/memory"
+	var got strings.Builder
+	for _, request := range []struct{ method, path, body string }{
+		{http.MethodGet, assignments, ""},
+		{http.MethodGet, memory, ""},
+		{http.MethodPut, assignments, string(stored)},
+		{http.MethodPut, assignments, string(stored)}, // of an old version now
+		{http.MethodPut, assignments, "noise"},
+		{http.MethodPut, memory, `{"at":"2026-01-02T03:04:05Z"}`},
+		{http.MethodPut, memory, "noise"},
+		{http.MethodGet, memory, ""},
+	} {
+		got.WriteString(exchange(t, s, request.method, request.path, request.body))
+	}
+	golden.Check(t, "served.txt", got.String())
 	for _, name := range []string{file, file + ".memory"} {
 		text, err := os.ReadFile(name)
 		if err != nil {
--- /dev/null
+++ b/internal/fake/apiserver/watch.go
@@ -0,0 +1,176 @@
+package apiserver
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"brackenbend/internal/audit"
+)
+
+// errUnreachable means that the server has become unreachable since the request was received.
+var errUnreachable = errors.New("unreachable")
+
+// watcher sends one client the events that it watches.
+type watcher struct {
+	server  *Server
+	replica string
+	encoder *json.Encoder
+	flusher *http.ResponseController
+	next    int // index of the first event not looked at yet
+	last    int // newest version sent
+}
+
+// watch sends the events after a resource version until the client or Cut ends the request.
+func (s *Server) watch(w http.ResponseWriter, r *http.Request, replica string) {
+	from, err := strconv.Atoi(r.FormValue("resourceVersion"))
+	if err != nil {
+		writeStatus(w, http.StatusBadRequest, "BadRequest", "resourceVersion is no number")
+		return
+	}
+	ctx, cancel := context.WithCancel(r.Context())
+	defer cancel()
+	next, err := s.registerWatch(ctx, cancel, from)
+	switch {
+	case errors.Is(err, errUnreachable):
+		writeUnavailable(w)
+		return
+	case errors.Is(err, errExpired):
+		writeStatus(w, http.StatusGone, "Expired", "too old resource version")
+		return
+	}
+	defer s.unregisterWatch(ctx)
+	w.Header().Set("Content-Type", "application/json")
+	stream := &watcher{
+		server: s, replica: replica, encoder: json.NewEncoder(w), flusher: http.NewResponseController(w),
+		next: next, last: from,
+	}
+	_ = stream.flusher.Flush() // the header; a client that is gone shows at the next flush
+	stream.run(ctx)
+}
+
+// registerWatch makes Cut end a watch, and returns the index of its first event.
+func (s *Server) registerWatch(ctx context.Context, cancel context.CancelFunc, from int) (next int, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unreachable { // since the request was received; Cut ends the watches that it finds
+		return 0, errUnreachable
+	}
+	if from < s.log.oldest {
+		return 0, errExpired
+	}
+	s.watches[ctx] = cancel
+	return s.log.after(from), nil
+}
+
+func (s *Server) unregisterWatch(ctx context.Context) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.watches, ctx)
+}
+
+func (w *watcher) run(ctx context.Context) {
+	bookmarks := time.NewTicker(w.server.Bookmarks)
+	defer bookmarks.Stop()
+	for {
+		batch, err := w.nextBatch()
+		if err != nil {
+			_ = w.send(failed, statusObject(http.StatusGone, "Expired", "too old resource version")) // ends here
+			return
+		}
+		if w.sendBatch(batch.events) != nil {
+			return
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-batch.changed:
+		case <-batch.nextDue:
+		case <-bookmarks.C:
+			_ = w.send(bookmark, bookmarkObject(w.last)) // a client that is gone shows at the flush
+			if w.flusher.Flush() != nil {
+				return
+			}
+		}
+	}
+}
+
+// batch is the events that are due, and what to wait for after them.
+type batch struct {
+	events  []event
+	changed <-chan struct{}  // closed when there are more events
+	nextDue <-chan time.Time // when the next delayed event is due; nil = there is none
+}
+
+// nextBatch takes the events that are due, or returns errExpired if events that were not sent yet have been dropped.
+func (w *watcher) nextBatch() (batch, error) {
+	s := w.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if w.last < s.log.oldest {
+		return batch{}, errExpired
+	}
+	b := batch{changed: s.log.changed}
+	w.next = min(w.next, len(s.log.events))
+	for ; w.next < len(s.log.events); w.next++ {
+		e := s.log.events[w.next]
+		if wait := s.delay - time.Since(e.at); wait > 0 {
+			b.nextDue = time.After(wait)
+			break
+		}
+		b.events = append(b.events, e)
+	}
+	return b, nil
+}
+
+// sendBatch sends events and records what the replica is told by them.
+func (w *watcher) sendBatch(events []event) error {
+	if len(events) == 0 {
+		return nil
+	}
+	ready, notUsable := summarize(events)
+	w.server.recordTold(audit.ToldReady, w.replica, ready)
+	for _, e := range events {
+		if err := w.send(e.kind, w.server.sliceObject(e.entry, e.version)); err != nil {
+			return err
+		}
+		w.last = max(w.last, e.version)
+	}
+	if err := w.flusher.Flush(); err != nil {
+		return err
+	}
+	w.server.recordTold(audit.Told, w.replica, notUsable)
+	return nil
+}
+
+func (w *watcher) send(kind eventKind, object map[string]any) error {
+	return w.encoder.Encode(map[string]any{"type": kind, "object": object})
+}
+
+// summarize returns the engines that are ready after some event of a batch, and those that are not usable after its
+// last.
+func summarize(events []event) (ready, notUsable []string) {
+	usable := map[string]bool{}
+	for _, e := range events {
+		usable[e.entry.Name] = e.usable()
+		if e.usable() {
+			ready = append(ready, e.entry.Name)
+		}
+	}
+	for name, ok := range usable {
+		if !ok {
+			notUsable = append(notUsable, name)
+		}
+	}
+	return ready, notUsable
+}
+
+func bookmarkObject(version int) map[string]any {
+	return map[string]any{
+		"kind": "EndpointSlice", "apiVersion": "discovery.k8s.io/v1",
+		"metadata": map[string]any{"resourceVersion": strconv.Itoa(version)},
+	}
+}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -65,7 +65,7 @@
 	for r := range kinds {
 		paramsByRole[r] = engineParams(r)
 	}
-	f.api.Shift(name, role, kinds)
+	f.api.ManageRole(name, role, kinds)
 	s, err := engine.Start(engine.Config{
 		Name: name, Params: engineParams(role), Roles: paramsByRole,
 		Seat: roles.EngineState{Role: role, Target: role}, Switch: 5 * time.Millisecond,
@@ -86,7 +86,7 @@
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(f.api.Close)
-	if err := f.api.KeepBook(file); err != nil {
+	if err := f.api.PersistAssignments(file); err != nil {
 		f.t.Fatal(err)
 	}
 	f.client = planner.Client{URL: f.api.URL(), HTTP: f.http}
@@ -98,7 +98,7 @@
 	f.api.Close()
 	f.startAPIServer(file)
 	for name, s := range f.engines {
-		f.api.Shift(name, s.Seat().Role, kinds)
+		f.api.ManageRole(name, s.Seat().Role, kinds)
 		f.list(s)
 	}
 }
@@ -145,9 +145,9 @@
 func (f *fleet) eventually(what string, ok func(roles.Assignments) bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(eventuallyTimeout)
-	for !ok(f.api.Book()) {
+	for !ok(f.api.Assignments()) {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("%s: %+v", what, f.api.Book())
+			f.t.Fatalf("%s: %+v", what, f.api.Assignments())
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -256,7 +256,7 @@
 func TestChangeSurvivesCrashes(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	file := filepath.Join(t.TempDir(), "book.json")
-	if err := f.api.KeepBook(file); err != nil {
+	if err := f.api.PersistAssignments(file); err != nil {
 		t.Fatal(err)
 	}
 	f.startChange("e0", roles.Decode) // written; no planner runs that would send it
@@ -274,9 +274,9 @@
 	if err := e1.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	before := f.api.Book()
+	before := f.api.Assignments()
 	f.restartAPIServer(file)
-	if got := f.api.Book(); got.Orders != before.Orders || got.Entries["e1"] != before.Entries["e1"] {
+	if got := f.api.Assignments(); got.Orders != before.Orders || got.Entries["e1"] != before.Entries["e1"] {
 		t.Fatalf("the API server came back with %+v, it had %+v", got, before)
 	}
 	f.runPlanner(commandsOnly)
@@ -346,7 +346,7 @@
 func TestMemoryOutlivesPlannerAndAPIServer(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "book.json")
 	f := newFleet(t, roles.Prefill, roles.Decode)
-	if err := f.api.KeepBook(file); err != nil {
+	if err := f.api.PersistAssignments(file); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok, err := f.client.LoadMemory(t.Context()); ok || err != nil {
--- a/internal/scenariorun/roles.go
+++ b/internal/scenariorun/roles.go
@@ -38,7 +38,7 @@
 // join makes an engine one of those that shift.
 func (s *shift) join(cfg *engine.Config, r roles.Role) {
 	cfg.Roles, cfg.Seat, cfg.Switch = s.params, roles.EngineState{Role: r, Target: r}, s.swap
-	s.r.reg.Shift(cfg.Name, r, s.kinds)
+	s.r.reg.ManageRole(cfg.Name, r, s.kinds)
 }
 
 // RoleSecond is how the engines that shift stood at one time.
@@ -139,7 +139,7 @@
 }
 
 func (p *planners) note(plan roles.Plan) {
-	b := p.r.reg.Book()
+	b := p.r.reg.Assignments()
 	s := RoleSecond{At: p.r.rec.Now().Seconds(), Orders: b.Orders, Reading: plan.Reading, Writing: plan.Writing}
 	open, changing := b.CountServing()
 	s.Readers, s.Writers, s.Both, s.Changing = open[roles.Prefill], open[roles.Decode], open[roles.Both], changing
