--- a/roles/assignments.go
+++ b/roles/assignments.go
@@ -47,11 +47,12 @@
 	Entries map[string]Assignment `json:"entries"`
 }
 
-// The reasons for which a change of the table is refused.
+// The reasons for which a change of the table is refused. The text of ErrConflict is transmitted by the API server
+// and must not change.
 var (
 	ErrConflict       = errors.New("roles: the book has been written since it was read; read it again")
-	ErrUnknownEngine  = errors.New("roles: the book has no such engine")
-	ErrChangePending  = errors.New("roles: an order to this engine is not settled yet")
+	ErrUnknownEngine  = errors.New("roles: no such engine in the assignments")
+	ErrChangePending  = errors.New("roles: a command to this engine is not confirmed yet")
 	ErrRoleNotAllowed = errors.New("roles: the engine can't take that role, or is pinned")
 	ErrLastOfStage    = errors.New("roles: the stage would be left without an engine")
 	ErrSameRole       = errors.New("roles: it has that role")
