--- a/internal/engine/vllm.go
+++ b/internal/engine/vllm.go
@@ -1,13 +1,14 @@
 package engine
 
 import (
-	"brackenbend/internal/api"
-	"brackenbend/internal/http1"
-	"brackenbend/routing"
 	"encoding/json"
 	"fmt"
 	"net/http"
 	"strconv"
+
+	"brackenbend/internal/api"
+	"brackenbend/internal/http1"
+	"brackenbend/routing"
 )
 
 // The extension that an engine may speak beside vLLM's convention; docs/front.md has it in full.
@@ -44,7 +45,7 @@
 }
 
 // ParseReply implements Protocol.
-func (v VLLM) ParseReply(prefill bool, resp *http1.Response, text []byte, err error) Outcome {
+func (v VLLM) ParseReply(_ bool, resp *http1.Response, text []byte, err error) Outcome {
 	out := Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: answered %d", resp.Status)}
 	switch resp.Status {
 	case http.StatusOK:
