--- a/cmd/brackenbend/planner.go
+++ b/cmd/brackenbend/planner.go
@@ -84,7 +84,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	runner := &planner.Runner{
-		Register: newPlannerClient(r.url), Settings: r.config, Replicas: r.replicas, Interval: r.interval, Log: log,
+		APIServer: newPlannerClient(r.url), Settings: r.config, Replicas: r.replicas, Interval: r.interval, Log: log,
 		Metrics: metrics,
 	}
 	return runner.Run(ctx)
--- a/internal/fake/apiserver/assignments.go
+++ b/internal/fake/apiserver/assignments.go
@@ -163,7 +163,7 @@
 	view := planner.View{Assignments: s.roles.assignments, Listings: map[string]planner.Listing{}}
 	for name := range s.roles.assignments.Entries {
 		if e, ok := s.entries[name]; ok {
-			view.Listings[name] = planner.Listing{Address: e.Address, Place: e.Zone + "/" + e.Cell, Up: e.usable()}
+			view.Listings[name] = planner.Listing{Address: e.Address, Locality: e.Zone + "/" + e.Cell, Up: e.usable()}
 		}
 	}
 	writeJSON(w, view)
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -100,7 +100,7 @@
 	s.plan()
 	k := s.m.Work()
 	reply := planner.Status{
-		StatusReport: s.seat.StatusReport(), Held: s.m.Working() + s.m.States(),
+		StatusReport: s.seat.StatusReport(), Outstanding: s.m.Working() + s.m.States(),
 		Read:  planner.Stage{Done: k.ReadDone, Waiting: k.ReadWaiting, Lost: k.ReadLost, Count: k.Reads},
 		Write: planner.Stage{Done: k.WriteDone, Waiting: k.WriteWaiting, Lost: k.WriteLost, Count: k.Writes},
 	}
--- a/internal/planner/engines.go
+++ b/internal/planner/engines.go
@@ -19,7 +19,7 @@
 	statuses := map[string]Status{}
 	r.forEachEngine(view, func(id, url string) {
 		var status Status
-		if err := r.Register.do(ctx, http.MethodGet, url, nil, &status); err != nil {
+		if err := r.APIServer.do(ctx, http.MethodGet, url, nil, &status); err != nil {
 			r.Log.Debug("engine poll failed", zap.String("engine", id), zap.Error(err))
 			return
 		}
@@ -46,7 +46,7 @@
 			return
 		}
 		var status Status
-		if err := r.Register.do(ctx, http.MethodPost, url, command, &status); err != nil {
+		if err := r.APIServer.do(ctx, http.MethodPost, url, command, &status); err != nil {
 			r.Log.Info("command not delivered, it is sent again", zap.String("engine", id), zap.Error(err))
 		}
 	})
--- a/internal/planner/memory.go
+++ b/internal/planner/memory.go
@@ -20,9 +20,9 @@
 		return
 	}
 	r.memory = memoryState{requested: true, savedAt: time.Now()}
-	saved, ok, err := r.Register.LoadMemory(ctx)
+	saved, ok, err := r.APIServer.LoadMemory(ctx)
 	if err == nil && ok {
-		err = r.planner.Recall(saved.Memory, time.Since(saved.At), r.now())
+		err = r.planner.Restore(saved.Memory, time.Since(saved.At), r.now())
 	}
 	switch {
 	case err != nil:
@@ -42,7 +42,7 @@
 	if !ok {
 		return
 	}
-	if err := r.Register.SaveMemory(ctx, Saved{At: time.Now(), Memory: memory}); err != nil {
+	if err := r.APIServer.SaveMemory(ctx, Saved{At: time.Now(), Memory: memory}); err != nil {
 		r.Log.Info("planner memory not saved", zap.Error(err))
 	}
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -117,7 +117,7 @@
 	done := make(chan struct{})
 	f.metrics = planner.NewMetrics()
 	r := &planner.Runner{
-		Metrics: f.metrics, Register: f.client, Settings: config, Interval: 10 * time.Millisecond,
+		Metrics: f.metrics, APIServer: f.client, Settings: config, Interval: 10 * time.Millisecond,
 		SaveInterval: 20 * time.Millisecond, Log: zap.NewNop(),
 	}
 	go func() {
@@ -339,7 +339,7 @@
 }
 
 // oldestWork is the age of the oldest work that a memory holds.
-func oldestWork(saved planner.Saved) time.Duration { return saved.Memory.Experts[0].Past[0].Age }
+func oldestWork(saved planner.Saved) time.Duration { return saved.Memory.Experts[0].History[0].Age }
 
 // TestMemoryOutlivesPlannerAndAPIServer: a second planner continues with the memory of the first, and one that finds
 // an implausible memory starts anew.
@@ -365,7 +365,7 @@
 	}
 	kill()
 
-	implausible := planner.Saved{At: time.Now(), Memory: roles.Memory{Lead: 99}}
+	implausible := planner.Saved{At: time.Now(), Memory: roles.Memory{Leader: 99}}
 	if err := f.client.SaveMemory(t.Context(), implausible); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/planner/protocol.go
+++ b/internal/planner/protocol.go
@@ -40,16 +40,16 @@
 type Status struct {
 	roles.StatusReport
 
-	Held  int   `json:"held"` // outstanding requests and read states
-	Read  Stage `json:"read"`
-	Write Stage `json:"write"`
+	Outstanding int   `json:"held"` // outstanding requests and read states
+	Read        Stage `json:"read"`
+	Write       Stage `json:"write"`
 }
 
 // Listing is one engine as the API server lists it, beside its assignment.
 type Listing struct {
-	Address string `json:"address"`
-	Place   string `json:"place"` // its locality: zone and cell
-	Up      bool   `json:"up"`
+	Address  string `json:"address"`
+	Locality string `json:"place"` // its locality: zone and cell
+	Up       bool   `json:"up"`
 }
 
 // View is what the API server returns: the assignment table, and where the engines are.
--- a/internal/planner/recorded_test.go
+++ b/internal/planner/recorded_test.go
@@ -164,10 +164,10 @@
 		"GET /v1/brackenbend/roles": view, "PUT /v1/brackenbend/roles": stored,
 	})
 	stop := start(t, &planner.Runner{
-		Register: planner.Client{URL: api.url() + "/", HTTP: newHTTPClient(t)},
-		Interval: time.Hour,
-		Replicas: []string{replica.address()},
-		Log:      zap.NewNop(),
+		APIServer: planner.Client{URL: api.url() + "/", HTTP: newHTTPClient(t)},
+		Interval:  time.Hour,
+		Replicas:  []string{replica.address()},
+		Log:       zap.NewNop(),
 		Policy: &onePlan{roles.Plan{
 			Changes: []roles.Change{{ID: "e0", Target: roles.Decode, Reason: "more <writing> & such"}},
 		}},
@@ -183,11 +183,11 @@
 // recordedMemory is the memory that saved.json holds.
 func recordedMemory() planner.Saved {
 	return planner.Saved{At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC), Memory: roles.Memory{
-		Lead: 1, ChangeCost: 2.5, LastSplit: [2]int{3, 4},
+		Leader: 1, ChangeCost: 2.5, LastSplit: [2]int{3, 4},
 		Cooldowns: []roles.CooldownMemory{{ID: "e0", Remaining: time.Second, Pause: time.Minute}},
 		Experts: []roles.ExpertMemory{{
-			Memory: time.Minute, Loss: 0.25, Readers: 1, Writers: 2,
-			Past: []roles.PastMemory{{Age: 3, Reading: 0.5, Writing: 1e-9, Seconds: 1}},
+			Lookback: time.Minute, Loss: 0.25, Readers: 1, Writers: 2,
+			History: []roles.WorkMemory{{Age: 3, Reading: 0.5, Writing: 1e-9, Seconds: 1}},
 		}},
 	}}
 }
@@ -233,10 +233,10 @@
 		"PUT /v1/brackenbend/roles": storedBook,
 	})
 	stop := start(t, &planner.Runner{
-		Register: planner.Client{URL: api.url(), HTTP: newHTTPClient(t)},
-		Interval: time.Hour,
-		Log:      zap.NewNop(),
-		Metrics:  metrics,
+		APIServer: planner.Client{URL: api.url(), HTTP: newHTTPClient(t)},
+		Interval:  time.Hour,
+		Log:       zap.NewNop(),
+		Metrics:   metrics,
 		Policy: &onePlan{roles.Plan{
 			Changes: []roles.Change{{ID: "e0", Target: roles.Decode}},
 			Reverts: []string{"e1"}, Trusted: true, Readers: 3, Reading: 1.5, Writing: 2.5, Lookback: time.Minute,
--- a/internal/planner/replicas.go
+++ b/internal/planner/replicas.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return counts, err
 	}
-	resp, err := r.Register.HTTP.Do(req)
+	resp, err := r.APIServer.HTTP.Do(req)
 	if err != nil {
 		return counts, err
 	}
--- a/internal/planner/replicas_test.go
+++ b/internal/planner/replicas_test.go
@@ -34,7 +34,7 @@
 func TestPollReplicasTurnsLostRequestsIntoWork(t *testing.T) {
 	metrics := telemetry.NewMetrics()
 	r := &Runner{
-		Register: Client{HTTP: &http.Client{
+		APIServer: Client{HTTP: &http.Client{
 			Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 20 * time.Second,
 		}},
 		Replicas:           []string{serveMetrics(t, metrics), "127.0.0.1:1"}, // the second does not answer
--- a/internal/planner/runner.go
+++ b/internal/planner/runner.go
@@ -38,7 +38,7 @@
 
 // Runner runs a planner. Its exported fields are its configuration and must not change while it runs.
 type Runner struct {
-	Register           Client // of the API server
+	APIServer          Client // of the API server
 	Settings           roles.Config
 	Replicas           []string      // metrics addresses, host:port, of replicas polled for lost requests; may be empty
 	Interval           time.Duration // between rounds; 0 = 1 s
@@ -105,7 +105,7 @@
 func (r *Runner) round(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout*r.Interval)
 	defer cancel()
-	view, err := r.Register.View(ctx)
+	view, err := r.APIServer.View(ctx)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 	table, done, refused := table.ApplyPlan(plan)
 	r.logPlan(done, refused)
 	if confirmed || len(done.Reverts)+len(done.Changes) > 0 {
-		if table, err = r.Register.Write(ctx, table); err != nil {
+		if table, err = r.APIServer.Write(ctx, table); err != nil {
 			return err // no command is sent that is not written
 		}
 	}
@@ -177,19 +177,19 @@
 	var engines []roles.Engine
 	for _, id := range view.Assignments.Names() {
 		entry, listing := view.Assignments.Entries[id], view.Listings[id]
-		if _, ok := cells[listing.Place]; !ok {
-			cells[listing.Place] = len(cells)
+		if _, ok := cells[listing.Locality]; !ok {
+			cells[listing.Locality] = len(cells)
 		}
 		e := roles.Engine{
 			ID: id, Role: entry.Role, Target: entry.Target, Ready: listing.Up && entry.Serving,
 			CanPrefill: entry.CanPrefill, CanDecode: entry.CanDecode, Pinned: entry.Pinned,
-			Cell: cells[listing.Place],
+			Cell: cells[listing.Locality],
 		}
 		if entry.ChangedAt > 0 {
 			e.ChangedAt = max(now-max(wall-entry.ChangedAt, 0), 1)
 		}
 		if status, ok := statuses[id]; ok && listing.Up {
-			e.Outstanding = status.Held
+			e.Outstanding = status.Outstanding
 			e.Report = &roles.Report{At: polledAt, Read: status.Read.load(), Write: status.Write.load()}
 		}
 		engines = append(engines, e)
--- a/internal/scenariorun/roles.go
+++ b/internal/scenariorun/roles.go
@@ -112,7 +112,7 @@
 	}
 	for i := range max(p.r.d.Planner.Count, 1) {
 		run := &planner.Runner{
-			Register: planner.Client{URL: p.r.reg.URL(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
+			APIServer: planner.Client{URL: p.r.reg.URL(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
 			Settings: p.r.d.Planner.Settings(), Replicas: fronts, Interval: p.r.d.Planner.Every, Log: log,
 		}
 		if i == 0 {
--- a/internal/simulation/fleet/roles.go
+++ b/internal/simulation/fleet/roles.go
@@ -138,7 +138,7 @@
 	e.m.Advance(e.now())
 	k := e.m.Work()
 	st := planner.Status{
-		StatusReport: e.seat.StatusReport(), Held: e.m.Working() + e.m.States(),
+		StatusReport: e.seat.StatusReport(), Outstanding: e.m.Working() + e.m.States(),
 		Read:  planner.Stage{Done: k.ReadDone, Waiting: k.ReadWaiting, Lost: k.ReadLost, Count: k.Reads},
 		Write: planner.Stage{Done: k.WriteDone, Waiting: k.WriteWaiting, Lost: k.WriteLost, Count: k.Writes},
 	}
@@ -156,7 +156,7 @@
 		v := planner.View{Assignments: r.book, Listings: map[string]planner.Listing{}}
 		for i, e := range r.f.engines {
 			if l := &r.lines[i]; e.byRole != nil && !l.unlisted {
-				v.Listings[e.name] = planner.Listing{Place: fmt.Sprint(e.cell), Up: l.up && !l.draining}
+				v.Listings[e.name] = planner.Listing{Locality: fmt.Sprint(e.cell), Up: l.up && !l.draining}
 			}
 		}
 		r.send(m.from, r.f.hop(r.links), views{v, r.memory})
@@ -286,7 +286,7 @@
 	if !p.begun {
 		p.begun = true
 		if m := p.view.memory; m.ok {
-			_ = p.p.Recall(m.memory, p.now()-m.at, now) // what can't be right is passed over, as by the process
+			_ = p.p.Restore(m.memory, p.now()-m.at, now) // what can't be right is passed over, as by the process
 		}
 	}
 	book, changed := p.view.view.Assignments, false
--- a/internal/simulation/rolesim/policy.go
+++ b/internal/simulation/rolesim/policy.go
@@ -44,7 +44,7 @@
 func (p *Planned) restart(now time.Duration) {
 	next := p.fresh()
 	if m, ok := p.p.Memory(); ok && !p.Forgets {
-		if err := next.Recall(m, 0, now); err != nil {
+		if err := next.Restore(m, 0, now); err != nil {
 			panic(err) // a planner's own memory is taken by its like
 		}
 	}
--- a/roles/memory.go
+++ b/roles/memory.go
@@ -21,7 +21,7 @@
 // at the moment when it was taken.
 type Memory struct {
 	Experts    []ExpertMemory   `json:"experts"`
-	Lead       int              `json:"lead"`
+	Leader     int              `json:"lead"`
 	ChangeCost float64          `json:"cost"`  // seconds of an engine that a change takes
 	LastSplit  [2]int           `json:"stood"` // prefill and decode engines after the planner's last step
 	Cooldowns  []CooldownMemory `json:"bars,omitempty"`
@@ -29,15 +29,15 @@
 
 // ExpertMemory is one expert's part of a Memory.
 type ExpertMemory struct {
-	Memory  time.Duration `json:"memory"` // its lookback; another version's experts may differ
-	Loss    float64       `json:"loss"`
-	Readers int           `json:"readers"`
-	Writers int           `json:"writers"`
-	Past    []PastMemory  `json:"past"` // oldest first
+	Lookback time.Duration `json:"memory"` // its lookback; another version's experts may differ
+	Loss     float64       `json:"loss"`
+	Readers  int           `json:"readers"`
+	Writers  int           `json:"writers"`
+	History  []WorkMemory  `json:"past"` // oldest first
 }
 
-// PastMemory is the work of some time, in engine seconds.
-type PastMemory struct {
+// WorkMemory is the work of some time, in engine seconds.
+type WorkMemory struct {
 	Age     time.Duration `json:"age"`
 	Reading float64       `json:"reading"`
 	Writing float64       `json:"writing"`
@@ -54,7 +54,7 @@
 // Memory returns what the planner has learned. ok is false before the planner has made a plan from trusted reports.
 func (p *Planner) Memory() (m Memory, ok bool) {
 	m = Memory{
-		Lead: p.leader, ChangeCost: p.changeSeconds, LastSplit: [2]int{p.lastSplit.readers, p.lastSplit.writers},
+		Leader: p.leader, ChangeCost: p.changeSeconds, LastSplit: [2]int{p.lastSplit.readers, p.lastSplit.writers},
 	}
 	for _, x := range p.experts {
 		if !x.started {
@@ -75,19 +75,19 @@
 func (x *expert) export(now time.Duration) ExpertMemory {
 	wanted := x.wantedReaders()
 	e := ExpertMemory{
-		Memory: x.lookback, Loss: x.loss, Readers: wanted, Writers: x.readers + x.writers + len(x.pending) - wanted,
+		Lookback: x.lookback, Loss: x.loss, Readers: wanted, Writers: x.readers + x.writers + len(x.pending) - wanted,
 	}
 	for _, s := range x.history {
-		e.Past = append(e.Past, PastMemory{
+		e.History = append(e.History, WorkMemory{
 			Age: now - s.start, Reading: s.prefill, Writing: s.decode, Seconds: s.seconds,
 		})
 	}
 	return e
 }
 
-// Recall gives a planner that has not planned yet what another had learned, age ago. An implausible memory is refused
+// Restore gives a planner that has not planned yet what another had learned, age ago. An implausible memory is refused
 // as a whole, and the planner starts as a new one does. now must not be later than the time of the next Step.
-func (p *Planner) Recall(m Memory, age, now time.Duration) error {
+func (p *Planner) Restore(m Memory, age, now time.Duration) error {
 	if p.started {
 		return errors.New("roles: memory: the planner has begun already")
 	}
@@ -105,7 +105,7 @@
 			p.cooldowns[c.ID] = cooldown{until: now + c.Remaining - age, pause: c.Pause}
 		}
 	}
-	p.leader, p.changeSeconds = m.Lead, m.ChangeCost
+	p.leader, p.changeSeconds = m.Leader, m.ChangeCost
 	p.lastSplit = split{readers: m.LastSplit[0], writers: m.LastSplit[1]}
 	return nil
 }
@@ -113,7 +113,7 @@
 func (x *expert) restore(e ExpertMemory, age, now time.Duration) {
 	x.readers, x.writers, x.started = e.Readers, e.Writers, true
 	x.loss = e.Loss * math.Exp(-age.Seconds()/x.lossWindow.Seconds())
-	for _, past := range e.Past {
+	for _, past := range e.History {
 		x.history = append(x.history, workSample{
 			start: now - age - past.Age, prefill: past.Reading, decode: past.Writing, seconds: past.Seconds,
 		})
@@ -123,9 +123,9 @@
 // checkMemory returns an error if m is implausible for this planner.
 func (p *Planner) checkMemory(m Memory) error {
 	switch {
-	case len(m.Experts) != len(p.experts) || m.Lead < 0 || m.Lead >= len(p.experts):
+	case len(m.Experts) != len(p.experts) || m.Leader < 0 || m.Leader >= len(p.experts):
 		return fmt.Errorf("roles: memory: %d experts, lead %d; this planner has %d",
-			len(m.Experts), m.Lead, len(p.experts))
+			len(m.Experts), m.Leader, len(p.experts))
 	case !plausible(m.ChangeCost) || m.ChangeCost > p.config.ChangeTimeout.Seconds():
 		return fmt.Errorf("roles: memory: a change of %v s", m.ChangeCost)
 	case m.LastSplit[0] < 0 || m.LastSplit[1] < 0 || len(m.Cooldowns) > maxStoredCooldowns:
@@ -149,22 +149,22 @@
 	// One history is historyBuckets samples; the limit leaves room for irregular steps and refuses anything larger.
 	const maxSamples = 4 * historyBuckets
 	switch {
-	case e.Memory != lookback:
-		return fmt.Errorf("roles: memory: an expert that looks back %v where %v is meant", e.Memory, lookback)
-	case !plausible(e.Loss) || e.Readers < 0 || e.Writers < 0 || len(e.Past) == 0 || len(e.Past) > maxSamples:
-		return fmt.Errorf("roles: memory: the expert that looks back %v: figures that can't be", e.Memory)
+	case e.Lookback != lookback:
+		return fmt.Errorf("roles: memory: an expert that looks back %v where %v is meant", e.Lookback, lookback)
+	case !plausible(e.Loss) || e.Readers < 0 || e.Writers < 0 || len(e.History) == 0 || len(e.History) > maxSamples:
+		return fmt.Errorf("roles: memory: the expert that looks back %v: figures that can't be", e.Lookback)
 	}
 	previous := time.Duration(math.MaxInt64)
-	for _, past := range e.Past {
+	for _, past := range e.History {
 		if !past.plausible() || past.Age > previous {
-			return fmt.Errorf("roles: memory: the expert that looks back %v: a past that can't be", e.Memory)
+			return fmt.Errorf("roles: memory: the expert that looks back %v: a past that can't be", e.Lookback)
 		}
 		previous = past.Age
 	}
 	return nil
 }
 
-func (w PastMemory) plausible() bool {
+func (w WorkMemory) plausible() bool {
 	return w.Age >= 0 && plausible(w.Reading) && plausible(w.Writing) && plausible(w.Seconds) && w.Seconds != 0
 }
 
--- a/roles/memory_test.go
+++ b/roles/memory_test.go
@@ -29,9 +29,9 @@
 	return stored
 }
 
-// TestRecallContinuesWhereMemoryWasTaken: a planner that is started with what another had learned decides as that one
+// TestRestoreContinuesWhereMemoryWasTaken: a planner that is started with what another had learned decides as that one
 // would.
-func TestRecallContinuesWhereMemoryWasTaken(t *testing.T) {
+func TestRestoreContinuesWhereMemoryWasTaken(t *testing.T) {
 	fleet := newSimulatedFleet(8, 8)
 	first := newPlanner(t, Config{})
 	if _, ok := first.Memory(); ok {
@@ -47,12 +47,12 @@
 	}
 	stored := throughJSON(t, memory)
 	second := newPlanner(t, Config{})
-	if err := second.Recall(stored, 0, fleet.now); err != nil {
+	if err := second.Restore(stored, 0, fleet.now); err != nil {
 		t.Fatal(err)
 	}
 	restored, _ := second.Memory()
-	if !reflect.DeepEqual(restored.Experts[0].Past[0].Reading, memory.Experts[0].Past[0].Reading) {
-		t.Errorf("oldest work %v, was %v", restored.Experts[0].Past[0].Reading, memory.Experts[0].Past[0].Reading)
+	if !reflect.DeepEqual(restored.Experts[0].History[0].Reading, memory.Experts[0].History[0].Reading) {
+		t.Errorf("oldest work %v, was %v", restored.Experts[0].History[0].Reading, memory.Experts[0].History[0].Reading)
 	}
 	if second.leader != first.leader {
 		t.Errorf("leader %d, was %d", second.leader, first.leader)
@@ -68,7 +68,7 @@
 	if changes > 0 {
 		t.Errorf("%d changes on a mix that it had learned", changes)
 	}
-	if err := second.Recall(stored, 0, fleet.now); err == nil {
+	if err := second.Restore(stored, 0, fleet.now); err == nil {
 		t.Error("a planner that has planned accepted a memory")
 	}
 }
@@ -89,20 +89,20 @@
 	return memory, fleet
 }
 
-func TestRecallRefusesImplausibleMemory(t *testing.T) {
+func TestRestoreRefusesImplausibleMemory(t *testing.T) {
 	for name, corrupt := range map[string]func(*Memory){
 		"no experts":         func(m *Memory) { m.Experts = nil },
-		"unknown leader":     func(m *Memory) { m.Lead = 99 },
+		"unknown leader":     func(m *Memory) { m.Leader = 99 },
 		"cost not a number":  func(m *Memory) { m.ChangeCost = math.NaN() },
 		"enormous cost":      func(m *Memory) { m.ChangeCost = 1e9 },
 		"negative split":     func(m *Memory) { m.LastSplit[0] = -1 },
 		"negative readers":   func(m *Memory) { m.Experts[1].Readers = -1 },
 		"infinite loss":      func(m *Memory) { m.Experts[1].Loss = math.Inf(1) },
-		"other lookback":     func(m *Memory) { m.Experts[2].Memory++ },
-		"no history":         func(m *Memory) { m.Experts[0].Past = nil },
-		"too long a history": func(m *Memory) { m.Experts[0].Past = make([]PastMemory, 10000) },
-		"empty sample":       func(m *Memory) { m.Experts[0].Past[0].Seconds = 0 },
-		"out of order":       func(m *Memory) { m.Experts[0].Past[0].Age = -1 },
+		"other lookback":     func(m *Memory) { m.Experts[2].Lookback++ },
+		"no history":         func(m *Memory) { m.Experts[0].History = nil },
+		"too long a history": func(m *Memory) { m.Experts[0].History = make([]WorkMemory, 10000) },
+		"empty sample":       func(m *Memory) { m.Experts[0].History[0].Seconds = 0 },
+		"out of order":       func(m *Memory) { m.Experts[0].History[0].Age = -1 },
 		"endless cooldown": func(m *Memory) {
 			m.Cooldowns = []CooldownMemory{{ID: "e", Remaining: time.Hour, Pause: 1000 * time.Hour}}
 		},
@@ -112,7 +112,7 @@
 			memory, fleet := learnedMemory(t)
 			corrupt(&memory)
 			p := newPlanner(t, Config{})
-			if err := p.Recall(memory, 0, fleet.now); err == nil {
+			if err := p.Restore(memory, 0, fleet.now); err == nil {
 				t.Error("accepted")
 			}
 			if p.experts[0].started || p.leader != 0 || len(p.cooldowns) > 0 {
@@ -122,13 +122,13 @@
 	}
 }
 
-func TestRecallChecksAge(t *testing.T) {
+func TestRestoreChecksAge(t *testing.T) {
 	memory, fleet := learnedMemory(t)
 	p := newPlanner(t, Config{})
-	if err := p.Recall(memory, -time.Second, fleet.now); err == nil {
+	if err := p.Restore(memory, -time.Second, fleet.now); err == nil {
 		t.Error("a memory from the future was accepted")
 	}
-	if err := p.Recall(memory, 24*time.Hour, fleet.now); err != nil {
+	if err := p.Restore(memory, 24*time.Hour, fleet.now); err != nil {
 		t.Errorf("a day old: %v", err)
 	}
 	fleet.run(2, 2)
--- a/roles/stored_test.go
+++ b/roles/stored_test.go
@@ -82,7 +82,7 @@
 // storedMemory is the memory that memory.json holds.
 func storedMemory(p *Planner) Memory {
 	m := Memory{
-		Lead: len(p.experts) - 1, ChangeCost: 2.5, LastSplit: [2]int{3, 4},
+		Leader: len(p.experts) - 1, ChangeCost: 2.5, LastSplit: [2]int{3, 4},
 		Cooldowns: []CooldownMemory{
 			{ID: "e0", Remaining: time.Second, Pause: time.Minute},
 			{ID: "e1", Remaining: time.Minute, Pause: 2 * time.Minute},
@@ -90,8 +90,8 @@
 	}
 	for i, x := range p.experts {
 		m.Experts = append(m.Experts, ExpertMemory{
-			Memory: x.lookback, Loss: float64(i) / 3, Readers: i, Writers: i + 1,
-			Past: []PastMemory{
+			Lookback: x.lookback, Loss: float64(i) / 3, Readers: i, Writers: i + 1,
+			History: []WorkMemory{
 				{Age: 3 * time.Second, Reading: 1.5, Writing: 1e-9, Seconds: 1},
 				{Age: time.Second, Reading: 2, Writing: 0.1, Seconds: 2},
 			},
@@ -111,7 +111,7 @@
 		{1500 * time.Millisecond, "memory-aged.json"},
 	} {
 		p := newPlanner(t, Config{})
-		if err := p.Recall(readGolden[Memory](t, "memory.json"), c.age, 0); err != nil {
+		if err := p.Restore(readGolden[Memory](t, "memory.json"), c.age, 0); err != nil {
 			t.Fatal(err)
 		}
 		got, ok := p.Memory()
