--- a/cmd/brackenbend/check.go
+++ b/cmd/brackenbend/check.go
@@ -45,7 +45,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			text := config.Schema()
 			if len(args) == 1 && args[0] != "settings" {
-				text = config.SchemaOf("day", reflect.TypeFor[scenario.Day]())
+				text = config.SchemaOf("day", reflect.TypeFor[scenario.Scenario]())
 			}
 			_, err := os.Stdout.Write(text)
 			return err
--- a/cmd/brackenbend/compare.go
+++ b/cmd/brackenbend/compare.go
@@ -35,14 +35,14 @@
 type comparison struct {
 	trafficFile, otherFile string
 	recordings             recordings
-	rules                  forecast.Rules
+	rules                  forecast.StoppingRule
 	checkRules             bool
 	htmlFile, jsonFile     string
 }
 
 func compareCommand() *cobra.Command {
 	c := comparison{
-		rules:      forecast.Rules{Level: 0.95, Counts: 0.002, Batch: 8, Most: 64},
+		rules:      forecast.StoppingRule{Level: 0.95, MinDifference: 0.002, BatchSize: 8, MaxReplications: 64},
 		checkRules: true,
 	}
 	cmd := &cobra.Command{
@@ -72,19 +72,19 @@
 	f.StringVar(&c.htmlFile, "html", "", "write a page with plots")
 	f.StringVar(&c.jsonFile, "json", "", "write all figures")
 	f.Float64Var(&c.rules.Level, "level", c.rules.Level, "of the bars")
-	f.Float64Var(&c.rules.Counts, "counts", c.rules.Counts, "a difference of service below it does not count")
-	f.IntVar(&c.rules.Batch, "batch", c.rules.Batch, "replications between two looks")
-	f.IntVar(&c.rules.Most, "most", c.rules.Most, "replications in all")
+	f.Float64Var(&c.rules.MinDifference, "counts", c.rules.MinDifference, "a difference of service below it does not count")
+	f.IntVar(&c.rules.BatchSize, "batch", c.rules.BatchSize, "replications between two looks")
+	f.IntVar(&c.rules.MaxReplications, "most", c.rules.MaxReplications, "replications in all")
 	f.BoolVar(&c.checkRules, "rules", c.checkRules, "check the rules as well")
 }
 
 func (c *comparison) run(cmd *cobra.Command, args []string) error {
 	rules := c.rules
-	if rules.Batch < 3 || rules.Most < rules.Batch || rules.Most > 10000 || !isFraction(rules.Level) || rules.Counts < 0 {
+	if rules.BatchSize < 3 || rules.MaxReplications < rules.BatchSize || rules.MaxReplications > 10000 || !isFraction(rules.Level) || rules.MinDifference < 0 {
 		return usageErrorf("--batch: 3 at least; --most: from --batch to 10000; --level: between 0 and 1; " +
 			"--counts: 0 or more")
 	}
-	rules.AtOnce = runtime.GOMAXPROCS(0)
+	rules.Parallel = runtime.GOMAXPROCS(0)
 	first, err := c.side(args[0], c.trafficFile)
 	if err != nil {
 		return err
@@ -114,44 +114,44 @@
 }
 
 // side is one of the two things to compare, on the scenario in file or the default one.
-func (c *comparison) side(subject, file string) (forecast.Side, error) {
+func (c *comparison) side(subject, file string) (forecast.Subject, error) {
 	var files []string
 	if file != "" {
 		files = []string{file}
 	}
 	played, err := loadScenario(files)
 	if err != nil {
-		return forecast.Side{}, err
+		return forecast.Subject{}, err
 	}
 	recorded, err := c.recordings.load(played)
 	if err != nil {
-		return forecast.Side{}, err
+		return forecast.Subject{}, err
 	}
 	return parseSubject(subject, played, recorded, c.checkRules)
 }
 
 // parseSubject reads what decides on a side: the router as it is, a simple way of deciding, another version of this
 // program, or a settings file.
-func parseSubject(subject string, played *scenario.Day, recorded []scenario.Recorded, checkRules bool) (
-	forecast.Side, error,
+func parseSubject(subject string, played *scenario.Scenario, recorded []scenario.RecordedRequest, checkRules bool) (
+	forecast.Subject, error,
 ) {
 	options := fleet.Options{Audit: checkRules, Traffic: recorded}
 	switch {
 	case subject == routerSubject || subject == formerRouterSubject:
-	case slices.Contains(baseline.Ways, baseline.Way(subject)):
+	case slices.Contains(baseline.Policies, baseline.Policy(subject)):
 		options.Decider = func(s routing.Config, seed uint64) (fleet.Decider, error) {
-			return baseline.New(baseline.Way(subject), s, seed)
+			return baseline.New(baseline.Policy(subject), s, seed)
 		}
 	case isExecutable(subject) && recorded != nil:
-		return forecast.Side{}, usageErrorf(
+		return forecast.Subject{}, usageErrorf(
 			"%s: another version can't be given recordings yet; compare it on a scenario", subject)
 	case isExecutable(subject):
 		play := playOtherVersion(subject, played, checkRules)
-		return forecast.Side{Name: filepath.Base(subject), Day: played, Play: play}, nil
+		return forecast.Subject{Name: filepath.Base(subject), Scenario: played, Play: play}, nil
 	default:
 		settings, err := config.Load(subject)
 		if err != nil {
-			return forecast.Side{}, configError(err)
+			return forecast.Subject{}, configError(err)
 		}
 		options.Settings = settings
 	}
@@ -160,7 +160,7 @@
 		options.Seed = seed
 		return options
 	}
-	return forecast.Side{Name: subject, Day: played, Make: withSeed}, nil
+	return forecast.Subject{Name: subject, Scenario: played, Make: withSeed}, nil
 }
 
 // isExecutable tells a program from a settings file.
@@ -171,16 +171,16 @@
 
 // playOtherVersion plays replications with another version's program, on a scenario file of its own. It calls the
 // program by its former command names, which every version understands.
-func playOtherVersion(binary string, played *scenario.Day, checkRules bool) func(*scenario.Day, uint64) (
+func playOtherVersion(binary string, played *scenario.Scenario, checkRules bool) func(*scenario.Scenario, uint64) (
 	*forecast.Summary, error,
 ) {
-	return func(now *scenario.Day, seed uint64) (*forecast.Summary, error) {
+	return func(now *scenario.Scenario, seed uint64) (*forecast.Summary, error) {
 		dir, err := os.MkdirTemp("", "brackenbend-compare-")
 		if err != nil {
 			return nil, err
 		}
 		defer removeTemporary(dir)
-		_, text, err := played.With(played.Happens, "")
+		_, text, err := played.WithFaults(played.Faults, "")
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -28,9 +28,9 @@
 // fakeEngineParams are middling figures of one fake engine.
 func fakeEngineParams(role string) enginemodel.Params {
 	return enginemodel.Params{
-		Reads: true, Writes: role != "reader", Slots: 64, Queue: 32, Memory: 200000, ReadRate: 15000, Chunk: 512,
-		Step: 20 * time.Millisecond, StepStream: 200 * time.Microsecond, FetchRate: 200000, Kept: 100000, ColdFrom: 0.25,
-		ColdFor: 10 * time.Second, Overload: 4, TipAfter: 2 * time.Second, StateLife: 30 * time.Second,
+		CanPrefill: true, CanDecode: role != "reader", Slots: 64, MaxQueued: 32, Memory: 200000, PrefillRate: 15000, Chunk: 512,
+		Step: 20 * time.Millisecond, StepStream: 200 * time.Microsecond, FetchRate: 200000, CacheTokens: 100000, SlowStartFrom: 0.25,
+		SlowStartFor: 10 * time.Second, OverloadFactor: 4, OverloadAfter: 2 * time.Second, StateTTL: 30 * time.Second,
 	}
 }
 
@@ -79,10 +79,10 @@
 		return usageErrorf("--role %q: reader, writer or mixed", e.role)
 	}
 	cfg := engine.Config{
-		Name: e.name, Kind: e.role, Params: fakeEngineParams(e.role), Plain: e.plain, CancelStops: true,
+		Name: e.name, Kind: e.role, Params: fakeEngineParams(e.role), PlainVLLM: e.plain, CanCancel: true,
 	}
 	if e.canChangeRoles {
-		cfg.Seat, cfg.Switch = roles.EngineState{Role: role, Target: role}, roleSwitchTime
+		cfg.InitialState, cfg.SwitchTime = roles.EngineState{Role: role, Target: role}, roleSwitchTime
 		cfg.Roles = map[roles.Role]enginemodel.Params{}
 		for word, r := range fakeEngineRoles {
 			cfg.Roles[r] = fakeEngineParams(word)
--- a/cmd/brackenbend/main_test.go
+++ b/cmd/brackenbend/main_test.go
@@ -43,12 +43,12 @@
 
 var asMain = []string{"BRACKENBEND_TEST_MAIN=1"}
 
-func play(t *testing.T, d *scenario.Day, length time.Duration, env ...string) *scenariorun.Report {
+func play(t *testing.T, d *scenario.Scenario, length time.Duration, env ...string) *scenariorun.Report {
 	t.Helper()
 	return playIn(t, t.TempDir(), d, length, env...)
 }
 
-func playIn(t *testing.T, dir string, d *scenario.Day, length time.Duration, env ...string) *scenariorun.Report {
+func playIn(t *testing.T, dir string, d *scenario.Scenario, length time.Duration, env ...string) *scenariorun.Report {
 	t.Helper()
 	if err := d.Scale(length); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	rep, err := scenariorun.Run(
 		context.Background(),
 		d,
-		scenariorun.Options{Binary: exe, Env: append(env, asMain...), Dir: dir},
+		scenariorun.Options{Binary: exe, Env: append(env, asMain...), WorkDir: dir},
 	)
 	if err != nil {
 		t.Fatal(err)
@@ -79,8 +79,8 @@
 	d.Rate = 20 // other packages' tests run beside this one
 	dir := t.TempDir()
 	rep := playIn(t, dir, d, 15*time.Second)
-	if rep.Breaches() > 0 {
-		t.Errorf("%d breaches", rep.Breaches())
+	if rep.Violations() > 0 {
+		t.Errorf("%d breaches", rep.Violations())
 	}
 	// the fronts' logs make a recording: of each request that was taken, but where its front was killed
 	logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -122,12 +122,12 @@
 	}
 	d.Rate = 20
 	rep := play(t, d, 15*time.Second)
-	if rep.Breaches() > 0 {
-		t.Errorf("%d breaches", rep.Breaches())
+	if rep.Violations() > 0 {
+		t.Errorf("%d breaches", rep.Violations())
 	}
 	kills, changing := 0, 0
 	for _, e := range rep.Events {
-		if e.Kind == audit.FrontKill {
+		if e.Kind == audit.ReplicaKilled {
 			kills++
 		}
 	}
@@ -291,7 +291,7 @@
 	}
 	first := make(chan error, 1)
 	go func() { _, err := ask(addrs[0]); first <- err }()
-	for end := time.Now().Add(20 * time.Second); count(audit.Run) == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); count(audit.Executed) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the order did not reach a writer")
 		}
@@ -304,7 +304,7 @@
 	if err != nil || !strings.Contains(text, "[DONE]") {
 		t.Fatalf("second try: %q %v", text, err)
 	}
-	if runs, repeats := count(audit.Run), count(audit.Repeat); runs != 1 || repeats != 1 {
+	if runs, repeats := count(audit.Executed), count(audit.Deduplicated); runs != 1 || repeats != 1 {
 		t.Errorf("%d runs, %d repeats dropped", runs, repeats)
 	}
 }
--- a/cmd/brackenbend/scenario.go
+++ b/cmd/brackenbend/scenario.go
@@ -75,7 +75,7 @@
 		return err
 	}
 	if r.keepDir == "" {
-		defer removeTemporary(options.Dir)
+		defer removeTemporary(options.WorkDir)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -87,7 +87,7 @@
 	if err := r.save(report); err != nil {
 		return err
 	}
-	if n := report.Breaches(); n > 0 {
+	if n := report.Violations(); n > 0 {
 		return exitError{fmt.Errorf("scenario: %d violations", n), exitViolation}
 	}
 	return nil
@@ -107,11 +107,11 @@
 		o.Log = progress
 	}
 	if r.keepDir == "" {
-		o.Dir, err = os.MkdirTemp("", "brackenbend-scenario-")
+		o.WorkDir, err = os.MkdirTemp("", "brackenbend-scenario-")
 		return o, err
 	}
-	o.Dir = r.keepDir
-	return o, os.MkdirAll(o.Dir, 0o755)
+	o.WorkDir = r.keepDir
+	return o, os.MkdirAll(o.WorkDir, 0o755)
 }
 
 // save writes the files that were asked for.
@@ -139,7 +139,7 @@
 }
 
 // loadScenario reads the scenario file named first in args, or the default scenario where there is none.
-func loadScenario(args []string) (*scenario.Day, error) {
+func loadScenario(args []string) (*scenario.Scenario, error) {
 	if len(args) == 0 {
 		return scenario.Default()
 	}
@@ -151,7 +151,7 @@
 }
 
 // scale makes a scenario last so long; 0 leaves it as it is.
-func scale(s *scenario.Day, seconds float64) error {
+func scale(s *scenario.Scenario, seconds float64) error {
 	if seconds <= 0 {
 		return nil
 	}
@@ -162,7 +162,7 @@
 }
 
 // readForeseen reads the work over time from the report of a scenario.
-func readForeseen(path string) ([]scenariorun.RoleSecond, error) {
+func readForeseen(path string) ([]scenariorun.RoleSample, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/cmd/brackenbend/simulate_ablation.go
+++ b/cmd/brackenbend/simulate_ablation.go
@@ -34,7 +34,7 @@
 }
 
 func (s *ablationSimulation) addFlags(f *pflag.FlagSet) {
-	f.IntSliceVar(&s.plan.Fronts, "fronts", []int{3, 30, 180}, "numbers of replicas")
+	f.IntSliceVar(&s.plan.Replicas, "fronts", []int{3, 30, 180}, "numbers of replicas")
 	f.IntVar(&s.plan.Runs, "runs", s.plan.Runs, "replications of each, with clients of their own")
 	f.Float64Var(&s.plan.Level, "level", s.plan.Level, "of the bars")
 	f.StringVar(&s.jsonFile, "json", "", "write all figures to this file")
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	for _, replicas := range s.plan.Fronts {
+	for _, replicas := range s.plan.Replicas {
 		if replicas < 1 || replicas > 10000 {
 			return usageErrorf("--fronts: 1 to 10000 each")
 		}
@@ -53,7 +53,7 @@
 	if s.plan.Runs < 3 || s.plan.Runs > 100 || !isFraction(s.plan.Level) {
 		return usageErrorf("--runs: 3 to 100; --level: between 0 and 1")
 	}
-	s.plan.Day, s.plan.AtOnce = played, runtime.GOMAXPROCS(0)
+	s.plan.Scenario, s.plan.Parallel = played, runtime.GOMAXPROCS(0)
 	sizes, err := ablation.Run(s.plan)
 	if err != nil {
 		return err
--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -15,13 +15,13 @@
 
 // faultSearch looks for the faults under which a subject does worst.
 type faultSearch struct {
-	search  faultsearch.Hunt
+	search  faultsearch.Search
 	against string
 	outFile string
 }
 
 func simulateFaultSearchCommand() *cobra.Command {
-	s := faultSearch{search: faultsearch.Hunt{Troubles: 4, Rounds: 12, Draws: 24}}
+	s := faultSearch{search: faultsearch.Search{MaxFaults: 4, Rounds: 12, Draws: 24}}
 	cmd := &cobra.Command{
 		Use:   "fault-search [SCENARIO] [SUBJECT]",
 		Short: "Look for the faults under which a setting does worst, or violates a rule",
@@ -44,7 +44,7 @@
 	f.StringVar(&s.against, "against", "", "what the loss is counted from: routing, a settings file, or a baseline; "+
 		"none = full service")
 	f.StringVarP(&s.outFile, "out", "o", "", "scenario file to write")
-	f.IntVar(&s.search.Troubles, "troubles", s.search.Troubles, "faults at most, at once or one after the other")
+	f.IntVar(&s.search.MaxFaults, "troubles", s.search.MaxFaults, "faults at most, at once or one after the other")
 	f.IntVar(&s.search.Rounds, "rounds", s.search.Rounds, "of changing the worst")
 	f.IntVar(&s.search.Draws, "draws", s.search.Draws, "lists a round")
 	f.Uint64Var(&s.search.Seed, "seed", 1, "of the search")
@@ -70,15 +70,15 @@
 		return err
 	}
 	note := fmt.Sprintf("found by a fault search: %s %.3f, against %.3f; %d breaches (simulated)", subject, found.Subject,
-		found.Yard, found.Breaches)
-	_, text, err := played.With(found.Happens, note)
+		found.Yardstick, found.Violations)
+	_, text, err := played.WithFaults(found.Faults, note)
 	if err != nil {
 		return err
 	}
 	p := printer{out: cmd.OutOrStdout()}
-	p.printf("%s, %d lists played\n", note, found.Tried)
-	for i := range found.Happens {
-		p.printf("  %s\n", found.Happens[i].XML())
+	p.printf("%s, %d lists played\n", note, found.Played)
+	for i := range found.Faults {
+		p.printf("  %s\n", found.Faults[i].XML())
 	}
 	if p.err != nil {
 		return p.err
@@ -88,7 +88,7 @@
 			return err
 		}
 	}
-	if found.Breaches > 0 {
+	if found.Violations > 0 {
 		return exitError{fmt.Errorf("simulate fault-search: a rule was violated"), exitViolation}
 	}
 	return nil
@@ -96,30 +96,30 @@
 
 func (s *faultSearch) check() error {
 	within := func(v, least, most int) bool { return least <= v && v <= most }
-	if !within(s.search.Troubles, 1, 20) || !within(s.search.Rounds, 1, 10000) || !within(s.search.Draws, 4, 1000) {
+	if !within(s.search.MaxFaults, 1, 20) || !within(s.search.Rounds, 1, 10000) || !within(s.search.Draws, 4, 1000) {
 		return usageErrorf("--troubles: 1 to 20; --rounds: 1 to 10000; --draws: 4 to 1000")
 	}
 	return nil
 }
 
 // prepare gives the search its scenario, what it is to be tried on and what the loss is counted from.
-func (s *faultSearch) prepare(played *scenario.Day, subject string) error {
-	side := func(name string) (forecast.Side, error) { return parseSubject(name, played, nil, false) }
+func (s *faultSearch) prepare(played *scenario.Scenario, subject string) error {
+	side := func(name string) (forecast.Subject, error) { return parseSubject(name, played, nil, false) }
 	tried, err := side(subject)
 	if err != nil {
 		return err
 	}
-	s.search.Day, s.search.Subject, s.search.AtOnce = played, tried.Make, runtime.GOMAXPROCS(0)
+	s.search.Scenario, s.search.Subject, s.search.Parallel = played, tried.Make, runtime.GOMAXPROCS(0)
 	if s.against != "" {
 		yardstick, err := side(s.against)
 		if err != nil {
 			return err
 		}
-		s.search.Yard = yardstick.Make
+		s.search.Yardstick = yardstick.Make
 	}
-	s.search.Told = func(round int, best faultsearch.Found) {
+	s.search.OnRound = func(round int, best faultsearch.Result) {
 		p := printer{out: os.Stderr} // progress: that it can't be written does not end the search
-		p.printf("round %d: lost %.4f, %d breaches\n", round+1, best.Lost(), best.Breaches)
+		p.printf("round %d: lost %.4f, %d breaches\n", round+1, best.Lost(), best.Violations)
 	}
 	return nil
 }
--- a/cmd/brackenbend/simulate_forecast.go
+++ b/cmd/brackenbend/simulate_forecast.go
@@ -72,7 +72,7 @@
 	var pairs []forecast.Pair
 	within := 0
 	for i, f := range forecasts {
-		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d", f.Day, f.Mean, f.SD, f.Low, f.High, f.Worst, f.Rules)
+		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d", f.Scenario, f.Mean, f.SD, f.Low, f.High, f.Worst, f.Rules)
 		if s.real {
 			report, err := playOnSockets(ctx, scenarios[i])
 			if err != nil {
@@ -84,7 +84,7 @@
 				within++
 				verdict = "held"
 			}
-			p.printf(" %8.4f %s, %d breaches", report.Service, verdict, report.Breaches())
+			p.printf(" %8.4f %s, %d breaches", report.Service, verdict, report.Violations())
 		}
 		p.printf("\n")
 	}
@@ -103,7 +103,7 @@
 
 // predict forecasts all scenarios before any is played on sockets.
 func (s *forecastSimulation) predict(files []string) (
-	scenarios []*scenario.Day, forecasts []*forecast.Forecast, err error,
+	scenarios []*scenario.Scenario, forecasts []*forecast.Forecast, err error,
 ) {
 	for _, file := range files {
 		loaded, err := loadScenario([]string{file})
@@ -121,7 +121,7 @@
 }
 
 // playOnSockets plays a scenario against real replicas of this program.
-func playOnSockets(ctx context.Context, played *scenario.Day) (*scenariorun.Report, error) {
+func playOnSockets(ctx context.Context, played *scenario.Scenario) (*scenariorun.Report, error) {
 	dir, err := os.MkdirTemp("", "brackenbend-scenario-")
 	if err != nil {
 		return nil, err
@@ -131,5 +131,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return scenariorun.Run(ctx, played, scenariorun.Options{Binary: program, Dir: dir})
+	return scenariorun.Run(ctx, played, scenariorun.Options{Binary: program, WorkDir: dir})
 }
--- a/cmd/brackenbend/simulate_overload.go
+++ b/cmd/brackenbend/simulate_overload.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	if s.replicas > 0 {
-		played.Fronts = s.replicas
+		played.Replicas = s.replicas
 	}
 	side, err := parseSubject(s.subject, played, nil, false)
 	if err != nil {
@@ -77,9 +77,9 @@
 	if side.Make == nil {
 		return usageErrorf("--way: routing, random, fewest, two-choices or a settings file")
 	}
-	s.plan.Day, s.plan.Make, s.plan.AtOnce = played, side.Make, runtime.GOMAXPROCS(0)
+	s.plan.Scenario, s.plan.Make, s.plan.Parallel = played, side.Make, runtime.GOMAXPROCS(0)
 	if s.loops {
-		s.plan.Loops = overload.Loops
+		s.plan.FeedbackLoops = overload.FeedbackLoops
 	}
 	points, err := overload.Run(s.plan)
 	if err != nil {
--- a/cmd/brackenbend/simulate_recording.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -30,7 +30,7 @@
 
 // scaledRecording is one recording and how many times its traffic is played.
 type scaledRecording struct {
-	requests []scenario.Recorded
+	requests []scenario.RecordedRequest
 	scale    float64
 	begin    time.Time
 }
@@ -41,11 +41,11 @@
 }
 
 // load reads the recordings, nil without any, and makes the scenario last as long as they do.
-func (r *recordings) load(played *scenario.Day) ([]scenario.Recorded, error) {
+func (r *recordings) load(played *scenario.Scenario) ([]scenario.RecordedRequest, error) {
 	if len(r.files) == 0 {
 		return nil, nil
 	}
-	var lists [][]scenario.Recorded
+	var lists [][]scenario.RecordedRequest
 	var scales []float64
 	var begins []time.Time
 	for _, arg := range r.files {
@@ -67,7 +67,7 @@
 }
 
 // loadRecording reads a recording given as FILE or FILE@TIMES.
-func loadRecording(arg string, played *scenario.Day) (r scaledRecording, err error) {
+func loadRecording(arg string, played *scenario.Scenario) (r scaledRecording, err error) {
 	file, times, scaled := strings.Cut(arg, "@")
 	r.scale = 1
 	if scaled {
@@ -90,7 +90,7 @@
 
 // alignBegins moves recordings of one time, as of several replicas, to where they stood beside each other; those that
 // began over a day after the first are played from their beginnings.
-func alignBegins(lists [][]scenario.Recorded, begins []time.Time) {
+func alignBegins(lists [][]scenario.RecordedRequest, begins []time.Time) {
 	first := slices.MinFunc(begins, time.Time.Compare)
 	for i, list := range lists {
 		offset := begins[i].Sub(first)
--- a/cmd/brackenbend/simulate_scenario.go
+++ b/cmd/brackenbend/simulate_scenario.go
@@ -86,7 +86,7 @@
 		return err
 	}
 	took := time.Since(began)
-	if err := saveJSON(s.jsonFile, forecast.Sum(result)); err != nil {
+	if err := saveJSON(s.jsonFile, forecast.Summarize(result)); err != nil {
 		return err
 	}
 	if err := printResult(cmd.OutOrStdout(), played, result); err != nil {
@@ -109,7 +109,7 @@
 }
 
 // printResult prints service by class and tenant, how attempts ended, and the rules.
-func printResult(out io.Writer, played *scenario.Day, result *fleet.Result) error {
+func printResult(out io.Writer, played *scenario.Scenario, result *fleet.Result) error {
 	p := printer{out: out}
 	p.printf("simulated: service %.3f, worst 10 s %.3f, over %v\n\n",
 		result.Score.Service(), result.Score.Worst(10), played.Length)
@@ -117,9 +117,9 @@
 		p.err = printRows(out, result)
 	}
 	p.printf("\n%d reads and %d writes reached engines, %.0f state tokens moved\n",
-		result.Attempts["read"], result.Attempts["write"], result.Moved)
-	for _, what := range slices.Sorted(maps.Keys(result.Ends)) {
-		p.printf("  %d %s\n", result.Ends[what], what)
+		result.Attempts["read"], result.Attempts["write"], result.TransferredTokens)
+	for _, what := range slices.Sorted(maps.Keys(result.Outcomes)) {
+		p.printf("  %d %s\n", result.Outcomes[what], what)
 	}
 	for i, rule := range result.Rules {
 		p.printf("rule %d, %s: %d checks, %d breaches (%s)\n",
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -17,25 +17,25 @@
 
 // The events. In brackets the fields that count beside At.
 const (
-	Sent      Kind = "sent"     // client wrote a whole request [Try, Effect, Class, Front, Until]
-	Unsent    Kind = "unsent"   // client could not write it whole: not taken [Try]
-	Answer    Kind = "answer"   // client has its final answer whole [Try, Result]
-	Cut       Kind = "cut"      // the connection ended before a final answer [Try]
-	Extra     Kind = "extra"    // bytes came after the final answer [Try]
-	HungUp    Kind = "hung up"  // client left by itself [Try]
-	FrontUp   Kind = "front up" // [Front]
-	FrontKill Kind = "front killed"
-	Told      Kind = "told"       // the register wrote to a front that an engine drains or is gone [Front, Engine]
-	ToldReady Kind = "told ready" // ... or is ready
-	Arrive    Kind = "arrive"     // a new read or write reached an engine [Engine, Front, Request, Write]
-	End       Kind = "end"        // the engine is through with it [Engine, Request]
-	Run       Kind = "run"        // it took effect [Engine, Request, Try, Effect, Class]
-	Repeat    Kind = "repeat"     // a repeat was dropped by the engines' group
-	Held      Kind = "held"       // a read state waits at a reader [Engine, Request]
-	LetGo     Kind = "let go"     // it is gone from there: fetched, released, expired, or the engine died
-	Fell      Kind = "fell over"  // a cold engine was pushed over [Engine]
-	EngineUp  Kind = "engine up"
-	EngineOff Kind = "engine off"
+	Sent           Kind = "sent"     // client wrote a whole request [Try, Effect, Class, Front, Until]
+	Unsent         Kind = "unsent"   // client could not write it whole: not taken [Try]
+	Answer         Kind = "answer"   // client has its final answer whole [Try, Result]
+	ConnectionCut  Kind = "cut"      // the connection ended before a final answer [Try]
+	ExtraBytes     Kind = "extra"    // bytes came after the final answer [Try]
+	ClientLeft     Kind = "hung up"  // client left by itself [Try]
+	ReplicaStarted Kind = "front up" // [Front]
+	ReplicaKilled  Kind = "front killed"
+	NotifiedGone   Kind = "told"       // the register wrote to a front that an engine drains or is gone [Front, Engine]
+	NotifiedReady  Kind = "told ready" // ... or is ready
+	Arrived        Kind = "arrive"     // a new read or write reached an engine [Engine, Front, Request, Write]
+	Ended          Kind = "end"        // the engine is through with it [Engine, Request]
+	Executed       Kind = "run"        // it took effect [Engine, Request, Try, Effect, Class]
+	Deduplicated   Kind = "repeat"     // a repeat was dropped by the engines' group
+	StateHeld      Kind = "held"       // a read state waits at a reader [Engine, Request]
+	StateReleased  Kind = "let go"     // it is gone from there: fetched, released, expired, or the engine died
+	Overloaded     Kind = "fell over"  // a cold engine was pushed over [Engine]
+	EngineStarted  Kind = "engine up"
+	EngineStopped  Kind = "engine off"
 )
 
 // Class is how a class may be repeated.
@@ -43,24 +43,24 @@
 
 // The three effects.
 const (
-	Safe   Class = "safe"
-	Keyed  Class = "keyed"
-	Unsafe Class = "unsafe"
+	Idempotent        Class = "safe"
+	IdempotentWithKey Class = "keyed"
+	NotIdempotent     Class = "unsafe"
 )
 
 // Event is one line of the record.
 type Event struct {
-	At      time.Duration `json:"at"`
-	Kind    Kind          `json:"kind"`
-	Front   string        `json:"front,omitempty"`
-	Engine  string        `json:"engine,omitempty"`
-	Request string        `json:"request,omitempty"` // the id on the engines' sockets: front's run, number, attempt
-	Write   bool          `json:"write,omitempty"`
-	Try     string        `json:"try,omitempty"`    // one request of a client
-	Effect  string        `json:"effect,omitempty"` // what its tries have in common
-	Class   Class         `json:"class,omitempty"`
-	Result  string        `json:"result,omitempty"` // served, refused, turned (never taken), failed, broken, invalid
-	Until   time.Duration `json:"until,omitempty"`  // the client's time
+	At       time.Duration `json:"at"`
+	Kind     Kind          `json:"kind"`
+	Replica  string        `json:"front,omitempty"`
+	Engine   string        `json:"engine,omitempty"`
+	Request  string        `json:"request,omitempty"` // the id on the engines' sockets: front's run, number, attempt
+	Decode   bool          `json:"write,omitempty"`
+	Attempt  string        `json:"try,omitempty"`    // one request of a client
+	Intent   string        `json:"effect,omitempty"` // what its tries have in common
+	Class    Class         `json:"class,omitempty"`
+	Result   string        `json:"result,omitempty"` // served, refused, turned (never taken), failed, broken, invalid
+	Deadline time.Duration `json:"until,omitempty"`  // the client's time
 }
 
 // Record collects events from many goroutines.
@@ -102,7 +102,7 @@
 // Limits are the figures of the rules.
 type Limits struct {
 	DrainGrace time.Duration
-	Release    time.Duration
+	StateTTL   time.Duration
 	// Slack is added to what is measured between two sockets: what one shows may lag by so much.
 	Slack time.Duration
 }
@@ -131,8 +131,8 @@
 func killed(events []Event) func(front string, from, to time.Duration) bool {
 	kills := map[string][]time.Duration{}
 	for _, e := range events {
-		if e.Kind == FrontKill {
-			kills[e.Front] = append(kills[e.Front], e.At)
+		if e.Kind == ReplicaKilled {
+			kills[e.Replica] = append(kills[e.Replica], e.At)
 		}
 	}
 	return func(front string, from, to time.Duration) bool {
@@ -152,20 +152,20 @@
 	for _, e := range events {
 		switch e.Kind {
 		case Sent:
-			tries[e.Try] = &try{sent: e}
-		case Answer, Cut, HungUp, Extra:
-			t := tries[e.Try]
+			tries[e.Attempt] = &try{sent: e}
+		case Answer, ConnectionCut, ClientLeft, ExtraBytes:
+			t := tries[e.Attempt]
 			if t == nil { // answered before the whole request was written: a refusal on the way
-				t = &try{sent: Event{At: e.At, Until: e.At, Front: e.Front}}
-				tries[e.Try] = t
+				t = &try{sent: Event{At: e.At, Deadline: e.At, Replica: e.Replica}}
+				tries[e.Attempt] = t
 			}
-			if e.Kind == Extra {
-				v.breach(e.At, "try %s: bytes after the final answer", e.Try)
+			if e.Kind == ExtraBytes {
+				v.breach(e.At, "try %s: bytes after the final answer", e.Attempt)
 				continue
 			}
 			if e.Kind == Answer {
 				if t.answers++; t.answers > 1 {
-					v.breach(e.At, "try %s: a second final answer (%s)", e.Try, e.Result)
+					v.breach(e.At, "try %s: a second final answer (%s)", e.Attempt, e.Result)
 				}
 			}
 			if t.ended.Kind == "" {
@@ -178,20 +178,20 @@
 		t := tries[name]
 		v.Checks++
 		switch t.ended.Kind {
-		case HungUp:
+		case ClientLeft:
 		case Answer:
-			if t.ended.Result != "served" && t.ended.Result != "broken" && t.sent.Until > 0 && t.ended.At > t.sent.Until {
-				v.breach(t.ended.At, "try %s: %s came %v after the client's time", name, t.ended.Result, t.ended.At-t.sent.Until)
+			if t.ended.Result != "served" && t.ended.Result != "broken" && t.sent.Deadline > 0 && t.ended.At > t.sent.Deadline {
+				v.breach(t.ended.At, "try %s: %s came %v after the client's time", name, t.ended.Result, t.ended.At-t.sent.Deadline)
 			}
 			if t.ended.Result != "served" && t.ended.Result != "broken" {
 				worst = max(worst, t.ended.At-t.sent.At)
 			}
-		case Cut:
-			if !died(t.sent.Front, t.sent.At-time.Second, t.ended.At+time.Second) {
-				v.breach(t.ended.At, "try %s: the connection ended without an answer, front %s was not killed", name, t.sent.Front)
+		case ConnectionCut:
+			if !died(t.sent.Replica, t.sent.At-time.Second, t.ended.At+time.Second) {
+				v.breach(t.ended.At, "try %s: the connection ended without an answer, front %s was not killed", name, t.sent.Replica)
 			}
 		default:
-			if !died(t.sent.Front, t.sent.At-time.Second, t.sent.Until+time.Second) {
+			if !died(t.sent.Replica, t.sent.At-time.Second, t.sent.Deadline+time.Second) {
 				v.breach(t.sent.At, "try %s: no answer at all", name)
 			}
 		}
@@ -208,18 +208,18 @@
 	ranTry, ranFirst, intent := map[string]Event{}, map[string]Event{}, map[string]string{}
 	for _, e := range events {
 		if e.Kind == Sent {
-			intent[e.Try] = e.Effect
+			intent[e.Attempt] = e.Intent
 		}
-		if e.Kind != Run {
+		if e.Kind != Executed {
 			continue
 		}
 		v.Checks++
-		ranTry[e.Try] = e
-		if _, ok := ranFirst[e.Effect]; !ok {
-			ranFirst[e.Effect] = e
+		ranTry[e.Attempt] = e
+		if _, ok := ranFirst[e.Intent]; !ok {
+			ranFirst[e.Intent] = e
 		}
-		if ran[e.Effect]++; e.Class != Safe && ran[e.Effect] > 1 {
-			v.breach(e.At, "%s effect %s ran %d times, last at %s as %s", e.Class, e.Effect, ran[e.Effect], e.Engine, e.Request)
+		if ran[e.Intent]++; e.Class != Idempotent && ran[e.Intent] > 1 {
+			v.breach(e.At, "%s effect %s ran %d times, last at %s as %s", e.Class, e.Intent, ran[e.Intent], e.Engine, e.Request)
 		}
 	}
 	for _, e := range events {
@@ -227,10 +227,10 @@
 			continue
 		}
 		v.Checks++
-		if r, ok := ranTry[e.Try]; ok && r.Class == Unsafe {
-			v.breach(e.At, "try %s of an unsafe class was refused, it had run at %s", e.Try, r.Engine)
-		} else if r, ok := ranFirst[intent[e.Try]]; ok && r.Class == Unsafe && r.At < e.At {
-			v.breach(e.At, "try %s of an unsafe class was refused, try %s of it had run at %s", e.Try, r.Try, r.Engine)
+		if r, ok := ranTry[e.Attempt]; ok && r.Class == NotIdempotent {
+			v.breach(e.At, "try %s of an unsafe class was refused, it had run at %s", e.Attempt, r.Engine)
+		} else if r, ok := ranFirst[intent[e.Attempt]]; ok && r.Class == NotIdempotent && r.At < e.At {
+			v.breach(e.At, "try %s of an unsafe class was refused, try %s of it had run at %s", e.Attempt, r.Attempt, r.Engine)
 		}
 	}
 	return v
@@ -242,26 +242,26 @@
 	told := map[string]time.Duration{}
 	var worst time.Duration
 	for _, e := range events {
-		key := e.Front + " to " + e.Engine
+		key := e.Replica + " to " + e.Engine
 		switch e.Kind {
-		case Told:
+		case NotifiedGone:
 			if _, ok := told[key]; !ok {
 				told[key] = e.At
 			}
-		case ToldReady:
+		case NotifiedReady:
 			delete(told, key)
-		case FrontKill: // its next process is told anew
+		case ReplicaKilled: // its next process is told anew
 			for k := range told {
-				if strings.HasPrefix(k, e.Front+" to ") {
+				if strings.HasPrefix(k, e.Replica+" to ") {
 					delete(told, k)
 				}
 			}
-		case Arrive:
+		case Arrived:
 			v.Checks++
 			if at, ok := told[key]; ok {
 				worst = max(worst, e.At-at)
 				if e.At-at > lim.DrainGrace+lim.Slack {
-					v.breach(e.At, "%s sent %s to %s %v after it was told", e.Front, e.Request, e.Engine, e.At-at)
+					v.breach(e.At, "%s sent %s to %s %v after it was told", e.Replica, e.Request, e.Engine, e.At-at)
 				}
 			}
 		}
@@ -275,9 +275,9 @@
 	v := RuleResult{Rule: "no cold engine is pushed over"}
 	for _, e := range events {
 		switch e.Kind {
-		case EngineUp:
+		case EngineStarted:
 			v.Checks++
-		case Fell:
+		case Overloaded:
 			v.breach(e.At, "engine %s fell over", e.Engine)
 		}
 	}
@@ -318,21 +318,21 @@
 		}
 		took := now - l.since
 		worst = max(worst, took)
-		if took > lim.Release+lim.Slack {
+		if took > lim.StateTTL+lim.Slack {
 			v.breach(now, "state of %s was held %v with no attempt out", id, took.Round(time.Millisecond))
 		}
 	}
 	for _, e := range events {
 		switch e.Kind {
-		case FrontUp:
-			down[e.Front] = false
-		case FrontKill:
-			down[e.Front] = true
+		case ReplicaStarted:
+			down[e.Replica] = false
+		case ReplicaKilled:
+			down[e.Replica] = true
 			for r, f := range runs {
-				dead[r] = dead[r] || f == e.Front
+				dead[r] = dead[r] || f == e.Replica
 			}
 		}
-		if !slices.Contains([]Kind{Arrive, End, Held, LetGo}, e.Kind) || e.Request == "" {
+		if !slices.Contains([]Kind{Arrived, Ended, StateHeld, StateReleased}, e.Kind) || e.Request == "" {
 			continue
 		}
 		id := base(e.Request)
@@ -343,16 +343,16 @@
 		}
 		idle := l.out == 0 && len(l.held) > 0
 		switch e.Kind {
-		case Arrive:
+		case Arrived:
 			l.out++
-			runs[run(id)] = e.Front
-			dead[run(id)] = dead[run(id)] || down[e.Front] // it was on its way when its front died
-		case End:
+			runs[run(id)] = e.Replica
+			dead[run(id)] = dead[run(id)] || down[e.Replica] // it was on its way when its front died
+		case Ended:
 			l.out--
-		case Held:
+		case StateHeld:
 			v.Checks++
 			l.held[e.Request] = true
-		case LetGo:
+		case StateReleased:
 			delete(l.held, e.Request)
 		}
 		now := l.out == 0 && len(l.held) > 0
@@ -372,6 +372,6 @@
 		}
 	}
 	slices.Sort(v.Violations)
-	v.WorstCase = fmt.Sprintf("longest held with no attempt out %v, %v allowed", worst.Round(time.Millisecond), lim.Release)
+	v.WorstCase = fmt.Sprintf("longest held with no attempt out %v, %v allowed", worst.Round(time.Millisecond), lim.StateTTL)
 	return v
 }
--- a/internal/endpointslice/watch_test.go
+++ b/internal/endpointslice/watch_test.go
@@ -147,7 +147,7 @@
 	r.eventuallyState("added", "a", routing.EndpointReady)
 	s.Remove("a")
 	r.eventuallyState("removed", "a", routing.EndpointGone)
-	s.Stale("a")
+	s.SendStaleEvent("a")
 	s.Set(entry("marker", "1"))
 	r.eventuallyState("what came after it", "marker", routing.EndpointReady)
 	r.eventuallyState("it stays gone", "a", routing.EndpointGone)
@@ -159,13 +159,13 @@
 	cacheFile := filepath.Join(t.TempDir(), "list.json")
 	r := startWatcher(t, s.URL(), cacheFile)
 	r.eventuallyState("listed", "a", routing.EndpointReady)
-	s.Cut(true)
+	s.SetUnreachable(true)
 	r.eventually("the failure is delivered", func(_ endpoints, scopes []routing.ListScope) bool {
 		return slices.Contains(scopes, routing.ListFailed)
 	})
 	r.eventuallyState("the list stays", "a", routing.EndpointReady)
 	s.Set(entry("b", "1"))
-	s.Cut(false)
+	s.SetUnreachable(false)
 	r.eventuallyState("changes during the outage", "b", routing.EndpointReady)
 	r.mu.Lock()
 	lists := 0
@@ -178,9 +178,9 @@
 	if lists != 1 {
 		t.Errorf("%d lists; the watch was to be resumed", lists)
 	}
-	s.Cut(true)
+	s.SetUnreachable(true)
 	s.Compact() // what it missed is forgotten: 410, and a new list
-	s.Cut(false)
+	s.SetUnreachable(false)
 	r.eventually("listed again", func(_ endpoints, scopes []routing.ListScope) bool {
 		return scopes[len(scopes)-1] == routing.ListFull && len(scopes) > 3
 	})
@@ -188,7 +188,7 @@
 	if list, err := endpointslice.ReadCache(cacheFile); err != nil || len(list) != 2 {
 		t.Fatalf("cached: %v %v", list, err)
 	}
-	s.Cut(true) // the next start has no API server
+	s.SetUnreachable(true) // the next start has no API server
 	restarted := startWatcher(t, s.URL(), cacheFile)
 	restarted.eventually("the cached list", func(m endpoints, scopes []routing.ListScope) bool {
 		return len(m) == 2 && scopes[0] == routing.ListCached
--- a/internal/engine/failure_test.go
+++ b/internal/engine/failure_test.go
@@ -64,7 +64,7 @@
 func TestCanceledAttemptWithCompleteReply(t *testing.T) {
 	a := &Attempt{delivery: delivery{connected: true, mayHaveRun: true}}
 	a.Cancel()
-	if out := a.failureOutcome(nil); out.Result != routing.Cancelled || out.Err != nil {
+	if out := a.failureOutcome(nil); out.Result != routing.Canceled || out.Err != nil {
 		t.Errorf("%+v", out)
 	}
 }
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -49,11 +49,11 @@
 	// the stream ends without its last event
 	{matches: isOneOf(errStreamTruncated), result: routing.ConnectionReset},
 	// the client got another response, is gone, or reads nothing
-	{matches: isOneOf(errResponseClaimed), result: routing.Cancelled},
-	{matches: isSinkError, result: routing.Cancelled},
+	{matches: isOneOf(errResponseClaimed), result: routing.Canceled},
+	{matches: isSinkError, result: routing.Canceled},
 	// canceled before, and after, the engine may have started
 	{matches: func(f failure) bool { return f.canceled && !f.mayHaveRun }, result: routing.NotSent},
-	{matches: func(f failure) bool { return f.canceled }, result: routing.Cancelled},
+	{matches: func(f failure) bool { return f.canceled }, result: routing.Canceled},
 	// the request is not complete at the engine
 	{matches: func(f failure) bool { return !f.mayHaveRun && f.connected }, result: routing.RequestIncomplete},
 	// dial refused, unreachable or timed out
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -122,7 +122,7 @@
 		3: routing.TimedOut,
 		4: routing.ConnectFailed,
 		5: routing.ConnectionReset,
-		6: routing.Cancelled,
+		6: routing.Canceled,
 		7: routing.NotSent,
 		8: routing.PrefillDone,
 		9: routing.RequestIncomplete,
--- a/internal/engine/roundtrip.go
+++ b/internal/engine/roundtrip.go
@@ -162,7 +162,7 @@
 // itself needs no wait.
 func (c *Client) AwaitSettled(out *Outcome) {
 	switch out.Result {
-	case routing.TimedOut, routing.Cancelled, routing.EngineError, routing.RequestIncomplete:
+	case routing.TimedOut, routing.Canceled, routing.EngineError, routing.RequestIncomplete:
 	default:
 		return
 	}
--- a/internal/engine/send_test.go
+++ b/internal/engine/send_test.go
@@ -62,7 +62,7 @@
 		<-requestRead
 		a.Cancel()
 	}()
-	if out := newTestClient().Prefill(a, endpoint, Call{Path: "/v1/x", ID: "a"}); out.Result != routing.Cancelled {
+	if out := newTestClient().Prefill(a, endpoint, Call{Path: "/v1/x", ID: "a"}); out.Result != routing.Canceled {
 		t.Errorf("%+v", out)
 	}
 	<-connClosed // the engine sees that nobody waits
@@ -272,7 +272,7 @@
 	const settleDelay = 3 * time.Millisecond
 	for result, want := range map[routing.Result]time.Duration{
 		routing.TimedOut:          settleDelay,
-		routing.Cancelled:         settleDelay,
+		routing.Canceled:          settleDelay,
 		routing.EngineError:       settleDelay,
 		routing.RequestIncomplete: settleDelay,
 		routing.Served:            0,
--- a/internal/fake/apiserver/apiserver.go
+++ b/internal/fake/apiserver/apiserver.go
@@ -131,8 +131,8 @@
 	s.versions[e.Name] = s.log.add(kind, s.listed(e))
 }
 
-// Stale sends an old event of a removed engine again, with its old version.
-func (s *Server) Stale(name string) {
+// SendStaleEvent sends an old event of a removed engine again, with its old version.
+func (s *Server) SendStaleEvent(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.log.repeat(name)
@@ -145,9 +145,9 @@
 	s.delay = d
 }
 
-// Cut makes the server unreachable or reachable: while it is unreachable it answers nothing but 503, and all watches
+// SetUnreachable makes the server unreachable or reachable: while it is unreachable it answers nothing but 503, and all watches
 // are ended.
-func (s *Server) Cut(on bool) {
+func (s *Server) SetUnreachable(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unreachable = on
--- a/internal/fake/apiserver/apiserver_test.go
+++ b/internal/fake/apiserver/apiserver_test.go
@@ -51,7 +51,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.written += string(b)
-	if strings.Contains(w.written, `"ready":true`) && countEvents(w.record, audit.ToldReady) == 0 {
+	if strings.Contains(w.written, `"ready":true`) && countEvents(w.record, audit.NotifiedReady) == 0 {
 		w.t.Error("bytes that say ready are written before the record allows it")
 	}
 	return len(b), nil
@@ -62,7 +62,7 @@
 	defer w.mu.Unlock()
 	const drains = `"ready":false`
 	unsent := strings.Contains(w.written, drains) && !strings.Contains(w.flushed, drains)
-	if unsent && countEvents(w.record, audit.Told) != 0 {
+	if unsent && countEvents(w.record, audit.NotifiedGone) != 0 {
 		w.t.Error("the record says that the replica was told of a drain before the bytes are sent")
 	}
 	w.flushed = w.written
@@ -115,9 +115,9 @@
 		cancel()
 		<-done
 	}()
-	want := audit.ToldReady
+	want := audit.NotifiedReady
 	if draining {
-		want = audit.Told
+		want = audit.NotifiedGone
 	}
 	for deadline := time.Now().Add(eventuallyTimeout); countEvents(record, want) == 0; {
 		if time.Now().After(deadline) {
--- a/internal/fake/apiserver/list.go
+++ b/internal/fake/apiserver/list.go
@@ -50,7 +50,7 @@
 		writeStatus(w, http.StatusGone, "Expired", "the list has changed")
 		return
 	}
-	s.recordTold(audit.ToldReady, replica, page.ready)
+	s.recordTold(audit.NotifiedReady, replica, page.ready)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{ // a client that is gone shows at the flush
 		"kind": "EndpointSliceList", "apiVersion": "discovery.k8s.io/v1",
@@ -58,7 +58,7 @@
 		"items":    page.items,
 	})
 	if page.continueToken == "" && http.NewResponseController(w).Flush() == nil {
-		s.recordTold(audit.Told, replica, page.notUsable)
+		s.recordTold(audit.NotifiedGone, replica, page.notUsable)
 	}
 }
 
@@ -105,7 +105,7 @@
 		return
 	}
 	for _, name := range engines {
-		s.Record.Add(audit.Event{Kind: kind, Front: replica, Engine: name})
+		s.Record.Add(audit.Event{Kind: kind, Replica: replica, Engine: name})
 	}
 }
 
--- a/internal/fake/apiserver/watch.go
+++ b/internal/fake/apiserver/watch.go
@@ -132,7 +132,7 @@
 		return nil
 	}
 	ready, notUsable := summarize(events)
-	w.server.recordTold(audit.ToldReady, w.replica, ready)
+	w.server.recordTold(audit.NotifiedReady, w.replica, ready)
 	for _, e := range events {
 		if err := w.send(e.kind, w.server.sliceObject(e.entry, e.version)); err != nil {
 			return err
@@ -142,7 +142,7 @@
 	if err := w.flusher.Flush(); err != nil {
 		return err
 	}
-	w.server.recordTold(audit.Told, w.replica, notUsable)
+	w.server.recordTold(audit.NotifiedGone, w.replica, notUsable)
 	return nil
 }
 
--- a/internal/fake/client/client.go
+++ b/internal/fake/client/client.go
@@ -18,8 +18,8 @@
 	"brackenbend/internal/audit"
 )
 
-// Try is one request of a client.
-type Try struct {
+// Attempt is one request of a client.
+type Attempt struct {
 	ID, Effect string
 	Class      audit.Class
 	ClassName  string
@@ -42,15 +42,15 @@
 
 // Result is how a try ended.
 type Result struct {
-	Kind   string        // served, refused, turned (before it was taken), failed, broken, invalid, cut, hung up, unconnected
-	First  time.Duration // to the first token; 0 = none
-	Took   time.Duration
-	Tokens int
-	Wait   time.Duration // told with a refusal
-	HandUp bool          // told not to repeat by itself
+	Kind        string        // served, refused, turned (before it was taken), failed, broken, invalid, cut, hung up, unconnected
+	First       time.Duration // to the first token; 0 = none
+	Took        time.Duration
+	Tokens      int
+	RetryAfter  time.Duration // told with a refusal
+	NoAutoRetry bool          // told not to repeat by itself
 }
 
-func (t *Try) body() []byte {
+func (t *Attempt) body() []byte {
 	type message struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
@@ -72,12 +72,12 @@
 	return b
 }
 
-// Do sends the try to a front and follows it to its end. rec may be nil.
-func Do(t *Try, front, addr string, rec *audit.Record) Result {
+// Send sends the try to a front and follows it to its end. rec may be nil.
+func Send(t *Attempt, front, addr string, rec *audit.Record) Result {
 	began := time.Now()
 	nc, err := net.DialTimeout("tcp", addr, 2*time.Second)
 	if err != nil {
-		rec.Add(audit.Event{Kind: audit.Unsent, Try: t.ID, Front: front})
+		rec.Add(audit.Event{Kind: audit.Unsent, Attempt: t.ID, Replica: front})
 		return Result{Kind: "unconnected", Took: time.Since(began)}
 	}
 	defer nc.Close()
@@ -96,10 +96,10 @@
 	until := rec.Now() + t.Wait
 	end := time.Now().Add(t.Wait)
 	if _, err := nc.Write(b.Bytes()); err != nil {
-		rec.Add(audit.Event{Kind: audit.Unsent, Try: t.ID, Front: front})
+		rec.Add(audit.Event{Kind: audit.Unsent, Attempt: t.ID, Replica: front})
 		return Result{Kind: "unconnected", Took: time.Since(began)}
 	}
-	rec.Add(audit.Event{Kind: audit.Sent, Try: t.ID, Effect: t.Effect, Class: t.Class, Front: front, Until: until})
+	rec.Add(audit.Event{Kind: audit.Sent, Attempt: t.ID, Intent: t.Effect, Class: t.Class, Replica: front, Deadline: until})
 	if t.HangUp > 0 {
 		end = time.Now().Add(t.HangUp)
 	}
@@ -109,22 +109,22 @@
 	res.Took = time.Since(began)
 	switch res.Kind {
 	case "cut":
-		rec.Add(audit.Event{Kind: audit.Cut, Try: t.ID})
+		rec.Add(audit.Event{Kind: audit.ConnectionCut, Attempt: t.ID})
 	case "hung up":
-		rec.Add(audit.Event{Kind: audit.HungUp, Try: t.ID})
+		rec.Add(audit.Event{Kind: audit.ClientLeft, Attempt: t.ID})
 	case "none": // no final answer in the client's time: the record shows it by having none
 	default:
-		rec.Add(audit.Event{Kind: audit.Answer, Try: t.ID, Result: res.Kind})
+		rec.Add(audit.Event{Kind: audit.Answer, Attempt: t.ID, Result: res.Kind})
 		_ = nc.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		if _, err := br.Peek(1); err == nil { // the connection is quiet or ends; anything else nobody asked for
-			rec.Add(audit.Event{Kind: audit.Extra, Try: t.ID})
+			rec.Add(audit.Event{Kind: audit.ExtraBytes, Attempt: t.ID})
 		}
 	}
 	return res
 }
 
 // read reads the answer.
-func (t *Try) read(nc net.Conn, br *bufio.Reader, began time.Time) Result {
+func (t *Attempt) read(nc net.Conn, br *bufio.Reader, began time.Time) Result {
 	late := func(err error) Result {
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
 			if t.HangUp > 0 {
@@ -161,7 +161,7 @@
 }
 
 // stream reads events to their end. A stream that runs has no deadline but its own silence.
-func (t *Try) stream(nc net.Conn, resp *http.Response, began time.Time, late func(error) Result) Result {
+func (t *Attempt) stream(nc net.Conn, resp *http.Response, began time.Time, late func(error) Result) Result {
 	res := Result{}
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 4096), 1<<20)
@@ -201,15 +201,15 @@
 	return res
 }
 
-func (t *Try) refusal(resp *http.Response) Result {
-	res := Result{Kind: "invalid", HandUp: resp.Header.Get("x-should-retry") == "false"}
+func (t *Attempt) refusal(resp *http.Response) Result {
+	res := Result{Kind: "invalid", NoAutoRetry: resp.Header.Get("x-should-retry") == "false"}
 	turned := resp.StatusCode == 503 && resp.Header.Get("Retry-After") != ""
 	if resp.StatusCode == 429 || turned {
 		ms, err := strconv.Atoi(resp.Header.Get("retry-after-ms"))
 		if err != nil {
 			ms = 1000
 		}
-		res.Wait = time.Duration(ms) * time.Millisecond
+		res.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
 	switch {
 	case turned:
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -30,15 +30,15 @@
 type Config struct {
 	Name, Kind, Zone, Cell string
 	Params                 enginemodel.Params
-	Plain                  bool // speaks vLLM's convention only, not the extension
-	CancelStops            bool // work stops when its connection ends
+	PlainVLLM              bool // speaks vLLM's convention only, not the extension
+	CanCancel              bool // work stops when its connection ends
 	Group                  *Group
 	Record                 *audit.Record // may be nil
 	Changed                func(*Server) // its process started or ended; may be nil
 
-	Roles  map[roles.Role]enginemodel.Params // that it can take; empty = it keeps its Params
-	Seat   roles.EngineState                 // as its disk has it at its first start
-	Switch time.Duration                     // from empty to serving in another role
+	Roles        map[roles.Role]enginemodel.Params // that it can take; empty = it keeps its Params
+	InitialState roles.EngineState                 // as its disk has it at its first start
+	SwitchTime   time.Duration                     // from empty to serving in another role
 }
 
 // Group is the set of engines that drops repeats of keyed requests.
@@ -124,7 +124,7 @@
 	if s.cfg.Group == nil {
 		s.cfg.Group = &Group{Window: time.Minute}
 	}
-	s.seat = cfg.Seat
+	s.seat = cfg.InitialState
 	s.timer = time.AfterFunc(time.Hour, s.tick)
 	if err := s.beginAt(addr, cold); err != nil {
 		return nil, err
@@ -165,7 +165,7 @@
 	}
 	h := s.http
 	s.mu.Unlock()
-	s.record(audit.Event{Kind: audit.EngineUp})
+	s.record(audit.Event{Kind: audit.EngineStarted})
 	go func() { _ = h.Serve(l) }()
 	s.changed()
 	return nil
@@ -221,8 +221,8 @@
 	s.m.SetSlow(cmp.Or(f.Slow, 1))
 }
 
-// Flood lets streams write without end, as fast as their connection takes it.
-func (s *Server) Flood(on bool) {
+// StreamWithoutEnd lets streams write without end, as fast as their connection takes it.
+func (s *Server) StreamWithoutEnd(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.flood = on
@@ -263,8 +263,8 @@
 	return s.arrivals
 }
 
-// Forget drops the texts that the engine kept.
-func (s *Server) Forget() {
+// DropPrefixCache drops the texts that the engine kept.
+func (s *Server) DropPrefixCache() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.m.Forget()
@@ -281,7 +281,7 @@
 	s.lis.Close()
 	s.dropAll()
 	s.mu.Unlock()
-	s.record(audit.Event{Kind: audit.EngineOff})
+	s.record(audit.Event{Kind: audit.EngineStopped})
 	s.changed()
 }
 
@@ -296,7 +296,7 @@
 	s.m.Reset()
 	for id := range s.held {
 		delete(s.held, id)
-		s.record(audit.Event{Kind: audit.LetGo, Request: id})
+		s.record(audit.Event{Kind: audit.StateReleased, Request: id})
 	}
 }
 
@@ -367,12 +367,12 @@
 	for id := range s.held { // expired ones
 		if !s.m.Holds(id) {
 			delete(s.held, id)
-			s.record(audit.Event{Kind: audit.LetGo, Request: id})
+			s.record(audit.Event{Kind: audit.StateReleased, Request: id})
 		}
 	}
 	s.emptied()
 	if s.m.Down() && s.up {
-		s.record(audit.Event{Kind: audit.Fell})
+		s.record(audit.Event{Kind: audit.Overloaded})
 		go s.Crash()
 	}
 }
@@ -454,7 +454,7 @@
 
 // turn answers that a request was turned away before it ran.
 func (s *Server) turn(w http.ResponseWriter, noState bool) {
-	if !s.cfg.Plain {
+	if !s.cfg.PlainVLLM {
 		w.Header().Set("X-Brackenbend-Never-Ran", "1")
 		if noState {
 			w.Header().Set("X-Brackenbend-No-State", "1")
@@ -493,8 +493,8 @@
 		s.turn(w, false)
 		return
 	}
-	s.record(audit.Event{Kind: audit.Arrive, Front: front, Request: id, Write: !j.ReadOnly, Try: q.Metadata["try"]})
-	defer s.record(audit.Event{Kind: audit.End, Request: id})
+	s.record(audit.Event{Kind: audit.Arrived, Replica: front, Request: id, Decode: !j.ReadOnly, Attempt: q.Metadata["try"]})
+	defer s.record(audit.Event{Kind: audit.Ended, Request: id})
 	s.mu.Lock()
 	f, p := s.faults, s.params()
 	s.arrivals++
@@ -509,8 +509,8 @@
 	case rand.Float64() < f.ResetHead:
 		reset(w)
 		return
-	case j.ReadOnly && !p.Reads || !j.ReadOnly && !p.Writes || j.FetchState == 0 && !j.ReadOnly && !p.Reads:
-		s.turn(w, j.FetchState == 0 && !j.ReadOnly && p.Writes)
+	case j.ReadOnly && !p.CanPrefill || !j.ReadOnly && !p.CanDecode || j.FetchState == 0 && !j.ReadOnly && !p.CanPrefill:
+		s.turn(w, j.FetchState == 0 && !j.ReadOnly && p.CanDecode)
 		return
 	}
 	run := &run{s: s, j: j, q: &q, r: r, w: w, faults: f, wake: make(chan struct{}, 1), created: time.Now().Unix()}
@@ -554,7 +554,7 @@
 		x.done, x.kept = true, kept
 		if _, unwanted := x.s.letGo[x.j.ID]; x.j.ReadOnly {
 			x.s.held[x.j.ID] = true
-			x.s.record(audit.Event{Kind: audit.Held, Request: x.j.ID})
+			x.s.record(audit.Event{Kind: audit.StateHeld, Request: x.j.ID})
 			if unwanted { // plan, which follows, tells the record
 				x.s.m.Drop(x.j.ID)
 			}
@@ -573,7 +573,7 @@
 func (x *run) cancel() {
 	x.s.mu.Lock()
 	defer x.s.mu.Unlock()
-	if x.s.cfg.CancelStops || !x.begun {
+	if x.s.cfg.CanCancel || !x.begun {
 		x.s.m.Cancel(x.s.now(), x.j)
 		x.s.plan()
 	}
@@ -687,7 +687,7 @@
 		select {
 		case <-ctx.Done():
 			x.cancel()
-			if x.s.cfg.CancelStops {
+			if x.s.cfg.CanCancel {
 				return
 			}
 			ctx = context.Background() // the work goes on; nobody reads
@@ -764,9 +764,9 @@
 	if m["effect"] == "" {
 		return
 	}
-	e := audit.Event{Kind: audit.Run, Request: x.j.ID, Try: m["try"], Effect: m["effect"], Class: audit.Class(m["kind"])}
+	e := audit.Event{Kind: audit.Executed, Request: x.j.ID, Attempt: m["try"], Intent: m["effect"], Class: audit.Class(m["kind"])}
 	if key := x.r.Header.Get("Idempotency-Key"); key != "" && !x.s.cfg.Group.first(key) {
-		e.Kind = audit.Repeat
+		e.Kind = audit.Deduplicated
 	}
 	x.s.record(e)
 }
@@ -845,7 +845,7 @@
 	s.mu.Lock()
 	now := time.Now()
 	for k, at := range s.letGo {
-		if now.Sub(at) > s.cfg.Params.StateLife {
+		if now.Sub(at) > s.cfg.Params.StateTTL {
 			delete(s.letGo, k)
 		}
 	}
@@ -871,7 +871,7 @@
 	var q struct {
 		ID string `json:"request_id"`
 	}
-	if s.cfg.Plain || json.NewDecoder(r.Body).Decode(&q) != nil || !s.unwanted(q.ID) {
+	if s.cfg.PlainVLLM || json.NewDecoder(r.Body).Decode(&q) != nil || !s.unwanted(q.ID) {
 		http.Error(w, `{"error":{"message":"nothing is held","type":"invalid_request_error"}}`, http.StatusNotFound)
 	}
 }
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -39,7 +39,7 @@
 	}
 	s.switching = true
 	uid, added := s.uid, s.adds()
-	time.AfterFunc(s.cfg.Switch, func() {
+	time.AfterFunc(s.cfg.SwitchTime, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.uid != uid || !s.up { // it crashed meanwhile, and came back in its new role
@@ -69,15 +69,15 @@
 	})
 }
 
-// Lie lets the engine say that it changed when it did not.
-func (s *Server) Lie(on bool) {
+// MisreportLoad lets the engine say that it changed when it did not.
+func (s *Server) MisreportLoad(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.liar = on
 }
 
-// Seat is the engine's part in a change of role.
-func (s *Server) Seat() roles.EngineState {
+// EngineState is the engine's part in a change of role.
+func (s *Server) EngineState() roles.EngineState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.seat
--- a/internal/fake/enginemodel/enginemodel.go
+++ b/internal/fake/enginemodel/enginemodel.go
@@ -12,21 +12,21 @@
 
 // Params describe an engine. Rates are a second at full capacity.
 type Params struct {
-	Reads, Writes bool
-	Slots         int     // requests at once
-	Queue         int     // more may wait
-	Memory        float64 // tokens
-	ReadRate      float64 // prompt tokens
-	Chunk         float64 // prompt tokens of one step
-	Step          time.Duration
-	StepStream    time.Duration // and so much more for each running stream
-	FetchRate     float64       // state tokens fetched from a reader
-	Kept          float64       // tokens of kept texts
-	ColdFrom      float64       // part of its capacity at its start
-	ColdFor       time.Duration
-	Overload      float64 // cold and sent more than so many times its present capacity ...
-	TipAfter      time.Duration
-	StateLife     time.Duration // a read state that nobody fetches is dropped after this
+	CanPrefill, CanDecode bool
+	Slots                 int     // requests at once
+	MaxQueued             int     // more may wait
+	Memory                float64 // tokens
+	PrefillRate           float64 // prompt tokens
+	Chunk                 float64 // prompt tokens of one step
+	Step                  time.Duration
+	StepStream            time.Duration // and so much more for each running stream
+	FetchRate             float64       // state tokens fetched from a reader
+	CacheTokens           float64       // tokens of kept texts
+	SlowStartFrom         float64       // part of its capacity at its start
+	SlowStartFor          time.Duration
+	OverloadFactor        float64 // cold and sent more than so many times its present capacity ...
+	OverloadAfter         time.Duration
+	StateTTL              time.Duration // a read state that nobody fetches is dropped after this
 }
 
 // Job is a request at an engine.
@@ -109,7 +109,7 @@
 				r, w := e.needs(j)
 				read, write = read+r, write+w
 			case reading:
-				read += j.left / e.p.ReadRate
+				read += j.left / e.p.PrefillRate
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 // needs is the work of a job that has not begun.
 func (e *Engine) needs(j *Job) (read, write float64) {
 	if j.FetchState == 0 {
-		read = max(j.Prompt-e.found(j), 0) / e.p.ReadRate
+		read = max(j.Prompt-e.found(j), 0) / e.p.PrefillRate
 	}
 	if !j.ReadOnly {
 		step := e.p.Step + e.p.StepStream*time.Duration(e.p.Slots)
@@ -154,7 +154,7 @@
 	e := &Engine{p: p, now: now, slow: 1, states: map[string]*state{}, kept: map[string]*list.Element{}, keptLRU: list.New()}
 	e.start = now
 	if !cold {
-		e.start = now - p.ColdFor
+		e.start = now - p.SlowStartFor
 	}
 	return e
 }
@@ -178,10 +178,10 @@
 // Present is the part of its capacity that the engine has now.
 func (e *Engine) Present() float64 {
 	age := e.now - e.start
-	if e.p.ColdFor <= 0 || age >= e.p.ColdFor {
+	if e.p.SlowStartFor <= 0 || age >= e.p.SlowStartFor {
 		return 1
 	}
-	return e.p.ColdFrom + (1-e.p.ColdFrom)*float64(age)/float64(e.p.ColdFor)
+	return e.p.SlowStartFrom + (1-e.p.SlowStartFrom)*float64(age)/float64(e.p.SlowStartFor)
 }
 
 // Load is what the engine reports: share of slots in use, requests waiting, share of memory held.
@@ -192,7 +192,7 @@
 // Submit takes a job, or turns it away before it ran.
 func (e *Engine) Submit(now time.Duration, j *Job) bool {
 	e.Advance(now)
-	if e.down || len(e.queue) >= e.p.Queue && len(e.running) >= e.p.Slots || j.Prompt > e.p.Memory {
+	if e.down || len(e.queue) >= e.p.MaxQueued && len(e.running) >= e.p.Slots || j.Prompt > e.p.Memory {
 		read, write := e.needs(j)
 		e.work.ReadLost, e.work.WriteLost = e.work.ReadLost+read, e.work.WriteLost+write
 		return false
@@ -210,20 +210,20 @@
 
 // burden counts what a cold engine is sent and lets it fall over.
 func (e *Engine) burden(j *Job) {
-	if e.Present() >= 1 || e.p.Overload <= 0 || e.p.TipAfter <= 0 {
+	if e.Present() >= 1 || e.p.OverloadFactor <= 0 || e.p.OverloadAfter <= 0 {
 		e.sent = nil
 		return
 	}
 	read, write := e.needs(j)
 	e.sent = append(e.sent, sending{e.now, read + write})
-	e.sent = slices.DeleteFunc(e.sent, func(s sending) bool { return e.now-s.at > e.p.TipAfter })
+	e.sent = slices.DeleteFunc(e.sent, func(s sending) bool { return e.now-s.at > e.p.OverloadAfter })
 	sum, most := 0.0, 0.0
 	for _, s := range e.sent {
 		sum += s.work
 		most = max(most, s.work)
 	}
 	// one request alone tips nothing over, however heavy
-	if sum-most > e.p.Overload*e.Present()*e.p.TipAfter.Seconds() {
+	if sum-most > e.p.OverloadFactor*e.Present()*e.p.OverloadAfter.Seconds() {
 		e.down = true
 		e.Reset()
 	}
@@ -276,7 +276,7 @@
 func (j *Job) memory() float64 { return j.Prompt + float64(j.out) }
 
 // Hold keeps a read state for a writer. Submit's ReadOnly jobs do it by themselves.
-func (e *Engine) hold(j *Job) { e.states[j.ID] = &state{j.Prompt, e.now + e.p.StateLife} }
+func (e *Engine) hold(j *Job) { e.states[j.ID] = &state{j.Prompt, e.now + e.p.StateTTL} }
 
 // Take hands a state over, or lets go of it; false when there is none.
 func (e *Engine) Take(now time.Duration, id string) (tokens float64, ok bool) {
@@ -319,7 +319,7 @@
 		e.kept[key] = e.keptLRU.PushFront(&text{key, tokens})
 		e.keptSum += tokens
 	}
-	for e.keptSum > e.p.Kept && e.keptLRU.Len() > 1 {
+	for e.keptSum > e.p.CacheTokens && e.keptLRU.Len() > 1 {
 		el := e.keptLRU.Back()
 		t := el.Value.(*text)
 		e.keptSum -= t.tokens
@@ -377,7 +377,7 @@
 		took = e.p.Step + e.p.StepStream*time.Duration(len(w.write))
 	}
 	if w.read != nil {
-		took += time.Duration(w.tokens / e.p.ReadRate * float64(time.Second))
+		took += time.Duration(w.tokens / e.p.PrefillRate * float64(time.Second))
 	}
 	e.step = w
 	e.stepFor = max(time.Duration(float64(took)*e.slow/e.Present()), time.Microsecond)
@@ -476,7 +476,7 @@
 
 // pass moves the clock and counts the slots in use by answers.
 func (e *Engine) pass(to time.Duration) {
-	if to > e.now && e.p.Writes {
+	if to > e.now && e.p.CanDecode {
 		n := 0
 		for _, j := range e.running {
 			if !j.ReadOnly && j.state != reading {
@@ -492,7 +492,7 @@
 	w := e.step
 	e.step = stepWork{}
 	if j := w.read; j != nil {
-		e.work.ReadDone += w.tokens / e.p.ReadRate
+		e.work.ReadDone += w.tokens / e.p.PrefillRate
 		if j.left -= w.tokens; j.left <= 0 {
 			e.read(j)
 		}
@@ -565,17 +565,17 @@
 
 // Near tells that a cold engine with j would have been sent more than a part of what tips it over.
 func (e *Engine) Near(j *Job, part float64) bool {
-	if e.Present() >= 1 || e.p.Overload <= 0 || e.p.TipAfter <= 0 {
+	if e.Present() >= 1 || e.p.OverloadFactor <= 0 || e.p.OverloadAfter <= 0 {
 		return false
 	}
 	read, write := e.needs(j)
 	sum := read + write
 	for _, s := range e.sent {
-		if e.now-s.at <= e.p.TipAfter {
+		if e.now-s.at <= e.p.OverloadAfter {
 			sum += s.work
 		}
 	}
-	return sum > part*e.p.Overload*e.Present()*e.p.TipAfter.Seconds()
+	return sum > part*e.p.OverloadFactor*e.Present()*e.p.OverloadAfter.Seconds()
 }
 
 // Working is the number of jobs that wait or run.
--- a/internal/fake/enginemodel/enginemodel_test.go
+++ b/internal/fake/enginemodel/enginemodel_test.go
@@ -12,8 +12,8 @@
 
 func params() Params {
 	return Params{
-		Reads: true, Writes: true, Slots: 2, Queue: 2, Memory: 10000, ReadRate: 10000, Chunk: 500, Step: 10 * time.Millisecond,
-		FetchRate: 100000, Kept: 5000, ColdFrom: 0.25, ColdFor: 10 * time.Second, Overload: 2, TipAfter: time.Second, StateLife: 5 * time.Second,
+		CanPrefill: true, CanDecode: true, Slots: 2, MaxQueued: 2, Memory: 10000, PrefillRate: 10000, Chunk: 500, Step: 10 * time.Millisecond,
+		FetchRate: 100000, CacheTokens: 5000, SlowStartFrom: 0.25, SlowStartFor: 10 * time.Second, OverloadFactor: 2, OverloadAfter: time.Second, StateTTL: 5 * time.Second,
 	}
 }
 
@@ -96,7 +96,7 @@
 		down  bool
 	}{"within its part": {100 * time.Millisecond, false}, "pushed": {20 * time.Millisecond, true}} {
 		p := params()
-		p.Queue = 1000
+		p.MaxQueued = 1000
 		e := New(p, 0, true)
 		if e.Present() != 0.25 {
 			t.Fatalf("present %v", e.Present())
@@ -115,10 +115,10 @@
 func TestManyStepsAtOnceAreTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := params()
-		p.Slots, p.Queue, p.StepStream = 6, 6, 700*time.Microsecond
+		p.Slots, p.MaxQueued, p.StepStream = 6, 6, 700*time.Microsecond
 		p.Memory = float64(rapid.IntRange(400, 4000).Draw(t, "memory"))
 		cold := rapid.Bool().Draw(t, "cold")
-		p.Overload = 0
+		p.OverloadFactor = 0
 		var logs [2][]string
 		var engines [2]*Engine
 		for i := range engines {
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -25,7 +25,7 @@
 	routing.TimedOut:          "timed out",
 	routing.ConnectFailed:     "connect failed",
 	routing.ConnectionReset:   "reset",
-	routing.Cancelled:         "cancelled",
+	routing.Canceled:          "cancelled",
 	routing.NotSent:           "not sent",
 	routing.PrefillDone:       "read",
 	routing.RequestIncomplete: "broke unsent",
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -106,7 +106,7 @@
 	requestDone := a.finishAnswer(out)
 	a.neverRan = out.Result.NeverExecuted()
 	a.mayHoldState = !a.decode && !a.neverRan && !prefilled
-	a.decodeAborted = a.decode && (out.Result == routing.TimedOut || out.Result == routing.Cancelled)
+	a.decodeAborted = a.decode && (out.Result == routing.TimedOut || out.Result == routing.Canceled)
 	if prefilled {
 		a.kvParams = out.KVTransferParams
 	}
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -58,7 +58,7 @@
 	runtime.ReadMemStats(&before)
 	send(t, c, request(chat(true, 10_000_000), ""))
 	for _, e := range r.engines {
-		e.Flood(true) // tokens as fast as the sockets accept them
+		e.StreamWithoutEnd(true) // tokens as fast as the sockets accept them
 	}
 	r.awaitOpenRequests(1)
 	r.awaitOpenRequests(0)
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -115,10 +115,10 @@
 func (r *rig) startEngine(name, role string) {
 	r.t.Helper()
 	e, err := fakeengine.Start(fakeengine.Config{
-		Name: name, Kind: role, CancelStops: true,
+		Name: name, Kind: role, CanCancel: true,
 		Params: enginemodel.Params{
-			Reads: true, Writes: role != "reader", Slots: 64, Queue: 32, Memory: 200000, ReadRate: 50000, Chunk: 512,
-			Step: 2 * time.Millisecond, FetchRate: 1e6, Kept: 100000, StateLife: 30 * time.Second,
+			CanPrefill: true, CanDecode: role != "reader", Slots: 64, MaxQueued: 32, Memory: 200000, PrefillRate: 50000, Chunk: 512,
+			Step: 2 * time.Millisecond, FetchRate: 1e6, CacheTokens: 100000, StateTTL: 30 * time.Second,
 		},
 	}, "127.0.0.1:0", false)
 	if err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -26,7 +26,7 @@
 	tokens atomic.Int64
 
 	mu       sync.Mutex
-	mood     scenario.Mood
+	mood     scenario.Conditions
 	score    *scenario.Score
 	classes  []Class
 	outcomes map[string]int
@@ -55,7 +55,7 @@
 
 func newRun(plan *Plan) *run {
 	r := &run{
-		plan: plan, began: time.Now(), mood: scenario.Calm(), score: plan.Scenario.Score(), outcomes: map[string]int{},
+		plan: plan, began: time.Now(), mood: scenario.NormalConditions(), score: plan.Scenario.Score(), outcomes: map[string]int{},
 	}
 	for range plan.Scenario.Classes {
 		r.classes = append(r.classes, newClass())
@@ -101,7 +101,7 @@
 
 // changeMoods applies the scenario's changes of the clients' behavior at their times, and reports progress.
 func (r *run) changeMoods(ctx context.Context) {
-	changes := r.plan.Scenario.Moods()
+	changes := r.plan.Scenario.ConditionChanges()
 	ticker := time.NewTicker(moodInterval)
 	defer ticker.Stop()
 	for {
@@ -123,7 +123,7 @@
 	}
 }
 
-func (r *run) currentMood() *scenario.Mood {
+func (r *run) currentMood() *scenario.Conditions {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	mood := r.mood
@@ -138,6 +138,6 @@
 		r.classes[i].Row = row
 	}
 	report.Classes, report.Tenants = r.classes, tenants
-	report.Service, report.Timeline = r.score.Service(), r.score.Course
+	report.Service, report.Timeline = r.score.Service(), r.score.Timeline
 	report.Outcomes, report.Tokens = r.outcomes, r.tokens.Load()
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -21,7 +21,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // newScenario has a class whose responses are streamed and one whose are not.
-func newScenario(t *testing.T) *scenario.Day {
+func newScenario(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("x.xml", []byte(`<day length="1s" rate="60/s" fronts="1" seed="3">
   <service release-within="500ms" drain-grace="500ms" client-retries="1"/>
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -19,7 +19,7 @@
 
 // Plan says what is sent, and where.
 type Plan struct {
-	Scenario    *scenario.Day
+	Scenario    *scenario.Scenario
 	Replicas    []string // host:port; each attempt goes to one of them, drawn at random
 	Model       string
 	Length      time.Duration // how long sessions begin
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -23,7 +23,7 @@
 		request.Answer = session.Answer
 		kind := r.send(ctx, session, request, at)
 		over := time.Since(r.began) > r.plan.Length
-		more, pause := session.More(kind, over, r.currentMood())
+		more, pause := session.NextTurn(kind, over, r.currentMood())
 		at = time.Now().Add(pause)
 		if !more || !waitUntil(ctx, at) {
 			return
@@ -32,12 +32,12 @@
 }
 
 // newRequest is what all requests of a session share.
-func (r *run) newRequest(session *scenario.Session) client.Try {
+func (r *run) newRequest(session *scenario.Session) client.Attempt {
 	class := &r.plan.Scenario.Classes[session.Class]
-	request := client.Try{
-		Class: audit.Class(class.Effect), ClassName: class.Name, Session: session.Key,
-		MaxTokens: int(class.Answer) * maxTokensFactor, Stream: session.Stream, Wait: class.Deadline,
-		System: session.Beginning.Words(), Model: r.plan.Model,
+	request := client.Attempt{
+		Class: audit.Class(class.Idempotency), ClassName: class.Name, Session: session.Key,
+		MaxTokens: int(class.AnswerTokens) * maxTokensFactor, Stream: session.Stream, Wait: class.Deadline,
+		System: session.Prefix.Words(), Model: r.plan.Model,
 	}
 	if session.Tenant >= 0 {
 		request.Tenant = r.plan.Scenario.Tenants[session.Tenant].Name
@@ -46,27 +46,27 @@
 }
 
 // send sends one request with its client's retries and returns how the last attempt ended.
-func (r *run) send(ctx context.Context, session *scenario.Session, request client.Try, at time.Time) string {
+func (r *run) send(ctx context.Context, session *scenario.Session, request client.Attempt, at time.Time) string {
 	request.Effect = fmt.Sprintf("%d.%d", session.ID, session.Turn)
-	request.HangUp, request.Marked = session.HangUp, session.Marked
-	if request.Class == audit.Keyed {
+	request.HangUp, request.Marked = session.HangUp, session.MarksRetries
+	if request.Class == audit.IdempotentWithKey {
 		request.Key = fmt.Sprintf("load-%d-%s", r.began.UnixNano(), request.Effect)
 	}
 	if session.Slow {
-		request.SlowBy = scenario.ReadsSlowly
+		request.SlowBy = scenario.SlowReadDelay
 	}
 	for {
-		replica := r.plan.Replicas[session.Front(len(r.plan.Replicas))]
-		request.ID, request.Repeats = fmt.Sprintf("%s/%d", request.Effect, session.Tries), session.Repeats
+		replica := r.plan.Replicas[session.PickReplica(len(r.plan.Replicas))]
+		request.ID, request.Repeats = fmt.Sprintf("%s/%d", request.Effect, session.Attempts), session.Retries
 		var gaps gapRecorder
 		request.Token = gaps.token
 		delay := time.Since(at) // of this attempt; earlier ones and their pauses are part of what the client waits
-		result := client.Do(&request, replica, replica, nil)
+		result := client.Send(&request, replica, replica, nil)
 		if result.First > 0 {
 			result.First += delay
 		}
 		elapsed := time.Since(at)
-		retry, pause := session.After(result.Kind, result.HandUp, result.Wait, elapsed)
+		retry, pause := session.AfterAttempt(result.Kind, result.NoAutoRetry, result.RetryAfter, elapsed)
 		r.record(attempt{
 			session: session, result: &result, gaps: gaps.gaps, final: !retry, requestedAt: at, elapsed: elapsed,
 		})
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -31,8 +31,8 @@
 
 func engineParams(role roles.Role) enginemodel.Params {
 	return enginemodel.Params{
-		Reads: role.Prefills(), Writes: role.Decodes(), Slots: 16, Queue: 32, Memory: 200000, ReadRate: 50000, Chunk: 512,
-		Step: 2 * time.Millisecond, FetchRate: 1e6, Kept: 100000, StateLife: 30 * time.Second,
+		CanPrefill: role.Prefills(), CanDecode: role.Decodes(), Slots: 16, MaxQueued: 32, Memory: 200000, PrefillRate: 50000, Chunk: 512,
+		Step: 2 * time.Millisecond, FetchRate: 1e6, CacheTokens: 100000, StateTTL: 30 * time.Second,
 	}
 }
 
@@ -68,8 +68,8 @@
 	f.api.ManageRole(name, role, kinds)
 	s, err := engine.Start(engine.Config{
 		Name: name, Params: engineParams(role), Roles: paramsByRole,
-		Seat: roles.EngineState{Role: role, Target: role}, Switch: 5 * time.Millisecond,
-		CancelStops: true, Changed: f.list,
+		InitialState: roles.EngineState{Role: role, Target: role}, SwitchTime: 5 * time.Millisecond,
+		CanCancel: true, Changed: f.list,
 	}, "127.0.0.1:0", false)
 	if err != nil {
 		f.t.Fatal(err)
@@ -98,7 +98,7 @@
 	f.api.Close()
 	f.startAPIServer(file)
 	for name, s := range f.engines {
-		f.api.ManageRole(name, s.Seat().Role, kinds)
+		f.api.ManageRole(name, s.EngineState().Role, kinds)
 		f.list(s)
 	}
 }
@@ -156,7 +156,7 @@
 // confirmed reports whether an engine has a role, by the table and by itself.
 func (f *fleet) confirmed(id string, role roles.Role) func(roles.Assignments) bool {
 	return func(table roles.Assignments) bool {
-		entry, state := table.Entries[id], f.engines[id].Seat()
+		entry, state := table.Entries[id], f.engines[id].EngineState()
 		return entry.Serving && entry.Role == role && state.Role == role && state.Target == role
 	}
 }
@@ -236,13 +236,13 @@
 	f.runPlanner(commandsOnly)
 	f.startChange("e0", roles.Decode)
 	f.eventually("the command has arrived", func(roles.Assignments) bool {
-		return engine.Seat().Target == roles.Decode
+		return engine.EngineState().Target == roles.Decode
 	})
 	resp = f.post(url+"/v1/chat/completions", "r2", prefillRequest)
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Brackenbend-Never-Ran") != "1" {
 		t.Errorf("new work was answered %d while it drains", resp.StatusCode)
 	}
-	if state := engine.Seat(); state.Role != roles.Prefill || engine.States() != 1 {
+	if state := engine.EngineState(); state.Role != roles.Prefill || engine.States() != 1 {
 		t.Errorf("it switched to %v with a state held", state.Role)
 	}
 	if resp := f.post(url+"/standin/take", "", `{"id":"r1"}`); resp.StatusCode != http.StatusOK {
@@ -311,15 +311,15 @@
 func TestUnreachableAPIServerStopsChanges(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	f.startChange("e0", roles.Decode)
-	f.api.Cut(true)
+	f.api.SetUnreachable(true)
 	f.runPlanner(commandsOnly)
 	if _, err := f.client.View(t.Context()); err == nil {
 		t.Error("an API server that is cut off answers")
 	}
-	if f.engines["e0"].Seat().Order != 0 {
+	if f.engines["e0"].EngineState().Order != 0 {
 		t.Error("an engine got a command without the table")
 	}
-	f.api.Cut(false)
+	f.api.SetUnreachable(false)
 	f.eventually("confirmed", f.confirmed("e0", roles.Decode))
 }
 
--- a/internal/scenariorun/plot.go
+++ b/internal/scenariorun/plot.go
@@ -8,8 +8,8 @@
 
 // Plot draws service over time, and where engines change role how they stood, as SVG files into dir.
 func (r *Report) Plot(dir string) error {
-	service := make([]float64, len(r.Course))
-	for i, s := range r.Course {
+	service := make([]float64, len(r.Timeline))
+	for i, s := range r.Timeline {
 		service[i] = s.Worth / s.Asked // NaN where nothing was asked
 	}
 	err := chart.Save(filepath.Join(dir, "service.svg"), "service by the time of asking, mean of 5 s", "seconds", "service",
--- a/internal/scenariorun/report.go
+++ b/internal/scenariorun/report.go
@@ -20,28 +20,28 @@
 	Attempts map[string]int     `json:"attempts"` // as the engines saw them
 	Rules    []audit.RuleResult `json:"rules"`
 	Expected float64            `json:"expected_service,omitempty"`
-	Roles    []RoleSecond       `json:"roles,omitempty"` // where engines change role
-	Course   []scenario.Second  `json:"course"`          // by the second of asking
+	Roles    []RoleSample       `json:"roles,omitempty"` // where engines change role
+	Timeline []scenario.Second  `json:"course"`          // by the second of asking
 	Events   []audit.Event      `json:"-"`
 }
 
 func (r *run) report(t *traffic, lag time.Duration) *Report {
 	rep := &Report{Seconds: r.d.Length.Seconds(), LagMS: float64(lag.Microseconds()) / 1000, Attempts: map[string]int{}, Events: r.rec.Events()}
-	rep.Course, rep.Service = t.score.Course, t.score.Service()
+	rep.Timeline, rep.Service = t.score.Timeline, t.score.Service()
 	rep.Classes, rep.Tenants = t.score.Rows()
 	for _, e := range rep.Events {
 		switch {
-		case e.Kind == audit.Arrive && e.Write:
+		case e.Kind == audit.Arrived && e.Decode:
 			rep.Attempts["write"]++
-		case e.Kind == audit.Arrive:
+		case e.Kind == audit.Arrived:
 			rep.Attempts["read"]++
-		case e.Kind == audit.Run:
+		case e.Kind == audit.Executed:
 			rep.Attempts["ran"]++
-		case e.Kind == audit.Repeat:
+		case e.Kind == audit.Deduplicated:
 			rep.Attempts["repeat dropped"]++
 		}
 	}
-	rep.Rules = audit.Check(rep.Events, audit.Limits{DrainGrace: r.d.Service.DrainGrace, Release: r.d.Service.Release, Slack: 50*time.Millisecond + 2*lag})
+	rep.Rules = audit.Check(rep.Events, audit.Limits{DrainGrace: r.d.Service.DrainGrace, StateTTL: r.d.Service.StateTTL, Slack: 50*time.Millisecond + 2*lag})
 	r.mu.Lock()
 	rep.Rules[0].Violations = append(rep.Rules[0].Violations, r.deaths...)
 	r.mu.Unlock()
@@ -54,9 +54,9 @@
 	return rep
 }
 
-// Breaches is the number of rules broken, counting one that was never checked and a service below what the day
+// Violations is the number of rules broken, counting one that was never checked and a service below what the day
 // expects.
-func (r *Report) Breaches() int {
+func (r *Report) Violations() int {
 	n := 0
 	for _, v := range r.Rules {
 		n += len(v.Violations)
--- a/internal/scenariorun/roles.go
+++ b/internal/scenariorun/roles.go
@@ -28,21 +28,21 @@
 // shifting gathers the kinds that shift; with none its kinds are nil.
 func (r *run) shifting() *shift {
 	s := &shift{r: r, swap: time.Second}
-	if p := r.d.Planner; p != nil && p.Switch > 0 {
-		s.swap = p.Switch
+	if p := r.d.Planner; p != nil && p.SwitchTime > 0 {
+		s.swap = p.SwitchTime
 	}
-	s.params, s.kinds = r.d.Shifting()
+	s.params, s.kinds = r.d.ChangingRoles()
 	return s
 }
 
 // join makes an engine one of those that shift.
 func (s *shift) join(cfg *engine.Config, r roles.Role) {
-	cfg.Roles, cfg.Seat, cfg.Switch = s.params, roles.EngineState{Role: r, Target: r}, s.swap
+	cfg.Roles, cfg.InitialState, cfg.SwitchTime = s.params, roles.EngineState{Role: r, Target: r}, s.swap
 	s.r.reg.ManageRole(cfg.Name, r, s.kinds)
 }
 
-// RoleSecond is how the engines that shift stood at one time.
-type RoleSecond struct {
+// RoleSample is how the engines that shift stood at one time.
+type RoleSample struct {
 	At       float64 `json:"at"` // seconds of the record
 	Readers  int     `json:"readers"`
 	Writers  int     `json:"writers"`
@@ -60,18 +60,18 @@
 	off  context.CancelFunc
 	wg   sync.WaitGroup
 	last roles.Plan
-	seen []RoleSecond
+	seen []RoleSample
 }
 
 // foreseen moves engines by a course that was found beforehand.
 type foreseen struct {
 	r      *run
 	ahead  time.Duration
-	course rolesim.Course
+	course rolesim.Schedule
 	begins time.Duration // of the course, by the record's clock
 }
 
-func newForeseen(r *run, seen []RoleSecond) *foreseen {
+func newForeseen(r *run, seen []RoleSample) *foreseen {
 	f := &foreseen{r: r, ahead: cmp.Or(r.d.Planner.ChangeTime, 10*time.Second), begins: r.rec.Now()}
 	engines := seen[0].Readers + seen[0].Writers + seen[0].Both + seen[0].Changing
 	seconds := int(seen[len(seen)-1].At-seen[0].At) + 1
@@ -85,7 +85,7 @@
 			reading[t], writing[t], n[t] = reading[t-1], writing[t-1], n[t-1]
 		}
 	}
-	f.course = rolesim.Cheapest(engines, seconds, f.ahead.Seconds(), func(t int) (float64, float64) {
+	f.course = rolesim.CheapestSchedule(engines, seconds, f.ahead.Seconds(), func(t int) (float64, float64) {
 		k := math.Max(n[t], 1)
 		return reading[t] / k, writing[t] / k
 	})
@@ -113,7 +113,7 @@
 	for i := range max(p.r.d.Planner.Count, 1) {
 		run := &planner.Runner{
 			APIServer: planner.Client{URL: p.r.reg.URL(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
-			Settings: p.r.d.Planner.Settings(), Replicas: fronts, Interval: p.r.d.Planner.Every, Log: log,
+			Settings:  p.r.d.Planner.Settings(), Replicas: fronts, Interval: p.r.d.Planner.Interval, Log: log,
 		}
 		if i == 0 {
 			run.OnPlan = p.note
@@ -140,7 +140,7 @@
 
 func (p *planners) note(plan roles.Plan) {
 	b := p.r.reg.Assignments()
-	s := RoleSecond{At: p.r.rec.Now().Seconds(), Orders: b.Orders, Reading: plan.Reading, Writing: plan.Writing}
+	s := RoleSample{At: p.r.rec.Now().Seconds(), Orders: b.Orders, Reading: plan.Reading, Writing: plan.Writing}
 	open, changing := b.CountServing()
 	s.Readers, s.Writers, s.Both, s.Changing = open[roles.Prefill], open[roles.Decode], open[roles.Both], changing
 	p.mu.Lock()
--- a/internal/scenariorun/run.go
+++ b/internal/scenariorun/run.go
@@ -26,18 +26,18 @@
 
 // Options say how a day is run.
 type Options struct {
-	Binary string    // brackenbend itself, for the fronts
-	Env    []string  // beside this process' environment
-	Dir    string    // for settings, lists and logs of the fronts
-	Log    io.Writer // what happens, line by line; nil = nothing
+	Binary  string    // brackenbend itself, for the fronts
+	Env     []string  // beside this process' environment
+	WorkDir string    // for settings, lists and logs of the fronts
+	Log     io.Writer // what happens, line by line; nil = nothing
 	// Foreseen is the work of an earlier run of the day: roles then follow the cheapest course for it, each change begun as
 	// long ahead as it takes, in place of the planner's.
-	Foreseen []RoleSecond
+	Foreseen []RoleSample
 }
 
 // run is a day under way.
 type run struct {
-	d       *scenario.Day
+	d       *scenario.Scenario
 	o       Options
 	rec     *audit.Record
 	reg     *apiserver.Server
@@ -49,7 +49,7 @@
 	mu       sync.Mutex
 	listed   map[string]bool // engines that the register may list
 	draining map[string]bool
-	mood     scenario.Mood
+	mood     scenario.Conditions
 	deaths   []string               // fronts that ended by themselves
 	faulty   map[*engine.Server]int // faults set, so that overlapping ones end in order
 	planners *planners              // nil where roles stay
@@ -65,13 +65,13 @@
 }
 
 // Run plays a day and judges it.
-func Run(ctx context.Context, d *scenario.Day, o Options) (*Report, error) {
-	if err := d.OnSockets(); err != nil {
+func Run(ctx context.Context, d *scenario.Scenario, o Options) (*Report, error) {
+	if err := d.CheckRunnable(); err != nil {
 		return nil, err
 	}
 	r := &run{
 		d: d, o: o, rec: audit.NewRecord(), rnd: rand.New(rand.NewPCG(uint64(d.Seed), 1)), kindOf: map[*engine.Server]string{},
-		listed: map[string]bool{}, draining: map[string]bool{}, mood: scenario.Calm(), faulty: map[*engine.Server]int{},
+		listed: map[string]bool{}, draining: map[string]bool{}, mood: scenario.NormalConditions(), faulty: map[*engine.Server]int{},
 	}
 	defer r.close()
 	if err := r.start(); err != nil {
@@ -94,7 +94,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	time.Sleep(d.Service.Release + 300*time.Millisecond) // states of the last requests are let go, or are breaches
+	time.Sleep(d.Service.StateTTL + 300*time.Millisecond) // states of the last requests are let go, or are breaches
 	if r.planners != nil {
 		r.planners.stop()
 	}
@@ -139,7 +139,7 @@
 	}
 	window := time.Minute
 	for _, c := range r.d.Classes {
-		window = max(window, c.Window)
+		window = max(window, c.DedupWindow)
 	}
 	group := &engine.Group{Window: window}
 	shift := r.shifting()
@@ -147,10 +147,10 @@
 		for i := range k.Count {
 			cfg := engine.Config{
 				Name: fmt.Sprintf("%s-%d", k.Name, i+1), Kind: k.Name, Zone: "zone-1", Cell: fmt.Sprintf("cell-%d", i%2),
-				Params: r.d.Params(&k), Plain: r.d.Dialect == "vllm", CancelStops: r.d.Service.CancelStops, Group: group, Record: r.rec, Changed: r.listEngine,
+				Params: r.d.EngineParams(&k), PlainVLLM: r.d.EngineProtocol == "vllm", CanCancel: r.d.Service.CanCancel, Group: group, Record: r.rec, Changed: r.listEngine,
 			}
-			if k.Shifts {
-				shift.join(&cfg, k.Serves())
+			if k.ChangesRole {
+				shift.join(&cfg, k.ServedRole())
 			}
 			addr, err := loopback.Address()
 			if err != nil {
@@ -167,7 +167,7 @@
 	if shift.kinds != nil && r.d.Planner != nil {
 		r.planners = newPlanners(r)
 	}
-	for i := range r.d.Fronts {
+	for i := range r.d.Replicas {
 		p, err := r.newFront(i)
 		if err != nil {
 			return err
@@ -206,13 +206,13 @@
 		return nil, err
 	}
 	name := fmt.Sprintf("front-%d", i+1)
-	p := &process{name: name, addr: addr, file: filepath.Join(r.o.Dir, name+".xml")}
+	p := &process{name: name, addr: addr, file: filepath.Join(r.o.WorkDir, name+".xml")}
 	if r.planners != nil {
 		if p.admin, err = loopback.Address(); err != nil {
 			return nil, err
 		}
 	}
-	return p, os.WriteFile(p.file, []byte(r.d.FrontXML(i, p.name, p.addr, p.admin, r.reg.URL(), filepath.Join(r.o.Dir, p.name+".list.json"))), 0o644)
+	return p, os.WriteFile(p.file, []byte(r.d.ReplicaXML(i, p.name, p.addr, p.admin, r.reg.URL(), filepath.Join(r.o.WorkDir, p.name+".list.json"))), 0o644)
 }
 
 // launch starts a front's process; its log goes to a file beside its settings.
@@ -231,7 +231,7 @@
 		return err
 	}
 	p.cmd, p.ended = cmd, make(chan struct{})
-	r.rec.Add(audit.Event{Kind: audit.FrontUp, Front: p.name})
+	r.rec.Add(audit.Event{Kind: audit.ReplicaStarted, Replica: p.name})
 	go func(done chan struct{}) {
 		err := cmd.Wait()
 		p.mu.Lock()
@@ -268,14 +268,14 @@
 		return
 	}
 	if sig == syscall.SIGKILL {
-		r.rec.Add(audit.Event{Kind: audit.FrontKill, Front: p.name})
+		r.rec.Add(audit.Event{Kind: audit.ReplicaKilled, Replica: p.name})
 	}
 	_ = cmd.Process.Signal(sig)
 	select {
 	case <-ended:
 	case <-time.After(20 * time.Second):
 		r.logf("%s did not end by itself", p.name)
-		r.rec.Add(audit.Event{Kind: audit.FrontKill, Front: p.name})
+		r.rec.Add(audit.Event{Kind: audit.ReplicaKilled, Replica: p.name})
 		_ = cmd.Process.Kill()
 		<-ended
 	}
--- a/internal/scenariorun/script.go
+++ b/internal/scenariorun/script.go
@@ -16,8 +16,8 @@
 func (r *run) script(ctx context.Context, began time.Time) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	hs := slices.Clone(r.d.Happens)
-	slices.SortStableFunc(hs, func(a, b scenario.Happening) int { return cmp.Compare(a.At, b.At) })
+	hs := slices.Clone(r.d.Faults)
+	slices.SortStableFunc(hs, func(a, b scenario.Fault) int { return cmp.Compare(a.At, b.At) })
 	for _, h := range hs {
 		if !sleepUntil(ctx, began.Add(h.At)) {
 			return
@@ -47,7 +47,7 @@
 
 // pick draws engines for a happening; those that a draw of an earlier one still holds are left out, so that
 // the fleet does not lose more than the script says.
-func (r *run) pick(h *scenario.Happening) []*engine.Server {
+func (r *run) pick(h *scenario.Fault) []*engine.Server {
 	var all []*engine.Server
 	for _, s := range r.engines {
 		r.mu.Lock()
@@ -61,7 +61,7 @@
 }
 
 // begin starts a happening and returns what ends it, nil when it needs no end.
-func (r *run) begin(h *scenario.Happening) (undo func()) {
+func (r *run) begin(h *scenario.Fault) (undo func()) {
 	switch h.What {
 	case "front-kill":
 		return r.frontsDown(h, syscall.SIGKILL)
@@ -69,8 +69,8 @@
 		return r.frontsDown(h, syscall.SIGTERM)
 	case "register-cut":
 		r.logf("register cut off for %v", h.For)
-		r.reg.Cut(true)
-		return func() { r.reg.Cut(false) }
+		r.reg.SetUnreachable(true)
+		return func() { r.reg.SetUnreachable(false) }
 	case "register-late":
 		r.logf("register late by %v for %v", h.Late, h.For)
 		r.reg.SetDelay(h.Late)
@@ -124,7 +124,7 @@
 	r.mu.Unlock()
 }
 
-func (r *run) engineFault(h *scenario.Happening, s *engine.Server) func() {
+func (r *run) engineFault(h *scenario.Fault, s *engine.Server) func() {
 	name := s.Info().Name
 	set := func(f engine.Faults) func() {
 		s.SetFaults(f)
@@ -161,10 +161,10 @@
 	case "reports-none":
 		return set(engine.Faults{NoReports: true})
 	case "liar":
-		s.Lie(true)
-		return func() { s.Lie(false) }
+		s.MisreportLoad(true)
+		return func() { s.MisreportLoad(false) }
 	case "forget":
-		s.Forget()
+		s.DropPrefixCache()
 	case "silent-restart":
 		s.SilentRestart()
 	case "refuse-connects":
@@ -175,7 +175,7 @@
 		return r.listing(s, func() { r.listed[name] = false }, func() { r.listed[name] = true })
 	case "register-stale":
 		undo := r.listing(s, func() { r.listed[name] = false }, func() { r.listed[name] = true })
-		r.reg.Stale(name)
+		r.reg.SendStaleEvent(name)
 		return undo
 	case "register-flap":
 		return r.flap(h, s)
@@ -196,7 +196,7 @@
 }
 
 // flap lets the register take an engine off and on again every scenario.FlapEvery.
-func (r *run) flap(h *scenario.Happening, s *engine.Server) func() {
+func (r *run) flap(h *scenario.Fault, s *engine.Server) func() {
 	stop, done := make(chan struct{}), make(chan struct{})
 	name := s.Info().Name
 	go func() {
@@ -207,14 +207,14 @@
 			case <-stop:
 				r.listing(s, func() { r.listed[name] = true }, func() {})
 				return
-			case <-time.After(scenario.FlapEvery):
+			case <-time.After(scenario.FlapInterval):
 			}
 		}
 	}()
 	return func() { close(stop); <-done }
 }
 
-func (r *run) frontsDown(h *scenario.Happening, sig syscall.Signal) func() {
+func (r *run) frontsDown(h *scenario.Fault, sig syscall.Signal) func() {
 	var down []*process
 	for _, i := range r.rnd.Perm(len(r.fronts)) {
 		p := r.fronts[i]
@@ -242,7 +242,7 @@
 }
 
 // change changes what clients do; nil where the happening is another's.
-func (r *run) change(h *scenario.Happening) func() {
+func (r *run) change(h *scenario.Fault) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	undo := r.mood.Change(h)
--- a/internal/scenariorun/stored_test.go
+++ b/internal/scenariorun/stored_test.go
@@ -15,9 +15,9 @@
 func TestStoredReport(t *testing.T) {
 	r := &Report{
 		Seconds: 1.5, LagMS: 2.5, Service: 0.5, Classes: []scenario.Row{{Service: 1}}, Tenants: []scenario.Row{{Service: 0.5}},
-		Attempts: map[string]int{"write": 2, "read": 1}, Expected: 0.25, Course: []scenario.Second{{Worth: 1, Asked: 2}},
+		Attempts: map[string]int{"write": 2, "read": 1}, Expected: 0.25, Timeline: []scenario.Second{{Worth: 1, Asked: 2}},
 		Rules: []audit.RuleResult{{Rule: "r", Checks: 3, Violations: []string{"b"}, WorstCase: "w"}, {Rule: "none"}},
-		Roles: []RoleSecond{{At: 1.25, Readers: 2, Writers: 3, Both: 4, Changing: 5, Orders: 6, Reading: 7.5, Writing: 8.5}, {}},
+		Roles: []RoleSample{{At: 1.25, Readers: 2, Writers: 3, Both: 4, Changing: 5, Orders: 6, Reading: 7.5, Writing: 8.5}, {}},
 	}
 	var b, again bytes.Buffer
 	if err := r.WriteJSON(&b); err != nil {
@@ -38,17 +38,17 @@
 	var b bytes.Buffer
 	enc := json.NewEncoder(&b)
 	for _, e := range []audit.Event{{
-		At: 5, Kind: audit.Run, Front: "f", Engine: "e", Request: "q", Write: true, Try: "t", Effect: "x",
-		Class: "c", Result: "served", Until: 7,
+		At: 5, Kind: audit.Executed, Replica: "f", Engine: "e", Request: "q", Decode: true, Attempt: "t", Intent: "x",
+		Class: "c", Result: "served", Deadline: 7,
 	}, {}} {
 		if err := enc.Encode(e); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, k := range []audit.Kind{
-		audit.Sent, audit.Unsent, audit.Answer, audit.Cut, audit.Extra, audit.HungUp, audit.FrontUp,
-		audit.FrontKill, audit.Told, audit.ToldReady, audit.Arrive, audit.End, audit.Run, audit.Repeat, audit.Held, audit.LetGo,
-		audit.Fell, audit.EngineUp, audit.EngineOff,
+		audit.Sent, audit.Unsent, audit.Answer, audit.ConnectionCut, audit.ExtraBytes, audit.ClientLeft, audit.ReplicaStarted,
+		audit.ReplicaKilled, audit.NotifiedGone, audit.NotifiedReady, audit.Arrived, audit.Ended, audit.Executed, audit.Deduplicated, audit.StateHeld, audit.StateReleased,
+		audit.Overloaded, audit.EngineStarted, audit.EngineStopped,
 	} {
 		if err := enc.Encode(k); err != nil {
 			t.Fatal(err)
--- a/internal/scenariorun/traffic.go
+++ b/internal/scenariorun/traffic.go
@@ -27,7 +27,7 @@
 }
 
 // mood is the clients' at present.
-func (t *traffic) mood() *scenario.Mood {
+func (t *traffic) mood() *scenario.Conditions {
 	t.r.mu.Lock()
 	defer t.r.mu.Unlock()
 	m := t.r.mood
@@ -62,9 +62,9 @@
 func (t *traffic) converse(s *scenario.Session) {
 	d := t.r.d
 	c := &d.Classes[s.Class]
-	try := client.Try{
-		Class: audit.Class(c.Effect), ClassName: c.Name, Session: s.Key, MaxTokens: int(c.Answer) * 3,
-		Stream: s.Stream, Wait: c.Deadline, System: s.Beginning.Words(),
+	try := client.Attempt{
+		Class: audit.Class(c.Idempotency), ClassName: c.Name, Session: s.Key, MaxTokens: int(c.AnswerTokens) * 3,
+		Stream: s.Stream, Wait: c.Deadline, System: s.Prefix.Words(),
 	}
 	if s.Tenant >= 0 {
 		try.Tenant = d.Tenants[s.Tenant].Name
@@ -75,7 +75,7 @@
 		}
 		try.Answer = s.Answer
 		kind := t.ask(s, try, fmt.Sprintf("%d.%d", s.ID, s.Turn))
-		more, pause := s.More(kind, time.Now().After(t.end), t.mood())
+		more, pause := s.NextTurn(kind, time.Now().After(t.end), t.mood())
 		if !more {
 			return
 		}
@@ -84,24 +84,24 @@
 }
 
 // ask sends a request with the retries of its client.
-func (t *traffic) ask(s *scenario.Session, try client.Try, effect string) (kind string) {
-	try.Effect, try.HangUp, try.Marked = effect, s.HangUp, s.Marked
-	if try.Class == audit.Keyed {
+func (t *traffic) ask(s *scenario.Session, try client.Attempt, effect string) (kind string) {
+	try.Effect, try.HangUp, try.Marked = effect, s.HangUp, s.MarksRetries
+	if try.Class == audit.IdempotentWithKey {
 		try.Key = fmt.Sprintf("key-%d-%s", t.r.d.Seed, effect)
 	}
 	if s.Slow {
-		try.SlowBy = scenario.ReadsSlowly
+		try.SlowBy = scenario.SlowReadDelay
 	}
 	began := time.Now()
 	for {
-		front := t.r.fronts[s.Front(len(t.r.fronts))]
-		try.ID, try.Repeats = fmt.Sprintf("%s/%d", effect, s.Tries), s.Repeats
+		front := t.r.fronts[s.PickReplica(len(t.r.fronts))]
+		try.ID, try.Repeats = fmt.Sprintf("%s/%d", effect, s.Attempts), s.Retries
 		before := time.Since(began)
-		res := client.Do(&try, front.name, front.addr, t.r.rec)
+		res := client.Send(&try, front.name, front.addr, t.r.rec)
 		if res.First > 0 {
 			res.First += before
 		}
-		again, pause := s.After(res.Kind, res.HandUp, res.Wait, time.Since(began))
+		again, pause := s.AfterAttempt(res.Kind, res.NoAutoRetry, res.RetryAfter, time.Since(began))
 		if !again {
 			t.mu.Lock()
 			defer t.mu.Unlock()
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -95,7 +95,7 @@
 	40:  routing.TimedOut,
 	50:  routing.ConnectFailed,
 	60:  routing.ConnectionReset,
-	70:  routing.Cancelled,
+	70:  routing.Canceled,
 	80:  routing.NotSent,
 	102: routing.PrefillDone,
 }
--- a/internal/simulation/ablation/ablation.go
+++ b/internal/simulation/ablation/ablation.go
@@ -26,12 +26,12 @@
 
 // All are the causes, each with the oracle that removes it alone.
 var All = []Cause{
-	{"crowded readers", func(o *fleet.Oracles) { o.Reads = true }},
-	{"crowded writers", func(o *fleet.Oracles) { o.Writes = true }},
-	{"sparse evidence of harm", func(o *fleet.Oracles) { o.Health = true }},
-	{"cold budgets", func(o *fleet.Oracles) { o.Cold = true }},
-	{"refusing and calling off", func(o *fleet.Oracles) { o.Refuses = true }},
-	{"time-outs at sound engines", func(o *fleet.Oracles) { o.Waits = true }},
+	{"crowded readers", func(o *fleet.Oracles) { o.KnowPrefillLoad = true }},
+	{"crowded writers", func(o *fleet.Oracles) { o.KnowDecodeLoad = true }},
+	{"sparse evidence of harm", func(o *fleet.Oracles) { o.KnowHealth = true }},
+	{"cold budgets", func(o *fleet.Oracles) { o.KnowSlowStart = true }},
+	{"refusing and calling off", func(o *fleet.Oracles) { o.NoLoadShedding = true }},
+	{"time-outs at sound engines", func(o *fleet.Oracles) { o.NoTimeouts = true }},
 }
 
 // Gain is a mean difference of service over paired courses, with its bars.
@@ -43,25 +43,25 @@
 
 // Size is what came at one number of fronts.
 type Size struct {
-	Fronts int             `json:"fronts"`
-	AsIs   float64         `json:"as_is"`
-	Knows  float64         `json:"knows_all"` // with every oracle
-	Alone  map[string]Gain `json:"alone"`     // won by one oracle alone
-	Last   map[string]Gain `json:"last"`      // lost where it alone is taken from all
+	Replicas   int             `json:"fronts"`
+	AsIs       float64         `json:"as_is"`
+	AllOracles float64         `json:"knows_all"` // with every oracle
+	Alone      map[string]Gain `json:"alone"`     // won by one oracle alone
+	Last       map[string]Gain `json:"last"`      // lost where it alone is taken from all
 }
 
 // Plan says what is played.
 type Plan struct {
-	Day    *scenario.Day
-	Fronts []int
-	Runs   int // courses, each with clients of its own
-	AtOnce int
-	Level  float64 // of the bars
+	Scenario *scenario.Scenario
+	Replicas []int
+	Runs     int // courses, each with clients of its own
+	Parallel int
+	Level    float64 // of the bars
 }
 
 // Run plays.
 func Run(p Plan) ([]Size, error) {
-	if p.Runs < 3 || len(p.Fronts) == 0 || p.Level <= 0 || p.Level >= 1 {
+	if p.Runs < 3 || len(p.Replicas) == 0 || p.Level <= 0 || p.Level >= 1 {
 		return nil, errors.New("causes: 3 runs at least, a number of fronts, and a level between 0 and 1 are needed")
 	}
 	every := fleet.Oracles{}
@@ -75,12 +75,12 @@
 		ways = append(ways, alone, without(c))
 	}
 	var sizes []Size
-	for _, fronts := range p.Fronts {
+	for _, fronts := range p.Replicas {
 		got, err := p.play(fronts, ways)
 		if err != nil {
 			return nil, err
 		}
-		s := Size{Fronts: fronts, AsIs: stat.Mean(got[0], nil), Knows: stat.Mean(got[1], nil), Alone: map[string]Gain{}, Last: map[string]Gain{}}
+		s := Size{Replicas: fronts, AsIs: stat.Mean(got[0], nil), AllOracles: stat.Mean(got[1], nil), Alone: map[string]Gain{}, Last: map[string]Gain{}}
 		for i, c := range All {
 			s.Alone[c.Name] = gain(got[0], got[2+2*i], p.Level)
 			s.Last[c.Name] = gain(got[3+2*i], got[1], p.Level)
@@ -106,10 +106,10 @@
 	for w := range ways {
 		got[w] = make([]float64, p.Runs)
 	}
-	err := replication.Each(len(ways)*p.Runs, p.AtOnce, func(i int) error {
+	err := replication.Run(len(ways)*p.Runs, p.Parallel, func(i int) error {
 		w, run := i/p.Runs, i%p.Runs
-		d := p.Day.Course(run + 1)
-		d.Fronts = fronts
+		d := p.Scenario.Replication(run + 1)
+		d.Replicas = fronts
 		r, err := fleet.Run(d, fleet.Options{Seed: uint64(run) + 1, Oracles: ways[w]})
 		if err == nil {
 			got[w][run] = r.Score.Service()
@@ -139,12 +139,12 @@
 		}
 		fmt.Fprintln(t)
 	}
-	row("fronts", func(s *Size) string { return fmt.Sprint(s.Fronts) })
+	row("fronts", func(s *Size) string { return fmt.Sprint(s.Replicas) })
 	row("as it is", func(s *Size) string { return fmt.Sprintf("%.4f", s.AsIs) })
 	for _, c := range All {
 		row("without "+c.Name, func(s *Size) string { return s.Alone[c.Name].String() })
 	}
-	row("without any", func(s *Size) string { return fmt.Sprintf("%.4f", s.Knows) })
+	row("without any", func(s *Size) string { return fmt.Sprintf("%.4f", s.AllOracles) })
 	for _, c := range All {
 		row("only "+c.Name, func(s *Size) string {
 			g := s.Last[c.Name]
--- a/internal/simulation/ablation/ablation_test.go
+++ b/internal/simulation/ablation/ablation_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sizes, err := Run(Plan{Day: d, Fronts: []int{2, 24}, Runs: 3, AtOnce: 2, Level: 0.9})
+	sizes, err := Run(Plan{Scenario: d, Replicas: []int{2, 24}, Runs: 3, Parallel: 2, Level: 0.9})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 	if crowded < 0.004 || many.Alone["cold budgets"].Mean != 0 || many.Alone["sparse evidence of harm"].Mean != 0 {
 		t.Errorf("%+v", many)
 	}
-	if many.Knows < many.AsIs || sizes[0].Fronts != 2 || !strings.Contains(b.String(), "only crowded readers") {
+	if many.AllOracles < many.AsIs || sizes[0].Replicas != 2 || !strings.Contains(b.String(), "only crowded readers") {
 		t.Errorf("%+v", sizes)
 	}
 }
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range []Plan{{Day: d, Runs: 2, Fronts: []int{3}, Level: 0.9}, {Day: d, Runs: 3, Level: 0.9}, {Day: d, Runs: 3, Fronts: []int{3}}} {
+	for _, p := range []Plan{{Scenario: d, Runs: 2, Replicas: []int{3}, Level: 0.9}, {Scenario: d, Runs: 3, Level: 0.9}, {Scenario: d, Runs: 3, Replicas: []int{3}}} {
 		if _, err := Run(p); err == nil {
 			t.Errorf("%+v taken", p)
 		}
--- a/internal/simulation/baseline/baseline.go
+++ b/internal/simulation/baseline/baseline.go
@@ -13,22 +13,22 @@
 	"brackenbend/routing"
 )
 
-// Way is how an engine is picked.
-type Way string
+// Policy is how an engine is picked.
+type Policy string
 
 // The ways.
 const (
-	Random     Way = "random"      // any
-	Fewest     Way = "fewest"      // the one with the fewest own requests out
-	TwoChoices Way = "two-choices" // the better of two at random, by own requests out
+	Random     Policy = "random"      // any
+	Fewest     Policy = "fewest"      // the one with the fewest own requests out
+	TwoChoices Policy = "two-choices" // the better of two at random, by own requests out
 )
 
-// Ways are all of them.
-var Ways = []Way{Random, Fewest, TwoChoices}
+// Policies are all of them.
+var Policies = []Policy{Random, Fewest, TwoChoices}
 
 // Decider decides so for one front.
 type Decider struct {
-	way     Way
+	way     Policy
 	s       routing.Config
 	rnd     *rand.Rand
 	now     time.Duration
@@ -56,9 +56,9 @@
 }
 
 // New makes one.
-func New(way Way, s routing.Config, seed uint64) (*Decider, error) {
-	if !slices.Contains(Ways, way) {
-		return nil, fmt.Errorf("baseline: no way %q: %v", way, Ways)
+func New(way Policy, s routing.Config, seed uint64) (*Decider, error) {
+	if !slices.Contains(Policies, way) {
+		return nil, fmt.Errorf("baseline: no way %q: %v", way, Policies)
 	}
 	if err := s.Validate(); err != nil {
 		return nil, err
--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, way := range baseline.Ways {
+	for _, way := range baseline.Policies {
 		r, err := fleet.Run(d, fleet.Options{Seed: 2, Audit: true, Decider: func(s routing.Config, seed uint64) (fleet.Decider, error) {
 			return baseline.New(way, s, seed)
 		}})
--- a/internal/simulation/faultsearch/faultsearch.go
+++ b/internal/simulation/faultsearch/faultsearch.go
@@ -16,35 +16,35 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// Hunt says where to look.
-type Hunt struct {
-	Day      *scenario.Day // fleet and clients; its own happenings are put aside
-	Subject  func(seed uint64) fleet.Options
-	Yard     func(seed uint64) fleet.Options // what the subject is measured against; nil = how much is lost in all
-	Troubles int                             // at most
-	Rounds   int                             // of changing the best
-	Draws    int                             // lists a round
-	Seed     uint64
-	AtOnce   int
-	Told     func(round int, best Found) // after each round; may be nil
+// Search says where to look.
+type Search struct {
+	Scenario  *scenario.Scenario // fleet and clients; its own happenings are put aside
+	Subject   func(seed uint64) fleet.Options
+	Yardstick func(seed uint64) fleet.Options // what the subject is measured against; nil = how much is lost in all
+	MaxFaults int                             // at most
+	Rounds    int                             // of changing the best
+	Draws     int                             // lists a round
+	Seed      uint64
+	Parallel  int
+	OnRound   func(round int, best Result) // after each round; may be nil
 }
 
-// Found is a list of happenings and what came of it.
-type Found struct {
-	Happens  []scenario.Happening
-	Subject  float64 // service, mean over seeds
-	Yard     float64 // of the yardstick; 1 without one
-	Breaches int     // of the rules, by the subject
-	Tried    int     // lists played in all
+// Result is a list of happenings and what came of it.
+type Result struct {
+	Faults     []scenario.Fault
+	Subject    float64 // service, mean over seeds
+	Yardstick  float64 // of the yardstick; 1 without one
+	Violations int     // of the rules, by the subject
+	Played     int     // lists played in all
 }
 
 // Lost is what is hunted for: how far the subject stays under its yardstick.
-func (f *Found) Lost() float64 { return f.Yard - f.Subject }
+func (f *Result) Lost() float64 { return f.Yardstick - f.Subject }
 
 // worse orders finds: a broken rule before any loss.
-func (f *Found) worse(o *Found) bool {
-	if (f.Breaches > 0) != (o.Breaches > 0) {
-		return f.Breaches > 0
+func (f *Result) worse(o *Result) bool {
+	if (f.Violations > 0) != (o.Violations > 0) {
+		return f.Violations > 0
 	}
 	return f.Lost() > o.Lost()
 }
@@ -91,20 +91,20 @@
 }
 
 // Run hunts.
-func Run(h Hunt) (*Found, error) {
-	if h.Troubles < 1 || h.Rounds < 1 || h.Draws < 1 {
+func Run(h Search) (*Result, error) {
+	if h.MaxFaults < 1 || h.Rounds < 1 || h.Draws < 1 {
 		return nil, errors.New("hunt: troubles, rounds and draws must be 1 at least")
 	}
 	rnd := rand.New(rand.NewPCG(h.Seed, 9))
-	var best *Found
+	var best *Result
 	tried := 0
 	for round := range h.Rounds {
-		lists := make([][]scenario.Happening, h.Draws)
+		lists := make([][]scenario.Fault, h.Draws)
 		for i := range lists {
 			if best == nil || i%4 == 3 { // some anew, so that the hunt does not stay where it began
 				lists[i] = h.draw(rnd)
 			} else {
-				lists[i] = h.change(rnd, best.Happens)
+				lists[i] = h.change(rnd, best.Faults)
 			}
 		}
 		found, err := h.play(lists)
@@ -117,22 +117,22 @@
 				best = &found[i]
 			}
 		}
-		if h.Told != nil {
-			h.Told(round, *best)
+		if h.OnRound != nil {
+			h.OnRound(round, *best)
 		}
 	}
 	best, more, err := h.shrink(best)
 	if err != nil {
 		return nil, err
 	}
-	best.Tried = tried + more
-	slices.SortStableFunc(best.Happens, func(a, b scenario.Happening) int { return cmp.Compare(a.At, b.At) })
+	best.Played = tried + more
+	slices.SortStableFunc(best.Faults, func(a, b scenario.Fault) int { return cmp.Compare(a.At, b.At) })
 	return best, nil
 }
 
 // draw makes a list.
-func (h *Hunt) draw(rnd *rand.Rand) []scenario.Happening {
-	list := make([]scenario.Happening, 1+rnd.IntN(h.Troubles))
+func (h *Search) draw(rnd *rand.Rand) []scenario.Fault {
+	list := make([]scenario.Fault, 1+rnd.IntN(h.MaxFaults))
 	for i := range list {
 		list[i] = h.one(rnd)
 	}
@@ -147,34 +147,34 @@
 }
 
 // one draws a happening.
-func (h *Hunt) one(rnd *rand.Rand) scenario.Happening {
+func (h *Search) one(rnd *rand.Rand) scenario.Fault {
 	t := troubles[rnd.IntN(len(troubles))]
-	x := scenario.Happening{What: t.what, Part: between(rnd, t.part), Factor: between(rnd, t.factor)}
+	x := scenario.Fault{What: t.what, Part: between(rnd, t.part), Factor: between(rnd, t.factor)}
 	h.time(rnd, &x)
 	switch {
 	case t.engines:
-		k := &h.Day.Kinds[rnd.IntN(len(h.Day.Kinds))]
+		k := &h.Scenario.Kinds[rnd.IntN(len(h.Scenario.Kinds))]
 		x.Kind, x.Count = k.Name, 1+rnd.IntN(max(min(k.Count/3, mostKinds), 1))
 	case t.what == "front-kill" || t.what == "front-stop":
-		x.Count = 1 + rnd.IntN(max(h.Day.Fronts/2, 1))
+		x.Count = 1 + rnd.IntN(max(h.Scenario.Replicas/2, 1))
 	case t.what == "register-late":
 		x.Late = time.Duration(200+rnd.IntN(2800)) * time.Millisecond
 	case t.what == "mix":
-		x.Class = h.Day.Classes[rnd.IntN(len(h.Day.Classes))].Name
+		x.Class = h.Scenario.Classes[rnd.IntN(len(h.Scenario.Classes))].Name
 	}
 	return x
 }
 
 // time draws when and for how long, within the day less an end in which it can recover.
-func (h *Hunt) time(rnd *rand.Rand, x *scenario.Happening) {
-	all := h.Day.Length
+func (h *Search) time(rnd *rand.Rand, x *scenario.Fault) {
+	all := h.Scenario.Length
 	x.For = (time.Second + time.Duration(rnd.Float64()*mostFor*float64(all))).Round(100 * time.Millisecond)
 	room := max(all*9/10-x.For, 0)
 	x.At = time.Duration(rnd.Float64() * float64(room)).Round(100 * time.Millisecond)
 }
 
 // change makes a neighbour of a list.
-func (h *Hunt) change(rnd *rand.Rand, from []scenario.Happening) []scenario.Happening {
+func (h *Search) change(rnd *rand.Rand, from []scenario.Fault) []scenario.Fault {
 	list := slices.Clone(from)
 	for range 1 + rnd.IntN(2) {
 		i := rnd.IntN(len(list))
@@ -184,12 +184,12 @@
 		case 1:
 			list[i] = h.one(rnd)
 		case 2:
-			if len(list) < h.Troubles {
+			if len(list) < h.MaxFaults {
 				list = append(list, h.one(rnd))
 			}
 		default: // brought to the time of another: troubles that meet
 			j := rnd.IntN(len(list))
-			list[i].At = min(list[j].At, h.Day.Length*9/10-list[i].For)
+			list[i].At = min(list[j].At, h.Scenario.Length*9/10-list[i].For)
 			list[i].At = max(list[i].At, 0)
 		}
 	}
@@ -197,18 +197,18 @@
 }
 
 // play gives what comes of each list.
-func (h *Hunt) play(lists [][]scenario.Happening) ([]Found, error) {
-	found := make([]Found, len(lists))
-	err := replication.Each(len(lists), h.AtOnce, func(i int) (err error) {
+func (h *Search) play(lists [][]scenario.Fault) ([]Result, error) {
+	found := make([]Result, len(lists))
+	err := replication.Run(len(lists), h.Parallel, func(i int) (err error) {
 		found[i], err = h.try(lists[i])
 		return err
 	})
 	return found, err
 }
 
-func (h *Hunt) try(list []scenario.Happening) (Found, error) {
-	f := Found{Happens: list, Yard: 1}
-	d, _, err := h.Day.With(list, "")
+func (h *Search) try(list []scenario.Fault) (Result, error) {
+	f := Result{Faults: list, Yardstick: 1}
+	d, _, err := h.Scenario.WithFaults(list, "")
 	if err != nil {
 		return f, fmt.Errorf("hunt: a drawn list makes no day: %w", err)
 	}
@@ -222,47 +222,47 @@
 		}
 		f.Subject += r.Score.Service() / seeds
 		for _, v := range r.Rules {
-			f.Breaches += len(v.Violations)
+			f.Violations += len(v.Violations)
 		}
-		if h.Yard != nil {
-			if r, err = fleet.Run(d, h.Yard(seed+1)); err != nil {
+		if h.Yardstick != nil {
+			if r, err = fleet.Run(d, h.Yardstick(seed+1)); err != nil {
 				return f, err
 			}
 			yard += r.Score.Service() / seeds
 		}
 	}
-	if h.Yard != nil {
-		f.Yard = yard
+	if h.Yardstick != nil {
+		f.Yardstick = yard
 	}
 	return f, nil
 }
 
 // shrink takes away what is not needed: whole happenings, then halves of their times, then engines.
-func (h *Hunt) shrink(best *Found) (*Found, int, error) {
+func (h *Search) shrink(best *Result) (*Result, int, error) {
 	tried := 0
-	good := func(f *Found) bool {
-		if best.Breaches > 0 {
-			return f.Breaches > 0
+	good := func(f *Result) bool {
+		if best.Violations > 0 {
+			return f.Violations > 0
 		}
 		return f.Lost() >= stillBad*best.Lost()
 	}
 	now := best
 	for again := true; again; {
 		again = false
-		var lists [][]scenario.Happening
-		for i := range now.Happens {
-			if len(now.Happens) > 1 {
-				lists = append(lists, slices.Delete(slices.Clone(now.Happens), i, i+1))
+		var lists [][]scenario.Fault
+		for i := range now.Faults {
+			if len(now.Faults) > 1 {
+				lists = append(lists, slices.Delete(slices.Clone(now.Faults), i, i+1))
 			}
 		}
-		for i, x := range now.Happens {
+		for i, x := range now.Faults {
 			if x.For >= 2*time.Second {
-				l := slices.Clone(now.Happens)
+				l := slices.Clone(now.Faults)
 				l[i].For = (x.For / 2).Round(100 * time.Millisecond)
 				lists = append(lists, l)
 			}
 			if x.Count > 1 {
-				l := slices.Clone(now.Happens)
+				l := slices.Clone(now.Faults)
 				l[i].Count = 1
 				lists = append(lists, l)
 			}
--- a/internal/simulation/faultsearch/faultsearch_test.go
+++ b/internal/simulation/faultsearch/faultsearch_test.go
@@ -10,7 +10,7 @@
 	"brackenbend/routing"
 )
 
-func day(t *testing.T) *scenario.Day {
+func day(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	d, err := scenario.Parse("house.xml", []byte(`<day length="12s" rate="30/s" fronts="2" seed="3">
   <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s" overload-factor="4" tip-after="2s" cancel="true"/>
@@ -34,7 +34,7 @@
 
 func (f *forgetful) Step(now time.Duration, events []routing.Event) (out []routing.Action) {
 	for _, ev := range events {
-		if o, ok := ev.(routing.Outcome); ok && o.Result != routing.Served && o.Result != routing.PrefillDone && o.Result != routing.Cancelled {
+		if o, ok := ev.(routing.Outcome); ok && o.Result != routing.Served && o.Result != routing.PrefillDone && o.Result != routing.Canceled {
 			f.met[o.Request] = true
 		}
 	}
@@ -62,18 +62,18 @@
 // TestAFaultThatNeedsATroubleIsFoundAndCutDown: a front that is wrong only where an engine failed it.
 func TestAFaultThatNeedsATroubleIsFoundAndCutDown(t *testing.T) {
 	d := day(t)
-	f, err := Run(Hunt{Day: d, Subject: subject(newForgetful), Troubles: 4, Rounds: 6, Draws: 12, Seed: 1, AtOnce: 4})
+	f, err := Run(Search{Scenario: d, Subject: subject(newForgetful), MaxFaults: 4, Rounds: 6, Draws: 12, Seed: 1, Parallel: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Breaches == 0 || len(f.Happens) > 2 {
-		t.Errorf("%d breaches by %+v", f.Breaches, f.Happens)
+	if f.Violations == 0 || len(f.Faults) > 2 {
+		t.Errorf("%d breaches by %+v", f.Violations, f.Faults)
 	}
-	found, text, err := d.With(f.Happens, "found by a hunt -- after all")
+	found, text, err := d.WithFaults(f.Faults, "found by a hunt -- after all")
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if strings.Contains(string(text), `count="3" for="9s"`) || strings.Contains(string(text), "<expect") || len(found.Happens) != len(f.Happens) {
+	if strings.Contains(string(text), `count="3" for="9s"`) || strings.Contains(string(text), "<expect") || len(found.Faults) != len(f.Faults) {
 		t.Errorf("the day's own happenings are still there:\n%s", text)
 	}
 	again, err := fleet.Run(found, fleet.Options{Seed: 1, Audit: true, Decider: subject(newForgetful)(1).Decider})
@@ -85,21 +85,21 @@
 // TestWhatIsLostGrowsByHunting, and the module breaks no rule on the way.
 func TestWhatIsLostGrowsByHunting(t *testing.T) {
 	var first, last float64
-	f, err := Run(Hunt{
-		Day: day(t), Subject: subject(func(r fleet.Decider) fleet.Decider { return r }), Troubles: 3, Rounds: 5, Draws: 8, Seed: 2, AtOnce: 4,
-		Told: func(round int, best Found) {
+	f, err := Run(Search{
+		Scenario: day(t), Subject: subject(func(r fleet.Decider) fleet.Decider { return r }), MaxFaults: 3, Rounds: 5, Draws: 8, Seed: 2, Parallel: 4,
+		OnRound: func(round int, best Result) {
 			if last = best.Lost(); round == 0 {
 				first = last
 			}
 		},
 	})
-	if err != nil || f.Breaches > 0 {
+	if err != nil || f.Violations > 0 {
 		t.Fatalf("%v %+v", err, f)
 	}
 	if last < first || last < 0.05 || f.Lost() < stillBad*last {
 		t.Errorf("lost %.3f in the first round, %.3f in the last, %.3f after cutting down", first, last, f.Lost())
 	}
-	if _, err := Run(Hunt{Day: day(t)}); err == nil {
+	if _, err := Run(Search{Scenario: day(t)}); err == nil {
 		t.Error("a hunt of no rounds was run")
 	}
 }
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -21,7 +21,7 @@
 	f        *fleet
 	rnd      *rand.Rand
 	arrivals *scenario.Arrivals
-	mood     scenario.Mood
+	mood     scenario.Conditions
 	score    *scenario.Score
 	tries    map[uint64]*try
 	n        uint64
@@ -85,7 +85,7 @@
 	// goOn is the next try, or the next turn, of a session.
 	goOn   struct{ t *talk }
 	giveUp struct{ try uint64 }
-	moods  struct{ change func(*scenario.Mood) }
+	moods  struct{ change func(*scenario.Conditions) }
 )
 
 func newClients(f *fleet) *clients {
@@ -93,12 +93,12 @@
 	if f.o.Traffic != nil {
 		arrivals = f.d.Replay(f.o.Traffic)
 	}
-	return &clients{f: f, rnd: f.rnd(1), arrivals: arrivals, mood: scenario.Calm(), score: f.d.Score(), tries: map[uint64]*try{}, tap: tap{taped: f.o.Audit}}
+	return &clients{f: f, rnd: f.rnd(1), arrivals: arrivals, mood: scenario.NormalConditions(), score: f.d.Score(), tries: map[uint64]*try{}, tap: tap{taped: f.o.Audit}}
 }
 
 // begin plans the happenings that are the clients' own, and the first session.
 func (c *clients) begin() {
-	for _, m := range c.f.d.Moods() {
+	for _, m := range c.f.d.ConditionChanges() {
 		c.later(m.At, moods{m.Do})
 	}
 	c.later(c.arrivals.Gap(&c.mood), arrival{})
@@ -139,23 +139,23 @@
 	s, d := t.s, c.f.d
 	class := &d.Classes[s.Class]
 	c.n++
-	x := &try{n: c.n, t: t, front: s.Front(len(c.f.fronts)), sent: c.now()}
+	x := &try{n: c.n, t: t, front: s.PickReplica(len(c.f.fronts)), sent: c.now()}
 	intent := fmt.Sprintf("%d.%d", s.ID, s.Turn)
-	x.id = intent + "/" + strconv.Itoa(s.Tries)
+	x.id = intent + "/" + strconv.Itoa(s.Attempts)
 	all, beginning := s.PromptBytes()
 	w := work{
-		prompt: max(float64(all)/4, 1), prefixLen: float64(beginning) / 4, session: t.name, out: min(s.Answer, int(class.Answer)*3), class: class.Name,
-		effect: audit.Class(class.Effect), intent: intent, id: x.id,
+		prompt: max(float64(all)/4, 1), prefixLen: float64(beginning) / 4, session: t.name, out: min(s.Answer, int(class.AnswerTokens)*3), class: class.Name,
+		effect: audit.Class(class.Idempotency), intent: intent, id: x.id,
 	}
 	tr := api.Classification{
 		Class: s.Class, Tenant: max(s.Tenant, 0), Session: xxhash.Sum64String(t.name), PromptTokens: float64((all + 3) / 4),
-		PrefixTokens: float64(beginning) / 4, MaxOutputTokens: float64(int(class.Answer) * 3), Retry: s.Marked && s.Repeats > 0,
+		PrefixTokens: float64(beginning) / 4, MaxOutputTokens: float64(int(class.AnswerTokens) * 3), Retry: s.MarksRetries && s.Retries > 0,
 	}
 	if beginning > 0 {
-		w.prefix = fmt.Sprintf("%d.%d.%d", s.Beginning.Seed[0], s.Beginning.Seed[1], beginning)
+		w.prefix = fmt.Sprintf("%d.%d.%d", s.Prefix.Seed[0], s.Prefix.Seed[1], beginning)
 		tr.Prefix = xxhash.Sum64String(w.prefix)
 	}
-	if class.Effect == "keyed" {
+	if class.Idempotency == "keyed" {
 		tr.IdempotencyKey = intent
 	}
 	x.out = w.out
@@ -174,8 +174,8 @@
 	class := &c.f.d.Classes[x.t.s.Class]
 	intent, _, _ := strings.Cut(x.id, "/")
 	c.record(x.sent, audit.Event{
-		Kind: audit.Sent, Try: x.id, Effect: intent, Class: audit.Class(class.Effect), Front: c.f.fronts[x.front].name,
-		Until: x.sent + class.Deadline,
+		Kind: audit.Sent, Attempt: x.id, Intent: intent, Class: audit.Class(class.Idempotency), Replica: c.f.fronts[x.front].name,
+		Deadline: x.sent + class.Deadline,
 	})
 }
 
@@ -185,7 +185,7 @@
 	switch {
 	case x == nil:
 	case x.hung:
-		c.record(c.now(), audit.Event{Kind: audit.HungUp, Try: x.id})
+		c.record(c.now(), audit.Event{Kind: audit.ClientLeft, Attempt: x.id})
 		c.send(c.f.fronts[x.front].id, c.f.hop(c.rnd), leaves{n})
 		c.ended(x, answers{try: n, kind: "hung up"})
 	case x.first == 0 || !x.t.s.Stream:
@@ -200,18 +200,18 @@
 		return
 	}
 	if s := x.t.s; s.Slow && s.Stream && m.kind == "served" {
-		if until := x.first + time.Duration(x.out)*scenario.ReadsSlowly; until > c.now() {
+		if until := x.first + time.Duration(x.out)*scenario.SlowReadDelay; until > c.now() {
 			c.later(until-c.now(), m)
 			return
 		}
 	}
 	switch m.kind {
 	case "unconnected":
-		c.record(c.now(), audit.Event{Kind: audit.Unsent, Try: x.id, Front: c.f.fronts[x.front].name})
+		c.record(c.now(), audit.Event{Kind: audit.Unsent, Attempt: x.id, Replica: c.f.fronts[x.front].name})
 	case "cut":
-		c.record(c.now(), audit.Event{Kind: audit.Cut, Try: x.id})
+		c.record(c.now(), audit.Event{Kind: audit.ConnectionCut, Attempt: x.id})
 	default:
-		c.record(c.now(), audit.Event{Kind: audit.Answer, Try: x.id, Result: m.kind})
+		c.record(c.now(), audit.Event{Kind: audit.Answer, Attempt: x.id, Result: m.kind})
 	}
 	if m.kind == "served" && x.first == 0 { // whole
 		x.first = c.now()
@@ -225,7 +225,7 @@
 		c.taken(x)
 	}
 	t := x.t
-	again, pause := t.s.After(m.kind, m.handUp, m.wait, c.now()-t.asked)
+	again, pause := t.s.AfterAttempt(m.kind, m.handUp, m.wait, c.now()-t.asked)
 	if again {
 		c.later(pause, goOn{t})
 		return
@@ -235,7 +235,7 @@
 		first = x.first - t.asked
 	}
 	c.score.Add(t.s, t.asked, m.kind, first)
-	more, pause := t.s.More(m.kind, c.now() > c.f.d.Length, &c.mood)
+	more, pause := t.s.NextTurn(m.kind, c.now() > c.f.d.Length, &c.mood)
 	if !more {
 		c.open--
 		c.quiet = c.now()
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -113,7 +113,7 @@
 
 func newEngine(f *fleet, k *scenario.Kind, n int) *engine {
 	e := &engine{
-		f: f, index: len(f.engines), name: fmt.Sprintf("%s-%d", k.Name, n+1), kind: k, cell: 1 + n%2, par: f.d.Params(k),
+		f: f, index: len(f.engines), name: fmt.Sprintf("%s-%d", k.Name, n+1), kind: k, cell: 1 + n%2, par: f.d.EngineParams(k),
 		rnd: f.rnd(1000 + uint64(len(f.engines))), up: true, faults: map[string]harm{}, tap: tap{taped: f.o.Audit},
 	}
 	e.fresh(0, false)
@@ -166,11 +166,11 @@
 	for id := range e.held {
 		if !e.m.Holds(id) {
 			delete(e.held, id)
-			e.record(e.now(), audit.Event{Kind: audit.LetGo, Engine: e.name, Request: id})
+			e.record(e.now(), audit.Event{Kind: audit.StateReleased, Engine: e.name, Request: id})
 		}
 	}
 	if e.m.Down() && e.up {
-		e.record(e.now(), audit.Event{Kind: audit.Fell, Engine: e.name})
+		e.record(e.now(), audit.Event{Kind: audit.Overloaded, Engine: e.name})
 		e.end()
 		e.send(e.f.register.id, e.f.hop(e.rnd), wentDown{e.index})
 	}
@@ -192,7 +192,7 @@
 	}
 	delete(e.jobs, j.ID)
 	if !j.gone {
-		e.record(e.now(), audit.Event{Kind: audit.End, Engine: e.name, Request: j.ID})
+		e.record(e.now(), audit.Event{Kind: audit.Ended, Engine: e.name, Request: j.ID})
 		e.reply(&j.msg, result, noState, kept)
 	}
 }
@@ -211,7 +211,7 @@
 		e.reply(&s, routing.Rejected, false, 0)
 		return
 	}
-	e.record(e.now(), audit.Event{Kind: audit.Arrive, Engine: e.name, Front: s.name, Request: s.id, Write: s.write, Try: s.work.id})
+	e.record(e.now(), audit.Event{Kind: audit.Arrived, Engine: e.name, Replica: s.name, Request: s.id, Decode: s.write, Attempt: s.work.id})
 	if s.write {
 		e.writes++
 	} else {
@@ -237,8 +237,8 @@
 	case e.strikes("reset-after-request", 1):
 		e.through(j, routing.ConnectionReset, false, 0)
 		return
-	case j.ReadOnly && !e.par.Reads || !j.ReadOnly && !e.par.Writes || j.FetchState == 0 && !j.ReadOnly && !e.par.Reads:
-		e.through(j, routing.Rejected, j.FetchState == 0 && !j.ReadOnly && e.par.Writes, 0)
+	case j.ReadOnly && !e.par.CanPrefill || !j.ReadOnly && !e.par.CanDecode || j.FetchState == 0 && !j.ReadOnly && !e.par.CanPrefill:
+		e.through(j, routing.Rejected, j.FetchState == 0 && !j.ReadOnly && e.par.CanDecode, 0)
 		return
 	}
 	if e.strikes("reset-mid-stream", 1) && s.write {
@@ -296,7 +296,7 @@
 // first is the first token: the request takes effect.
 func (e *engine) first(j *job) {
 	w := &j.msg.work
-	e.record(e.now(), audit.Event{Kind: audit.Run, Engine: e.name, Request: j.ID, Try: w.id, Effect: w.intent, Class: w.effect})
+	e.record(e.now(), audit.Event{Kind: audit.Executed, Engine: e.name, Request: j.ID, Attempt: w.id, Intent: w.intent, Class: w.effect})
 	if j.gone {
 		return
 	}
@@ -334,7 +334,7 @@
 		return
 	}
 	e.held[j.ID] = true
-	e.record(e.now(), audit.Event{Kind: audit.Held, Engine: e.name, Request: j.ID})
+	e.record(e.now(), audit.Event{Kind: audit.StateHeld, Engine: e.name, Request: j.ID})
 	if _, unwanted := e.letGo[j.ID]; unwanted {
 		e.m.Drop(j.ID)
 	}
@@ -352,10 +352,10 @@
 		return
 	}
 	if !j.gone {
-		e.record(e.now(), audit.Event{Kind: audit.End, Engine: e.name, Request: id})
+		e.record(e.now(), audit.Event{Kind: audit.Ended, Engine: e.name, Request: id})
 	}
 	j.gone = true
-	if e.f.d.Service.CancelStops || !j.begun {
+	if e.f.d.Service.CanCancel || !j.begun {
 		delete(e.jobs, id)
 		e.m.Cancel(e.now(), &j.Job)
 	}
@@ -364,7 +364,7 @@
 // release lets go of a read state, now or when its read ends.
 func (e *engine) release(id string) {
 	for k, at := range e.letGo {
-		if e.now()-at > e.par.StateLife {
+		if e.now()-at > e.par.StateTTL {
 			delete(e.letGo, k)
 		}
 	}
@@ -400,14 +400,14 @@
 	case "crash":
 		switch {
 		case h.on && e.up:
-			e.record(e.now(), audit.Event{Kind: audit.EngineOff, Engine: e.name})
+			e.record(e.now(), audit.Event{Kind: audit.EngineStopped, Engine: e.name})
 			e.end()
 		case !h.on && !e.up:
 			e.up = true
 			e.seat, e.switching = e.seat.FinishDraining(), false // the crash emptied it
 			e.becomes(e.seat.Role)
 			e.fresh(e.now(), true)
-			e.record(e.now(), audit.Event{Kind: audit.EngineUp, Engine: e.name})
+			e.record(e.now(), audit.Event{Kind: audit.EngineStarted, Engine: e.name})
 			e.send(e.f.register.id, e.f.hop(e.rnd), cameUp{e.index, e.now()})
 		}
 	case "forget":
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -37,7 +37,7 @@
 	Shards int           // parts that are played side by side; the result is the same; 0 = 1
 	Audit  bool          // judge the rules, which keeps a record of all that passes
 	// Traffic is played in place of the day's drawn sessions, where it is given.
-	Traffic []scenario.Recorded
+	Traffic []scenario.RecordedRequest
 	// Oracles tell fronts what they can't know.
 	Oracles Oracles
 	// Settings are the fronts', in place of those that the day makes; kinds and classes must have the day's names.
@@ -48,17 +48,17 @@
 
 // Result is what came of a day.
 type Result struct {
-	Score    *scenario.Score
-	Rules    []audit.RuleResult // where they were judged
-	Attempts map[string]int     // reads and writes that reached engines
-	Ends     map[string]int     // of attempts by what they were and how they ended, as "read timed out"
-	Events   int64              // played
-	Moved    float64            // state tokens that writers fetched
-	Roles    []Standing         // where engines change role: each look of the first planner
+	Score             *scenario.Score
+	Rules             []audit.RuleResult // where they were judged
+	Attempts          map[string]int     // reads and writes that reached engines
+	Outcomes          map[string]int     // of attempts by what they were and how they ended, as "read timed out"
+	Events            int64              // played
+	TransferredTokens float64            // state tokens that writers fetched
+	Roles             []RoleSample       // where engines change role: each look of the first planner
 }
 
 // Run plays a day.
-func Run(d *scenario.Day, o Options) (*Result, error) {
+func Run(d *scenario.Scenario, o Options) (*Result, error) {
 	o.Link, o.Jitter = cmp.Or(o.Link, 250*time.Microsecond), cmp.Or(o.Jitter, 50*time.Microsecond)
 	f := &fleet{d: d, o: o, k: newKernel(max(o.Shards, 1), o.Link)}
 	if f.o.Decider == nil {
@@ -90,7 +90,7 @@
 			f.engines = append(f.engines, e)
 		}
 	}
-	for i := range d.Fronts {
+	for i := range d.Replicas {
 		x := &front{f: f, index: i, name: fmt.Sprint("front-", i+1)}
 		f.k.add(x)
 		f.fronts = append(f.fronts, x)
@@ -114,7 +114,7 @@
 	f.register.begin()
 	f.clients.begin()
 	f.k.run(func(now time.Duration) bool {
-		return now > d.Length+time.Minute || now > d.Length+d.Service.Release+300*time.Millisecond && f.clients.open == 0 && now > f.clients.quiet+d.Service.Release+300*time.Millisecond
+		return now > d.Length+time.Minute || now > d.Length+d.Service.StateTTL+300*time.Millisecond && f.clients.open == 0 && now > f.clients.quiet+d.Service.StateTTL+300*time.Millisecond
 	})
 	return f.result(), nil
 }
@@ -147,7 +147,7 @@
 }
 
 type fleet struct {
-	d        *scenario.Day
+	d        *scenario.Scenario
 	o        Options
 	k        *kernel
 	set      *config.Settings
@@ -168,7 +168,7 @@
 }
 
 func (f *fleet) result() *Result {
-	r := &Result{Score: f.clients.score, Attempts: map[string]int{}, Ends: map[string]int{}}
+	r := &Result{Score: f.clients.score, Attempts: map[string]int{}, Outcomes: map[string]int{}}
 	for _, n := range slices.Sorted(maps.Keys(f.clients.tries)) {
 		f.clients.taken(f.clients.tries[n])
 	}
@@ -178,12 +178,12 @@
 		events = append(events, e.log...)
 		r.Attempts["read"] += e.reads
 		r.Attempts["write"] += e.writes
-		r.Moved += e.moved
+		r.TransferredTokens += e.moved
 	}
 	for _, x := range f.fronts {
 		events = append(events, x.log...)
 		for e, n := range x.ends {
-			r.Ends[e.String()] += n
+			r.Outcomes[e.String()] += n
 		}
 	}
 	if len(f.planners) > 0 {
@@ -195,7 +195,7 @@
 	if f.o.Audit {
 		slices.SortStableFunc(events, func(a, b audit.Event) int { return cmp.Compare(a.At, b.At) })
 		f.dropRepeats(events)
-		r.Rules = audit.Check(events, audit.Limits{DrainGrace: f.d.Service.DrainGrace, Release: f.d.Service.Release, Slack: 10 * time.Millisecond})
+		r.Rules = audit.Check(events, audit.Limits{DrainGrace: f.d.Service.DrainGrace, StateTTL: f.d.Service.StateTTL, Slack: 10 * time.Millisecond})
 	}
 	return r
 }
@@ -204,19 +204,19 @@
 func (f *fleet) dropRepeats(events []audit.Event) {
 	window := time.Minute
 	for _, c := range f.d.Classes {
-		window = max(window, c.Window)
+		window = max(window, c.DedupWindow)
 	}
 	seen := map[string]time.Duration{}
 	for i := range events {
 		e := &events[i]
-		if e.Kind != audit.Run || e.Class != audit.Keyed {
+		if e.Kind != audit.Executed || e.Class != audit.IdempotentWithKey {
 			continue
 		}
-		if at, ok := seen[e.Effect]; ok && e.At-at <= window {
-			e.Kind = audit.Repeat
+		if at, ok := seen[e.Intent]; ok && e.At-at <= window {
+			e.Kind = audit.Deduplicated
 			continue
 		}
-		seen[e.Effect] = e.At
+		seen[e.Intent] = e.At
 	}
 }
 
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 	"brackenbend/routing"
 )
 
-func bad(t *testing.T) *scenario.Day {
+func bad(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	d, err := scenario.Default()
 	if err != nil {
@@ -21,7 +21,7 @@
 	return d
 }
 
-func play(t *testing.T, d *scenario.Day, o Options) *Result {
+func play(t *testing.T, d *scenario.Scenario, o Options) *Result {
 	t.Helper()
 	r, err := Run(d, o)
 	if err != nil {
@@ -99,7 +99,7 @@
 }
 
 func TestAnEmptyHouse(t *testing.T) {
-	day := func(more string) *scenario.Day {
+	day := func(more string) *scenario.Scenario {
 		d, err := scenario.Parse("x.xml", []byte(strings.Replace(`<day length="5s" rate="20/s" fronts="2" seed="3">
   <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s" overload-factor="4" tip-after="2s" cancel="true"/>
   <engines kind="r" role="reader" count="2" slots="4" queue="8" memory="100000tokens" read-rate="20000/s"/>
@@ -110,12 +110,12 @@
 		}
 		return d
 	}
-	if r := play(t, day(""), Options{Audit: true}); r.Score.Service() < 0.999 || r.Moved == 0 {
-		t.Errorf("a quiet day: service %v, %v tokens moved", r.Score.Service(), r.Moved)
+	if r := play(t, day(""), Options{Audit: true}); r.Score.Service() < 0.999 || r.TransferredTokens == 0 {
+		t.Errorf("a quiet day: service %v, %v tokens moved", r.Score.Service(), r.TransferredTokens)
 	}
 	// with no reader left all is refused or failed, in time, and nothing runs until they are back at the day's end
 	r := play(t, day(`<happen at="0s" what="crash" kind="r" count="2" for="5s"/>`), Options{Audit: true})
-	for i, s := range r.Score.Course[:2] {
+	for i, s := range r.Score.Timeline[:2] {
 		if s.Asked == 0 || s.Worth > 0 {
 			t.Errorf("without readers: second %d: %+v", i, s)
 		}
@@ -229,7 +229,7 @@
 	reg.flap(0, 1)
 	for range 4 {
 		seen = append(seen, reg.lines[0].unlisted)
-		f.k.shards[0].play(f.k.shards[0].now + scenario.FlapEvery + 1)
+		f.k.shards[0].play(f.k.shards[0].now + scenario.FlapInterval + 1)
 	}
 	reg.lines[0].flaps++
 	reg.flap(0, 2)
@@ -252,11 +252,11 @@
 		}
 	}
 	d := smallDay(t, "")
-	d.Happens = nil
+	d.Faults = nil
 	f := &fleet{d: d, k: newKernel(1, time.Millisecond), fronts: []*front{{}}}
 	c := &clients{f: f, score: d.Score(), tries: map[uint64]*try{}}
 	f.k.add(c)
-	s := d.Arrivals().Next(&scenario.Mood{Surge: 1})
+	s := d.Arrivals().Next(&scenario.Conditions{Surge: 1})
 	s.Slow, s.Stream = true, true
 	c.open = 1
 	c.tries[1] = &try{n: 1, t: &talk{s: s}, out: 40, first: 1}
@@ -264,7 +264,7 @@
 	if len(c.tries) != 1 {
 		t.Fatal("its answer had ended before it was read")
 	}
-	f.k.shards[0].play(40*scenario.ReadsSlowly + 2)
+	f.k.shards[0].play(40*scenario.SlowReadDelay + 2)
 	if len(c.tries) != 0 {
 		t.Fatal("its answer never ended")
 	}
--- a/internal/simulation/fleet/front.go
+++ b/internal/simulation/fleet/front.go
@@ -68,7 +68,7 @@
 
 var resultNames = map[routing.Result]string{
 	routing.Served: "served", routing.EngineError: "failed", routing.Rejected: "turned away", routing.TimedOut: "timed out",
-	routing.ConnectFailed: "not connected", routing.ConnectionReset: "reset", routing.Cancelled: "called off", routing.NotSent: "not sent", routing.PrefillDone: "done", routing.RequestIncomplete: "broken before it was whole",
+	routing.ConnectFailed: "not connected", routing.ConnectionReset: "reset", routing.Canceled: "called off", routing.NotSent: "not sent", routing.PrefillDone: "done", routing.RequestIncomplete: "broken before it was whole",
 }
 
 func (e endOf) String() string {
@@ -139,7 +139,7 @@
 	x.run++
 	x.up, x.draining, x.next, x.lost = true, false, 0, [2]float64{}
 	x.flights, x.byTry = map[routing.RequestID]*flight{}, map[uint64]*flight{}
-	x.record(x.now(), audit.Event{Kind: audit.FrontUp, Front: x.name})
+	x.record(x.now(), audit.Event{Kind: audit.ReplicaStarted, Replica: x.name})
 	if x.known != nil { // the list on disk
 		x.list(news{routing.ListCached, slices.Clone(x.known)})
 	}
@@ -208,7 +208,7 @@
 func (x *front) signal(what string) {
 	switch what {
 	case "front-kill":
-		x.record(x.now(), audit.Event{Kind: audit.FrontKill, Front: x.name})
+		x.record(x.now(), audit.Event{Kind: audit.ReplicaKilled, Replica: x.name})
 		for _, id := range slices.Sorted(maps.Keys(x.flights)) {
 			fl := x.flights[id]
 			if fl.state != answered {
@@ -382,7 +382,7 @@
 	}
 	x.send(e.id, after, s)
 	end := fl.due
-	if a.Timeout > 0 && !(x.f.o.Oracles.Waits && e.sound()) {
+	if a.Timeout > 0 && !(x.f.o.Oracles.NoTimeouts && e.sound()) {
 		end = min(end, x.now()+a.Timeout)
 	}
 	x.later(end-x.now(), limit{x.run, fl.id, n})
@@ -408,7 +408,7 @@
 	if !fl.attempts[n].over && !fl.attempts[n].unsent {
 		fl.attempts[n].off = true
 		x.cut(fl, n)
-		x.later(0, deed{x.run, func() { x.over(fl, n, routing.Cancelled, false, 0) }})
+		x.later(0, deed{x.run, func() { x.over(fl, n, routing.Canceled, false, 0) }})
 	}
 }
 
@@ -447,7 +447,7 @@
 	}
 	if fl.state != open { // another answer was given
 		x.cut(fl, m.attempt)
-		x.over(fl, m.attempt, routing.Cancelled, false, 0)
+		x.over(fl, m.attempt, routing.Canceled, false, 0)
 		return
 	}
 	fl.state, fl.owner = streaming, m.attempt
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -13,12 +13,12 @@
 // They stand between the module's decision and its carrying out: the module itself is as ever, and does not learn that
 // another engine was taken. They look into other parties, so a day with one is played on one shard.
 type Oracles struct {
-	Reads   bool // a read goes to the sound warm reader where it would end first, whatever other fronts have there
-	Writes  bool // an answer goes to the sound warm writer with the fewest streams of all fronts
-	Health  bool // fronts are told at once which engines do harm
-	Cold    bool // fronts know together what a cold engine can take, and take no other care of it
-	Refuses bool // nothing is refused on arrival, nor called off for lateness
-	Waits   bool // an attempt at a sound engine has all the time that its client has
+	KnowPrefillLoad bool // a read goes to the sound warm reader where it would end first, whatever other fronts have there
+	KnowDecodeLoad  bool // an answer goes to the sound warm writer with the fewest streams of all fronts
+	KnowHealth      bool // fronts are told at once which engines do harm
+	KnowSlowStart   bool // fronts know together what a cold engine can take, and take no other care of it
+	NoLoadShedding  bool // nothing is refused on arrival, nor called off for lateness
+	NoTimeouts      bool // an attempt at a sound engine has all the time that its client has
 }
 
 func (o Oracles) any() bool { return o != Oracles{} }
@@ -32,10 +32,10 @@
 
 // settings are what the module is told where oracles take its care away.
 func (o Oracles) settings(s *routing.Config) {
-	if o.Cold {
+	if o.KnowSlowStart {
 		s.SlowStartFor = 0
 	}
-	if o.Refuses {
+	if o.NoLoadShedding {
 		for i := range s.Classes {
 			s.Classes[i].LateWeight = 1
 		}
@@ -60,7 +60,7 @@
 	if !o.any() || role == routing.RoleMixed || !p.sound() || role == routing.RoleDecode && x.unsafe(fl) && x.wrote(fl) {
 		return picked
 	}
-	if cold && !o.Cold || !cold && (role == routing.RolePrefill && !o.Reads || role == routing.RoleDecode && !o.Writes) {
+	if cold && !o.KnowSlowStart || !cold && (role == routing.RolePrefill && !o.KnowPrefillLoad || role == routing.RoleDecode && !o.KnowDecodeLoad) {
 		return picked
 	}
 	w := &fl.msg.work
@@ -71,7 +71,7 @@
 	best, least := picked, 0.0
 	for i, l := range x.known {
 		e := x.f.engines[i]
-		if l.state != routing.EndpointReady || x.f.cs.Kinds[l.kind].Role != role || !e.sound() || e.m.Present() < 1 && !o.Cold || e.m.Near(j, coldMost) {
+		if l.state != routing.EndpointReady || x.f.cs.Kinds[l.kind].Role != role || !e.sound() || e.m.Present() < 1 && !o.KnowSlowStart || e.m.Near(j, coldMost) {
 			continue
 		}
 		cost := float64(e.m.Working()+e.coming.streams+1) / e.m.Present()
@@ -110,8 +110,8 @@
 
 // tellsHarm tells whether the health oracle takes the engines of a happening off the list: where they do harm, and others
 // of their kind are left.
-func (r *register) tellsHarm(h *scenario.Happening, struck int) bool {
-	if !r.f.o.Oracles.Health {
+func (r *register) tellsHarm(h *scenario.Fault, struck int) bool {
+	if !r.f.o.Oracles.KnowHealth {
 		return false
 	}
 	switch h.What {
--- a/internal/simulation/fleet/oracle_test.go
+++ b/internal/simulation/fleet/oracle_test.go
@@ -18,7 +18,7 @@
   <class name="order" effect="unsafe" share="0.3" aim="800ms" deadline="8s" worth="2" late-worth="0.3" prompt="1200tokens" answer="40tokens"/>
   `
 
-func smallDay(t *testing.T, happens string) *scenario.Day {
+func smallDay(t *testing.T, happens string) *scenario.Scenario {
 	t.Helper()
 	d, err := scenario.Parse("small.xml", []byte(small+happens+"</day>"))
 	if err != nil {
@@ -34,10 +34,10 @@
 		o             Oracles
 		least         float64
 	}{
-		{"reads", "", Oracles{Reads: true}, 0.02},
-		{"writes", `<happen at="2s" what="surge" factor="1.5" for="6s"/>`, Oracles{Reads: true, Writes: true}, 0.02},
-		{"health", `<happen at="2s" what="stall" kind="decode" count="2" for="8s"/>`, Oracles{Health: true}, 0.02},
-		{"cold", `<happen at="1s" what="crash" kind="prefill" count="3" for="2s"/>`, Oracles{Cold: true}, 0.01},
+		{"reads", "", Oracles{KnowPrefillLoad: true}, 0.02},
+		{"writes", `<happen at="2s" what="surge" factor="1.5" for="6s"/>`, Oracles{KnowPrefillLoad: true, KnowDecodeLoad: true}, 0.02},
+		{"health", `<happen at="2s" what="stall" kind="decode" count="2" for="8s"/>`, Oracles{KnowHealth: true}, 0.02},
+		{"cold", `<happen at="1s" what="crash" kind="prefill" count="3" for="2s"/>`, Oracles{KnowSlowStart: true}, 0.01},
 	}
 	for _, tc := range tests {
 		d := smallDay(t, tc.happens)
@@ -61,7 +61,7 @@
 }
 
 func TestOraclesNeedOneShard(t *testing.T) {
-	if _, err := Run(smallDay(t, ""), Options{Shards: 2, Oracles: Oracles{Reads: true}}); err == nil {
+	if _, err := Run(smallDay(t, ""), Options{Shards: 2, Oracles: Oracles{KnowPrefillLoad: true}}); err == nil {
 		t.Fatal("played on two shards")
 	}
 }
@@ -69,7 +69,7 @@
 // TestHealthOracleLeavesEnough: where more than half of a kind does harm, none is taken off the list.
 func TestHealthOracleLeavesEnough(t *testing.T) {
 	d := smallDay(t, `<happen at="2s" what="slow" kind="decode" count="4" factor="3" for="6s"/>`)
-	with, without := play(t, d, Options{Seed: 1, Oracles: Oracles{Health: true}}), play(t, d, Options{Seed: 1})
+	with, without := play(t, d, Options{Seed: 1, Oracles: Oracles{KnowHealth: true}}), play(t, d, Options{Seed: 1})
 	if with.Score.Service() != without.Score.Service() || with.Events != without.Events {
 		t.Errorf("%.4f with, %.4f without", with.Score.Service(), without.Score.Service())
 	}
--- a/internal/simulation/fleet/register.go
+++ b/internal/simulation/fleet/register.go
@@ -87,16 +87,16 @@
 	r.wrote, r.heard = make([]time.Duration, len(r.f.fronts)), make([]time.Duration, len(r.f.fronts))
 	for i, e := range r.f.engines {
 		r.lines[i].up = true
-		r.record(0, audit.Event{Kind: audit.EngineUp, Engine: e.name})
+		r.record(0, audit.Event{Kind: audit.EngineStarted, Engine: e.name})
 	}
 	for i := range r.f.fronts {
 		r.tell(i)
 	}
-	hs := slices.Clone(r.f.d.Happens)
-	slices.SortStableFunc(hs, func(a, b scenario.Happening) int { return cmp.Compare(a.At, b.At) })
+	hs := slices.Clone(r.f.d.Faults)
+	slices.SortStableFunc(hs, func(a, b scenario.Fault) int { return cmp.Compare(a.At, b.At) })
 	for i := range hs {
 		h := &hs[i]
-		calm := scenario.Calm()
+		calm := scenario.NormalConditions()
 		if calm.Change(h) != nil { // the clients' own
 			continue
 		}
@@ -184,9 +184,9 @@
 	heard = max(heard, r.heard[front])
 	for _, l := range n.engines { // drains count once they were heard, readiness from when it was written
 		if l.state == routing.EndpointReady {
-			r.record(r.wrote[front], audit.Event{Kind: audit.ToldReady, Front: x.name, Engine: r.f.engines[l.engine].name})
+			r.record(r.wrote[front], audit.Event{Kind: audit.NotifiedReady, Replica: x.name, Engine: r.f.engines[l.engine].name})
 		} else {
-			r.record(heard, audit.Event{Kind: audit.Told, Front: x.name, Engine: r.f.engines[l.engine].name})
+			r.record(heard, audit.Event{Kind: audit.NotifiedGone, Replica: x.name, Engine: r.f.engines[l.engine].name})
 		}
 	}
 	r.heard[front] = heard
@@ -194,7 +194,7 @@
 }
 
 // pick draws engines for a happening as a day on sockets does.
-func (r *register) pick(h *scenario.Happening) []int {
+func (r *register) pick(h *scenario.Fault) []int {
 	var all []int
 	for i, e := range r.f.engines {
 		if l := &r.lines[i]; (h.Kind == "" || e.kind.Name == h.Kind) && l.up && l.faulty == 0 && !l.draining {
@@ -205,7 +205,7 @@
 }
 
 // strike begins a happening and gives what ends it.
-func (r *register) strike(h *scenario.Happening) (undo func()) {
+func (r *register) strike(h *scenario.Fault) (undo func()) {
 	switch h.What {
 	case "front-kill", "front-stop":
 		return r.fronts(h)
@@ -257,7 +257,7 @@
 	}
 }
 
-func (r *register) harm(i int, h *scenario.Happening, on bool) {
+func (r *register) harm(i int, h *scenario.Fault, on bool) {
 	l := &r.lines[i]
 	switch h.What {
 	case "drain":
@@ -293,13 +293,13 @@
 		l.unlisted = false
 	default:
 		l.unlisted = !l.unlisted
-		r.later(scenario.FlapEvery, strike{func() { r.flap(i, of) }})
+		r.later(scenario.FlapInterval, strike{func() { r.flap(i, of) }})
 	}
 	r.changed(i)
 }
 
 // fronts kills or stops some.
-func (r *register) fronts(h *scenario.Happening) func() {
+func (r *register) fronts(h *scenario.Fault) func() {
 	var picked []int
 	for _, i := range r.rnd.Perm(len(r.f.fronts)) {
 		if !r.down[i] && len(picked) < max(h.Count, 1) {
--- a/internal/simulation/fleet/roles.go
+++ b/internal/simulation/fleet/roles.go
@@ -16,8 +16,8 @@
 // Engines that change role: the planner, the book and the seat are those of package roles, the planner's view is that of
 // internal/planner; here they speak by messages.
 
-// Standing is how the engines that change stood at a look.
-type Standing struct {
+// RoleSample is how the engines that change stood at a look.
+type RoleSample struct {
 	At                         time.Duration
 	Readers, Writers, Changing int
 	Reading, Writing           float64 // work asked for, in engines
@@ -61,7 +61,7 @@
 
 // shift makes the engines of the kinds that shift ones that may change, and the book that says so.
 func (f *fleet) shift() {
-	params, names := f.d.Shifting()
+	params, names := f.d.ChangingRoles()
 	if names == nil {
 		return
 	}
@@ -71,8 +71,8 @@
 	}
 	f.register.kinds, f.register.book.Entries = kinds, map[string]roles.Assignment{}
 	for _, e := range f.engines {
-		if e.kind.Shifts {
-			r := e.kind.Serves()
+		if e.kind.ChangesRole {
+			r := e.kind.ServedRole()
 			e.byRole, e.seat = params, roles.EngineState{Role: r, Target: r}
 			e.becomes(r)
 			e.fresh(0, false)
@@ -104,7 +104,7 @@
 	}
 	e.switching = true
 	e.turn++
-	e.later(cmp.Or(e.f.d.Planner.Switch, time.Second), switched{e.turn, e.adds()})
+	e.later(cmp.Or(e.f.d.Planner.SwitchTime, time.Second), switched{e.turn, e.adds()})
 }
 
 func (e *engine) switchedTo(m switched) {
@@ -215,7 +215,7 @@
 	lost   planner.LostWork
 	kept   time.Duration
 	begun  bool
-	seen   []Standing
+	seen   []RoleSample
 }
 
 // keepEvery is how often what was learned is left at the register, as the planner's process does.
@@ -233,7 +233,7 @@
 	return nil
 }
 
-func (p *planners) every() time.Duration { return cmp.Or(p.f.d.Planner.Every, time.Second) }
+func (p *planners) every() time.Duration { return cmp.Or(p.f.d.Planner.Interval, time.Second) }
 
 func (p *planners) take(m any) {
 	switch m := m.(type) {
@@ -334,7 +334,7 @@
 }
 
 func (p *planners) note(plan roles.Plan, b roles.Assignments) {
-	s := Standing{At: p.now(), Reading: plan.Reading, Writing: plan.Writing, Orders: b.Orders}
+	s := RoleSample{At: p.now(), Reading: plan.Reading, Writing: plan.Writing, Orders: b.Orders}
 	open, changing := b.CountServing()
 	s.Readers, s.Writers, s.Changing = open[roles.Prefill], open[roles.Decode], changing
 	p.seen = append(p.seen, s)
--- a/internal/simulation/forecast/forecast.go
+++ b/internal/simulation/forecast/forecast.go
@@ -31,7 +31,7 @@
 
 // Forecast is what a day is expected to come to.
 type Forecast struct {
-	Day      string    `json:"day"`
+	Scenario string    `json:"day"`
 	Services []float64 `json:"services"` // of the simulated courses
 	Mean     float64   `json:"mean"`
 	SD       float64   `json:"sd"`
@@ -46,13 +46,13 @@
 func (f *Forecast) Holds(service float64) bool { return service >= f.Low && service <= f.High }
 
 // Predict plays a day so many times.
-func Predict(name string, d *scenario.Day, runs, atOnce int, level float64, m Model) (*Forecast, error) {
+func Predict(name string, d *scenario.Scenario, runs, atOnce int, level float64, m Model) (*Forecast, error) {
 	if runs < 3 {
 		return nil, errors.New("forecast: 3 runs at least are needed for error bars")
 	}
-	f := &Forecast{Day: name, Level: level, Services: make([]float64, runs)}
+	f := &Forecast{Scenario: name, Level: level, Services: make([]float64, runs)}
 	worst, breaches := make([]float64, runs), make([]int, runs)
-	err := replication.Each(runs, atOnce, func(i int) error {
+	err := replication.Run(runs, atOnce, func(i int) error {
 		r, err := fleet.Run(d, fleet.Options{Seed: uint64(i) + 1, Audit: true})
 		if err != nil {
 			return err
@@ -115,16 +115,16 @@
 	return m
 }
 
-// Side is one of two fleets to compare. Days must agree on clients and length.
-type Side struct {
-	Name string
-	Day  *scenario.Day
-	Make func(seed uint64) fleet.Options
+// Subject is one of two fleets to compare. Days must agree on clients and length.
+type Subject struct {
+	Name     string
+	Scenario *scenario.Scenario
+	Make     func(seed uint64) fleet.Options
 	// Play plays a course in place of fleet.Run with Make's options, as by another version of the program.
-	Play func(d *scenario.Day, seed uint64) (*Summary, error)
+	Play func(d *scenario.Scenario, seed uint64) (*Summary, error)
 }
 
-func (s *Side) play(d *scenario.Day, seed uint64) (*Summary, error) {
+func (s *Subject) play(d *scenario.Scenario, seed uint64) (*Summary, error) {
 	if s.Play != nil {
 		return s.Play(d, seed)
 	}
@@ -132,31 +132,31 @@
 	if err != nil {
 		return nil, err
 	}
-	return Sum(r), nil
+	return Summarize(r), nil
 }
 
 // Summary is what a comparison needs of one course.
 type Summary struct {
-	Service  float64           `json:"service"`
-	Worst    float64           `json:"worst_10s"`
-	Requests int               `json:"requests"`
-	Refused  int               `json:"refused"`
-	Attempts int               `json:"attempts"`
-	Moved    float64           `json:"state_tokens"`
-	Breaches int               `json:"breaches"`
-	Course   []scenario.Second `json:"course"`
+	Service           float64           `json:"service"`
+	Worst             float64           `json:"worst_10s"`
+	Requests          int               `json:"requests"`
+	Refused           int               `json:"refused"`
+	Attempts          int               `json:"attempts"`
+	TransferredTokens float64           `json:"state_tokens"`
+	Violations        int               `json:"breaches"`
+	Timeline          []scenario.Second `json:"course"`
 }
 
-// Sum sums a course up.
-func Sum(r *fleet.Result) *Summary {
-	s := &Summary{Service: r.Score.Service(), Worst: r.Score.Worst(10), Attempts: r.Attempts["read"] + r.Attempts["write"], Moved: r.Moved, Course: r.Score.Course}
+// Summarize sums a course up.
+func Summarize(r *fleet.Result) *Summary {
+	s := &Summary{Service: r.Score.Service(), Worst: r.Score.Worst(10), Attempts: r.Attempts["read"] + r.Attempts["write"], TransferredTokens: r.TransferredTokens, Timeline: r.Score.Timeline}
 	classes, _ := r.Score.Rows()
 	for _, c := range classes {
 		s.Requests += c.Requests
 		s.Refused += c.Refused
 	}
 	for _, v := range r.Rules {
-		s.Breaches += len(v.Violations)
+		s.Violations += len(v.Violations)
 	}
 	return s
 }
@@ -169,58 +169,58 @@
 	FirstBetter  Verdict = "the first is better"
 	SecondBetter Verdict = "the second is better"
 	NoDifference Verdict = "no difference that counts"
-	CantTell     Verdict = "can't tell"
+	Undecided    Verdict = "can't tell"
 )
 
 // Comparison is what two fleets make of the same courses of traffic.
 type Comparison struct {
-	Names    [2]string  `json:"names"`
-	Means    [2]float64 `json:"means"`
-	Worst    [2]float64 `json:"worst_10s"`
-	Refused  [2]float64 `json:"refused"` // part of requests
-	Attempts [2]float64 `json:"attempts_a_request"`
-	Moved    [2]float64 `json:"state_tokens_a_request"`
-	Breaches [2]int     `json:"breaches"`
-	Diffs    []float64  `json:"differences"` // second less first, by course
-	Mean     float64    `json:"difference"`
-	Low      float64    `json:"low"`
-	High     float64    `json:"high"`
-	Level    float64    `json:"level"`
-	Looks    int        `json:"looks"`
-	Heaps    bool       `json:"two_heaps"` // differences fall into two heaps: the mean says little
-	Verdict  Verdict    `json:"verdict"`
+	Names      [2]string  `json:"names"`
+	Means      [2]float64 `json:"means"`
+	Worst      [2]float64 `json:"worst_10s"`
+	Refused    [2]float64 `json:"refused"` // part of requests
+	Attempts   [2]float64 `json:"attempts_a_request"`
+	Moved      [2]float64 `json:"state_tokens_a_request"`
+	Violations [2]int     `json:"breaches"`
+	Diffs      []float64  `json:"differences"` // second less first, by course
+	Mean       float64    `json:"difference"`
+	Low        float64    `json:"low"`
+	High       float64    `json:"high"`
+	Level      float64    `json:"level"`
+	Looks      int        `json:"looks"`
+	Bimodal    bool       `json:"two_heaps"` // differences fall into two heaps: the mean says little
+	Verdict    Verdict    `json:"verdict"`
 
-	Courses [2][]scenario.Second `json:"-"` // summed up over all courses
+	Timelines [2][]scenario.Second `json:"-"` // summed up over all courses
 }
 
-// Rules of a comparison.
-type Rules struct {
-	Level  float64 // of the bars over all looks; 0.95
-	Counts float64 // a difference below it does not count
-	Batch  int     // courses between two looks
-	Most   int     // courses in all
-	AtOnce int
+// StoppingRule of a comparison.
+type StoppingRule struct {
+	Level           float64 // of the bars over all looks; 0.95
+	MinDifference   float64 // a difference below it does not count
+	BatchSize       int     // courses between two looks
+	MaxReplications int     // courses in all
+	Parallel        int
 }
 
 // Compare plays courses until the answer is clear or there are enough. Each course has clients of its own, the same on
 // both sides. Looking again and again would find a difference where there is none, so each look has its even part of the
 // chance of an error (Bonferroni).
-func Compare(a, b Side, r Rules) (*Comparison, error) {
-	if a.Day.Length != b.Day.Length || len(a.Day.Classes) != len(b.Day.Classes) {
+func Compare(a, b Subject, r StoppingRule) (*Comparison, error) {
+	if a.Scenario.Length != b.Scenario.Length || len(a.Scenario.Classes) != len(b.Scenario.Classes) {
 		return nil, errors.New("forecast: the two days differ in length or classes; a comparison needs the same clients")
 	}
-	looks := max((r.Most+r.Batch-1)/r.Batch, 1)
+	looks := max((r.MaxReplications+r.BatchSize-1)/r.BatchSize, 1)
 	level := 1 - (1-r.Level)/float64(looks)
 	c := &Comparison{Names: [2]string{a.Name, b.Name}, Level: r.Level}
 	n := 0
 	requests := [2]float64{}
 	for c.Looks = 1; c.Looks <= looks; c.Looks++ {
-		more := min(r.Batch, r.Most-n)
+		more := min(r.BatchSize, r.MaxReplications-n)
 		results := make([][2]*Summary, more)
-		err := replication.Each(2*more, r.AtOnce, func(i int) error {
-			side := []Side{a, b}[i%2]
+		err := replication.Run(2*more, r.Parallel, func(i int) error {
+			side := []Subject{a, b}[i%2]
 			seed := uint64(n + i/2 + 1)
-			res, err := side.play(side.Day.Course(int(seed)), seed)
+			res, err := side.play(side.Scenario.Replication(int(seed)), seed)
 			results[i/2][i%2] = res
 			return err
 		})
@@ -234,8 +234,8 @@
 			c.Diffs = append(c.Diffs, pair[1].Service-pair[0].Service)
 		}
 		n += more
-		c.judge(level, r.Counts)
-		if c.Verdict != CantTell || n >= r.Most {
+		c.judge(level, r.MinDifference)
+		if c.Verdict != Undecided || n >= r.MaxReplications {
 			break
 		}
 	}
@@ -252,14 +252,14 @@
 	*requests += float64(s.Requests)
 	c.Refused[k] += float64(s.Refused)
 	c.Attempts[k] += float64(s.Attempts)
-	c.Moved[k] += s.Moved
-	c.Breaches[k] += s.Breaches
-	for i, x := range s.Course {
-		if i == len(c.Courses[k]) {
-			c.Courses[k] = append(c.Courses[k], scenario.Second{})
+	c.Moved[k] += s.TransferredTokens
+	c.Violations[k] += s.Violations
+	for i, x := range s.Timeline {
+		if i == len(c.Timelines[k]) {
+			c.Timelines[k] = append(c.Timelines[k], scenario.Second{})
 		}
-		c.Courses[k][i].Worth += x.Worth
-		c.Courses[k][i].Asked += x.Asked
+		c.Timelines[k][i].Worth += x.Worth
+		c.Timelines[k][i].Asked += x.Asked
 	}
 }
 
@@ -270,7 +270,7 @@
 func (c *Comparison) judge(level, counts float64) {
 	c.Mean = stat.Mean(c.Diffs, nil)
 	c.Low, c.High = Bootstrap(c.Diffs, level, resamples)
-	c.Heaps = heaps(c.Diffs)
+	c.Bimodal = heaps(c.Diffs)
 	switch {
 	case c.Low > counts:
 		c.Verdict = SecondBetter
@@ -279,7 +279,7 @@
 	case c.Low >= -counts && c.High <= counts:
 		c.Verdict = NoDifference
 	default:
-		c.Verdict = CantTell
+		c.Verdict = Undecided
 	}
 }
 
--- a/internal/simulation/forecast/forecast_test.go
+++ b/internal/simulation/forecast/forecast_test.go
@@ -13,7 +13,7 @@
 )
 
 // small is a quick day in which engines die.
-func small(t *testing.T, rate string) *scenario.Day {
+func small(t *testing.T, rate string) *scenario.Scenario {
 	t.Helper()
 	d, err := scenario.Parse("x.xml", []byte(strings.Replace(`<day length="6s" rate="RATE" fronts="2" seed="3">
   <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s" overload-factor="4" tip-after="2s" cancel="true"/>
@@ -27,8 +27,8 @@
 	return d
 }
 
-func side(name string, d *scenario.Day, way baseline.Way) Side {
-	return Side{Name: name, Day: d, Make: func(seed uint64) fleet.Options {
+func side(name string, d *scenario.Scenario, way baseline.Policy) Subject {
+	return Subject{Name: name, Scenario: d, Make: func(seed uint64) fleet.Options {
 		o := fleet.Options{Seed: seed}
 		if way != "" {
 			o.Decider = func(s routing.Config, seed uint64) (fleet.Decider, error) { return baseline.New(way, s, seed) }
@@ -47,14 +47,14 @@
 		shift := uint64(1000 * (trial + 1))
 		a.Make = func(seed uint64) fleet.Options { return fleet.Options{Seed: seed + shift} }
 		b.Make = func(seed uint64) fleet.Options { return fleet.Options{Seed: seed + shift + 500} }
-		c, err := Compare(a, b, Rules{Level: 0.95, Counts: 0, Batch: 6, Most: 12, AtOnce: 4})
+		c, err := Compare(a, b, StoppingRule{Level: 0.95, MinDifference: 0, BatchSize: 6, MaxReplications: 12, Parallel: 4})
 		if err != nil {
 			t.Fatal(err)
 		}
 		switch c.Verdict {
 		case FirstBetter, SecondBetter:
 			found++
-		case CantTell:
+		case Undecided:
 			told++
 		}
 	}
@@ -64,7 +64,7 @@
 	if found+told == 0 {
 		t.Error("never undecided where nothing counts as no difference: the bars can't be right")
 	}
-	same, err := Compare(side("a", d, ""), side("a", d, ""), Rules{Level: 0.95, Counts: 0.001, Batch: 4, Most: 12, AtOnce: 4})
+	same, err := Compare(side("a", d, ""), side("a", d, ""), StoppingRule{Level: 0.95, MinDifference: 0.001, BatchSize: 4, MaxReplications: 12, Parallel: 4})
 	if err != nil || same.Verdict != NoDifference || same.Mean != 0 || same.Looks != 1 {
 		t.Errorf("with the same chances: %+v %v", same, err)
 	}
@@ -72,13 +72,13 @@
 
 // TestAClearDifferenceIsFoundSoon: half the traffic, or random choice where engines fill up.
 func TestAClearDifferenceIsFoundSoon(t *testing.T) {
-	c, err := Compare(side("random", small(t, "110/s"), baseline.Random), side("choice", small(t, "110/s"), ""), Rules{Level: 0.95, Counts: 0.005, Batch: 6, Most: 36, AtOnce: 4})
+	c, err := Compare(side("random", small(t, "110/s"), baseline.Random), side("choice", small(t, "110/s"), ""), StoppingRule{Level: 0.95, MinDifference: 0.005, BatchSize: 6, MaxReplications: 36, Parallel: 4})
 	if err != nil || c.Verdict != SecondBetter || c.Low <= 0.005 || len(c.Diffs) >= 36 {
 		t.Errorf("%+v %v", c, err)
 	}
 	other := small(t, "60/s")
 	other.Length *= 2
-	if _, err := Compare(side("a", small(t, "60/s"), ""), side("b", other, ""), Rules{Level: 0.95, Batch: 4, Most: 4}); err == nil {
+	if _, err := Compare(side("a", small(t, "60/s"), ""), side("b", other, ""), StoppingRule{Level: 0.95, BatchSize: 4, MaxReplications: 4}); err == nil {
 		t.Error("days of different lengths were compared")
 	}
 }
--- a/internal/simulation/forecast/report.go
+++ b/internal/simulation/forecast/report.go
@@ -24,14 +24,14 @@
 		f("service", "%.4f", c.Means), f("worst 10 s", "%.4f", c.Worst), f("part refused", "%.4f", c.Refused),
 		f("attempts a request", "%.2f", c.Attempts), f("state tokens moved a request", "%.0f", c.Moved),
 	}
-	return append(rows, row{"rules broken", fmt.Sprint(c.Breaches[0]), fmt.Sprint(c.Breaches[1])})
+	return append(rows, row{"rules broken", fmt.Sprint(c.Violations[0]), fmt.Sprint(c.Violations[1])})
 }
 
 // answer is the verdict in a sentence.
 func (c *Comparison) answer() string {
 	s := fmt.Sprintf("%s: service differs by %+.4f, %.0f%% bars %+.4f to %+.4f, %d courses, %d looks", c.Verdict, c.Mean, 100*c.Level, c.Low, c.High,
 		len(c.Diffs), c.Looks)
-	if c.Heaps {
+	if c.Bimodal {
 		s += "; the differences fall into two heaps, so the mean says little: see the courses"
 	}
 	return s
@@ -64,7 +64,7 @@
 func (c *Comparison) WriteHTML(out io.Writer) error {
 	var lines []chart.Line
 	for k, name := range c.Names {
-		lines = append(lines, chart.Line{Name: name, X: chart.Seconds(len(c.Courses[k])), Y: chart.Smooth(course(c.Courses[k]), 2)})
+		lines = append(lines, chart.Line{Name: name, X: chart.Seconds(len(c.Timelines[k])), Y: chart.Smooth(course(c.Timelines[k]), 2)})
 	}
 	over, err := chart.SVG("service by the time of asking, all courses, mean of 5 s", "seconds", "service", lines...)
 	if err != nil {
--- a/internal/simulation/overload/overload_test.go
+++ b/internal/simulation/overload/overload_test.go
@@ -9,7 +9,7 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-func day(t *testing.T, happens string) *scenario.Day {
+func day(t *testing.T, happens string) *scenario.Scenario {
 	t.Helper()
 	d, err := scenario.Parse("day.xml", []byte(`<day length="30s" rate="90/s" fronts="8" seed="3">
   <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s" overload-factor="4"
@@ -27,8 +27,8 @@
 	return d
 }
 
-func plan(d *scenario.Day, loads ...float64) Plan {
-	return Plan{Day: d, Loads: loads, Before: 5 * time.Second, For: 8 * time.Second, After: 10 * time.Second, Runs: 2, AtOnce: 2}
+func plan(d *scenario.Scenario, loads ...float64) Plan {
+	return Plan{Scenario: d, Loads: loads, Before: 5 * time.Second, For: 8 * time.Second, After: 10 * time.Second, Runs: 2, Parallel: 2}
 }
 
 // TestServiceComesBack: after every load, alone and with a restart of half the readers, service is back within a time, at
@@ -37,15 +37,15 @@
 	for _, happens := range []string{"", `<happen at="7s" what="crash" kind="prefill" count="2" for="2s"/>`} {
 		for _, fronts := range []int{2, 24} {
 			d := day(t, happens)
-			d.Fronts = fronts
+			d.Replicas = fronts
 			points, err := Run(plan(d, 1, 3, 12))
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, p := range points {
 				t.Logf("%d fronts %+v", fronts, p)
-				if p.Never > 0 || p.Back > 8 {
-					t.Errorf("%d fronts, %g times: back after %.1f s, %d never", fronts, p.Load, p.Back, p.Never)
+				if p.NotRecovered > 0 || p.RecoverySeconds > 8 {
+					t.Errorf("%d fronts, %g times: back after %.1f s, %d never", fronts, p.Load, p.RecoverySeconds, p.NotRecovered)
 				}
 				if happens == "" && p.Goodput < 0.6*points[0].Goodput {
 					t.Errorf("%d fronts, %g times: goodput %.0f of %.0f", fronts, p.Load, p.Goodput, points[0].Goodput)
@@ -58,7 +58,7 @@
 // TestRetriesFeedIt: cutting the clients' retries leaves fewer tries and no less goodput.
 func TestRetriesFeedIt(t *testing.T) {
 	p := plan(day(t, ""), 6)
-	p.Loops = Loops[:2]
+	p.FeedbackLoops = FeedbackLoops[:2]
 	points, err := Run(p)
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if points[0].Never != 2 || points[0].Back < 6 {
+	if points[0].NotRecovered != 2 || points[0].RecoverySeconds < 6 {
 		t.Errorf("%+v", points[0])
 	}
 }
--- a/internal/simulation/replication/replication.go
+++ b/internal/simulation/replication/replication.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// Each calls do for 0 to n-1, atOnce of them at once (one where it is less), and joins their errors in the order of the numbers.
-func Each(n, atOnce int, do func(i int) error) error {
+// Run calls do for 0 to n-1, atOnce of them at once (one where it is less), and joins their errors in the order of the numbers.
+func Run(n, atOnce int, do func(i int) error) error {
 	errs := make([]error, n)
 	room := make(chan struct{}, max(atOnce, 1))
 	var wg sync.WaitGroup
--- a/internal/simulation/replication/replication_test.go
+++ b/internal/simulation/replication/replication_test.go
@@ -9,7 +9,7 @@
 
 func TestEachBoundsAndJoins(t *testing.T) {
 	var now, most, calls atomic.Int32
-	err := Each(20, 3, func(i int) error {
+	err := Run(20, 3, func(i int) error {
 		calls.Add(1)
 		if n := now.Add(1); n > most.Load() {
 			most.Store(n)
@@ -26,7 +26,7 @@
 	if err == nil || err.Error() != "number 4\nnumber 14" {
 		t.Errorf("%v", err)
 	}
-	if err := Each(2, 0, func(int) error { return nil }); err != nil || errors.Is(err, errors.ErrUnsupported) {
+	if err := Run(2, 0, func(int) error { return nil }); err != nil || errors.Is(err, errors.ErrUnsupported) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/simulation/rolesim/compare.go
+++ b/internal/simulation/rolesim/compare.go
@@ -104,7 +104,7 @@
 func bestSeeing(s Scenario, fixed *Result) *Result {
 	best := fixed
 	for _, price := range []float64{2, 10, 40} {
-		if r := Run(s, &Seeing{Price: price}); r.Service() > best.Service() {
+		if r := Run(s, &Clairvoyant{Price: price}); r.Service() > best.Service() {
 			best = r
 		}
 	}
--- a/internal/simulation/rolesim/policy.go
+++ b/internal/simulation/rolesim/policy.go
@@ -60,24 +60,24 @@
 	return p.Last
 }
 
-// Seeing knows the work of every second beforehand. It follows the cheapest course of readers under the same prices as
+// Clairvoyant knows the work of every second beforehand. It follows the cheapest course of readers under the same prices as
 // the planner, each change begun as long ahead as it takes, with no bound on how often or how many.
-type Seeing struct {
-	Ahead  time.Duration // how long a change takes; 0 = 8 s
-	Price  float64       // of a change; 0 = 10 engine seconds
-	course Course
+type Clairvoyant struct {
+	LeadTime time.Duration // how long a change takes; 0 = 8 s
+	Price    float64       // of a change; 0 = 10 engine seconds
+	course   Schedule
 }
 
 // Start implements Policy.
-func (p *Seeing) Start(s *Scenario) int {
-	if p.Ahead == 0 {
-		p.Ahead = 8 * time.Second
+func (p *Clairvoyant) Start(s *Scenario) int {
+	if p.LeadTime == 0 {
+		p.LeadTime = 8 * time.Second
 	}
 	if p.Price == 0 {
 		p.Price = 10
 	}
 	n := float64(s.Engines)
-	p.course = Cheapest(s.Engines, int(s.Length.Seconds())+1, p.Price, func(t int) (float64, float64) {
+	p.course = CheapestSchedule(s.Engines, int(s.Length.Seconds())+1, p.Price, func(t int) (float64, float64) {
 		a, b := s.Asked(time.Duration(t) * time.Second)
 		return a * n, b * n
 	})
@@ -85,16 +85,16 @@
 }
 
 // Step implements Policy.
-func (p *Seeing) Step(now time.Duration, engines []roles.Engine, _ []roles.Replica) roles.Plan {
-	return p.course.Step(now+p.Ahead, engines)
+func (p *Clairvoyant) Step(now time.Duration, engines []roles.Engine, _ []roles.Replica) roles.Plan {
+	return p.course.Step(now+p.LeadTime, engines)
 }
 
-// Course is how many readers are wanted in each second.
-type Course []int
+// Schedule is how many readers are wanted in each second.
+type Schedule []int
 
-// Cheapest finds the course with the least sum of stage cost and price of changes (each in engine seconds), by dynamic
+// CheapestSchedule finds the course with the least sum of stage cost and price of changes (each in engine seconds), by dynamic
 // programming, where asked tells the work of a second in engines.
-func Cheapest(engines, seconds int, price float64, asked func(t int) (reading, writing float64)) Course {
+func CheapestSchedule(engines, seconds int, price float64, asked func(t int) (reading, writing float64)) Schedule {
 	n := engines - 1 // states are 1 to n readers
 	cost := make([]float64, n)
 	from := make([][]int32, seconds)
@@ -126,7 +126,7 @@
 			best = i
 		}
 	}
-	course := make(Course, seconds)
+	course := make(Schedule, seconds)
 	for t := seconds - 1; t >= 0; t-- {
 		course[t] = best + 1
 		best = int(from[t][best])
@@ -135,7 +135,7 @@
 }
 
 // Step moves engines to what the course wants at a time.
-func (c Course) Step(at time.Duration, engines []roles.Engine) roles.Plan {
+func (c Schedule) Step(at time.Duration, engines []roles.Engine) roles.Plan {
 	want := c[min(max(int(math.Ceil(at.Seconds())), 0), len(c)-1)]
 	for _, e := range engines {
 		if e.Target == roles.Prefill {
--- a/internal/simulation/rolesim/scenarios.go
+++ b/internal/simulation/rolesim/scenarios.go
@@ -52,7 +52,7 @@
 func MassRestart(engines int) Scenario {
 	s := Scenario{
 		Name: "half of the readers lost as the mix shifts", Engines: engines, Length: 10 * time.Minute,
-		Deaths: []Death{{At: 5 * time.Minute, For: 90 * time.Second, Role: roles.Prefill, Part: 0.5}},
+		Outages: []Outage{{At: 5 * time.Minute, For: 90 * time.Second, Role: roles.Prefill, Part: 0.5}},
 	}
 	s.Asked = func(at time.Duration) (float64, float64) {
 		if at > 5*time.Minute {
--- a/internal/simulation/rolesim/sim.go
+++ b/internal/simulation/rolesim/sim.go
@@ -21,8 +21,8 @@
 	Seed    uint64
 	// Asked is the work asked for at a time, as parts of the whole fleet.
 	Asked func(at time.Duration) (reading, writing float64)
-	// Deaths are engines lost at a time, and how long until they are back, cold.
-	Deaths []Death
+	// Outages are engines lost at a time, and how long until they are back, cold.
+	Outages []Outage
 
 	Slots      int           // streams of a writer; 0 = 32
 	Stream     time.Duration // of one answer, on average; 0 = 3 s
@@ -34,8 +34,8 @@
 	Blind      bool          // fronts tell the planner nothing of what they refuse
 }
 
-// Death takes engines of a role, a part of those that have it then.
-type Death struct {
+// Outage takes engines of a role, a part of those that have it then.
+type Outage struct {
 	At, For time.Duration
 	Role    roles.Role
 	Part    float64
@@ -191,7 +191,7 @@
 		x.engines = append(x.engines, e)
 		x.in(e)
 	}
-	for i, d := range s.Deaths {
+	for i, d := range s.Outages {
 		heap.Push(&x.heap, event{at: d.At.Seconds(), kind: dies, n: i})
 	}
 	end := s.Length.Seconds()
@@ -315,7 +315,7 @@
 func (x *sim) event(ev event) {
 	e := ev.e
 	if ev.kind == dies {
-		x.die(x.s.Deaths[ev.n])
+		x.die(x.s.Outages[ev.n])
 		return
 	}
 	if ev.gen != e.gen {
@@ -352,7 +352,7 @@
 	}
 }
 
-func (x *sim) die(d Death) {
+func (x *sim) die(d Outage) {
 	var have []*engine
 	for _, e := range x.engines {
 		if e.state != down && e.role == d.Role {
--- a/internal/simulation/rolesim/sim_test.go
+++ b/internal/simulation/rolesim/sim_test.go
@@ -27,7 +27,7 @@
 		planned := Run(c.s, &Planned{Readers: c.s.Engines / 2})
 		floor := fixed.Service() - c.lag
 		if c.part > 0 {
-			seeing := Run(c.s, &Seeing{})
+			seeing := Run(c.s, &Clairvoyant{})
 			floor += c.part * (seeing.Service() - fixed.Service())
 		}
 		if planned.Service() < floor {
@@ -43,7 +43,7 @@
 func TestRunsAreTheSameEveryTime(t *testing.T) {
 	s := MassRestart(8)
 	s.Length = 2 * time.Minute
-	s.Deaths[0].At = time.Minute
+	s.Outages[0].At = time.Minute
 	a, b := Run(s, &Planned{Readers: 4}), Run(s, &Planned{Readers: 4})
 	if !reflect.DeepEqual(a, b) || a.Asked == 0 || a.Served == 0 {
 		t.Errorf("%+v\n%+v", a, b)
@@ -54,11 +54,11 @@
 func TestDeadFleetServesNothing(t *testing.T) {
 	s := Steady(8)
 	s.Length = 30 * time.Second
-	s.Deaths = []Death{{At: 0, For: time.Hour, Role: roles.Decode, Part: 1}}
+	s.Outages = []Outage{{At: 0, For: time.Hour, Role: roles.Decode, Part: 1}}
 	if r := Run(s, Fixed(4)); r.Served != 0 || r.Asked == 0 {
 		t.Errorf("%d of %d were served without a writer", r.Served, r.Asked)
 	}
-	s.Deaths = nil
+	s.Outages = nil
 	s.Asked = func(time.Duration) (float64, float64) { return 1.5, 0.2 }
 	if r := Run(s, Fixed(4)); r.Service() > 0.6 || r.LostRead == 0 {
 		t.Errorf("service %.2f with three times what four readers can do", r.Service())
--- a/internal/simulation/scenario/replay.go
+++ b/internal/simulation/scenario/replay.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Recorded is one request of a recording, in a day's terms.
-type Recorded struct {
+// RecordedRequest is one request of a recording, in a day's terms.
+type RecordedRequest struct {
 	At                time.Duration
 	Class, Tenant     int
 	Session, Prefix   string
@@ -22,9 +22,9 @@
 
 // Blend puts recordings together, each taken so many times: a copy goes by sessions of its own, up to two seconds off,
 // with the same shared beginnings; of a part of a time each request comes with that chance.
-func Blend(seed uint64, lists [][]Recorded, times []float64) []Recorded {
+func Blend(seed uint64, lists [][]RecordedRequest, times []float64) []RecordedRequest {
 	rnd := rand.New(rand.NewPCG(seed, 5))
-	var out []Recorded
+	var out []RecordedRequest
 	for i, list := range lists {
 		for copy := 0; float64(copy) < times[i]; copy++ {
 			part := min(times[i]-float64(copy), 1)
@@ -44,13 +44,13 @@
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Recorded) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(out, func(a, b RecordedRequest) int { return cmp.Compare(a.At, b.At) })
 	return out
 }
 
 // Replay begins a course of recorded requests in place of drawn sessions. Each is a session of one turn, so that it comes
 // when it came; what clients do beside it (retries, marks, hang-ups of happenings) is drawn as ever.
-func (d *Day) Replay(list []Recorded) *Arrivals {
+func (d *Scenario) Replay(list []RecordedRequest) *Arrivals {
 	a := d.Arrivals()
 	a.list, a.replay = list, true
 	return a
@@ -68,7 +68,7 @@
 	return gap
 }
 
-func (a *Arrivals) nextRecorded(s *Session, m *Mood) {
+func (a *Arrivals) nextRecorded(s *Session, m *Conditions) {
 	q := &a.list[0]
 	a.list = a.list[1:]
 	s.Class, s.Tenant, s.single = q.Class, q.Tenant, true
@@ -77,7 +77,7 @@
 	}
 	s.Stream = q.Stream
 	if q.Prefix != "" && q.PrefixLen > 0 {
-		s.Beginning = Text{[2]uint64{xxhash.Sum64String(q.Prefix), 7}, q.PrefixLen}
+		s.Prefix = Text{[2]uint64{xxhash.Sum64String(q.Prefix), 7}, q.PrefixLen}
 	}
 	s.ask(m)
 	s.Turns = []Text{{[2]uint64{s.seed, 10}, max(q.Prompt-q.PrefixLen, 1)}}
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -22,21 +22,21 @@
 	"brackenbend/roles"
 )
 
-// Day is a scripted day.
-type Day struct {
+// Scenario is a scripted day.
+type Scenario struct {
 	config.Pos
-	Length   time.Duration `cfg:"length,required"`
-	Rate     config.Rate   `cfg:"rate,required"` // sessions' first requests and further turns together, a second
-	Seed     int           `cfg:"seed"`
-	Fronts   int           `cfg:"fronts,required"`
-	Dialect  string        `cfg:"dialect,enum=vllm|extended"` // of the engines; none = extended
-	Service  *Service      `cfg:"service,required"`
-	Planner  *Planner      `cfg:"planner"` // of engines that change role; none = roles stay
-	Kinds    []Kind        `cfg:"engines,required"`
-	Classes  []Class       `cfg:"class,required"`
-	Tenants  []Tenant      `cfg:"tenant"`
-	Happens  []Happening   `cfg:"happen"`
-	Expected *Expected     `cfg:"expect"`
+	Length         time.Duration `cfg:"length,required"`
+	Rate           config.Rate   `cfg:"rate,required"` // sessions' first requests and further turns together, a second
+	Seed           int           `cfg:"seed"`
+	Replicas       int           `cfg:"fronts,required"`
+	EngineProtocol string        `cfg:"dialect,enum=vllm|extended"` // of the engines; none = extended
+	Service        *Service      `cfg:"service,required"`
+	Planner        *Planner      `cfg:"planner"` // of engines that change role; none = roles stay
+	Kinds          []Kind        `cfg:"engines,required"`
+	Classes        []Class       `cfg:"class,required"`
+	Tenants        []Tenant      `cfg:"tenant"`
+	Faults         []Fault       `cfg:"happen"`
+	Expected       *Expected     `cfg:"expect"`
 
 	text []byte // that it was read from
 }
@@ -44,70 +44,70 @@
 // Service is what fronts and auditor are told.
 type Service struct {
 	config.Pos
-	MaxAttempts int           `cfg:"max-attempts"`
-	Release     time.Duration `cfg:"release-within,required"`
-	DrainGrace  time.Duration `cfg:"drain-grace,required"`
-	ColdFrom    float64       `cfg:"cold-from"`
-	ColdFor     time.Duration `cfg:"cold-for"`
-	Overload    float64       `cfg:"overload-factor"`
-	TipAfter    time.Duration `cfg:"tip-after"`
-	WritersRead bool          `cfg:"writers-read"`
-	CancelStops bool          `cfg:"cancel"`
-	Retries     int           `cfg:"client-retries"`
+	MaxAttempts      int           `cfg:"max-attempts"`
+	StateTTL         time.Duration `cfg:"release-within,required"`
+	DrainGrace       time.Duration `cfg:"drain-grace,required"`
+	SlowStartFrom    float64       `cfg:"cold-from"`
+	SlowStartFor     time.Duration `cfg:"cold-for"`
+	OverloadFactor   float64       `cfg:"overload-factor"`
+	OverloadAfter    time.Duration `cfg:"tip-after"`
+	DecodeCanPrefill bool          `cfg:"writers-read"`
+	CanCancel        bool          `cfg:"cancel"`
+	ClientRetries    int           `cfg:"client-retries"`
 }
 
 // Planner shares out engines of kinds that shift.
 type Planner struct {
 	config.Pos
-	Count      int           `cfg:"count"` // planners at once; 0 = 1
-	Every      time.Duration `cfg:"every"`
-	MinStay    time.Duration `cfg:"min-stay"`
-	AtOnce     float64       `cfg:"at-once"`
-	ChangeTime time.Duration `cfg:"change-time"`
-	Warm       time.Duration `cfg:"warm"`
-	TurnTime   time.Duration `cfg:"turn-time"`
-	Switch     time.Duration `cfg:"switch"` // of an empty engine; 0 = 1 s
+	Count         int           `cfg:"count"` // planners at once; 0 = 1
+	Interval      time.Duration `cfg:"every"`
+	MinDwell      time.Duration `cfg:"min-stay"`
+	MaxConcurrent float64       `cfg:"at-once"`
+	ChangeTime    time.Duration `cfg:"change-time"`
+	WarmUp        time.Duration `cfg:"warm"`
+	ChangeTimeout time.Duration `cfg:"turn-time"`
+	SwitchTime    time.Duration `cfg:"switch"` // of an empty engine; 0 = 1 s
 }
 
 // Settings are the planner's.
 func (p *Planner) Settings() roles.Config {
-	return roles.Config{MinDwell: p.MinStay, MaxConcurrent: p.AtOnce, ChangeTime: p.ChangeTime, WarmUp: p.Warm, ChangeTimeout: p.TurnTime}
+	return roles.Config{MinDwell: p.MinDwell, MaxConcurrent: p.MaxConcurrent, ChangeTime: p.ChangeTime, WarmUp: p.WarmUp, ChangeTimeout: p.ChangeTimeout}
 }
 
 // Kind is a group of engines that are alike.
 type Kind struct {
 	config.Pos
-	Name      string        `cfg:"kind,required"`
-	Shifts    bool          `cfg:"shifts"` // they may take the role of the other kind that shifts
-	Role      string        `cfg:"role,required,enum=reader|writer|mixed"`
-	Count     int           `cfg:"count,required"`
-	Slots     int           `cfg:"slots,required"`
-	Queue     int           `cfg:"queue,required"`
-	Memory    config.Tokens `cfg:"memory,required"`
-	ReadRate  config.Rate   `cfg:"read-rate"` // prompt tokens
-	Step      time.Duration `cfg:"step"`
-	PerStream time.Duration `cfg:"step-per-stream"`
-	FetchRate config.Rate   `cfg:"fetch-rate"` // state tokens
+	Name        string        `cfg:"kind,required"`
+	ChangesRole bool          `cfg:"shifts"` // they may take the role of the other kind that shifts
+	Role        string        `cfg:"role,required,enum=reader|writer|mixed"`
+	Count       int           `cfg:"count,required"`
+	Slots       int           `cfg:"slots,required"`
+	Queue       int           `cfg:"queue,required"`
+	Memory      config.Tokens `cfg:"memory,required"`
+	ReadRate    config.Rate   `cfg:"read-rate"` // prompt tokens
+	Step        time.Duration `cfg:"step"`
+	PerStream   time.Duration `cfg:"step-per-stream"`
+	FetchRate   config.Rate   `cfg:"fetch-rate"` // state tokens
 }
 
 // Class is a class of requests.
 type Class struct {
 	config.Pos
-	Name       string        `cfg:"name,required"`
-	Effect     string        `cfg:"effect,required,enum=safe|keyed|unsafe"`
-	Share      float64       `cfg:"share,required"`
-	Aim        time.Duration `cfg:"aim,required"`
-	AimPer1000 time.Duration `cfg:"aim-per-1000-tokens"`
-	Deadline   time.Duration `cfg:"deadline,required"`
-	Window     time.Duration `cfg:"window"`
-	Worth      float64       `cfg:"worth"`
-	LateWorth  float64       `cfg:"late-worth"`
-	Prompt     config.Tokens `cfg:"prompt,required"`   // of a turn, on average
-	Beginning  config.Tokens `cfg:"beginning"`         // shared
-	Shared     float64       `cfg:"beginning-share"`   // part that begins with one of a few shared texts
-	Answer     config.Tokens `cfg:"answer,required"`   // on average
-	Turns      float64       `cfg:"turns"`             // of a session, on average
-	Whole      float64       `cfg:"not-streamed-part"` // of clients that want the answer whole
+	Name                    string        `cfg:"name,required"`
+	Idempotency             string        `cfg:"effect,required,enum=safe|keyed|unsafe"`
+	Share                   float64       `cfg:"share,required"`
+	LatencyObjective        time.Duration `cfg:"aim,required"`
+	LatencyObjectivePer1000 time.Duration `cfg:"aim-per-1000-tokens"`
+	Deadline                time.Duration `cfg:"deadline,required"`
+	DedupWindow             time.Duration `cfg:"window"`
+	PriorityWeight          float64       `cfg:"worth"`
+	LateWeight              float64       `cfg:"late-worth"`
+	PromptTokens            config.Tokens `cfg:"prompt,required"`   // of a turn, on average
+	PrefixTokens            config.Tokens `cfg:"beginning"`         // shared
+	PrefixShare             float64       `cfg:"beginning-share"`   // part that begins with one of a few shared texts
+	AnswerTokens            config.Tokens `cfg:"answer,required"`   // on average
+	Turns                   float64       `cfg:"turns"`             // of a session, on average
+	NotStreamedPart         float64       `cfg:"not-streamed-part"` // of clients that want the answer whole
 }
 
 // Tenant is a customer.
@@ -118,8 +118,8 @@
 	Quota config.Rate `cfg:"quota"`
 }
 
-// Happening is something that goes wrong, or changes, for a while.
-type Happening struct {
+// Fault is something that goes wrong, or changes, for a while.
+type Fault struct {
 	config.Pos
 	At     time.Duration `cfg:"at,required"`
 	For    time.Duration `cfg:"for"`
@@ -142,7 +142,7 @@
 var builtin embed.FS
 
 // Default is the bad day that the program carries.
-func Default() (*Day, error) {
+func Default() (*Scenario, error) {
 	text, err := builtin.ReadFile("bad.xml")
 	if err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 }
 
 // Load reads a day file.
-func Load(path string) (*Day, error) {
+func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -160,31 +160,31 @@
 }
 
 // Parse reads a day; the error is config.Problems.
-func Parse(file string, text []byte) (*Day, error) {
-	d := &Day{}
+func Parse(file string, text []byte) (*Scenario, error) {
+	d := &Scenario{}
 	if err := config.Decode(file, text, "day", d, d.check); err != nil {
 		return nil, err
 	}
 	d.text = text
-	if d.Dialect == "" {
-		d.Dialect = "extended"
+	if d.EngineProtocol == "" {
+		d.EngineProtocol = "extended"
 	}
 	for i := range d.Classes {
 		c := &d.Classes[i]
-		c.Worth, c.Turns = cmp.Or(c.Worth, 1), cmp.Or(c.Turns, 1)
+		c.PriorityWeight, c.Turns = cmp.Or(c.PriorityWeight, 1), cmp.Or(c.Turns, 1)
 	}
 	return d, nil
 }
 
-func (d *Day) check(report config.Reporter) {
+func (d *Scenario) check(report config.Reporter) {
 	if d.Length < time.Second || d.Length > time.Hour {
 		report(d.Pos, "write 1s to 1h", "a day of %v", d.Length)
 	}
 	if d.Rate <= 0 || d.Rate > 5000 {
 		report(d.Pos, "write a rate up to 5000/s", "a rate of %v/s", d.Rate)
 	}
-	if d.Fronts < 1 || d.Fronts > mostFronts {
-		report(d.Pos, fmt.Sprintf("write 1 to %d", mostFronts), "%d fronts", d.Fronts)
+	if d.Replicas < 1 || d.Replicas > mostFronts {
+		report(d.Pos, fmt.Sprintf("write 1 to %d", mostFronts), "%d fronts", d.Replicas)
 	}
 	engines, share := 0, 0.0
 	reads, writes := false, false
@@ -200,7 +200,7 @@
 	}
 	shifting := map[string]int{}
 	for _, k := range d.Kinds {
-		if k.Shifts {
+		if k.ChangesRole {
 			shifting[k.Role]++
 		}
 	}
@@ -226,14 +226,14 @@
 	}
 	for _, c := range d.Classes {
 		share += c.Share
-		if (c.Effect == "keyed") != (c.Window > 0) {
-			report(c.Pos, `give window with effect="keyed", and only there`, "<class name=%q>: effect %s with a window of %v", c.Name, c.Effect, c.Window)
+		if (c.Idempotency == "keyed") != (c.DedupWindow > 0) {
+			report(c.Pos, `give window with effect="keyed", and only there`, "<class name=%q>: effect %s with a window of %v", c.Name, c.Idempotency, c.DedupWindow)
 		}
 	}
 	if len(d.Classes) > 0 && math.Abs(share-1) > 1e-6 {
 		report(d.Pos, "let the classes' shares add up to 1", "they add up to %v", share)
 	}
-	for _, h := range d.Happens {
+	for _, h := range d.Faults {
 		if h.At+h.For > d.Length {
 			report(h.Pos, "begin earlier, or make the day longer", "<happen what=%q> ends after the day", h.What)
 		}
@@ -248,8 +248,8 @@
 
 var happenLine = regexp.MustCompile(`[ \t]*<happen\s[^>]*/>[ \t]*\n?`)
 
-// With is the day with other happenings, and the text of its file. A bound on service goes, since it was the other day's.
-func (d *Day) With(happens []Happening, note string) (*Day, []byte, error) {
+// WithFaults is the day with other happenings, and the text of its file. A bound on service goes, since it was the other day's.
+func (d *Scenario) WithFaults(happens []Fault, note string) (*Scenario, []byte, error) {
 	text := happenLine.ReplaceAll(d.text, nil)
 	text = expectLine.ReplaceAll(text, nil)
 	end := bytes.LastIndex(text, []byte("</day>"))
@@ -272,7 +272,7 @@
 var expectLine = regexp.MustCompile(`[ \t]*<expect\s[^>]*/>[ \t]*\n?`)
 
 // XML is the happening as it stands in a day file.
-func (h *Happening) XML() string {
+func (h *Fault) XML() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "<happen at=%q what=%q", plainTime(h.At), h.What)
 	add := func(name, v string, is bool) {
@@ -307,18 +307,18 @@
 )
 
 // Engines is the number of engines.
-func (d *Day) Engines() (n int) {
+func (d *Scenario) Engines() (n int) {
 	for _, k := range d.Kinds {
 		n += k.Count
 	}
 	return n
 }
 
-// OnSockets tells why the day can't be played on one machine's sockets; nil where it can.
-func (d *Day) OnSockets() error {
+// CheckRunnable tells why the day can't be played on one machine's sockets; nil where it can.
+func (d *Scenario) CheckRunnable() error {
 	switch {
-	case d.Fronts > 32:
-		return fmt.Errorf("day: %d fronts, 32 at most on sockets", d.Fronts)
+	case d.Replicas > 32:
+		return fmt.Errorf("day: %d fronts, 32 at most on sockets", d.Replicas)
 	case d.Engines() > 200:
 		return fmt.Errorf("day: %d engines, 200 at most on sockets", d.Engines())
 	case d.Rate > 1000:
@@ -327,22 +327,22 @@
 	return nil
 }
 
-// Course is the day with the clients of its n-th course, from 1; ways of running a fleet are compared on the same courses.
-func (d *Day) Course(n int) *Day {
+// Replication is the day with the clients of its n-th course, from 1; ways of running a fleet are compared on the same courses.
+func (d *Scenario) Replication(n int) *Scenario {
 	c := *d
 	c.Seed += 1000 * n
 	return &c
 }
 
 // Scale makes the day last so long, everything in it in proportion.
-func (d *Day) Scale(length time.Duration) error {
+func (d *Scenario) Scale(length time.Duration) error {
 	if length < time.Second || length > time.Hour {
 		return fmt.Errorf("day: a length of %v; 1s to 1h", length)
 	}
 	f := float64(length) / float64(d.Length)
 	d.Length = length
-	for i := range d.Happens {
-		h := &d.Happens[i]
+	for i := range d.Faults {
+		h := &d.Faults[i]
 		h.At, h.For = time.Duration(float64(h.At)*f), time.Duration(float64(h.For)*f)
 	}
 	return nil
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func bad(t *testing.T) *Day {
+func bad(t *testing.T) *Scenario {
 	t.Helper()
 	d, err := Default()
 	if err != nil {
@@ -29,19 +29,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, text, err := d.With(d.Happens, "a note -- with dashes")
+		again, text, err := d.WithFaults(d.Faults, "a note -- with dashes")
 		if err != nil {
 			t.Fatalf("%s: %v\n%s", f, err, text)
 		}
-		for i := range again.Happens {
-			a, b := d.Happens[i], again.Happens[i]
+		for i := range again.Faults {
+			a, b := d.Faults[i], again.Faults[i]
 			a.Pos = b.Pos
 			if a != b {
 				t.Errorf("%s: %+v came back as %+v", f, a, b)
 			}
 		}
-		if len(again.Happens) != len(d.Happens) || !reflect.DeepEqual(again.Service.Release, d.Service.Release) {
-			t.Errorf("%s: %d happenings of %d", f, len(again.Happens), len(d.Happens))
+		if len(again.Faults) != len(d.Faults) || !reflect.DeepEqual(again.Service.StateTTL, d.Service.StateTTL) {
+			t.Errorf("%s: %d happenings of %d", f, len(again.Faults), len(d.Faults))
 		}
 	}
 }
@@ -49,10 +49,10 @@
 // TestMoodsEnd: whatever changes the clients' mood is undone, also where two of them overlap.
 func TestMoodsEnd(t *testing.T) {
 	for _, what := range []string{"surge", "mix", "overlong", "hot-prefix", "hang-ups", "slow-readers"} {
-		m := Calm()
-		h := &Happening{What: what, Class: "order", Factor: 3, Part: 0.5}
+		m := NormalConditions()
+		h := &Fault{What: what, Class: "order", Factor: 3, Part: 0.5}
 		undo := m.Change(h)
-		if undo == nil || reflect.DeepEqual(m, Calm()) {
+		if undo == nil || reflect.DeepEqual(m, NormalConditions()) {
 			t.Errorf("%s changes nothing", what)
 			continue
 		}
@@ -61,34 +61,34 @@
 			t.Errorf("%s is not undone: %+v", what, m)
 		}
 	}
-	m := Calm()
-	first := m.Change(&Happening{What: "mix", Class: "a", Factor: 2})
-	second := m.Change(&Happening{What: "mix", Class: "b", Factor: 3})
+	m := NormalConditions()
+	first := m.Change(&Fault{What: "mix", Class: "a", Factor: 2})
+	second := m.Change(&Fault{What: "mix", Class: "b", Factor: 3})
 	first(&m)
 	if m.Mix["a"] != 1 || m.Mix["b"] != 3 {
 		t.Errorf("%v", m.Mix)
 	}
 	second(&m)
-	if m.Change(&Happening{What: "crash"}) != nil {
+	if m.Change(&Fault{What: "crash"}) != nil {
 		t.Error("a crash is the engines', not the clients'")
 	}
 }
 
 // TestSessionsDrawAlone: what one client meets changes nothing in the others, nor in its own next draws of length.
 func TestSessionsDrawAlone(t *testing.T) {
-	m := Calm()
+	m := NormalConditions()
 	play := func(kind string) (lengths []int, gaps []time.Duration) {
 		a := bad(t).Arrivals()
 		for range 300 {
 			gaps = append(gaps, a.Gap(&m))
 			s := a.Next(&m)
 			n, beginning := s.PromptBytes()
-			if beginning > n || n == 0 || len(s.Beginning.Words()) != s.Beginning.Bytes() {
+			if beginning > n || n == 0 || len(s.Prefix.Words()) != s.Prefix.Bytes() {
 				t.Fatalf("%d bytes, %d shared", n, beginning)
 			}
 			lengths = append(lengths, n)
-			s.Front(4)
-			s.After(kind, false, time.Second, 0)
+			s.PickReplica(4)
+			s.AfterAttempt(kind, false, time.Second, 0)
 		}
 		return lengths, gaps
 	}
@@ -103,11 +103,11 @@
 func TestClientsTryAgainAsTheyShould(t *testing.T) {
 	d := bad(t)
 	of := func(effect string, marked bool) *Session {
-		m, a := Calm(), d.Arrivals()
+		m, a := NormalConditions(), d.Arrivals()
 		for {
 			s := a.Next(&m)
-			if d.Classes[s.Class].Effect == effect && s.Marked == marked {
-				s.Front(4)
+			if d.Classes[s.Class].Idempotency == effect && s.MarksRetries == marked {
+				s.PickReplica(4)
 				return s
 			}
 		}
@@ -128,24 +128,24 @@
 		{"unsafe", "unconnected", false, false, true},
 		{"safe", "broken", true, false, false},
 	} {
-		if again, _ := of(c.effect, c.marked).After(c.kind, c.handUp, time.Second, time.Second); again != c.again {
+		if again, _ := of(c.effect, c.marked).AfterAttempt(c.kind, c.handUp, time.Second, time.Second); again != c.again {
 			t.Errorf("%+v: again %v", c, again)
 		}
 	}
 	s := of("safe", false)
-	if again, _ := s.After("refused", false, 0, time.Hour); again {
+	if again, _ := s.AfterAttempt("refused", false, 0, time.Hour); again {
 		t.Error("a client tries again long after its time")
 	}
 	for range 30 {
-		s.After("unconnected", false, 0, 0)
+		s.AfterAttempt("unconnected", false, 0, 0)
 	}
-	if again, _ := s.After("unconnected", false, 0, 0); again {
+	if again, _ := s.AfterAttempt("unconnected", false, 0, 0); again {
 		t.Error("a client never stops connecting")
 	}
 }
 
 func TestScore(t *testing.T) {
-	d, m := bad(t), Calm()
+	d, m := bad(t), NormalConditions()
 	score, a := d.Score(), d.Arrivals()
 	worth, asked := 0.0, 0.0
 	for i, kind := range []string{"served", "refused", "hung up", "broken", "served"} {
@@ -158,24 +158,24 @@
 		score.Add(s, time.Duration(i)*time.Second, kind, first)
 		c := d.Classes[s.Class]
 		if kind != "hung up" {
-			asked += c.Worth
+			asked += c.PriorityWeight
 		}
 		if kind == "served" {
-			worth += c.Worth * map[bool]float64{true: c.LateWorth, false: 1}[i == 4]
+			worth += c.PriorityWeight * map[bool]float64{true: c.LateWeight, false: 1}[i == 4]
 		}
 	}
-	if got := score.Service(); math.Abs(got-worth/asked) > 1e-12 || score.Worst(1) != 0 || len(score.Course) != 5 {
-		t.Errorf("service %v, want %v; %+v", got, worth/asked, score.Course)
+	if got := score.Service(); math.Abs(got-worth/asked) > 1e-12 || score.Worst(1) != 0 || len(score.Timeline) != 5 {
+		t.Errorf("service %v, want %v; %+v", got, worth/asked, score.Timeline)
 	}
 }
 
 func TestDaysTooLargeForSockets(t *testing.T) {
 	d := bad(t)
-	if err := d.OnSockets(); err != nil {
+	if err := d.CheckRunnable(); err != nil {
 		t.Error(err)
 	}
-	d.Fronts = 300
-	if err := d.OnSockets(); err == nil || !strings.Contains(err.Error(), "300") {
+	d.Replicas = 300
+	if err := d.CheckRunnable(); err == nil || !strings.Contains(err.Error(), "300") {
 		t.Errorf("300 fronts on sockets: %v", err)
 	}
 	if set, err := d.Settings(7); err != nil || set.Replica.Name != "front-8" || len(set.RoutingConfig().Classes) != len(d.Classes) {
--- a/internal/simulation/scenario/stored_test.go
+++ b/internal/simulation/scenario/stored_test.go
@@ -17,7 +17,7 @@
 // TestDaySchema: the published schema of days. The golden files here were recorded before the renaming and are not updated
 // while it goes on.
 func TestDaySchema(t *testing.T) {
-	golden.Check(t, "day.xsd", string(config.SchemaOf("day", reflect.TypeFor[Day]())))
+	golden.Check(t, "day.xsd", string(config.SchemaOf("day", reflect.TypeFor[Scenario]())))
 }
 
 // TestDayWritten: the text of a day with other happenings, as a hunt writes it, and that it is read and written again alike.
@@ -26,14 +26,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	happens := []Happening{
+	happens := []Fault{
 		{At: time.Second, What: "crash", Kind: "decode", Count: 2, For: 1500 * time.Millisecond},
 		{At: 2 * time.Second, What: "fail-class", Class: "order", Part: 0.125, For: time.Second},
 		{At: 3 * time.Second, What: "register-late", Late: 250 * time.Millisecond, For: time.Second},
 		{At: 4 * time.Second, What: "surge", Factor: 2.5, For: time.Second},
 		{At: 5 * time.Second, What: "front-kill"},
 	}
-	again, text, err := d.With(happens, "found by a hunt: -- a note")
+	again, text, err := d.WithFaults(happens, "found by a hunt: -- a note")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,8 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []*Day{again, read} {
-		_, text, err = x.With(x.Happens, "found by a hunt: -- a note")
+	for _, x := range []*Scenario{again, read} {
+		_, text, err = x.WithFaults(x.Faults, "found by a hunt: -- a note")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/scenario/tally.go
+++ b/internal/simulation/scenario/tally.go
@@ -25,19 +25,19 @@
 // add counts a request that ended with kind, its first token first after it was asked (0 = none).
 func (t *Tally) add(c *Class, s *Session, kind string, first time.Duration) {
 	t.Requests++
-	t.Tries += s.Tries
+	t.Tries += s.Attempts
 	if kind != "hung up" {
-		t.Asked += c.Worth
+		t.Asked += c.PriorityWeight
 	}
 	switch kind {
 	case "served":
 		t.Served++
 		t.firsts = append(t.firsts, first)
 		if !s.Stream || first <= s.aim() { // a whole answer is judged by its coming, not by its first token
-			t.Worth += c.Worth
+			t.Worth += c.PriorityWeight
 		} else {
 			t.Late++
-			t.Worth += c.Worth * c.LateWorth
+			t.Worth += c.PriorityWeight * c.LateWeight
 		}
 	case "refused", "turned":
 		t.Refused++
@@ -54,11 +54,11 @@
 
 func (s *Session) aim() time.Duration {
 	c := &s.d.Classes[s.Class]
-	bytes := s.Beginning.Bytes()
+	bytes := s.Prefix.Bytes()
 	for _, t := range s.Turns {
 		bytes += t.Bytes()
 	}
-	return c.Aim + time.Duration(float64(bytes)/4/1000*float64(c.AimPer1000))
+	return c.LatencyObjective + time.Duration(float64(bytes)/4/1000*float64(c.LatencyObjectivePer1000))
 }
 
 // Second is what came of the requests that were first sent in one second of the day.
@@ -69,14 +69,14 @@
 
 // Score is what came of a day.
 type Score struct {
-	d       *Day
-	classes []Tally
-	tenants []Tally
-	Course  []Second
+	d        *Scenario
+	classes  []Tally
+	tenants  []Tally
+	Timeline []Second
 }
 
 // Score begins one.
-func (d *Day) Score() *Score {
+func (d *Scenario) Score() *Score {
 	s := &Score{d: d}
 	for _, c := range d.Classes {
 		s.classes = append(s.classes, Tally{Name: c.Name})
@@ -97,11 +97,11 @@
 		s.tenants[x.Tenant].add(c, x, kind, first)
 	}
 	i := max(int(at.Seconds()), 0)
-	for len(s.Course) <= i {
-		s.Course = append(s.Course, Second{})
+	for len(s.Timeline) <= i {
+		s.Timeline = append(s.Timeline, Second{})
 	}
-	if s.Course[i].Worth += of.Worth - worth; kind != "hung up" {
-		s.Course[i].Asked += c.Worth
+	if s.Timeline[i].Worth += of.Worth - worth; kind != "hung up" {
+		s.Timeline[i].Asked += c.PriorityWeight
 	}
 }
 
@@ -120,9 +120,9 @@
 // Worst is the service of the worst so many seconds in a row in which anything was asked; 1 where there are none.
 func (s *Score) Worst(seconds int) float64 {
 	worst := 1.0
-	for i := 0; i+seconds <= len(s.Course); i++ {
+	for i := 0; i+seconds <= len(s.Timeline); i++ {
 		worth, asked := 0.0, 0.0
-		for _, c := range s.Course[i : i+seconds] {
+		for _, c := range s.Timeline[i : i+seconds] {
 			worth, asked = worth+c.Worth, asked+c.Asked
 		}
 		if asked > 0 {
--- a/internal/simulation/trace/fit.go
+++ b/internal/simulation/trace/fit.go
@@ -153,10 +153,10 @@
 }
 
 // Recorded makes requests of a trace what a day replays; classes and tenants go by name.
-func (t *Trace) Recorded(d *scenario.Day) ([]scenario.Recorded, error) {
-	out := make([]scenario.Recorded, 0, len(t.Requests))
+func (t *Trace) Recorded(d *scenario.Scenario) ([]scenario.RecordedRequest, error) {
+	out := make([]scenario.RecordedRequest, 0, len(t.Requests))
 	for i, q := range t.Requests {
-		r := scenario.Recorded{At: q.At, Tenant: -1, Session: q.Session, Prefix: q.Prefix, Prompt: q.Prompt, PrefixLen: min(q.PrefixLen, q.Prompt), Out: q.Out, Stream: q.Stream}
+		r := scenario.RecordedRequest{At: q.At, Tenant: -1, Session: q.Session, Prefix: q.Prefix, Prompt: q.Prompt, PrefixLen: min(q.PrefixLen, q.Prompt), Out: q.Out, Stream: q.Stream}
 		if r.Class = slices.IndexFunc(d.Classes, func(c scenario.Class) bool { return c.Name == q.Class }); r.Class < 0 {
 			return nil, fmt.Errorf("trace: request %d is of the class %q, the day has no such <class>", i+1, q.Class)
 		}
@@ -166,7 +166,7 @@
 			}
 		}
 		if r.Out == 0 { // refused or failed: what it would have answered is not known
-			r.Out = max(int(d.Classes[r.Class].Answer), 1)
+			r.Out = max(int(d.Classes[r.Class].AnswerTokens), 1)
 		}
 		out = append(out, r)
 	}
