--- a/internal/simulation/trace/trace_test.go
+++ b/internal/simulation/trace/trace_test.go
@@ -178,7 +178,7 @@
   <class name="b" effect="unsafe" share="0.4" aim="1s" deadline="5s" prompt="500tokens" answer="15tokens" not-streamed-part="0.5"/></day>`
 
 // recordedHouse is what a front would have recorded of the house's own clients.
-func recordedHouse(t *testing.T) (*scenario.Day, *Trace) {
+func recordedHouse(t *testing.T) (*scenario.Scenario, *Trace) {
 	t.Helper()
 	d, err := scenario.Parse("house.xml", []byte(house))
 	if err != nil {
@@ -190,7 +190,7 @@
 		t.Fatal(err)
 	}
 	var all []Request
-	a, calm, now := d.Arrivals(), scenario.Calm(), time.Duration(0)
+	a, calm, now := d.Arrivals(), scenario.NormalConditions(), time.Duration(0)
 	for now < d.Length {
 		now += a.Gap(&calm)
 		s := a.Next(&calm)
@@ -201,10 +201,10 @@
 				Stream: s.Stream, Result: "served",
 			}
 			if beginning > 0 {
-				q.Prefix = fmt.Sprint(s.Beginning.Seed)
+				q.Prefix = fmt.Sprint(s.Prefix.Seed)
 			}
 			all = append(all, q)
-			more, pause := s.More("served", false, &calm)
+			more, pause := s.NextTurn("served", false, &calm)
 			if !more {
 				break
 			}
@@ -240,8 +240,8 @@
 		k := d.Classes[i]
 		near(c.Name+" share", c.Share, k.Share, 0.1)
 		near(c.Name+" turns", c.Turns, k.Turns, 0.12)
-		near(c.Name+" prompt", c.Prompt, float64(k.Prompt), 0.1)
-		near(c.Name+" answer", c.Answer, float64(k.Answer), 0.1)
+		near(c.Name+" prompt", c.Prompt, float64(k.PromptTokens), 0.1)
+		near(c.Name+" answer", c.Answer, float64(k.AnswerTokens), 0.1)
 		if c.PromptOff > 0.12 || c.AnswerOff > 0.12 {
 			t.Errorf("%s: off by %v and %v", c.Name, c.PromptOff, c.AnswerOff)
 		}
@@ -271,7 +271,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	count := func(list []scenario.Recorded) int {
+	count := func(list []scenario.RecordedRequest) int {
 		r, err := fleet.Run(d, fleet.Options{Traffic: list, Audit: true})
 		if err != nil {
 			t.Fatal(err)
@@ -297,12 +297,12 @@
 	if n := count(list); n != within {
 		t.Errorf("%d requests were played, %d recorded in the day's time", n, within)
 	}
-	three := scenario.Blend(1, [][]scenario.Recorded{list}, []float64{3})
+	three := scenario.Blend(1, [][]scenario.RecordedRequest{list}, []float64{3})
 	d.Length = three[len(three)-1].At
 	if n := count(three); n != 3*len(list) {
 		t.Errorf("three times: %d of %d", n, 3*len(list))
 	}
-	half := scenario.Blend(1, [][]scenario.Recorded{list, list}, []float64{1, 0.5})
+	half := scenario.Blend(1, [][]scenario.RecordedRequest{list, list}, []float64{1, 0.5})
 	if n := float64(len(half)) / float64(len(list)); n < 1.4 || n > 1.6 {
 		t.Errorf("one and a half: %v", n)
 	}
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -175,7 +175,7 @@
 			b.load.fullUntil, r.admission.shedder.rejectedAt = r.now+rejectedPause, r.now
 			r.observeRejection(b, req, true)
 		}
-	case Cancelled, NotSent: // the endpoint had no part in it
+	case Canceled, NotSent: // the endpoint had no part in it
 	}
 }
 
--- a/routing/backend_test.go
+++ b/routing/backend_test.go
@@ -164,7 +164,7 @@
 				h.step(ClientDisconnected{id})
 				if req := h.router.requests[id]; req != nil {
 					endpoint := req.attempts[0].backend.ID
-					h.step(Outcome{Request: id, Endpoint: endpoint, Result: Cancelled, RequestDone: true})
+					h.step(Outcome{Request: id, Endpoint: endpoint, Result: Canceled, RequestDone: true})
 				}
 			}
 		})
--- a/routing/environment_test.go
+++ b/routing/environment_test.go
@@ -218,7 +218,7 @@
 	a := &req.attempts[event.Attempt]
 	a.inFlight = false
 	noAnswer := event.Result == EngineError || event.Result == TimedOut ||
-		event.Result == ConnectionReset || event.Result == Cancelled
+		event.Result == ConnectionReset || event.Result == Canceled
 	a.mayHaveRun = a.decode && noAnswer
 	switch {
 	case event.Result == PrefillDone:
@@ -267,7 +267,7 @@
 			attempt.arrived = false // an engine drops at once what waits for its state
 			if attempt.inFlight {
 				env.plan(ms, Outcome{
-					Request: a.Request, Attempt: a.Attempt, Endpoint: attempt.endpoint, Result: Cancelled,
+					Request: a.Request, Attempt: a.Attempt, Endpoint: attempt.endpoint, Result: Canceled,
 				})
 			}
 		case SetTimer:
--- a/routing/loadshed_test.go
+++ b/routing/loadshed_test.go
@@ -203,7 +203,7 @@
 					shed += len(actionsOf[Reject](actions))
 					h.step(ClientDisconnected{req.ID})
 					for i, send := range actionsOf[Send](actions) {
-						h.step(Outcome{Request: req.ID, Attempt: i, Endpoint: send.Endpoint, Result: Cancelled})
+						h.step(Outcome{Request: req.ID, Attempt: i, Endpoint: send.Endpoint, Result: Canceled})
 					}
 				}
 				all += boolToInt(shed == turns)
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -11,7 +11,7 @@
 	TimedOut                        // no answer in time; it may have run
 	ConnectFailed                   // no connection; it never ran
 	ConnectionReset                 // the connection broke; it may have run
-	Cancelled                       // canceled by this replica; it may have run
+	Canceled                        // canceled by this replica; it may have run
 	NotSent                         // never sent; it never ran
 	PrefillDone                     // the read state of the prompt waits at the endpoint
 	RequestIncomplete               // the connection broke before the request was whole; it never ran
@@ -24,11 +24,11 @@
 
 // mayHaveExecuted reports that an attempt which generates output may have had its effect without an answer.
 func (r Result) mayHaveExecuted() bool {
-	return r == EngineError || r == TimedOut || r == ConnectionReset || r == Cancelled
+	return r == EngineError || r == TimedOut || r == ConnectionReset || r == Canceled
 }
 
 // fromEndpoint reports that the endpoint itself, not this replica or the network, ended the attempt. A
 // connection that breaks counts: the endpoint was reachable.
 func (r Result) fromEndpoint() bool {
-	return r != TimedOut && r != Cancelled && r != ConnectFailed
+	return r != TimedOut && r != Canceled && r != ConnectFailed
 }
--- a/routing/recorded_test.go
+++ b/routing/recorded_test.go
@@ -199,7 +199,7 @@
 	case Send:
 		rec.send(a)
 	case Cancel:
-		rec.plan(2*ms, Outcome{Request: a.Request, Attempt: a.Attempt, Result: Cancelled, Elapsed: 2 * ms})
+		rec.plan(2*ms, Outcome{Request: a.Request, Attempt: a.Attempt, Result: Canceled, Elapsed: 2 * ms})
 	case Reject:
 		rec.done[a.Request] = true
 	case Fail:
