--- a/internal/scenariorun/roles.go
+++ b/internal/scenariorun/roles.go
@@ -112,8 +112,8 @@
 	}
 	for i := range max(p.r.d.Planner.Count, 1) {
 		run := &planner.Runner{
-			Register: planner.Client{URL: p.r.reg.URL(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
-			Settings: p.r.d.Planner.Settings(), Replicas: fronts, Interval: p.r.d.Planner.Interval, Log: log,
+			APIServer: planner.Client{URL: p.r.reg.URL(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
+			Settings:  p.r.d.Planner.Settings(), Replicas: fronts, Interval: p.r.d.Planner.Interval, Log: log,
 		}
 		if i == 0 {
 			run.OnPlan = p.note
