--- a/internal/fake/apiserver/apiserver.go
+++ b/internal/fake/apiserver/apiserver.go
@@ -145,8 +145,8 @@
 	s.delay = d
 }
 
-// SetUnreachable makes the server unreachable or reachable: while it is unreachable it answers nothing but 503, and all watches
-// are ended.
+// SetUnreachable makes the server unreachable or reachable: while it is unreachable it answers nothing but 503, and
+// all watches are ended.
 func (s *Server) SetUnreachable(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -31,7 +31,8 @@
 
 func engineParams(role roles.Role) enginemodel.Params {
 	return enginemodel.Params{
-		CanPrefill: role.Prefills(), CanDecode: role.Decodes(), Slots: 16, MaxQueued: 32, Memory: 200000, PrefillRate: 50000, Chunk: 512,
+		CanPrefill: role.Prefills(), CanDecode: role.Decodes(), Slots: 16, MaxQueued: 32, Memory: 200000,
+		PrefillRate: 50000, Chunk: 512,
 		Step: 2 * time.Millisecond, FetchRate: 1e6, CacheTokens: 100000, StateTTL: 30 * time.Second,
 	}
 }
