--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -4,43 +4,18 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"brackenbend/internal/api"
+	"brackenbend/internal/golden"
 	"brackenbend/routing"
 )
 
-var update = flag.Bool("update", false, "write the golden files")
-
-// compareGolden compares got with testdata/name. A difference is a changed byte on the wire.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from what was recorded\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
 // visibleLineEnds makes each line end of a message readable, so that CR and LF are compared too.
 func visibleLineEnds(s string) string {
 	s = strings.ReplaceAll(s, "\r", `\r`)
@@ -90,7 +65,7 @@
 				} else if client.ReleasesState() {
 					t.Error("a release without the extension")
 				}
-				compareGolden(t, name, text)
+				golden.Check(t, name, text)
 			})
 		}
 	}
@@ -157,7 +132,7 @@
 func TestRequestBytesWithLastByteHeldBack(t *testing.T) {
 	client := newLastByteClient()
 	client.SettleDelay = time.Millisecond
-	compareGolden(t, "request-once.golden", visibleLineEnds(captureRequest(t, prefillReply, func(e *Endpoint) {
+	golden.Check(t, "request-once.golden", visibleLineEnds(captureRequest(t, prefillReply, func(e *Endpoint) {
 		call := newCall(time.Minute)
 		call.ID, call.SingleUseConn, call.Body = "run-1-2", true, []byte(`{"model":"m"}`)
 		if out := client.Prefill(&Attempt{}, e, call); out.Result != routing.PrefillDone {
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"brackenbend/internal/http1"
+	"brackenbend/internal/golden"
 	"brackenbend/routing"
 )
 
@@ -285,7 +286,7 @@
 			}
 		}
 	}
-	compareGolden(t, "outcome-by-status.golden", all.String())
+	golden.Check(t, "outcome-by-status.golden", all.String())
 }
 
 // statusWithFields reports whether the fields of the extension are tried with a status.
@@ -333,5 +334,5 @@
 		fmt.Fprintf(&all, "%q: result %d, kv %q, kept %v\n",
 			text, int(out.Result), out.KVTransferParams, out.CachedTokens)
 	}
-	compareGolden(t, "outcome-read-answers.golden", all.String())
+	golden.Check(t, "outcome-read-answers.golden", all.String())
 }
