--- a/cmd/brackenbend/compare.go
+++ b/cmd/brackenbend/compare.go
@@ -72,7 +72,12 @@
 	f.StringVar(&c.htmlFile, "html", "", "write a page with plots")
 	f.StringVar(&c.jsonFile, "json", "", "write all figures")
 	f.Float64Var(&c.rules.Level, "level", c.rules.Level, "of the bars")
-	f.Float64Var(&c.rules.MinDifference, "counts", c.rules.MinDifference, "a difference of service below it does not count")
+	f.Float64Var(
+		&c.rules.MinDifference,
+		"counts",
+		c.rules.MinDifference,
+		"a difference of service below it does not count",
+	)
 	f.IntVar(&c.rules.BatchSize, "batch", c.rules.BatchSize, "replications between two looks")
 	f.IntVar(&c.rules.MaxReplications, "most", c.rules.MaxReplications, "replications in all")
 	f.BoolVar(&c.checkRules, "rules", c.checkRules, "check the rules as well")
@@ -80,7 +85,9 @@
 
 func (c *comparison) run(cmd *cobra.Command, args []string) error {
 	rules := c.rules
-	if rules.BatchSize < 3 || rules.MaxReplications < rules.BatchSize || rules.MaxReplications > 10000 || !isFraction(rules.Level) || rules.MinDifference < 0 {
+	if rules.BatchSize < 3 || rules.MaxReplications < rules.BatchSize || rules.MaxReplications > 10000 ||
+		!isFraction(rules.Level) ||
+		rules.MinDifference < 0 {
 		return usageErrorf("--batch: 3 at least; --most: from --batch to 10000; --level: between 0 and 1; " +
 			"--counts: 0 or more")
 	}
--- a/cmd/brackenbend/load.go
+++ b/cmd/brackenbend/load.go
@@ -58,7 +58,12 @@
 	f.StringVar(&r.plan.Model, "model", "day", "model that is asked for")
 	f.Float64Var(&r.rate, "rate", 0, "requests a second; 0 = the scenario's")
 	f.DurationVar(&r.plan.Length, "for", r.plan.Length, "how long sessions begin, up to 1h")
-	f.IntVar(&r.plan.MaxOpen, "most", r.plan.MaxOpen, "requests open at once; sessions past it do not begin and are counted")
+	f.IntVar(
+		&r.plan.MaxOpen,
+		"most",
+		r.plan.MaxOpen,
+		"requests open at once; sessions past it do not begin and are counted",
+	)
 	f.BoolVar(&r.plan.AllowRemote, "anywhere", false, "send to addresses that are not loopback")
 	f.StringVar(&r.htmlFile, "html", "", "write a page with plots")
 	f.StringVar(&r.jsonFile, "json", "", "write all figures")
--- a/cmd/brackenbend/mutation_test.go
+++ b/cmd/brackenbend/mutation_test.go
@@ -108,9 +108,9 @@
 	return []routing.Action{a}
 }
 
-// TestMutatedGatewaysViolateRules: an auditor that can't fail proves nothing. Each front breaks its rule in a day of the
-// default script, cut short; with BRACKENBEND_BROKEN_DAYS=N it plays N whole default days for each and counts how many
-// notice it, which takes a while (docs/results.md has the figures).
+// TestMutatedGatewaysViolateRules: an auditor that can't fail proves nothing. Each front breaks its rule in a day of
+// the default script, cut short; with BRACKENBEND_BROKEN_DAYS=N it plays N whole default days for each and counts how
+// many notice it, which takes a while (docs/results.md has the figures).
 func TestMutatedGatewaysViolateRules(t *testing.T) {
 	days, _ := strconv.Atoi(os.Getenv("BRACKENBEND_BROKEN_DAYS"))
 	if days == 0 {
--- a/cmd/brackenbend/node_test.go
+++ b/cmd/brackenbend/node_test.go
@@ -16,7 +16,8 @@
 	"brackenbend/internal/node"
 )
 
-const nodeConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"limits":{"cores":1,"memory_mb":64,"sockets":256},
+const nodeConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,
+"limits":{"cores":1,"memory_mb":64,"sockets":256},
 "known":
 {"revision":1,"complete":true,"members":[{"id":"r1","host_port":%q,"flavor":"prefill","phase":"Ready"},
 {"id":"w1","host_port":"127.0.0.1:1","flavor":"decode","phase":"Ready"}]},
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"brackenbend/internal/http1"
 	"brackenbend/internal/golden"
+	"brackenbend/internal/http1"
 	"brackenbend/routing"
 )
 
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -25,7 +25,7 @@
 	routing.TimedOut:          "timed out",
 	routing.ConnectFailed:     "connect failed",
 	routing.ConnectionReset:   "reset",
-	routing.Canceled:          "cancelled",
+	routing.Canceled:          "cancelled", //nolint:misspell // a metric label value, which stays as it is
 	routing.NotSent:           "not sent",
 	routing.PrefillDone:       "read",
 	routing.RequestIncomplete: "broke unsent",
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -55,7 +55,11 @@
 
 func newRun(plan *Plan) *run {
 	r := &run{
-		plan: plan, began: time.Now(), mood: scenario.NormalConditions(), score: plan.Scenario.Score(), outcomes: map[string]int{},
+		plan:     plan,
+		began:    time.Now(),
+		mood:     scenario.NormalConditions(),
+		score:    plan.Scenario.Score(),
+		outcomes: map[string]int{},
 	}
 	for range plan.Scenario.Classes {
 		r.classes = append(r.classes, newClass())
--- a/internal/telemetry/names_test.go
+++ b/internal/telemetry/names_test.go
@@ -14,7 +14,10 @@
 // process. The golden file was recorded before the renaming and is not updated meanwhile.
 func TestMetricNames(t *testing.T) {
 	m := NewMetrics()
-	for i, c := range []*prometheus.CounterVec{m.Answers, m.Attempts, m.RejectedConnections, m.EndpointUpdates, m.Releases, m.NotServed, m.ClosedConnections, m.LostRequests} {
+	for i, c := range []*prometheus.CounterVec{
+		m.Answers, m.Attempts, m.RejectedConnections, m.EndpointUpdates, m.Releases, m.NotServed, m.ClosedConnections,
+		m.LostRequests,
+	} {
 		two := i == 0 || i == 1 || i == 5
 		if two {
 			c.WithLabelValues("first label", "second label").Add(float64(i + 1))
