--- a/internal/node/config_golden_test.go
+++ b/internal/node/config_golden_test.go
@@ -8,7 +8,6 @@
 	"testing"
 
 	"brackenbend/internal/golden"
-	"brackenbend/routing"
 )
 
 // TestConfigParsing: recorded files, and what came of them before the code was renamed; not updated meanwhile.
@@ -42,7 +41,7 @@
 		}
 	}
 	site := &c.Site
-	s.WriteString(routingConfigText(site.Routing))
+	s.WriteString(golden.RoutingConfigText(site.Routing))
 	fmt.Fprintf(&s, "  Kinds = %q\n  Tenants = %q\n", site.Kinds, site.Tenants)
 	fmt.Fprintf(&s, "  Caps.ConnIdle = %v\n  Caps.DialTimeout = %v\n", site.ConnIdleTimeout, site.DialTimeout)
 	fmt.Fprintf(&s, "  Caps.MaxOpen = %d\n  Caps.RetryAfter = %t\n", site.MaxOpenRequests, site.RetryAfter)
@@ -93,45 +92,3 @@
 	fmt.Fprintf(&got, "no file\n  %v\n", err)
 	golden.Check(t, "errors.txt", got.String())
 }
-
-// routingConfigText writes the router's configuration, one line a key of the settings.
-func routingConfigText(c routing.Config) string {
-	var s strings.Builder
-	line := func(key string, v ...any) { fmt.Fprintf(&s, "  %s = %s", key, fmt.Sprintln(v...)) }
-	line("Balancers", c.Replicas)
-	line("Zone", c.Zone)
-	line("Discovery is ask", c.PollEndpoints)
-	line("OverShareWorth", c.OverQuotaWeight)
-	line("WorthBy is work", c.WeightByWork)
-	line("Caps.AttemptsCap", c.MaxAttempts)
-	line("Caps.Cancel", c.CanCancel)
-	line("Caps.SecondCopies", c.Hedging)
-	line("Caps.MaxRetryAfter", c.MaxRetryAfter)
-	line("FamilyInfo.Ahead", c.ReserveAhead)
-	line("FamilyInfo.LocalRead", c.DecodeCanPrefill)
-	line("FamilyInfo.Resume", c.ResumeStreams)
-	line("FamilyInfo.Release", c.StateTTL)
-	line("Invariants.GraceToAnswer", c.AnswerSlack)
-	line("Invariants.StopSendingWithin", c.DrainGrace)
-	line("Invariants.ColdFrom", c.SlowStartFrom)
-	line("Invariants.Cold", c.SlowStartFor)
-	line("Invariants.OverloadFactor", c.OverloadFactor)
-	line("Invariants.TipAfter", c.OverloadAfter)
-	line("Invariants.AskWithin", c.PollInterval)
-	for _, f := range c.LoadReportFields {
-		line("Report.Fields", f)
-	}
-	for i, k := range c.Classes {
-		line("class", i, "Name", k.Name, "Promise", k.LatencyObjective, "Deadline", k.Deadline, "Window", k.DedupWindow,
-			"Importance", k.PriorityWeight, "LateWorth", k.LateWeight, "Repeat", int(k.Idempotency),
-			"Group", int(k.DedupScope), "AimUsPer1000PromptTokens", k.LatencyObjectivePer1000,
-			"TokenAim", k.TokenLatencyObjective)
-	}
-	for i, k := range c.Kinds {
-		line("kind", i, "KindRole", int(k.Role), "KvTokens", k.Memory)
-	}
-	for i, k := range c.Tenants {
-		line("tenant", i, "QuotaPerS", k.QuotaPerS, "Share", k.Share)
-	}
-	return s.String()
-}
--- a/internal/simprotocol/stored_test.go
+++ b/internal/simprotocol/stored_test.go
@@ -8,7 +8,6 @@
 	"testing"
 
 	"brackenbend/internal/golden"
-	"brackenbend/routing"
 )
 
 // TestSettingsParsing: the keys of the settings text are a protocol's. What comes of recorded texts was recorded before
@@ -21,7 +20,7 @@
 			t.Fatal(err)
 		}
 		site, err := ParseSite(text)
-		fmt.Fprintf(&got, "%s: error %v\n%s", name, err, routingConfigText(site.Routing))
+		fmt.Fprintf(&got, "%s: error %v\n%s", name, err, golden.RoutingConfigText(site.Routing))
 		fmt.Fprintf(&got, "  Kinds = %q\n  Tenants = %q\n", site.Kinds, site.Tenants)
 		fmt.Fprintf(&got, "  Caps.ConnIdle = %v\n  Caps.DialTimeout = %v\n", site.ConnIdleTimeout, site.DialTimeout)
 		fmt.Fprintf(&got, "  Caps.MaxOpen = %d\n  Caps.RetryAfter = %t\n", site.MaxOpenRequests, site.RetryAfter)
@@ -52,45 +51,3 @@
 	}
 	return s
 }
-
-// routingConfigText writes the router's configuration, one line a key of the settings.
-func routingConfigText(c routing.Config) string {
-	var s strings.Builder
-	line := func(key string, v ...any) { fmt.Fprintf(&s, "  %s = %s", key, fmt.Sprintln(v...)) }
-	line("Balancers", c.Replicas)
-	line("Zone", c.Zone)
-	line("Discovery is ask", c.PollEndpoints)
-	line("OverShareWorth", c.OverQuotaWeight)
-	line("WorthBy is work", c.WeightByWork)
-	line("Caps.AttemptsCap", c.MaxAttempts)
-	line("Caps.Cancel", c.CanCancel)
-	line("Caps.SecondCopies", c.Hedging)
-	line("Caps.MaxRetryAfter", c.MaxRetryAfter)
-	line("FamilyInfo.Ahead", c.ReserveAhead)
-	line("FamilyInfo.LocalRead", c.DecodeCanPrefill)
-	line("FamilyInfo.Resume", c.ResumeStreams)
-	line("FamilyInfo.Release", c.StateTTL)
-	line("Invariants.GraceToAnswer", c.AnswerSlack)
-	line("Invariants.StopSendingWithin", c.DrainGrace)
-	line("Invariants.ColdFrom", c.SlowStartFrom)
-	line("Invariants.Cold", c.SlowStartFor)
-	line("Invariants.OverloadFactor", c.OverloadFactor)
-	line("Invariants.TipAfter", c.OverloadAfter)
-	line("Invariants.AskWithin", c.PollInterval)
-	for _, f := range c.LoadReportFields {
-		line("Report.Fields", f)
-	}
-	for i, k := range c.Classes {
-		line("class", i, "Name", k.Name, "Promise", k.LatencyObjective, "Deadline", k.Deadline, "Window", k.DedupWindow,
-			"Importance", k.PriorityWeight, "LateWorth", k.LateWeight, "Repeat", int(k.Idempotency),
-			"Group", int(k.DedupScope), "AimUsPer1000PromptTokens", k.LatencyObjectivePer1000,
-			"TokenAim", k.TokenLatencyObjective)
-	}
-	for i, k := range c.Kinds {
-		line("kind", i, "KindRole", int(k.Role), "KvTokens", k.Memory)
-	}
-	for i, k := range c.Tenants {
-		line("tenant", i, "QuotaPerS", k.QuotaPerS, "Share", k.Share)
-	}
-	return s.String()
-}
