--- /dev/null
+++ b/internal/simulation/scenario/fault.go
@@ -0,0 +1,111 @@
+package scenario
+
+import (
+	"bytes"
+	"encoding/xml"
+	"errors"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"brackenbend/internal/config"
+)
+
+// Fault is something that goes wrong, or changes, for a while.
+type Fault struct {
+	config.Pos
+	At  time.Duration `cfg:"at,required"`
+	For time.Duration `cfg:"for"`
+	//nolint:lll // a struct tag can't be split
+	What   string        `cfg:"what,required,enum=front-kill|front-stop|crash|fail-fast|fail-class|stall|slow|refuse-connects|reset-mid-stream|reset-after-request|reset-after-effect|fail-after-effect|stall-after-effect|forget|silent-restart|drain|remove|register-cut|register-late|register-flap|register-compact|register-stale|reports-frozen|reports-none|surge|overlong|hot-prefix|hang-ups|slow-readers|mix|planner-stop|role-force|liar"`
+	Kind   string        `cfg:"kind"`   // of engines; none = any
+	Class  string        `cfg:"class"`  // for fail-class, overlong and mix
+	Count  int           `cfg:"count"`  // of engines or replicas; 0 = 1
+	Part   float64       `cfg:"part"`   // of engines, or of requests
+	Factor float64       `cfg:"factor"` // for slow, surge, overlong, and mix: times the share of the class
+	Late   time.Duration `cfg:"late"`   // for register-late
+}
+
+// requestFaults are the faults whose Part is of an engine's requests; that of others is of engines.
+var requestFaults = []string{
+	"fail-fast", "reset-mid-stream", "reset-after-request", "reset-after-effect", "fail-after-effect",
+	"stall-after-effect",
+}
+
+// Draw picks as many of the candidates as a fault strikes. It reorders them.
+func Draw[E any](f *Fault, rnd *rand.Rand, candidates []E) []E {
+	n := max(f.Count, 1)
+	if f.Count == 0 && f.Part > 0 && !slices.Contains(requestFaults, f.What) {
+		n = int(math.Ceil(f.Part * float64(len(candidates))))
+	}
+	rnd.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	return candidates[:min(n, len(candidates))]
+}
+
+var (
+	faultLine    = regexp.MustCompile(`[ \t]*<happen\s[^>]*/>[ \t]*\n?`)
+	expectedLine = regexp.MustCompile(`[ \t]*<expect\s[^>]*/>[ \t]*\n?`)
+)
+
+// ErrNotAScenario is returned for a file without the closing tag of a scenario.
+var ErrNotAScenario = errors.New("scenario: the file has no </day>")
+
+// WithFaults returns the scenario with other faults, and the text of its file. The expected service is left out, since
+// it was stated for the original faults.
+func (s *Scenario) WithFaults(faults []Fault, note string) (*Scenario, []byte, error) {
+	text := faultLine.ReplaceAll(s.text, nil)
+	text = expectedLine.ReplaceAll(text, nil)
+	end := bytes.LastIndex(text, []byte("</day>"))
+	if end < 0 {
+		return nil, nil, ErrNotAScenario
+	}
+	var b bytes.Buffer
+	b.Write(text[:end])
+	if note != "" {
+		fmt.Fprintf(&b, "  <!-- %s -->\n", strings.ReplaceAll(note, "--", "- -"))
+	}
+	for i := range faults {
+		b.WriteString("  " + faults[i].XML() + "\n")
+	}
+	b.Write(text[end:])
+	other, err := Parse("day.xml", b.Bytes())
+	return other, b.Bytes(), err
+}
+
+// XML returns the element of the fault in a scenario file.
+func (f *Fault) XML() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "<happen at=%q what=%q", formatTime(f.At), f.What)
+	add := func(name, value string, given bool) {
+		if given {
+			b.WriteString(" " + name + `="` + escapeXML(value) + `"`)
+		}
+	}
+	add("kind", f.Kind, f.Kind != "")
+	add("class", f.Class, f.Class != "")
+	add("count", strconv.Itoa(f.Count), f.Count != 0)
+	add("part", strconv.FormatFloat(f.Part, 'f', -1, 64), f.Part != 0)
+	add("factor", strconv.FormatFloat(f.Factor, 'f', -1, 64), f.Factor != 0)
+	add("late", formatTime(f.Late), f.Late != 0)
+	add("for", formatTime(f.For), f.For != 0)
+	return b.String() + "/>"
+}
+
+func escapeXML(text string) string {
+	var b strings.Builder
+	_ = xml.EscapeText(&b, []byte(text)) // a strings.Builder takes every write
+	return b.String()
+}
+
+// formatTime writes a duration with a single unit, as settings take it.
+func formatTime(d time.Duration) string {
+	if d%time.Second == 0 {
+		return strconv.FormatInt(int64(d/time.Second), 10) + "s"
+	}
+	return strconv.FormatInt(d.Milliseconds(), 10) + "ms"
+}
--- a/internal/simulation/scenario/stored_test.go
+++ b/internal/simulation/scenario/golden_test.go
@@ -14,26 +14,25 @@
 	"brackenbend/internal/golden"
 )
 
-// TestDaySchema: the published schema of days. The golden files here were recorded before the renaming and are not updated
-// while it goes on.
-func TestDaySchema(t *testing.T) {
+// The published schema of scenario files.
+func TestSchemaIsUnchanged(t *testing.T) {
 	golden.Check(t, "day.xsd", string(config.SchemaOf("day", reflect.TypeFor[Scenario]())))
 }
 
-// TestDayWritten: the text of a day with other happenings, as a hunt writes it, and that it is read and written again alike.
-func TestDayWritten(t *testing.T) {
-	d, err := Default()
+// The text of a scenario with other faults, as a fault search writes it, parses and is written again alike.
+func TestWithFaultsTextIsUnchanged(t *testing.T) {
+	sc, err := Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	happens := []Fault{
+	faults := []Fault{
 		{At: time.Second, What: "crash", Kind: "decode", Count: 2, For: 1500 * time.Millisecond},
 		{At: 2 * time.Second, What: "fail-class", Class: "order", Part: 0.125, For: time.Second},
 		{At: 3 * time.Second, What: "register-late", Late: 250 * time.Millisecond, For: time.Second},
 		{At: 4 * time.Second, What: "surge", Factor: 2.5, For: time.Second},
 		{At: 5 * time.Second, What: "front-kill"},
 	}
-	again, text, err := d.WithFaults(happens, "found by a hunt: -- a note")
+	again, text, err := sc.WithFaults(faults, "found by a hunt: -- a note")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,8 +41,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []*Scenario{again, read} {
-		_, text, err = x.WithFaults(x.Faults, "found by a hunt: -- a note")
+	for _, parsed := range []*Scenario{again, read} {
+		_, text, err = parsed.WithFaults(parsed.Faults, "found by a hunt: -- a note")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,18 +50,18 @@
 	}
 }
 
-// dayText writes what a document gave, by the names of its elements and attributes.
-func dayText(s *strings.Builder, path string, v reflect.Value) {
+// writeFields writes what was parsed, by the names of elements and attributes.
+func writeFields(s *strings.Builder, path string, v reflect.Value) {
 	for i := range v.NumField() {
 		name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("cfg"), ",")
 		f := v.Field(i)
 		switch {
 		case name == "" || f.Kind() == reflect.Pointer && f.IsNil():
 		case f.Kind() == reflect.Pointer:
-			dayText(s, path+"/"+name, f.Elem())
+			writeFields(s, path+"/"+name, f.Elem())
 		case f.Kind() == reflect.Slice:
 			for k := range f.Len() {
-				dayText(s, fmt.Sprintf("%s/%s[%d]", path, name, k), f.Index(k))
+				writeFields(s, fmt.Sprintf("%s/%s[%d]", path, name, k), f.Index(k))
 			}
 		case !f.IsZero():
 			fmt.Fprintf(s, "  %s/%s = %v\n", path, name, f.Interface())
@@ -70,25 +69,28 @@
 	}
 }
 
-// TestDaysParsing: what is taken of the bad day, and of two days that have what it lacks.
-func TestDaysParsing(t *testing.T) {
+// The parsed fields of the default scenario, and of scenarios with the elements that it lacks.
+func TestParsedFieldsAreUnchanged(t *testing.T) {
 	var got strings.Builder
-	for _, file := range []string{"bad.xml", "testdata/written.xml", "../../../scenarios/roles-swing.xml", "../../../scenarios/roles-two.xml"} {
-		d, err := Load(file)
+	files := []string{
+		"bad.xml", "testdata/written.xml", "../../../scenarios/roles-swing.xml", "../../../scenarios/roles-two.xml",
+	}
+	for _, file := range files {
+		sc, err := Load(file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&got, "%s\n", filepath.Base(file))
-		dayText(&got, "day", reflect.ValueOf(d).Elem())
+		writeFields(&got, "day", reflect.ValueOf(sc).Elem())
 	}
 	golden.Check(t, "days.txt", got.String())
 }
 
-// TestRowBytes: rows of reports, as JSON that is read again.
-func TestRowBytes(t *testing.T) {
+// Rows of reports are JSON that is read again.
+func TestRowJSONIsUnchanged(t *testing.T) {
 	r := Row{Service: 0.5, FirstP50: 1.5, FirstP99: 2.5}
 	v := reflect.ValueOf(&r.Tally).Elem()
-	for i := range v.NumField() { // each key by its place
+	for i := range v.NumField() { // a value of its own for each key
 		switch f := v.Field(i); f.Kind() {
 		case reflect.String:
 			f.SetString("name")
@@ -96,6 +98,7 @@
 			f.SetInt(int64(i) + 100)
 		case reflect.Float64:
 			f.SetFloat(float64(i) + 0.25)
+		default: // nothing that is written
 		}
 	}
 	text, err := json.MarshalIndent(struct {
--- a/internal/simulation/scenario/replay.go
+++ b/internal/simulation/scenario/replay.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RecordedRequest is one request of a recording, in a day's terms.
+// RecordedRequest is one request of a recording, in terms of a scenario.
 type RecordedRequest struct {
 	At                time.Duration
 	Class, Tenant     int
@@ -20,27 +20,30 @@
 	Stream            bool
 }
 
-// Blend puts recordings together, each taken so many times: a copy goes by sessions of its own, up to two seconds off,
-// with the same shared beginnings; of a part of a time each request comes with that chance.
+// maxCopyOffset bounds the delay of a copy of a recording, so that copies do not arrive in step.
+const maxCopyOffset = 2 * time.Second
+
+// Blend merges recordings, each repeated a number of times. A copy has sessions of its own and is delayed by up to
+// maxCopyOffset; its prefixes stay shared. The fraction of a number is the chance that a request is in the last copy.
 func Blend(seed uint64, lists [][]RecordedRequest, times []float64) []RecordedRequest {
-	rnd := rand.New(rand.NewPCG(seed, 5))
+	rnd := rand.New(rand.NewPCG(seed, streamBlend))
 	var out []RecordedRequest
 	for i, list := range lists {
-		for copy := 0; float64(copy) < times[i]; copy++ {
-			part := min(times[i]-float64(copy), 1)
-			off := time.Duration(0)
-			if copy > 0 {
-				off = time.Duration(rnd.Float64() * float64(2*time.Second))
+		for copied := 0; float64(copied) < times[i]; copied++ {
+			part := min(times[i]-float64(copied), 1)
+			offset := time.Duration(0)
+			if copied > 0 {
+				offset = time.Duration(rnd.Float64() * float64(maxCopyOffset))
 			}
-			for _, q := range list {
+			for _, request := range list {
 				if part < 1 && rnd.Float64() >= part {
 					continue
 				}
-				q.At += off
-				if q.Session != "" && copy+i > 0 {
-					q.Session = fmt.Sprintf("%s of %d.%d", q.Session, i, copy)
+				request.At += offset
+				if request.Session != "" && copied+i > 0 {
+					request.Session = fmt.Sprintf("%s of %d.%d", request.Session, i, copied)
 				}
-				out = append(out, q)
+				out = append(out, request)
 			}
 		}
 	}
@@ -48,38 +51,49 @@
 	return out
 }
 
-// Replay begins a course of recorded requests in place of drawn sessions. Each is a session of one turn, so that it comes
-// when it came; what clients do beside it (retries, marks, hang-ups of happenings) is drawn as ever.
-func (d *Scenario) Replay(list []RecordedRequest) *Arrivals {
-	a := d.Arrivals()
-	a.list, a.replay = list, true
+// Replay returns arrivals of recorded requests in place of drawn sessions. Each is a session of one turn, so that it
+// arrives when it was recorded; retries, marks and hang-ups of clients are drawn as for other sessions.
+func (s *Scenario) Replay(list []RecordedRequest) *Arrivals {
+	a := s.Arrivals()
+	a.recorded = recorded{replay: true, pending: list}
 	return a
 }
 
-// never is a gap longer than any day.
+// recorded is the part of Arrivals that replays a recording.
+type recorded struct {
+	replay  bool
+	pending []RecordedRequest
+	at      time.Duration // of the last arrival
+}
+
+// never is a gap longer than any scenario.
 const never = 1000 * time.Hour
 
-func (a *Arrivals) nextGap() time.Duration {
-	if len(a.list) == 0 {
+func (r *recorded) nextGap() time.Duration {
+	if len(r.pending) == 0 {
 		return never
 	}
-	gap := max(a.list[0].At-a.at, 0)
-	a.at = max(a.at, a.list[0].At)
+	gap := max(r.pending[0].At-r.at, 0)
+	r.at = max(r.at, r.pending[0].At)
 	return gap
 }
 
-func (a *Arrivals) nextRecorded(s *Session, m *Conditions) {
-	q := &a.list[0]
-	a.list = a.list[1:]
-	s.Class, s.Tenant, s.single = q.Class, q.Tenant, true
-	if q.Session != "" {
-		s.Key = q.Session
+// recordedPrefixStream is the stream of the texts of recorded prefixes.
+const recordedPrefixStream = 7
+
+// next fills a session with the next recorded request.
+func (r *recorded) next(s *Session, c *Conditions) {
+	request := &r.pending[0]
+	r.pending = r.pending[1:]
+	s.Class, s.Tenant, s.single = request.Class, request.Tenant, true
+	if request.Session != "" {
+		s.Key = request.Session
 	}
-	s.Stream = q.Stream
-	if q.Prefix != "" && q.PrefixLen > 0 {
-		s.Prefix = Text{[2]uint64{xxhash.Sum64String(q.Prefix), 7}, q.PrefixLen}
+	s.Stream = request.Stream
+	if request.Prefix != "" && request.PrefixLen > 0 {
+		s.Prefix = Text{[2]uint64{xxhash.Sum64String(request.Prefix), recordedPrefixStream}, request.PrefixLen}
 	}
-	s.ask(m)
-	s.Turns = []Text{{[2]uint64{s.seed, 10}, max(q.Prompt-q.PrefixLen, 1)}}
-	s.Answer = q.Out
+	s.nextRequest(c)
+	s.Turns = []Text{{[2]uint64{s.seed, firstTurnStream}, max(request.Prompt-request.PrefixLen, 1)}}
+	s.Answer = request.Out
 }
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -1,6 +1,7 @@
 package scenario
 
 import (
+	"errors"
 	"math"
 	"path/filepath"
 	"reflect"
@@ -9,82 +10,83 @@
 	"time"
 )
 
-func bad(t *testing.T) *Scenario {
+func defaultScenario(t *testing.T) *Scenario {
 	t.Helper()
-	d, err := Default()
+	sc, err := Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return sc
 }
 
-// TestHappeningsAsTheyWere: each day file, written again from what was read, reads the same.
-func TestHappeningsAsTheyWere(t *testing.T) {
+// Each scenario file, written again from what was parsed, parses to the same faults.
+func TestFaultsSurviveWriting(t *testing.T) {
 	files, err := filepath.Glob("../../../scenarios/*.xml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
 	for _, f := range files {
-		d, err := Load(f)
+		sc, err := Load(f)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, text, err := d.WithFaults(d.Faults, "a note -- with dashes")
+		again, text, err := sc.WithFaults(sc.Faults, "a note -- with dashes")
 		if err != nil {
 			t.Fatalf("%s: %v\n%s", f, err, text)
 		}
 		for i := range again.Faults {
-			a, b := d.Faults[i], again.Faults[i]
+			a, b := sc.Faults[i], again.Faults[i]
 			a.Pos = b.Pos
 			if a != b {
 				t.Errorf("%s: %+v came back as %+v", f, a, b)
 			}
 		}
-		if len(again.Faults) != len(d.Faults) || !reflect.DeepEqual(again.Service.StateTTL, d.Service.StateTTL) {
-			t.Errorf("%s: %d happenings of %d", f, len(again.Faults), len(d.Faults))
+		if len(again.Faults) != len(sc.Faults) || !reflect.DeepEqual(again.Service.StateTTL, sc.Service.StateTTL) {
+			t.Errorf("%s: %d faults of %d", f, len(again.Faults), len(sc.Faults))
 		}
 	}
 }
 
-// TestMoodsEnd: whatever changes the clients' mood is undone, also where two of them overlap.
-func TestMoodsEnd(t *testing.T) {
+// Each change of the clients' conditions is undone, also where two of them overlap.
+func TestConditionsAreRestored(t *testing.T) {
 	for _, what := range []string{"surge", "mix", "overlong", "hot-prefix", "hang-ups", "slow-readers"} {
-		m := NormalConditions()
-		h := &Fault{What: what, Class: "order", Factor: 3, Part: 0.5}
-		undo := m.Change(h)
-		if undo == nil || reflect.DeepEqual(m, NormalConditions()) {
+		conditions := NormalConditions()
+		fault := &Fault{What: what, Class: "order", Factor: 3, Part: 0.5}
+		undo := conditions.Change(fault)
+		if undo == nil || reflect.DeepEqual(conditions, NormalConditions()) {
 			t.Errorf("%s changes nothing", what)
 			continue
 		}
-		undo(&m)
-		if m.Surge != 1 || m.Hot+m.HangUps+m.Slow+m.LongPart != 0 || what == "mix" && m.Mix["order"] != 1 {
-			t.Errorf("%s is not undone: %+v", what, m)
+		undo(&conditions)
+		if conditions.Surge != 1 || conditions.Hot+conditions.HangUps+conditions.Slow+conditions.LongPart != 0 ||
+			what == "mix" && conditions.Mix["order"] != 1 {
+			t.Errorf("%s is not undone: %+v", what, conditions)
 		}
 	}
-	m := NormalConditions()
-	first := m.Change(&Fault{What: "mix", Class: "a", Factor: 2})
-	second := m.Change(&Fault{What: "mix", Class: "b", Factor: 3})
-	first(&m)
-	if m.Mix["a"] != 1 || m.Mix["b"] != 3 {
-		t.Errorf("%v", m.Mix)
+	conditions := NormalConditions()
+	first := conditions.Change(&Fault{What: "mix", Class: "a", Factor: 2})
+	second := conditions.Change(&Fault{What: "mix", Class: "b", Factor: 3})
+	first(&conditions)
+	if conditions.Mix["a"] != 1 || conditions.Mix["b"] != 3 {
+		t.Errorf("%v", conditions.Mix)
 	}
-	second(&m)
-	if m.Change(&Fault{What: "crash"}) != nil {
-		t.Error("a crash is the engines', not the clients'")
+	second(&conditions)
+	if conditions.Change(&Fault{What: "crash"}) != nil {
+		t.Error("a crash changes the clients' conditions")
 	}
 }
 
-// TestSessionsDrawAlone: what one client meets changes nothing in the others, nor in its own next draws of length.
-func TestSessionsDrawAlone(t *testing.T) {
-	m := NormalConditions()
+// The outcome of a session's requests changes neither other sessions nor its own later lengths.
+func TestSessionsAreIndependent(t *testing.T) {
+	conditions := NormalConditions()
 	play := func(kind string) (lengths []int, gaps []time.Duration) {
-		a := bad(t).Arrivals()
+		a := defaultScenario(t).Arrivals()
 		for range 300 {
-			gaps = append(gaps, a.Gap(&m))
-			s := a.Next(&m)
-			n, beginning := s.PromptBytes()
-			if beginning > n || n == 0 || len(s.Prefix.Words()) != s.Prefix.Bytes() {
-				t.Fatalf("%d bytes, %d shared", n, beginning)
+			gaps = append(gaps, a.Gap(&conditions))
+			s := a.Next(&conditions)
+			n, prefix := s.PromptBytes()
+			if prefix > n || n == 0 || len(s.Prefix.Words()) != s.Prefix.Bytes() {
+				t.Fatalf("%d bytes, %d shared", n, prefix)
 			}
 			lengths = append(lengths, n)
 			s.PickReplica(4)
@@ -92,30 +94,31 @@
 		}
 		return lengths, gaps
 	}
-	l1, g1 := play("served")
-	l2, g2 := play("failed")
-	if !reflect.DeepEqual(l1, l2) || !reflect.DeepEqual(g1, g2) {
-		t.Error("how requests end changes which requests come")
+	lengths1, gaps1 := play("served")
+	lengths2, gaps2 := play("failed")
+	if !reflect.DeepEqual(lengths1, lengths2) || !reflect.DeepEqual(gaps1, gaps2) {
+		t.Error("how requests end changes which requests arrive")
 	}
 }
 
-// TestClientsTryAgainAsTheyShould: careful ones never after an unknown end of an unsafe request, marked ones unless told.
-func TestClientsTryAgainAsTheyShould(t *testing.T) {
-	d := bad(t)
-	of := func(effect string, marked bool) *Session {
-		m, a := NormalConditions(), d.Arrivals()
+// Careful clients never retry after an unknown outcome of a request that is not idempotent; those that mark retries do
+// unless the answer says not to.
+func TestClientRetryPolicy(t *testing.T) {
+	sc := defaultScenario(t)
+	newSession := func(idempotency string, marked bool) *Session {
+		conditions, a := NormalConditions(), sc.Arrivals()
 		for {
-			s := a.Next(&m)
-			if d.Classes[s.Class].Idempotency == effect && s.MarksRetries == marked {
+			s := a.Next(&conditions)
+			if sc.Classes[s.Class].Idempotency == idempotency && s.MarksRetries == marked {
 				s.PickReplica(4)
 				return s
 			}
 		}
 	}
 	for _, c := range []struct {
-		effect, kind   string
-		marked, handUp bool
-		again          bool
+		idempotency, kind   string
+		marked, noAutoRetry bool
+		again               bool
 	}{
 		{"unsafe", "cut", false, false, false},
 		{"safe", "cut", false, false, true},
@@ -128,13 +131,15 @@
 		{"unsafe", "unconnected", false, false, true},
 		{"safe", "broken", true, false, false},
 	} {
-		if again, _ := of(c.effect, c.marked).AfterAttempt(c.kind, c.handUp, time.Second, time.Second); again != c.again {
+		session := newSession(c.idempotency, c.marked)
+		again, _ := session.AfterAttempt(c.kind, c.noAutoRetry, time.Second, time.Second)
+		if again != c.again {
 			t.Errorf("%+v: again %v", c, again)
 		}
 	}
-	s := of("safe", false)
+	s := newSession("safe", false)
 	if again, _ := s.AfterAttempt("refused", false, 0, time.Hour); again {
-		t.Error("a client tries again long after its time")
+		t.Error("a client retries long after its deadline")
 	}
 	for range 30 {
 		s.AfterAttempt("unconnected", false, 0, 0)
@@ -144,19 +149,19 @@
 	}
 }
 
-func TestScore(t *testing.T) {
-	d, m := bad(t), NormalConditions()
-	score, a := d.Score(), d.Arrivals()
+func TestScoreCountsServedWeight(t *testing.T) {
+	sc, conditions := defaultScenario(t), NormalConditions()
+	score, a := sc.Score(), sc.Arrivals()
 	worth, asked := 0.0, 0.0
 	for i, kind := range []string{"served", "refused", "hung up", "broken", "served"} {
-		s := a.Next(&m)
+		s := a.Next(&conditions)
 		s.Stream = true
 		first := time.Millisecond
 		if i == 4 {
 			first = time.Hour
 		}
 		score.Add(s, time.Duration(i)*time.Second, kind, first)
-		c := d.Classes[s.Class]
+		c := sc.Classes[s.Class]
 		if kind != "hung up" {
 			asked += c.PriorityWeight
 		}
@@ -169,16 +174,20 @@
 	}
 }
 
-func TestDaysTooLargeForSockets(t *testing.T) {
-	d := bad(t)
-	if err := d.CheckRunnable(); err != nil {
+func TestCheckRunnableRejectsLargeFleets(t *testing.T) {
+	sc := defaultScenario(t)
+	if err := sc.CheckRunnable(); err != nil {
 		t.Error(err)
 	}
-	d.Replicas = 300
-	if err := d.CheckRunnable(); err == nil || !strings.Contains(err.Error(), "300") {
-		t.Errorf("300 fronts on sockets: %v", err)
+	sc.Replicas = 300
+	err := sc.CheckRunnable()
+	var size *SizeError
+	if !errors.As(err, &size) || size.Got != 300 || !strings.Contains(err.Error(), "300") {
+		t.Errorf("300 replicas on sockets: %v", err)
 	}
-	if set, err := d.Settings(7); err != nil || set.Replica.Name != "front-8" || len(set.RoutingConfig().Classes) != len(d.Classes) {
+	settings, err := sc.Settings(7)
+	if err != nil || settings.Replica.Name != "front-8" ||
+		len(settings.RoutingConfig().Classes) != len(sc.Classes) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/simulation/scenario/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -1,7 +1,6 @@
 package scenario
 
 import (
-	"encoding/xml"
 	"fmt"
 	"strings"
 	"time"
@@ -11,80 +10,130 @@
 	"brackenbend/roles"
 )
 
-// KindBoth is the kind of an engine that does both because nothing else is left.
+// KindBoth is the kind of an engine that both prefills and decodes because no other is left.
 const KindBoth = "both-for-need"
 
-// EngineParams are an engine's of a kind.
-func (d *Scenario) EngineParams(k *Kind) enginemodel.Params {
-	s := d.Service
+// Parameters of engines that scenarios do not vary.
+const (
+	prefillChunk  = 512 // tokens a step
+	engineTTL     = 30 * time.Second
+	cachePart     = 0.5  // of an engine's memory, kept for prefixes
+	leastRate     = 1    // tokens a second, of a stage that the kind does not serve
+	bytesPerToken = 4    // as the replicas' settings state it
+	seedsEach     = 1000 // separates the replicas' seeds of neighboring scenario seeds
+)
+
+// EngineParams returns the parameters of the engines of a kind.
+func (s *Scenario) EngineParams(k *Kind) enginemodel.Params {
+	service := s.Service
 	return enginemodel.Params{
-		CanPrefill: k.Role != "writer" || s.DecodeCanPrefill, CanDecode: k.Role != "reader", Slots: k.Slots, MaxQueued: k.Queue,
-		Memory: float64(k.Memory), PrefillRate: max(float64(k.ReadRate), 1), Chunk: 512, Step: k.Step, StepStream: k.PerStream,
-		FetchRate: max(float64(k.FetchRate), 1), CacheTokens: float64(k.Memory) / 2, SlowStartFrom: s.SlowStartFrom, SlowStartFor: s.SlowStartFor,
-		OverloadFactor: s.OverloadFactor, OverloadAfter: s.OverloadAfter, StateTTL: 30 * time.Second,
+		CanPrefill:     k.Role != roleDecode || service.DecodeCanPrefill,
+		CanDecode:      k.Role != rolePrefill,
+		Slots:          k.Slots,
+		MaxQueued:      k.Queue,
+		Memory:         float64(k.Memory),
+		PrefillRate:    max(float64(k.ReadRate), leastRate),
+		Chunk:          prefillChunk,
+		Step:           k.Step,
+		StepStream:     k.PerStream,
+		FetchRate:      max(float64(k.FetchRate), leastRate),
+		CacheTokens:    float64(k.Memory) * cachePart,
+		SlowStartFrom:  service.SlowStartFrom,
+		SlowStartFor:   service.SlowStartFor,
+		OverloadFactor: service.OverloadFactor,
+		OverloadAfter:  service.OverloadAfter,
+		StateTTL:       engineTTL,
 	}
 }
 
-// Settings are those of the i-th front, read back from its file as the front itself would.
-func (d *Scenario) Settings(i int) (*config.Settings, error) {
-	return config.Parse("front.xml", []byte(d.ReplicaXML(i, fmt.Sprint("front-", i+1), "127.0.0.1:1", "", "http://127.0.0.1:1", "")))
+// Settings returns those of the i-th replica, parsed from its file as the replica itself would.
+func (s *Scenario) Settings(i int) (*config.Settings, error) {
+	const unused = "127.0.0.1:1"
+	text := s.ReplicaXML(i, fmt.Sprint("front-", i+1), unused, "", "http://"+unused, "")
+	return config.Parse("front.xml", []byte(text))
 }
 
-func esc(s string) string {
+// ReplicaXML returns the settings file of the i-th replica.
+func (s *Scenario) ReplicaXML(i int, name, listen, admin, register, cache string) string {
 	var b strings.Builder
-	_ = xml.EscapeText(&b, []byte(s))
+	b.WriteString("<brackenbend>\n")
+	fmt.Fprintf(&b, "  <front name=%q listen=%q seed=\"%d\" drain=\"10s\" answer-margin=\"150ms\" admin=%q/>\n",
+		name, listen, s.Seed*seedsEach+i+1, admin)
+	b.WriteString("  <limits open-requests=\"4096\" stall-time=\"5s\"/>\n")
+	b.WriteString("  <log level=\"info\" lines-per-second=\"1000\"/>\n")
+	s.writeService(&b)
+	s.writeClasses(&b)
+	s.writeTenants(&b)
+	s.writeKinds(&b)
+	fmt.Fprintf(&b, "  <model name=\"day\" bytes-per-token=\"%d\" max-output=\"512tokens\"/>\n", bytesPerToken)
+	b.WriteString("  <session from=\"header\" name=\"X-Session-Id\"/>\n")
+	b.WriteString("  <prefix from=\"system-messages\"/>\n")
+	fmt.Fprintf(&b, "  <engines dialect=%q dial-time=\"500ms\"/>\n", s.EngineProtocol)
+	fmt.Fprintf(&b, "  <register url=%q namespace=\"default\" label-selector=\"app=engines\" cache=%q/>\n",
+		register, escapeXML(cache))
+	b.WriteString("</brackenbend>\n")
 	return b.String()
 }
 
-// ReplicaXML is the settings file of the i-th front.
-func (d *Scenario) ReplicaXML(i int, name, listen, admin, register, cache string) string {
-	var b strings.Builder
-	s := d.Service
-	fmt.Fprintf(&b, "<brackenbend>\n  <front name=%q listen=%q seed=\"%d\" drain=\"10s\" answer-margin=\"150ms\" admin=%q/>\n", name, listen, d.Seed*1000+i+1, admin)
-	b.WriteString("  <limits open-requests=\"4096\" stall-time=\"5s\"/>\n  <log level=\"info\" lines-per-second=\"1000\"/>\n")
-	fmt.Fprintf(&b, "  <service fronts=\"%d\" max-attempts=\"%d\" max-wait=\"1s\" release-within=%q drain-grace=%q cold-from=\"%v\" cold-for=%q overload-factor=\"%v\" tip-after=%q writers-read=\"%v\" cancel=\"%v\"",
-		d.Replicas, s.MaxAttempts, s.StateTTL, s.DrainGrace, s.SlowStartFrom, s.SlowStartFor, s.OverloadFactor, s.OverloadAfter, s.DecodeCanPrefill, s.CanCancel)
-	fmt.Fprintf(&b, " default-class=%q", esc(d.Classes[0].Name))
-	if len(d.Tenants) > 0 {
-		fmt.Fprintf(&b, " default-tenant=%q", esc(d.Tenants[0].Name))
+func (s *Scenario) writeService(b *strings.Builder) {
+	service := s.Service
+	fmt.Fprintf(b, "  <service fronts=\"%d\" max-attempts=\"%d\" max-wait=\"1s\"", s.Replicas, service.MaxAttempts)
+	fmt.Fprintf(b, " release-within=%q drain-grace=%q", service.StateTTL, service.DrainGrace)
+	fmt.Fprintf(b, " cold-from=\"%v\" cold-for=%q", service.SlowStartFrom, service.SlowStartFor)
+	fmt.Fprintf(b, " overload-factor=\"%v\" tip-after=%q", service.OverloadFactor, service.OverloadAfter)
+	fmt.Fprintf(b, " writers-read=\"%v\" cancel=\"%v\"", service.DecodeCanPrefill, service.CanCancel)
+	fmt.Fprintf(b, " default-class=%q", escapeXML(s.Classes[0].Name))
+	if len(s.Tenants) > 0 {
+		fmt.Fprintf(b, " default-tenant=%q", escapeXML(s.Tenants[0].Name))
 	}
 	b.WriteString("/>\n")
-	for _, c := range d.Classes {
-		fmt.Fprintf(&b, "  <class name=%q effect=%q aim=%q aim-per-1000-tokens=%q deadline=%q worth=\"%v\" late-worth=\"%v\"", esc(c.Name), c.Idempotency, c.LatencyObjective, c.LatencyObjectivePer1000, c.Deadline, c.PriorityWeight, c.LateWeight)
+}
+
+func (s *Scenario) writeClasses(b *strings.Builder) {
+	for _, c := range s.Classes {
+		name := escapeXML(c.Name)
+		fmt.Fprintf(b, "  <class name=%q effect=%q aim=%q aim-per-1000-tokens=%q",
+			name, c.Idempotency, c.LatencyObjective, c.LatencyObjectivePer1000)
+		fmt.Fprintf(b, " deadline=%q worth=\"%v\" late-worth=\"%v\"", c.Deadline, c.PriorityWeight, c.LateWeight)
 		if c.DedupWindow > 0 {
-			fmt.Fprintf(&b, " window=%q", c.DedupWindow)
+			fmt.Fprintf(b, " window=%q", c.DedupWindow)
 		}
 		b.WriteString("/>\n")
-		fmt.Fprintf(&b, "  <rule when=\"header\" name=\"X-Class\" equals=%q class=%q/>\n", esc(c.Name), esc(c.Name))
+		fmt.Fprintf(b, "  <rule when=\"header\" name=\"X-Class\" equals=%q class=%q/>\n", name, name)
 	}
-	for _, t := range d.Tenants {
-		fmt.Fprintf(&b, "  <tenant name=%q quota=\"%v/s\" share=\"%v\"/>\n  <rule when=\"header\" name=\"X-Tenant\" equals=%q tenant=%q/>\n", esc(t.Name), float64(t.Quota), t.Share, esc(t.Name), esc(t.Name))
+}
+
+func (s *Scenario) writeTenants(b *strings.Builder) {
+	for _, t := range s.Tenants {
+		name := escapeXML(t.Name)
+		fmt.Fprintf(b, "  <tenant name=%q quota=\"%v/s\" share=\"%v\"/>\n", name, float64(t.Quota), t.Share)
+		fmt.Fprintf(b, "  <rule when=\"header\" name=\"X-Tenant\" equals=%q tenant=%q/>\n", name, name)
 	}
-	for _, k := range d.Kinds {
-		fmt.Fprintf(&b, "  <kind name=%q role=%q memory=\"%vtokens\"/>\n", esc(k.Name), k.Role, float64(k.Memory))
-		if k.ChangesRole && k.Role == "writer" {
-			fmt.Fprintf(&b, "  <kind name=%q role=\"mixed\" memory=\"%vtokens\"/>\n", KindBoth, float64(k.Memory))
+}
+
+func (s *Scenario) writeKinds(b *strings.Builder) {
+	for _, k := range s.Kinds {
+		fmt.Fprintf(b, "  <kind name=%q role=%q memory=\"%vtokens\"/>\n", escapeXML(k.Name), k.Role, float64(k.Memory))
+		if k.ChangesRole && k.Role == roleDecode {
+			fmt.Fprintf(b, "  <kind name=%q role=\"mixed\" memory=\"%vtokens\"/>\n", KindBoth, float64(k.Memory))
 		}
 	}
-	b.WriteString("  <model name=\"day\" bytes-per-token=\"4\" max-output=\"512tokens\"/>\n  <session from=\"header\" name=\"X-Session-Id\"/>\n  <prefix from=\"system-messages\"/>\n")
-	fmt.Fprintf(&b, "  <engines dialect=%q dial-time=\"500ms\"/>\n", d.EngineProtocol)
-	fmt.Fprintf(&b, "  <register url=%q namespace=\"default\" label-selector=\"app=engines\" cache=%q/>\n</brackenbend>\n", register, esc(cache))
-	return b.String()
 }
 
-// ChangingRoles is what engines that change role are in each of them, and the kind that they are listed as; nil where none do.
-func (d *Scenario) ChangingRoles() (params map[roles.Role]enginemodel.Params, kinds map[roles.Role]string) {
-	for i := range d.Kinds {
-		k := &d.Kinds[i]
+// ChangingRoles returns, by role, the parameters of engines that change role and the kind that they are listed as; nil
+// where no engine does.
+func (s *Scenario) ChangingRoles() (params map[roles.Role]enginemodel.Params, kinds map[roles.Role]string) {
+	for i := range s.Kinds {
+		k := &s.Kinds[i]
 		if !k.ChangesRole {
 			continue
 		}
 		if kinds == nil {
 			params, kinds = map[roles.Role]enginemodel.Params{}, map[roles.Role]string{roles.Both: KindBoth}
 		}
-		role, p := k.ServedRole(), d.EngineParams(k)
+		role, p := k.ServedRole(), s.EngineParams(k)
 		if role == roles.Decode {
-			p.CanPrefill = d.Service.DecodeCanPrefill
+			p.CanPrefill = s.Service.DecodeCanPrefill
 		}
 		params[role], kinds[role] = p, k.Name
 	}
@@ -96,12 +145,12 @@
 	return params, kinds
 }
 
-// ServedRole is the role that engines of the kind begin in.
+// ServedRole returns the role in which engines of the kind begin.
 func (k *Kind) ServedRole() roles.Role {
 	switch k.Role {
-	case "reader":
+	case rolePrefill:
 		return roles.Prefill
-	case "writer":
+	case roleDecode:
 		return roles.Decode
 	}
 	return roles.Both
