--- /dev/null
+++ b/internal/audit/answers.go
@@ -0,0 +1,119 @@
+package audit
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// killMargin is the time around an attempt in which the kill of its replica explains a missing answer. The client sees
+// the connection end before or after the kill is recorded; a second covers the lag of a busy machine.
+const killMargin = time.Second
+
+// replicaKills are the times at which each replica was killed.
+type replicaKills map[string][]time.Duration
+
+func findReplicaKills(events []Event) replicaKills {
+	kills := replicaKills{}
+	for _, e := range events {
+		if e.Kind == ReplicaKilled {
+			kills[e.Replica] = append(kills[e.Replica], e.At)
+		}
+	}
+	return kills
+}
+
+// near reports whether the replica was killed in the span, with killMargin on both sides.
+func (k replicaKills) near(replica string, from, to time.Duration) bool {
+	return slices.ContainsFunc(k[replica], func(at time.Duration) bool {
+		return at >= from-killMargin && at <= to+killMargin
+	})
+}
+
+// attemptAnswers is what the rule of one answer knows of an attempt.
+type attemptAnswers struct {
+	sent    Event
+	ended   Event // the first answer, cut or disconnect; Kind is "" before
+	answers int
+}
+
+// answerCheck checks that everything accepted by a running replica gets exactly one final answer before the client's
+// deadline, and no bytes after it.
+type answerCheck struct {
+	result   RuleResult
+	attempts map[string]*attemptAnswers
+	kills    replicaKills
+	slowest  time.Duration // rejection or failure
+}
+
+func checkAnswers(events []Event) RuleResult {
+	c := answerCheck{
+		result:   RuleResult{Rule: "one final answer in time, nothing after it"},
+		attempts: map[string]*attemptAnswers{},
+		kills:    findReplicaKills(events),
+	}
+	for _, e := range events {
+		switch e.Kind {
+		case Sent:
+			c.attempts[e.Attempt] = &attemptAnswers{sent: e}
+		case Answer, ConnectionCut, ClientLeft, ExtraBytes:
+			c.observe(e)
+		default:
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(c.attempts)) {
+		c.result.Checks++
+		c.checkEnd(id, c.attempts[id])
+	}
+	c.result.WorstCase = fmt.Sprintf("slowest refusal or failure %v after the request", c.slowest.Round(time.Millisecond))
+	return c.result
+}
+
+// observe takes an event that ends an attempt or follows its end.
+func (c *answerCheck) observe(e Event) {
+	attempt := c.attempts[e.Attempt]
+	if attempt == nil { // answered before the whole request was written: an early rejection
+		attempt = &attemptAnswers{sent: Event{At: e.At, Deadline: e.At, Replica: e.Replica}}
+		c.attempts[e.Attempt] = attempt
+	}
+	if e.Kind == ExtraBytes {
+		c.result.violated(e.At, "try %s: bytes after the final answer", e.Attempt)
+		return
+	}
+	if e.Kind == Answer {
+		attempt.answers++
+		if attempt.answers > 1 {
+			c.result.violated(e.At, "try %s: a second final answer (%s)", e.Attempt, e.Result)
+		}
+	}
+	if attempt.ended.Kind == "" {
+		attempt.ended = e
+	}
+}
+
+// checkEnd checks how an attempt ended, once all events were observed.
+func (c *answerCheck) checkEnd(id string, attempt *attemptAnswers) {
+	sent, ended := attempt.sent, attempt.ended
+	switch ended.Kind {
+	case ClientLeft:
+	case Answer:
+		if ended.Result == resultServed || ended.Result == resultBroken {
+			return
+		}
+		c.slowest = max(c.slowest, ended.At-sent.At)
+		if sent.Deadline > 0 && ended.At > sent.Deadline {
+			c.result.violated(ended.At, "try %s: %s came %v after the client's time",
+				id, ended.Result, ended.At-sent.Deadline)
+		}
+	case ConnectionCut:
+		if !c.kills.near(sent.Replica, sent.At, ended.At) {
+			c.result.violated(ended.At, "try %s: the connection ended without an answer, front %s was not killed",
+				id, sent.Replica)
+		}
+	default:
+		if !c.kills.near(sent.Replica, sent.At, sent.Deadline) {
+			c.result.violated(sent.At, "try %s: no answer at all", id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/audit/executions.go
@@ -0,0 +1,64 @@
+package audit
+
+// executions are what took effect, by attempt and by the intent that attempts share.
+type executions struct {
+	count         map[string]int   // of an intent
+	byAttempt     map[string]Event // the last of an attempt
+	firstOfIntent map[string]Event
+	intent        map[string]string // of an attempt
+}
+
+// checkExecutions checks that no intent of a client takes effect twice over all its attempts, and that nothing is
+// rejected that may have run, in this attempt or in an earlier one.
+func checkExecutions(events []Event) RuleResult {
+	result := RuleResult{Rule: "no effect twice, no refusal of what may have run"}
+	x := executions{
+		count:         map[string]int{},
+		byAttempt:     map[string]Event{},
+		firstOfIntent: map[string]Event{},
+		intent:        map[string]string{},
+	}
+	for _, e := range events {
+		switch e.Kind {
+		case Sent:
+			x.intent[e.Attempt] = e.Intent
+		case Executed:
+			result.Checks++
+			x.add(e)
+			if e.Class != Idempotent && x.count[e.Intent] > 1 {
+				result.violated(e.At, "%s effect %s ran %d times, last at %s as %s",
+					e.Class, e.Intent, x.count[e.Intent], e.Engine, e.Request)
+			}
+		default:
+		}
+	}
+	for _, e := range events {
+		if e.Kind == Answer && e.Result == resultRejected {
+			result.Checks++
+			x.checkRejection(&result, e)
+		}
+	}
+	return result
+}
+
+func (x *executions) add(e Event) {
+	x.count[e.Intent]++
+	x.byAttempt[e.Attempt] = e
+	if _, ok := x.firstOfIntent[e.Intent]; !ok {
+		x.firstOfIntent[e.Intent] = e
+	}
+}
+
+// checkRejection checks that neither the rejected attempt nor an earlier one of the same intent has run.
+func (x *executions) checkRejection(result *RuleResult, rejection Event) {
+	if ran, ok := x.byAttempt[rejection.Attempt]; ok && ran.Class == NotIdempotent {
+		result.violated(rejection.At, "try %s of an unsafe class was refused, it had run at %s",
+			rejection.Attempt, ran.Engine)
+		return
+	}
+	first, ok := x.firstOfIntent[x.intent[rejection.Attempt]]
+	if ok && first.Class == NotIdempotent && first.At < rejection.At {
+		result.violated(rejection.At, "try %s of an unsafe class was refused, try %s of it had run at %s",
+			rejection.Attempt, first.Attempt, first.Engine)
+	}
+}
--- /dev/null
+++ b/internal/audit/slowstart.go
@@ -0,0 +1,16 @@
+package audit
+
+// checkSlowStart checks that no engine is overloaded while it is in slow start.
+func checkSlowStart(events []Event) RuleResult {
+	result := RuleResult{Rule: "no cold engine is pushed over"}
+	for _, e := range events {
+		switch e.Kind {
+		case EngineStarted:
+			result.Checks++
+		case Overloaded:
+			result.violated(e.At, "engine %s fell over", e.Engine)
+		default:
+		}
+	}
+	return result
+}
