--- a/cmd/brackenbend/main_test.go
+++ b/cmd/brackenbend/main_test.go
@@ -236,7 +236,7 @@
 // client comes again through the second; the order takes effect once.
 func TestReplicaKilledDuringDecode(t *testing.T) {
 	rec := audit.NewRecord()
-	group := &engine.Group{Window: time.Minute}
+	group := &engine.DedupGroup{Window: time.Minute}
 	var servers string
 	for _, role := range []string{"reader", "writer"} {
 		p := fakeEngineParams(role)
--- /dev/null
+++ b/internal/fake/engine/forms_test.go
@@ -0,0 +1,43 @@
+package engine
+
+import (
+	"encoding/json"
+	"testing"
+
+	"brackenbend/internal/golden"
+)
+
+// TestFaultsJSONForm checks the form in which faults are set from outside. The golden file was recorded before the
+// renaming and is not updated.
+func TestFaultsJSONForm(t *testing.T) {
+	faults := []Faults{{
+		FailFast: 0.5, FailClass: "c", Stall: true, Slow: 2, ResetMidStream: 0.25, ResetAfterRequest: 0.125,
+		ResetAfterEffect: 0.75, FailAfterEffect: 0.375, StallAfterEffect: 0.625, FrozenReports: true, NoReports: true,
+	}, {}}
+	encoded, err := json.MarshalIndent(faults, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "faults.json", string(encoded))
+	var decoded []Faults
+	err = json.Unmarshal(encoded, &decoded)
+	if err != nil || decoded[0] != faults[0] || decoded[1] != faults[1] {
+		t.Errorf("decoded again (%v): not the same", err)
+	}
+}
+
+// TestTextForms checks each form of a text. The keys of an array of parts are the chat protocol's.
+func TestTextForms(t *testing.T) {
+	got := ""
+	for _, raw := range []string{
+		`"a"`, `null`, `[1,2]`, `["b"]`, `[{"type":"text","text":"c"},{"type":"image_url"},{"TEXT":"d"}]`, `{}`,
+	} {
+		var decoded text
+		if err := json.Unmarshal([]byte(raw), &decoded); err != nil {
+			got += raw + " -> refused\n"
+			continue
+		}
+		got += raw + " -> " + string(decoded) + "\n"
+	}
+	golden.Check(t, "parts.txt", got)
+}
--- /dev/null
+++ b/internal/fake/engine/lifecycle.go
@@ -0,0 +1,150 @@
+package engine
+
+import (
+	"errors"
+	"net"
+	"net/http"
+	"time"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/fake/enginemodel"
+)
+
+const (
+	// bindAttempts and bindDelay bound the wait for an address that a closed listener still holds for a moment: a
+	// second in all.
+	bindAttempts = 50
+	bindDelay    = 20 * time.Millisecond
+	// readHeaderTimeout bounds how long a connection may take to send the head of a request.
+	readHeaderTimeout = 10 * time.Second
+)
+
+// ErrRunning is returned by Restart for an engine whose process has not ended.
+var ErrRunning = errors.New("fake engine: it is running")
+
+// process is one process of the engine, from its start to its crash.
+type process struct {
+	addr       string
+	generation int // counts the processes; part of the UID
+	up         bool
+	started    time.Time // zero = long ago
+	http       *http.Server
+	listener   net.Listener
+}
+
+// startProcessRetrying starts the process at an address that a closed listener may still hold for a moment.
+func (s *Server) startProcessRetrying(addr string, cold bool) (err error) {
+	for range bindAttempts {
+		if err = s.startProcess(addr, cold); err == nil {
+			return nil
+		}
+		time.Sleep(bindDelay)
+	}
+	return err
+}
+
+// startProcess starts the process: a new UID, an empty engine, a listener.
+func (s *Server) startProcess(addr string, cold bool) error {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{
+		Handler:           s.handler(),
+		ReadHeaderTimeout: readHeaderTimeout,
+		ConnState:         s.trackConnection,
+	}
+	s.mu.Lock()
+	s.process = process{
+		addr:       listener.Addr().String(),
+		generation: s.process.generation + 1,
+		up:         true,
+		http:       server,
+		listener:   listener,
+	}
+	if cold {
+		s.process.started = time.Now()
+	}
+	s.role.restart()
+	s.model = enginemodel.New(s.params(), s.now(), cold)
+	s.model.SetSlow(s.faults.speedFactor())
+	s.mu.Unlock()
+	s.record(audit.Event{Kind: audit.EngineStarted})
+	s.serve(server, listener)
+	s.notifyChanged()
+	return nil
+}
+
+// serve accepts connections in a goroutine until the listener is closed.
+func (s *Server) serve(server *http.Server, listener net.Listener) {
+	s.goroutines.Go(func() {
+		_ = server.Serve(listener) // always an error: the listener was closed
+	})
+}
+
+func (s *Server) trackConnection(conn net.Conn, state http.ConnState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch state {
+	case http.StateNew:
+		s.conns[conn] = struct{}{}
+	case http.StateClosed, http.StateHijacked:
+		delete(s.conns, conn)
+	default:
+	}
+}
+
+// Crash ends the process at once: connections are reset; read states and the prefix cache are lost.
+func (s *Server) Crash() {
+	s.mu.Lock()
+	if !s.process.up {
+		s.mu.Unlock()
+		return
+	}
+	s.stopProcess()
+	s.mu.Unlock()
+	s.record(audit.Event{Kind: audit.EngineStopped})
+	s.notifyChanged()
+}
+
+// stopProcess closes the listener and every connection and empties the engine. s.mu is held.
+func (s *Server) stopProcess() {
+	s.process.up = false
+	closeListener(s.process.listener)
+	s.dropAll()
+}
+
+// dropAll resets every connection and empties the engine. s.mu is held.
+func (s *Server) dropAll() {
+	for conn := range s.conns {
+		closeWithReset(conn)
+	}
+	s.model.Reset()
+	for id := range s.states.held {
+		s.recordReleased(id)
+	}
+}
+
+// Restart starts the process again after a crash, in slow start, under the same address.
+func (s *Server) Restart() error {
+	s.mu.Lock()
+	up, addr := s.process.up, s.process.addr
+	s.mu.Unlock()
+	if up {
+		return ErrRunning
+	}
+	return s.startProcessRetrying(addr, true)
+}
+
+// Close ends the fake.
+func (s *Server) Close() {
+	s.mu.Lock()
+	s.stopProcess()
+	s.timer.Stop()
+	s.mu.Unlock()
+	s.goroutines.Wait()
+}
+
+func closeListener(listener net.Listener) {
+	_ = listener.Close() // fails only when it is closed already
+}
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -10,102 +10,144 @@
 	"brackenbend/roles"
 )
 
+// maxCommandBody bounds the body of a planner's command, which has three short fields.
+const maxCommandBody = 4096
+
+// roleChange is the engine's part in a change of role.
+type roleChange struct {
+	state      roles.EngineState // on its disk: outlives crashes
+	switching  bool              // nothing of the old role is left, and SwitchTime runs
+	misreports bool              // a fault: the engine reports a change that it has not made
+}
+
+// restart is what a crash does: the engine is drained and comes back in the role that it was to have.
+func (c *roleChange) restart() { c.state, c.switching = c.state.FinishDraining(), false }
+
+// addsStage reports that the change only adds a stage to the one that is served.
+func (c *roleChange) addsStage() bool {
+	return c.state.Target == roles.Both && c.state.Role != roles.Both
+}
+
+// rejectsNew reports that the engine accepts no new work, since it is on its way to another role.
+func (c *roleChange) rejectsNew() bool {
+	return !c.state.Serves(c.state.Role) || c.switching && !c.addsStage()
+}
+
 // params are those of the role in force. s.mu is held.
 func (s *Server) params() enginemodel.Params {
-	if p, ok := s.cfg.Roles[s.seat.Role]; ok {
-		return p
+	if params, ok := s.cfg.Roles[s.role.state.Role]; ok {
+		return params
 	}
 	return s.cfg.Params
 }
 
-// leaving tells that the engine takes no new work, since it is on its way to another role.
-func (s *Server) leaving() bool {
+// rejectsNew reports that the engine accepts no new work, since it is on its way to another role.
+func (s *Server) rejectsNew() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.turned()
+	return s.rejectsNewLocked()
 }
 
-// turned tells the same. s.mu is held.
-func (s *Server) turned() bool { return !s.seat.Serves(s.seat.Role) || s.switching && !s.adds() }
+// rejectsNewLocked is rejectsNew with s.mu held.
+func (s *Server) rejectsNewLocked() bool { return s.role.rejectsNew() }
 
-// adds tells that the engine is only to take on a stage more. s.mu is held.
-func (s *Server) adds() bool { return s.seat.Target == roles.Both && s.seat.Role != roles.Both }
+// switchIfDrained begins to switch once nothing is left of the old role. s.mu is held.
+func (s *Server) switchIfDrained() {
+	busy := s.model.Working() > 0 || s.model.States() > 0
+	adds := s.role.addsStage()
+	if s.role.switching || s.role.state.StatusReport().Serving || busy && !adds || !s.process.up {
+		return
+	}
+	s.role.switching = true
+	generation := s.process.generation
+	time.AfterFunc(s.cfg.SwitchTime, func() { s.finishSwitch(generation, adds) })
+}
 
-// emptied begins the switch once nothing is left of the old role. s.mu is held.
-func (s *Server) emptied() {
-	busy := s.m.Working() > 0 || s.m.States() > 0
-	if s.switching || s.seat.StatusReport().Serving || busy && !s.adds() || !s.up {
+// finishSwitch puts the engine into its new role, if neither a crash nor another command came meanwhile.
+func (s *Server) finishSwitch(generation int, added bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.process.generation != generation || !s.process.up { // it crashed, and came back in its new role
 		return
 	}
-	s.switching = true
-	uid, added := s.uid, s.adds()
-	time.AfterFunc(s.cfg.SwitchTime, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.uid != uid || !s.up { // it crashed meanwhile, and came back in its new role
-			return
-		}
-		if added != s.adds() { // another order came meanwhile
-			s.switching = false
-			s.emptied()
-			return
-		}
-		was := s.params()
-		s.seat, s.switching = s.seat.FinishDraining(), false
-		if added {
-			s.m.Become(s.now(), s.params())
-			s.plan()
-			return
-		}
-		p := s.params()
-		if s.liar {
-			p = was
-		}
-		w := s.m.Work()
-		s.m = enginemodel.New(p, s.now(), true)
-		s.m.Resume(w)
-		s.started = time.Now()
-		s.plan()
-	})
+	if added != s.role.addsStage() { // another command came
+		s.role.switching = false
+		s.switchIfDrained()
+		return
+	}
+	before := s.params()
+	s.role.state, s.role.switching = s.role.state.FinishDraining(), false
+	after := s.params()
+	if added {
+		s.model.Become(s.now(), after)
+		s.schedule()
+		return
+	}
+	if s.role.misreports {
+		after = before
+	}
+	work := s.model.Work()
+	s.model = enginemodel.New(after, s.now(), true)
+	s.model.Resume(work)
+	s.process.started = time.Now()
+	s.schedule()
 }
 
-// MisreportLoad lets the engine say that it changed when it did not.
-func (s *Server) MisreportLoad(on bool) {
+// MisreportRole makes the engine report a change of role that it has not made.
+func (s *Server) MisreportRole(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.liar = on
+	s.role.misreports = on
 }
 
 // EngineState is the engine's part in a change of role.
 func (s *Server) EngineState() roles.EngineState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seat
+	return s.role.state
 }
 
-// role answers a planner: it takes an order where one comes, and tells how the engine stands.
-func (s *Server) role(w http.ResponseWriter, r *http.Request) {
-	var t roles.Command
+// serveRole answers a planner: it accepts a command where one comes, and returns the engine's status.
+func (s *Server) serveRole(w http.ResponseWriter, r *http.Request) {
+	var command *roles.Command
 	if r.Method == http.MethodPost {
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&t); err != nil || t.Target > roles.Both {
-			http.Error(w, `{"error":{"message":"an order is {\"id\":...,\"order\":...,\"to\":...}","type":"invalid_request_error"}}`, http.StatusBadRequest)
+		command = &roles.Command{}
+		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBody)).Decode(command)
+		if err != nil || command.Target > roles.Both {
+			http.Error(w,
+				`{"error":{"message":"an order is {\"id\":...,\"order\":...,\"to\":...}","type":"invalid_request_error"}}`,
+				http.StatusBadRequest)
 			return
 		}
 	}
+	status := s.statusAfter(command)
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(status) // fails only when the connection is gone
+}
+
+// statusAfter accepts a command that is meant for this engine and names a role that it can have, and returns what the
+// engine then reports to planners. command is nil where none came.
+func (s *Server) statusAfter(command *roles.Command) planner.Status {
 	s.mu.Lock()
-	if _, can := s.cfg.Roles[t.Target]; r.Method == http.MethodPost && can && t.ID == s.cfg.Name {
-		s.seat = s.seat.Accept(t)
+	defer s.mu.Unlock()
+	if command != nil && command.ID == s.cfg.Name {
+		if _, ok := s.cfg.Roles[command.Target]; ok {
+			s.role.state = s.role.state.Accept(*command)
+		}
 	}
-	s.m.Advance(s.now())
-	s.plan()
-	k := s.m.Work()
-	reply := planner.Status{
-		StatusReport: s.seat.StatusReport(), Held: s.m.Working() + s.m.States(),
-		Read:  planner.Stage{Done: k.ReadDone, Waiting: k.ReadWaiting, Lost: k.ReadLost, Count: k.Reads},
-		Write: planner.Stage{Done: k.WriteDone, Waiting: k.WriteWaiting, Lost: k.WriteLost, Count: k.Writes},
+	s.model.Advance(s.now())
+	s.schedule()
+	work := s.model.Work()
+	status := planner.Status{
+		StatusReport: s.role.state.StatusReport(),
+		Held:         s.model.Working() + s.model.States(),
+		Read: planner.Stage{
+			Done: work.ReadDone, Waiting: work.ReadWaiting, Lost: work.ReadLost, Count: work.Reads,
+		},
+		Write: planner.Stage{
+			Done: work.WriteDone, Waiting: work.WriteWaiting, Lost: work.WriteLost, Count: work.Writes,
+		},
 	}
-	reply.Serving = reply.Serving && !s.switching
-	s.mu.Unlock()
-	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(reply)
+	status.Serving = status.Serving && !s.role.switching
+	return status
 }
--- a/internal/gateway/sdk_test.go
+++ b/internal/gateway/sdk_test.go
@@ -80,7 +80,7 @@
 
 	// A stream that breaks is an error to the SDK, not an end.
 	for _, e := range r.enginesOf("writer") {
-		e.SetFaults(fakeengine.Faults{ResetMid: 1})
+		e.SetFaults(fakeengine.Faults{ResetMidStream: 1})
 	}
 	params.Model, params.MaxCompletionTokens = "m", openai.Int(50)
 	stream = sdk.Chat.Completions.NewStreaming(t.Context(), params)
--- a/internal/scenariorun/run.go
+++ b/internal/scenariorun/run.go
@@ -141,7 +141,7 @@
 	for _, c := range r.d.Classes {
 		window = max(window, c.DedupWindow)
 	}
-	group := &engine.Group{Window: window}
+	group := &engine.DedupGroup{Window: window}
 	shift := r.shifting()
 	for _, k := range r.d.Kinds {
 		for i := range k.Count {
--- a/internal/scenariorun/script.go
+++ b/internal/scenariorun/script.go
@@ -147,22 +147,22 @@
 	case "slow":
 		return set(engine.Faults{Slow: cmp.Or(h.Factor, 4)})
 	case "reset-mid-stream":
-		return set(engine.Faults{ResetMid: cmp.Or(h.Part, 1)})
+		return set(engine.Faults{ResetMidStream: cmp.Or(h.Part, 1)})
 	case "reset-after-request":
-		return set(engine.Faults{ResetHead: cmp.Or(h.Part, 1)})
+		return set(engine.Faults{ResetAfterRequest: cmp.Or(h.Part, 1)})
 	case "reset-after-effect":
-		return set(engine.Faults{ResetRun: cmp.Or(h.Part, 1)})
+		return set(engine.Faults{ResetAfterEffect: cmp.Or(h.Part, 1)})
 	case "fail-after-effect":
-		return set(engine.Faults{FailRun: cmp.Or(h.Part, 1)})
+		return set(engine.Faults{FailAfterEffect: cmp.Or(h.Part, 1)})
 	case "stall-after-effect":
-		return set(engine.Faults{StallRun: cmp.Or(h.Part, 1)})
+		return set(engine.Faults{StallAfterEffect: cmp.Or(h.Part, 1)})
 	case "reports-frozen":
-		return set(engine.Faults{Frozen: true})
+		return set(engine.Faults{FrozenReports: true})
 	case "reports-none":
 		return set(engine.Faults{NoReports: true})
 	case "liar":
-		s.MisreportLoad(true)
-		return func() { s.MisreportLoad(false) }
+		s.MisreportRole(true)
+		return func() { s.MisreportRole(false) }
 	case "forget":
 		s.DropPrefixCache()
 	case "silent-restart":
