--- /dev/null
+++ b/cmd/brackenbend/fakes.go
@@ -0,0 +1,191 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+
+	"brackenbend/internal/fake/apiserver"
+	"brackenbend/internal/fake/engine"
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/planner"
+	"brackenbend/roles"
+)
+
+// roleSwitchTime is how long a drained fake engine takes to switch its role.
+const roleSwitchTime = time.Second
+
+// fakeEngineRoles are the roles that a fake engine may have, by the words of the command line.
+var fakeEngineRoles = map[string]roles.Role{"reader": roles.Prefill, "writer": roles.Decode, "mixed": roles.Both}
+
+// fakeEngineParams are middling figures of one fake engine.
+func fakeEngineParams(role string) enginemodel.Params {
+	return enginemodel.Params{
+		CanPrefill:     true,
+		CanDecode:      role != "reader",
+		Slots:          64,
+		MaxQueued:      32,
+		Memory:         200000,
+		PrefillRate:    15000,
+		Chunk:          512,
+		Step:           20 * time.Millisecond,
+		StepStream:     200 * time.Microsecond,
+		FetchRate:      200000,
+		CacheTokens:    100000,
+		SlowStartFrom:  0.25,
+		SlowStartFor:   10 * time.Second,
+		OverloadFactor: 4,
+		OverloadAfter:  2 * time.Second,
+		StateTTL:       30 * time.Second,
+	}
+}
+
+// waitForSignal waits for SIGINT or SIGTERM.
+func waitForSignal() {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
+	<-signals
+}
+
+// fakeEngine runs one fake engine.
+type fakeEngine struct {
+	listen, role, name          string
+	plain, cold, canChangeRoles bool
+}
+
+func engineCommand() *cobra.Command {
+	var e fakeEngine
+	cmd := &cobra.Command{
+		Use:   "engine",
+		Short: "Run a fake engine",
+		Long: `Run one fake engine until SIGINT or SIGTERM. It answers with made-up words at the pace of its model.
+Faults are set while it runs by POST /standin/faults with a JSON object: fail_fast, fail_class,
+stall, slow, reset_mid, reset_head, frozen, no_reports.`,
+		Example: `  brackenbend engine --listen 127.0.0.1:9001 --role reader
+  curl -d '{"stall":true}' http://127.0.0.1:9001/standin/faults`,
+		Args: exactly(0),
+		RunE: func(cmd *cobra.Command, _ []string) error { return e.run(cmd.OutOrStdout()) },
+	}
+	e.addFlags(cmd.Flags())
+	return cmd
+}
+
+func (e *fakeEngine) addFlags(f *pflag.FlagSet) {
+	f.StringVar(&e.listen, "listen", "127.0.0.1:0", "loopback address")
+	f.StringVar(&e.role, "role", "mixed", "reader (prefill), writer (decode) or mixed")
+	f.StringVar(&e.name, "name", "engine-1", "its name")
+	f.BoolVar(&e.plain, "plain", false, "speak vLLM's convention only, not the extension")
+	f.BoolVar(&e.cold, "cold", false, "start cold")
+	f.BoolVar(&e.canChangeRoles, "shifts", false, "take commands to change role (POST "+planner.Path+")")
+}
+
+func (e *fakeEngine) run(out io.Writer) error {
+	role, known := fakeEngineRoles[e.role]
+	if !known {
+		return usageErrorf("--role %q: reader, writer or mixed", e.role)
+	}
+	cfg := engine.Config{
+		Name: e.name, Kind: e.role, Params: fakeEngineParams(e.role), PlainVLLM: e.plain, CanCancel: true,
+	}
+	if e.canChangeRoles {
+		cfg.InitialState, cfg.SwitchTime = roles.EngineState{Role: role, Target: role}, roleSwitchTime
+		cfg.Roles = map[roles.Role]enginemodel.Params{}
+		for word, r := range fakeEngineRoles {
+			cfg.Roles[r] = fakeEngineParams(word)
+		}
+	}
+	server, err := engine.Start(cfg, e.listen, e.cold)
+	if err != nil {
+		return err
+	}
+	defer server.Close()
+	if _, err := fmt.Fprintf(out, "%s %s on %s\n", e.role, e.name, server.Info().Address); err != nil {
+		return err
+	}
+	waitForSignal()
+	return nil
+}
+
+// fakeAPIServer serves a list of engines.
+type fakeAPIServer struct {
+	listen, assignmentsFile string
+	kindOfRole              map[string]string // kinds whose engines may change role, by role
+}
+
+func registerCommand() *cobra.Command {
+	var s fakeAPIServer
+	cmd := &cobra.Command{
+		Use:   "register NAME=KIND@ADDRESS...",
+		Short: "Run a fake API server with the list of engines",
+		Long:  "Serve a list of engines as discovery.k8s.io/v1 EndpointSlices, for list and watch, until SIGINT or SIGTERM.",
+		Example: `  brackenbend register --listen 127.0.0.1:7000 \
+    reader-1=prefill@127.0.0.1:9001 writer-1=decode@127.0.0.1:9002
+  curl http://127.0.0.1:7000/apis/discovery.k8s.io/v1/namespaces/default/endpointslices`,
+		Args: cobra.MinimumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error { return s.run(cmd.OutOrStdout(), args) },
+	}
+	f := cmd.Flags()
+	f.StringVar(&s.listen, "listen", "127.0.0.1:0", "loopback address")
+	f.StringToStringVar(&s.kindOfRole, "shift", nil,
+		"kinds whose engines may change role, as reader=prefill,writer=decode,both=mixed")
+	f.StringVar(&s.assignmentsFile, "book", "", "file that keeps the assignments of roles over restarts")
+	return cmd
+}
+
+func (s *fakeAPIServer) run(out io.Writer, engines []string) error {
+	server, err := apiserver.Start(s.listen, nil)
+	if err != nil {
+		return err
+	}
+	defer server.Close()
+	kinds := map[roles.Role]string{}
+	for name, kind := range s.kindOfRole {
+		role, err := roles.ParseRole(name)
+		if err != nil {
+			return exitError{fmt.Errorf("--shift: %w", err), exitUsage}
+		}
+		kinds[role] = kind
+	}
+	if err := server.PersistAssignments(s.assignmentsFile); err != nil {
+		return exitError{fmt.Errorf("--book: %w", err), exitConfig}
+	}
+	for _, arg := range engines {
+		entry, err := parseEngineEntry(arg)
+		if err != nil {
+			return err
+		}
+		for role, kind := range kinds {
+			if kind == entry.Kind {
+				server.ManageRole(entry.Name, role, kinds)
+			}
+		}
+		server.Set(entry)
+	}
+	if _, err := fmt.Fprintln(out, "register on", server.URL()); err != nil {
+		return err
+	}
+	waitForSignal()
+	return nil
+}
+
+// parseEngineEntry reads NAME=KIND@ADDRESS.
+func parseEngineEntry(arg string) (apiserver.Entry, error) {
+	name, rest, hasKind := strings.Cut(arg, "=")
+	kind, address, hasAddress := strings.Cut(rest, "@")
+	if !hasKind || !hasAddress || !isWord(name) || !isWord(kind) || !isWord(address) {
+		return apiserver.Entry{}, usageErrorf("%q: write NAME=KIND@ADDRESS", arg)
+	}
+	return apiserver.Entry{
+		Name: name, Kind: kind, Zone: "zone-1", Cell: "cell-1", Address: address, UID: name + "-1", Ready: true,
+	}, nil
+}
+
+// isWord tells that s is not empty and holds no white space.
+func isWord(s string) bool { return len(strings.Fields(s)) == 1 && strings.TrimSpace(s) == s }
--- /dev/null
+++ b/cmd/brackenbend/simulate_forecast.go
@@ -0,0 +1,135 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"syscall"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+
+	"brackenbend/internal/scenariorun"
+	"brackenbend/internal/simulation/forecast"
+	"brackenbend/internal/simulation/scenario"
+)
+
+// forecastSimulation forecasts scenarios and, where asked, plays them on sockets to check the forecasts.
+type forecastSimulation struct {
+	runs     int
+	level    float64
+	model    forecast.Model
+	real     bool
+	fit      bool
+	jsonFile string
+}
+
+func simulateForecastCommand() *cobra.Command {
+	sim := forecastSimulation{runs: 20, level: 0.95}
+	cmd := &cobra.Command{
+		Use:   "forecast SCENARIO...",
+		Short: "Say what scenarios will come to on sockets, with error bars",
+		Long: `Play each scenario many times in simulated time and give bars in which one run on sockets will lie.
+The bars hold the spread of replications, and how far the simulation was off on scenarios that were
+played for real (--floor, --part; --fit finds them). With --real each scenario is played on sockets
+as well, one after the other, after all forecasts.`,
+		Example: "  brackenbend simulate forecast scenarios/stall.xml\n" +
+			"  brackenbend simulate forecast --real --fit scenarios/crash.xml scenarios/slow.xml",
+		Args: cobra.MinimumNArgs(1),
+		RunE: sim.run,
+	}
+	sim.addFlags(cmd.Flags())
+	return cmd
+}
+
+func (s *forecastSimulation) addFlags(f *pflag.FlagSet) {
+	f.IntVar(&s.runs, "runs", s.runs, "simulated replications of each scenario")
+	f.Float64Var(&s.level, "level", s.level, "probability with which a run on sockets lies within the bars")
+	f.Float64Var(&s.model.Floor, "floor", 0.002, "standard deviation by which the simulation is off on any scenario")
+	f.Float64Var(&s.model.Part, "part", 0.1, "and as a part of what the scenario loses")
+	f.BoolVar(&s.real, "real", false, "play the scenarios on sockets as well")
+	f.BoolVar(&s.fit, "fit", false, "with --real: find --floor and --part from these scenarios")
+	f.StringVar(&s.jsonFile, "json", "", "write forecasts and real runs to this file")
+}
+
+func (s *forecastSimulation) run(cmd *cobra.Command, args []string) error {
+	if s.runs < 3 || s.runs > 1000 || !isFraction(s.level) {
+		return usageErrorf("--runs: 3 to 1000; --level: between 0 and 1")
+	}
+	scenarios, forecasts, err := s.predict(args)
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	p := &printer{out: cmd.OutOrStdout()}
+	p.printf("%-20s %9s %7s %15s %9s %8s %8s\n", "SCENARIO", "SIMULATED", "SD", fmt.Sprintf("%.0f%% BARS", 100*s.level),
+		"WORST10S", "BREACHES", "SOCKETS")
+	var pairs []forecast.Pair
+	within := 0
+	for i, f := range forecasts {
+		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d", f.Scenario, f.Mean, f.SD, f.Low, f.High, f.Worst, f.Rules)
+		if s.real {
+			report, err := playOnSockets(ctx, scenarios[i])
+			if err != nil {
+				return err
+			}
+			pairs = append(pairs, forecast.Pair{Forecast: f, Real: report.Service})
+			verdict := "missed"
+			if f.Holds(report.Service) {
+				within++
+				verdict = "held"
+			}
+			p.printf(" %8.4f %s, %d breaches", report.Service, verdict, report.Violations())
+		}
+		p.printf("\n")
+	}
+	if s.real {
+		p.printf("%d of %d lie within their bars\n", within, len(forecasts))
+	}
+	if s.fit {
+		fitted := forecast.Fit(pairs)
+		p.printf("fitted: --floor %.4f --part %.3f\n", fitted.Floor, fitted.Part)
+	}
+	if p.err != nil {
+		return p.err
+	}
+	return saveJSON(s.jsonFile, pairs)
+}
+
+// predict forecasts all scenarios before any is played on sockets.
+func (s *forecastSimulation) predict(files []string) (
+	scenarios []*scenario.Scenario, forecasts []*forecast.Forecast, err error,
+) {
+	for _, file := range files {
+		loaded, err := loadScenario([]string{file})
+		if err != nil {
+			return nil, nil, err
+		}
+		name := strings.TrimSuffix(filepath.Base(file), ".xml")
+		f, err := forecast.Predict(name, loaded, s.runs, runtime.GOMAXPROCS(0), s.level, s.model)
+		if err != nil {
+			return nil, nil, err
+		}
+		scenarios, forecasts = append(scenarios, loaded), append(forecasts, f)
+	}
+	return scenarios, forecasts, nil
+}
+
+// playOnSockets plays a scenario against real replicas of this program.
+func playOnSockets(ctx context.Context, played *scenario.Scenario) (*scenariorun.Report, error) {
+	dir, err := os.MkdirTemp("", "brackenbend-scenario-")
+	if err != nil {
+		return nil, err
+	}
+	defer removeTemporary(dir)
+	program, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	return scenariorun.Run(ctx, played, scenariorun.Options{Binary: program, WorkDir: dir})
+}
--- a/internal/simulation/fleet/roles.go
+++ b/internal/simulation/fleet/roles.go
@@ -1,22 +1,23 @@
 package fleet
 
 import (
-	"brackenbend/internal/fake/enginemodel"
-	"brackenbend/internal/planner"
-	"brackenbend/roles"
 	"cmp"
 	"fmt"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"brackenbend/internal/fake/enginemodel"
+	"brackenbend/internal/planner"
+	"brackenbend/roles"
 )
 
 // Engines that change role: the planner, the book and the seat are those of package roles, the planner's view is that of
 // internal/planner; here they speak by messages.
 
-// Standing is how the engines that change stood at a look.
-type Standing struct {
+// RoleSample is how the engines that change stood at a look.
+type RoleSample struct {
 	At                         time.Duration
 	Readers, Writers, Changing int
 	Reading, Writing           float64 // work asked for, in engines
@@ -60,7 +61,7 @@
 
 // shift makes the engines of the kinds that shift ones that may change, and the book that says so.
 func (f *fleet) shift() {
-	params, names := f.d.Shifting()
+	params, names := f.d.ChangingRoles()
 	if names == nil {
 		return
 	}
@@ -70,8 +71,8 @@
 	}
 	f.register.kinds, f.register.book.Entries = kinds, map[string]roles.Assignment{}
 	for _, e := range f.engines {
-		if e.kind.Shifts {
-			r := e.kind.Serves()
+		if e.kind.ChangesRole {
+			r := e.kind.ServedRole()
 			e.byRole, e.seat = params, roles.EngineState{Role: r, Target: r}
 			e.becomes(r)
 			e.fresh(0, false)
@@ -103,7 +104,7 @@
 	}
 	e.switching = true
 	e.turn++
-	e.later(cmp.Or(e.f.d.Planner.Switch, time.Second), switched{e.turn, e.adds()})
+	e.later(cmp.Or(e.f.d.Planner.SwitchTime, time.Second), switched{e.turn, e.adds()})
 }
 
 func (e *engine) switchedTo(m switched) {
@@ -137,7 +138,7 @@
 	e.m.Advance(e.now())
 	k := e.m.Work()
 	st := planner.Status{
-		StatusReport: e.seat.StatusReport(), Held: e.m.Working() + e.m.States(),
+		StatusReport: e.seat.StatusReport(), Outstanding: e.m.Working() + e.m.States(),
 		Read:  planner.Stage{Done: k.ReadDone, Waiting: k.ReadWaiting, Lost: k.ReadLost, Count: k.Reads},
 		Write: planner.Stage{Done: k.WriteDone, Waiting: k.WriteWaiting, Lost: k.WriteLost, Count: k.Writes},
 	}
@@ -155,7 +156,7 @@
 		v := planner.View{Assignments: r.book, Listings: map[string]planner.Listing{}}
 		for i, e := range r.f.engines {
 			if l := &r.lines[i]; e.byRole != nil && !l.unlisted {
-				v.Listings[e.name] = planner.Listing{Place: fmt.Sprint(e.cell), Up: l.up && !l.draining}
+				v.Listings[e.name] = planner.Listing{Locality: fmt.Sprint(e.cell), Up: l.up && !l.draining}
 			}
 		}
 		r.send(m.from, r.f.hop(r.links), views{v, r.memory})
@@ -214,7 +215,7 @@
 	lost   planner.LostWork
 	kept   time.Duration
 	begun  bool
-	seen   []Standing
+	seen   []RoleSample
 }
 
 // keepEvery is how often what was learned is left at the register, as the planner's process does.
@@ -232,7 +233,7 @@
 	return nil
 }
 
-func (p *planners) every() time.Duration { return cmp.Or(p.f.d.Planner.Every, time.Second) }
+func (p *planners) every() time.Duration { return cmp.Or(p.f.d.Planner.Interval, time.Second) }
 
 func (p *planners) take(m any) {
 	switch m := m.(type) {
@@ -285,7 +286,7 @@
 	if !p.begun {
 		p.begun = true
 		if m := p.view.memory; m.ok {
-			_ = p.p.Recall(m.memory, p.now()-m.at, now) // what can't be right is passed over, as by the process
+			_ = p.p.Restore(m.memory, p.now()-m.at, now) // what can't be right is passed over, as by the process
 		}
 	}
 	book, changed := p.view.view.Assignments, false
@@ -299,7 +300,8 @@
 	read, write := planner.MeanCosts(p.words)
 	var fronts []roles.Replica
 	for _, name := range slices.Sorted(maps.Keys(p.counts)) {
-		report := *p.lost.Add(name, p.counts[name], now, read, write)
+		counts := planner.LostCounts{Prefill: p.counts[name][0], Decode: p.counts[name][1]}
+		report := *p.lost.Add(name, counts, now, read, write)
 		fronts = append(fronts, roles.Replica{ID: name, Report: &report})
 	}
 	plan := p.p.Step(now, planner.Engines(p.view.view, p.words, p.places, now, now, now), fronts)
@@ -332,7 +334,7 @@
 }
 
 func (p *planners) note(plan roles.Plan, b roles.Assignments) {
-	s := Standing{At: p.now(), Reading: plan.Reading, Writing: plan.Writing, Orders: b.Orders}
+	s := RoleSample{At: p.now(), Reading: plan.Reading, Writing: plan.Writing, Orders: b.Orders}
 	open, changing := b.CountServing()
 	s.Readers, s.Writers, s.Changing = open[roles.Prefill], open[roles.Decode], changing
 	p.seen = append(p.seen, s)
