--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -47,8 +47,8 @@
 // affinityChoices are what affinity remembers of a request.
 type affinityChoices struct {
 	counted        bool       // at the endpoint that it prefers
-	refused        []*backend // candidates that had no capacity for it when all were asked ...
-	refusedVersion uint64     // ... in this version of the order; 0 = never
+	full        []*backend // candidates that had no capacity for it when all were asked ...
+	fullVersion uint64     // ... in this version of the order; 0 = never
 }
 
 // candidate is an endpoint in the hash order of a key.
@@ -129,9 +129,9 @@
 	evenShare := totalPreferred/float64(len(candidates)) + preferredPrior
 	var overloaded *backend // the first with capacity, though it should pass requests on
 	warm := 0
-	req.choices.refused, req.choices.refusedVersion = req.choices.refused[:0], 0
+	req.choices.full, req.choices.fullVersion = req.choices.full[:0], 0
 	for _, c := range candidates {
-		req.choices.refused = append(req.choices.refused, c.backend)
+		req.choices.full = append(req.choices.full, c.backend)
 		if r.hasCapacity(c.backend, req) {
 			if !c.backend.passesOn(req, evenShare) {
 				return c.backend
@@ -148,7 +148,7 @@
 		}
 	}
 	if overloaded == nil && role == RolePrefill && !r.capacity.anySlowStart {
-		req.choices.refusedVersion = r.capacity.orderVersion
+		req.choices.fullVersion = r.capacity.orderVersion
 	}
 	return overloaded
 }
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -162,10 +162,10 @@
 	return found && free > prefilling
 }
 
-// knownToBeRefused reports that placeQueued can't succeed, without the cost of trying: no decode endpoint has
+// knownToBeFull reports that placeQueued can't succeed, without the cost of trying: no decode endpoint has
 // that much free memory, or the prefill endpoints that would be tried are as full as when they were tried
 // last. A request that was never counted at its preferred endpoint is tried.
-func (r *Router) knownToBeRefused(req *request) bool {
+func (r *Router) knownToBeFull(req *request) bool {
 	need, bounds := req.memoryTokens(), &r.capacity.bounds
 	mixed := r.backends.roles[RoleMixed].listed > 0
 	prefillsFillMemory := !mixed && r.backends.roles[RolePrefill].listed > 0 &&
@@ -173,11 +173,11 @@
 	if need > bounds.largestFree+memorySlack || prefillsFillMemory {
 		return req.choices.counted || !mixed
 	}
-	unchanged := req.choices.refusedVersion == r.capacity.orderVersion
+	unchanged := req.choices.fullVersion == r.capacity.orderVersion
 	if !req.choices.counted || bounds.mixed || r.capacity.anySlowStart || !unchanged {
 		return false
 	}
-	for _, b := range req.choices.refused {
+	for _, b := range req.choices.full {
 		if b.mayHaveCapacity(r.now) && r.hasCapacity(b, req) {
 			return false
 		}
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -23,12 +23,12 @@
 		case !req.queued.waiting: // it was selected twice
 		case r.expired(req):
 			r.finish(req, r.finalAnswer(req, q.position(req, promoted), r.expiredReason(req)))
-		case r.knownToBeRefused(req):
+		case r.knownToBeFull(req):
 		case r.placeQueued(req):
 			q.dispatched(req)
-			// Mixed endpoints take what is owed to them, so each send may let others go there.
+			// Each send adds to what mixed endpoints are owed, so others may go there now.
 			r.capacity.stale = r.capacity.stale || r.backends.roles[RoleMixed].listed > 0
-			if r.capacity.stale && !all {
+			if r.capacity.stale && !all { // try all requests behind this one too
 				all = true
 				q.selected, i = append(q.selected[:0], q.after(req, promoted)...), -1
 			}
--- a/routing/encodeaction_test.go
+++ b/routing/encodeaction_test.go
@@ -6,7 +6,7 @@
 )
 
 // encodeAction writes an action in a form that stays the same when types and fields are renamed: a fixed name for the
-// kind of action, then its values in a fixed order. Durations are nanoseconds. Of a log line only its position is encoded.
+// kind of action, then its values in a fixed order. Durations are nanoseconds. Of a log line only its position counts.
 func encodeAction(a Action) string {
 	switch a := a.(type) {
 	case Send:
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -1,9 +1,10 @@
 package routing_test
 
 import (
-	"brackenbend/routing"
 	"fmt"
 	"time"
+
+	"brackenbend/routing"
 )
 
 // A gateway gives the Router its endpoint list and a request, and carries out the actions that come back.
--- a/routing/loadshed.go
+++ b/routing/loadshed.go
@@ -77,7 +77,7 @@
 	return uniform(r.seed+shedSeed, uint64(req.ID)) < chance
 }
 
-// value is what a request is worth for each unit of the work that it asks for.
+// value is the priority weight of a request for each unit of the work that it asks for.
 func (r *Router) value(req *request) float64 {
 	value := cmp.Or(req.class.PriorityWeight, 1)
 	if !r.config.WeightByWork {
@@ -89,8 +89,8 @@
 	return value
 }
 
-// objectiveLost reports that a request has missed its objective while answers come late by and large: the
-// capacity that it would take is worth more to one that can be in time.
+// objectiveLost reports that a request has missed its objective while most answers come late: the capacity
+// that it would take serves better a request that can be in time.
 func (r *Router) objectiveLost(req *request) bool {
 	return r.admission.shedder.fraction > overloadShedFraction && r.now >= req.objectiveAt()
 }
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -27,8 +27,8 @@
 	return r == EngineError || r == TimedOut || r == ConnectionReset || r == Canceled
 }
 
-// fromEndpoint reports that the endpoint itself, not this replica or the network, ended the attempt. A
-// connection that breaks counts: the endpoint was reachable.
+// fromEndpoint reports that the result doesn't speak for silence of the endpoint. A connection that breaks
+// was up before, and an attempt that was not sent had no answer to wait for.
 func (r Result) fromEndpoint() bool {
 	return r != TimedOut && r != Canceled && r != ConnectFailed
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -12,7 +12,7 @@
 	outcomeWeight = 0.25
 	// connectFailureFactor is how much more a failed connection weighs: the process is likely gone.
 	connectFailureFactor = 2
-	// otherClassFactor is how much less an outcome weighs for the classes other than its own: an endpoint may
+	// otherClassFactor is how much less an outcome weighs for other classes: an endpoint may
 	// fail one class only.
 	otherClassFactor = 2
 	// sparseOutcomeDecay makes an outcome weigh nearly two thirds after so long without one: a replica of
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -54,7 +54,7 @@
 	q.waiting = slices.Insert(q.waiting, i, req)
 	q.retry = append(q.retry, req)
 	req.queued.waiting = true
-	req.choices.refused, req.choices.refusedVersion = nil, 0
+	req.choices.full, req.choices.fullVersion = nil, 0
 	heap.Push(&q.byArrival, req)
 	heap.Push(&q.byLimit[req.Class], req)
 }
@@ -93,7 +93,7 @@
 func (q *requestQueue) retryKey(key uint64) {
 	for _, req := range q.waiting {
 		if req.affinityKey() == key {
-			req.choices.refusedVersion = 0
+			req.choices.fullVersion = 0
 			q.retry = append(q.retry, req)
 		}
 	}
