--- a/cmd/brackenbend/serve.go
+++ b/cmd/brackenbend/serve.go
@@ -14,7 +14,7 @@
 	"brackenbend/internal/telemetry"
 )
 
-// heapFloor is the heap size in bytes below which no garbage is collected (docs/front.md, Bounds).
+// heapFloor is the heap size in bytes below which no garbage is collected (docs/gateway.md, Bounds).
 const heapFloor = 64 << 20
 
 func serveCommand() *cobra.Command {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,5 @@
 // Package engine is the client of the engines: vLLM's published convention for disaggregated prefill over HTTP/1.1,
-// pooled connections, and the table that turns every network outcome into one routing.Result (docs/front.md
+// pooled connections, and the table that turns every network outcome into one routing.Result (docs/gateway.md
 // prints it). It does not choose among engines.
 //
 // A Client and its Endpoints may be used from any goroutine; they own the connections and their counts. Each attempt
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -35,7 +35,7 @@
 	mayHaveRun bool // the engine may act on what it accepted of the request
 }
 
-// failureTable gives the result of each failure; the first row that matches counts. docs/front.md prints it together
+// failureTable gives the result of each failure; the first row that matches counts. docs/gateway.md prints it together
 // with the rows that go by the status of a response (Protocol.ParseReply).
 var failureTable = []struct {
 	matches      func(f failure) bool
--- a/internal/engine/vllm.go
+++ b/internal/engine/vllm.go
@@ -11,7 +11,7 @@
 	"brackenbend/routing"
 )
 
-// The extension that an engine may speak beside vLLM's convention; docs/front.md has it in full.
+// The extension that an engine may speak beside vLLM's convention; docs/gateway.md has it in full.
 const (
 	PathRelease            = "/v1/brackenbend/release" // POST {"request_id": ...}: releases a read state
 	HeaderNeverRan         = "X-Brackenbend-Never-Ran" // on 429 and 503: rejected before it ran
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -1,5 +1,5 @@
 // Package engine is a fake of an engine on a socket: it speaks vLLM's convention for disaggregated prefill and the
-// extension of docs/front.md, runs the model of internal/fake/enginemodel in real time, and fails on demand. It uses
+// extension of docs/gateway.md, runs the model of internal/fake/enginemodel in real time, and fails on demand. It uses
 // net/http, so that the gateway's own parsers meet an independent peer.
 //
 // A Server's mutex guards its model, connections, faults and role; the functions named in the comments as called with
