--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -46,7 +46,7 @@
 
 // affinityChoices are what affinity remembers of a request.
 type affinityChoices struct {
-	counted        bool       // at the endpoint that it prefers
+	counted     bool       // at the endpoint that it prefers
 	full        []*backend // candidates that had no capacity for it when all were asked ...
 	fullVersion uint64     // ... in this version of the order; 0 = never
 }
