--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"brackenbend/internal/engine"
+	"brackenbend/routing"
 )
 
 // Releasing what prefills left at engines. Where states are identified by attempt, each prefill endpoint is asked to
@@ -21,14 +22,12 @@
 	releaseRetryPart    = 4  // the retry comes after this part of the state TTL
 )
 
-// defaultStateTTL must equal the default that routing.New puts in place of a Config.StateTTL of 0.
-const defaultStateTTL = 300 * time.Millisecond
-
+// stateTTL is how long the router lets a read state be held.
 func (l *eventLoop) stateTTL() time.Duration {
 	if ttl := l.gateway.Routing.StateTTL; ttl > 0 {
 		return ttl
 	}
-	return defaultStateTTL
+	return routing.DefaultStateTTL
 }
 
 // release is a read state to be released. Fields are set by the event loop; while calls are under way they are read by
--- a/routing/router.go
+++ b/routing/router.go
@@ -25,13 +25,15 @@
 
 	defaultMaxAttempts   = 2
 	defaultMaxRetryAfter = time.Second
-	defaultStateTTL      = 300 * time.Millisecond
 	defaultSlowStartFrom = 0.25
 
 	// minFetchInterval bounds how often a polled endpoint list is fetched, also after a failed fetch.
 	minFetchInterval = time.Second
 )
 
+// DefaultStateTTL takes the place of a Config.StateTTL of 0.
+const DefaultStateTTL = 300 * time.Millisecond
+
 // Router decides for one replica. It is not safe for concurrent use.
 type Router struct {
 	config     Config
@@ -58,7 +60,7 @@
 	config.Replicas = max(config.Replicas, 1)
 	config.MaxAttempts = cmp.Or(config.MaxAttempts, defaultMaxAttempts)
 	config.MaxRetryAfter = cmp.Or(config.MaxRetryAfter, defaultMaxRetryAfter)
-	config.StateTTL = cmp.Or(config.StateTTL, defaultStateTTL)
+	config.StateTTL = cmp.Or(config.StateTTL, DefaultStateTTL)
 	config.SlowStartFrom = cmp.Or(config.SlowStartFrom, defaultSlowStartFrom)
 	return &Router{
 		config:    config,
