--- a/internal/endpointslice/bytes_test.go
+++ b/internal/endpointslice/bytes_test.go
@@ -23,11 +23,13 @@
 	`"targetRef":{"name":"pod-0","uid":"u0"}},{"addresses":["10.0.0.2"],"conditions":{"terminating":true}}],` +
 	`"ports":[{"name":"other","port":1},{"name":"http","port":8000}]}`
 
-// recordingServer answers one request a connection and records the heads of all requests.
+// recordingServer answers one request a connection and records the heads of all requests. The last one gets no reply, and
+// its connection stays open: the watcher has to end while it waits, not by a failure.
 type recordingServer struct {
 	listener net.Listener
 	replies  []string
 	requests strings.Builder // to be read when done is closed
+	lastConn net.Conn        // likewise; nil = not all requests came
 	done     chan struct{}   // closed after one request more than there are replies
 }
 
@@ -38,7 +40,13 @@
 		t.Fatal(err)
 	}
 	s := &recordingServer{listener: listener, replies: replies, done: make(chan struct{})}
-	t.Cleanup(s.close)
+	t.Cleanup(func() {
+		s.close()
+		<-s.done
+		if s.lastConn != nil {
+			_ = s.lastConn.Close() // the watcher may have closed it
+		}
+	})
 	go func() {
 		defer close(s.done)
 		for n := 0; n <= len(s.replies); n++ {
@@ -60,7 +68,12 @@
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // the watcher may have closed it
+	last := n == len(s.replies)
+	if last {
+		s.lastConn = conn
+	} else {
+		defer func() { _ = conn.Close() }() // the watcher may have closed it
+	}
 	head, reader := "", bufio.NewReader(conn)
 	for !strings.HasSuffix(head, "\r\n\r\n") {
 		line, err := reader.ReadString('\n')
@@ -70,7 +83,7 @@
 		head += line
 	}
 	fmt.Fprintf(&s.requests, "%q\n", strings.ReplaceAll(head, s.address(), "HOST:PORT"))
-	if n < len(s.replies) {
+	if !last {
 		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s",
 			len(s.replies[n]), s.replies[n])
 	}
