--- a/internal/endpointslice/bytes_test.go
+++ b/internal/endpointslice/bytes_test.go
@@ -23,8 +23,8 @@
 	`"targetRef":{"name":"pod-0","uid":"u0"}},{"addresses":["10.0.0.2"],"conditions":{"terminating":true}}],` +
 	`"ports":[{"name":"other","port":1},{"name":"http","port":8000}]}`
 
-// recordingServer answers one request a connection and records the heads of all requests. The last one gets no reply, and
-// its connection stays open: the watcher has to end while it waits, not by a failure.
+// recordingServer answers one request a connection and records the heads of all requests. The last one gets no reply,
+// and its connection stays open: the watcher has to end while it waits, not by a failure.
 type recordingServer struct {
 	listener net.Listener
 	replies  []string
