--- /dev/null
+++ b/cmd/brackenbend/benchtargets_test.go
@@ -0,0 +1,239 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// Targets of benchmark requests. The names stand in the names of the reported metrics, which docs/results.md quotes.
+const (
+	targetGateway       = "front"
+	targetProxy         = "proxy"  // the reference proxy; one exchange a request, with a decode engine
+	targetTwoStageProxy = "proxy2" // the reference proxy with a prefill and a decode, as the gateway makes them
+	targetEngine        = "direct" // an engine without anything before it
+)
+
+// processTargets are the targets that are processes of their own.
+var processTargets = []string{targetGateway, targetProxy, targetTwoStageProxy}
+
+// instantEngine starts an engine that answers at once: prefill requests with transfer parameters, others with a
+// stream of tokens, pause apart. Streams stay open until hold is closed, where it is not nil.
+func instantEngine(b *testing.B, tokens int, pause time.Duration, hold <-chan struct{}) (address string) {
+	b.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	token := []byte(
+		`data: {"id":"x","object":"chat.completion.chunk","created":1,"model":"m",` +
+			`"choices":[{"index":0,"delta":{"content":"word "},"finish_reason":null}]}` + "\n\n",
+	)
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		if strings.Contains(string(body), `"do_remote_decode":true`) {
+			_, _ = io.WriteString(w, `{"kv_transfer_params":{"do_remote_prefill":true}}`)
+			return
+		}
+		w.Header().Set("Content-Type", "text/event-stream")
+		controller := http.NewResponseController(w)
+		for i := range tokens {
+			if i > 0 && pause > 0 {
+				time.Sleep(pause)
+			}
+			_, _ = w.Write(token)
+			_ = controller.Flush()
+		}
+		if hold != nil {
+			select {
+			case <-hold:
+			case <-r.Context().Done():
+			}
+		}
+		_, _ = io.WriteString(w, "data: [DONE]\n\n")
+	})
+	server := &http.Server{Handler: handler}
+	go func() { _ = server.Serve(l) }()
+	b.Cleanup(func() { server.Close() })
+	return l.Addr().String()
+}
+
+// benchTargets are the processes compared, all in front of the same engines.
+type benchTargets struct {
+	engines   []string // addresses; those at even positions prefill, the others decode
+	commands  map[string]*exec.Cmd
+	addresses map[string]string
+}
+
+const benchSettings = `<brackenbend><front listen=%q/>
+		<limits open-requests="20000" connections="20000"/><log level="warn"/>
+		<service fronts="1"/>
+		<class name="c" effect="safe" aim="20s" deadline="30s"/>
+		<kind name="reader" role="reader"/><kind name="writer" role="writer"/>
+		<model name="m" bytes-per-token="4" max-output="64tokens"/>
+		<engines connections="20000" idle-connections="1000"/>%s</brackenbend>`
+
+// startTargets starts the engines and the processes compared, and waits until all of them accept connections.
+func startTargets(b *testing.B, tokens int, pause time.Duration, hold <-chan struct{}) *benchTargets {
+	b.Helper()
+	targets := &benchTargets{addresses: map[string]string{}, commands: map[string]*exec.Cmd{}}
+	endpoints := ""
+	for i := range 4 {
+		address := instantEngine(b, tokens, pause, hold)
+		targets.engines = append(targets.engines, address)
+		kind := []string{"reader", "writer"}[i%2]
+		endpoints += fmt.Sprintf("<server name=\"e%d\" kind=%q address=%q/>", i, kind, address)
+	}
+	for _, name := range processTargets {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			b.Fatal(err)
+		}
+		targets.addresses[name] = l.Addr().String()
+		l.Close()
+	}
+	settingsFile := filepath.Join(b.TempDir(), "front.xml")
+	settings := fmt.Sprintf(benchSettings, targets.addresses[targetGateway], endpoints)
+	if err := os.WriteFile(settingsFile, []byte(settings), 0o644); err != nil {
+		b.Fatal(err)
+	}
+	for _, name := range processTargets {
+		targets.start(b, name, settingsFile)
+	}
+	for _, address := range targets.addresses {
+		awaitListener(address)
+	}
+	targets.addresses[targetEngine] = targets.engines[1]
+	time.Sleep(200 * time.Millisecond)
+	return targets
+}
+
+// start starts the process of one target and kills it at the benchmark's end.
+func (t *benchTargets) start(b *testing.B, name, settingsFile string) {
+	b.Helper()
+	cmd := exec.Command(os.Args[0], "serve", "-c", settingsFile)
+	cmd.Env = append(os.Environ(), asMain...)
+	if name != targetGateway {
+		cmd = exec.Command(os.Args[0])
+		proxy := strings.Join([]string{name, t.addresses[name], strings.Join(t.engines, ",")}, " ")
+		cmd.Env = append(os.Environ(), proxyEnv+"="+proxy)
+	}
+	t.commands[name] = cmd
+	cmd.Stderr = os.Stderr
+	if err := cmd.Start(); err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() {
+		_ = cmd.Process.Signal(syscall.SIGKILL)
+		_ = cmd.Wait()
+	})
+}
+
+func awaitListener(address string) {
+	for {
+		if conn, err := net.Dial("tcp", address); err == nil {
+			conn.Close()
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+// benchClient sends requests on one connection.
+type benchClient struct {
+	conn   net.Conn // nil before the first request
+	reader *bufio.Reader
+}
+
+const benchBody = `{"model":"m","stream":true,"messages":[{"role":"user","content":` +
+	`"when does my oil come, and how much is it this week?"}]}`
+
+// send sends one request and returns the time to the first token. With untilEnd set it reads the whole response.
+func (c *benchClient) send(address string, untilEnd bool) (time.Duration, error) {
+	began := time.Now()
+	if c.conn == nil {
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			return 0, err
+		}
+		c.conn, c.reader = conn, bufio.NewReader(conn)
+	}
+	if _, err := fmt.Fprintf(
+		c.conn,
+		"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
+		len(benchBody),
+		benchBody,
+	); err != nil {
+		return 0, err
+	}
+	resp, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return 0, err
+	}
+	if resp.StatusCode != http.StatusOK {
+		return 0, fmt.Errorf("answered %d", resp.StatusCode)
+	}
+	if _, err := resp.Body.Read(make([]byte, 1)); err != nil {
+		return 0, err
+	}
+	timeToFirstToken := time.Since(began)
+	if !untilEnd {
+		return timeToFirstToken, nil
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	return timeToFirstToken, err
+}
+
+// reportFailure fails the benchmark if a request failed that may not: the gateway and the engine may lose nothing.
+// A reference proxy now and then cuts a response; such a request does not count.
+func reportFailure(b *testing.B, target string, err error) {
+	b.Helper()
+	if target == targetGateway || target == targetEngine {
+		b.Error(target, err)
+	}
+}
+
+// processFile reads a file of a process below /proc; without it the benchmark is skipped.
+func processFile(b *testing.B, cmd *exec.Cmd, name string) string {
+	b.Helper()
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", cmd.Process.Pid, name))
+	if err != nil {
+		b.Skip(err)
+	}
+	return string(text)
+}
+
+// cpuSeconds is the CPU time that a process has used, by user and system.
+func cpuSeconds(b *testing.B, cmd *exec.Cmd) float64 {
+	b.Helper()
+	const ticksPerSecond = 100
+	stat := processFile(b, cmd, "stat")
+	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+2:])
+	user, _ := strconv.ParseFloat(fields[11], 64)
+	system, _ := strconv.ParseFloat(fields[12], 64)
+	return (user + system) / ticksPerSecond
+}
+
+// residentKiB is the resident memory of a process.
+func residentKiB(b *testing.B, cmd *exec.Cmd) float64 {
+	b.Helper()
+	const key = "VmRSS:"
+	for line := range strings.Lines(processFile(b, cmd, "status")) {
+		if value, ok := strings.CutPrefix(line, key); ok {
+			size, _ := strconv.ParseFloat(strings.Fields(value)[0], 64)
+			return size
+		}
+	}
+	b.Fatalf("no %s", key)
+	return 0
+}
--- a/cmd/brackenbend/compare.go
+++ b/cmd/brackenbend/compare.go
@@ -170,7 +170,7 @@
 	return forecast.Subject{Name: subject, Scenario: played, Make: withSeed}, nil
 }
 
-// isExecutable tells a program from a settings file.
+// isExecutable reports whether path is a program, as opposed to a settings file.
 func isExecutable(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.Mode().IsRegular() && info.Mode()&0o111 != 0
@@ -199,7 +199,7 @@
 		defer stop()
 		out, runErr := exec.CommandContext(ctx, binary, "lab", "day", file, "--seed", fmt.Sprint(seed),
 			"--clients", fmt.Sprint(now.Seed), fmt.Sprintf("--rules=%v", checkRules), "--json", summaryFile).CombinedOutput()
-		text, err = os.ReadFile(summaryFile) // it is there also where rules broke, which only the exit code tells
+		text, err = os.ReadFile(summaryFile) // it is also written where rules were violated; only the exit code shows that
 		if err != nil {
 			return nil, fmt.Errorf("%s lab day: %w: %.500s", binary, runErr, out)
 		}
--- /dev/null
+++ b/cmd/brackenbend/fakeengine_test.go
@@ -0,0 +1,95 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"time"
+)
+
+// engineEnv holds the name, the role and the delay of a fake engine's process.
+const engineEnv = "BRACKENBEND_TEST_ENGINE"
+
+// Roles of engine processes; they are also the kinds of engines in fleetConfig.
+const (
+	prefillEngine = "prefill"
+	decodeEngine  = "decode"
+)
+
+// engineEvent is what an engine's process reports of a call, one JSON object a line.
+type engineEvent struct {
+	Engine string
+	Kind   string // one of the events below
+	ID     string // of the request
+	At     int64  // Unix time in nanoseconds; all processes are on one machine
+}
+
+const (
+	eventListening      = "listening"       // ID is the address
+	eventPrefilled      = "prefilled"       // a prefill engine has answered that the prompt is prefilled
+	eventDecodeReceived = "decode received" // the last byte of a decode request has reached a running engine
+	eventReleased       = "released"        // a release has reached a running engine
+)
+
+// engineStream is the response to each decode request.
+const engineStream = `data: {"choices":[{"index":0,"delta":{"content":"oq"},"finish_reason":"stop"}]}` + "\n\n" +
+	`data: {"choices":[],"usage":{"prompt_tokens":5,"completion_tokens":1}}` + "\n\ndata: [DONE]\n\n"
+
+// engineProcess is a fake engine of the platform that reports the requests that reach it on standard output.
+type engineProcess struct {
+	name, role string
+	delay      time.Duration // of a prefill, or of the first token of a decode
+
+	mu sync.Mutex // guards standard output
+}
+
+// fakeEngineMain is the main function of an engine's process; TestMain runs it by engineEnv.
+func fakeEngineMain(name, role, delayText string) int {
+	delay, err := time.ParseDuration(delayText)
+	if err != nil {
+		return exitUsage
+	}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return exitFailure
+	}
+	p := &engineProcess{name: name, role: role, delay: delay}
+	p.report(eventListening, l.Addr().String())
+	_ = http.Serve(l, p)
+	return 0
+}
+
+func (p *engineProcess) report(kind, id string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	_ = json.NewEncoder(os.Stdout).Encode(engineEvent{p.name, kind, id, time.Now().UnixNano()})
+}
+
+func (p *engineProcess) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	_, _ = io.Copy(io.Discard, r.Body)
+	id := r.Header.Get("Req-Id")
+	switch {
+	case r.Method == http.MethodDelete:
+		p.report(eventReleased, strings.TrimPrefix(r.URL.Path, "/state/"))
+		w.WriteHeader(http.StatusNoContent)
+	case p.role == prefillEngine:
+		time.Sleep(p.delay)
+		p.report(eventPrefilled, id)
+		w.WriteHeader(http.StatusAccepted)
+		_, _ = fmt.Fprint(w, `{"cached_tokens":0}`)
+	default:
+		p.report(eventDecodeReceived, id)
+		select {
+		case <-time.After(p.delay):
+		case <-r.Context().Done():
+			return
+		}
+		w.Header().Set("Content-Type", "text/event-stream")
+		_, _ = fmt.Fprint(w, engineStream)
+	}
+}
--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -22,7 +22,7 @@
 // roleSwitchTime is how long a drained fake engine takes to switch its role.
 const roleSwitchTime = time.Second
 
-// fakeEngineRoles are the roles that a fake engine may have, by the words of the command line.
+// fakeEngineRoles are the roles that a fake engine may have, by the values of the --role flag.
 var fakeEngineRoles = map[string]roles.Role{"reader": roles.Prefill, "writer": roles.Decode, "mixed": roles.Both}
 
 // fakeEngineParams are middling figures of one fake engine.
@@ -187,5 +187,5 @@
 	}, nil
 }
 
-// isWord tells that s is not empty and holds no white space.
+// isWord reports whether s is not empty and has no white space.
 func isWord(s string) bool { return len(strings.Fields(s)) == 1 && strings.TrimSpace(s) == s }
--- a/cmd/brackenbend/main.go
+++ b/cmd/brackenbend/main.go
@@ -49,7 +49,7 @@
 	if err == nil {
 		return 0
 	}
-	p := printer{out: os.Stderr} // the exit code tells as well
+	p := printer{out: os.Stderr} // if standard error can't be written, the exit code still reports the failure
 	p.printf("%v\n", err)
 	var withCode exitError
 	if errors.As(err, &withCode) {
--- a/cmd/brackenbend/node_test.go
+++ b/cmd/brackenbend/node_test.go
@@ -25,64 +25,65 @@
 "Classes":[{"Deadline":60000000,"Importance":1,"Name":"ask","Promise":60000000,"Repeat":"free"}],
 "FamilyInfo":{"KindRole":["read","write"],"KvTokens":[200000,200000],"Release":1000000},"Kinds":["prefill","decode"]}}`
 
-// discoveryStub tells when it is asked, and never answers.
-func discoveryStub(t *testing.T) (address string, asked chan struct{}) {
+// startSilentDiscovery starts a discovery service that never answers. Each connection to it is reported on connected.
+func startSilentDiscovery(t *testing.T) (address string, connected chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	asked = make(chan struct{}, 100)
+	connected = make(chan struct{}, 100)
 	go func() {
 		for {
-			nc, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			defer nc.Close()
-			asked <- struct{}{}
+			defer conn.Close()
+			connected <- struct{}{}
 		}
 	}()
-	return l.Addr().String(), asked
+	return l.Addr().String(), connected
 }
 
-// TestSignalsWhileANodeDrains: SIGHUP moves a node that drains to the new discovery, since it still sends; a second
-// SIGTERM changes nothing; and it ends once what was open is answered.
-func TestSignalsWhileANodeDrains(t *testing.T) {
-	old, _ := discoveryStub(t)
-	next, asked := discoveryStub(t)
-	reading, held := make(chan struct{}), make(chan struct{})
-	begun := sync.OnceFunc(func() { close(reading) })
-	reader := &http.Server{
-		Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { begun(); <-held; panic(http.ErrAbortHandler) }),
-	}
+// blockedEngine is an engine that accepts requests and breaks their connections once it is unblocked.
+type blockedEngine struct {
+	address  string
+	received chan struct{} // closed by the first request
+	unblock  chan struct{} // closed by the test
+}
+
+func startBlockedEngine(t *testing.T) *blockedEngine {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = reader.Serve(l) }()
-	defer reader.Close()
-	file := filepath.Join(t.TempDir(), "config.json")
-	configure := func(discovery string) {
-		if err := os.WriteFile(file, fmt.Appendf(nil, nodeConfig, discovery, l.Addr()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	configure(old)
-	n, err := node.Start(file, func(string) string { return "" }, zap.NewNop())
-	if err != nil {
-		t.Fatal(err)
+	e := &blockedEngine{address: l.Addr().String(), received: make(chan struct{}), unblock: make(chan struct{})}
+	received := sync.OnceFunc(func() { close(e.received) })
+	server := &http.Server{
+		Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+			received()
+			<-e.unblock
+			panic(http.ErrAbortHandler)
+		}),
 	}
-	signals, ended := make(chan os.Signal, 8), make(chan error, 1)
-	go func() { ended <- handleSignals(n, signals, zap.NewNop()) }()
-	c, err := net.Dial("tcp", n.Addr())
+	go func() { _ = server.Serve(l) }()
+	t.Cleanup(func() { server.Close() })
+	return e
+}
+
+// sendToNode sends a request without reading the answer. The connection is closed at the test's end.
+func sendToNode(t *testing.T, address string) {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	t.Cleanup(func() { conn.Close() })
 	_, _ = fmt.Fprint(
-		c,
+		conn,
 		strings.ReplaceAll(
 			"POST /v1/chat/completions HTTP/1.1\nHost: a\nReq-Id: a1\nReq-Kind: ask\n"+
 				"Req-Deadline-Ms: 60000\nReq-Extra: prompt_len=9,max_out=9\nContent-Length: 2\n\n{}",
@@ -90,18 +91,41 @@
 			"\r\n",
 		),
 	)
-	<-reading
+}
+
+// TestSignalsWhileANodeDrains: SIGHUP moves a draining node to the new discovery service, since it still sends; a
+// second SIGTERM changes nothing; and the node ends once its open requests are answered.
+func TestSignalsWhileANodeDrains(t *testing.T) {
+	oldDiscovery, _ := startSilentDiscovery(t)
+	newDiscovery, connected := startSilentDiscovery(t)
+	prefill := startBlockedEngine(t)
+	file := filepath.Join(t.TempDir(), "config.json")
+	configure := func(discovery string) {
+		t.Helper()
+		if err := os.WriteFile(file, fmt.Appendf(nil, nodeConfig, discovery, prefill.address), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	configure(oldDiscovery)
+	n, err := node.Start(file, func(string) string { return "" }, zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	signals, ended := make(chan os.Signal, 8), make(chan error, 1)
+	go func() { ended <- handleSignals(n, signals, zap.NewNop()) }()
+	sendToNode(t, n.Addr())
+	<-prefill.received
 	signals <- syscall.SIGTERM
-	configure(next)
+	configure(newDiscovery)
 	signals <- syscall.SIGHUP
 	signals <- syscall.SIGTERM
-	<-asked
+	<-connected
 	select {
 	case err := <-ended:
-		t.Fatalf("ended over an open request: %v", err)
+		t.Fatalf("ended with an open request: %v", err)
 	default:
 	}
-	close(held)
+	close(prefill.unblock)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
--- a/cmd/brackenbend/readstate_test.go
+++ b/cmd/brackenbend/readstate_test.go
@@ -1,119 +1,133 @@
 package main
 
 import (
+	"net/http"
 	"testing"
 	"time"
 )
 
-// heldSlack is what a read state may be held beyond the settings' release time.
-const heldSlack = 300 * time.Millisecond
+// stateTTLSlack is how long a read state may be kept beyond the state TTL of the settings.
+const stateTTLSlack = 300 * time.Millisecond
 
-// TestReadStatesBehindSilentWrites: a read has ended well, and what is sent to writers never arrives, although the
-// connections stand and take every byte. A send that has not arrived does not stop the clock of what the reader
-// holds: within the release time it has to reach a writer that runs, or be released.
+// TestReadStatesBehindSilentWrites: a prefill has succeeded, and decode requests never arrive, although the
+// connections stand and accept every byte. A request that has not arrived does not stop the clock of the read state:
+// within the state TTL a decode request must reach a running engine, or the state must be released.
 func TestReadStatesBehindSilentWrites(t *testing.T) {
-	const release = 500 * time.Millisecond
+	const stateTTL = 500 * time.Millisecond
 	for name, c := range map[string]struct {
-		class            string
-		readers, writers int
-		lose             func(t *testing.T, f *processFleet)
+		class                         string
+		prefillEngines, decodeEngines int
+		inject                        func(t *testing.T, f *processFleet)
 	}{
-		"writers are stopped, safe":   {"enquiry", 2, 2, stopWriters},
-		"writers are stopped, unsafe": {"order", 2, 2, stopWriters},
-		"a cut swallows all towards writers": {"enquiry", 2, 2, func(_ *testing.T, f *processFleet) {
-			for _, w := range f.writers {
-				w.proxy.swallow(true)
-			}
-		}},
-		"writers are stopped, kept connections to the reader fall silent": {
-			"enquiry", 1, 2, func(t *testing.T, f *processFleet) {
-				f.keepConnections(t)
-				stopWriters(t, f)
-				for _, r := range f.readers {
-					r.proxy.swallowAfterReply()
+		"decode engines are stopped, idempotent":     {idempotentClass, 2, 2, stopDecodeEngines},
+		"decode engines are stopped, not idempotent": {notIdempotentClass, 2, 2, stopDecodeEngines},
+		"all connections to decode engines are silent": {
+			idempotentClass, 2, 2, func(_ *testing.T, f *processFleet) {
+				for _, e := range f.decodeEngines {
+					e.proxy.dropAll()
+				}
+			},
+		},
+		"decode engines are stopped, pooled connections to the prefill engine fall silent": {
+			idempotentClass, 1, 2, func(t *testing.T, f *processFleet) {
+				t.Helper()
+				f.fillPools(t)
+				stopDecodeEngines(t, f)
+				for _, e := range f.prefillEngines {
+					e.proxy.dropOpenAfterReply()
+				}
+			},
+		},
+		"pooled connections to the decode engine fall silent": {
+			idempotentClass, 2, 1, func(t *testing.T, f *processFleet) {
+				t.Helper()
+				f.fillPools(t)
+				for _, e := range f.decodeEngines {
+					e.proxy.dropOpen()
 				}
 			},
 		},
-		"kept connections to the writer fall silent": {"enquiry", 2, 1, func(t *testing.T, f *processFleet) {
-			f.keepConnections(t)
-			for _, w := range f.writers {
-				w.proxy.swallow(false)
-			}
-		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, fleetPlan{readers: c.readers, writers: c.writers, release: release})
-			if status, _ := answer(t, f.ask(t, "warm", "enquiry")); status != 200 {
-				t.Fatalf("before: %d", status)
-			}
-			c.lose(t, f)
-			client := f.ask(t, "held", c.class)
-			read, ok := f.await("held", time.Now().Add(8*time.Second), eventRead)
+			f := newFleet(t, fleetPlan{
+				prefillEngines: c.prefillEngines, decodeEngines: c.decodeEngines, stateTTL: stateTTL,
+			})
+			requireServed(t, "warm", f.send(t, "warm", idempotentClass))
+			c.inject(t, f)
+			client := f.send(t, "held", c.class)
+			prefilled, ok := f.await("held", time.Now().Add(8*time.Second), eventPrefilled)
 			if !ok {
-				t.Fatal("not read")
+				t.Fatal("not prefilled")
 			}
-			f.judgeHeld(t, read, release)
-			f.awaitLog(t, "read state released", "held", `"reader":"`+read.Engine+`"`)
+			f.checkStateTTL(t, prefilled, stateTTL)
+			f.awaitLog(t, "read state released", "held", `"reader":"`+prefilled.Engine+`"`)
 			client.Close()
 			f.awaitLog(t, "answer gone", "held", `"reason":"client closed its connection"`)
 		})
 	}
 }
 
-func stopWriters(t *testing.T, f *processFleet) {
-	for _, w := range f.writers {
-		w.stop(t)
+func stopDecodeEngines(t *testing.T, f *processFleet) {
+	t.Helper()
+	for _, e := range f.decodeEngines {
+		e.stop(t)
 	}
 }
 
-// judgeHeld waits until what read left is taken or released, and fails the test if that takes too long.
-func (f *processFleet) judgeHeld(t *testing.T, read callEvent, release time.Duration) {
+// checkStateTTL waits until a decode request for the read state of a prefill arrives, or the state is released, and
+// fails the test if that takes too long.
+func (f *processFleet) checkStateTTL(t *testing.T, prefilled engineEvent, stateTTL time.Duration) {
 	t.Helper()
-	limit := time.Unix(0, read.At).Add(release + heldSlack)
-	end, ok := f.await(read.ID, limit.Add(2*time.Second), eventTaken, eventReleased)
-	switch held := time.Duration(end.At - read.At); {
+	const patience = 2 * time.Second // beyond the limit, to see when it ended
+	limit := stateTTL + stateTTLSlack
+	by := time.Unix(0, prefilled.At).Add(limit + patience)
+	end, ok := f.await(prefilled.ID, by, eventDecodeReceived, eventReleased)
+	switch kept := time.Duration(end.At - prefilled.At); {
 	case !ok:
-		t.Errorf(
-			"%s: the state at %s was neither taken nor released within %v",
-			read.ID,
-			read.Engine,
-			release+heldSlack+2*time.Second,
-		)
-	case held > release+heldSlack:
-		t.Errorf("%s: the state at %s was held for %v, then %s at %s", read.ID, read.Engine, held, end.Kind, end.Engine)
+		t.Errorf("%s: the state at %s was neither fetched nor released within %v",
+			prefilled.ID, prefilled.Engine, limit+patience)
+	case kept > limit:
+		t.Errorf("%s: the state at %s was kept for %v, then %s at %s",
+			prefilled.ID, prefilled.Engine, kept, end.Kind, end.Engine)
 	default:
-		t.Logf("%s: held for %v, then %s at %s", read.ID, held, end.Kind, end.Engine)
+		t.Logf("%s: kept for %v, then %s at %s", prefilled.ID, kept, end.Kind, end.Engine)
 	}
 }
 
-// TestSilentReusedConnections: what stands between forgets all connections that are kept, and says nothing of it. A
-// request that was lost on one of them is sent again on a new one, and is served.
+// TestSilentReusedConnections: a middlebox forgets all pooled connections without a reset. A request that was lost on
+// one of them is sent again on a new one, and is served.
 func TestSilentReusedConnections(t *testing.T) {
 	t.Parallel()
 	const overlap = 200 * time.Millisecond
-	f := newFleet(t, fleetPlan{readers: 1, writers: 1, release: time.Second, readTime: overlap, firstToken: overlap})
-	f.keepSeveral(t, 4)
-	for _, e := range append(f.readers, f.writers...) {
-		e.proxy.swallow(false)
+	f := newFleet(t, fleetPlan{
+		prefillEngines: 1, decodeEngines: 1, stateTTL: time.Second, prefillTime: overlap, timeToFirstToken: overlap,
+	})
+	f.fillPoolsWith(t, 4)
+	for _, e := range f.engines() {
+		e.proxy.dropOpen()
 	}
-	if status, text := answer(t, f.ask(t, "lost", "enquiry")); status != 200 || text != fleetStream {
-		t.Errorf("%d %q", status, text)
+	status, body := readResponse(t, f.send(t, "lost", idempotentClass))
+	if status != http.StatusOK || body != engineStream {
+		t.Errorf("%d %q", status, body)
 	}
 	f.awaitLog(t, "attempt failed", "lost", `"kept_connection":true`, `"answered":"0s"`)
 }
 
-// TestSlowDecodeKeepsItsReadState: a write that has reached a writer which runs waits there longer than the release
-// time. It is served by that attempt; nothing is read or written again.
+// TestSlowDecodeKeepsItsReadState: a decode request has reached a running engine and waits there longer than the
+// state TTL. It is served by that attempt; nothing is prefilled or decoded again.
 func TestSlowDecodeKeepsItsReadState(t *testing.T) {
 	t.Parallel()
-	const release = 300 * time.Millisecond
-	f := newFleet(t, fleetPlan{readers: 1, writers: 2, release: release, firstToken: 3 * release})
-	status, text := answer(t, f.ask(t, "slow", "enquiry"))
-	if status != 200 || text != fleetStream {
-		t.Errorf("%d %q", status, text)
+	const stateTTL = 300 * time.Millisecond
+	f := newFleet(t, fleetPlan{
+		prefillEngines: 1, decodeEngines: 2, stateTTL: stateTTL, timeToFirstToken: 3 * stateTTL,
+	})
+	status, body := readResponse(t, f.send(t, "slow", idempotentClass))
+	if status != http.StatusOK || body != engineStream {
+		t.Errorf("%d %q", status, body)
 	}
-	if reads, writes := f.count("slow", eventRead), f.count("slow", eventTaken); reads != 1 || writes != 1 {
-		t.Errorf("read %d times, written %d times", reads, writes)
+	prefills, decodes := f.count("slow", eventPrefilled), f.count("slow", eventDecodeReceived)
+	if prefills != 1 || decodes != 1 {
+		t.Errorf("prefilled %d times, decoded %d times", prefills, decodes)
 	}
 }
--- /dev/null
+++ b/cmd/brackenbend/scenario_test.go
@@ -0,0 +1,155 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"brackenbend/internal/audit"
+	"brackenbend/internal/scenariorun"
+	"brackenbend/internal/simulation/scenario"
+	"brackenbend/internal/simulation/trace"
+)
+
+// testRate is the requests a second of scenarios: few, since other packages' tests run beside them.
+const testRate = 20
+
+// playScenario plays a scenario, scaled to length, with replicas that are processes of their own. Env is added to
+// their environment.
+func playScenario(t *testing.T, s *scenario.Scenario, length time.Duration, env ...string) *scenariorun.Report {
+	t.Helper()
+	return playScenarioIn(t, t.TempDir(), s, length, env...)
+}
+
+// playScenarioIn is playScenario with a folder for the replicas' settings and logs.
+func playScenarioIn(
+	t *testing.T, dir string, s *scenario.Scenario, length time.Duration, env ...string,
+) *scenariorun.Report {
+	t.Helper()
+	if err := s.Scale(length); err != nil {
+		t.Fatal(err)
+	}
+	executable, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	report, err := scenariorun.Run(
+		context.Background(),
+		s,
+		scenariorun.Options{Binary: executable, Env: append(env, asMain...), WorkDir: dir},
+	)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text bytes.Buffer
+	report.WriteText(&text)
+	t.Log(text.String())
+	return report
+}
+
+// TestDefaultScenarioKeepsRules also makes recordings of the replicas' logs. They hold each accepted request, but for
+// those of a replica that was killed.
+func TestDefaultScenarioKeepsRules(t *testing.T) {
+	s, err := scenario.Default()
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Rate = testRate
+	dir := t.TempDir()
+	report := playScenarioIn(t, dir, s, 15*time.Second)
+	if report.Violations() > 0 {
+		t.Errorf("%d violations", report.Violations())
+	}
+	logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
+	recorded, attempts := 0, 0
+	for _, class := range report.Classes {
+		attempts += class.Tries
+	}
+	for _, name := range logs {
+		recorded += recordedRequests(t, s, name)
+	}
+	if recorded < attempts*8/10 || recorded > attempts {
+		t.Errorf("%d requests recorded, clients sent %d", recorded, attempts)
+	}
+}
+
+// recordedRequests makes a recording of a replica's log, checks that it can be played with the scenario and returns
+// how many requests it holds.
+func recordedRequests(t *testing.T, s *scenario.Scenario, logFile string) int {
+	t.Helper()
+	log, err := os.Open(logFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer log.Close()
+	var recording bytes.Buffer
+	n, _, err := trace.FromLog(log, &recording)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := trace.Read(&recording)
+	if err != nil || len(got.Requests) != n {
+		t.Fatalf("%s: %d of %d requests: %v", logFile, len(got.Requests), n, err)
+	}
+	if requests, err := got.Recorded(s); err != nil || len(requests) != n {
+		t.Errorf("%s: %v", logFile, err)
+	}
+	return n
+}
+
+// TestAllReplicasKilledWhileRolesChange plays a scenario in which all replicas are killed right after engines were
+// commanded to change, the second time with the API server unreachable.
+func TestAllReplicasKilledWhileRolesChange(t *testing.T) {
+	s, err := scenario.Load("../../scenarios/roles-restart.xml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Rate = testRate
+	report := playScenario(t, s, 15*time.Second)
+	if report.Violations() > 0 {
+		t.Errorf("%d violations", report.Violations())
+	}
+	kills, changing := 0, 0
+	for _, event := range report.Events {
+		if event.Kind == audit.ReplicaKilled {
+			kills++
+		}
+	}
+	for _, sample := range report.Roles {
+		changing = max(changing, sample.Changing)
+	}
+	if last := report.Roles[len(report.Roles)-1]; kills != 8 || last.Orders < 4 || changing == 0 || last.Changing > 0 {
+		t.Errorf("%d replicas killed, at most %d engines changing, at the end %+v", kills, changing, last)
+	}
+	dir := t.TempDir()
+	if err := report.Plot(dir); err != nil {
+		t.Error(err)
+	}
+	for _, name := range []string{"service.svg", "roles.svg"} {
+		if text, err := os.ReadFile(filepath.Join(dir, name)); err != nil || !bytes.Contains(text, []byte("<svg")) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+func TestScenarioFilesParse(t *testing.T) {
+	files, err := filepath.Glob("../../scenarios/*.xml")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("%v %v", files, err)
+	}
+	for _, file := range files {
+		t.Run(filepath.Base(file), func(t *testing.T) {
+			if _, err := scenario.Load(file); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	t.Run("default", func(t *testing.T) {
+		if _, err := scenario.Default(); err != nil {
+			t.Error(err)
+		}
+	})
+}
--- a/cmd/brackenbend/simulate.go
+++ b/cmd/brackenbend/simulate.go
@@ -34,7 +34,7 @@
 	return exitError{fmt.Errorf(format, args...), exitUsage}
 }
 
-// isFraction tells that v lies between 0 and 1, both excluded; it is false for what is no number.
+// isFraction reports whether v lies between 0 and 1, both excluded; it is false for what is no number.
 func isFraction(v float64) bool { return v > 0 && v < 1 }
 
 // rolesSimulation compares ways of assigning roles.
--- a/cmd/brackenbend/simulate_ablation.go
+++ b/cmd/brackenbend/simulate_ablation.go
@@ -9,7 +9,7 @@
 	"brackenbend/internal/simulation/ablation"
 )
 
-// ablationSimulation tells apart what replicas lose by being many.
+// ablationSimulation measures each cause of what replicas lose by being many.
 type ablationSimulation struct {
 	plan     ablation.Plan
 	jsonFile string
