--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -25,7 +25,7 @@
 // fakeEngineRoles are the roles that a fake engine may have, by the values of the --role flag.
 var fakeEngineRoles = map[string]roles.Role{"reader": roles.Prefill, "writer": roles.Decode, "mixed": roles.Both}
 
-// fakeEngineParams are middling figures of one fake engine.
+// fakeEngineParams are typical parameters of a fake engine; role is a value of the --role flag.
 func fakeEngineParams(role string) enginemodel.Params {
 	return enginemodel.Params{
 		CanPrefill:     true,
@@ -97,8 +97,8 @@
 	if e.canChangeRoles {
 		cfg.InitialState, cfg.SwitchTime = roles.EngineState{Role: role, Target: role}, roleSwitchTime
 		cfg.Roles = map[roles.Role]enginemodel.Params{}
-		for word, r := range fakeEngineRoles {
-			cfg.Roles[r] = fakeEngineParams(word)
+		for name, r := range fakeEngineRoles {
+			cfg.Roles[r] = fakeEngineParams(name)
 		}
 	}
 	server, err := engine.Start(cfg, e.listen, e.cold)
--- a/cmd/brackenbend/fleet_test.go
+++ b/cmd/brackenbend/fleet_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -82,7 +83,7 @@
 
 // engines are all engines of the fleet.
 func (f *processFleet) engines() []*fleetEngine {
-	return append(append([]*fleetEngine(nil), f.prefillEngines...), f.decodeEngines...)
+	return slices.Concat(f.prefillEngines, f.decodeEngines)
 }
 
 // fleetMembers are entries of the node's cached list.
--- a/cmd/brackenbend/main_test.go
+++ b/cmd/brackenbend/main_test.go
@@ -37,6 +37,15 @@
 	os.Exit(m.Run())
 }
 
+// commandName is a command line with the base names of its files, which makes test names the same on all machines.
+func commandName(args []string) string {
+	var names []string
+	for _, arg := range args {
+		names = append(names, filepath.Base(arg))
+	}
+	return strings.Join(names, " ")
+}
+
 func TestExitCodes(t *testing.T) {
 	invalid := filepath.Join(t.TempDir(), "bad.xml")
 	if err := os.WriteFile(invalid, []byte("<brackenbend/>"), 0o644); err != nil {
@@ -72,7 +81,7 @@
 		{[]string{"lab", "fit", invalid}, exitConfig},
 		{[]string{"compare", "choice", settings}, exitFailure}, // its classes are not those of the scenario
 	} {
-		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
+		t.Run(commandName(c.args), func(t *testing.T) {
 			cmd := exec.Command(os.Args[0], c.args...)
 			cmd.Env = append(os.Environ(), asMain...)
 			out, _ := cmd.CombinedOutput()
