--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -22,10 +22,10 @@
 // roleSwitchTime is how long a drained fake engine takes to switch its role.
 const roleSwitchTime = time.Second
 
-// fakeEngineRoles are the roles that a fake engine may have, by the words of the command line.
+// fakeEngineRoles are the roles that a fake engine may have, by the values of the --role flag.
 var fakeEngineRoles = map[string]roles.Role{"reader": roles.Prefill, "writer": roles.Decode, "mixed": roles.Both}
 
-// fakeEngineParams are middling figures of one fake engine.
+// fakeEngineParams are typical parameters of a fake engine; role is a value of the --role flag.
 func fakeEngineParams(role string) enginemodel.Params {
 	return enginemodel.Params{
 		CanPrefill:     true,
@@ -97,8 +97,8 @@
 	if e.canChangeRoles {
 		cfg.InitialState, cfg.SwitchTime = roles.EngineState{Role: role, Target: role}, roleSwitchTime
 		cfg.Roles = map[roles.Role]enginemodel.Params{}
-		for word, r := range fakeEngineRoles {
-			cfg.Roles[r] = fakeEngineParams(word)
+		for name, r := range fakeEngineRoles {
+			cfg.Roles[r] = fakeEngineParams(name)
 		}
 	}
 	server, err := engine.Start(cfg, e.listen, e.cold)
@@ -187,5 +187,5 @@
 	}, nil
 }
 
-// isWord tells that s is not empty and holds no white space.
+// isWord reports whether s is not empty and has no white space.
 func isWord(s string) bool { return len(strings.Fields(s)) == 1 && strings.TrimSpace(s) == s }
