--- a/internal/simulation/ablation/ablation_test.go
+++ b/internal/simulation/ablation/ablation_test.go
@@ -10,13 +10,13 @@
 // TestCrowdedReadersAreNamed: on a calm day near its capacity, with beginnings shared by many, only crowding costs.
 func TestCrowdedReadersAreNamed(t *testing.T) {
 	d, err := scenario.Parse("calm.xml", []byte(`<day length="8s" rate="150/s" fronts="2" seed="3">
-  <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s" overload-factor="4"
-    tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
+  <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s"
+    overload-factor="4" tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
   <engines kind="prefill" role="reader" count="5" slots="8" queue="40" memory="250000tokens" read-rate="20000/s"/>
-  <engines kind="decode" role="writer" count="12" slots="48" queue="24" memory="180000tokens" read-rate="7000/s" step="20ms"
-    step-per-stream="200us" fetch-rate="250000/s"/>
-  <class name="enquiry" effect="safe" share="1" aim="250ms" deadline="5s" late-worth="0.3" prompt="300tokens" beginning="2000tokens"
-    beginning-share="0.8" answer="60tokens"/></day>`))
+  <engines kind="decode" role="writer" count="12" slots="48" queue="24" memory="180000tokens" read-rate="7000/s"
+    step="20ms" step-per-stream="200us" fetch-rate="250000/s"/>
+  <class name="enquiry" effect="safe" share="1" aim="250ms" deadline="5s" late-worth="0.3" prompt="300tokens"
+    beginning="2000tokens" beginning-share="0.8" answer="60tokens"/></day>`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/faultsearch/faultsearch_test.go
+++ b/internal/simulation/faultsearch/faultsearch_test.go
@@ -13,9 +13,11 @@
 func day(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	d, err := scenario.Parse("house.xml", []byte(`<day length="12s" rate="30/s" fronts="2" seed="3">
-  <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s" overload-factor="4" tip-after="2s" cancel="true"/>
+  <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s"
+    overload-factor="4" tip-after="2s" cancel="true"/>
   <engines kind="r" role="reader" count="3" slots="4" queue="8" memory="100000tokens" read-rate="20000/s"/>
-  <engines kind="w" role="writer" count="3" slots="16" queue="8" memory="100000tokens" read-rate="5000/s" step="10ms" fetch-rate="250000/s"/>
+  <engines kind="w" role="writer" count="3" slots="16" queue="8" memory="100000tokens" read-rate="5000/s"
+    step="10ms" fetch-rate="250000/s"/>
   <class name="c" effect="safe" share="1" aim="500ms" deadline="3s" prompt="200tokens" answer="20tokens"/>
   <happen at="1s" what="crash" kind="r" count="3" for="9s"/>
   <expect service="0.9"/></day>`))
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -14,233 +14,280 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// clients are all clients of the day.
+// clients is the actor of all clients of the scenario.
 type clients struct {
-	base
-	tap
-	f        *fleet
-	rnd      *rand.Rand
-	arrivals *scenario.Arrivals
-	mood     scenario.Conditions
-	score    *scenario.Score
-	tries    map[uint64]*try
-	n        uint64
-	open     int           // sessions under way
-	quiet    time.Duration // when the last one ended
+	actorBase
+	recorder
+	fleet       *fleet
+	rnd         *rand.Rand
+	arrivals    *scenario.Arrivals
+	conditions  scenario.Conditions
+	score       *scenario.Score
+	attempts    map[uint64]*clientAttempt // that are open, by number
+	lastAttempt uint64
+	open        int           // sessions
+	lastEnd     time.Duration // when the last session ended
 }
 
-// talk is a session under way.
-type talk struct {
-	s     *scenario.Session
-	name  string
-	asked time.Duration // when the present request was first sent
+// clientRequest is the present request of a session.
+type clientRequest struct {
+	session *scenario.Session
+	key     string
+	sent    time.Duration // its first attempt
 }
 
-// try is one sent request.
-type try struct {
-	n     uint64
-	t     *talk
-	id    string
-	front int
-	sent  time.Duration
-	first time.Duration // 0 = none yet
-	out   int           // tokens of the answer
-	hung  bool          // it leaves by itself
+// clientAttempt is one sent request.
+type clientAttempt struct {
+	number     uint64
+	request    *clientRequest
+	id         string // in the record
+	replica    int
+	sent       time.Duration
+	firstToken time.Duration // 0 = none yet
+	out        int           // tokens of the answer
+	hangsUp    bool          // the client disconnects early
 }
 
-// What clients and fronts say to each other. Messages are not changed once they are sent.
+// Messages between clients and replicas. Messages are not changed once they are sent.
 type (
-	// asks is a request on its way.
-	asks struct {
-		try    uint64
-		traits api.Classification
-		stream bool
-		wait   time.Duration
-		work   work
-	}
-	// work is what an engine is told of a request.
-	work struct {
+	// incomingRequest is a request on its way to a replica.
+	incomingRequest struct {
+		attempt uint64
+		traits  api.Classification
+		stream  bool
+		wait    time.Duration
+		work    requestWork
+	}
+	// requestWork is what an engine is sent of a request.
+	requestWork struct {
 		prompt, prefixLen float64
 		prefix, session   string
 		out               int
 		class             string
-		effect            audit.Class
-		intent, id        string // of the record
-	}
-	// leaves tells the front that the client hung up.
-	leaves struct{ try uint64 }
-	// begins tells the client of the first token, answers of the end.
-	begins  struct{ try uint64 }
-	answers struct {
-		try    uint64
-		kind   string
-		wait   time.Duration
-		handUp bool
+		idempotency       audit.Class
+		intent, attempt   string // of the record
+	}
+	// clientLeft notifies a replica that the client disconnected.
+	clientLeft struct{ attempt uint64 }
+	// streamBegan notifies a client of the first token.
+	streamBegan struct{ attempt uint64 }
+	// answer is the final answer.
+	answer struct {
+		attempt     uint64
+		kind        string
+		wait        time.Duration
+		noAutoRetry bool
 	}
 )
 
-// What clients say to themselves.
+// Kinds of answers and of ends without one, as scenario.Session takes them.
+const (
+	kindServed      = "served"
+	kindRejected    = "refused"
+	kindDraining    = "turned"
+	kindFailed      = "failed"
+	kindBroken      = "broken"
+	kindCut         = "cut"
+	kindUnconnected = "unconnected"
+	kindHungUp      = "hung up"
+	kindNone        = "none" // the client waited in vain
+)
+
+// Messages of clients to themselves.
 type (
-	arrival struct{}
-	// goOn is the next try, or the next turn, of a session.
-	goOn   struct{ t *talk }
-	giveUp struct{ try uint64 }
-	moods  struct{ change func(*scenario.Conditions) }
+	sessionArrival struct{}
+	// nextAttempt is the next attempt of a request, or the first of the next turn.
+	nextAttempt      struct{ request *clientRequest }
+	clientTimeout    struct{ attempt uint64 }
+	conditionsChange struct {
+		apply func(*scenario.Conditions)
+	}
 )
 
 func newClients(f *fleet) *clients {
-	arrivals := f.d.Arrivals()
-	if f.o.Traffic != nil {
-		arrivals = f.d.Replay(f.o.Traffic)
+	arrivals := f.scenario.Arrivals()
+	if f.options.Traffic != nil {
+		arrivals = f.scenario.Replay(f.options.Traffic)
+	}
+	return &clients{
+		recorder: recorder{enabled: f.options.Audit}, fleet: f, rnd: f.newRand(clientStream), arrivals: arrivals,
+		conditions: scenario.NormalConditions(), score: f.scenario.Score(), attempts: map[uint64]*clientAttempt{},
 	}
-	return &clients{f: f, rnd: f.rnd(1), arrivals: arrivals, mood: scenario.NormalConditions(), score: f.d.Score(), tries: map[uint64]*try{}, tap: tap{taped: f.o.Audit}}
 }
 
-// begin plans the happenings that are the clients' own, and the first session.
+// begin schedules the faults that concern clients, and the first session.
 func (c *clients) begin() {
-	for _, m := range c.f.d.ConditionChanges() {
-		c.later(m.At, moods{m.Do})
+	for _, change := range c.fleet.scenario.ConditionChanges() {
+		c.schedule(change.At, conditionsChange{change.Do})
 	}
-	c.later(c.arrivals.Gap(&c.mood), arrival{})
+	c.schedule(c.arrivals.Gap(&c.conditions), sessionArrival{})
 }
 
-func (c *clients) take(m any) {
-	switch m := m.(type) {
-	case arrival:
-		if c.now() > c.f.d.Length {
-			return
-		}
-		s := c.arrivals.Next(&c.mood)
-		c.later(c.arrivals.Gap(&c.mood), arrival{})
-		c.open++
-		c.request(&talk{s: s, name: s.Key})
-	case goOn:
-		c.ask(m.t)
-	case moods:
-		m.change(&c.mood)
-	case begins:
-		if t := c.tries[m.try]; t != nil && t.first == 0 {
-			t.first = c.now()
+func (c *clients) receive(message any) {
+	switch m := message.(type) {
+	case sessionArrival:
+		c.arrive()
+	case nextAttempt:
+		c.sendAttempt(m.request)
+	case conditionsChange:
+		m.apply(&c.conditions)
+	case streamBegan:
+		if a := c.attempts[m.attempt]; a != nil && a.firstToken == 0 {
+			a.firstToken = c.now()
 		}
-	case answers:
-		c.answered(m)
-	case giveUp:
-		c.gaveUp(m.try)
+	case answer:
+		c.onAnswer(m)
+	case clientTimeout:
+		c.onTimeout(m.attempt)
+	}
+}
+
+func (c *clients) arrive() {
+	if c.now() > c.fleet.scenario.Length {
+		return
 	}
+	session := c.arrivals.Next(&c.conditions)
+	c.schedule(c.arrivals.Gap(&c.conditions), sessionArrival{})
+	c.open++
+	c.sendAttempt(&clientRequest{session: session, key: session.Key, sent: c.now()})
 }
 
-func (c *clients) request(t *talk) {
-	t.asked = c.now()
-	c.ask(t)
+const (
+	bytesPerToken = 4 // of prompts, as the replicas' settings state it
+	maxAnswer     = 3 // times the mean of the class
+)
+
+func (c *clients) sendAttempt(r *clientRequest) {
+	session := r.session
+	class := &c.fleet.scenario.Classes[session.Class]
+	c.lastAttempt++
+	a := &clientAttempt{
+		number: c.lastAttempt, request: r, replica: session.PickReplica(len(c.fleet.replicas)), sent: c.now(),
+	}
+	a.id = fmt.Sprintf("%d.%d", session.ID, session.Turn) + "/" + strconv.Itoa(session.Attempts)
+	message := newIncomingRequest(a, class)
+	a.out = message.work.out
+	c.attempts[a.number] = a
+	c.send(c.fleet.replicas[a.replica].id, connectHops*c.fleet.hop(c.rnd), message)
+	timeout := class.Deadline
+	if session.HangUp > 0 {
+		a.hangsUp, timeout = true, session.HangUp
+	}
+	c.schedule(timeout, clientTimeout{a.number})
 }
 
-// ask sends a try.
-func (c *clients) ask(t *talk) {
-	s, d := t.s, c.f.d
-	class := &d.Classes[s.Class]
-	c.n++
-	x := &try{n: c.n, t: t, front: s.PickReplica(len(c.f.fronts)), sent: c.now()}
-	intent := fmt.Sprintf("%d.%d", s.ID, s.Turn)
-	x.id = intent + "/" + strconv.Itoa(s.Attempts)
-	all, beginning := s.PromptBytes()
-	w := work{
-		prompt: max(float64(all)/4, 1), prefixLen: float64(beginning) / 4, session: t.name, out: min(s.Answer, int(class.AnswerTokens)*3), class: class.Name,
-		effect: audit.Class(class.Idempotency), intent: intent, id: x.id,
-	}
-	tr := api.Classification{
-		Class: s.Class, Tenant: max(s.Tenant, 0), Session: xxhash.Sum64String(t.name), PromptTokens: float64((all + 3) / 4),
-		PrefixTokens: float64(beginning) / 4, MaxOutputTokens: float64(int(class.AnswerTokens) * 3), Retry: s.MarksRetries && s.Retries > 0,
-	}
-	if beginning > 0 {
-		w.prefix = fmt.Sprintf("%d.%d.%d", s.Prefix.Seed[0], s.Prefix.Seed[1], beginning)
-		tr.Prefix = xxhash.Sum64String(w.prefix)
-	}
-	if class.Idempotency == "keyed" {
-		tr.IdempotencyKey = intent
-	}
-	x.out = w.out
-	c.tries[x.n] = x
-	front := c.f.fronts[x.front]
-	c.send(front.id, 3*c.f.hop(c.rnd), asks{x.n, tr, s.Stream, class.Deadline, w})
-	end := class.Deadline
-	if s.HangUp > 0 {
-		x.hung, end = true, s.HangUp
-	}
-	c.later(end, giveUp{x.n})
+// intent identifies the request that an attempt belongs to.
+func (a *clientAttempt) intent() string {
+	intent, _, _ := strings.Cut(a.id, "/")
+	return intent
+}
+
+func newIncomingRequest(a *clientAttempt, class *scenario.Class) incomingRequest {
+	session, key, intent := a.request.session, a.request.key, a.intent()
+	all, prefix := session.PromptBytes()
+	limit := int(class.AnswerTokens) * maxAnswer
+	work := requestWork{
+		prompt:      max(float64(all)/bytesPerToken, 1),
+		prefixLen:   float64(prefix) / bytesPerToken,
+		session:     key,
+		out:         min(session.Answer, limit),
+		class:       class.Name,
+		idempotency: audit.Class(class.Idempotency),
+		intent:      intent,
+		attempt:     a.id,
+	}
+	traits := api.Classification{
+		Class:           session.Class,
+		Tenant:          max(session.Tenant, 0),
+		Session:         xxhash.Sum64String(key),
+		PromptTokens:    float64((all + bytesPerToken - 1) / bytesPerToken),
+		PrefixTokens:    float64(prefix) / bytesPerToken,
+		MaxOutputTokens: float64(limit),
+		Retry:           session.MarksRetries && session.Retries > 0,
+	}
+	if prefix > 0 {
+		work.prefix = fmt.Sprintf("%d.%d.%d", session.Prefix.Seed[0], session.Prefix.Seed[1], prefix)
+		traits.Prefix = xxhash.Sum64String(work.prefix)
+	}
+	if work.idempotency == audit.IdempotentWithKey {
+		traits.IdempotencyKey = intent
+	}
+	return incomingRequest{a.number, traits, session.Stream, class.Deadline, work}
 }
 
-// taken records a try that a front took; one that met no front was never sent.
-func (c *clients) taken(x *try) {
-	class := &c.f.d.Classes[x.t.s.Class]
-	intent, _, _ := strings.Cut(x.id, "/")
-	c.record(x.sent, audit.Event{
-		Kind: audit.Sent, Attempt: x.id, Intent: intent, Class: audit.Class(class.Idempotency), Replica: c.f.fronts[x.front].name,
-		Deadline: x.sent + class.Deadline,
+// recordSent records an attempt that reached a replica; one that found no replica was never sent.
+func (c *clients) recordSent(a *clientAttempt) {
+	class := &c.fleet.scenario.Classes[a.request.session.Class]
+	c.record(a.sent, audit.Event{
+		Kind: audit.Sent, Attempt: a.id, Intent: a.intent(), Class: audit.Class(class.Idempotency),
+		Replica: c.fleet.replicas[a.replica].name, Deadline: a.sent + class.Deadline,
 	})
 }
 
-// gaveUp is the end of the time that a client waits.
-func (c *clients) gaveUp(n uint64) {
-	x := c.tries[n]
+// onTimeout ends the time that a client waits.
+func (c *clients) onTimeout(number uint64) {
+	a := c.attempts[number]
 	switch {
-	case x == nil:
-	case x.hung:
-		c.record(c.now(), audit.Event{Kind: audit.ClientLeft, Attempt: x.id})
-		c.send(c.f.fronts[x.front].id, c.f.hop(c.rnd), leaves{n})
-		c.ended(x, answers{try: n, kind: "hung up"})
-	case x.first == 0 || !x.t.s.Stream:
-		c.send(c.f.fronts[x.front].id, c.f.hop(c.rnd), leaves{n})
-		c.ended(x, answers{try: n, kind: "none"})
+	case a == nil:
+	case a.hangsUp:
+		c.record(c.now(), audit.Event{Kind: audit.ClientLeft, Attempt: a.id})
+		c.send(c.fleet.replicas[a.replica].id, c.fleet.hop(c.rnd), clientLeft{number})
+		c.end(a, answer{attempt: number, kind: kindHungUp})
+	case a.firstToken == 0 || !a.request.session.Stream:
+		c.send(c.fleet.replicas[a.replica].id, c.fleet.hop(c.rnd), clientLeft{number})
+		c.end(a, answer{attempt: number, kind: kindNone})
 	}
 }
 
-func (c *clients) answered(m answers) {
-	x := c.tries[m.try]
-	if x == nil {
+func (c *clients) onAnswer(m answer) {
+	a := c.attempts[m.attempt]
+	if a == nil {
 		return
 	}
-	if s := x.t.s; s.Slow && s.Stream && m.kind == "served" {
-		if until := x.first + time.Duration(x.out)*scenario.SlowReadDelay; until > c.now() {
-			c.later(until-c.now(), m)
+	if session := a.request.session; session.Slow && session.Stream && m.kind == kindServed {
+		if until := a.firstToken + time.Duration(a.out)*scenario.SlowReadDelay; until > c.now() {
+			c.schedule(until-c.now(), m)
 			return
 		}
 	}
 	switch m.kind {
-	case "unconnected":
-		c.record(c.now(), audit.Event{Kind: audit.Unsent, Attempt: x.id, Replica: c.f.fronts[x.front].name})
-	case "cut":
-		c.record(c.now(), audit.Event{Kind: audit.ConnectionCut, Attempt: x.id})
+	case kindUnconnected:
+		replica := c.fleet.replicas[a.replica].name
+		c.record(c.now(), audit.Event{Kind: audit.Unsent, Attempt: a.id, Replica: replica})
+	case kindCut:
+		c.record(c.now(), audit.Event{Kind: audit.ConnectionCut, Attempt: a.id})
 	default:
-		c.record(c.now(), audit.Event{Kind: audit.Answer, Attempt: x.id, Result: m.kind})
+		c.record(c.now(), audit.Event{Kind: audit.Answer, Attempt: a.id, Result: m.kind})
 	}
-	if m.kind == "served" && x.first == 0 { // whole
-		x.first = c.now()
+	if m.kind == kindServed && a.firstToken == 0 { // not streamed
+		a.firstToken = c.now()
 	}
-	c.ended(x, m)
+	c.end(a, m)
 }
 
-func (c *clients) ended(x *try, m answers) {
-	delete(c.tries, x.n)
-	if m.kind != "unconnected" {
-		c.taken(x)
+// end closes an attempt, and retries, goes on to the next turn or ends the session.
+func (c *clients) end(a *clientAttempt, m answer) {
+	delete(c.attempts, a.number)
+	if m.kind != kindUnconnected {
+		c.recordSent(a)
 	}
-	t := x.t
-	again, pause := t.s.AfterAttempt(m.kind, m.handUp, m.wait, c.now()-t.asked)
+	r := a.request
+	again, pause := r.session.AfterAttempt(m.kind, m.noAutoRetry, m.wait, c.now()-r.sent)
 	if again {
-		c.later(pause, goOn{t})
+		c.schedule(pause, nextAttempt{r})
 		return
 	}
-	first := time.Duration(0)
-	if x.first > 0 {
-		first = x.first - t.asked
+	firstToken := time.Duration(0)
+	if a.firstToken > 0 {
+		firstToken = a.firstToken - r.sent
 	}
-	c.score.Add(t.s, t.asked, m.kind, first)
-	more, pause := t.s.NextTurn(m.kind, c.now() > c.f.d.Length, &c.mood)
+	c.score.Add(r.session, r.sent, m.kind, firstToken)
+	more, pause := r.session.NextTurn(m.kind, c.now() > c.fleet.scenario.Length, &c.conditions)
 	if !more {
 		c.open--
-		c.quiet = c.now()
+		c.lastEnd = c.now()
 		return
 	}
-	next := &talk{s: t.s, name: t.name, asked: c.now() + pause}
-	c.later(pause, goOn{next})
+	next := &clientRequest{session: r.session, key: r.key, sent: c.now() + pause}
+	c.schedule(pause, nextAttempt{next})
 }
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -3,433 +3,368 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"brackenbend/internal/audit"
 	"brackenbend/internal/fake/enginemodel"
 	"brackenbend/internal/simulation/scenario"
-	"brackenbend/roles"
 	"brackenbend/routing"
 )
 
-// engine is one engine: the stand-ins' model behind links in place of sockets, with the stand-in's faults.
+// engine is one engine: the model of the fake engines behind links in place of sockets, with the same faults.
 type engine struct {
-	base
-	tap
-	f     *fleet
-	rnd   *rand.Rand
-	index int
-	name  string
-	kind  *scenario.Kind // at the day's beginning
-	cell  int
-	par   enginemodel.Params
+	actorBase
+	recorder
+	fleet  *fleet
+	rnd    *rand.Rand
+	index  int
+	name   string
+	kind   *scenario.Kind // at the start of the scenario
+	cell   int
+	params enginemodel.Params
 
-	m       *enginemodel.Engine
-	up      bool
-	deaf    bool // refuses connections
-	faults  map[string]harm
-	jobs    map[string]*job
-	held    map[string]bool
-	letGo   map[string]time.Duration
-	planned time.Duration // when the next look is due; 0 = none is
+	model      *enginemodel.Engine
+	up         bool
+	refuses    bool // connections
+	faults     map[string]engineFault
+	jobs       map[string]*job
+	held       map[string]bool          // states, by attempt
+	released   map[string]time.Duration // by attempt, when its release arrived
+	nextWakeup time.Duration            // that is scheduled; 0 = none is
 
-	reads, writes int
-	moved         float64
-	coming        coming // by oracles
+	prefills, decodes int // that arrived
+	fetchedTokens     float64
+	pending           pendingWork // by oracles
 
-	byRole    map[roles.Role]enginemodel.Params // where it may change; nil = it stays
-	seat      roles.EngineState
-	switching bool
-	turn      int // of its switches; those of an earlier one, or an earlier process, are passed over
-	liar      bool
+	role roleState
 }
 
 // job is one attempt at this engine.
 type job struct {
 	enginemodel.Job
-	msg            sends
+	request        engineRequest
 	begun, fetched bool
-	token          bool // the first is out
-	gone           bool // its connection ended
-	breakAt        int  // token at which its stream is reset; 0 = never
+	hasToken       bool // the first is out
+	disconnected   bool
+	resetAt        int // token at which its stream is reset; 0 = never
 }
 
-// What fronts and engines say to each other.
+// Messages between replicas and engines.
 type (
-	// sends is an attempt; it is not changed once it is sent.
-	sends struct {
-		front   int32
-		run     int
-		request routing.RequestID
-		attempt int
-		id      string
-		name    string // of the front, for the record
-		write   bool
-		state   stateAt
-		work    work
-	}
-	// stateAt is where a read state waits; reader -1 = nowhere.
-	stateAt struct {
-		reader int
-		id     string
-	}
-	// cancels ends an attempt's connection, lets lets go of a read state.
-	cancels struct{ id string }
-	lets    struct{ id string }
-	// ended is how an attempt ended, firsts its first token.
-	ended struct {
-		run     int
-		request routing.RequestID
-		attempt int
-		result  routing.Result
-		noState bool
-		kept    float64
-	}
-	firsts struct {
+	// attemptRef identifies an attempt at its replica.
+	attemptRef struct {
 		run     int
 		request routing.RequestID
 		attempt int
 	}
+	// engineRequest is an attempt; it is not changed once it is sent.
+	engineRequest struct {
+		attemptRef
+		replica     int32
+		id          string
+		replicaName string // for the record
+		decode      bool
+		state       stateLocation
+		work        requestWork
+	}
+	// stateLocation is where a read state is kept.
+	stateLocation struct {
+		engine  int // -1 = nowhere
+		attempt string
+	}
+	connectionClosed struct{ attempt string }
+	stateRelease     struct{ attempt string }
+	attemptResult    struct {
+		result       routing.Result
+		stateMissing bool
+		cachedTokens float64
+	}
+	attemptEnded struct {
+		attemptRef
+		attemptResult
+	}
+	firstToken struct{ attemptRef }
 )
 
-// What engines say to each other, and to themselves.
+// noState is the location of a state that is nowhere.
+var noState = stateLocation{engine: -1}
+
+// Messages of engines to each other, and to themselves.
 type (
-	takes struct {
-		state string
-		back  int32
-		job   string
+	stateFetch struct {
+		state  string
+		engine int32 // that asks for it
+		job    string
 	}
-	took struct {
+	stateFetched struct {
 		job string
 		ok  bool
 	}
-	look     struct{}
-	switched struct {
-		turn  int
-		added bool
-	}
+	modelWakeup struct{}
 )
 
+// cells is the number of cells that a kind's engines are spread over.
+const cells = 2
+
 func newEngine(f *fleet, k *scenario.Kind, n int) *engine {
 	e := &engine{
-		f: f, index: len(f.engines), name: fmt.Sprintf("%s-%d", k.Name, n+1), kind: k, cell: 1 + n%2, par: f.d.EngineParams(k),
-		rnd: f.rnd(1000 + uint64(len(f.engines))), up: true, faults: map[string]harm{}, tap: tap{taped: f.o.Audit},
+		recorder: recorder{enabled: f.options.Audit}, fleet: f, rnd: f.newRand(firstEngineStream + uint64(len(f.engines))),
+		index: len(f.engines), name: fmt.Sprintf("%s-%d", k.Name, n+1), kind: k, cell: 1 + n%cells,
+		params: f.scenario.EngineParams(k), up: true, faults: map[string]engineFault{},
 	}
-	e.fresh(0, false)
+	e.reset(0, false)
 	return e
 }
 
-func (e *engine) fresh(now time.Duration, cold bool) {
-	e.m = enginemodel.New(e.par, now, cold)
-	e.m.SetSlow(cmp.Or(e.faults["slow"].factor, 1))
-	e.jobs, e.held, e.letGo = map[string]*job{}, map[string]bool{}, map[string]time.Duration{}
+// reset gives the engine an empty model, as a new process has.
+func (e *engine) reset(now time.Duration, slowStart bool) {
+	e.model = enginemodel.New(e.params, now, slowStart)
+	e.model.SetSlow(e.slowFactor())
+	e.jobs, e.held, e.released = map[string]*job{}, map[string]bool{}, map[string]time.Duration{}
 }
 
-func (e *engine) take(m any) {
-	switch m := m.(type) {
-	case sends:
-		e.arrive(m)
-	case cancels:
-		e.cancel(m.id)
-	case lets:
-		e.release(m.id)
-	case takes:
-		e.m.Advance(e.now())
-		_, ok := e.m.Take(e.now(), m.state)
-		ok = ok && e.up
-		e.send(m.back, e.f.hop(e.rnd), took{m.job, ok})
-	case took:
-		e.took(m)
-	case harm:
-		e.harm(m)
-	case arrived:
-		e.hasArrived(m)
-	case tellsRole:
-		if _, can := e.byRole[m.tell.Target]; can && e.up {
-			e.seat = e.seat.Accept(m.tell)
-		}
-	case asksStatus:
-		e.tellStatus(m.from)
-	case switched:
-		e.switchedTo(m)
-	case look:
-		if e.planned = 0; e.up {
-			e.m.Advance(e.now())
+func (e *engine) slowFactor() float64 { return cmp.Or(e.faults["slow"].factor, 1) }
+
+func (e *engine) receive(message any) {
+	switch m := message.(type) {
+	case engineRequest:
+		e.onRequest(m)
+	case connectionClosed:
+		e.onConnectionClosed(m.attempt)
+	case stateRelease:
+		e.onRelease(m.attempt)
+	case stateFetch:
+		e.model.Advance(e.now())
+		_, ok := e.model.Take(e.now(), m.state)
+		e.send(m.engine, e.fleet.hop(e.rnd), stateFetched{m.job, ok && e.up})
+	case stateFetched:
+		e.onStateFetched(m)
+	case engineFault:
+		e.onFault(m)
+	case sendArrived:
+		e.pending.remove(m)
+	case roleCommand:
+		e.onRoleCommand(m)
+	case statusRequest:
+		e.sendStatus(m.from)
+	case roleSwitched:
+		e.onRoleSwitched(m)
+	case modelWakeup:
+		if e.nextWakeup = 0; e.up {
+			e.model.Advance(e.now())
 		}
 	}
 	e.settle()
 }
 
-// settle looks at what changed, and plans the next look.
+// settle follows what the message changed in the model, and schedules the next wakeup.
 func (e *engine) settle() {
 	for id := range e.held {
-		if !e.m.Holds(id) {
+		if !e.model.Holds(id) {
 			delete(e.held, id)
 			e.record(e.now(), audit.Event{Kind: audit.StateReleased, Engine: e.name, Request: id})
 		}
 	}
-	if e.m.Down() && e.up {
+	if e.model.Down() && e.up {
 		e.record(e.now(), audit.Event{Kind: audit.Overloaded, Engine: e.name})
-		e.end()
-		e.send(e.f.register.id, e.f.hop(e.rnd), wentDown{e.index})
+		e.stop()
+		e.send(e.fleet.apiServer.id, e.fleet.hop(e.rnd), engineStopped{e.index})
 	}
-	e.emptied()
-	if at, ok := e.m.Next(); ok && e.up && (e.planned == 0 || at < e.planned) {
-		e.planned = max(at, e.now())
-		e.later(e.planned-e.now(), look{})
+	e.switchIfDrained()
+	if at, ok := e.model.Next(); ok && e.up && (e.nextWakeup == 0 || at < e.nextWakeup) {
+		e.nextWakeup = max(at, e.now())
+		e.schedule(e.nextWakeup-e.now(), modelWakeup{})
 	}
 }
 
-func (e *engine) reply(s *sends, result routing.Result, noState bool, kept float64) {
-	e.send(s.front, e.f.hop(e.rnd), ended{s.run, s.request, s.attempt, result, noState, kept})
+func (e *engine) reply(m *engineRequest, result attemptResult) {
+	e.send(m.replica, e.fleet.hop(e.rnd), attemptEnded{m.attemptRef, result})
 }
 
-// through ends a job's connection with a result.
-func (e *engine) through(j *job, result routing.Result, noState bool, kept float64) {
+// end closes a job's connection with a result.
+func (e *engine) end(j *job, result attemptResult) {
 	if e.jobs[j.ID] != j {
 		return
 	}
 	delete(e.jobs, j.ID)
-	if !j.gone {
+	if !j.disconnected {
 		e.record(e.now(), audit.Event{Kind: audit.Ended, Engine: e.name, Request: j.ID})
-		e.reply(&j.msg, result, noState, kept)
+		e.reply(&j.request, result)
 	}
 }
 
-func (e *engine) strikes(what string, by float64) bool {
-	h, ok := e.faults[what]
-	return ok && e.rnd.Float64() < cmp.Or(h.part, by)
-}
+func (e *engine) endWith(j *job, result routing.Result) { e.end(j, attemptResult{result: result}) }
 
-func (e *engine) arrive(s sends) {
-	if !e.up || e.deaf {
-		e.reply(&s, routing.ConnectFailed, false, 0)
+func (e *engine) onRequest(m engineRequest) {
+	if !e.up || e.refuses {
+		e.reply(&m, attemptResult{result: routing.ConnectFailed})
 		return
 	}
-	if e.leaving() {
-		e.reply(&s, routing.Rejected, false, 0)
+	if e.isDraining() {
+		e.reply(&m, attemptResult{result: routing.Rejected})
 		return
 	}
-	e.record(e.now(), audit.Event{Kind: audit.Arrived, Engine: e.name, Replica: s.name, Request: s.id, Decode: s.write, Attempt: s.work.id})
-	if s.write {
-		e.writes++
+	e.record(e.now(), audit.Event{
+		Kind: audit.Arrived, Engine: e.name, Replica: m.replicaName, Request: m.id, Decode: m.decode, Attempt: m.work.attempt,
+	})
+	if m.decode {
+		e.decodes++
 	} else {
-		e.reads++
-	}
-	j := &job{msg: s, Job: enginemodel.Job{
-		ID: s.id, Prompt: s.work.prompt, Prefix: s.work.prefix, PrefixLen: s.work.prefixLen, Session: s.work.session,
-		Out: s.work.out, ReadOnly: !s.write, Quiet: true,
-	}}
-	if s.write && s.state.reader >= 0 {
-		j.FetchState = max(j.Prompt, 1)
+		e.prefills++
 	}
-	j.fetched = j.FetchState == 0
-	e.jobs[s.id] = j
-	_, stalls := e.faults["stall"]
-	h, fails := e.faults["fail-class"]
-	switch {
-	case stalls:
-		return
-	case fails && h.class == s.work.class, e.strikes("fail-fast", 1):
-		e.through(j, routing.EngineError, false, 0)
-		return
-	case e.strikes("reset-after-request", 1):
-		e.through(j, routing.ConnectionReset, false, 0)
-		return
-	case j.ReadOnly && !e.par.CanPrefill || !j.ReadOnly && !e.par.CanDecode || j.FetchState == 0 && !j.ReadOnly && !e.par.CanPrefill:
-		e.through(j, routing.Rejected, j.FetchState == 0 && !j.ReadOnly && e.par.CanDecode, 0)
+	j := newJob(m)
+	e.jobs[m.id] = j
+	if e.failsOnArrival(j) {
 		return
 	}
-	if e.strikes("reset-mid-stream", 1) && s.write {
-		j.breakAt, j.Quiet = 1+e.rnd.IntN(5), false
+	if e.strikes("reset-mid-stream") && m.decode {
+		j.resetAt, j.Quiet = 1+e.rnd.IntN(maxResetToken), false
+	}
+	j.Begun = func() { e.onBegun(j) }
+	j.Token = func(n int) { e.onToken(j, n) }
+	j.Done = func(cached float64) { e.onDone(j, cached) }
+	j.Lost = func() { e.endWith(j, routing.ConnectionReset) }
+	if !e.model.Submit(e.now(), &j.Job) {
+		e.endWith(j, routing.Rejected)
 	}
-	j.Begun = func() { e.begun(j) }
-	j.Token = func(n int) { e.tokens(j, n) }
-	j.Done = func(kept float64) { e.done(j, kept) }
-	j.Lost = func() { e.through(j, routing.ConnectionReset, false, 0) }
-	if !e.m.Submit(e.now(), &j.Job) {
-		e.through(j, routing.Rejected, false, 0)
+}
+
+func newJob(m engineRequest) *job {
+	j := &job{request: m, Job: enginemodel.Job{
+		ID: m.id, Prompt: m.work.prompt, Prefix: m.work.prefix, PrefixLen: m.work.prefixLen, Session: m.work.session,
+		Out: m.work.out, ReadOnly: !m.decode, Quiet: true,
+	}}
+	if m.decode && m.state.engine >= 0 {
+		j.FetchState = max(j.Prompt, 1)
 	}
+	j.fetched = j.FetchState == 0
+	return j
 }
 
-// begun lets the writer ask the reader for the state.
-func (e *engine) begun(j *job) {
+// onBegun lets a decode fetch its state.
+func (e *engine) onBegun(j *job) {
 	j.begun = true
 	if !j.fetched {
-		e.send(e.f.engines[j.msg.state.reader].id, 3*e.f.hop(e.rnd), takes{j.msg.state.id, e.id, j.ID})
+		source := e.fleet.engines[j.request.state.engine]
+		e.send(source.id, connectHops*e.fleet.hop(e.rnd), stateFetch{j.request.state.attempt, e.id, j.ID})
 	}
 }
 
-func (e *engine) took(m took) {
+func (e *engine) onStateFetched(m stateFetched) {
 	j := e.jobs[m.job]
 	switch {
 	case j == nil || j.fetched:
 	case !m.ok:
-		e.m.Cancel(e.now(), &j.Job)
-		e.through(j, routing.Rejected, true, 0)
+		e.model.Cancel(e.now(), &j.Job)
+		e.end(j, attemptResult{result: routing.Rejected, stateMissing: true})
 	default:
 		j.fetched = true
-		e.moved += j.Prompt
-		if j.token {
-			e.first(j)
+		e.fetchedTokens += j.Prompt
+		if j.hasToken {
+			e.execute(j)
 		}
 	}
 }
 
-func (e *engine) tokens(j *job, n int) {
+func (e *engine) onToken(j *job, n int) {
 	if n == 1 {
-		j.token = true
+		j.hasToken = true
 		if j.fetched {
-			e.first(j)
+			e.execute(j)
 		}
 	}
-	if j.breakAt == n && e.jobs[j.ID] == j && j.fetched {
-		e.through(j, routing.ConnectionReset, false, 0)
-		e.drop(j)
+	if j.resetAt == n && e.jobs[j.ID] == j && j.fetched {
+		e.endWith(j, routing.ConnectionReset)
+		e.cancelLater(j)
 	}
 }
 
-// drop ends the model's work from within one of its calls.
-func (e *engine) drop(j *job) { e.later(0, cancels{j.ID}); e.jobs[j.ID] = j; j.gone = true }
+// cancelLater cancels a job from within one of the model's calls.
+func (e *engine) cancelLater(j *job) {
+	e.schedule(0, connectionClosed{j.ID})
+	e.jobs[j.ID] = j
+	j.disconnected = true
+}
 
-// first is the first token: the request takes effect.
-func (e *engine) first(j *job) {
-	w := &j.msg.work
-	e.record(e.now(), audit.Event{Kind: audit.Executed, Engine: e.name, Request: j.ID, Attempt: w.id, Intent: w.intent, Class: w.effect})
-	if j.gone {
+// execute is the first token: the request takes effect.
+func (e *engine) execute(j *job) {
+	work := &j.request.work
+	e.record(e.now(), audit.Event{
+		Kind: audit.Executed, Engine: e.name, Request: j.ID, Attempt: work.attempt, Intent: work.intent,
+		Class: work.idempotency,
+	})
+	if j.disconnected || e.failsAfterEffect(j) {
 		return
 	}
-	var u float64
-	for _, fault := range []string{"reset-after-effect", "fail-after-effect", "stall-after-effect"} {
-		if h, ok := e.faults[fault]; ok {
-			if u == 0 {
-				u = e.rnd.Float64()
-			}
-			if part := cmp.Or(h.part, 1); u >= part {
-				u -= part
-				continue
-			}
-			switch fault {
-			case "reset-after-effect":
-				e.through(j, routing.ConnectionReset, false, 0)
-				e.drop(j)
-			case "fail-after-effect":
-				e.through(j, routing.EngineError, false, 0)
-				e.drop(j)
-			}
-			return
-		}
-	}
-	e.send(j.msg.front, e.f.hop(e.rnd), firsts{j.msg.run, j.msg.request, j.msg.attempt})
+	e.send(j.request.replica, e.fleet.hop(e.rnd), firstToken{j.request.attemptRef})
 }
 
-func (e *engine) done(j *job, kept float64) {
+func (e *engine) onDone(j *job, cached float64) {
 	if !j.ReadOnly {
-		if !j.fetched { // it wrote faster than the state came: the state is what counts
+		if !j.fetched { // the model decoded faster than the state arrived: the state decides
 			j.fetched = true
-			e.first(j)
+			e.execute(j)
 		}
-		e.through(j, routing.Served, false, kept)
+		e.end(j, attemptResult{result: routing.Served, cachedTokens: cached})
 		return
 	}
 	e.held[j.ID] = true
 	e.record(e.now(), audit.Event{Kind: audit.StateHeld, Engine: e.name, Request: j.ID})
-	if _, unwanted := e.letGo[j.ID]; unwanted {
-		e.m.Drop(j.ID)
+	if _, unwanted := e.released[j.ID]; unwanted {
+		e.model.Drop(j.ID)
 	}
-	e.through(j, routing.PrefillDone, false, kept)
+	e.end(j, attemptResult{result: routing.PrefillDone, cachedTokens: cached})
 }
 
-// cancel is the end of an attempt's connection.
-func (e *engine) cancel(id string) {
+func (e *engine) onConnectionClosed(id string) {
 	j := e.jobs[id]
 	if j == nil {
 		return
 	}
-	e.m.Advance(e.now())
+	e.model.Advance(e.now())
 	if e.jobs[id] != j {
 		return
 	}
-	if !j.gone {
+	if !j.disconnected {
 		e.record(e.now(), audit.Event{Kind: audit.Ended, Engine: e.name, Request: id})
 	}
-	j.gone = true
-	if e.f.d.Service.CanCancel || !j.begun {
+	j.disconnected = true
+	if e.fleet.scenario.Service.CanCancel || !j.begun {
 		delete(e.jobs, id)
-		e.m.Cancel(e.now(), &j.Job)
+		e.model.Cancel(e.now(), &j.Job)
 	}
 }
 
-// release lets go of a read state, now or when its read ends.
-func (e *engine) release(id string) {
-	for k, at := range e.letGo {
-		if e.now()-at > e.par.StateTTL {
-			delete(e.letGo, k)
+// onRelease drops a read state, now or when its prefill ends.
+func (e *engine) onRelease(id string) {
+	for other, at := range e.released {
+		if e.now()-at > e.params.StateTTL {
+			delete(e.released, other)
 		}
 	}
-	e.letGo[id] = e.now()
-	e.m.Take(e.now(), id)
+	e.released[id] = e.now()
+	e.model.Take(e.now(), id)
 }
 
-// end is the end of the process.
-func (e *engine) end() {
+// stop ends the process.
+func (e *engine) stop() {
 	e.up = false
-	e.turn++
+	e.role.switches++
 	e.lose()
 }
 
 // lose resets every connection and empties the engine.
 func (e *engine) lose() {
-	for _, id := range keys(e.jobs) {
-		if j := e.jobs[id]; j != nil && !j.begun { // waits, or stalled: the model may not know of it
-			e.through(j, routing.ConnectionReset, false, 0)
+	for _, id := range slices.Sorted(maps.Keys(e.jobs)) {
+		if j := e.jobs[id]; j != nil && !j.begun { // queued or stalled: the model may not know of it
+			e.endWith(j, routing.ConnectionReset)
 		}
 	}
-	e.m.Reset()
-	for _, id := range keys(e.jobs) {
-		e.through(e.jobs[id], routing.ConnectionReset, false, 0)
-	}
-}
-
-func (e *engine) harm(h harm) {
-	if e.up {
-		e.m.Advance(e.now())
-	}
-	switch h.what {
-	case "crash":
-		switch {
-		case h.on && e.up:
-			e.record(e.now(), audit.Event{Kind: audit.EngineStopped, Engine: e.name})
-			e.end()
-		case !h.on && !e.up:
-			e.up = true
-			e.seat, e.switching = e.seat.FinishDraining(), false // the crash emptied it
-			e.becomes(e.seat.Role)
-			e.fresh(e.now(), true)
-			e.record(e.now(), audit.Event{Kind: audit.EngineStarted, Engine: e.name})
-			e.send(e.f.register.id, e.f.hop(e.rnd), cameUp{e.index, e.now()})
-		}
-	case "forget":
-		if h.on {
-			e.m.Forget()
-		}
-	case "silent-restart":
-		if h.on {
-			e.lose()
-		}
-	case "liar":
-		e.liar = h.on
-	case "refuse-connects":
-		e.deaf = h.on
-	default:
-		if h.on {
-			e.faults[h.what] = h
-		} else {
-			delete(e.faults, h.what)
-		}
-		if h.what == "slow" {
-			e.m.SetSlow(cmp.Or(e.faults["slow"].factor, 1))
-		}
+	e.model.Reset()
+	for _, id := range slices.Sorted(maps.Keys(e.jobs)) {
+		e.endWith(e.jobs[id], routing.ConnectionReset)
 	}
 }
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -9,118 +9,170 @@
 	"brackenbend/routing"
 )
 
-// Oracles give fronts what no front can know, each of them one thing, so that what is lost for want of it can be counted.
-// They stand between the module's decision and its carrying out: the module itself is as ever, and does not learn that
-// another engine was taken. They look into other parties, so a day with one is played on one shard.
+// Oracles give replicas knowledge that no replica can have, each of them one thing, so that the cost of not having it
+// can be measured. They act between the router's decision and its execution: the router itself is unchanged, and does
+// not learn that another engine was taken. They read the state of other actors, so a run with one has one shard.
 type Oracles struct {
-	KnowPrefillLoad bool // a read goes to the sound warm reader where it would end first, whatever other fronts have there
-	KnowDecodeLoad  bool // an answer goes to the sound warm writer with the fewest streams of all fronts
-	KnowHealth      bool // fronts are told at once which engines do harm
-	KnowSlowStart   bool // fronts know together what a cold engine can take, and take no other care of it
-	NoLoadShedding  bool // nothing is refused on arrival, nor called off for lateness
-	NoTimeouts      bool // an attempt at a sound engine has all the time that its client has
+	// KnowPrefillLoad sends a prefill to the healthy, warm endpoint where it would end first, whatever other replicas
+	// have there.
+	KnowPrefillLoad bool
+	// KnowDecodeLoad sends a decode to the healthy, warm endpoint with the fewest streams of all replicas.
+	KnowDecodeLoad bool
+	// KnowHealth notifies replicas at once of engines that do harm.
+	KnowHealth bool
+	// KnowSlowStart lets replicas know together what an engine in slow start can take, in place of their own slow start.
+	KnowSlowStart bool
+	// NoLoadShedding rejects nothing on arrival, and cancels nothing that is late.
+	NoLoadShedding bool
+	// NoTimeouts gives an attempt at a healthy engine all the time that its client waits.
+	NoTimeouts bool
 }
 
 func (o Oracles) any() bool { return o != Oracles{} }
 
+// ErrOracleShards is returned for a run with oracles on several shards.
+var ErrOracleShards = errors.New("fleet: oracles read the state of other actors; play the scenario on one shard")
+
 func (o Oracles) check(shards int) error {
 	if o.any() && shards > 1 {
-		return errors.New("fleet: oracles look into other parties; play the day on one shard")
+		return ErrOracleShards
 	}
 	return nil
 }
 
-// settings are what the module is told where oracles take its care away.
-func (o Oracles) settings(s *routing.Config) {
+// adapt changes the router's configuration where an oracle replaces one of its functions.
+func (o Oracles) adapt(c *routing.Config) {
 	if o.KnowSlowStart {
-		s.SlowStartFor = 0
+		c.SlowStartFor = 0
 	}
 	if o.NoLoadShedding {
-		for i := range s.Classes {
-			s.Classes[i].LateWeight = 1
+		for i := range c.Classes {
+			c.Classes[i].LateWeight = 1
 		}
 	}
 }
 
-// coming is work that fronts have sent by an oracle and that has not arrived.
-type coming struct {
+// pendingWork is work that replicas have sent by an oracle and that has not arrived.
+type pendingWork struct {
 	seconds float64
 	streams int
 }
 
-// coldMost is the part of what tips a cold engine over that an oracle lets it have.
-const coldMost = 0.5
+// sendArrived is when a request that an oracle sent to an engine has surely arrived.
+type sendArrived struct{ seconds float64 }
 
-// better is the engine that an oracle takes in place of the module's; picked where none knows better.
-func (x *front) better(fl *flight, picked int) int {
-	o := x.f.o.Oracles
-	role := x.f.cs.Kinds[x.known[picked].kind].Role
-	p := x.f.engines[picked]
-	cold := p.m.Present() < 1
-	if !o.any() || role == routing.RoleMixed || !p.sound() || role == routing.RoleDecode && x.unsafe(fl) && x.wrote(fl) {
-		return picked
-	}
-	if cold && !o.KnowSlowStart || !cold && (role == routing.RolePrefill && !o.KnowPrefillLoad || role == routing.RoleDecode && !o.KnowDecodeLoad) {
+func (p *pendingWork) add(seconds float64) {
+	p.seconds += seconds
+	p.streams++
+}
+
+func (p *pendingWork) remove(m sendArrived) {
+	p.seconds -= m.seconds
+	p.streams--
+}
+
+// oracleOverload is the part of what overloads an engine in slow start that an oracle lets it have.
+const oracleOverload = 0.5
+
+// pickByOracle returns the engine that an oracle picks in place of the router's; picked where none knows better.
+func (r *replica) pickByOracle(request *inflightRequest, picked int) int {
+	role := r.fleet.config.Kinds[r.endpoints.known[picked].kind].Role
+	if !r.hasOracle(request, picked, role) {
 		return picked
 	}
-	w := &fl.msg.work
-	j := &enginemodel.Job{Prompt: w.prompt, Prefix: w.prefix, PrefixLen: w.prefixLen, Session: w.session, Out: w.out, ReadOnly: role == routing.RolePrefill}
-	if role == routing.RoleDecode && fl.at.reader >= 0 {
-		j.FetchState = max(j.Prompt, 1)
-	}
+	j := oracleJob(request, role)
 	best, least := picked, 0.0
-	for i, l := range x.known {
-		e := x.f.engines[i]
-		if l.state != routing.EndpointReady || x.f.cs.Kinds[l.kind].Role != role || !e.sound() || e.m.Present() < 1 && !o.KnowSlowStart || e.m.Near(j, coldMost) {
+	for i, listed := range r.endpoints.known {
+		if !r.mayPick(i, listed, role, j) {
 			continue
 		}
-		cost := float64(e.m.Working()+e.coming.streams+1) / e.m.Present()
-		if role == routing.RolePrefill {
-			cost = (e.m.Ahead(j) + e.coming.seconds) / e.m.Present()
-		}
+		cost := r.fleet.engines[i].oracleCost(j, role)
 		if least == 0 || cost < least || cost == least && i == picked {
 			best, least = i, cost
 		}
 	}
-	e := x.f.engines[best]
-	own := e.m.Ahead(j) - e.m.Ahead(&enginemodel.Job{FetchState: 1, ReadOnly: true})
-	e.coming.seconds += own
-	e.coming.streams++
-	e.later(2*x.f.o.Link, arrived{own})
+	e := r.fleet.engines[best]
+	seconds := e.model.Ahead(j) - e.model.Ahead(&enginemodel.Job{FetchState: 1, ReadOnly: true})
+	e.pending.add(seconds)
+	e.schedule(2*r.fleet.options.Link, sendArrived{seconds})
 	return best
 }
 
-// arrived is when a send that an oracle took to an engine has surely arrived.
-type arrived struct{ seconds float64 }
+// hasOracle reports whether an oracle concerns a request that the router sends to an engine.
+func (r *replica) hasOracle(request *inflightRequest, picked int, role routing.Role) bool {
+	o, e := r.fleet.options.Oracles, r.fleet.engines[picked]
+	slowStart := e.model.Present() < 1
+	switch {
+	case !o.any(), role == routing.RoleMixed, !e.healthy():
+		return false
+	case role == routing.RoleDecode && r.mayHaveEffect(request) && r.wasDecoded(request):
+		return false
+	case slowStart:
+		return o.KnowSlowStart
+	case role == routing.RolePrefill:
+		return o.KnowPrefillLoad
+	case role == routing.RoleDecode:
+		return o.KnowDecodeLoad
+	}
+	return true
+}
 
-func (e *engine) hasArrived(m arrived) {
-	e.coming.seconds -= m.seconds
-	e.coming.streams--
+// oracleJob returns the work of a request's next attempt.
+func oracleJob(request *inflightRequest, role routing.Role) *enginemodel.Job {
+	work := &request.message.work
+	j := &enginemodel.Job{
+		Prompt: work.prompt, Prefix: work.prefix, PrefixLen: work.prefixLen, Session: work.session, Out: work.out,
+		ReadOnly: role == routing.RolePrefill,
+	}
+	if role == routing.RoleDecode && request.state.engine >= 0 {
+		j.FetchState = max(j.Prompt, 1)
+	}
+	return j
+}
+
+// mayPick reports whether an oracle may send a job to an engine.
+func (r *replica) mayPick(engine int, listed endpoint, role routing.Role, j *enginemodel.Job) bool {
+	if listed.state != routing.EndpointReady || r.fleet.config.Kinds[listed.kind].Role != role {
+		return false
+	}
+	e := r.fleet.engines[engine]
+	if !e.healthy() || e.model.Present() < 1 && !r.fleet.options.Oracles.KnowSlowStart {
+		return false
+	}
+	return !e.model.Near(j, oracleOverload)
+}
+
+// oracleCost returns what an oracle compares engines by: the time until a prefill ends, or the streams beside a decode.
+func (e *engine) oracleCost(j *enginemodel.Job, role routing.Role) float64 {
+	if role == routing.RolePrefill {
+		return (e.model.Ahead(j) + e.pending.seconds) / e.model.Present()
+	}
+	return float64(e.model.Working()+e.pending.streams+1) / e.model.Present()
 }
 
-// sound tells that nothing is wrong with the engine.
-func (e *engine) sound() bool { return e.up && !e.deaf && len(e.faults) == 0 && !e.leaving() }
+// healthy reports whether nothing is wrong with the engine.
+func (e *engine) healthy() bool { return e.up && !e.refuses && len(e.faults) == 0 && !e.isDraining() }
 
-// wrote tells whether an attempt of a flight went to a writer.
-func (x *front) wrote(fl *flight) bool {
-	return slices.ContainsFunc(fl.attempts, func(a *attempt) bool {
-		return x.f.cs.Kinds[x.known[a.engine].kind].Role == routing.RoleDecode
+// wasDecoded reports whether an attempt of a request went to a decode endpoint.
+func (r *replica) wasDecoded(request *inflightRequest) bool {
+	return slices.ContainsFunc(request.attempts, func(a *attempt) bool {
+		return r.fleet.config.Kinds[r.endpoints.known[a.engine].kind].Role == routing.RoleDecode
 	})
 }
 
-// tellsHarm tells whether the health oracle takes the engines of a happening off the list: where they do harm, and others
-// of their kind are left.
-func (r *register) tellsHarm(h *scenario.Fault, struck int) bool {
-	if !r.f.o.Oracles.KnowHealth {
+// notifiesHarm reports whether the health oracle takes the engines of a fault off the list: where they do harm, and
+// enough others of their kind are left.
+func (s *apiServer) notifiesHarm(f *scenario.Fault, struck int) bool {
+	if !s.fleet.options.Oracles.KnowHealth {
 		return false
 	}
-	switch h.What {
+	switch f.What {
 	case "drain", "remove", "crash", "forget", "silent-restart", "role-force":
 		return false
 	}
 	left := 0
-	for i, e := range r.f.engines {
-		if l := &r.lines[i]; (h.Kind == "" || e.kind.Name == h.Kind) && l.up && !l.harmful {
+	for i, e := range s.fleet.engines {
+		if listed := &s.engines[i]; (f.Kind == "" || e.kind.Name == f.Kind) && listed.up && !listed.harmful {
 			left++
 		}
 	}
--- a/internal/simulation/fleet/oracle_test.go
+++ b/internal/simulation/fleet/oracle_test.go
@@ -1,51 +1,57 @@
 package fleet
 
 import (
+	"errors"
 	"testing"
 
 	"brackenbend/internal/simulation/scenario"
 )
 
-// small is a day of 12 fronts at 9 engines, whose shared beginnings crowd some readers.
-const small = `<day length="12s" rate="150/s" fronts="12" seed="3">
-  <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s" overload-factor="4"
-    tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
+// smallXML has 12 replicas and 11 engines; its shared prefixes crowd some prefill endpoints.
+const smallXML = `<day length="12s" rate="150/s" fronts="12" seed="3">
+  <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s"
+    overload-factor="4" tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
   <engines kind="prefill" role="reader" count="5" slots="8" queue="40" memory="250000tokens" read-rate="20000/s"/>
-  <engines kind="decode" role="writer" count="6" slots="48" queue="24" memory="180000tokens" read-rate="7000/s" step="20ms"
-    step-per-stream="200us" fetch-rate="250000/s"/>
+  <engines kind="decode" role="writer" count="6" slots="48" queue="24" memory="180000tokens" read-rate="7000/s"
+    step="20ms" step-per-stream="200us" fetch-rate="250000/s"/>
   <class name="enquiry" effect="safe" share="0.7" aim="400ms" deadline="5s" late-worth="0.3" prompt="300tokens"
     beginning="2000tokens" beginning-share="0.8" answer="60tokens"/>
-  <class name="order" effect="unsafe" share="0.3" aim="800ms" deadline="8s" worth="2" late-worth="0.3" prompt="1200tokens" answer="40tokens"/>
+  <class name="order" effect="unsafe" share="0.3" aim="800ms" deadline="8s" worth="2" late-worth="0.3"
+    prompt="1200tokens" answer="40tokens"/>
   `
 
-func smallDay(t *testing.T, happens string) *scenario.Scenario {
+func smallScenario(t *testing.T, faults string) *scenario.Scenario {
 	t.Helper()
-	d, err := scenario.Parse("small.xml", []byte(small+happens+"</day>"))
+	sc, err := scenario.Parse("small.xml", []byte(smallXML+faults+"</day>"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return sc
 }
 
-// TestOraclesWinBackWhatTheyKnow: each oracle helps on a day that lacks what it knows, and no rule breaks by it.
-func TestOraclesWinBackWhatTheyKnow(t *testing.T) {
+// Each oracle helps in a scenario that lacks what it knows, and no rule is violated by it.
+func TestOraclesRaiseService(t *testing.T) {
 	tests := []struct {
-		name, happens string
-		o             Oracles
-		least         float64
+		name, faults string
+		oracles      Oracles
+		minGain      float64
 	}{
 		{"reads", "", Oracles{KnowPrefillLoad: true}, 0.02},
-		{"writes", `<happen at="2s" what="surge" factor="1.5" for="6s"/>`, Oracles{KnowPrefillLoad: true, KnowDecodeLoad: true}, 0.02},
+		{
+			"writes", `<happen at="2s" what="surge" factor="1.5" for="6s"/>`,
+			Oracles{KnowPrefillLoad: true, KnowDecodeLoad: true},
+			0.02,
+		},
 		{"health", `<happen at="2s" what="stall" kind="decode" count="2" for="8s"/>`, Oracles{KnowHealth: true}, 0.02},
 		{"cold", `<happen at="1s" what="crash" kind="prefill" count="3" for="2s"/>`, Oracles{KnowSlowStart: true}, 0.01},
 	}
 	for _, tc := range tests {
-		d := smallDay(t, tc.happens)
-		without, with := 0.0, 0.0 // means over three courses
+		sc := smallScenario(t, tc.faults)
+		without, with := 0.0, 0.0 // means over three replications
 		for seed := range 3 {
-			d.Seed++
-			without += play(t, d, Options{Seed: uint64(seed)}).Score.Service() / 3
-			r := play(t, d, Options{Seed: uint64(seed), Audit: true, Oracles: tc.o})
+			sc.Seed++
+			without += play(t, sc, Options{Seed: uint64(seed)}).Score.Service() / 3
+			r := play(t, sc, Options{Seed: uint64(seed), Audit: true, Oracles: tc.oracles})
 			with += r.Score.Service() / 3
 			for i, v := range r.Rules {
 				if len(v.Violations) > 0 {
@@ -54,22 +60,23 @@
 			}
 		}
 		t.Logf("%s: %.3f without, %.3f with", tc.name, without, with)
-		if with < without+tc.least {
+		if with < without+tc.minGain {
 			t.Errorf("%s: %.3f without, %.3f with", tc.name, without, with)
 		}
 	}
 }
 
 func TestOraclesNeedOneShard(t *testing.T) {
-	if _, err := Run(smallDay(t, ""), Options{Shards: 2, Oracles: Oracles{KnowPrefillLoad: true}}); err == nil {
-		t.Fatal("played on two shards")
+	_, err := Run(smallScenario(t, ""), Options{Shards: 2, Oracles: Oracles{KnowPrefillLoad: true}})
+	if !errors.Is(err, ErrOracleShards) {
+		t.Fatalf("two shards: %v", err)
 	}
 }
 
-// TestHealthOracleLeavesEnough: where more than half of a kind does harm, none is taken off the list.
+// Where more than half of a kind does harm, none is taken off the list.
 func TestHealthOracleLeavesEnough(t *testing.T) {
-	d := smallDay(t, `<happen at="2s" what="slow" kind="decode" count="4" factor="3" for="6s"/>`)
-	with, without := play(t, d, Options{Seed: 1, Oracles: Oracles{KnowHealth: true}}), play(t, d, Options{Seed: 1})
+	sc := smallScenario(t, `<happen at="2s" what="slow" kind="decode" count="4" factor="3" for="6s"/>`)
+	with, without := play(t, sc, Options{Seed: 1, Oracles: Oracles{KnowHealth: true}}), play(t, sc, Options{Seed: 1})
 	if with.Score.Service() != without.Score.Service() || with.Events != without.Events {
 		t.Errorf("%.4f with, %.4f without", with.Score.Service(), without.Score.Service())
 	}
--- a/internal/simulation/forecast/forecast_test.go
+++ b/internal/simulation/forecast/forecast_test.go
@@ -16,9 +16,11 @@
 func small(t *testing.T, rate string) *scenario.Scenario {
 	t.Helper()
 	d, err := scenario.Parse("x.xml", []byte(strings.Replace(`<day length="6s" rate="RATE" fronts="2" seed="3">
-  <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s" overload-factor="4" tip-after="2s" cancel="true"/>
+  <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s"
+    overload-factor="4" tip-after="2s" cancel="true"/>
   <engines kind="r" role="reader" count="2" slots="4" queue="8" memory="100000tokens" read-rate="20000/s"/>
-  <engines kind="w" role="writer" count="3" slots="8" queue="8" memory="100000tokens" read-rate="5000/s" step="10ms" fetch-rate="250000/s"/>
+  <engines kind="w" role="writer" count="3" slots="8" queue="8" memory="100000tokens" read-rate="5000/s" step="10ms"
+    fetch-rate="250000/s"/>
   <class name="c" effect="unsafe" share="1" aim="500ms" deadline="3s" prompt="400tokens" answer="30tokens"/>
   <happen at="2s" what="crash" kind="w" for="1s"/></day>`, "RATE", rate, 1)))
 	if err != nil {
--- a/internal/simulation/overload/overload_test.go
+++ b/internal/simulation/overload/overload_test.go
@@ -12,14 +12,15 @@
 func day(t *testing.T, happens string) *scenario.Scenario {
 	t.Helper()
 	d, err := scenario.Parse("day.xml", []byte(`<day length="30s" rate="90/s" fronts="8" seed="3">
-  <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s" overload-factor="4"
-    tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
+  <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s"
+    overload-factor="4" tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
   <engines kind="prefill" role="reader" count="4" slots="8" queue="40" memory="250000tokens" read-rate="20000/s"/>
-  <engines kind="decode" role="writer" count="8" slots="48" queue="24" memory="180000tokens" read-rate="7000/s" step="20ms"
-    step-per-stream="200us" fetch-rate="250000/s"/>
-  <class name="enquiry" effect="safe" share="0.7" aim="1s" deadline="5s" late-worth="0.3" prompt="300tokens" beginning="2000tokens"
-    beginning-share="0.8" answer="60tokens"/>
-  <class name="order" effect="unsafe" share="0.3" aim="2s" deadline="8s" worth="2" late-worth="0.3" prompt="1200tokens" answer="40tokens"/>
+  <engines kind="decode" role="writer" count="8" slots="48" queue="24" memory="180000tokens" read-rate="7000/s"
+    step="20ms" step-per-stream="200us" fetch-rate="250000/s"/>
+  <class name="enquiry" effect="safe" share="0.7" aim="1s" deadline="5s" late-worth="0.3" prompt="300tokens"
+    beginning="2000tokens" beginning-share="0.8" answer="60tokens"/>
+  <class name="order" effect="unsafe" share="0.3" aim="2s" deadline="8s" worth="2" late-worth="0.3"
+    prompt="1200tokens" answer="40tokens"/>
   `+happens+"</day>"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/trace/trace_test.go
+++ b/internal/simulation/trace/trace_test.go
@@ -171,11 +171,15 @@
 }
 
 const house = `<day length="60s" rate="40/s" fronts="2" seed="3">
-  <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s" overload-factor="4" tip-after="2s" cancel="true"/>
+  <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s"
+    overload-factor="4" tip-after="2s" cancel="true"/>
   <engines kind="r" role="reader" count="2" slots="4" queue="8" memory="100000tokens" read-rate="20000/s"/>
-  <engines kind="w" role="writer" count="3" slots="16" queue="8" memory="100000tokens" read-rate="5000/s" step="10ms" fetch-rate="250000/s"/>
-  <class name="a" effect="safe" share="0.6" aim="1s" deadline="5s" prompt="200tokens" beginning="800tokens" beginning-share="0.7" answer="30tokens" turns="2.5"/>
-  <class name="b" effect="unsafe" share="0.4" aim="1s" deadline="5s" prompt="500tokens" answer="15tokens" not-streamed-part="0.5"/></day>`
+  <engines kind="w" role="writer" count="3" slots="16" queue="8" memory="100000tokens" read-rate="5000/s"
+    step="10ms" fetch-rate="250000/s"/>
+  <class name="a" effect="safe" share="0.6" aim="1s" deadline="5s" prompt="200tokens" beginning="800tokens"
+    beginning-share="0.7" answer="30tokens" turns="2.5"/>
+  <class name="b" effect="unsafe" share="0.4" aim="1s" deadline="5s" prompt="500tokens" answer="15tokens"
+    not-streamed-part="0.5"/></day>`
 
 // recordedHouse is what a front would have recorded of the house's own clients.
 func recordedHouse(t *testing.T) (*scenario.Scenario, *Trace) {
