--- a/internal/simulation/ablation/ablation.go
+++ b/internal/simulation/ablation/ablation.go
@@ -1,14 +1,11 @@
-// Package ablation tells apart what fronts lose by being many. It plays one day at several numbers of fronts, as it is, with
-// each oracle of internal/lab/fleet alone, with all of them, and with all but one. What an oracle alone wins back is what
-// the want of that knowledge costs while everything else stays; what is lost again when it alone is taken from all is what
-// it costs where nothing else hides it. The two differ where causes mask one another.
+// Package ablation separates the causes of what replicas lose by being many. It plays one scenario at several numbers
+// of replicas: as it is, with each oracle of package fleet alone, with all of them, and with all but one. What an
+// oracle alone gains is the cost of not having that knowledge while everything else stays; what is lost when it alone
+// is taken from all is its cost where nothing else hides it. The two differ where causes mask one another.
 package ablation
 
 import (
 	"errors"
-	"fmt"
-	"io"
-	"text/tabwriter"
 
 	"gonum.org/v1/gonum/stat"
 
@@ -18,7 +15,7 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// Cause is something that a front can't know or must do without.
+// Cause is something that a replica can't know or must do without.
 type Cause struct {
 	Name string
 	set  func(*fleet.Oracles)
@@ -34,19 +31,19 @@
 	{"time-outs at sound engines", func(o *fleet.Oracles) { o.NoTimeouts = true }},
 }
 
-// Gain is a mean difference of service over paired courses, with its bars.
+// Gain is a mean difference of service over paired replications, with its confidence interval.
 type Gain struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
 }
 
-// Size is what came at one number of fronts.
+// Size is the outcome at one number of replicas.
 type Size struct {
 	Replicas   int             `json:"fronts"`
 	AsIs       float64         `json:"as_is"`
 	AllOracles float64         `json:"knows_all"` // with every oracle
-	Alone      map[string]Gain `json:"alone"`     // won by one oracle alone
+	Alone      map[string]Gain `json:"alone"`     // gained by one oracle alone
 	Last       map[string]Gain `json:"last"`      // lost where it alone is taken from all
 }
 
@@ -54,104 +51,105 @@
 type Plan struct {
 	Scenario *scenario.Scenario
 	Replicas []int
-	Runs     int // courses, each with clients of its own
+	Runs     int // replications, each with clients of its own
 	Parallel int
-	Level    float64 // of the bars
+	Level    float64 // of the confidence intervals
 }
 
-// Run plays.
-func Run(p Plan) ([]Size, error) {
-	if p.Runs < 3 || len(p.Replicas) == 0 || p.Level <= 0 || p.Level >= 1 {
-		return nil, errors.New("causes: 3 runs at least, a number of fronts, and a level between 0 and 1 are needed")
-	}
-	every := fleet.Oracles{}
-	for _, c := range All {
-		c.set(&every)
-	}
-	ways := []fleet.Oracles{{}, every}
+// minRuns is the least number of replications that give a confidence interval.
+const minRuns = 3
+
+// ErrPlan is returned for a plan that can't be played.
+var ErrPlan = errors.New(
+	"ablation: 3 runs at least, a number of replicas, and a level between 0 and 1 are needed")
+
+// variants are the sets of oracles that are compared.
+type variants struct {
+	sets []fleet.Oracles
+}
+
+// Indices of the sets: without oracles, with all, then for each cause with its oracle alone and with all others.
+const (
+	asIs       = 0
+	allOracles = 1
+)
+
+func (v variants) alone(cause int) int  { return 2 + 2*cause }
+func (v variants) others(cause int) int { return 3 + 2*cause }
+
+func newVariants() variants {
+	v := variants{sets: []fleet.Oracles{{}, others("")}}
 	for _, c := range All {
 		var alone fleet.Oracles
 		c.set(&alone)
-		ways = append(ways, alone, without(c))
+		v.sets = append(v.sets, alone, others(c.Name))
+	}
+	return v
+}
+
+// others returns all oracles but that of one cause.
+func others(cause string) (o fleet.Oracles) {
+	for _, c := range All {
+		if c.Name != cause {
+			c.set(&o)
+		}
+	}
+	return o
+}
+
+// Run plays the plan.
+func Run(p Plan) ([]Size, error) {
+	if p.Runs < minRuns || len(p.Replicas) == 0 || p.Level <= 0 || p.Level >= 1 {
+		return nil, ErrPlan
 	}
+	v := newVariants()
 	var sizes []Size
-	for _, fronts := range p.Replicas {
-		got, err := p.play(fronts, ways)
+	for _, replicas := range p.Replicas {
+		services, err := p.play(replicas, v.sets)
 		if err != nil {
 			return nil, err
 		}
-		s := Size{Replicas: fronts, AsIs: stat.Mean(got[0], nil), AllOracles: stat.Mean(got[1], nil), Alone: map[string]Gain{}, Last: map[string]Gain{}}
+		size := Size{
+			Replicas: replicas, AsIs: stat.Mean(services[asIs], nil), AllOracles: stat.Mean(services[allOracles], nil),
+			Alone: map[string]Gain{}, Last: map[string]Gain{},
+		}
 		for i, c := range All {
-			s.Alone[c.Name] = gain(got[0], got[2+2*i], p.Level)
-			s.Last[c.Name] = gain(got[3+2*i], got[1], p.Level)
+			size.Alone[c.Name] = newGain(services[asIs], services[v.alone(i)], p.Level)
+			size.Last[c.Name] = newGain(services[v.others(i)], services[allOracles], p.Level)
 		}
-		sizes = append(sizes, s)
+		sizes = append(sizes, size)
 	}
 	return sizes, nil
 }
 
-// without is every oracle but one.
-func without(not Cause) (o fleet.Oracles) {
-	for _, c := range All {
-		if c.Name != not.Name {
-			c.set(&o)
-		}
-	}
-	return o
-}
-
-// play gives the service of each course by each way.
-func (p *Plan) play(fronts int, ways []fleet.Oracles) ([][]float64, error) {
-	got := make([][]float64, len(ways))
-	for w := range ways {
-		got[w] = make([]float64, p.Runs)
+// play returns the service of each replication, by set of oracles.
+func (p *Plan) play(replicas int, sets []fleet.Oracles) ([][]float64, error) {
+	services := make([][]float64, len(sets))
+	for i := range sets {
+		services[i] = make([]float64, p.Runs)
 	}
-	err := replication.Run(len(ways)*p.Runs, p.Parallel, func(i int) error {
-		w, run := i/p.Runs, i%p.Runs
-		d := p.Scenario.Replication(run + 1)
-		d.Replicas = fronts
-		r, err := fleet.Run(d, fleet.Options{Seed: uint64(run) + 1, Oracles: ways[w]})
+	err := replication.Run(len(sets)*p.Runs, p.Parallel, func(i int) error {
+		set, run := i/p.Runs, i%p.Runs
+		played := p.Scenario.Replication(run + 1)
+		played.Replicas = replicas
+		result, err := fleet.Run(played, fleet.Options{Seed: uint64(run) + 1, Oracles: sets[set]})
 		if err == nil {
-			got[w][run] = r.Score.Service()
+			services[set][run] = result.Score.Service()
 		}
 		return err
 	})
-	return got, err
+	return services, err
 }
 
-func gain(less, more []float64, level float64) Gain {
-	diffs := make([]float64, len(less))
-	for i := range diffs {
-		diffs[i] = more[i] - less[i]
-	}
-	g := Gain{Mean: stat.Mean(diffs, nil)}
-	g.Low, g.High = forecast.Bootstrap(diffs, level, 2000)
-	return g
-}
+// resamples of the bootstrap.
+const resamples = 2000
 
-// Write gives a table for a person.
-func Write(w io.Writer, sizes []Size) error {
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
-	row := func(name string, cell func(s *Size) string) {
-		fmt.Fprintf(t, "%s\t", name)
-		for i := range sizes {
-			fmt.Fprintf(t, "%s\t", cell(&sizes[i]))
-		}
-		fmt.Fprintln(t)
-	}
-	row("fronts", func(s *Size) string { return fmt.Sprint(s.Replicas) })
-	row("as it is", func(s *Size) string { return fmt.Sprintf("%.4f", s.AsIs) })
-	for _, c := range All {
-		row("without "+c.Name, func(s *Size) string { return s.Alone[c.Name].String() })
-	}
-	row("without any", func(s *Size) string { return fmt.Sprintf("%.4f", s.AllOracles) })
-	for _, c := range All {
-		row("only "+c.Name, func(s *Size) string {
-			g := s.Last[c.Name]
-			return Gain{-g.Mean, -g.High, -g.Low}.String()
-		})
+func newGain(less, more []float64, level float64) Gain {
+	differences := make([]float64, len(less))
+	for i := range differences {
+		differences[i] = more[i] - less[i]
 	}
-	return t.Flush()
+	g := Gain{Mean: stat.Mean(differences, nil)}
+	g.Low, g.High = forecast.Bootstrap(differences, level, resamples)
+	return g
 }
-
-func (g Gain) String() string { return fmt.Sprintf("%+.4f (%+.3f to %+.3f)", g.Mean, g.Low, g.High) }
--- a/internal/simulation/ablation/ablation_test.go
+++ b/internal/simulation/ablation/ablation_test.go
@@ -1,15 +1,16 @@
 package ablation
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
 	"brackenbend/internal/simulation/scenario"
 )
 
-// TestCrowdedReadersAreNamed: on a calm day near its capacity, with beginnings shared by many, only crowding costs.
-func TestCrowdedReadersAreNamed(t *testing.T) {
-	d, err := scenario.Parse("calm.xml", []byte(`<day length="8s" rate="150/s" fronts="2" seed="3">
+// In a scenario without faults near the fleet's capacity, with prefixes shared by many, only crowding costs.
+func TestCrowdedPrefillEndpointsAreFound(t *testing.T) {
+	sc, err := scenario.Parse("calm.xml", []byte(`<day length="8s" rate="150/s" fronts="2" seed="3">
   <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s"
     overload-factor="4" tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
   <engines kind="prefill" role="reader" count="5" slots="8" queue="40" memory="250000tokens" read-rate="20000/s"/>
@@ -20,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sizes, err := Run(Plan{Scenario: d, Replicas: []int{2, 24}, Runs: 3, Parallel: 2, Level: 0.9})
+	sizes, err := Run(Plan{Scenario: sc, Replicas: []int{2, 24}, Runs: 3, Parallel: 2, Level: 0.9})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,14 +45,19 @@
 	}
 }
 
-func TestPlanIsChecked(t *testing.T) {
-	d, err := scenario.Default()
+func TestRunRejectsIncompletePlans(t *testing.T) {
+	sc, err := scenario.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range []Plan{{Scenario: d, Runs: 2, Replicas: []int{3}, Level: 0.9}, {Scenario: d, Runs: 3, Level: 0.9}, {Scenario: d, Runs: 3, Replicas: []int{3}}} {
-		if _, err := Run(p); err == nil {
-			t.Errorf("%+v taken", p)
+	plans := []Plan{
+		{Scenario: sc, Runs: 2, Replicas: []int{3}, Level: 0.9},
+		{Scenario: sc, Runs: 3, Level: 0.9},
+		{Scenario: sc, Runs: 3, Replicas: []int{3}},
+	}
+	for _, p := range plans {
+		if _, err := Run(p); !errors.Is(err, ErrPlan) {
+			t.Errorf("%+v: %v", p, err)
 		}
 	}
 }
--- a/internal/simulation/baseline/baseline.go
+++ b/internal/simulation/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package baseline has simple ways of deciding for a front, for comparisons only: no front runs them. They take the same
-// events and give the same actions as package choice, keep the rules that a front alone can keep (one answer in time,
-// nothing that may have run again unless it is safe, drains, release) and know nothing of caps, prefixes, health or cold
-// engines.
+// Package baseline has simple deciders, for comparisons only: no replica of the program runs them. They take the same
+// events and return the same actions as package routing, keep the rules that a replica alone can keep (one answer in
+// time, no retry of what may have run unless it is idempotent, drains, release) and know nothing of capacity, prefixes,
+// health or slow start.
 package baseline
 
 import (
@@ -13,225 +13,262 @@
 	"brackenbend/routing"
 )
 
-// Policy is how an engine is picked.
+// Policy is how an endpoint is picked.
 type Policy string
 
-// The ways.
+// The policies.
 const (
 	Random     Policy = "random"      // any
-	Fewest     Policy = "fewest"      // the one with the fewest own requests out
-	TwoChoices Policy = "two-choices" // the better of two at random, by own requests out
+	Fewest     Policy = "fewest"      // the one with the fewest own attempts open
+	TwoChoices Policy = "two-choices" // the better of two at random, by own attempts open
 )
 
 // Policies are all of them.
 var Policies = []Policy{Random, Fewest, TwoChoices}
 
-// Decider decides so for one front.
+// A PolicyError is returned for an unknown policy.
+type PolicyError struct{ Policy Policy }
+
+func (e *PolicyError) Error() string {
+	return fmt.Sprintf("baseline: no policy %q: %v", e.Policy, Policies)
+}
+
+// Decider makes the decisions of one replica. It is used by one goroutine.
 type Decider struct {
-	way     Policy
-	s       routing.Config
-	rnd     *rand.Rand
-	now     time.Duration
-	servers []*server // in the order in which they were first named
-	byID    map[routing.EndpointID]*server
-	open    map[routing.RequestID]*request
-	out     []routing.Action
+	policy   Policy
+	config   routing.Config
+	rnd      *rand.Rand
+	backends []*backend // in the order in which they were first listed
+	byID     map[routing.EndpointID]*backend
+	requests map[routing.RequestID]*request
+	actions  []routing.Action // of the present step
 }
 
-type server struct {
+type backend struct {
 	id    routing.EndpointID
 	role  routing.Role
 	ready bool
-	out   int
+	open  int // attempts
 }
 
 type request struct {
-	ev       routing.Request
-	sends    int
-	tries    int     // sends less reads that went well
-	at       *server // of the attempt that is out; nil = none is
-	read     bool    // a state waits
-	ran      bool    // an attempt may have run
-	answered bool
+	event     routing.Request
+	sends     int
+	attempts  int      // sends less prefills that are done
+	at        *backend // of the open attempt; nil = none is
+	prefilled bool     // a read state waits
+	ran       bool     // an attempt may have run
+	answered  bool
 }
 
-// New makes one.
-func New(way Policy, s routing.Config, seed uint64) (*Decider, error) {
-	if !slices.Contains(Policies, way) {
-		return nil, fmt.Errorf("baseline: no way %q: %v", way, Policies)
+const (
+	defaultMaxAttempts = 2
+	randomStream       = 77
+	retryAfter         = time.Second // of a rejection
+)
+
+// New returns a decider.
+func New(policy Policy, c routing.Config, seed uint64) (*Decider, error) {
+	if !slices.Contains(Policies, policy) {
+		return nil, &PolicyError{policy}
 	}
-	if err := s.Validate(); err != nil {
+	if err := c.Validate(); err != nil {
 		return nil, err
 	}
-	if s.MaxAttempts == 0 {
-		s.MaxAttempts = 2
+	if c.MaxAttempts == 0 {
+		c.MaxAttempts = defaultMaxAttempts
 	}
-	return &Decider{way: way, s: s, rnd: rand.New(rand.NewPCG(seed, 77)), byID: map[routing.EndpointID]*server{}, open: map[routing.RequestID]*request{}}, nil
+	return &Decider{
+		policy: policy, config: c, rnd: rand.New(rand.NewPCG(seed, randomStream)),
+		byID: map[routing.EndpointID]*backend{}, requests: map[routing.RequestID]*request{},
+	}, nil
 }
 
-// Step takes what happened and gives what is to be done.
+// Step takes events and returns the actions that follow from them.
 func (d *Decider) Step(now time.Duration, events []routing.Event) []routing.Action {
-	d.now, d.out = now, nil
+	d.actions = nil
 	for _, ev := range events {
 		switch ev := ev.(type) {
 		case routing.EndpointList:
-			d.list(ev)
+			d.onList(ev)
 		case routing.Request:
-			r := &request{ev: ev}
-			d.open[ev.ID] = r
-			if ev.PossibleDuplicate && d.s.Classes[ev.Class].Idempotency == routing.NotIdempotent {
-				d.fail(r, true)
-				break
-			}
-			d.act(routing.SetTimer{After: ev.Deadline - now, Tag: uint64(ev.ID)})
-			d.place(r)
+			d.onRequest(ev, now)
 		case routing.Outcome:
-			d.outcome(ev)
+			d.onOutcome(ev)
 		case routing.ClientDisconnected:
-			if r := d.open[ev.Request]; r != nil {
+			if r := d.requests[ev.Request]; r != nil {
 				d.end(r)
 			}
 		case routing.Timer:
-			if r := d.open[routing.RequestID(ev.Tag)]; r != nil && !r.answered {
+			if r := d.requests[routing.RequestID(ev.Tag)]; r != nil && !r.answered {
 				d.fail(r, false)
 			}
 		case routing.FirstToken:
-			if r := d.open[ev.Request]; r != nil {
+			if r := d.requests[ev.Request]; r != nil {
 				r.answered = true // the stream is the answer
 			}
 		}
 	}
-	return d.out
+	return d.actions
 }
 
-func (d *Decider) act(a routing.Action) { d.out = append(d.out, a) }
+func (d *Decider) act(a routing.Action) { d.actions = append(d.actions, a) }
 
-func (d *Decider) list(ev routing.EndpointList) {
+func (d *Decider) class(r *request) *routing.Class { return &d.config.Classes[r.event.Class] }
+
+func (d *Decider) onList(ev routing.EndpointList) {
 	if ev.Scope == routing.ListFailed {
 		return
 	}
 	if ev.Scope != routing.ListChanges {
-		for _, s := range d.servers {
-			s.ready = false
+		for _, b := range d.backends {
+			b.ready = false
 		}
 	}
-	for _, l := range ev.Endpoints {
-		s := d.byID[l.ID]
-		if s == nil {
-			s = &server{id: l.ID}
-			d.byID[l.ID] = s
-			d.servers = append(d.servers, s)
+	for _, endpoint := range ev.Endpoints {
+		b := d.byID[endpoint.ID]
+		if b == nil {
+			b = &backend{id: endpoint.ID}
+			d.byID[endpoint.ID] = b
+			d.backends = append(d.backends, b)
 		}
-		s.role, s.ready = d.s.Kinds[l.Kind].Role, l.State == routing.EndpointReady
+		b.role, b.ready = d.config.Kinds[endpoint.Kind].Role, endpoint.State == routing.EndpointReady
+	}
+}
+
+func (d *Decider) onRequest(ev routing.Request, now time.Duration) {
+	r := &request{event: ev}
+	d.requests[ev.ID] = r
+	if ev.PossibleDuplicate && d.class(r).Idempotency == routing.NotIdempotent {
+		d.fail(r, true)
+		return
 	}
+	d.act(routing.SetTimer{After: ev.Deadline - now, Tag: uint64(ev.ID)})
+	d.send(r)
 }
 
-// pick chooses among the ready servers of a stage.
-func (d *Decider) pick(write bool) *server {
-	var all []*server
-	for _, s := range d.servers {
-		if s.ready && (s.role == routing.RoleMixed && !write || s.role == routing.RoleDecode && write || s.role == routing.RolePrefill && !write) {
-			all = append(all, s)
+// pick returns a ready backend that serves a stage; nil where there is none.
+func (d *Decider) pick(decode bool) *backend {
+	var ready []*backend
+	for _, b := range d.backends {
+		if b.ready && b.serves(decode) {
+			ready = append(ready, b)
 		}
 	}
-	if len(all) == 0 {
+	if len(ready) == 0 {
 		return nil
 	}
-	best := all[d.rnd.IntN(len(all))]
-	switch d.way {
+	best := ready[d.rnd.IntN(len(ready))]
+	switch d.policy {
+	case Random:
 	case TwoChoices:
-		if o := all[d.rnd.IntN(len(all))]; o.out < best.out {
-			best = o
+		if other := ready[d.rnd.IntN(len(ready))]; other.open < best.open {
+			best = other
 		}
 	case Fewest:
-		for _, s := range all {
-			if s.out < best.out {
-				best = s
+		for _, b := range ready {
+			if b.open < best.open {
+				best = b
 			}
 		}
 	}
 	return best
 }
 
-// place sends a request on to its next stage.
-func (d *Decider) place(r *request) {
-	s := d.pick(r.read)
-	if s == nil || r.tries >= d.s.MaxAttempts {
-		d.giveUp(r)
+// serves reports whether requests are sent to the backend for a stage. An endpoint of both roles does both in one
+// attempt, which begins with the prefill.
+func (b *backend) serves(decode bool) bool {
+	if decode {
+		return b.role == routing.RoleDecode
+	}
+	return b.role == routing.RoleMixed || b.role == routing.RolePrefill
+}
+
+// send starts a request's next attempt.
+func (d *Decider) send(r *request) {
+	b := d.pick(r.prefilled)
+	if b == nil || r.attempts >= d.config.MaxAttempts {
+		d.rejectOrFail(r)
 		return
 	}
 	r.sends++
-	r.tries++
-	r.at = s
-	s.out++
-	d.act(routing.Send{Request: r.ev.ID, Endpoint: s.id})
+	r.attempts++
+	r.at = b
+	b.open++
+	d.act(routing.Send{Request: r.event.ID, Endpoint: b.id})
 }
 
-// giveUp refuses what surely has not run, and fails the rest.
-func (d *Decider) giveUp(r *request) {
-	class := &d.s.Classes[r.ev.Class]
+// rejectOrFail rejects a request that has surely not run, and fails others.
+func (d *Decider) rejectOrFail(r *request) {
+	class := d.class(r)
 	if r.ran && class.Idempotency != routing.Idempotent {
 		d.fail(r, false)
 		return
 	}
 	r.answered = true
-	d.act(routing.Reject{Request: r.ev.ID, RetryAfter: time.Second, NoAutoRetry: class.Idempotency == routing.NotIdempotent})
+	noAutoRetry := class.Idempotency == routing.NotIdempotent
+	d.act(routing.Reject{Request: r.event.ID, RetryAfter: retryAfter, NoAutoRetry: noAutoRetry})
 	d.end(r)
 }
 
-func (d *Decider) fail(r *request, earlier bool) {
+func (d *Decider) fail(r *request, possibleDuplicate bool) {
 	r.answered = true
-	d.act(routing.Fail{Request: r.ev.ID, PossibleDuplicate: earlier})
+	d.act(routing.Fail{Request: r.event.ID, PossibleDuplicate: possibleDuplicate})
 	d.end(r)
 }
 
-// end calls off what is out and lets go of what waits.
+// end cancels the open attempt and releases the read state.
 func (d *Decider) end(r *request) {
 	r.answered = true
 	if r.at != nil {
-		d.act(routing.Cancel{Request: r.ev.ID, Attempt: r.sends - 1})
+		d.act(routing.Cancel{Request: r.event.ID, Attempt: r.sends - 1})
 	}
-	d.act(routing.ReleaseState{Request: r.ev.ID})
+	d.act(routing.ReleaseState{Request: r.event.ID})
 	if r.at == nil {
-		delete(d.open, r.ev.ID)
+		delete(d.requests, r.event.ID)
 	}
 }
 
-func (d *Decider) outcome(ev routing.Outcome) {
-	r := d.open[ev.Request]
+func (d *Decider) onOutcome(ev routing.Outcome) {
+	r := d.requests[ev.Request]
 	if r == nil || r.at == nil {
 		return
 	}
-	s := r.at
-	s.out--
+	b := r.at
+	b.open--
 	r.at = nil
 	if ev.RequestDone || r.answered {
 		r.answered = true
 		d.act(routing.ReleaseState{Request: ev.Request})
-		delete(d.open, ev.Request)
+		delete(d.requests, ev.Request)
 		return
 	}
-	never := ev.Result.NeverExecuted()
-	switch {
-	case ev.Result == routing.PrefillDone:
-		r.read = true
-		r.tries-- // the read is no try of the whole
-		d.place(r)
+	if ev.Result == routing.PrefillDone {
+		r.prefilled = true
+		r.attempts-- // a prefill that is done counts as no attempt of the whole
+		d.send(r)
 		return
-	case s.role != routing.RolePrefill && !never: // reading has no effect
+	}
+	d.retry(r, ev, b)
+}
+
+// retry follows an attempt that failed at a backend.
+func (d *Decider) retry(r *request, ev routing.Outcome, b *backend) {
+	prefill := b.role == routing.RolePrefill
+	if !prefill && !ev.Result.NeverExecuted() { // a prefill alone has no effect
 		r.ran = true
 	}
-	if ev.StateMissing || s.role == routing.RolePrefill {
-		r.read = false
+	if ev.StateMissing || prefill {
+		r.prefilled = false
 		d.act(routing.ReleaseState{Request: ev.Request})
 	}
-	if r.ran && d.s.Classes[r.ev.Class].Idempotency != routing.Idempotent {
+	if r.ran && d.class(r).Idempotency != routing.Idempotent {
 		d.fail(r, false)
 		return
 	}
-	if s.role != routing.RolePrefill {
-		r.read = false // the state was fetched, or went with its writer
+	if !prefill {
+		r.prefilled = false // the state was fetched, or lost with the attempt
 		d.act(routing.ReleaseState{Request: ev.Request})
 	}
-	d.place(r)
+	d.send(r)
 }
--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -1,6 +1,7 @@
 package baseline_test
 
 import (
+	"errors"
 	"testing"
 
 	"brackenbend/internal/simulation/baseline"
@@ -9,30 +10,36 @@
 	"brackenbend/routing"
 )
 
-// TestBaselinesKeepWhatAFrontAloneCan: on the bad day they answer once and in time, run nothing twice, keep drains and let
-// go of states; of cold engines they know nothing.
-func TestBaselinesKeepWhatAFrontAloneCan(t *testing.T) {
-	d, err := scenario.Default()
+// slowStartRule is the index of the rule that baselines don't keep: they know nothing of slow start.
+const slowStartRule = 3
+
+// In the default scenario baselines answer once and in time, run nothing twice, keep drains and release states.
+func TestBaselinesKeepRules(t *testing.T) {
+	sc, err := scenario.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, way := range baseline.Policies {
-		r, err := fleet.Run(d, fleet.Options{Seed: 2, Audit: true, Decider: func(s routing.Config, seed uint64) (fleet.Decider, error) {
-			return baseline.New(way, s, seed)
-		}})
+	for _, policy := range baseline.Policies {
+		newDecider := func(c routing.Config, seed uint64) (fleet.Decider, error) { return baseline.New(policy, c, seed) }
+		r, err := fleet.Run(sc, fleet.Options{Seed: 2, Audit: true, Decider: newDecider})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, v := range r.Rules {
-			if i != 3 && (v.Checks == 0 || len(v.Violations) > 0) {
-				t.Errorf("%s: %s: %d checks, %.300v", way, v.Rule, v.Checks, v.Violations)
+			if i != slowStartRule && (v.Checks == 0 || len(v.Violations) > 0) {
+				t.Errorf("%s: %s: %d checks, %.300v", policy, v.Rule, v.Checks, v.Violations)
 			}
 		}
 		if s := r.Score.Service(); s < 0.5 {
-			t.Errorf("%s: service %.3f", way, s)
+			t.Errorf("%s: service %.3f", policy, s)
 		}
 	}
-	if _, err := baseline.New("guess", routing.Config{}, 1); err == nil {
-		t.Error("an unknown way was taken")
+}
+
+func TestNewRejectsUnknownPolicy(t *testing.T) {
+	_, err := baseline.New("guess", routing.Config{}, 1)
+	var unknown *baseline.PolicyError
+	if !errors.As(err, &unknown) || unknown.Policy != "guess" {
+		t.Errorf("policy guess: %v", err)
 	}
 }
--- a/internal/simulation/chart/chart.go
+++ b/internal/simulation/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws lines over time for reports. It owns how charts look, nothing of what they show.
+// Package chart draws lines over time for reports. It decides how charts look, not what they show.
 package chart
 
 import (
@@ -11,13 +11,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line is one course; NaN leaves a gap.
+// Line is one line of a chart; NaN leaves a gap.
 type Line struct {
 	Name string
 	X, Y []float64
 }
 
-var colours = []color.Color{
+// lineColors are used in turn.
+var lineColors = []color.Color{
 	color.RGBA{0x88, 0x88, 0x88, 0xff},
 	color.RGBA{0xc0, 0x39, 0x2b, 0xff},
 	color.RGBA{0x27, 0x6f, 0xbf, 0xff},
@@ -26,7 +27,7 @@
 	color.RGBA{0xd3, 0x84, 0x00, 0xff},
 }
 
-// Save draws lines into a file whose ending names the format (svg, png, pdf).
+// Save draws lines into a file; its extension is the format (svg, png, pdf).
 func Save(path, title, x, y string, lines ...Line) error {
 	p, err := draw(title, x, y, lines)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return p.Save(width, height, path)
 }
 
-// SVG draws lines for a page.
+// SVG draws lines as an element of an HTML page.
 func SVG(title, x, y string, lines ...Line) ([]byte, error) {
 	p, err := draw(title, x, y, lines)
 	if err != nil {
@@ -50,12 +51,13 @@
 		return nil, err
 	}
 	text := b.Bytes()
-	if i := bytes.Index(text, []byte("<svg")); i > 0 { // a page has no use for the XML head
+	if i := bytes.Index(text, []byte("<svg")); i > 0 { // the XML declaration has no place in a page
 		text = text[i:]
 	}
 	return text, nil
 }
 
+// The size of a chart on a page.
 const width, height = 18 * vg.Centimeter, 9 * vg.Centimeter
 
 func draw(title, x, y string, lines []Line) (*plot.Plot, error) {
@@ -64,44 +66,43 @@
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
 	for i, l := range lines {
-		colour := colours[i%len(colours)]
-		named := false
-		for _, pts := range pieces(l) {
-			line, err := plotter.NewLine(pts)
+		inLegend := false
+		for _, points := range splitAtGaps(l) {
+			line, err := plotter.NewLine(points)
 			if err != nil {
 				return nil, err
 			}
-			line.Color = colour
+			line.Color = lineColors[i%len(lineColors)]
 			p.Add(line)
-			if !named {
+			if !inLegend {
 				p.Legend.Add(l.Name, line)
-				named = true
+				inLegend = true
 			}
 		}
 	}
 	return p, nil
 }
 
-// pieces cuts a line at its gaps.
-func pieces(l Line) (out []plotter.XYs) {
-	var at plotter.XYs
+// splitAtGaps returns the parts of a line between its gaps.
+func splitAtGaps(l Line) (parts []plotter.XYs) {
+	var part plotter.XYs
 	for i, v := range l.Y {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
-			if len(at) > 0 {
-				out = append(out, at)
+			if len(part) > 0 {
+				parts = append(parts, part)
 			}
-			at = nil
+			part = nil
 			continue
 		}
-		at = append(at, plotter.XY{X: l.X[i], Y: v})
+		part = append(part, plotter.XY{X: l.X[i], Y: v})
 	}
-	if len(at) > 0 {
-		out = append(out, at)
+	if len(part) > 0 {
+		parts = append(parts, part)
 	}
-	return out
+	return parts
 }
 
-// Seconds gives 0, 1, 2 ... as x.
+// Seconds returns 0, 1, 2 ... as x.
 func Seconds(n int) []float64 {
 	out := make([]float64, n)
 	for i := range out {
@@ -110,12 +111,12 @@
 	return out
 }
 
-// Smooth is the mean over so many neighbours on either side; gaps are passed over.
-func Smooth(v []float64, by int) []float64 {
+// Smooth returns the moving mean over a number of neighbors on either side; gaps are left out.
+func Smooth(v []float64, neighbors int) []float64 {
 	out := make([]float64, len(v))
 	for i := range v {
 		sum, n := 0.0, 0.0
-		for j := max(0, i-by); j <= min(len(v)-1, i+by); j++ {
+		for j := max(0, i-neighbors); j <= min(len(v)-1, i+neighbors); j++ {
 			if !math.IsNaN(v[j]) {
 				sum, n = sum+v[j], n+1
 			}
--- /dev/null
+++ b/internal/simulation/overload/table.go
@@ -0,0 +1,24 @@
+package overload
+
+import (
+	"fmt"
+	"io"
+	"text/tabwriter"
+)
+
+// Write prints a table for people.
+func Write(w io.Writer, points []Point) error {
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	header := "LOOP\tLOAD\tGOODPUT BEFORE\tOVERLOADED\tWORST 2 S\tBACK AFTER\tNEVER\tTRIES\tATTEMPTS PER SERVED"
+	if _, err := fmt.Fprintln(table, header); err != nil {
+		return err
+	}
+	for _, p := range points {
+		_, err := fmt.Fprintf(table, "%s\t%g\t%.0f\t%.0f\t%.0f\t%.1f s\t%d\t%.2f\t%.1f\n", p.Loop, p.Load, p.Before,
+			p.Goodput, p.Worst, p.RecoverySeconds, p.NotRecovered, p.Tries, p.Sends)
+		if err != nil {
+			return err
+		}
+	}
+	return table.Flush()
+}
--- a/internal/simulation/replication/replication.go
+++ b/internal/simulation/replication/replication.go
@@ -1,4 +1,4 @@
-// Package replication plays many courses side by side, a few at once.
+// Package replication runs the replications of an experiment in parallel.
 package replication
 
 import (
@@ -6,19 +6,19 @@
 	"sync"
 )
 
-// Run calls do for 0 to n-1, atOnce of them at once (one where it is less), and joins their errors in the order of the numbers.
-func Run(n, atOnce int, do func(i int) error) error {
+// Run calls do for 0 to n-1, up to parallel of them at once (at least one), and joins their errors in the order of the
+// numbers. It returns once all calls have returned.
+func Run(n, parallel int, do func(i int) error) error {
 	errs := make([]error, n)
-	room := make(chan struct{}, max(atOnce, 1))
-	var wg sync.WaitGroup
+	slots := make(chan struct{}, max(parallel, 1))
+	var running sync.WaitGroup
 	for i := range n {
-		wg.Add(1)
-		room <- struct{}{}
-		go func() {
-			defer func() { <-room; wg.Done() }()
+		slots <- struct{}{}
+		running.Go(func() {
+			defer func() { <-slots }()
 			errs[i] = do(i)
-		}()
+		})
 	}
-	wg.Wait()
+	running.Wait()
 	return errors.Join(errs...)
 }
--- a/internal/simulation/replication/replication_test.go
+++ b/internal/simulation/replication/replication_test.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-func TestEachBoundsAndJoins(t *testing.T) {
-	var now, most, calls atomic.Int32
+func TestRunBoundsParallelCallsAndJoinsErrors(t *testing.T) {
+	var running, peak, calls atomic.Int32
 	err := Run(20, 3, func(i int) error {
 		calls.Add(1)
-		if n := now.Add(1); n > most.Load() {
-			most.Store(n)
+		if n := running.Add(1); n > peak.Load() {
+			peak.Store(n)
 		}
-		now.Add(-1)
+		running.Add(-1)
 		if i%10 == 4 {
 			return fmt.Errorf("number %d", i)
 		}
 		return nil
 	})
-	if calls.Load() != 20 || most.Load() > 3 {
-		t.Errorf("%d calls, %d at once", calls.Load(), most.Load())
+	if calls.Load() != 20 || peak.Load() > 3 {
+		t.Errorf("%d calls, %d at once", calls.Load(), peak.Load())
 	}
 	if err == nil || err.Error() != "number 4\nnumber 14" {
 		t.Errorf("%v", err)
