--- a/internal/simulation/faultsearch/faultsearch_test.go
+++ b/internal/simulation/faultsearch/faultsearch_test.go
@@ -1,6 +1,7 @@
 package faultsearch
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -10,9 +11,9 @@
 	"brackenbend/routing"
 )
 
-func day(t *testing.T) *scenario.Scenario {
+func testScenario(t *testing.T) *scenario.Scenario {
 	t.Helper()
-	d, err := scenario.Parse("house.xml", []byte(`<day length="12s" rate="30/s" fronts="2" seed="3">
+	sc, err := scenario.Parse("test.xml", []byte(`<day length="12s" rate="30/s" fronts="2" seed="3">
   <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s"
     overload-factor="4" tip-after="2s" cancel="true"/>
   <engines kind="r" role="reader" count="3" slots="4" queue="8" memory="100000tokens" read-rate="20000/s"/>
@@ -24,32 +25,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return sc
 }
 
-// forgetful decides as the module does, and lets go of nothing for a request of which an engine turned an attempt away,
-// failed it or broke off.
-type forgetful struct {
+// leakingDecider decides as the router does, and releases no state of a request of which an attempt failed.
+type leakingDecider struct {
 	fleet.Decider
-	met map[routing.RequestID]bool
+	failed map[routing.RequestID]bool
 }
 
-func (f *forgetful) Step(now time.Duration, events []routing.Event) (out []routing.Action) {
+func isFailure(r routing.Result) bool {
+	return r != routing.Served && r != routing.PrefillDone && r != routing.Canceled
+}
+
+func (l *leakingDecider) Step(now time.Duration, events []routing.Event) (actions []routing.Action) {
 	for _, ev := range events {
-		if o, ok := ev.(routing.Outcome); ok && o.Result != routing.Served && o.Result != routing.PrefillDone && o.Result != routing.Canceled {
-			f.met[o.Request] = true
+		if outcome, ok := ev.(routing.Outcome); ok && isFailure(outcome.Result) {
+			l.failed[outcome.Request] = true
 		}
 	}
-	for _, a := range f.Decider.Step(now, events) {
-		if r, lets := a.(routing.ReleaseState); !lets || !f.met[r.Request] {
-			out = append(out, a)
+	for _, action := range l.Decider.Step(now, events) {
+		if release, ok := action.(routing.ReleaseState); !ok || !l.failed[release.Request] {
+			actions = append(actions, action)
 		}
 	}
-	return out
+	return actions
 }
 
-func newForgetful(r fleet.Decider) fleet.Decider {
-	return &forgetful{r, map[routing.RequestID]bool{}}
+func newLeakingDecider(d fleet.Decider) fleet.Decider {
+	return &leakingDecider{d, map[routing.RequestID]bool{}}
 }
 
 func subject(wrap func(fleet.Decider) fleet.Decider) func(uint64) fleet.Options {
@@ -61,47 +65,54 @@
 	}
 }
 
-// TestAFaultThatNeedsATroubleIsFoundAndCutDown: a front that is wrong only where an engine failed it.
-func TestAFaultThatNeedsATroubleIsFoundAndCutDown(t *testing.T) {
-	d := day(t)
-	f, err := Run(Search{Scenario: d, Subject: subject(newForgetful), MaxFaults: 4, Rounds: 6, Draws: 12, Seed: 1, Parallel: 4})
+// A decider that violates a rule only after failures of engines is found, and the list of faults is reduced.
+func TestViolationIsFoundAndReduced(t *testing.T) {
+	sc := testScenario(t)
+	result, err := Run(Search{
+		Scenario: sc, Subject: subject(newLeakingDecider), MaxFaults: 4, Rounds: 6, Draws: 12, Seed: 1, Parallel: 4,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Violations == 0 || len(f.Faults) > 2 {
-		t.Errorf("%d breaches by %+v", f.Violations, f.Faults)
+	if result.Violations == 0 || len(result.Faults) > 2 {
+		t.Errorf("%d violations by %+v", result.Violations, result.Faults)
 	}
-	found, text, err := d.WithFaults(f.Faults, "found by a hunt -- after all")
+	found, text, err := sc.WithFaults(result.Faults, "found by a search -- after all")
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if strings.Contains(string(text), `count="3" for="9s"`) || strings.Contains(string(text), "<expect") || len(found.Faults) != len(f.Faults) {
-		t.Errorf("the day's own happenings are still there:\n%s", text)
+	if strings.Contains(string(text), `count="3" for="9s"`) || strings.Contains(string(text), "<expect") ||
+		len(found.Faults) != len(result.Faults) {
+		t.Errorf("the scenario's own faults are still there:\n%s", text)
 	}
-	again, err := fleet.Run(found, fleet.Options{Seed: 1, Audit: true, Decider: subject(newForgetful)(1).Decider})
+	again, err := fleet.Run(found, fleet.Options{Seed: 1, Audit: true, Decider: subject(newLeakingDecider)(1).Decider})
 	if err != nil || len(again.Rules[4].Violations) == 0 {
-		t.Errorf("the day that was written breaks nothing: %v", err)
+		t.Errorf("the scenario that was written violates nothing: %v", err)
 	}
 }
 
-// TestWhatIsLostGrowsByHunting, and the module breaks no rule on the way.
-func TestWhatIsLostGrowsByHunting(t *testing.T) {
+// The loss grows from round to round, and the router violates no rule meanwhile.
+func TestSearchIncreasesLoss(t *testing.T) {
 	var first, last float64
-	f, err := Run(Search{
-		Scenario: day(t), Subject: subject(func(r fleet.Decider) fleet.Decider { return r }), MaxFaults: 3, Rounds: 5, Draws: 8, Seed: 2, Parallel: 4,
+	result, err := Run(Search{
+		Scenario: testScenario(t), Subject: subject(func(r fleet.Decider) fleet.Decider { return r }),
+		MaxFaults: 3, Rounds: 5, Draws: 8, Seed: 2, Parallel: 4,
 		OnRound: func(round int, best Result) {
 			if last = best.Lost(); round == 0 {
 				first = last
 			}
 		},
 	})
-	if err != nil || f.Violations > 0 {
-		t.Fatalf("%v %+v", err, f)
+	if err != nil || result.Violations > 0 {
+		t.Fatalf("%v %+v", err, result)
 	}
-	if last < first || last < 0.05 || f.Lost() < stillBad*last {
-		t.Errorf("lost %.3f in the first round, %.3f in the last, %.3f after cutting down", first, last, f.Lost())
+	if last < first || last < 0.05 || result.Lost() < keptLoss*last {
+		t.Errorf("lost %.3f in the first round, %.3f in the last, %.3f after reduction", first, last, result.Lost())
 	}
-	if _, err := Run(Search{Scenario: day(t)}); err == nil {
-		t.Error("a hunt of no rounds was run")
+}
+
+func TestRunRejectsEmptySearch(t *testing.T) {
+	if _, err := Run(Search{Scenario: testScenario(t)}); !errors.Is(err, ErrNothingToSearch) {
+		t.Errorf("no rounds: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/simulation/forecast/compare.go
@@ -0,0 +1,200 @@
+package forecast
+
+import (
+	"errors"
+
+	"gonum.org/v1/gonum/stat"
+
+	"brackenbend/internal/simulation/fleet"
+	"brackenbend/internal/simulation/replication"
+	"brackenbend/internal/simulation/scenario"
+)
+
+// Subject is one of two fleets to compare. Their scenarios must agree on clients and length.
+type Subject struct {
+	Name     string
+	Scenario *scenario.Scenario
+	Make     func(seed uint64) fleet.Options
+	// Play plays a replication in place of fleet.Run with Make's options, as by another version of the program.
+	Play func(s *scenario.Scenario, seed uint64) (*Summary, error)
+}
+
+func (s *Subject) play(played *scenario.Scenario, seed uint64) (*Summary, error) {
+	if s.Play != nil {
+		return s.Play(played, seed)
+	}
+	result, err := fleet.Run(played, s.Make(seed))
+	if err != nil {
+		return nil, err
+	}
+	return Summarize(result), nil
+}
+
+// Summary is what a comparison needs of one replication.
+type Summary struct {
+	Service           float64           `json:"service"`
+	Worst             float64           `json:"worst_10s"`
+	Requests          int               `json:"requests"`
+	Refused           int               `json:"refused"`
+	Attempts          int               `json:"attempts"`
+	TransferredTokens float64           `json:"state_tokens"`
+	Violations        int               `json:"breaches"`
+	Timeline          []scenario.Second `json:"course"`
+}
+
+// Summarize returns the summary of a replication.
+func Summarize(r *fleet.Result) *Summary {
+	s := &Summary{
+		Service:           r.Score.Service(),
+		Worst:             r.Score.Worst(worstSeconds),
+		Attempts:          r.Attempts["read"] + r.Attempts["write"],
+		TransferredTokens: r.TransferredTokens,
+		Violations:        countViolations(r),
+		Timeline:          r.Score.Timeline,
+	}
+	classes, _ := r.Score.Rows()
+	for _, c := range classes {
+		s.Requests += c.Requests
+		s.Refused += c.Refused
+	}
+	return s
+}
+
+// Verdict is the outcome of a comparison.
+type Verdict string
+
+// The outcomes.
+const (
+	FirstBetter  Verdict = "the first is better"
+	SecondBetter Verdict = "the second is better"
+	NoDifference Verdict = "no difference that counts"
+	Undecided    Verdict = "can't tell"
+)
+
+// Comparison is the outcome of two fleets on the same replications of traffic. Arrays are by subject.
+type Comparison struct {
+	Names      [2]string  `json:"names"`
+	Means      [2]float64 `json:"means"`
+	Worst      [2]float64 `json:"worst_10s"`
+	Refused    [2]float64 `json:"refused"` // part of requests
+	Attempts   [2]float64 `json:"attempts_a_request"`
+	Moved      [2]float64 `json:"state_tokens_a_request"`
+	Violations [2]int     `json:"breaches"`
+	Diffs      []float64  `json:"differences"` // second less first, by replication
+	Mean       float64    `json:"difference"`
+	Low        float64    `json:"low"`
+	High       float64    `json:"high"`
+	Level      float64    `json:"level"`
+	Looks      int        `json:"looks"`
+	Bimodal    bool       `json:"two_heaps"` // of the differences: the mean says little
+	Verdict    Verdict    `json:"verdict"`
+
+	Timelines [2][]scenario.Second `json:"-"` // summed over all replications
+}
+
+// StoppingRule says when a comparison ends.
+type StoppingRule struct {
+	Level           float64 // of the confidence interval over all looks; 0.95
+	MinDifference   float64 // a difference below it does not count
+	BatchSize       int     // replications between two looks
+	MaxReplications int     // in all
+	Parallel        int
+}
+
+// looks returns the number of interim analyses.
+func (r StoppingRule) looks() int { return max((r.MaxReplications+r.BatchSize-1)/r.BatchSize, 1) }
+
+// ErrScenariosDiffer is returned for a comparison of scenarios that do not have the same clients.
+var ErrScenariosDiffer = errors.New(
+	"forecast: the two scenarios differ in length or classes; a comparison needs the same clients")
+
+// Compare plays replications until the answer is clear or there are enough. Each replication has clients of its own,
+// the same for both subjects. Repeated looks would find a difference where there is none, so each look has an even
+// part of the error probability (Bonferroni).
+func Compare(a, b Subject, r StoppingRule) (*Comparison, error) {
+	if a.Scenario.Length != b.Scenario.Length || len(a.Scenario.Classes) != len(b.Scenario.Classes) {
+		return nil, ErrScenariosDiffer
+	}
+	looks := r.looks()
+	level := 1 - (1-r.Level)/float64(looks)
+	c := &Comparison{Names: [2]string{a.Name, b.Name}, Level: r.Level}
+	subjects, requests := [2]Subject{a, b}, [2]float64{}
+	for c.Looks = 1; c.Looks <= looks; c.Looks++ {
+		pairs, err := playPairs(&subjects, len(c.Diffs), r)
+		if err != nil {
+			return nil, err
+		}
+		for _, pair := range pairs {
+			for k, summary := range pair {
+				c.add(k, summary, &requests[k])
+			}
+			c.Diffs = append(c.Diffs, pair[1].Service-pair[0].Service)
+		}
+		c.decide(level, r.MinDifference)
+		if c.Verdict != Undecided || len(c.Diffs) >= r.MaxReplications {
+			break
+		}
+	}
+	c.normalize(requests)
+	return c, nil
+}
+
+// playPairs plays the batch of replications that follows the first so many, with both subjects.
+func playPairs(subjects *[2]Subject, first int, r StoppingRule) ([][2]*Summary, error) {
+	pairs := make([][2]*Summary, min(r.BatchSize, r.MaxReplications-first))
+	err := replication.Run(2*len(pairs), r.Parallel, func(i int) error {
+		subject := &subjects[i%2]
+		seed := uint64(first + i/2 + 1)
+		summary, err := subject.play(subject.Scenario.Replication(int(seed)), seed)
+		pairs[i/2][i%2] = summary
+		return err
+	})
+	return pairs, err
+}
+
+// add adds a replication of the k-th subject to the sums.
+func (c *Comparison) add(k int, s *Summary, requests *float64) {
+	c.Means[k] += s.Service
+	c.Worst[k] += s.Worst
+	*requests += float64(s.Requests)
+	c.Refused[k] += float64(s.Refused)
+	c.Attempts[k] += float64(s.Attempts)
+	c.Moved[k] += s.TransferredTokens
+	c.Violations[k] += s.Violations
+	for i, second := range s.Timeline {
+		if i == len(c.Timelines[k]) {
+			c.Timelines[k] = append(c.Timelines[k], scenario.Second{})
+		}
+		c.Timelines[k][i].Worth += second.Worth
+		c.Timelines[k][i].Asked += second.Asked
+	}
+}
+
+// normalize turns the sums into means.
+func (c *Comparison) normalize(requests [2]float64) {
+	n := float64(len(c.Diffs))
+	for k := range c.Means {
+		c.Means[k] /= n
+		c.Worst[k] /= n
+		c.Refused[k] /= requests[k]
+		c.Attempts[k] /= requests[k]
+		c.Moved[k] /= requests[k]
+	}
+}
+
+// decide sets the interval of the mean difference, and the verdict.
+func (c *Comparison) decide(level, minDifference float64) {
+	c.Mean = stat.Mean(c.Diffs, nil)
+	c.Low, c.High = Bootstrap(c.Diffs, level, resamples)
+	c.Bimodal = isBimodal(c.Diffs)
+	switch {
+	case c.Low > minDifference:
+		c.Verdict = SecondBetter
+	case c.High < -minDifference:
+		c.Verdict = FirstBetter
+	case c.Low >= -minDifference && c.High <= minDifference:
+		c.Verdict = NoDifference
+	default:
+		c.Verdict = Undecided
+	}
+}
--- a/internal/simulation/forecast/forecast_test.go
+++ b/internal/simulation/forecast/forecast_test.go
@@ -1,6 +1,7 @@
 package forecast
 
 import (
+	"errors"
 	"math"
 	"math/rand/v2"
 	"strings"
@@ -12,10 +13,10 @@
 	"brackenbend/routing"
 )
 
-// small is a quick day in which engines die.
-func small(t *testing.T, rate string) *scenario.Scenario {
+// smallScenario is a short scenario in which engines crash.
+func smallScenario(t *testing.T, rate string) *scenario.Scenario {
 	t.Helper()
-	d, err := scenario.Parse("x.xml", []byte(strings.Replace(`<day length="6s" rate="RATE" fronts="2" seed="3">
+	sc, err := scenario.Parse("x.xml", []byte(strings.Replace(`<day length="6s" rate="RATE" fronts="2" seed="3">
   <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s"
     overload-factor="4" tip-after="2s" cancel="true"/>
   <engines kind="r" role="reader" count="2" slots="4" queue="8" memory="100000tokens" read-rate="20000/s"/>
@@ -26,66 +27,77 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return sc
 }
 
-func side(name string, d *scenario.Scenario, way baseline.Policy) Subject {
-	return Subject{Name: name, Scenario: d, Make: func(seed uint64) fleet.Options {
+func newSubject(name string, sc *scenario.Scenario, policy baseline.Policy) Subject {
+	return Subject{Name: name, Scenario: sc, Make: func(seed uint64) fleet.Options {
 		o := fleet.Options{Seed: seed}
-		if way != "" {
-			o.Decider = func(s routing.Config, seed uint64) (fleet.Decider, error) { return baseline.New(way, s, seed) }
+		if policy != "" {
+			o.Decider = func(s routing.Config, seed uint64) (fleet.Decider, error) { return baseline.New(policy, s, seed) }
 		}
 		return o
 	}}
 }
 
-// TestAThingAgainstItself: with other chances on the two sides, a difference is found no more often than is stated.
-func TestAThingAgainstItself(t *testing.T) {
-	d := small(t, "60/s")
-	found, told := 0, 0
+// Between a fleet and itself with other seeds, a difference is found no more often than the level allows.
+func TestCompareFleetWithItself(t *testing.T) {
+	sc := smallScenario(t, "60/s")
+	found, undecided := 0, 0
 	const trials = 40
 	for trial := range trials {
-		a, b := side("a", d, ""), side("a again", d, "")
+		a, b := newSubject("a", sc, ""), newSubject("a again", sc, "")
 		shift := uint64(1000 * (trial + 1))
 		a.Make = func(seed uint64) fleet.Options { return fleet.Options{Seed: seed + shift} }
 		b.Make = func(seed uint64) fleet.Options { return fleet.Options{Seed: seed + shift + 500} }
-		c, err := Compare(a, b, StoppingRule{Level: 0.95, MinDifference: 0, BatchSize: 6, MaxReplications: 12, Parallel: 4})
+		rule := StoppingRule{Level: 0.95, MinDifference: 0, BatchSize: 6, MaxReplications: 12, Parallel: 4}
+		c, err := Compare(a, b, rule)
 		if err != nil {
 			t.Fatal(err)
 		}
 		switch c.Verdict {
 		case FirstBetter, SecondBetter:
 			found++
+		case NoDifference:
 		case Undecided:
-			told++
+			undecided++
 		}
 	}
 	if found > 6 { // of 40 at 5%: more than 6 has a chance of 0.4%
-		t.Errorf("a difference between a thing and itself in %d of %d trials", found, trials)
+		t.Errorf("a difference between a fleet and itself in %d of %d trials", found, trials)
 	}
-	if found+told == 0 {
-		t.Error("never undecided where nothing counts as no difference: the bars can't be right")
+	if found+undecided == 0 {
+		t.Error("never undecided where nothing counts as no difference: the interval can't be right")
 	}
-	same, err := Compare(side("a", d, ""), side("a", d, ""), StoppingRule{Level: 0.95, MinDifference: 0.001, BatchSize: 4, MaxReplications: 12, Parallel: 4})
+	rule := StoppingRule{Level: 0.95, MinDifference: 0.001, BatchSize: 4, MaxReplications: 12, Parallel: 4}
+	same, err := Compare(newSubject("a", sc, ""), newSubject("a", sc, ""), rule)
 	if err != nil || same.Verdict != NoDifference || same.Mean != 0 || same.Looks != 1 {
-		t.Errorf("with the same chances: %+v %v", same, err)
+		t.Errorf("with the same seeds: %+v %v", same, err)
 	}
 }
 
-// TestAClearDifferenceIsFoundSoon: half the traffic, or random choice where engines fill up.
-func TestAClearDifferenceIsFoundSoon(t *testing.T) {
-	c, err := Compare(side("random", small(t, "110/s"), baseline.Random), side("choice", small(t, "110/s"), ""), StoppingRule{Level: 0.95, MinDifference: 0.005, BatchSize: 6, MaxReplications: 36, Parallel: 4})
+// The router against random choice, where engines fill up.
+func TestCompareFindsClearDifferenceEarly(t *testing.T) {
+	random := newSubject("random", smallScenario(t, "110/s"), baseline.Random)
+	router := newSubject("routing", smallScenario(t, "110/s"), "")
+	rule := StoppingRule{Level: 0.95, MinDifference: 0.005, BatchSize: 6, MaxReplications: 36, Parallel: 4}
+	c, err := Compare(random, router, rule)
 	if err != nil || c.Verdict != SecondBetter || c.Low <= 0.005 || len(c.Diffs) >= 36 {
 		t.Errorf("%+v %v", c, err)
 	}
-	other := small(t, "60/s")
+}
+
+func TestCompareRejectsOtherLength(t *testing.T) {
+	other := smallScenario(t, "60/s")
 	other.Length *= 2
-	if _, err := Compare(side("a", small(t, "60/s"), ""), side("b", other, ""), StoppingRule{Level: 0.95, BatchSize: 4, MaxReplications: 4}); err == nil {
-		t.Error("days of different lengths were compared")
+	a, b := newSubject("a", smallScenario(t, "60/s"), ""), newSubject("b", other, "")
+	_, err := Compare(a, b, StoppingRule{Level: 0.95, BatchSize: 4, MaxReplications: 4})
+	if !errors.Is(err, ErrScenariosDiffer) {
+		t.Errorf("scenarios of different lengths: %v", err)
 	}
 }
 
-// TestBootstrapHoldsItsLevel: bars at 95% hold the mean of skewed draws nearly as often, with few of them.
+// An interval at 95% holds the mean of skewed draws nearly as often, with few of them.
 func TestBootstrapHoldsItsLevel(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 5))
 	held := 0
@@ -110,8 +122,8 @@
 	}
 }
 
-// TestBarsOfADayThatTipsOrDoesNot span both ends.
-func TestBarsOfADayThatTipsOrDoesNot(t *testing.T) {
+// The interval of replications that fall into two clusters spans both.
+func TestIntervalSpansBothClusters(t *testing.T) {
 	f := &Forecast{Level: 0.95}
 	for i := range 20 {
 		f.Services = append(f.Services, 0.95-0.4*float64(i%2)+0.001*float64(i))
@@ -119,21 +131,21 @@
 	for _, v := range f.Services {
 		f.Mean += v / 20
 	}
-	f.bars(Model{Floor: leastFloor})
+	f.setInterval(Model{Floor: minFloor})
 	if !f.Holds(0.95) || !f.Holds(0.55) || f.High > 1 || f.Low < 0 {
 		t.Errorf("%+v", f)
 	}
-	if !heaps(f.Services) {
-		t.Error("two heaps were not seen")
+	if !isBimodal(f.Services) {
+		t.Error("two clusters were not found")
 	}
-	if heaps([]float64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}) {
-		t.Error("even values were taken for two heaps")
+	if isBimodal([]float64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}) {
+		t.Error("even values were taken for two clusters")
 	}
 }
 
-// TestFit: days that are off by a tenth of their loss give a model whose bars hold the next such day, and days that are
-// right give narrow bars.
-func TestFit(t *testing.T) {
+// Scenarios that are off by a tenth of their loss give a model with that part; those that are predicted exactly give
+// none.
+func TestFitFindsPartOfLoss(t *testing.T) {
 	var off, right []Pair
 	for i, mean := range []float64{0.8, 0.9, 0.95, 0.7} {
 		f := &Forecast{Mean: mean, SD: 0.001}
@@ -143,14 +155,14 @@
 	if m := Fit(off); math.Abs(m.Part-0.1) > 0.01 {
 		t.Errorf("%+v", m)
 	}
-	if m := Fit(right); m.Part != 0 || m.Floor != leastFloor {
+	if m := Fit(right); m.Part != 0 || m.Floor != minFloor {
 		t.Errorf("%+v", m)
 	}
-	f, err := Predict("x", small(t, "60/s"), 8, 4, 0.95, Fit(off))
+	f, err := Predict("x", smallScenario(t, "60/s"), 8, 4, 0.95, Fit(off))
 	if err != nil || f.Low >= f.Mean || f.High <= f.Mean || f.Rules > 0 {
 		t.Errorf("%+v %v", f, err)
 	}
-	if _, err := Predict("x", small(t, "60/s"), 2, 1, 0.95, Model{}); err == nil {
-		t.Error("error bars from two runs")
+	if _, err := Predict("x", smallScenario(t, "60/s"), 2, 1, 0.95, Model{}); !errors.Is(err, ErrTooFewRuns) {
+		t.Errorf("two runs: %v", err)
 	}
 }
--- a/internal/simulation/forecast/stored_test.go
+++ b/internal/simulation/forecast/golden_test.go
@@ -10,9 +10,8 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// stored demands that a value is written as it was before the renaming, and that reading that loses nothing. The golden
-// files are not updated while the renaming goes on.
-func stored[T any](t *testing.T, name string, v T) {
+// checkStored demands that a value is written as it was recorded, and that reading the record loses nothing.
+func checkStored[T any](t *testing.T, name string, v T) {
 	t.Helper()
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -32,21 +31,21 @@
 	}
 }
 
-func TestStoredOutputs(t *testing.T) {
-	stored(t, "summary.json", Summary{
+func TestStoredFormsAreUnchanged(t *testing.T) {
+	checkStored(t, "summary.json", Summary{
 		Service: 0.5, Worst: 0.25, Requests: 3, Refused: 4, Attempts: 5, TransferredTokens: 6.5, Violations: 7,
 		Timeline: []scenario.Second{{Worth: 1.5, Asked: 2.5}, {}},
 	})
-	stored(t, "forecast.json", Forecast{
+	checkStored(t, "forecast.json", Forecast{
 		Scenario: "bad.xml", Services: []float64{0.5, 0.75}, Mean: 0.625, SD: 0.125, Low: 0.5, High: 0.875,
 		Level: 0.95, Worst: 0.375, Rules: 3,
 	})
-	stored(t, "model.json", Model{Floor: 0.5, Part: 0.25})
-	stored(t, "comparison.json", Comparison{
+	checkStored(t, "model.json", Model{Floor: 0.5, Part: 0.25})
+	checkStored(t, "comparison.json", Comparison{
 		Names: [2]string{"a", "b"}, Means: [2]float64{1, 2}, Worst: [2]float64{3, 4},
 		Refused: [2]float64{5, 6}, Attempts: [2]float64{7, 8}, Moved: [2]float64{9, 10}, Violations: [2]int{11, 12},
 		Diffs: []float64{13, 14}, Mean: 15, Low: 16, High: 17, Level: 18, Looks: 19, Bimodal: true, Verdict: SecondBetter,
 		Timelines: [2][]scenario.Second{{{Worth: 1}}, nil},
 	})
-	stored(t, "verdicts.json", []Verdict{FirstBetter, SecondBetter, NoDifference, Undecided})
+	checkStored(t, "verdicts.json", []Verdict{FirstBetter, SecondBetter, NoDifference, Undecided})
 }
--- a/internal/simulation/forecast/report.go
+++ b/internal/simulation/forecast/report.go
@@ -13,44 +13,50 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// row is one line of a comparison.
+// row is one line of a comparison's table.
 type row struct{ What, A, B string }
 
 func (c *Comparison) rows() []row {
-	f := func(what, format string, v [2]float64) row {
+	format := func(what, format string, v [2]float64) row {
 		return row{what, fmt.Sprintf(format, v[0]), fmt.Sprintf(format, v[1])}
 	}
-	rows := []row{
-		f("service", "%.4f", c.Means), f("worst 10 s", "%.4f", c.Worst), f("part refused", "%.4f", c.Refused),
-		f("attempts a request", "%.2f", c.Attempts), f("state tokens moved a request", "%.0f", c.Moved),
+	return []row{
+		format("service", "%.4f", c.Means),
+		format("worst 10 s", "%.4f", c.Worst),
+		format("part refused", "%.4f", c.Refused),
+		format("attempts a request", "%.2f", c.Attempts),
+		format("state tokens moved a request", "%.0f", c.Moved),
+		{"rules broken", fmt.Sprint(c.Violations[0]), fmt.Sprint(c.Violations[1])},
 	}
-	return append(rows, row{"rules broken", fmt.Sprint(c.Violations[0]), fmt.Sprint(c.Violations[1])})
 }
 
-// answer is the verdict in a sentence.
-func (c *Comparison) answer() string {
-	s := fmt.Sprintf("%s: service differs by %+.4f, %.0f%% bars %+.4f to %+.4f, %d courses, %d looks", c.Verdict, c.Mean, 100*c.Level, c.Low, c.High,
-		len(c.Diffs), c.Looks)
+// sentence returns the verdict with its figures.
+func (c *Comparison) sentence() string {
+	text := fmt.Sprintf("%s: service differs by %+.4f, %.0f%% bars %+.4f to %+.4f, %d courses, %d looks",
+		c.Verdict, c.Mean, 100*c.Level, c.Low, c.High, len(c.Diffs), c.Looks)
 	if c.Bimodal {
-		s += "; the differences fall into two heaps, so the mean says little: see the courses"
+		text += "; the differences fall into two heaps, so the mean says little: see the courses"
 	}
-	return s
+	return text
 }
 
 // WriteText prints a comparison for people.
 func (c *Comparison) WriteText(out io.Writer) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "SIMULATED\t%s\t%s\n", c.Names[0], c.Names[1])
-	for _, r := range c.rows() {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", r.What, r.A, r.B)
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	rows := append([]row{{"SIMULATED", c.Names[0], c.Names[1]}}, c.rows()...)
+	for _, r := range rows {
+		if _, err := fmt.Fprintf(table, "%s\t%s\t%s\n", r.What, r.A, r.B); err != nil {
+			return err
+		}
 	}
-	if err := w.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "\n%s\n", c.answer())
+	_, err := fmt.Fprintf(out, "\n%s\n", c.sentence())
 	return err
 }
 
+//nolint:lll // the page's lines as they are served
 var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font:16px sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}td,th{padding:.3em 1em;border-bottom:1px solid #ccc;text-align:left}svg{max-width:100%;height:auto}</style>
@@ -60,35 +66,25 @@
 </html>
 `))
 
-// WriteHTML writes a page with plots: service over time on both sides, and the differences of all courses.
+// smoothSeconds is how many seconds on either side the plotted service is averaged over.
+const smoothSeconds = 2
+
+// WriteHTML writes a page with plots: service over time of both subjects, and the differences of all replications.
 func (c *Comparison) WriteHTML(out io.Writer) error {
-	var lines []chart.Line
-	for k, name := range c.Names {
-		lines = append(lines, chart.Line{Name: name, X: chart.Seconds(len(c.Timelines[k])), Y: chart.Smooth(course(c.Timelines[k]), 2)})
-	}
-	over, err := chart.SVG("service by the time of asking, all courses, mean of 5 s", "seconds", "service", lines...)
+	services, err := c.plotServices()
 	if err != nil {
 		return err
 	}
-	sorted := slices.Sorted(slices.Values(c.Diffs))
-	flat := func(v float64) []float64 {
-		out := make([]float64, len(sorted))
-		for i := range out {
-			out[i] = v
-		}
-		return out
-	}
-	x := chart.Seconds(len(sorted))
-	diffs, err := chart.SVG("difference of service by course, smallest first", "course", "second less first", chart.Line{Name: "courses", X: x, Y: sorted},
-		chart.Line{Name: "bars of the mean", X: x, Y: flat(c.Low)}, chart.Line{X: x, Y: flat(c.High)})
+	differences, err := c.plotDifferences()
 	if err != nil {
 		return err
 	}
 	var b bytes.Buffer
 	err = page.Execute(&b, map[string]any{
-		"Title": c.Names[0] + " and " + c.Names[1], "Answer": c.answer(), "Names": c.Names, "Rows": c.rows(),
-		"Plots": []template.HTML{template.HTML(over), template.HTML(diffs)},
-	}) // drawn here, from figures
+		"Title": c.Names[0] + " and " + c.Names[1], "Answer": c.sentence(), "Names": c.Names, "Rows": c.rows(),
+		// Both are drawn here, from figures: nothing in them needs to be escaped.
+		"Plots": []template.HTML{template.HTML(services), template.HTML(differences)},
+	})
 	if err != nil {
 		return err
 	}
@@ -96,13 +92,32 @@
 	return err
 }
 
-func course(s []scenario.Second) []float64 {
-	out := make([]float64, len(s))
-	for i, v := range s {
-		out[i] = math.NaN()
-		if v.Asked > 0 {
-			out[i] = v.Worth / v.Asked
+func (c *Comparison) plotServices() ([]byte, error) {
+	var lines []chart.Line
+	for k, name := range c.Names {
+		y := chart.Smooth(serviceBySecond(c.Timelines[k]), smoothSeconds)
+		lines = append(lines, chart.Line{Name: name, X: chart.Seconds(len(y)), Y: y})
+	}
+	return chart.SVG("service by the time of asking, all courses, mean of 5 s", "seconds", "service", lines...)
+}
+
+func (c *Comparison) plotDifferences() ([]byte, error) {
+	sorted := slices.Sorted(slices.Values(c.Diffs))
+	x := chart.Seconds(len(sorted))
+	return chart.SVG("difference of service by course, smallest first", "course", "second less first",
+		chart.Line{Name: "courses", X: x, Y: sorted},
+		chart.Line{Name: "bars of the mean", X: x, Y: slices.Repeat([]float64{c.Low}, len(sorted))},
+		chart.Line{X: x, Y: slices.Repeat([]float64{c.High}, len(sorted))})
+}
+
+// serviceBySecond returns the service of each second; NaN where nothing was requested.
+func serviceBySecond(timeline []scenario.Second) []float64 {
+	services := make([]float64, len(timeline))
+	for i, second := range timeline {
+		services[i] = math.NaN()
+		if second.Asked > 0 {
+			services[i] = second.Worth / second.Asked
 		}
 	}
-	return out
+	return services
 }
