--- a/internal/simulation/ablation/ablation_test.go
+++ b/internal/simulation/ablation/ablation_test.go
@@ -10,7 +10,7 @@
 
 // In a scenario without faults near the fleet's capacity, with prefixes shared by many, only crowding costs.
 func TestCrowdedPrefillEndpointsAreFound(t *testing.T) {
-	sc, err := scenario.Parse("calm.xml", []byte(`<day length="8s" rate="150/s" fronts="2" seed="3">
+	sc, err := scenario.Parse("normal.xml", []byte(`<day length="8s" rate="150/s" fronts="2" seed="3">
   <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s"
     overload-factor="4" tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
   <engines kind="prefill" role="reader" count="5" slots="8" queue="40" memory="250000tokens" read-rate="20000/s"/>
--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -20,19 +20,21 @@
 		t.Fatal(err)
 	}
 	for _, policy := range baseline.Policies {
-		newDecider := func(c routing.Config, seed uint64) (fleet.Decider, error) { return baseline.New(policy, c, seed) }
-		r, err := fleet.Run(sc, fleet.Options{Seed: 2, Audit: true, Decider: newDecider})
-		if err != nil {
-			t.Fatal(err)
-		}
-		for i, v := range r.Rules {
-			if i != slowStartRule && (v.Checks == 0 || len(v.Violations) > 0) {
-				t.Errorf("%s: %s: %d checks, %.300v", policy, v.Rule, v.Checks, v.Violations)
+		t.Run(string(policy), func(t *testing.T) {
+			newDecider := func(c routing.Config, seed uint64) (fleet.Decider, error) { return baseline.New(policy, c, seed) }
+			r, err := fleet.Run(sc, fleet.Options{Seed: 2, Audit: true, Decider: newDecider})
+			if err != nil {
+				t.Fatal(err)
 			}
-		}
-		if s := r.Score.Service(); s < 0.5 {
-			t.Errorf("%s: service %.3f", policy, s)
-		}
+			for i, v := range r.Rules {
+				if i != slowStartRule && (v.Checks == 0 || len(v.Violations) > 0) {
+					t.Errorf("%s: %d checks, %.300v", v.Rule, v.Checks, v.Violations)
+				}
+			}
+			if s := r.Score.Service(); s < 0.5 {
+				t.Errorf("service %.3f", s)
+			}
+		})
 	}
 }
 
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -138,24 +138,27 @@
 // Long prompts are followed by long answers, and engines change role by package roles. Though all replicas are killed
 // meanwhile, planners stopped and engines forced, every command is carried out.
 func TestEnginesChangeRole(t *testing.T) {
-	for file, readers := range map[string]int{"roles-shift": 7, "roles-restart": 8, "roles-two": 1} {
-		sc, err := scenario.Load("../../../scenarios/" + file + ".xml")
-		if err != nil {
-			t.Fatal(err)
-		}
-		r := play(t, sc, Options{Seed: 1, Audit: true})
-		for _, v := range r.Rules {
-			if len(v.Violations) > 0 {
-				t.Errorf("%s: %s: %.300v", file, v.Rule, v.Violations)
+	for file, maxPrefill := range map[string]int{"roles-shift": 7, "roles-restart": 8, "roles-two": 1} {
+		t.Run(file, func(t *testing.T) {
+			sc, err := scenario.Load("../../../scenarios/" + file + ".xml")
+			if err != nil {
+				t.Fatal(err)
 			}
-		}
-		last := r.Roles[len(r.Roles)-1]
-		if last.Orders == 0 || last.Changing > 0 || last.Readers > readers || last.Readers+last.Writers > sc.Engines() {
-			t.Errorf("%s: at the end %+v", file, last)
-		}
-		if again := play(t, sc, Options{Seed: 1, Audit: true, Shards: 3}); !reflect.DeepEqual(r.Roles, again.Roles) {
-			t.Errorf("%s: shards change the roles", file)
-		}
+			r := play(t, sc, Options{Seed: 1, Audit: true})
+			for _, v := range r.Rules {
+				if len(v.Violations) > 0 {
+					t.Errorf("%s: %.300v", v.Rule, v.Violations)
+				}
+			}
+			last := r.Roles[len(r.Roles)-1]
+			if last.Commands == 0 || last.Changing > 0 || last.Prefill > maxPrefill ||
+				last.Prefill+last.Decode > sc.Engines() {
+				t.Errorf("at the end %+v", last)
+			}
+			if again := play(t, sc, Options{Seed: 1, Audit: true, Shards: 3}); !reflect.DeepEqual(r.Roles, again.Roles) {
+				t.Error("shards change the roles")
+			}
+		})
 	}
 }
 
@@ -163,12 +166,12 @@
 func TestFlappingEngineIsListedAgain(t *testing.T) {
 	flap := smallScenario(t, `<happen at="2s" what="register-flap" kind="decode" count="2" for="4s"/>`)
 	r := play(t, flap, Options{Seed: 1, Audit: true})
-	calm := play(t, smallScenario(t, ""), Options{Seed: 1, Audit: true})
+	normal := play(t, smallScenario(t, ""), Options{Seed: 1, Audit: true})
 	if checks := r.Rules[2].Checks; checks <= 0 || len(r.Rules[2].Violations) > 0 {
 		t.Errorf("third rule: %+v", r.Rules[2])
 	}
-	if math.Abs(r.Score.Service()-calm.Score.Service()) > 0.05 || r.Events == calm.Events {
-		t.Errorf("service %.3f with flapping, %.3f without", r.Score.Service(), calm.Score.Service())
+	if math.Abs(r.Score.Service()-normal.Score.Service()) > 0.05 || r.Events == normal.Events {
+		t.Errorf("service %.3f with flapping, %.3f without", r.Score.Service(), normal.Score.Service())
 	}
 	f := fleet{scheduler: newScheduler(1, time.Millisecond)}
 	server := &apiServer{fleet: &f, engines: make([]listedEngine, 1)}
@@ -195,9 +198,9 @@
 func TestSlowClientsDelayOnlyThemselves(t *testing.T) {
 	fault := `<happen at="0s" what="slow-readers" part="1" for="12s"/>`
 	slow := play(t, smallScenario(t, fault), Options{Seed: 1, Audit: true})
-	calm := play(t, smallScenario(t, ""), Options{Seed: 1, Audit: true})
-	if math.Abs(slow.Score.Service()-calm.Score.Service()) > 1e-9 {
-		t.Errorf("service %.4f with slow readers, %.4f without", slow.Score.Service(), calm.Score.Service())
+	normal := play(t, smallScenario(t, ""), Options{Seed: 1, Audit: true})
+	if math.Abs(slow.Score.Service()-normal.Score.Service()) > 1e-9 {
+		t.Errorf("service %.4f with slow clients, %.4f without", slow.Score.Service(), normal.Score.Service())
 	}
 	for i, v := range slow.Rules {
 		if len(v.Violations) > 0 {
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -101,9 +101,12 @@
 // hasOracle reports whether an oracle concerns a request that the router sends to an engine.
 func (r *replica) hasOracle(request *inflightRequest, picked int, role routing.Role) bool {
 	o, e := r.fleet.options.Oracles, r.fleet.engines[picked]
+	if !o.any() { // several shards are allowed: the engine's state must not be read from here
+		return false
+	}
 	slowStart := e.model.Present() < 1
 	switch {
-	case !o.any(), role == routing.RoleMixed, !e.healthy():
+	case role == routing.RoleMixed, !e.healthy():
 		return false
 	case role == routing.RoleDecode && r.mayHaveEffect(request) && r.wasDecoded(request):
 		return false
--- a/internal/simulation/fleet/oracle_test.go
+++ b/internal/simulation/fleet/oracle_test.go
@@ -36,33 +36,39 @@
 		oracles      Oracles
 		minGain      float64
 	}{
-		{"reads", "", Oracles{KnowPrefillLoad: true}, 0.02},
+		{"prefill load", "", Oracles{KnowPrefillLoad: true}, 0.02},
 		{
-			"writes", `<happen at="2s" what="surge" factor="1.5" for="6s"/>`,
+			"decode load", `<happen at="2s" what="surge" factor="1.5" for="6s"/>`,
 			Oracles{KnowPrefillLoad: true, KnowDecodeLoad: true},
 			0.02,
 		},
 		{"health", `<happen at="2s" what="stall" kind="decode" count="2" for="8s"/>`, Oracles{KnowHealth: true}, 0.02},
-		{"cold", `<happen at="1s" what="crash" kind="prefill" count="3" for="2s"/>`, Oracles{KnowSlowStart: true}, 0.01},
+		{
+			"slow start", `<happen at="1s" what="crash" kind="prefill" count="3" for="2s"/>`,
+			Oracles{KnowSlowStart: true},
+			0.01,
+		},
 	}
 	for _, tc := range tests {
-		sc := smallScenario(t, tc.faults)
-		without, with := 0.0, 0.0 // means over three replications
-		for seed := range 3 {
-			sc.Seed++
-			without += play(t, sc, Options{Seed: uint64(seed)}).Score.Service() / 3
-			r := play(t, sc, Options{Seed: uint64(seed), Audit: true, Oracles: tc.oracles})
-			with += r.Score.Service() / 3
-			for i, v := range r.Rules {
-				if len(v.Violations) > 0 {
-					t.Errorf("%s: rule %d: %.300v", tc.name, i+1, v.Violations)
+		t.Run(tc.name, func(t *testing.T) {
+			sc := smallScenario(t, tc.faults)
+			without, with := 0.0, 0.0 // means over three replications
+			for seed := range 3 {
+				sc.Seed++
+				without += play(t, sc, Options{Seed: uint64(seed)}).Score.Service() / 3
+				r := play(t, sc, Options{Seed: uint64(seed), Audit: true, Oracles: tc.oracles})
+				with += r.Score.Service() / 3
+				for i, v := range r.Rules {
+					if len(v.Violations) > 0 {
+						t.Errorf("rule %d: %.300v", i+1, v.Violations)
+					}
 				}
 			}
-		}
-		t.Logf("%s: %.3f without, %.3f with", tc.name, without, with)
-		if with < without+tc.minGain {
-			t.Errorf("%s: %.3f without, %.3f with", tc.name, without, with)
-		}
+			t.Logf("%.3f without, %.3f with", without, with)
+			if with < without+tc.minGain {
+				t.Errorf("%.3f without, %.3f with", without, with)
+			}
+		})
 	}
 }
 
--- a/internal/simulation/fleet/planner.go
+++ b/internal/simulation/fleet/planner.go
@@ -14,10 +14,10 @@
 
 // RoleSample is how the engines that change role were assigned at a step of the planner.
 type RoleSample struct {
-	At                         time.Duration
-	Readers, Writers, Changing int
-	Reading, Writing           float64 // work requested, in engines
-	Orders                     uint64
+	At                          time.Duration
+	Prefill, Decode, Changing   int     // engines
+	PrefillDemand, DecodeDemand float64 // work requested, in engines
+	Commands                    uint64  // so far
 }
 
 // Messages between planners, replicas and the API server.
@@ -273,7 +273,7 @@
 func (p *plannerProcess) sample(plan roles.Plan, assignments roles.Assignments) {
 	serving, changing := assignments.CountServing()
 	p.samples = append(p.samples, RoleSample{
-		At: p.now(), Reading: plan.Reading, Writing: plan.Writing, Orders: assignments.Orders,
-		Readers: serving[roles.Prefill], Writers: serving[roles.Decode], Changing: changing,
+		At: p.now(), PrefillDemand: plan.Reading, DecodeDemand: plan.Writing, Commands: assignments.Orders,
+		Prefill: serving[roles.Prefill], Decode: serving[roles.Decode], Changing: changing,
 	})
 }
--- a/internal/simulation/overload/overload_test.go
+++ b/internal/simulation/overload/overload_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"strings"
 	"testing"
 	"time"
@@ -41,22 +42,23 @@
 func TestServiceRecovers(t *testing.T) {
 	for _, faults := range []string{"", `<happen at="7s" what="crash" kind="prefill" count="2" for="2s"/>`} {
 		for _, replicas := range []int{2, 24} {
-			sc := parse(t, faults)
-			sc.Replicas = replicas
-			points, err := Run(plan(sc, 1, 3, 12))
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, p := range points {
-				t.Logf("%d replicas %+v", replicas, p)
-				if p.NotRecovered > 0 || p.RecoverySeconds > 8 {
-					t.Errorf("%d replicas, %g times: recovered after %.1f s, %d never",
-						replicas, p.Load, p.RecoverySeconds, p.NotRecovered)
+			t.Run(fmt.Sprintf("%d replicas, crash %v", replicas, faults != ""), func(t *testing.T) {
+				sc := parse(t, faults)
+				sc.Replicas = replicas
+				points, err := Run(plan(sc, 1, 3, 12))
+				if err != nil {
+					t.Fatal(err)
 				}
-				if faults == "" && p.Goodput < 0.6*points[0].Goodput {
-					t.Errorf("%d replicas, %g times: goodput %.0f of %.0f", replicas, p.Load, p.Goodput, points[0].Goodput)
+				for _, p := range points {
+					t.Logf("%+v", p)
+					if p.NotRecovered > 0 || p.RecoverySeconds > 8 {
+						t.Errorf("%g times: recovered after %.1f s, %d never", p.Load, p.RecoverySeconds, p.NotRecovered)
+					}
+					if faults == "" && p.Goodput < 0.6*points[0].Goodput {
+						t.Errorf("%g times: goodput %.0f of %.0f", p.Load, p.Goodput, points[0].Goodput)
+					}
 				}
-			}
+			})
 		}
 	}
 }
--- a/internal/simulation/rolesim/sim_test.go
+++ b/internal/simulation/rolesim/sim_test.go
@@ -22,20 +22,22 @@
 		{Swing(16, 30*time.Second), 0, 0.005},
 		{MassRestart(16), 0, 0},
 	} {
-		c.scenario.Seed = 3
-		_, fixed := BestFixed(c.scenario)
-		planned := Run(c.scenario, &Planned{Prefill: c.scenario.Engines / 2})
-		floor := fixed.Service() - c.lag
-		if c.gapClosed > 0 {
-			clairvoyant := Run(c.scenario, &Clairvoyant{})
-			floor += c.gapClosed * (clairvoyant.Service() - fixed.Service())
-		}
-		if planned.Service() < floor {
-			t.Errorf("%s: planned %.4f, at least %.4f is wanted", c.scenario.Name, planned.Service(), floor)
-		}
-		if planned.MinDwell > 0 && planned.MinDwell < time.Minute {
-			t.Errorf("%s: an engine changed again after %v", c.scenario.Name, planned.MinDwell)
-		}
+		t.Run(c.scenario.Name, func(t *testing.T) {
+			c.scenario.Seed = 3
+			_, fixed := BestFixed(c.scenario)
+			planned := Run(c.scenario, &Planned{Prefill: c.scenario.Engines / 2})
+			floor := fixed.Service() - c.lag
+			if c.gapClosed > 0 {
+				clairvoyant := Run(c.scenario, &Clairvoyant{})
+				floor += c.gapClosed * (clairvoyant.Service() - fixed.Service())
+			}
+			if planned.Service() < floor {
+				t.Errorf("planned %.4f, at least %.4f is wanted", planned.Service(), floor)
+			}
+			if planned.MinDwell > 0 && planned.MinDwell < time.Minute {
+				t.Errorf("an engine changed again after %v", planned.MinDwell)
+			}
+		})
 	}
 }
 
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -26,43 +26,49 @@
 		t.Fatal(files, err)
 	}
 	for _, f := range files {
-		sc, err := Load(f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		again, text, err := sc.WithFaults(sc.Faults, "a note -- with dashes")
-		if err != nil {
-			t.Fatalf("%s: %v\n%s", f, err, text)
-		}
-		for i := range again.Faults {
-			a, b := sc.Faults[i], again.Faults[i]
-			a.Pos = b.Pos
-			if a != b {
-				t.Errorf("%s: %+v came back as %+v", f, a, b)
+		t.Run(filepath.Base(f), func(t *testing.T) {
+			sc, err := Load(f)
+			if err != nil {
+				t.Fatal(err)
 			}
-		}
-		if len(again.Faults) != len(sc.Faults) || !reflect.DeepEqual(again.Service.StateTTL, sc.Service.StateTTL) {
-			t.Errorf("%s: %d faults of %d", f, len(again.Faults), len(sc.Faults))
-		}
+			again, text, err := sc.WithFaults(sc.Faults, "a note -- with dashes")
+			if err != nil {
+				t.Fatalf("%v\n%s", err, text)
+			}
+			for i := range again.Faults {
+				a, b := sc.Faults[i], again.Faults[i]
+				a.Pos = b.Pos
+				if a != b {
+					t.Errorf("%+v came back as %+v", a, b)
+				}
+			}
+			if len(again.Faults) != len(sc.Faults) || !reflect.DeepEqual(again.Service.StateTTL, sc.Service.StateTTL) {
+				t.Errorf("%d faults of %d", len(again.Faults), len(sc.Faults))
+			}
+		})
 	}
 }
 
 // Each change of the clients' conditions is undone, also where two of them overlap.
 func TestConditionsAreRestored(t *testing.T) {
 	for _, what := range []string{"surge", "mix", "overlong", "hot-prefix", "hang-ups", "slow-readers"} {
-		conditions := NormalConditions()
-		fault := &Fault{What: what, Class: "order", Factor: 3, Part: 0.5}
-		undo := conditions.Change(fault)
-		if undo == nil || reflect.DeepEqual(conditions, NormalConditions()) {
-			t.Errorf("%s changes nothing", what)
-			continue
-		}
-		undo(&conditions)
-		if conditions.Surge != 1 || conditions.Hot+conditions.HangUps+conditions.Slow+conditions.LongPart != 0 ||
-			what == "mix" && conditions.Mix["order"] != 1 {
-			t.Errorf("%s is not undone: %+v", what, conditions)
-		}
+		t.Run(what, func(t *testing.T) {
+			conditions := NormalConditions()
+			fault := &Fault{What: what, Class: "order", Factor: 3, Part: 0.5}
+			undo := conditions.Change(fault)
+			if undo == nil || reflect.DeepEqual(conditions, NormalConditions()) {
+				t.Fatal("it changes nothing")
+			}
+			undo(&conditions)
+			if conditions.Surge != 1 || conditions.Hot+conditions.HangUps+conditions.Slow+conditions.LongPart != 0 ||
+				what == "mix" && conditions.Mix["order"] != 1 {
+				t.Errorf("not undone: %+v", conditions)
+			}
+		})
 	}
+}
+
+func TestOverlappingConditionsAreRestored(t *testing.T) {
 	conditions := NormalConditions()
 	first := conditions.Change(&Fault{What: "mix", Class: "a", Factor: 2})
 	second := conditions.Change(&Fault{What: "mix", Class: "b", Factor: 3})
@@ -71,6 +77,13 @@
 		t.Errorf("%v", conditions.Mix)
 	}
 	second(&conditions)
+	if conditions.Mix["a"] != 1 || conditions.Mix["b"] != 1 {
+		t.Errorf("%v", conditions.Mix)
+	}
+}
+
+func TestEngineFaultsChangeNoConditions(t *testing.T) {
+	conditions := NormalConditions()
 	if conditions.Change(&Fault{What: "crash"}) != nil {
 		t.Error("a crash changes the clients' conditions")
 	}
@@ -101,43 +114,51 @@
 	}
 }
 
+// newSession draws a session with some idempotency, of a client that marks its retries or not, and sends an attempt.
+func newSession(sc *Scenario, idempotency string, marks bool) *Session {
+	conditions, arrivals := NormalConditions(), sc.Arrivals()
+	for {
+		s := arrivals.Next(&conditions)
+		if sc.Classes[s.Class].Idempotency == idempotency && s.MarksRetries == marks {
+			s.PickReplica(4)
+			return s
+		}
+	}
+}
+
 // Careful clients never retry after an unknown outcome of a request that is not idempotent; those that mark retries do
 // unless the answer says not to.
 func TestClientRetryPolicy(t *testing.T) {
 	sc := defaultScenario(t)
-	newSession := func(idempotency string, marked bool) *Session {
-		conditions, a := NormalConditions(), sc.Arrivals()
-		for {
-			s := a.Next(&conditions)
-			if sc.Classes[s.Class].Idempotency == idempotency && s.MarksRetries == marked {
-				s.PickReplica(4)
-				return s
-			}
-		}
-	}
 	for _, c := range []struct {
-		idempotency, kind   string
-		marked, noAutoRetry bool
-		again               bool
+		name               string
+		idempotency, kind  string
+		marks, noAutoRetry bool
+		again              bool
 	}{
-		{"unsafe", "cut", false, false, false},
-		{"safe", "cut", false, false, true},
-		{"unsafe", "failed", false, false, false},
-		{"unsafe", "cut", true, false, true},
-		{"unsafe", "failed", true, true, false},
-		{"safe", "refused", true, true, false},
-		{"unsafe", "refused", false, true, true},
-		{"safe", "served", true, false, false},
-		{"unsafe", "unconnected", false, false, true},
-		{"safe", "broken", true, false, false},
+		{"careful, not idempotent, cut", "unsafe", "cut", false, false, false},
+		{"careful, idempotent, cut", "safe", "cut", false, false, true},
+		{"careful, not idempotent, failed", "unsafe", "failed", false, false, false},
+		{"marking, not idempotent, cut", "unsafe", "cut", true, false, true},
+		{"marking, not idempotent, failed, no retry", "unsafe", "failed", true, true, false},
+		{"marking, idempotent, rejected, no retry", "safe", "refused", true, true, false},
+		{"careful, not idempotent, rejected, no retry", "unsafe", "refused", false, true, true},
+		{"marking, idempotent, served", "safe", "served", true, false, false},
+		{"careful, not idempotent, not connected", "unsafe", "unconnected", false, false, true},
+		{"marking, idempotent, broken", "safe", "broken", true, false, false},
 	} {
-		session := newSession(c.idempotency, c.marked)
-		again, _ := session.AfterAttempt(c.kind, c.noAutoRetry, time.Second, time.Second)
-		if again != c.again {
-			t.Errorf("%+v: again %v", c, again)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			session := newSession(sc, c.idempotency, c.marks)
+			again, _ := session.AfterAttempt(c.kind, c.noAutoRetry, time.Second, time.Second)
+			if again != c.again {
+				t.Errorf("retries: %v", again)
+			}
+		})
 	}
-	s := newSession("safe", false)
+}
+
+func TestClientStopsRetrying(t *testing.T) {
+	s := newSession(defaultScenario(t), "safe", false)
 	if again, _ := s.AfterAttempt("refused", false, 0, time.Hour); again {
 		t.Error("a client retries long after its deadline")
 	}
--- a/internal/simulation/scenario/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -54,7 +54,7 @@
 }
 
 // ReplicaXML returns the settings file of the i-th replica.
-func (s *Scenario) ReplicaXML(i int, name, listen, admin, register, cache string) string {
+func (s *Scenario) ReplicaXML(i int, name, listen, admin, apiServerURL, cache string) string {
 	var b strings.Builder
 	b.WriteString("<brackenbend>\n")
 	fmt.Fprintf(&b, "  <front name=%q listen=%q seed=\"%d\" drain=\"10s\" answer-margin=\"150ms\" admin=%q/>\n",
@@ -70,7 +70,7 @@
 	b.WriteString("  <prefix from=\"system-messages\"/>\n")
 	fmt.Fprintf(&b, "  <engines dialect=%q dial-time=\"500ms\"/>\n", s.EngineProtocol)
 	fmt.Fprintf(&b, "  <register url=%q namespace=\"default\" label-selector=\"app=engines\" cache=%q/>\n",
-		register, escapeXML(cache))
+		apiServerURL, escapeXML(cache))
 	b.WriteString("</brackenbend>\n")
 	return b.String()
 }
--- a/internal/simulation/trace/log.go
+++ b/internal/simulation/trace/log.go
@@ -28,7 +28,7 @@
 	Took      string  `json:"took"`
 }
 
-// answerMessage is the beginning of the message of a final answer; the result follows.
+// answerMessage is the prefix of the message of a final answer; the result follows.
 const answerMessage = "answer "
 
 // A FieldError is returned for a log line of a final answer with an invalid field.
--- a/internal/simulation/trace/trace_test.go
+++ b/internal/simulation/trace/trace_test.go
@@ -158,9 +158,11 @@
 		{"no class", bad.Bytes(), ErrNoRequest},
 		{"long line", line.Bytes(), ErrLongLine},
 	} {
-		if _, err := Read(bytes.NewReader(c.file)); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", c.name, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := Read(bytes.NewReader(c.file)); !errors.Is(err, c.want) {
+				t.Errorf("%v, want %v", err, c.want)
+			}
+		})
 	}
 }
 
@@ -223,10 +225,10 @@
 		t.Fatal(err)
 	}
 	var all []Request
-	a, calm, now := sc.Arrivals(), scenario.NormalConditions(), time.Duration(0)
+	a, normal, now := sc.Arrivals(), scenario.NormalConditions(), time.Duration(0)
 	for now < sc.Length {
-		now += a.Gap(&calm)
-		s := a.Next(&calm)
+		now += a.Gap(&normal)
+		s := a.Next(&normal)
 		for at := now; ; {
 			bytes, prefix := s.PromptBytes()
 			q := Request{
@@ -237,7 +239,7 @@
 				q.Prefix = fmt.Sprint(s.Prefix.Seed)
 			}
 			all = append(all, q)
-			more, pause := s.NextTurn("served", false, &calm)
+			more, pause := s.NextTurn("served", false, &normal)
 			if !more {
 				break
 			}
