--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -31,7 +31,8 @@
 
 func engineParams(role roles.Role) enginemodel.Params {
 	return enginemodel.Params{
-		CanPrefill: role.Prefills(), CanDecode: role.Decodes(), Slots: 16, MaxQueued: 32, Memory: 200000, PrefillRate: 50000, Chunk: 512,
+		CanPrefill: role.Prefills(), CanDecode: role.Decodes(), Slots: 16, MaxQueued: 32, Memory: 200000,
+		PrefillRate: 50000, Chunk: 512,
 		Step: 2 * time.Millisecond, FetchRate: 1e6, CacheTokens: 100000, StateTTL: 30 * time.Second,
 	}
 }
@@ -65,7 +66,7 @@
 	for r := range kinds {
 		paramsByRole[r] = engineParams(r)
 	}
-	f.api.AllowRoleChange(name, role, kinds)
+	f.api.ManageRole(name, role, kinds)
 	s, err := engine.Start(engine.Config{
 		Name: name, Params: engineParams(role), Roles: paramsByRole,
 		InitialState: roles.EngineState{Role: role, Target: role}, SwitchTime: 5 * time.Millisecond,
@@ -86,7 +87,7 @@
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(f.api.Close)
-	if err := f.api.KeepAssignments(file); err != nil {
+	if err := f.api.PersistAssignments(file); err != nil {
 		f.t.Fatal(err)
 	}
 	f.client = planner.Client{URL: f.api.URL(), HTTP: f.http}
@@ -98,7 +99,7 @@
 	f.api.Close()
 	f.startAPIServer(file)
 	for name, s := range f.engines {
-		f.api.AllowRoleChange(name, s.EngineState().Role, kinds)
+		f.api.ManageRole(name, s.EngineState().Role, kinds)
 		f.list(s)
 	}
 }
@@ -117,7 +118,7 @@
 	done := make(chan struct{})
 	f.metrics = planner.NewMetrics()
 	r := &planner.Runner{
-		Metrics: f.metrics, Register: f.client, Settings: config, Interval: 10 * time.Millisecond,
+		Metrics: f.metrics, APIServer: f.client, Settings: config, Interval: 10 * time.Millisecond,
 		SaveInterval: 20 * time.Millisecond, Log: zap.NewNop(),
 	}
 	go func() {
@@ -256,7 +257,7 @@
 func TestChangeSurvivesCrashes(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	file := filepath.Join(t.TempDir(), "book.json")
-	if err := f.api.KeepAssignments(file); err != nil {
+	if err := f.api.PersistAssignments(file); err != nil {
 		t.Fatal(err)
 	}
 	f.startChange("e0", roles.Decode) // written; no planner runs that would send it
@@ -339,14 +340,14 @@
 }
 
 // oldestWork is the age of the oldest work that a memory holds.
-func oldestWork(saved planner.Saved) time.Duration { return saved.Memory.Experts[0].Past[0].Age }
+func oldestWork(saved planner.Saved) time.Duration { return saved.Memory.Experts[0].History[0].Age }
 
 // TestMemoryOutlivesPlannerAndAPIServer: a second planner continues with the memory of the first, and one that finds
 // an implausible memory starts anew.
 func TestMemoryOutlivesPlannerAndAPIServer(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "book.json")
 	f := newFleet(t, roles.Prefill, roles.Decode)
-	if err := f.api.KeepAssignments(file); err != nil {
+	if err := f.api.PersistAssignments(file); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok, err := f.client.LoadMemory(t.Context()); ok || err != nil {
@@ -365,7 +366,7 @@
 	}
 	kill()
 
-	implausible := planner.Saved{At: time.Now(), Memory: roles.Memory{Lead: 99}}
+	implausible := planner.Saved{At: time.Now(), Memory: roles.Memory{Leader: 99}}
 	if err := f.client.SaveMemory(t.Context(), implausible); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -135,7 +135,7 @@
 	e.model.Advance(e.now())
 	work := e.model.Work()
 	status := planner.Status{
-		StatusReport: e.role.state.StatusReport(), Held: e.model.Working() + e.model.States(),
+		StatusReport: e.role.state.StatusReport(), Outstanding: e.model.Working() + e.model.States(),
 		Read:  planner.Stage{Done: work.ReadDone, Waiting: work.ReadWaiting, Lost: work.ReadLost, Count: work.Reads},
 		Write: planner.Stage{Done: work.WriteDone, Waiting: work.WriteWaiting, Lost: work.WriteLost, Count: work.Writes},
 	}
--- a/internal/simulation/fleet/planner.go
+++ b/internal/simulation/fleet/planner.go
@@ -61,7 +61,7 @@
 	view := planner.View{Assignments: s.assignments, Listings: map[string]planner.Listing{}}
 	for i, e := range s.fleet.engines {
 		if listed := &s.engines[i]; e.role.params != nil && !listed.unlisted {
-			view.Listings[e.name] = planner.Listing{Place: fmt.Sprint(e.cell), Up: listed.up && !listed.draining}
+			view.Listings[e.name] = planner.Listing{Locality: fmt.Sprint(e.cell), Up: listed.up && !listed.draining}
 		}
 	}
 	s.send(m.from, s.fleet.hop(s.linkRnd), viewReply{view, s.plannerMemory})
@@ -230,7 +230,7 @@
 	}
 	p.recalled = true
 	if m := p.view.memory; m.ok {
-		_ = p.planner.Recall(m.memory, p.now()-m.at, now) // an invalid memory is ignored, as by the real process
+		_ = p.planner.Restore(m.memory, p.now()-m.at, now) // an invalid memory is ignored, as by the real process
 	}
 }
 
--- a/internal/simulation/rolesim/policy.go
+++ b/internal/simulation/rolesim/policy.go
@@ -70,7 +70,7 @@
 func (p *Planned) restart(now time.Duration) {
 	next := p.newPlanner()
 	if memory, ok := p.planner.Memory(); ok && !p.LosesMemory {
-		if err := next.Recall(memory, 0, now); err != nil {
+		if err := next.Restore(memory, 0, now); err != nil {
 			panic(err) // the memory of a planner is valid for another
 		}
 	}
