--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -140,7 +140,7 @@
 	work := s.model.Work()
 	status := planner.Status{
 		StatusReport: s.role.state.StatusReport(),
-		Held:         s.model.Working() + s.model.States(),
+		Outstanding:  s.model.Working() + s.model.States(),
 		Read: planner.Stage{
 			Done: work.ReadDone, Waiting: work.ReadWaiting, Lost: work.ReadLost, Count: work.Reads,
 		},
--- a/internal/scenariorun/roles.go
+++ b/internal/scenariorun/roles.go
@@ -38,7 +38,7 @@
 // join makes an engine one of those that shift.
 func (s *shift) join(cfg *engine.Config, r roles.Role) {
 	cfg.Roles, cfg.InitialState, cfg.SwitchTime = s.params, roles.EngineState{Role: r, Target: r}, s.swap
-	s.r.reg.AllowRoleChange(cfg.Name, r, s.kinds)
+	s.r.reg.ManageRole(cfg.Name, r, s.kinds)
 }
 
 // RoleSample is how the engines that shift stood at one time.
@@ -112,8 +112,8 @@
 	}
 	for i := range max(p.r.d.Planner.Count, 1) {
 		run := &planner.Runner{
-			Register: planner.Client{URL: p.r.reg.URL(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
-			Settings: p.r.d.Planner.Settings(), Replicas: fronts, Interval: p.r.d.Planner.Interval, Log: log,
+			APIServer: planner.Client{URL: p.r.reg.URL(), HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
+			Settings:  p.r.d.Planner.Settings(), Replicas: fronts, Interval: p.r.d.Planner.Interval, Log: log,
 		}
 		if i == 0 {
 			run.OnPlan = p.note
