--- a/internal/fake/engine/faults.go
+++ b/internal/fake/engine/faults.go
@@ -58,15 +58,15 @@
 	s.hooks.endlessStreams = on
 }
 
-// BeforeTake sets a hook that is called when a read state is asked for, before it is handed over.
-func (s *Server) BeforeTake(hook func()) {
+// BeforeStateFetch sets a hook that is called when a read state is asked for, before it is handed over.
+func (s *Server) BeforeStateFetch(hook func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hooks.beforeStateFetch = hook
 }
 
-// AfterRead sets a hook that is called when a prefill has ended, before it is answered.
-func (s *Server) AfterRead(hook func()) {
+// AfterPrefill sets a hook that is called when a prefill has ended, before it is answered.
+func (s *Server) AfterPrefill(hook func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hooks.afterPrefill = hook
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -127,7 +127,7 @@
 		return n
 	}
 	for _, e := range r.engines {
-		e.BeforeTake(func() { // the first endpoint whose state is fetched dies at that moment
+		e.BeforeStateFetch(func() { // the first endpoint whose state is fetched dies at that moment
 			if e.Info().Up && up() == 2 {
 				e.Crash()
 			}
@@ -147,8 +147,8 @@
 	r := newRig(t, "", "reader", "writer")
 	var once sync.Once
 	for _, e := range r.enginesOf("reader") {
-		e.BeforeTake(func() {})
-		e.AfterRead(func() { // the prefill has ended, and the decode endpoint is chosen next; it drains now
+		e.BeforeStateFetch(func() {})
+		e.AfterPrefill(func() { // the prefill has ended, and the decode endpoint is chosen next; it drains now
 			once.Do(func() {
 				endpoints := slices.Clone(r.endpoints) // the event loop may still read the list before
 				for i := range endpoints {
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -77,11 +77,11 @@
 	if !a.final {
 		return
 	}
-	if a.result.First > 0 {
-		recordTime(class.FirstToken, a.result.First)
+	if a.result.FirstToken > 0 {
+		recordTime(class.FirstToken, a.result.FirstToken)
 	}
 	if a.result.Kind == "served" {
 		recordTime(class.Complete, a.elapsed)
 	}
-	r.score.Add(a.session, a.requestedAt.Sub(r.began), a.result.Kind, a.result.First)
+	r.score.Add(a.session, a.requestedAt.Sub(r.began), a.result.Kind, a.result.FirstToken)
 }
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -20,7 +20,7 @@
 		for len(request.Turns) < len(session.Turns) {
 			request.Turns = append(request.Turns, session.Turns[len(request.Turns)].Words())
 		}
-		request.Answer = session.Answer
+		request.AnswerTokens = session.Answer
 		kind := r.send(ctx, session, request, at)
 		over := time.Since(r.began) > r.plan.Length
 		more, pause := session.NextTurn(kind, over, r.currentMood())
@@ -36,7 +36,7 @@
 	class := &r.plan.Scenario.Classes[session.Class]
 	request := client.Attempt{
 		Class: audit.Class(class.Idempotency), ClassName: class.Name, Session: session.Key,
-		MaxTokens: int(class.AnswerTokens) * maxTokensFactor, Stream: session.Stream, Wait: class.Deadline,
+		MaxTokens: int(class.AnswerTokens) * maxTokensFactor, Stream: session.Stream, Timeout: class.Deadline,
 		System: session.Prefix.Words(), Model: r.plan.Model,
 	}
 	if session.Tenant >= 0 {
@@ -47,23 +47,23 @@
 
 // send sends one request with its client's retries and returns how the last attempt ended.
 func (r *run) send(ctx context.Context, session *scenario.Session, request client.Attempt, at time.Time) string {
-	request.Effect = fmt.Sprintf("%d.%d", session.ID, session.Turn)
-	request.HangUp, request.Marked = session.HangUp, session.MarksRetries
+	request.Intent = fmt.Sprintf("%d.%d", session.ID, session.Turn)
+	request.DisconnectAfter, request.MarksRetries = session.HangUp, session.MarksRetries
 	if request.Class == audit.IdempotentWithKey {
-		request.Key = fmt.Sprintf("load-%d-%s", r.began.UnixNano(), request.Effect)
+		request.Key = fmt.Sprintf("load-%d-%s", r.began.UnixNano(), request.Intent)
 	}
 	if session.Slow {
-		request.SlowBy = scenario.SlowReadDelay
+		request.ReadDelay = scenario.SlowReadDelay
 	}
 	for {
 		replica := r.plan.Replicas[session.PickReplica(len(r.plan.Replicas))]
-		request.ID, request.Repeats = fmt.Sprintf("%s/%d", request.Effect, session.Attempts), session.Retries
+		request.ID, request.Retries = fmt.Sprintf("%s/%d", request.Intent, session.Attempts), session.Retries
 		var gaps gapRecorder
-		request.Token = gaps.token
+		request.OnToken = gaps.token
 		delay := time.Since(at) // of this attempt; earlier ones and their pauses are part of what the client waits
 		result := client.Send(&request, replica, replica, nil)
-		if result.First > 0 {
-			result.First += delay
+		if result.FirstToken > 0 {
+			result.FirstToken += delay
 		}
 		elapsed := time.Since(at)
 		retry, pause := session.AfterAttempt(result.Kind, result.NoAutoRetry, result.RetryAfter, elapsed)
--- a/internal/scenariorun/traffic.go
+++ b/internal/scenariorun/traffic.go
@@ -64,7 +64,7 @@
 	c := &d.Classes[s.Class]
 	try := client.Attempt{
 		Class: audit.Class(c.Idempotency), ClassName: c.Name, Session: s.Key, MaxTokens: int(c.AnswerTokens) * 3,
-		Stream: s.Stream, Wait: c.Deadline, System: s.Prefix.Words(),
+		Stream: s.Stream, Timeout: c.Deadline, System: s.Prefix.Words(),
 	}
 	if s.Tenant >= 0 {
 		try.Tenant = d.Tenants[s.Tenant].Name
@@ -73,7 +73,7 @@
 		for len(try.Turns) < len(s.Turns) {
 			try.Turns = append(try.Turns, s.Turns[len(try.Turns)].Words())
 		}
-		try.Answer = s.Answer
+		try.AnswerTokens = s.Answer
 		kind := t.ask(s, try, fmt.Sprintf("%d.%d", s.ID, s.Turn))
 		more, pause := s.NextTurn(kind, time.Now().After(t.end), t.mood())
 		if !more {
@@ -85,27 +85,27 @@
 
 // ask sends a request with the retries of its client.
 func (t *traffic) ask(s *scenario.Session, try client.Attempt, effect string) (kind string) {
-	try.Effect, try.HangUp, try.Marked = effect, s.HangUp, s.MarksRetries
+	try.Intent, try.DisconnectAfter, try.MarksRetries = effect, s.HangUp, s.MarksRetries
 	if try.Class == audit.IdempotentWithKey {
 		try.Key = fmt.Sprintf("key-%d-%s", t.r.d.Seed, effect)
 	}
 	if s.Slow {
-		try.SlowBy = scenario.SlowReadDelay
+		try.ReadDelay = scenario.SlowReadDelay
 	}
 	began := time.Now()
 	for {
 		front := t.r.fronts[s.PickReplica(len(t.r.fronts))]
-		try.ID, try.Repeats = fmt.Sprintf("%s/%d", effect, s.Attempts), s.Retries
+		try.ID, try.Retries = fmt.Sprintf("%s/%d", effect, s.Attempts), s.Retries
 		before := time.Since(began)
 		res := client.Send(&try, front.name, front.addr, t.r.rec)
-		if res.First > 0 {
-			res.First += before
+		if res.FirstToken > 0 {
+			res.FirstToken += before
 		}
 		again, pause := s.AfterAttempt(res.Kind, res.NoAutoRetry, res.RetryAfter, time.Since(began))
 		if !again {
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.score.Add(s, began.Sub(t.began), res.Kind, res.First)
+			t.score.Add(s, began.Sub(t.began), res.Kind, res.FirstToken)
 			return res.Kind
 		}
 		time.Sleep(pause)
