--- a/cmd/brackenbend/scenario_test.go
+++ b/cmd/brackenbend/scenario_test.go
@@ -45,7 +45,9 @@
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
-	report.WriteText(&text)
+	if err := report.WriteText(&text); err != nil {
+		t.Fatal(err)
+	}
 	t.Log(text.String())
 	return report
 }
@@ -121,7 +123,7 @@
 	for _, sample := range report.Roles {
 		changing = max(changing, sample.Changing)
 	}
-	if last := report.Roles[len(report.Roles)-1]; kills != 8 || last.Orders < 4 || changing == 0 || last.Changing > 0 {
+	if last := report.Roles[len(report.Roles)-1]; kills != 8 || last.Commands < 4 || changing == 0 || last.Changing > 0 {
 		t.Errorf("%d replicas killed, at most %d engines changing, at the end %+v", kills, changing, last)
 	}
 	dir := t.TempDir()
