--- a/internal/scenariorun/engines.go
+++ b/internal/scenariorun/engines.go
@@ -102,18 +102,19 @@
 
 // setHidden takes an engine off the list, or puts it back.
 func (f *engineFleet) setHidden(server *engine.Server, hidden bool) {
-	name := server.Info().Name
-	f.mu.Lock()
-	f.hidden[name] = hidden
-	f.mu.Unlock()
-	f.list(server)
+	f.setListing(server, f.hidden, hidden)
 }
 
 // setDraining lists an engine as draining, or not.
 func (f *engineFleet) setDraining(server *engine.Server, draining bool) {
+	f.setListing(server, f.draining, draining)
+}
+
+// setListing changes one of the maps that say how engines are listed, and lists the engine anew.
+func (f *engineFleet) setListing(server *engine.Server, listing map[string]bool, value bool) {
 	name := server.Info().Name
 	f.mu.Lock()
-	f.draining[name] = draining
+	listing[name] = value
 	f.mu.Unlock()
 	f.list(server)
 }
