--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -10,28 +10,29 @@
 	"brackenbend/routing"
 )
 
-// perform carries out an action of the router, or what the test hook makes of it.
+// perform carries out an action of the router. A test hook may replace the action by others.
 func (l *eventLoop) perform(action routing.Action) {
 	hook := l.gateway.hooks.Action
 	if hook == nil {
 		l.performOne(action)
 		return
 	}
-	for _, replaced := range hook(action) {
-		l.performOne(replaced)
+	for _, replacement := range hook(action) {
+		l.performOne(replacement)
 	}
 }
 
+// performOne carries out one action, of the router or of the test hook.
 func (l *eventLoop) performOne(action routing.Action) {
 	switch action := action.(type) {
 	case routing.Send:
 		l.startAttempt(action)
 	case routing.Reject:
-		if request := l.touch(action.Request); request != nil {
+		if request := l.completionCandidate(action.Request); request != nil {
 			request.reject(rejectionResponse(action))
 		}
 	case routing.Fail:
-		if request := l.touch(action.Request); request != nil {
+		if request := l.completionCandidate(action.Request); request != nil {
 			if action.PossibleDuplicate {
 				request.respond(possibleDuplicateResponse())
 			} else {
@@ -53,28 +54,29 @@
 	}
 }
 
-// startAttempt passes a new attempt to a worker.
+// startAttempt creates an attempt and hands it to a worker.
 func (l *eventLoop) startAttempt(send routing.Send) {
 	request, entry := l.requests[send.Request], l.table.byID[send.Endpoint]
-	if request == nil || entry == nil { // the router only sends requests that it got, to endpoints that it got
+	if request == nil || entry == nil { // a fault: the router may only use requests and endpoints that it was given
 		l.gateway.log.Error("send for an unknown request or endpoint",
 			zap.Uint32("request", uint32(send.Request)), zap.Uint32("server", uint32(send.Endpoint)))
-		l.refuseSend(request, &send)
+		l.endUnsentAttempt(request, &send)
 		return
 	}
-	l.releaseUnclear(request)
+	l.releaseUnconfirmed(request)
 	a := l.newAttempt(request, entry, &send)
 	request.addAttempt(a)
 	request.pendingAttempts++
 	l.dispatch(a)
 }
 
-// refuseSend ends an attempt that can't be started. The router has counted it, so it counts here too.
-func (l *eventLoop) refuseSend(request *inflightRequest, send *routing.Send) {
+// endUnsentAttempt ends an attempt that can't be started, with the outcome NotSent. The router has counted the attempt,
+// so it is added to the request's attempts here too: attempts are identified by their index.
+func (l *eventLoop) endUnsentAttempt(request *inflightRequest, send *routing.Send) {
 	outcome := routing.Outcome{Request: send.Request, Endpoint: send.Endpoint, Result: routing.NotSent}
 	if request != nil {
 		a := &attempt{
-			request: request, index: len(request.attempts), endpoint: &engine.Endpoint{}, neverRan: true,
+			request: request, index: len(request.attempts), endpoint: &engine.Endpoint{}, neverExecuted: true,
 			ended: make(chan struct{}), pending: true,
 		}
 		close(a.ended)
@@ -114,7 +116,7 @@
 
 func (a *attempt) lostOnReusedConn() bool { return a.handle.Progress().LostOnReusedConn() }
 
-// attemptEnded records the end of an attempt.
+// attemptEnded updates the request when the outcome of one of its attempts has come.
 func (l *eventLoop) attemptEnded(request *inflightRequest, outcome *routing.Outcome) {
 	a := request.attempts[outcome.Attempt]
 	request.pendingAttempts--
@@ -136,11 +138,11 @@
 	}
 }
 
-// maxIdleWorkers bounds the goroutines that wait for the next attempt. Their stacks have grown to what an attempt
-// needs, which saves copying that of a new goroutine as it grows.
+// maxIdleWorkers bounds the idle goroutines that are kept for further attempts. Their stacks have already grown to the
+// size that an attempt needs; a new goroutine's stack would be copied each time it grows.
 const maxIdleWorkers = 256
 
-// dispatch passes an attempt to an idle worker, or to a new one.
+// dispatch hands an attempt to an idle worker, or starts a new worker if none is idle.
 func (l *eventLoop) dispatch(a *attempt) {
 	l.work.Add(1)
 	select {
@@ -150,19 +152,19 @@
 	}
 }
 
-// worker runs attempts until enough others are idle or the loop ends.
+// worker runs attempts. It ends when maxIdleWorkers others are idle, or with the event loop.
 func (l *eventLoop) worker(a *attempt) {
 	for {
 		a.run(l)
 		l.work.Done()
-		a = nil // an idle worker keeps nothing alive
-		if l.idle.Add(1) > maxIdleWorkers {
-			l.idle.Add(-1)
+		a = nil // so that an idle worker doesn't keep the attempt from being garbage collected
+		if l.idleWorkers.Add(1) > maxIdleWorkers {
+			l.idleWorkers.Add(-1)
 			return
 		}
 		select {
 		case a = <-l.handoff:
-			l.idle.Add(-1)
+			l.idleWorkers.Add(-1)
 		case <-l.done:
 			return
 		}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -10,53 +10,54 @@
 	"brackenbend/routing"
 )
 
-// attempt is one send of a request to an engine.
+// attempt is one call of an engine for a request: a prefill or a decode.
 type attempt struct {
 	// Set by the event loop before a worker runs the attempt.
 	request        *inflightRequest
 	index          int // in request.attempts
 	endpoint       *engine.Endpoint
-	decode         bool // else a prefill
+	decode         bool // false for a prefill
 	id             string
 	deadline       time.Time
-	sendBy         time.Time // for the request's last byte; zero = no bound but deadline
+	sendBy         time.Time // when the request's last byte must be sent; zero = by deadline
 	connectTimeout time.Duration
-	newConn        bool            // an earlier attempt was lost on a reused connection
-	startAfter     <-chan struct{} // the attempt waits until it is closed; nil = it need not wait
+	newConn        bool            // use a new connection: an earlier attempt was lost on a reused one
+	startAfter     <-chan struct{} // the attempt starts once this is closed; nil = at once
 
-	// kvParams are the KV transfer parameters that a decode sends, or that a prefill got. The worker sets the latter
-	// before it posts the outcome; then they are the event loop's.
+	// kvParams are the KV transfer parameters that a decode sends, or that a prefill returned. For a prefill the worker
+	// sets them before it posts the outcome; from then on the event loop owns them.
 	kvParams json.RawMessage
 
 	handle engine.Attempt // safe for concurrent use
 	ended  chan struct{}  // closed by the worker
 
 	// Set by the worker before ended is closed.
-	neverRan      bool
-	mayHoldState  bool // a prefill that may have left a state that no reply confirmed
-	decodeAborted bool // a decode ended by the gateway, which its engine may not have seen yet
+	neverExecuted bool
+	mayHoldState  bool // a prefill that may have left a read state, though no reply confirmed it
+	decodeAborted bool // a decode that the gateway ended; its engine may not have noticed yet
 	endedAt       monotonic.Time
 
 	// Owned by the event loop.
-	pending        bool // its outcome has not come
+	pending        bool // the event loop has not received its outcome
 	releaseStarted bool
 
 	// Owned by the worker.
 	startedAt   time.Time
 	post        func(routing.Event, localEvent)
 	ownsAnswer  bool   // set by Begin
-	frame       []byte // what is being written to the client, in frameBuffer
+	frame       []byte // the bytes being written to the client; backed by frameBuffer
 	frameBuffer *[]byte
-	writeErr    error // of the client's connection
+	writeErr    error // from writing to the client's connection
 
-	resultMu sync.Mutex // guards what follows, which logs read
+	resultMu sync.Mutex // guards the fields below, which other goroutines read for logs
 	result   string     // "" while pending
 	elapsed  time.Duration
 }
 
 var _ engine.Sink = (*attempt)(nil)
 
-// run runs the attempt and posts its outcome.
+// run runs the attempt on a worker and posts its outcome. An engine that may still be processing a request that is not
+// idempotent gets time to notice its cancellation before the outcome is posted.
 func (a *attempt) run(l *eventLoop) {
 	a.startedAt, a.post = time.Now(), l.post
 	out := a.perform(l)
@@ -66,8 +67,8 @@
 	a.conclude(l, &out)
 }
 
-// perform makes the call. Its stack frame stays small, and apart from that of conclude, since it lasts as long as the
-// stream: stacks are most of what an open stream costs.
+// perform calls the engine. It is not inlined, so that its stack frame stays small and doesn't include that of
+// conclude: the frame lives as long as the stream, and most of the memory of an open stream is stacks.
 //
 //go:noinline
 func (a *attempt) perform(l *eventLoop) engine.Outcome {
@@ -90,7 +91,7 @@
 	return l.engines.Prefill(&a.handle, a.endpoint, call)
 }
 
-// conclude records how the attempt ended, ends the client's answer if the attempt owns it, and posts the outcome.
+// conclude records how the attempt ended, finishes the client's answer if the attempt owns it, and posts the outcome.
 //
 //go:noinline
 func (a *attempt) conclude(l *eventLoop, out *engine.Outcome) {
@@ -106,15 +107,15 @@
 		a.logFailure(l, out, elapsed)
 	}
 	requestDone := a.finishAnswer(out)
-	a.neverRan = out.Result.NeverExecuted()
-	a.mayHoldState = !a.decode && !a.neverRan && !prefilled
+	a.neverExecuted = out.Result.NeverExecuted()
+	a.mayHoldState = !a.decode && !a.neverExecuted && !prefilled
 	a.decodeAborted = a.decode && (out.Result == routing.TimedOut || out.Result == routing.Canceled)
 	if prefilled {
 		a.kvParams = out.KVTransferParams
 	}
 	a.endedAt = monotonic.Now()
 	close(a.ended)
-	if !a.decode && !prefilled && !l.engines.StateByRequestID { // a state that it may have left is known to nobody
+	if !a.decode && !prefilled && !l.engines.StateByRequestID { // the router doesn't know of a state that it may have left
 		l.work.Add(1)
 		go func() {
 			defer l.work.Done()
@@ -127,9 +128,9 @@
 	}, nil)
 }
 
-// releaseState releases the state that this attempt, a prefill that has ended, left at its endpoint.
+// releaseState releases the read state that this attempt, a prefill that has ended, may have left at its endpoint.
 func (a *attempt) releaseState(l *eventLoop, held readState) {
-	if a.neverRan || !l.releasesState {
+	if a.neverExecuted || !l.releasesState {
 		return
 	}
 	r := &release{id: a.id, endpoints: []*engine.Endpoint{a.endpoint}, held: held}
--- a/internal/gateway/conn_request.go
+++ b/internal/gateway/conn_request.go
@@ -156,7 +156,7 @@
 	}
 	now := time.Now()
 	request := &inflightRequest{
-		id: routing.RequestID(id), clientID: parsed.ClientID, traits: parsed.Routing, bodies: parsed.Prompt,
+		id: routing.RequestID(id), clientID: parsed.ClientID, routing: parsed.Routing, bodies: parsed.Bodies,
 		path: parsed.Path, idempotencyKey: parsed.IdempotencyKey, class: &g.classes[parsed.Routing.Class],
 		conn: c, collector: parsed.Collector, chunked: req.Minor == 1,
 		keepAlive:  !req.Close && req.Minor == 1 && !g.drain.deadlinePassed(),
--- a/internal/gateway/conn_test.go
+++ b/internal/gateway/conn_test.go
@@ -24,16 +24,16 @@
 		},
 		{"bare LF", "GET /v1/models HTTP/1.1\nHost: a\n\n", "400"},
 		{"head too large", "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 3000) + "\r\n\r\n", "431"},
-		{"body too large", request(strings.Repeat("x", 2000), ""), "413"},
+		{"body too large", chatRequest(strings.Repeat("x", 2000), ""), "413"},
 		{
 			"chunked body too large",
 			post + "Transfer-Encoding: chunked\r\n\r\n800\r\n" + strings.Repeat("x", 2048) + "\r\n0\r\n\r\n", "413",
 		},
-		{"partial body", strings.TrimSuffix(request(chat(true, 2), "Connection: close\r\n"), "]}"), "408"},
+		{"partial body", strings.TrimSuffix(chatRequest(chat(true, 2), "Connection: close\r\n"), "]}"), "408"},
 		{"partial head", "GET /v1/models HTTP/1.1\r\n", "408"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := r.raw(c.send)
+			got := r.sendRaw(c.send)
 			if !strings.HasPrefix(got, "HTTP/1.1 "+c.status) || strings.Count(got, "HTTP/1.1 ") != 1 {
 				t.Errorf("%.200q", got)
 			}
@@ -45,26 +45,26 @@
 	r := newRig(t, "", "reader", "writer")
 	const lastRequest = "Connection: close\r\n"
 	t.Run("pipelined", func(t *testing.T) {
-		got := r.raw(request(chat(true, 3), "") + request(chat(true, 4), lastRequest))
+		got := r.sendRaw(chatRequest(chat(true, 3), "") + chatRequest(chat(true, 4), lastRequest))
 		if strings.Count(got, "HTTP/1.1 200") != 2 || strings.Count(got, "[DONE]") != 2 ||
 			strings.Index(got, "w3") < strings.Index(got, "[DONE]") {
 			t.Errorf("%q", got)
 		}
 	})
 	t.Run("a byte at a time", func(t *testing.T) {
-		got := r.raw(strings.Split(request(chat(true, 3), lastRequest), "")...)
+		got := r.sendRaw(strings.Split(chatRequest(chat(true, 3), lastRequest), "")...)
 		if strings.Count(got, "[DONE]") != 1 {
 			t.Errorf("%q", got)
 		}
 	})
 	t.Run("100-continue", func(t *testing.T) {
-		got := r.raw(request(chat(true, 1), lastRequest+"Expect: 100-continue\r\n"))
+		got := r.sendRaw(chatRequest(chat(true, 1), lastRequest+"Expect: 100-continue\r\n"))
 		if !strings.HasPrefix(got, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200") {
 			t.Errorf("%q", got)
 		}
 	})
 	t.Run("HTTP/1.0", func(t *testing.T) {
-		got := r.raw(strings.Replace(request(chat(true, 3), ""), "HTTP/1.1", "HTTP/1.0", 1))
+		got := r.sendRaw(strings.Replace(chatRequest(chat(true, 3), ""), "HTTP/1.1", "HTTP/1.0", 1))
 		if strings.Contains(got, "chunked") || !strings.HasSuffix(got, "data: [DONE]\n\n") {
 			t.Errorf("%q", got)
 		}
@@ -73,7 +73,7 @@
 
 func TestLimitsShedRequestsAndConnections(t *testing.T) {
 	r := newRig(t, `open-requests="1" connections="3"`, "reader", "writer")
-	r.dial(request(chat(true, 100000), ""))
+	r.dial(chatRequest(chat(true, 100000), ""))
 	r.awaitOpenRequests(1)
 	if resp, text := r.post("ask", chat(true, 1)); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "1" {
 		t.Errorf("%d %q", resp.StatusCode, text)
@@ -185,7 +185,7 @@
 
 // readAll reads until the gateway closes the connection.
 func readAll(c net.Conn) (string, error) {
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	text, err := io.ReadAll(c)
 	return string(text), err
 }
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -27,7 +27,7 @@
 			for name, e := range r.engines {
 				e.SetFaults(fakeengine.Faults{Stall: phase == "waiting" && strings.HasPrefix(name, "reader")})
 			}
-			c := r.dial(request(chat(true, 100000), "X-Class: order\r\n"))
+			c := r.dial(chatRequest(chat(true, 100000), "X-Class: order\r\n"))
 			if phase == "streaming" {
 				if _, err := bufio.NewReader(c).ReadString('}'); err != nil {
 					t.Fatal(err)
@@ -56,7 +56,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	send(t, c, request(chat(true, 10_000_000), ""))
+	send(t, c, chatRequest(chat(true, 10_000_000), ""))
 	for _, e := range r.engines {
 		e.StreamWithoutEnd(true) // tokens as fast as the sockets accept them
 	}
@@ -136,9 +136,9 @@
 			}
 		},
 	})
-	send(t, c, request(chat(true, 3), ""))
+	send(t, c, chatRequest(chat(true, 3), ""))
 	<-lastChunk
-	send(t, c, request(chat(true, 4), "Connection: close\r\n"))
+	send(t, c, chatRequest(chat(true, 4), "Connection: close\r\n"))
 	got, err := readAll(c)
 	if err != nil || strings.Count(got, "HTTP/1.1 200") != 2 || strings.Count(got, "[DONE]") != 2 {
 		t.Errorf("%v: %q", err, got)
@@ -161,7 +161,7 @@
 			}
 		},
 	}, func(c *net.TCPConn) {
-		send(t, c, request(chat(true, 3), ""))
+		send(t, c, chatRequest(chat(true, 3), ""))
 		closeQuietly(c)
 	})
 	<-seen
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -12,17 +12,17 @@
 	"brackenbend/routing"
 )
 
-// endpointTable holds the engines of the endpoint list. It is owned by the event loop.
+// endpointTable holds the engines that the endpoint list names. It is owned by the event loop.
 type endpointTable struct {
 	byName       map[string]*endpointEntry
 	byID         map[routing.EndpointID]*endpointEntry
-	localities   map[string]int // numbers of the zones and cells of known endpoints; no number is used twice
+	localities   map[string]int // numbers of the zones and cells of known endpoints; a number is never reused
 	nextLocality int
-	changed      bool // an update came in this step
+	changed      bool // an update was applied in this step
 }
 
 type endpointEntry struct {
-	listed endpointslice.Endpoint // as the last update has it
+	listed endpointslice.Endpoint // as in the last update that lists it
 	engine *engine.Endpoint
 }
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// Keys of endpointTable.localities.
+// zoneKey and cellKey return the keys of endpointTable.localities; the prefixes keep zones and cells apart.
 func zoneKey(zone string) string { return "zone " + zone }
 func cellKey(cell string) string { return "cell " + cell }
 
@@ -50,8 +50,8 @@
 	}
 )
 
-// applyUpdate updates the table and makes the router's event. Endpoints that drain or are gone are closed before the
-// router hears of it, so that nothing that it decided a moment ago is sent to them.
+// applyUpdate updates the table and returns the event for the router. Endpoints that drain or are gone are closed
+// before the router processes the event, so that sends that it has already decided don't reach them.
 func (l *eventLoop) applyUpdate(update *endpointslice.Update) routing.Event {
 	l.gateway.metrics.EndpointUpdates.WithLabelValues(scopeNames[update.Scope]).Inc()
 	event := routing.EndpointList{Scope: update.Scope}
@@ -65,7 +65,7 @@
 	for _, endpoint := range update.Endpoints {
 		kind := slices.Index(l.gateway.Kinds, endpoint.Kind)
 		if kind < 0 {
-			l.gateway.log.Warn("engine of a kind that the settings don't name",
+			l.gateway.log.Warn("ignoring an engine: its kind is not in the settings",
 				zap.String("engine", endpoint.Name), zap.String("kind", endpoint.Kind))
 			continue
 		}
@@ -77,11 +77,11 @@
 	}
 	l.table.changed = true
 	l.hasEndpoints.Store(true)
-	l.countEngines()
+	l.updateEngineMetrics()
 	return event
 }
 
-// applyEndpoint updates the endpoint's entry and makes the router's view of it.
+// applyEndpoint updates the endpoint's entry and returns the endpoint as the router gets it.
 func (l *eventLoop) applyEndpoint(endpoint endpointslice.Endpoint, kind int) routing.Endpoint {
 	entry := l.table.upsert(endpoint, l.gateway.kinds[kind].Role)
 	if hook := l.gateway.hooks.Gate; hook != nil {
@@ -99,7 +99,8 @@
 	}
 }
 
-func (l *eventLoop) countEngines() {
+// updateEngineMetrics sets the metric of engines by role and state.
+func (l *eventLoop) updateEngineMetrics() {
 	l.gateway.metrics.Engines.Reset()
 	for _, entry := range l.table.byName {
 		if entry.listed.State != routing.EndpointGone {
@@ -109,8 +110,8 @@
 	}
 }
 
-// upsert finds or makes the entry of an endpoint and opens or closes it. Another process under the same name gets an
-// engine.Endpoint of its own: what was decided for the old process is not sent to the new one.
+// upsert creates or updates the entry of an endpoint, and opens or closes its engine.Endpoint. A different process
+// under the same name gets a new engine.Endpoint, so that sends decided for the old process don't reach the new one.
 func (t *endpointTable) upsert(endpoint endpointslice.Endpoint, role routing.Role) *endpointEntry {
 	entry := t.byName[endpoint.Name]
 	if entry == nil || entry.isReplacedBy(&endpoint, role) {
@@ -136,6 +137,7 @@
 	return entry
 }
 
+// isReplacedBy reports whether the endpoint is a different process than that of the entry.
 func (e *endpointEntry) isReplacedBy(endpoint *endpointslice.Endpoint, role routing.Role) bool {
 	return e.listed.UID != endpoint.UID || e.listed.Address != endpoint.Address || e.engine.Role != role
 }
@@ -144,7 +146,7 @@
 	return endpointslice.EndpointID(name, func(id routing.EndpointID) bool { return t.byID[id] != nil })
 }
 
-// closeUnlisted closes the endpoints that a full list does not name.
+// closeUnlisted marks the endpoints that a full list doesn't name as gone, and closes them.
 func (t *endpointTable) closeUnlisted(listed map[string]bool) {
 	for name, entry := range t.byName {
 		if !listed[name] && entry.listed.State != routing.EndpointGone {
@@ -154,8 +156,9 @@
 	}
 }
 
-// removeGone drops endpoints that are gone and to which no connection is left, and localities without endpoints, if an
-// update came in this step: names of pods are not used twice. Requests keep the engine.Endpoints that they need.
+// removeGone removes endpoints that are gone and have no open connection, and localities without endpoints, if an
+// update was applied in this step. Pod names are not reused, so the table would grow without bound. Requests hold
+// pointers to the engine.Endpoints that they still need.
 func (t *endpointTable) removeGone() {
 	if !t.changed {
 		return
@@ -173,7 +176,7 @@
 	maps.DeleteFunc(t.localities, func(key string, _ int) bool { return !used[key] })
 }
 
-// localityNumber returns the number of a zone or cell.
+// localityNumber returns the number of a zone or cell, and assigns one if it has none yet.
 func (t *endpointTable) localityNumber(key string) int {
 	number, known := t.localities[key]
 	if !known {
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -14,14 +14,15 @@
 // stopLoop shuts the gateway down, after which the test owns the event loop's state.
 func (r *rig) stopLoop() *eventLoop {
 	r.t.Helper()
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	ctx, stop := context.WithTimeout(context.Background(), waitTimeout)
 	defer stop()
 	r.gateway.Shutdown(ctx)
 	return r.gateway.loop
 }
 
-// TestGoneEndpointsAreRemoved: thousands of names pass through a gateway; its tables hold what is listed and what still
-// has a connection, and a request is served all the while.
+// TestGoneEndpointsAreRemoved lists thousands of endpoints that then go away. The endpoint table must only keep those
+// that are listed or still have a connection, and requests must be served. Otherwise the table would grow without
+// bound.
 func TestGoneEndpointsAreRemoved(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	for i := range 3000 {
@@ -46,11 +47,11 @@
 			len(table.byName), len(table.byID), len(table.localities))
 	}
 	if table.nextLocality < 6000 {
-		t.Errorf("%d numbers were given to 6000 localities: one was used twice", table.nextLocality)
+		t.Errorf("%d numbers were assigned to 6000 localities: a number was reused", table.nextLocality)
 	}
 }
 
-// updateOne applies an update of one endpoint and returns the router's view of it.
+// updateOne applies an update of one endpoint and returns the endpoint as the router gets it.
 func updateOne(t *testing.T, l *eventLoop, address string, started time.Time) routing.Endpoint {
 	t.Helper()
 	event, ok := l.applyUpdate(&endpointslice.Update{
@@ -66,9 +67,9 @@
 	return event.Endpoints[0]
 }
 
-// TestStartTimesOnLoopClock: start times are listed as wall-clock time; the router gets them on the loop's clock, to
-// the instant, so that it knows which endpoints are in slow start and which were restarted.
-func TestStartTimesOnLoopClock(t *testing.T) {
+// TestStartTimesConvertedToLoopClock checks that the router gets start times, which are listed as wall-clock times, as
+// exact times of the loop's clock. From them it knows which endpoints are in slow start and which were restarted.
+func TestStartTimesConvertedToLoopClock(t *testing.T) {
 	l := newRig(t, "", "reader", "writer").stopLoop()
 	first := updateOne(t, l, "127.0.0.1:1", time.Time{})
 	for _, c := range []struct {
@@ -88,16 +89,17 @@
 	}
 }
 
-// TestMovedEndpointKeepsItsID: an endpoint with a new address keeps its id, and nothing more goes to the old address.
+// TestMovedEndpointKeepsItsID checks that an endpoint with a new address keeps its id, and that its old address is
+// closed.
 func TestMovedEndpointKeepsItsID(t *testing.T) {
 	l := newRig(t, "", "reader", "writer").stopLoop()
 	first := updateOne(t, l, "127.0.0.1:1", time.Time{})
 	before := l.table.byID[first.ID].engine
 	if moved := updateOne(t, l, "127.0.0.1:2", time.Time{}); moved.ID != first.ID {
-		t.Errorf("the moved endpoint has id %d, had %d", moved.ID, first.ID)
+		t.Errorf("the moved endpoint has id %d, want %d", moved.ID, first.ID)
 	}
 	after := l.table.byID[first.ID].engine
 	if before.IsOpen() || !after.IsOpen() || after.Address != "127.0.0.1:2" {
-		t.Errorf("the old address is open: %t; now at %s, open: %t", before.IsOpen(), after.Address, after.IsOpen())
+		t.Errorf("old address open: %t; new address %s, open: %t", before.IsOpen(), after.Address, after.IsOpen())
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -6,12 +6,13 @@
 // # Goroutines
 //
 //   - One event loop owns the routing.Router, the endpoint table and the loop's part of each in-flight request. It
-//     never blocks: all others post messages to it.
+//     never blocks: all other goroutines post messages to it.
 //   - One goroutine per client connection reads requests and writes every response that is not a stream. While a
-//     request is in flight it waits in a read, by which it sees the client close the connection.
-//   - One worker per attempt at an engine, from a pool. The worker whose attempt has the first token writes the stream
+//     request is in flight it blocks in a read, which detects that the client closes the connection.
+//   - One worker per attempt at an engine, from a pool. The worker whose attempt gets the first token writes the stream
 //     to the client; tokens never pass through the event loop.
-//   - One goroutine per release of a read state, and one timer goroutine that posts a message each second.
+//   - One goroutine per release of a read state, one per engine that has stopped responding (see hungEngine), and one
+//     timer goroutine that posts a message each second.
 //
 // The event loop, the connection's goroutine and the workers compete to answer a request, and exactly one does: see
 // answerState.
@@ -35,11 +36,11 @@
 	"brackenbend/routing"
 )
 
-// Gateway is one replica. Make it with New or NewFromSettings, pass it endpoint lists with UpdateEndpoints, and run it
-// with Serve. Its methods may be called from any goroutine.
+// Gateway is one replica. Create it with New or NewFromSettings, pass it endpoint lists with UpdateEndpoints, and run
+// it with Serve. Its methods may be called from any goroutine.
 type Gateway struct {
 	Options
-	settings *config.Settings // those of NewFromSettings, or nil
+	settings *config.Settings // as passed to NewFromSettings; nil for a gateway from New
 	hooks    TestHooks
 	classes  []routing.Class
 	kinds    []routing.Kind
@@ -47,15 +48,15 @@
 	log      *zap.Logger
 	metrics  *telemetry.Metrics
 	loop     *eventLoop
-	runID    string // part of all attempt ids; distinguishes this run from all others
+	runID    string // random; part of all attempt ids, so that they differ from those of other replicas and restarts
 
 	lastRequestID atomic.Uint64
 	openRequests  atomic.Int64
-	bodyBytes     atomic.Int64 // bytes of request bodies held, or reserved for those being read
+	bodyBytes     atomic.Int64 // size of the request bodies in memory, including reservations for bodies being read
 
 	mu        sync.Mutex
 	conns     map[*clientConn]struct{}
-	clientIDs map[string]struct{} // of open requests, where clients choose ids
+	clientIDs map[string]struct{} // ids of open requests that were chosen by clients
 	listener  net.Listener
 
 	drain drainState
@@ -63,7 +64,7 @@
 	goroutines sync.WaitGroup // Serve and the connections
 }
 
-// New makes a gateway and starts its event loop, which runs until Shutdown.
+// New creates a gateway and starts its event loop, which runs until Shutdown.
 func New(options Options, log *zap.Logger, metrics *telemetry.Metrics) (*Gateway, error) {
 	var random [16]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -94,11 +95,11 @@
 	return g, nil
 }
 
-// UpdateEndpoints passes on an update of the endpoint list.
+// UpdateEndpoints posts an update of the endpoint list to the event loop. It doesn't wait for it to be applied.
 func (g *Gateway) UpdateEndpoints(u endpointslice.Update) { g.loop.post(nil, endpointsUpdated{&u}) }
 
-// Reload replaces the models, rules, sessions and prefixes of a running gateway. Where any other setting differs,
-// which would need a restart, the error says which, and nothing is replaced.
+// Reload replaces the models, rules, sessions and prefixes of a running gateway. Any other setting needs a restart: if
+// one differs, nothing is replaced and the error names it.
 func (g *Gateway) Reload(settings *config.Settings) error {
 	if err := config.CheckReload(g.settings, settings); err != nil {
 		return err
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// NotReady returns why the gateway should get no traffic, or "" when it should.
+// NotReady returns why the gateway should not receive traffic, or "" if it is ready.
 func (g *Gateway) NotReady() string {
 	switch {
 	case g.drain.started.Load():
@@ -125,7 +126,8 @@
 	return len(g.conns)
 }
 
-// claimClientID reserves the client's own id of a request while it is open. It returns false if an open request has it.
+// claimClientID reserves an id that the client chose for a request, until dropClientID. It returns false if another
+// open request has this id. An empty id means that the client chose none.
 func (g *Gateway) claimClientID(id string) bool {
 	if id == "" {
 		return true
@@ -147,13 +149,14 @@
 	}
 }
 
-// attemptID returns an id of an attempt that is unique over all replicas and restarts.
+// attemptID returns the id of an attempt. It is unique across replicas and restarts.
 func (g *Gateway) attemptID(id routing.RequestID, attempt int) string {
 	b := append(make([]byte, 0, len(g.runID)+16), g.runID...)
 	b = strconv.AppendUint(append(b, '-'), uint64(id), 16)
 	return string(strconv.AppendInt(append(b, '-'), int64(attempt), 10))
 }
 
+// tenantName returns the name of a tenant by its index, or "" if there is none.
 func (g *Gateway) tenantName(i int) string {
 	if i >= 0 && i < len(g.Tenants) {
 		return g.Tenants[i]
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -15,6 +15,8 @@
 	"brackenbend/routing"
 )
 
+// TestCompletionThroughPrefillAndDecode sends a streamed and a collected request that are served, and requests that the
+// gateway must answer with an error of the client.
 func TestCompletionThroughPrefillAndDecode(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	resp, text := r.post("ask", chat(true, 5))
@@ -40,9 +42,9 @@
 	}
 }
 
-// TestCompletionForms sends content parts, token numbers as prompts and several choices, collected and streamed, and
-// checks that each answer has an id of its own.
-func TestCompletionForms(t *testing.T) {
+// TestCompletionRequestForms sends content parts, prompts of token numbers, and requests for several choices, collected
+// and streamed, and checks that each answer has an id of its own.
+func TestCompletionRequestForms(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	ids := map[string]bool{}
 	for _, c := range []struct {
@@ -102,8 +104,9 @@
 	}
 }
 
-// TestRejectionRetryFields: without a decode endpoint everything is rejected. An SDK may retry by itself unless the
-// class is not idempotent: its retry could not be told from one after a lost answer.
+// TestRejectionRetryFields checks the header fields of rejections; without a decode endpoint every request is rejected.
+// An SDK may retry by itself, except in a class that is not idempotent: the gateway could not distinguish its retry
+// from one after a lost answer.
 func TestRejectionRetryFields(t *testing.T) {
 	r := newRig(t, "", "reader")
 	for class, shouldRetry := range map[string]string{"brief": "", "quick": "false"} {
@@ -115,10 +118,11 @@
 	}
 }
 
-// TestPrefillEndpointDiesBeforeFetch: the decode finds no state, and the prompt is prefilled again elsewhere.
-func TestPrefillEndpointDiesBeforeFetch(t *testing.T) {
+// TestPrefillRepeatedAfterEndpointCrash crashes a prefill endpoint before the decode fetches its state. The prompt must
+// be prefilled again at the other endpoint.
+func TestPrefillRepeatedAfterEndpointCrash(t *testing.T) {
 	r := newRig(t, "", "reader", "reader", "writer")
-	up := func() (n int) {
+	running := func() (n int) {
 		for _, e := range r.enginesOf("reader") {
 			if e.Info().Up {
 				n++
@@ -127,8 +131,8 @@
 		return n
 	}
 	for _, e := range r.engines {
-		e.BeforeStateFetch(func() { // the first endpoint whose state is fetched dies at that moment
-			if e.Info().Up && up() == 2 {
+		e.BeforeStateFetch(func() { // the first endpoint whose state is fetched crashes
+			if e.Info().Up && running() == 2 {
 				e.Crash()
 			}
 		})
@@ -137,20 +141,21 @@
 	if resp.StatusCode != 200 || !strings.Contains(text, "[DONE]") {
 		t.Fatalf("%d %q", resp.StatusCode, text)
 	}
-	if up() != 1 {
-		t.Fatalf("%d prefill endpoints are up; the fault was not injected", up())
+	if running() != 1 {
+		t.Fatalf("%d prefill endpoints are up; the fault was not injected", running())
 	}
 }
 
-// TestDrainStopsDecidedSend: an endpoint drains after it was chosen; nothing may be sent to it.
-func TestDrainStopsDecidedSend(t *testing.T) {
+// TestNoSendToEndpointThatStartedDraining drains an endpoint when it may already have been selected for an attempt. The
+// gateway must not send the attempt to it.
+func TestNoSendToEndpointThatStartedDraining(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	var once sync.Once
 	for _, e := range r.enginesOf("reader") {
 		e.BeforeStateFetch(func() {})
-		e.AfterPrefill(func() { // the prefill has ended, and the decode endpoint is chosen next; it drains now
+		e.AfterPrefill(func() { // the decode endpoint is selected next; it starts to drain now
 			once.Do(func() {
-				endpoints := slices.Clone(r.endpoints) // the event loop may still read the list before
+				endpoints := slices.Clone(r.endpoints) // the event loop may still read the previous list
 				for i := range endpoints {
 					if strings.HasPrefix(endpoints[i].Name, "writer") {
 						endpoints[i].State = routing.EndpointDraining
@@ -168,12 +173,13 @@
 		if n := e.Arrivals(); strings.HasPrefix(name, "writer") && n != 0 {
 			t.Errorf("%d requests reached a draining decode endpoint", n)
 		}
-		r.eventually("no state is left", func() bool { return e.States() == 0 })
+		r.eventually("all states are released", func() bool { return e.States() == 0 })
 	}
 }
 
-// TestReload replaces the routes of a running gateway; any other difference leaves everything as it was.
-func TestReload(t *testing.T) {
+// TestReloadReplacesRoutes checks that Reload replaces the models of a running gateway, and that settings with any
+// other difference are refused and change nothing.
+func TestReloadReplacesRoutes(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	changed := func(before, after string) error {
 		return r.gateway.Reload(parseSettings(t, strings.Replace(fmt.Sprintf(settings, ""), before, after, 1)))
@@ -182,11 +188,11 @@
 		t.Fatal(err)
 	}
 	if resp, _ := r.post("ask", chat(true, 1)); resp.StatusCode != 404 {
-		t.Errorf("the old model is served: %d", resp.StatusCode)
+		t.Errorf("the old model is still served: %d", resp.StatusCode)
 	}
 	err := changed(`deadline="10s" late-worth`, `deadline="11s" late-worth`)
 	if err == nil || !strings.Contains(err.Error(), "<class>") {
-		t.Errorf("another class was accepted: %v", err)
+		t.Errorf("a changed class was accepted: %v", err)
 	}
 	resp, text := r.post("ask", strings.Replace(chat(true, 1), `"m"`, `"m2"`, 1))
 	if resp.StatusCode != 200 {
@@ -194,8 +200,9 @@
 	}
 }
 
-// TestSettleDelayBeforeFinalAnswer: an engine that does not reply to a prefill may see the end of its connection later
-// than the client sees the rejection. So the gateway waits between the two, but only where nothing may run twice.
+// TestSettleDelayBeforeFinalAnswer checks the delay between a canceled attempt and the rejection. An engine may notice
+// the end of its connection only after the client has received the rejection and retried, so that the request runs
+// twice. So the gateway waits in between, but only for classes that are not idempotent.
 func TestSettleDelayBeforeFinalAnswer(t *testing.T) {
 	for _, class := range []string{"brief", "quick"} {
 		t.Run(class, func(t *testing.T) {
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Read states are tracked here for logs and metrics only; the router decides when one is released.
+// This file tracks held read states, for logs and metrics only; the router decides when a state is released.
 
 // readState is the KV cache state that a prefill endpoint holds for a request.
 type readState struct {
 	endpoint string
-	since    time.Time // when the prefill's end was heard of; zero = none is held
+	since    time.Time // when the event loop received the prefill's outcome; zero = no state is held
 }
 
-// How a read state's time ended, as a metric label.
+// How the holding of a read state ended, as values of a metric label.
 const (
-	stateFetched       = "fetched"        // the stream of a decode began
-	stateMissing       = "gone"           // a decode found none, or it was dropped with an answer
+	stateFetched       = "fetched"        // a decode's stream began
+	stateMissing       = "gone"           // a decode's engine reported that it has none, or a later prefill replaced it
 	stateReleased      = "released"       // an engine accepted the release
-	stateAbandoned     = "left"           // the request ended, and engines are not notified, or in another way
+	stateAbandoned     = "left"           // the request ended, and states are not released, or by attempt only
 	stateReleaseFailed = "release failed" // no engine accepted it
 )
 
-// stateHeld records a successful prefill at the endpoint.
+// stateHeld records that a successful prefill left a state at the endpoint.
 func (l *eventLoop) stateHeld(request *inflightRequest, endpoint string) {
-	l.endState(request, stateMissing) // that of an earlier prefill, which this one has replaced
+	l.endState(request, stateMissing) // the state of an earlier prefill, which this one has replaced
 	request.release.held = readState{endpoint, time.Now()}
 	l.gateway.metrics.StatesHeld.Inc()
 }
 
-// endState records how the time of the state that request holds ended, if it holds one.
+// endState records that the state held for the request, if any, ended in the given way.
 func (l *eventLoop) endState(request *inflightRequest, end string) {
 	l.observeStateEnd(request.release.held, end)
 	request.release.held = readState{}
 }
 
-// observeStateEnd is safe for concurrent use.
+// observeStateEnd updates the metrics of held states. It is safe for concurrent use.
 func (l *eventLoop) observeStateEnd(held readState, end string) {
 	if held.since.IsZero() {
 		return
--- a/internal/gateway/heldstate_test.go
+++ b/internal/gateway/heldstate_test.go
@@ -8,8 +8,9 @@
 	fakeengine "brackenbend/internal/fake/engine"
 )
 
-// TestReadStateMetrics: a state counts as held from the prefill's end until a stream begins or its release is accepted,
-// and each end is counted once; so is why a request was not served and why a connection was closed.
+// TestReadStateMetrics checks that a state counts as held from the prefill's end until a stream begins or its release
+// is accepted, and that each end is counted once. It also checks the counts of why a request was not served and of why
+// a connection was closed.
 func TestReadStateMetrics(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	metrics := r.gateway.metrics
@@ -19,8 +20,8 @@
 	r.eventually("the state was fetched", func() bool { return held() == 0 && ends() == 1 })
 
 	r.engines["writer-1"].SetFaults(fakeengine.Faults{Stall: true})
-	c := r.dial(request(chat(true, 3), ""))
-	r.eventually("a state is held behind a silent decode", func() bool { return held() == 1 })
+	c := r.dial(chatRequest(chat(true, 3), ""))
+	r.eventually("a state is held while the decode does not reply", func() bool { return held() == 1 })
 	closeQuietly(c)
 	r.eventually("the state was released", func() bool { return held() == 0 && ends() == 2 })
 	r.eventually("the request is counted as abandoned", func() bool {
--- a/internal/gateway/hungengine.go
+++ b/internal/gateway/hungengine.go
@@ -9,43 +9,46 @@
 	"brackenbend/internal/monotonic"
 )
 
-// Read states behind decodes at engines that hang. An engine that has taken a decode counts as waiting for its read
-// state, so a release spares the state, also after the decode was aborted: the engine sees that only when it runs
-// again. A release has to follow then. That the engine runs shows when it responds to anything; where there is nothing
-// else to respond to it is asked for the release itself, which waits in its socket meanwhile.
+// This file repeats releases that a hung engine has blocked. A release doesn't drop a read state that a decode waits
+// for. An engine that hangs after it accepted a decode still counts as waiting after the decode was aborted, since it
+// notices the abort only when it runs again; then the release has to be repeated. Any response shows that the engine
+// runs again. In case there is no other request for it to respond to, the release itself is sent to it, and stays in
+// the engine's socket buffer until then.
 
 const (
-	hungCallTimeout = 8 * time.Second // of a call to an engine that may hang
-	hungCallPause   = time.Second     // after a call that failed
-	maxHungTime     = time.Minute     // an engine is waited for so long
-	maxHungRequests = 1000            // that wait for one engine
+	hungEngineCallTimeout    = 8 * time.Second // timeout of one release call to a hung engine
+	hungEngineRetryDelay     = time.Second     // delay after a call that failed
+	maxHungEngineWait        = time.Minute     // after this time the releases are repeated in any case
+	maxRequestsPerHungEngine = 1000            // requests whose releases are repeated after one engine responds
 )
 
 // hungEngine is an engine that has not responded since a decode there was aborted.
 type hungEngine struct {
 	endpoint *engine.Endpoint
-	since    monotonic.Time
+	since    monotonic.Time // when the wait for it began
 	stop     chan struct{}  // closed when the event loop stops
 	call     engine.Attempt // safe for concurrent use
 
 	// Owned by the event loop.
-	requests []*inflightRequest // whose read states may wait for it
+	requests []*inflightRequest // whose read states are to be released once it responds
 }
 
-// releaseOnceHungRuns has the read states of a request that has ended released again when the engines run at which its
-// decodes were aborted.
-func (l *eventLoop) releaseOnceHungRuns(request *inflightRequest) {
+// releaseAfterHungEngines arranges for the read states of a request that has ended to be released again once the
+// engines that have not responded since its decodes there were aborted respond.
+func (l *eventLoop) releaseAfterHungEngines(request *inflightRequest) {
 	if !l.engines.StateByRequestID || !l.releasesState || l.stopping {
 		return
 	}
 	for _, a := range request.attempts {
 		if a.decodeAborted && a.endpoint.LastResponse() < a.endedAt {
-			l.awaitHung(a.endpoint, request)
+			l.awaitHungEngine(a.endpoint, request)
 		}
 	}
 }
 
-func (l *eventLoop) awaitHung(endpoint *engine.Endpoint, request *inflightRequest) {
+// awaitHungEngine adds the request to those that wait for the hung engine, and starts to probe the engine if no other
+// request waits for it.
+func (l *eventLoop) awaitHungEngine(endpoint *engine.Endpoint, request *inflightRequest) {
 	hung := l.hungEngines[endpoint]
 	if hung == nil {
 		hung = &hungEngine{endpoint: endpoint, since: monotonic.Now(), stop: make(chan struct{})}
@@ -53,45 +56,45 @@
 		l.work.Add(1)
 		go func() {
 			defer l.work.Done()
-			l.callHung(hung, request.clientID)
+			l.probeHungEngine(hung, request.clientID)
 			l.post(nil, hungEngineDone{hung})
 		}()
 	}
-	if len(hung.requests) < maxHungRequests {
+	if len(hung.requests) < maxRequestsPerHungEngine {
 		hung.requests = append(hung.requests, request)
 	}
 }
 
-// callHung returns when the engine has responded, is closed or was waited for long enough. A busy engine has mostly
-// responded to something else before the first call.
-func (l *eventLoop) callHung(hung *hungEngine, id string) {
-	pause, newConn := l.stateTTL()/releaseRetryPart, false
-	for end := hung.since.Add(maxHungTime); monotonic.Now() < end; {
+// probeHungEngine returns when the engine has responded, is closed, or maxHungEngineWait has passed. Before the first
+// call it waits, since a busy engine usually responds to another request meanwhile.
+func (l *eventLoop) probeHungEngine(hung *hungEngine, id string) {
+	delay, newConn := l.stateTTL()/releaseRetryDivisor, false
+	for end := hung.since.Add(maxHungEngineWait); monotonic.Now() < end; {
 		select {
 		case <-hung.stop:
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 		if !hung.endpoint.IsOpen() || hung.endpoint.LastResponse() >= hung.since {
 			return
 		}
-		deadline := time.Now().Add(hungCallTimeout)
+		deadline := time.Now().Add(hungEngineCallTimeout)
 		if l.engines.ReleaseState(&hung.call, hung.endpoint, id, newConn, deadline) == nil {
 			return
 		}
-		pause, newConn = hungCallPause, true
+		delay, newConn = hungEngineRetryDelay, true
 	}
 }
 
-// hungEngineHeard releases what waited for a hung engine.
-func (l *eventLoop) hungEngineHeard(hung *hungEngine) {
+// hungEngineWaitEnded repeats the releases that waited for a hung engine.
+func (l *eventLoop) hungEngineWaitEnded(hung *hungEngine) {
 	delete(l.hungEngines, hung.endpoint)
 	if l.stopping {
 		return
 	}
-	message := "engine responds after an aborted decode"
+	message := "engine responds again after an aborted decode"
 	if hung.endpoint.IsOpen() && hung.endpoint.LastResponse() < hung.since {
-		message = "engine silent for long after an aborted decode"
+		message = "engine did not respond after an aborted decode; no longer waiting"
 	}
 	l.gateway.log.Info(message, zap.String("engine", hung.endpoint.Name),
 		zap.Duration("after", monotonic.Now().Sub(hung.since)), zap.Int("requests", len(hung.requests)))
@@ -100,8 +103,8 @@
 	}
 }
 
-// stopAwaitingHung ends the calls to hung engines.
-func (l *eventLoop) stopAwaitingHung() {
+// cancelHungEngineWaits ends the waits for hung engines and cancels the calls to them.
+func (l *eventLoop) cancelHungEngineWaits() {
 	for _, hung := range l.hungEngines {
 		close(hung.stop)
 		hung.call.Cancel()
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -11,18 +11,19 @@
 	"brackenbend/routing"
 )
 
-// answerState is the state of a request's answer. Whoever moves it on from answerPending owns the answer, so that there
-// is exactly one: the event loop or the connection's goroutine with a response, an attempt's worker with a stream, or
-// the connection's goroutine when the client has left.
+// answerState is the state of a request's answer. The goroutine whose compare-and-swap changes it from answerPending
+// owns the answer, so that there is exactly one: the event loop or the connection's goroutine with a response, an
+// attempt's worker with a stream, or the connection's goroutine when the client has disconnected.
 type answerState int32
 
 const (
 	answerPending   answerState = iota
 	answerStreaming             // an attempt owns the client's stream
 	answerDone                  // the response is set, or the stream has ended
-	answerAbandoned             // the client has left
+	answerAbandoned             // the client has disconnected
 )
 
+// atomicAnswerState is an answerState for concurrent use.
 type atomicAnswerState struct{ value atomic.Int32 }
 
 func (s *atomicAnswerState) Load() answerState { return answerState(s.value.Load()) }
@@ -31,52 +32,52 @@
 	return s.value.CompareAndSwap(int32(from), int32(to))
 }
 
-// inflightRequest is a request from its acceptance until its last attempt has ended.
+// inflightRequest is a request from when it is accepted until it is answered and its last attempt has ended.
 type inflightRequest struct {
 	// Set by the connection's goroutine before the event loop knows the request.
 	id             routing.RequestID
 	clientID       string          // chosen by the client; "" = none
-	traits         routing.Request // for the router, all but ID and Deadline
-	bodies         RequestBodies   // nil once no further attempt needs it
+	routing        routing.Request // the router's event; ID and Deadline are set in startRequest
+	bodies         RequestBodies   // nil once no further attempt can need them
 	path           string          // request target at engines
-	idempotencyKey string          // Idempotency-Key
+	idempotencyKey string          // value of the Idempotency-Key header
 	class          *routing.Class
 	conn           *clientConn
-	collector      *api.Collector // collects the answer for a client that does not stream; else nil
-	chunked        bool           // the client understands chunked bodies
+	collector      *api.Collector // collects the answer for a client that doesn't stream; nil for one that does
+	chunked        bool           // the client supports chunked bodies
 	keepAlive      bool           // the connection stays open after the answer
 	acceptedAt     time.Time
 	deadline       time.Time // for the first token or a final response
-	answerDeadline time.Time // for a whole answer; zero = unknown
+	answerDeadline time.Time // for the whole answer; zero = unknown
 
 	state atomicAnswerState
 	done  chan struct{} // closed once the response is set or the stream has ended
 
-	// Set before done is closed, by the owner of the answer.
+	// Set by the owner of the answer before done is closed.
 	response Response
 	result   string // one of the result constants
-	reason   string // why it was not served; "" if it was
+	reason   string // why the request was not served; "" if it was
 
-	eventCount atomic.Int64 // events of the stream
+	eventCount atomic.Int64 // events in the stream
 	firstToken atomic.Int64 // nanoseconds from acceptedAt to the first token
-	bodyBytes  atomic.Int64 // its part of Gateway.bodyBytes
+	bodyBytes  atomic.Int64 // this request's share of Gateway.bodyBytes
 
 	mu       sync.Mutex
-	attempts []*attempt // appended to by the event loop alone, under mu; others read it under mu
+	attempts []*attempt // only the event loop appends, under mu; other goroutines read under mu
 
 	// Owned by the event loop.
 	pendingAttempts int
 	kvParams        json.RawMessage // KV transfer parameters of the last prefill
-	delayedResponse *Response       // sent when pendingAttempts is 0: see reject
+	delayedResponse *Response       // sent once pendingAttempts is 0; see reject
 	release         releaseProgress
 }
 
-// releaseProgress is what is known of the read state that engines may hold for a request, and of its release.
+// releaseProgress is what the gateway knows about the read state that engines may hold for a request, and its release.
 type releaseProgress struct {
-	held   readState       // at an endpoint, as far as known
-	wanted bool            // the router wants released what may be held
-	last   *release        // the one started last
-	done   <-chan struct{} // the next attempt waits until it is closed; nil = it need not wait
+	held   readState       // the state confirmed by the last prefill, if it is still held
+	wanted bool            // the router asked to release any state that may be held
+	last   *release        // the release started last
+	done   <-chan struct{} // the next attempt starts once this is closed; nil = at once
 }
 
 // Results of requests, as metric label values and in log lines.
@@ -88,7 +89,7 @@
 	resultClientGone = "gone"
 )
 
-// displayID is the id of the request in answers and logs.
+// displayID returns the id of the request in answers and logs: the client's own, or else one made by the gateway.
 func (r *inflightRequest) displayID() string {
 	if r.clientID != "" {
 		return r.clientID
@@ -96,12 +97,14 @@
 	return r.conn.gateway.attemptID(r.id, 0)
 }
 
-// releaseBodyBytes returns the request's part of the bound on body bytes.
+// releaseBodyBytes subtracts the request's share from Gateway.bodyBytes.
 func (r *inflightRequest) releaseBodyBytes() { r.conn.gateway.bodyBytes.Add(-r.bodyBytes.Swap(0)) }
 
+// answered reports whether the answer is complete or no longer needed.
 func (r *inflightRequest) answered() bool { return r.state.Load() >= answerDone }
 
-// abandoned reports, just before an attempt is written, that nobody waits for it any more.
+// abandoned reports whether the request needs no further attempt, because it is answered or the client has
+// disconnected. It is called just before an attempt is sent.
 func (r *inflightRequest) abandoned() bool { return r.answered() || r.conn.peerClosed() }
 
 func (r *inflightRequest) addAttempt(a *attempt) {
@@ -110,7 +113,8 @@
 	r.mu.Unlock()
 }
 
-// cancelAttempts cancels what streams to a client that gets or takes no more of it.
+// cancelAttempts cancels all attempts. It is called when the client of a stream disconnects or its answer deadline
+// passes.
 func (r *inflightRequest) cancelAttempts() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,14 +123,15 @@
 	}
 }
 
-// respond sets the final response if there is no answer yet.
+// respond sets the final response, unless the request has an answer already. It returns whether it set the response.
 func (r *inflightRequest) respond(response Response) bool {
 	return r.respondFrom(answerPending, response)
 }
 
-// reject sets a rejection. While an attempt of a request that is not idempotent is pending, which the router cancels,
-// the response is delayed until it has ended: its engine learns first that nobody waits for it
-// (engine.Client.AwaitSettled). Called by the event loop.
+// reject answers the request with a rejection. If the request is not idempotent and an attempt, which the router
+// cancels, is still pending, the response is delayed until the attempt has ended: the client may retry once it has the
+// rejection, and the engine must notice the cancellation before that (engine.Client.AwaitSettled). Only the event loop
+// may call it.
 func (r *inflightRequest) reject(response Response) {
 	notIdempotent := r.class.Idempotency == routing.NotIdempotent
 	if r.pendingAttempts > 0 && notIdempotent && r.conn.gateway.Routing.CanCancel {
@@ -136,6 +141,7 @@
 	r.respond(response)
 }
 
+// respondFrom sets the final response if the answer is in the given state. It returns whether it set the response.
 func (r *inflightRequest) respondFrom(from answerState, response Response) bool {
 	if !r.state.CompareAndSwap(from, answerDone) {
 		return false
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -12,9 +12,9 @@
 	"brackenbend/routing"
 )
 
-// eventLoop is the one goroutine that owns the router. It never blocks: connections and attempts run in goroutines of
-// their own and post messages to it. The queue needs no bound of its own: an open request has a handful of messages in
-// it at most, and open requests are bounded.
+// eventLoop is the single goroutine that owns the router. It never blocks: connections and attempts run in goroutines
+// of their own and post messages to it. The queue needs no bound of its own: an open request has only a few messages in
+// it at a time, and the number of open requests is bounded.
 type eventLoop struct {
 	gateway       *Gateway
 	router        *routing.Router
@@ -27,59 +27,60 @@
 	mu     sync.Mutex // guards queue and closed
 	queue  []message
 	closed bool
-	wake   chan struct{} // has one element while there may be messages
+	wake   chan struct{} // capacity 1; holds an element while the queue may have messages
 	done   chan struct{} // closed when the loop has ended
 
-	work    sync.WaitGroup // attempts and releases
-	handoff chan *attempt  // to workers that are idle
-	idle    atomic.Int64   // workers that are idle
+	work        sync.WaitGroup // counts running attempts, releases and waits for hung engines
+	handoff     chan *attempt  // passes attempts to idle workers
+	idleWorkers atomic.Int64   // number of idle workers
 
 	// Owned by the loop's goroutine.
-	requests       map[routing.RequestID]*inflightRequest
-	table          endpointTable
-	steppedAt      time.Time          // when the router last ran: the timeouts of its actions count from then
-	touched        []*inflightRequest // that may have ended in this step
-	stepWaiters    []chan struct{}    // closed at the end of this step
-	hungEngines    map[*engine.Endpoint]*hungEngine
-	stopping       bool
-	statusLoggedAt time.Time
-	attemptResults struct {
+	requests             map[routing.RequestID]*inflightRequest
+	table                endpointTable
+	steppedAt            time.Time          // when the router last ran; the timeouts in its actions start then
+	completionCandidates []*inflightRequest // requests that may have ended in this step
+	stepWaiters          []chan struct{}    // are closed at the end of this step
+	hungEngines          map[*engine.Endpoint]*hungEngine
+	stopping             bool
+	statusLoggedAt       time.Time
+	attemptResults       struct {
 		prefill, decode [len(resultNames)]prometheus.Counter
 	}
 }
 
-// message is one entry of the loop's queue. It has a router event, a local event, or both: then the local one comes
+// message is one entry of the loop's queue. It holds a router event, a local event, or both; the local one is handled
 // first.
 type message struct {
 	event routing.Event
 	local localEvent
 }
 
-// localEvent is something that concerns the loop itself. Its implementations hold one pointer, so that posting one
-// allocates nothing.
+// localEvent is an event that the loop handles itself. Each implementation holds at most one pointer, so that posting
+// it doesn't allocate.
 type localEvent interface {
-	// handle returns the router event made from the local one, or nil.
+	// handle processes the event and returns a resulting event for the router, or nil.
 	handle(l *eventLoop) routing.Event
 }
 
 type (
-	// requestStarted comes with the request's routing.Request.
+	// requestStarted adds a request to the loop. It is posted together with the request's routing.Request.
 	requestStarted struct{ request *inflightRequest }
 	// endpointsUpdated is an update of the endpoint list.
 	endpointsUpdated struct{ update *endpointslice.Update }
-	// releaseDue is a release to be repeated, after its retry interval.
+	// releaseDue is posted when the retry interval of a release has passed.
 	releaseDue struct{ release *release }
-	// hungEngineDone comes when an engine that may hang has responded, or is not waited for any more.
+	// hungEngineDone is posted when a hung engine has responded, or the wait for it has ended otherwise.
 	hungEngineDone struct{ hung *hungEngine }
 	// statusDue is posted once a second.
 	statusDue struct{}
-	// stepAwaited has done closed once the router has run and its actions are under way.
+	// stepAwaited asks for done to be closed once the router has run and its actions were started.
 	stepAwaited struct{ done chan struct{} }
-	// stopRequested cancels all attempts; the loop ends with the last request.
+	// stopRequested cancels all attempts; the loop ends once no request is left.
 	stopRequested struct{}
 )
 
-// epoch is the loop's time at its start. It is not 0, since engines may have started before the gateway.
+// epoch is the value of the loop's clock when the loop starts. It is greater than 0, so that the start times of engines
+// that started before the gateway can be represented.
 const epoch = 24 * time.Hour
 
 func newEventLoop(g *Gateway, router *routing.Router, engines *engine.Client) *eventLoop {
@@ -98,7 +99,7 @@
 	return l
 }
 
-// now is the loop's monotonic time.
+// now returns the current time of the loop's monotonic clock.
 func (l *eventLoop) now() time.Duration { return epoch + time.Since(l.start) }
 
 // post adds a message to the queue. It may be called from any goroutine and never blocks.
@@ -114,12 +115,12 @@
 	}
 }
 
-// startRequest passes a new request to the router. It is kept out of the frame of the connection's goroutine, which
-// lasts as long as the request.
+// startRequest posts a new request to the router. It is not inlined, to keep its variables out of the stack frame of
+// the connection's goroutine, which lives as long as the request.
 //
 //go:noinline
 func (l *eventLoop) startRequest(request *inflightRequest) {
-	event := request.traits
+	event := request.routing
 	event.ID, event.Deadline = request.id, l.now()+time.Until(request.deadline)
 	if hook := l.gateway.hooks.Request; hook != nil {
 		hook(&event)
@@ -127,14 +128,14 @@
 	l.post(event, requestStarted{request})
 }
 
-// shutdownRouter has the router answer whatever has no answer yet.
+// shutdownRouter has the router answer all requests that have no answer yet, and waits until it has done so.
 func (l *eventLoop) shutdownRouter() {
 	done := make(chan struct{})
 	l.post(routing.Shutdown{}, stepAwaited{done})
 	<-done
 }
 
-// close cancels pending attempts, and ends the loop once no request is left and every state is released.
+// close cancels pending attempts, and returns once no request is left and all releases have ended.
 func (l *eventLoop) close() {
 	l.post(nil, stopRequested{})
 	<-l.done
@@ -144,6 +145,7 @@
 	}
 }
 
+// run handles messages in batches until a stop was requested and no request is left.
 func (l *eventLoop) run() {
 	defer close(l.done)
 	var batch []message
@@ -166,10 +168,11 @@
 	}
 }
 
-// step handles a batch of messages with one step of the router. It returns events for its capacity.
+// step handles a batch of messages with one step of the router. It returns the events slice, so that its capacity is
+// reused.
 func (l *eventLoop) step(batch []message, events []routing.Event) []routing.Event {
 	began := time.Now()
-	l.touched = l.touched[:0]
+	l.completionCandidates = l.completionCandidates[:0]
 	for i := range batch {
 		if event := l.handleMessage(&batch[i]); event != nil {
 			events = append(events, event)
@@ -180,8 +183,9 @@
 	for _, action := range l.router.Step(now, events) {
 		l.perform(action)
 	}
-	l.finishTouched()
-	// Only now may endpoints be removed: the router may have sent to one by an event that came before the list.
+	l.finishCompleted()
+	// Endpoints are removed only after the actions: the router may have sent to an endpoint because of an event that came
+	// before the update in the same batch.
 	l.table.removeGone()
 	for _, done := range l.stepWaiters {
 		close(done)
@@ -189,7 +193,7 @@
 	l.stepWaiters = nil
 	l.gateway.metrics.DecisionSeconds.Observe(time.Since(began).Seconds())
 	l.gateway.metrics.DecisionEvents.Observe(float64(len(batch)))
-	clear(l.touched)
+	clear(l.completionCandidates)
 	return events
 }
 
@@ -202,14 +206,14 @@
 	}
 	switch event := m.event.(type) {
 	case routing.ClientDisconnected:
-		l.touch(event.Request)
+		l.completionCandidate(event.Request)
 	case routing.FirstToken:
 		if request := l.requests[event.Request]; request != nil {
 			l.endState(request, stateFetched)
-			request.release.wanted = false // what engines hold for it is dropped when the stream begins
+			request.release.wanted = false // engines drop the state when the stream begins
 		}
 	case routing.Outcome:
-		if request := l.touch(event.Request); request != nil {
+		if request := l.completionCandidate(event.Request); request != nil {
 			l.attemptEnded(request, &event)
 		}
 	}
@@ -218,7 +222,7 @@
 
 func (e requestStarted) handle(l *eventLoop) routing.Event {
 	l.requests[e.request.id] = e.request
-	l.touched = append(l.touched, e.request)
+	l.completionCandidates = append(l.completionCandidates, e.request)
 	return nil
 }
 
@@ -230,12 +234,12 @@
 }
 
 func (e hungEngineDone) handle(l *eventLoop) routing.Event {
-	l.hungEngineHeard(e.hung)
+	l.hungEngineWaitEnded(e.hung)
 	return nil
 }
 
 func (statusDue) handle(l *eventLoop) routing.Event {
-	l.checkStates()
+	l.reportStatus()
 	return nil
 }
 
@@ -246,7 +250,7 @@
 
 func (stopRequested) handle(l *eventLoop) routing.Event {
 	l.stopping = true
-	l.stopAwaitingHung()
+	l.cancelHungEngineWaits()
 	for _, request := range l.requests {
 		for _, a := range request.attempts {
 			a.handle.Cancel()
@@ -255,28 +259,28 @@
 	return nil
 }
 
-// touch finds an open request that may end in this step.
-func (l *eventLoop) touch(id routing.RequestID) *inflightRequest {
+// completionCandidate returns the open request with the id, or nil, and marks it as one that may end in this step.
+func (l *eventLoop) completionCandidate(id routing.RequestID) *inflightRequest {
 	request := l.requests[id]
 	if request != nil {
-		l.touched = append(l.touched, request)
+		l.completionCandidates = append(l.completionCandidates, request)
 	}
 	return request
 }
 
-// finishTouched ends the touched requests that are answered and have no pending attempt.
-func (l *eventLoop) finishTouched() {
-	for _, request := range l.touched {
+// finishCompleted removes the requests that are answered and have no pending attempt, and releases their read states.
+func (l *eventLoop) finishCompleted() {
+	for _, request := range l.completionCandidates {
 		if request.pendingAttempts > 0 || l.requests[request.id] != request {
 			continue
 		}
 		if !request.answered() {
-			l.releaseUnclear(request)
+			l.releaseUnconfirmed(request)
 			continue
 		}
-		request.bodies = nil // its releases may keep the request for some time
+		request.bodies = nil // free the memory: releases may keep the request for some time
 		l.releaseAll(request)
-		l.releaseOnceHungRuns(request)
+		l.releaseAfterHungEngines(request)
 		delete(l.requests, request.id)
 	}
 }
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -6,7 +6,8 @@
 	"brackenbend/routing"
 )
 
-// TestPostAllocatesNothing: messages are posted several times a request, so local events hold one pointer at most.
+// TestPostAllocatesNothing checks that posting a message doesn't allocate, since each request posts several. A local
+// event with more than one pointer would need an allocation.
 func TestPostAllocatesNothing(t *testing.T) {
 	const runs = 100
 	request, done := &inflightRequest{}, make(chan struct{})
@@ -23,7 +24,7 @@
 			l := &eventLoop{wake: make(chan struct{}, 1), queue: make([]message, 0, 2*runs)}
 			var event routing.Event = routing.Shutdown{}
 			if allocs := testing.AllocsPerRun(runs, func() { l.post(event, local()) }); allocs > 0 {
-				t.Errorf("%v allocations a message", allocs)
+				t.Errorf("%v allocations per message", allocs)
 			}
 		})
 	}
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -14,92 +14,93 @@
 	"brackenbend/routing"
 )
 
-// ClientProtocol is the protocol that clients speak. OpenAI's API is built in; a platform may supply another.
+// ClientProtocol is the protocol that clients use. OpenAI's API is built in; a platform may supply another.
 type ClientProtocol interface {
-	// RespondDirectly answers requests that need neither their body nor a routing decision. With nil the body is read
-	// and passed to ParseRequest.
+	// RespondDirectly answers requests that need neither their body nor a routing decision. If it returns nil, the body
+	// is read and passed to ParseRequest.
 	RespondDirectly(req *http1.Request) *Response
-	// ParseRequest parses a request for a completion.
+	// ParseRequest parses a completion request.
 	ParseRequest(req *http1.Request, body []byte) (*ParsedRequest, *api.Error)
 }
 
-// ParsedRequest is a client's request as its protocol parsed it.
+// ParsedRequest is a client's request, as parsed by its protocol.
 type ParsedRequest struct {
-	Routing           routing.Request // all but ID and Deadline
-	Prompt            RequestBodies
+	Routing           routing.Request // without ID and Deadline, which the gateway sets
+	Bodies            RequestBodies
 	Path              string         // request target at engines
-	ClientID          string         // the client's own id of the request, unique among open requests; "" = none
+	ClientID          string         // the request's id if the client chose one, unique among open requests; "" = none
 	IdempotencyKey    string         // value of the Idempotency-Key header
-	FirstTokenTimeout time.Duration  // how long the client waits for the first token
-	Collector         *api.Collector // collects the answer for a client that does not stream
-	AnswerTimeout     time.Duration  // how long the client waits for a whole answer; 0 = unknown
+	FirstTokenTimeout time.Duration  // how long the client waits for the first token or an error
+	Collector         *api.Collector // collects the answer for a client that doesn't stream; else nil
+	AnswerTimeout     time.Duration  // how long the client waits for the whole answer; 0 = unknown
 }
 
-// RequestBodies makes the bodies of a request's attempts.
+// RequestBodies builds the bodies that a request's attempts send to engines.
 type RequestBodies interface {
 	PrefillBody() []byte
+	// DecodeBody takes the prefill's KV transfer parameters, and whether the stream must report the token usage.
 	DecodeBody(kv json.RawMessage, usage bool) []byte
 }
 
-// BrokenStreamPolicy says how the client learns that its stream broke.
+// BrokenStreamPolicy says how a client is told that its stream was interrupted.
 type BrokenStreamPolicy uint8
 
 // The policies for broken streams.
 const (
-	SendErrorEvent  BrokenStreamPolicy = iota // a last event describes the error, and the body ends as usual
+	SendErrorEvent  BrokenStreamPolicy = iota // the last event describes the error, and the body ends as usual
 	CloseConnection                           // the connection is closed in the middle of the body
 )
 
-// PipeliningPolicy says what happens to requests sent before the answer to the one before.
+// PipeliningPolicy says what happens to a request that the client sends before it has the answer to its previous one.
 type PipeliningPolicy uint8
 
 // The policies for pipelining.
 const (
-	AllowPipelining  PipeliningPolicy = iota // they are served one after another
+	AllowPipelining  PipeliningPolicy = iota // the requests are served one after another
 	RejectPipelining                         // the client gets an error, and its connection is closed
 )
 
-// RetryAfterFormat is the form of the Retry-After field of rejections.
+// RetryAfterFormat is the format of the Retry-After field in rejections.
 type RetryAfterFormat uint8
 
-// The forms of Retry-After. All but the first are sent with retry-after-ms beside them.
+// The formats of Retry-After. With all but NoRetryAfter, the field retry-after-ms is sent too.
 const (
 	NoRetryAfter         RetryAfterFormat = iota // no field
-	RetryAfterSeconds                            // whole seconds, rounded up, as RFC 9110 has it
+	RetryAfterSeconds                            // whole seconds, rounded up, as RFC 9110 specifies
 	RetryAfterFractional                         // seconds with three decimals
 )
 
 // Options configure a Gateway.
 type Options struct {
 	Routing  routing.Config
-	Kinds    []string // names of engine kinds, as endpoint lists give them
+	Kinds    []string // names of the engine kinds that endpoint lists use, in the order of Routing.Kinds
 	Tenants  []string
 	Seed     uint64
 	Protocol ClientProtocol
 	Engines  *engine.Client
 	Limits   config.Limits // all must be set
-	// AnswerMargin is how long before the end of the client's timeout final answers are due.
+	// AnswerMargin is how long before the client's timeout its final answer is due.
 	AnswerMargin time.Duration
-	// FirstRequestTimeout bounds the wait for the first request on a new connection; 0 = as for later ones.
+	// FirstRequestTimeout bounds the wait for the first request on a new connection; 0 = as for later requests.
 	FirstRequestTimeout time.Duration
-	// MinIdleTime is how long a connection must have been idle before it may be closed in favor of a new one when
-	// Limits.MaxConnections is reached; 0 = none is closed for that.
+	// MinIdleTime is how long a connection must have been idle before it may be closed to make room for a new one when
+	// Limits.MaxConnections is reached; 0 = connections are never closed for that reason.
 	MinIdleTime time.Duration
-	// AcceptWhileDraining is how long after the start of a shutdown new connections and requests are still accepted;
-	// 0 = requests are rejected from then on, and clients that are just connecting get defaultDrainGrace for theirs.
+	// AcceptWhileDraining is how long after the start of a shutdown new connections and requests are still accepted. 0 =
+	// requests are rejected from the start, and clients that are just connecting get defaultDrainGrace to send theirs.
 	AcceptWhileDraining time.Duration
 	BrokenStreams       BrokenStreamPolicy
 	Pipelining          PipeliningPolicy
 	RetryAfter          RetryAfterFormat
 }
 
-// Bounds on the heads of engines' responses.
+// Bounds on the header of an engine's response.
 const (
 	maxEngineHeaderBytes  = 64 << 10
 	maxEngineHeaderFields = 200
 )
 
-// NewFromSettings makes a gateway for OpenAI's API and vLLM engines from checked settings.
+// NewFromSettings creates a gateway for OpenAI's API and vLLM engines from validated settings.
 func NewFromSettings(settings *config.Settings, log *zap.Logger, metrics *telemetry.Metrics) (*Gateway, error) {
 	options := Options{
 		Routing: settings.RoutingConfig(), Seed: uint64(settings.Replica.Seed),
@@ -135,5 +136,5 @@
 	}
 }
 
-// UserAgent is the User-Agent of a replica towards engines and the API server.
+// UserAgent returns the User-Agent that a replica sends to engines and the API server.
 func UserAgent(settings *config.Settings) string { return "brackenbend/" + settings.Replica.Name }
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -9,20 +9,20 @@
 	"brackenbend/routing"
 )
 
-// Releasing what prefills left at engines. Where states are identified by attempt, each prefill endpoint is asked to
-// release its own. Where they are identified by request, any running engine passes the release on. It is sent at once
-// where only decodes are pending: one that has arrived keeps the state that it waits for, and one that has not arrived
-// must not keep the state from being released. Otherwise it is sent when no attempt is pending, since it would not
-// cover what a pending prefill leaves.
+// This file releases the read states that prefills left at engines. If states are identified by attempt, each prefill
+// endpoint is asked to release its own. If they are identified by request, any running engine forwards the release.
+// Such a release is sent at once if only decodes are pending: a decode that has reached its engine keeps the state that
+// it waits for, and one that has not reached it must not prevent the release. Otherwise it is sent when no attempt is
+// pending, since it would not cover the state that a pending prefill leaves.
 
 const (
-	maxReleaseEndpoints = 8  // engines that are asked to release one state
-	releaseSteps        = 10 // the next engine is asked after this part of the state TTL without a reply
-	maxReleaseRetries   = 10 // of a release that failed
-	releaseRetryPart    = 4  // the retry comes after this part of the state TTL
+	maxReleaseEndpoints = 8  // engines that are asked to release one state, at most
+	releaseHedgeDivisor = 10 // the next engine is asked after TTL / releaseHedgeDivisor without a reply
+	maxReleaseRetries   = 10 // retries of a release that failed
+	releaseRetryDivisor = 4  // a release is retried after TTL / releaseRetryDivisor
 )
 
-// stateTTL is how long the router lets a read state be held.
+// stateTTL returns how long the router lets a read state be held.
 func (l *eventLoop) stateTTL() time.Duration {
 	if ttl := l.gateway.Routing.StateTTL; ttl > 0 {
 		return ttl
@@ -30,15 +30,15 @@
 	return routing.DefaultStateTTL
 }
 
-// release is a read state to be released. Fields are set by the event loop; while calls are under way they are read by
-// the goroutine that makes them.
+// release is a read state to be released. Its fields are set by the event loop; while calls are in progress they belong
+// to the goroutine that makes them.
 type release struct {
 	id        string             // of the request, or of the attempt
 	endpoints []*engine.Endpoint // in the order in which they are asked
-	held      readState          // what is known of the state
+	held      readState          // the state, if a prefill confirmed it
 	request   *inflightRequest   // whose state it is; nil where states are identified by attempt
-	rounds    int                // that have ended
-	repeat    bool               // it is sent a second time, since it may overtake the end of an aborted decode
+	rounds    int                // completed rounds of calls; each failed, or is to be repeated
+	sendTwice bool               // sent again later: it may arrive before an engine notices the abort of a decode
 }
 
 // releaseCall is one engine to be asked.
@@ -47,8 +47,9 @@
 	newConn  bool
 }
 
-// calls are the engines in the order in which they are asked. Reused connections may be dead without a sign, so only
-// the first call is made on one; its engine, most likely the holder, is asked once more on a new connection.
+// calls returns the engines in the order in which they are asked. A reused connection may be broken without any sign of
+// it, so only the first call is made on one; its engine, which most likely holds the state, is asked again on a new
+// connection.
 func (r *release) calls() []releaseCall {
 	var calls []releaseCall
 	for i, endpoint := range r.endpoints {
@@ -60,20 +61,21 @@
 	return calls
 }
 
-// releaseRequested releases what prefills of the request left at engines, as the router asks for. Each engine is asked
-// after its attempt has ended, so that the release can't overtake the prefill; releasing twice is harmless.
+// releaseRequested handles the router's request to release the states that the request's prefills left at engines. Each
+// engine is asked after its attempt has ended, so that the release can't overtake the prefill. Releasing a state twice
+// is harmless.
 func (l *eventLoop) releaseRequested(request *inflightRequest) {
 	if !l.releasesState {
 		return
 	}
 	request.release.wanted = true
 	if l.engines.StateByRequestID {
-		if !request.releasedLater() {
+		if !request.willReleaseLater() {
 			l.releaseNow(request, 0)
 		}
 		return
 	}
-	if request.decodeWaits() { // an engine that is asked by an attempt's id can't see that a decode waits for the state
+	if request.decodeAwaitsState() { // from the attempt's id an engine can't tell that a decode waits for the state
 		return
 	}
 	for _, a := range request.attempts {
@@ -83,7 +85,7 @@
 	}
 }
 
-// releaseAttempt releases the state of one prefill.
+// releaseAttempt releases the state of one prefill, once the attempt has ended.
 func (l *eventLoop) releaseAttempt(request *inflightRequest, a *attempt) {
 	a.releaseStarted = true
 	held := readState{}
@@ -98,9 +100,9 @@
 	}()
 }
 
-// releasedLater reports that what the request may hold is released at the end of this step, or by the end of a pending
-// attempt: a prefill, or a canceled decode.
-func (r *inflightRequest) releasedLater() bool {
+// willReleaseLater reports whether the read states of the request will be released anyway: at the end of this step, or
+// when a pending attempt ends, which is a prefill or a canceled decode.
+func (r *inflightRequest) willReleaseLater() bool {
 	if r.pendingAttempts == 0 {
 		return r.answered()
 	}
@@ -109,22 +111,23 @@
 	})
 }
 
-// decodeWaits reports that a decode is pending and was not canceled.
-func (r *inflightRequest) decodeWaits() bool {
+// decodeAwaitsState reports whether a decode is pending that was not canceled.
+func (r *inflightRequest) decodeAwaitsState() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		return a.pending && a.decode && !a.handle.Canceled()
 	})
 }
 
-// releaseNow releases what the request may hold. Its next attempt waits for the end of the release, which would take
-// the state of a prefill that follows, too.
+// releaseNow releases any read state that engines may hold for the request. The request's next attempt waits for the
+// end of the release, which would also drop the state of a prefill that follows.
 func (l *eventLoop) releaseNow(request *inflightRequest, rounds int) {
 	done := make(chan struct{})
 	request.release.done = done
 	l.startRelease(l.newRelease(request, rounds), func() { close(done) })
 }
 
-// newRelease makes a release of what the request may hold, which is not counted as held any more.
+// newRelease returns a release of any read state that engines may hold for the request. From then on the release, not
+// the request, accounts for the held state.
 func (l *eventLoop) newRelease(request *inflightRequest, rounds int) *release {
 	r := &release{
 		id: request.clientID, endpoints: l.releaseOrder(request), held: request.release.held, request: request,
@@ -134,10 +137,11 @@
 	return r
 }
 
-// releaseUnclear releases what a request that goes on may hold, if its last attempt was a prefill of which it is not
-// known how it ended. The request may wait for long before its next prefill, or that may be sent and never arrive, and
-// what is held must not wait for either. The next attempt waits for the end of the release.
-func (l *eventLoop) releaseUnclear(request *inflightRequest) {
+// releaseUnconfirmed releases the read state of a request that is still in flight, if its last attempt was a prefill
+// that may have left one without confirming it. The request may wait for a long time before its next prefill, or that
+// prefill may never arrive, and the state must not be held meanwhile. The next attempt waits for the end of the
+// release.
+func (l *eventLoop) releaseUnconfirmed(request *inflightRequest) {
 	if !l.engines.StateByRequestID || !l.releasesState || len(request.attempts) == 0 {
 		return
 	}
@@ -149,53 +153,55 @@
 	l.releaseNow(request, 0)
 }
 
-// releaseAll releases what a request that ends may have left anywhere: the router asked for it, or a prefill of which
-// it is not known how it ended came before the one that was decoded from.
+// releaseAll releases all read states that a request that ends may have left at engines, if the router has asked for
+// it, or if a prefill may have left a state without confirming it, besides the state that a decode has fetched.
 func (l *eventLoop) releaseAll(request *inflightRequest) {
 	if !l.engines.StateByRequestID || !l.releasesState {
 		l.endState(request, stateAbandoned)
 		return
 	}
-	prefillRan := false
+	prefillExecuted := false
 	for _, a := range request.attempts {
-		prefillRan = prefillRan || !a.decode && !a.neverRan
+		prefillExecuted = prefillExecuted || !a.decode && !a.neverExecuted
 		request.release.wanted = request.release.wanted || a.mayHoldState && !a.releaseStarted
 	}
-	if request.release.wanted && prefillRan {
+	if request.release.wanted && prefillExecuted {
 		l.startRelease(l.newRelease(request, 0), func() {})
 		return
 	}
-	l.endState(request, stateFetched) // by a stream whose first token was not heard of before its end
+	l.endState(request, stateFetched) // fetched by a stream whose first token was not reported before its end
 }
 
-// stateHolders are the endpoints that may hold state for the request, the latest first: those that confirmed a prefill,
-// and those of which it is not known how the prefill ended. The latter may be out of reach.
-func (r *inflightRequest) stateHolders() (confirmed, unclear []*engine.Endpoint) {
+// stateHolders returns the endpoints that may hold state for the request, the latest first: those that confirmed a
+// prefill, and those where the result of the prefill is unknown, which may be unreachable.
+func (r *inflightRequest) stateHolders() (confirmed, unconfirmed []*engine.Endpoint) {
 	for _, a := range slices.Backward(r.attempts) {
 		switch {
-		case a.decode || a.neverRan || slices.Contains(confirmed, a.endpoint) || slices.Contains(unclear, a.endpoint):
+		case a.decode || a.neverExecuted ||
+			slices.Contains(confirmed, a.endpoint) || slices.Contains(unconfirmed, a.endpoint):
 		case a.mayHoldState:
-			unclear = append(unclear, a.endpoint)
+			unconfirmed = append(unconfirmed, a.endpoint)
 		default:
 			confirmed = append(confirmed, a.endpoint)
 		}
 	}
-	return confirmed, unclear
+	return confirmed, unconfirmed
 }
 
-// releaseOrder is the order in which engines are asked to release: those that hold the state, then the open ones by
-// their last response, the latest first. So do those of which it is not known: any running engine passes a release on.
+// releaseOrder returns the engines that are asked to release, in order: first those that confirmed a prefill, then all
+// others, the one with the latest response first. The others are those that may hold an unconfirmed state, and all open
+// engines, since any running engine forwards a release.
 func (l *eventLoop) releaseOrder(request *inflightRequest) []*engine.Endpoint {
-	order, others := request.stateHolders()
+	engines, others := request.stateHolders()
 	for _, entry := range l.table.byID {
 		e := entry.engine
-		if e.IsOpen() && !slices.Contains(order, e) && !slices.Contains(others, e) {
+		if e.IsOpen() && !slices.Contains(engines, e) && !slices.Contains(others, e) {
 			others = append(others, e)
 		}
 	}
 	slices.SortStableFunc(others, func(a, b *engine.Endpoint) int {
 		return cmp.Compare(b.LastResponse(), a.LastResponse())
 	})
-	order = append(order, others...)
-	return order[:min(len(order), maxReleaseEndpoints)]
+	engines = append(engines, others...)
+	return engines[:min(len(engines), maxReleaseEndpoints)]
 }
--- a/internal/gateway/release_call.go
+++ b/internal/gateway/release_call.go
@@ -9,49 +9,50 @@
 	"brackenbend/internal/engine"
 )
 
-// errNoEngine is the error of a release for which there is no engine to ask.
-var errNoEngine = errors.New("gateway: no engine to release at")
+// errNoReleaseEngine is the error of a release when there is no engine that could be asked.
+var errNoReleaseEngine = errors.New("gateway: no engine is available to release the read state")
 
-// startRelease makes the calls of a release in a goroutine of its own, and calls done after that. A release that failed
-// is retried after a pause.
+// startRelease makes the calls of a release in a goroutine of its own and then calls done. A release that failed is
+// retried after a delay.
 //
-// A release spares a state for which a decode waits. Where the last decode was aborted, its connection is closed, but
-// there is no order between two connections: the release waits for a moment, and is repeated where no prefill can
-// follow it.
+// A release doesn't drop a state that a decode waits for. If the last decode was aborted, its connection is closed, but
+// the engine may process the release, which comes on another connection, before it notices that. So the first round
+// waits for the settle delay, and the release is sent again later.
 func (l *eventLoop) startRelease(r *release, done func()) {
 	r.request.release.last = r
 	last := r.request.attempts[len(r.request.attempts)-1]
-	r.repeat = r.rounds == 0 && !last.pending && last.decodeAborted
+	r.sendTwice = r.rounds == 0 && !last.pending && last.decodeAborted
 	l.work.Add(1)
 	go func() {
 		defer l.work.Done()
-		if r.repeat {
+		if r.sendTwice {
 			time.Sleep(l.engines.SettleDelay)
 		}
 		err := l.callRelease(r)
 		done()
-		if err != nil || r.repeat {
+		if err != nil || r.sendTwice {
 			r.rounds++
-			time.AfterFunc(l.stateTTL()/releaseRetryPart, func() { l.post(nil, releaseDue{r}) })
+			time.AfterFunc(l.stateTTL()/releaseRetryDivisor, func() { l.post(nil, releaseDue{r}) })
 		}
 	}()
 }
 
-// retryRelease sends a release again that has failed, or may have come too early: a state must be released until an
-// engine accepts it. A request that goes on has another release behind it, or a prefill whose state the old release
-// would take.
+// retryRelease sends a release again that has failed, or that may have arrived too early. It is retried until an engine
+// accepts it, at most maxReleaseRetries times. There is no retry if the request has started a later release, or will
+// start one; a retry during a pending prefill would also drop the state of that prefill.
 func (l *eventLoop) retryRelease(r *release) {
 	request := r.request
 	switch isOpen := l.requests[request.id] == request; {
-	case request.release.last != r: // a later one has been started
+	case request.release.last != r: // a later release has been started
 		l.observeStateEnd(r.held, stateReleaseFailed)
 	case l.stopping || r.rounds > maxReleaseRetries:
-		l.gateway.log.Error("read state given up", zap.String("request", r.id), zap.Int("rounds", r.rounds))
+		l.gateway.log.Error("giving up on the release of a read state",
+			zap.String("request", r.id), zap.Int("rounds", r.rounds))
 		l.observeStateEnd(r.held, stateReleaseFailed)
 	case !isOpen:
 		r.endpoints = l.releaseOrder(request)
 		l.startRelease(r, func() {})
-	case request.releasedLater():
+	case request.willReleaseLater():
 		request.release.wanted = true
 		l.observeStateEnd(r.held, stateReleaseFailed)
 	default:
@@ -60,23 +61,24 @@
 	}
 }
 
-// callRelease has one of the engines release. Several may be lost, and it takes long to find out for each, so the next
-// one is asked whenever those before have not replied for a part of the time, or have failed.
+// callRelease asks the engines of a release one after another, until one of them accepts it. Several engines may be
+// unreachable, and it takes long to find that out for each, so the next engine is asked, as a hedged request, when the
+// last call has failed or has had no reply for a tenth of the state TTL.
 func (l *eventLoop) callRelease(r *release) error {
-	calls, began := r.calls(), time.Now()
-	deadline := began.Add(l.stateTTL())
+	calls, startedAt := r.calls(), time.Now()
+	deadline := startedAt.Add(l.stateTTL())
 	results := make(chan error, len(calls))
 	attempts := make([]engine.Attempt, len(calls))
-	err, asked, pending := errNoEngine, 0, 0
-	for released := false; !released && (asked < len(calls) || pending > 0); {
-		if asked < len(calls) {
-			a, call := &attempts[asked], calls[asked]
-			asked, pending = asked+1, pending+1
+	err, started, pending := errNoReleaseEngine, 0, 0
+	for released := false; !released && (started < len(calls) || pending > 0); {
+		if started < len(calls) {
+			a, call := &attempts[started], calls[started]
+			started, pending = started+1, pending+1
 			go func() { results <- l.engines.ReleaseState(a, call.endpoint, r.id, call.newConn, deadline) }()
 		}
-		wait := time.Until(deadline) + time.Second // beyond the end of ReleaseState, which keeps the deadline itself
-		if asked < len(calls) {
-			wait = l.stateTTL() / releaseSteps
+		wait := time.Until(deadline) + time.Second // the margin lets ReleaseState return at the deadline by itself
+		if started < len(calls) {
+			wait = l.stateTTL() / releaseHedgeDivisor
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -87,20 +89,20 @@
 		}
 		timer.Stop()
 	}
-	for i := range asked {
+	for i := range started {
 		attempts[i].Cancel()
 	}
 	for ; pending > 0; pending-- {
 		<-results //nolint:errcheck // the result of a canceled call
 	}
-	l.logRelease(r, asked, time.Since(began), err)
+	l.logRelease(r, started, time.Since(startedAt), err)
 	return err
 }
 
-// logRelease logs and counts how a release ended.
-func (l *eventLoop) logRelease(r *release, asked int, elapsed time.Duration, err error) {
+// logRelease logs and counts the result of one round of calls.
+func (l *eventLoop) logRelease(r *release, calls int, elapsed time.Duration, err error) {
 	fields := []zap.Field{
-		zap.String("request", r.id), zap.Int("calls", asked), zap.Int("rounds_before", r.rounds),
+		zap.String("request", r.id), zap.Int("calls", calls), zap.Int("rounds_before", r.rounds),
 		zap.Duration("took", elapsed),
 	}
 	if !r.held.since.IsZero() {
@@ -109,7 +111,7 @@
 	}
 	if err != nil {
 		l.gateway.metrics.Releases.WithLabelValues("failed").Inc()
-		l.gateway.log.Warn("read state not released", append(fields, zap.Error(err))...)
+		l.gateway.log.Warn("read state release failed", append(fields, zap.Error(err))...)
 		return
 	}
 	l.observeStateEnd(r.held, stateReleased)
--- a/internal/gateway/release_test.go
+++ b/internal/gateway/release_test.go
@@ -6,9 +6,9 @@
 	"brackenbend/internal/engine"
 )
 
-// TestReleaseByAttemptSparesWaitingDecode: engines that are asked by an attempt's id can't see that a decode waits for
-// the state. A release that the router wants meanwhile is left out; one that follows the decode's end, or its
-// cancellation, is sent.
+// TestReleaseByAttemptSparesWaitingDecode checks releases where states are identified by attempt. From the attempt's id
+// an engine can't tell that a decode waits for the state, so a release would drop it. A release that the router asks
+// for while the decode is pending must be skipped; one after the decode has ended or was canceled must be sent.
 func TestReleaseByAttemptSparesWaitingDecode(t *testing.T) {
 	for name, end := range map[string]func(decode *attempt){
 		"ended":    func(decode *attempt) { decode.pending = false },
@@ -16,7 +16,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newRig(t, "", "reader", "writer").gateway.loop
-			prefill := &attempt{endpoint: &engine.Endpoint{}, neverRan: true, ended: make(chan struct{})}
+			prefill := &attempt{endpoint: &engine.Endpoint{}, neverExecuted: true, ended: make(chan struct{})}
 			decode := &attempt{decode: true, pending: true}
 			close(prefill.ended)
 			request := &inflightRequest{attempts: []*attempt{prefill, decode}, pendingAttempts: 1}
@@ -25,7 +25,7 @@
 			}
 			end(decode)
 			if l.releaseRequested(request); !prefill.releaseStarted {
-				t.Error("not released after the decode")
+				t.Error("not released after the decode ended or was canceled")
 			}
 		})
 	}
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -24,10 +24,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds each wait of a test for something that must happen.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait of a test for an expected event.
+const waitTimeout = 20 * time.Second
 
-// rig is a gateway with fake engines.
+// rig is a test rig: a gateway with fake engines.
 type rig struct {
 	t         *testing.T
 	gateway   *Gateway
@@ -66,7 +66,7 @@
 	return set
 }
 
-// newRig starts a gateway with limits set as given, and one engine for each role.
+// newRig starts a gateway with the given attributes of <limits>, and one engine for each of the roles.
 func newRig(t *testing.T, limits string, roles ...string) *rig {
 	t.Helper()
 	return newRigOn(t, listen(t), limits, roles...)
@@ -81,7 +81,7 @@
 	return l.(*net.TCPListener)
 }
 
-// newRigOn makes a rig that serves on l.
+// newRigOn is like newRig, but the gateway serves on l.
 func newRigOn(t *testing.T, l net.Listener, limits string, roles ...string) *rig {
 	t.Helper()
 	r := &rig{t: t, engines: map[string]*fakeengine.Server{}, address: l.Addr().String()}
@@ -139,7 +139,7 @@
 	})
 }
 
-// enginesOf returns the engines of a role.
+// enginesOf returns the engines that have the role.
 func (r *rig) enginesOf(role string) (engines []*fakeengine.Server) {
 	for name, e := range r.engines {
 		if strings.HasPrefix(name, role) {
@@ -149,17 +149,17 @@
 	return engines
 }
 
-// requireNoArrivals checks that no engine was sent anything.
+// requireNoArrivals checks that no engine has received a request.
 func (r *rig) requireNoArrivals() {
 	r.t.Helper()
 	for name, e := range r.engines {
 		if n := e.Arrivals(); n > 0 {
-			r.t.Errorf("%s was sent %d requests", name, n)
+			r.t.Errorf("%s received %d requests", name, n)
 		}
 	}
 }
 
-// post sends a request with an http.Client and returns the response with its whole body.
+// post sends a request of the class with an http.Client and returns the response and its whole body.
 func (r *rig) post(class, body string) (*http.Response, string) {
 	r.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.address+"/v1/chat/completions", strings.NewReader(body))
@@ -203,8 +203,8 @@
 	}
 }
 
-// raw sends bytes as they are and returns all that comes back until the connection ends.
-func (r *rig) raw(parts ...string) string {
+// sendRaw sends the parts as they are, and returns all bytes received until the connection ends.
+func (r *rig) sendRaw(parts ...string) string {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -213,19 +213,20 @@
 	defer closeQuietly(c)
 	for _, part := range parts {
 		if _, err := io.WriteString(c, part); err != nil {
-			break // the gateway may answer and close before it has read all
+			break // the gateway may answer and close the connection before it has read everything
 		}
 	}
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	text, _ := io.ReadAll(c) // a reset may follow the answer
 	return string(text)
 }
 
+// eventually waits until ok returns true, and fails the test after waitTimeout.
 func (r *rig) eventually(what string, ok func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("not in %v: %s", patience, what)
+			r.t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 	}
 }
@@ -235,22 +236,23 @@
 	r.eventually(fmt.Sprintf("%d requests are open", n), func() bool { return r.gateway.openRequests.Load() == n })
 }
 
-// closeQuietly closes what may be closed or broken already.
+// closeQuietly closes c and ignores errors: c may be closed or broken already.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
+// chat returns the body of a chat completion request.
 func chat(stream bool, tokens int) string {
 	return fmt.Sprintf(`{"model":"m","stream":%v,"max_tokens":%d,"messages":[`+
 		`{"role":"system","content":"You help."},{"role":"user","content":"hello there"}]}`, stream, tokens)
 }
 
-// request is a whole message with more header fields.
-func request(body, more string) string {
+// chatRequest returns a whole HTTP request with the body, and with more header fields.
+func chatRequest(body, more string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n%sContent-Length: %d\r\n\r\n%s",
 		more, len(body), body)
 }
 
-// until reads from br until what came ends with end.
-func until(t *testing.T, br *bufio.Reader, end string) string {
+// readUntil reads from br until the bytes read end with end, and returns them.
+func readUntil(t *testing.T, br *bufio.Reader, end string) string {
 	t.Helper()
 	var got strings.Builder
 	for !strings.HasSuffix(got.String(), end) {
--- a/internal/gateway/scripted_engine_test.go
+++ b/internal/gateway/scripted_engine_test.go
@@ -14,23 +14,26 @@
 	"brackenbend/routing"
 )
 
-// scriptedEngine answers all prefills and releases alike, and each decode as set; nothing depends on chance.
+// scriptedEngine is a deterministic engine. It gives the same answer to each prefill and release, and to decodes the
+// answer that the test has set.
 type scriptedEngine struct {
 	mu     sync.Mutex
 	answer func(c net.Conn)
 }
 
-// setAnswer sets the answer to the following decodes.
+// setAnswer sets the answer to all decodes from now on.
 func (e *scriptedEngine) setAnswer(answer func(c net.Conn)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.answer = answer
 }
 
-// writes makes an answer that writes text. A broken connection shows in what the client gets.
-func writes(text string) func(net.Conn) { return func(c net.Conn) { _, _ = io.WriteString(c, text) } }
+// writeText returns an answer that writes text. It ignores errors, since tests see a broken connection at the client.
+func writeText(text string) func(net.Conn) {
+	return func(c net.Conn) { _, _ = io.WriteString(c, text) }
+}
 
-// start serves until the test ends, and returns the engine's address.
+// start serves on a new address until the test ends, and returns the address.
 func (e *scriptedEngine) start(t *testing.T) string {
 	t.Helper()
 	l := listen(t)
@@ -70,9 +73,9 @@
 		case err != nil:
 			return
 		case strings.HasSuffix(req.URL.Path, "/release"):
-			writes("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")(c)
+			writeText("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")(c)
 		case strings.Contains(string(text), `"do_remote_decode":true`):
-			writes("HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n" + `{"kv_transfer_params":{"a":1}}`)(c)
+			writeText("HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n" + `{"kv_transfer_params":{"a":1}}`)(c)
 		default:
 			e.mu.Lock()
 			answer := e.answer
@@ -82,11 +85,11 @@
 	}
 }
 
-// newScriptedRig makes a gateway with one scripted engine in both roles.
+// newScriptedRig starts a gateway with one scripted engine, which is both the prefill and the decode endpoint.
 func newScriptedRig(t *testing.T, limits string) (*rig, *scriptedEngine) {
 	t.Helper()
 	e := &scriptedEngine{}
-	prefill, decode := e.start(t), e.start(t) // they end after the gateway
+	prefill, decode := e.start(t), e.start(t) // started before the gateway, so that they end after it
 	r := newRig(t, limits)
 	r.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: []endpointslice.Endpoint{
 		{Name: "reader-0", Kind: "reader", Address: prefill, State: routing.EndpointReady},
@@ -108,6 +111,7 @@
 	eventDone = "data: [DONE]\n\n"
 )
 
+// chunk returns s as one chunk of a chunked body.
 func chunk(s string) string { return string(http1.AppendChunk(nil, []byte(s))) }
 
 var wholeStream = streamHead + chunk(": a comment\n\n"+event1+event2) + chunk(eventUsage+eventDone) + "0\r\n\r\n"
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -17,7 +17,7 @@
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	got := make(chan string, 1)
-	go func() { got <- r.raw(request(chat(true, 200), "")) }()
+	go func() { got <- r.sendRaw(chatRequest(chat(true, 200), "")) }()
 	r.awaitOpenRequests(1)
 	idle := r.dial("")
 	r.gateway.drain.grace = 2 * time.Second // the client below may be scheduled late
@@ -26,7 +26,7 @@
 		for !r.gateway.drain.started.Load() {
 			runtime.Gosched()
 		}
-		_, _ = io.WriteString(idle, request(chat(true, 1), "")) // the answer shows whether it failed
+		_, _ = io.WriteString(idle, chatRequest(chat(true, 1), "")) // the answer shows whether it failed
 		text, _ := io.ReadAll(idle)
 		late <- string(text)
 	}()
@@ -49,7 +49,7 @@
 		e.SetFaults(fakeengine.Faults{Stall: true})
 	}
 	got := make(chan string, 1)
-	go func() { got <- r.raw(request(chat(true, 200), "X-Class: order\r\n")) }()
+	go func() { got <- r.sendRaw(chatRequest(chat(true, 200), "X-Class: order\r\n")) }()
 	r.awaitOpenRequests(1)
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
@@ -76,7 +76,7 @@
 			r := newRig(t, "", "reader", "writer")
 			read, aborted := make(chan struct{}), make(chan struct{})
 			client := r.connect(&hookedConn{afterRead: func([]byte) { close(read); <-aborted }})
-			text := request(chat(true, 3), "X-Class: order\r\n")
+			text := chatRequest(chat(true, 3), "X-Class: order\r\n")
 			send(t, client, text[:len(text)-c.missing])
 			<-read
 			r.gateway.loop.shutdownRouter()
@@ -132,7 +132,7 @@
 	r.eventually("it drains", r.gateway.drain.started.Load)
 	r.dial("")
 	<-l.failed
-	if got := r.raw(request(chat(true, 3), "Connection: close\r\n")); !strings.Contains(got, "[DONE]") {
+	if got := r.sendRaw(chatRequest(chat(true, 3), "Connection: close\r\n")); !strings.Contains(got, "[DONE]") {
 		t.Errorf("%q", got)
 	}
 	_ = l.SetDeadline(time.Now()) // nobody else is to come
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	tickInterval   = time.Second      // between looks at idle connections and held states
+	tickInterval   = time.Second      // between checks of idle connections and held states
 	statusInterval = 10 * time.Second // between status lines
-	maxOverdueLogs = 5                // lines about overdue states at a time
+	maxOverdueLogs = 5                // log lines about overdue states per check
 )
 
-// tick closes expired idle connections to engines, and has the event loop check the states held.
+// tick periodically closes expired idle connections to engines, and has the event loop check the held states.
 func (l *eventLoop) tick() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -27,9 +27,8 @@
 	}
 }
 
-// checkStates logs states that are held beyond their TTL while no stream has begun, and every statusInterval a status
-// line.
-func (l *eventLoop) checkStates() {
+// reportStatus logs the states that are still held after their TTL, and a status line every statusInterval.
+func (l *eventLoop) reportStatus() {
 	var oldest time.Duration
 	held, pendingAttempts, overdue := 0, 0, 0
 	for _, request := range l.requests {
@@ -42,7 +41,7 @@
 		oldest = max(oldest, age)
 		if age > l.stateTTL() && overdue < maxOverdueLogs {
 			overdue++
-			l.logOverdue(request, age)
+			l.logOverdueState(request, age)
 		}
 	}
 	if time.Since(l.statusLoggedAt) < statusInterval {
@@ -59,9 +58,9 @@
 	)
 }
 
-func (l *eventLoop) logOverdue(request *inflightRequest, age time.Duration) {
+func (l *eventLoop) logOverdueState(request *inflightRequest, age time.Duration) {
 	last := request.attempts[len(request.attempts)-1]
-	l.gateway.log.Warn("read state overdue",
+	l.gateway.log.Warn("read state held beyond its TTL",
 		zap.String("id", request.displayID()),
 		zap.String("reader", request.release.held.endpoint),
 		zap.Duration("held_for", age),
--- a/internal/gateway/unknownendpoint_test.go
+++ b/internal/gateway/unknownendpoint_test.go
@@ -7,7 +7,7 @@
 	"brackenbend/routing"
 )
 
-// sendToUnknown has the loop start an attempt of each open request at an endpoint that it doesn't know.
+// sendToUnknown is a local event that starts an attempt of each open request at an unknown endpoint.
 type sendToUnknown struct{ done chan struct{} }
 
 func (e sendToUnknown) handle(l *eventLoop) routing.Event {
@@ -18,13 +18,13 @@
 	return nil
 }
 
-// TestSendToUnknownEndpoint: the router never sends to an endpoint that the gateway doesn't know. If it did, the
-// attempt's outcome named an attempt that the gateway had not counted, and the event loop ended by a panic, with all
-// requests of the gateway.
+// TestSendToUnknownEndpoint checks that a send to an endpoint that the gateway doesn't know ends as an attempt that was
+// not sent. The router should never decide such a send. When the gateway didn't add the attempt to the request, its
+// outcome referred to a missing attempt, and the event loop panicked, which ended all requests of the gateway.
 func TestSendToUnknownEndpoint(t *testing.T) {
 	r := newRig(t, "") // no engine is listed, so the request waits
 	got := make(chan string, 1)
-	go func() { got <- r.raw(request(chat(true, 5), "X-Class: brief\r\nConnection: close\r\n")) }()
+	go func() { got <- r.sendRaw(chatRequest(chat(true, 5), "X-Class: brief\r\nConnection: close\r\n")) }()
 	r.awaitOpenRequests(1)
 	e := sendToUnknown{make(chan struct{})}
 	r.gateway.loop.post(nil, e)
--- a/internal/gateway/wallclock_test.go
+++ b/internal/gateway/wallclock_test.go
@@ -1,6 +1,6 @@
 //go:build wallclockstep
 
-// These tests need a standard library whose wall clock they can step: run .ci/wall-clock.
+// These tests need a standard library with time.StepWallClock, which steps the wall clock: run .ci/wall-clock.
 
 package gateway
 
@@ -12,15 +12,16 @@
 
 var wallClockSteps = map[string]time.Duration{"an hour forward": time.Hour, "an hour back": -time.Hour, "5 s forward": 5 * time.Second}
 
-// stepWallClock steps the wall clock, until the test ends.
+// stepWallClock steps the wall clock, and steps it back when the test ends.
 func stepWallClock(t *testing.T, step time.Duration) {
 	t.Helper()
 	time.StepWallClock(step)
 	t.Cleanup(func() { time.StepWallClock(-step) })
 }
 
-// TestWallClockDrainDeadline: a drain that accepts for 300 ms more ends its connections after just that, wherever the
-// wall clock is stepped to meanwhile. It ended at once, or an hour later.
+// TestWallClockDrainDeadline checks that a drain that accepts requests for another 300 ms has its deadline after
+// exactly that time, even if the wall clock is stepped meanwhile. With a deadline in wall-clock time the drain ended at
+// once, or an hour late.
 func TestWallClockDrainDeadline(t *testing.T) {
 	for name, step := range wallClockSteps {
 		t.Run(name, func(t *testing.T) {
@@ -28,21 +29,21 @@
 			g.startDraining()
 			stepWallClock(t, step)
 			if g.drain.deadlinePassed() {
-				t.Error("the drain's deadline has passed at once")
+				t.Error("the drain's deadline has passed immediately")
 			}
 			if wait := time.Until(g.drain.graceEnd()); wait <= 0 || wait > g.AcceptWhileDraining {
-				t.Errorf("the drain goes on for %v", wait)
+				t.Errorf("the drain lasts %v more", wait)
 			}
 			time.Sleep(g.AcceptWhileDraining)
 			if !g.drain.deadlinePassed() {
-				t.Error("the drain's deadline has not passed in its time")
+				t.Error("the drain's deadline has not passed in time")
 			}
 		})
 	}
 }
 
-// TestWallClockEviction: of two idle connections the one that has been idle longer goes, and none that has been idle
-// for less than MinIdleTime.
+// TestWallClockEviction checks that, whatever steps the wall clock makes, the connection that has been idle longest is
+// evicted, and none that has been idle for less than MinIdleTime.
 func TestWallClockEviction(t *testing.T) {
 	for name, step := range wallClockSteps {
 		t.Run(name, func(t *testing.T) {
@@ -59,15 +60,15 @@
 			first := idle()
 			stepWallClock(t, step)
 			if g.evictIdleConn() {
-				t.Fatal("evicted at once")
+				t.Fatal("a connection was evicted before MinIdleTime")
 			}
 			time.Sleep(g.MinIdleTime)
 			idle()
 			if !g.evictIdleConn() {
-				t.Fatal("none was evicted")
+				t.Fatal("no connection was evicted after MinIdleTime")
 			}
 			if _, there := g.conns[first]; there {
-				t.Error("the one that was idle for less was evicted")
+				t.Error("the connection that was idle for a shorter time was evicted")
 			}
 		})
 	}
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -34,7 +34,7 @@
 // TestClientAnswerBytes records what clients of OpenAI's API get, byte for byte.
 func TestClientAnswerBytes(t *testing.T) {
 	r, engine := newScriptedRig(t, `head="2KiB" body="1KiB"`)
-	post := func(body, more string) string { return request(body, more+ending) }
+	post := func(body, more string) string { return chatRequest(body, more+ending) }
 	text := strings.Replace(post(`{"model":"m","prompt":"hello"}`, ""), "/v1/chat/completions", "/v1/completions", 1)
 	plain := func(line string) string { return line + " HTTP/1.1\r\nHost: a\r\n" + ending + "\r\n" }
 	error400 := "HTTP/1.1 400 x\r\nContent-Length: 26\r\n\r\n" + `{"error":{"message":"no"}}`
@@ -42,14 +42,14 @@
 		{"stream", wholeStream, post(chat(true, 5), "")},
 		{"stream, unsafe", wholeStream, post(chat(true, 5), "X-Class: order\r\n")},
 		{"stream, keyed", wholeStream, post(chat(true, 5), "X-Class: book\r\nIdempotency-Key: k\r\n")},
-		{"stream, HTTP/1.0", wholeStream, strings.Replace(request(chat(true, 5), ""), "HTTP/1.1", "HTTP/1.0", 1)},
+		{"stream, HTTP/1.0", wholeStream, strings.Replace(chatRequest(chat(true, 5), ""), "HTTP/1.1", "HTTP/1.0", 1)},
 		{"stream, 100-continue", wholeStream, post(chat(true, 5), "Expect: 100-continue\r\n")},
 		{"whole", wholeStream, post(chat(false, 5), "")},
-		{"whole, HTTP/1.0", wholeStream, strings.Replace(request(chat(false, 5), ""), "HTTP/1.1", "HTTP/1.0", 1)},
+		{"whole, HTTP/1.0", wholeStream, strings.Replace(chatRequest(chat(false, 5), ""), "HTTP/1.1", "HTTP/1.0", 1)},
 		{"whole, completion", streamHead + chunk(textEvent+eventDone) + "0\r\n\r\n", text},
 		{
 			"keep-alive, then close", wholeStream,
-			request(chat(false, 5), "") + request(chat(true, 5), "") + post(chat(false, 5), ""),
+			chatRequest(chat(false, 5), "") + chatRequest(chat(true, 5), "") + post(chat(false, 5), ""),
 		},
 		{"engine's 400", error400, post(chat(true, 5), "")},
 		{"engine's 400, whole", error400, post(chat(false, 5), "X-Class: order\r\n")},
@@ -59,13 +59,13 @@
 		{"stream that breaks", streamHead + chunk(event1) + "0\r\n\r\n", post(chat(true, 5), "X-Class: order\r\n")},
 		{
 			"stream that breaks, HTTP/1.0", streamHead + chunk(event1) + "0\r\n\r\n",
-			strings.Replace(request(chat(true, 5), ""), "HTTP/1.1", "HTTP/1.0", 1),
+			strings.Replace(chatRequest(chat(true, 5), ""), "HTTP/1.1", "HTTP/1.0", 1),
 		},
 		{"stream that breaks, whole", streamHead + chunk(event1) + "0\r\n\r\n", post(chat(false, 5), "X-Class: order\r\n")},
 		{"stream that breaks, whole, safe", streamHead + chunk(event1) + "0\r\n\r\n", post(chat(false, 5), "")},
 		{"no key", "", post(chat(true, 5), "X-Class: book\r\n")},
 		{"not JSON", "", post("{", "")},
-		{"not JSON, keep-alive", "", request("{", "") + plain("GET /v1/models")},
+		{"not JSON, keep-alive", "", chatRequest("{", "") + plain("GET /v1/models")},
 		{"not an object", "", post("[]", "")},
 		{"no model", "", post(`{"messages":[]}`, "")},
 		{"unknown model", "", post(strings.Replace(chat(true, 5), `"m"`, `"x"`, 1), "")},
@@ -86,17 +86,17 @@
 		{"405, completions", "", plain("DELETE /v1/completions")},
 		{"405, models", "", plain("POST /v1/models")},
 		{"405 with a body", "", "PUT /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}"},
-		{"413", "", request(strings.Repeat("x", 2000), "")},
+		{"413", "", chatRequest(strings.Repeat("x", 2000), "")},
 		{"413, chunked", "", "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n800\r\n" +
 			strings.Repeat("x", 2048) + "\r\n0\r\n\r\n"},
 		{"431", "", "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 3000) + "\r\n\r\n"},
-		{"400, two lengths", "", request("{}", "Content-Length: 2\r\n")},
+		{"400, two lengths", "", chatRequest("{}", "Content-Length: 2\r\n")},
 		{"400, bare LF", "", "GET /v1/models HTTP/1.1\nHost: a\n\n"},
-		{"417", "", request("{}", "Expect: a miracle\r\n")},
+		{"417", "", chatRequest("{}", "Expect: a miracle\r\n")},
 		{"505", "", "GET /v1/models HTTP/2.0\r\nHost: a\r\n\r\n"},
 	} {
-		engine.setAnswer(writes(c.answer))
-		got := r.raw(c.send)
+		engine.setAnswer(writeText(c.answer))
+		got := r.sendRaw(c.send)
 		name := strings.NewReplacer(", ", "-", " ", "-", "/", "", "'", "").Replace(c.name)
 		golden.Check(t, "client-"+name+".golden", visible(got))
 	}
@@ -109,19 +109,19 @@
 	engine.setAnswer(func(c net.Conn) {
 		last := chunk(eventDone) + "0\r\n\r\n"
 		for _, part := range []string{streamHead + chunk(event1), chunk(event2), chunk(eventUsage), last} {
-			writes(part)(c)
+			writeText(part)(c)
 			<-next
 		}
 	})
-	c := r.dial(request(chat(true, 5), ""))
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	c := r.dial(chatRequest(chat(true, 5), ""))
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	br := bufio.NewReader(c)
 	all := ""
 	for _, end := range []string{event1, event2, eventUsage, eventDone} {
-		all += until(t, br, end+"\r\n")
+		all += readUntil(t, br, end+"\r\n")
 		next <- struct{}{}
 	}
-	all += until(t, br, "0\r\n\r\n")
+	all += readUntil(t, br, "0\r\n\r\n")
 	golden.Check(t, "stream-chunks.golden", visible(all))
 }
 
@@ -129,7 +129,7 @@
 func TestRejectionBytesOnSocket(t *testing.T) {
 	r := newRig(t, "", "reader")
 	for _, class := range []string{"brief", "quick"} {
-		got := r.raw(request(chat(true, 5), "X-Class: "+class+"\r\n"+ending))
+		got := r.sendRaw(chatRequest(chat(true, 5), "X-Class: "+class+"\r\n"+ending))
 		got = waitWhole.ReplaceAllString(got, "Retry-After: S\r")
 		golden.Check(t, "refusal-"+class+".golden", visible(waitMillis.ReplaceAllString(got, "retry-after-ms: MS\r")))
 	}
@@ -142,7 +142,7 @@
 		t.Run(fmt.Sprintf("stream %v", stream), func(t *testing.T) {
 			r, engine := newScriptedRig(t, "")
 			engine.setAnswer(func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // ends with the connection
-			got := r.raw(request(chat(stream, 5), "X-Class: quick\r\n"+ending))
+			got := r.sendRaw(chatRequest(chat(stream, 5), "X-Class: quick\r\n"+ending))
 			golden.Check(t, fmt.Sprintf("timeout-stream-%v.golden", stream), visible(got))
 		})
 	}
--- a/internal/node/protocol/client.go
+++ b/internal/node/protocol/client.go
@@ -66,7 +66,7 @@
 		ClientID:       fields.get(headerRequestID),
 		Path:           req.Target,
 		IdempotencyKey: fields.get(engine.HeaderIdempotencyKey),
-		Prompt:         prompt(body),
+		Bodies:         prompt(body),
 	}
 	if !validRequestID(parsed.ClientID) {
 		return nil, invalidRequest(http.StatusBadRequest,
--- a/internal/node/protocol/client_test.go
+++ b/internal/node/protocol/client_test.go
@@ -59,7 +59,7 @@
 		got.Path != "/v1/chat/completions?x=1" || got.IdempotencyKey != "fad03ed3-01" {
 		t.Errorf("parsed %+v", got)
 	}
-	if string(got.Prompt.PrefillBody()) != validBody || string(got.Prompt.DecodeBody(nil, false)) != validBody {
+	if string(got.Bodies.PrefillBody()) != validBody || string(got.Bodies.DecodeBody(nil, false)) != validBody {
 		t.Error("the body was changed")
 	}
 }
