--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -157,8 +157,8 @@
 }
 
 // removeGone removes endpoints that are gone and have no open connection, and localities without endpoints, if an
-// update was applied in this step. Pod names are not reused, so the table would grow without bound. Requests hold
-// pointers to the engine.Endpoints that they still need.
+// update was applied in this step. Pod names are not reused, so the table would grow without bound otherwise. Requests
+// hold pointers to the engine.Endpoints that they still need.
 func (t *endpointTable) removeGone() {
 	if !t.changed {
 		return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
 // Package gateway accepts clients, runs the router and carries out its actions. One Gateway is one replica.
 //
 // The decisions on a request (rejecting, retrying, canceling, releasing) are made by package routing; this package
-// turns what happens on the network into the router's events, and the router's actions into work.
+// reports what happens on the network to the router as events, and carries out the actions that the router returns.
 //
 // # Goroutines
 //
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestCompletionThroughPrefillAndDecode sends a streamed and a collected request that are served, and requests that the
-// gateway must answer with an error of the client.
+// gateway must answer with a client error (4xx).
 func TestCompletionThroughPrefillAndDecode(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	resp, text := r.post("ask", chat(true, 5))
