--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -7,26 +7,26 @@
 	"io"
 )
 
-// preallocateMax is the longest body whose memory is taken before its bytes have arrived: a length that a peer only
-// announces must not take more.
-const preallocateMax = 64 << 10
+// maxPreallocatedBody is the size of the largest body whose memory is allocated before its bytes have arrived. It
+// bounds the memory that a peer can claim with a Content-Length alone.
+const maxPreallocatedBody = 64 << 10
 
-// Body reads a message's body. Read returns io.EOF only at its true end, io.ErrUnexpectedEOF when the connection
-// ended before, and an *Error when its framing is broken.
+// Body reads the body of a message. Read returns io.EOF only at the end of a complete body, io.ErrUnexpectedEOF if the
+// connection ends earlier, and an *Error if the framing is malformed.
 type Body struct {
-	br         *bufio.Reader
-	remaining  int64 // bytes of the body or of the current chunk; -1 = until the connection ends
-	chunked    bool
-	lineEnded  bool // chunked: no line end of an earlier chunk's data is left to read
-	eof        bool
-	maxTrailer int   // bytes
-	err        error // met in WaitReadable, for the next Read
+	br           *bufio.Reader
+	remaining    int64 // unread bytes of the body or of the current chunk; -1 = until the connection ends
+	chunked      bool
+	chunkEndRead bool // no CRLF after a chunk's data is left to read
+	eof          bool
+	maxTrailer   int   // size limit of the trailer section, in bytes
+	err          error // from WaitReadable; the next Read returns it
 }
 
-// Reset sets b to the body of m, which follows in br.
+// Reset makes b read the body of m from br, whose next byte is the first after the header of m.
 func (b *Body) Reset(br *bufio.Reader, m *Message, limits Limits) {
 	*b = Body{
-		br: br, remaining: m.ContentLength, chunked: m.Chunked, lineEnded: true, maxTrailer: limits.MaxHeaderBytes,
+		br: br, remaining: m.ContentLength, chunked: m.Chunked, chunkEndRead: true, maxTrailer: limits.MaxHeaderBytes,
 	}
 	if b.chunked {
 		b.remaining = 0
@@ -34,10 +34,10 @@
 	b.eof = !b.chunked && b.remaining == 0
 }
 
-// AtEOF reports whether the body's end was read; only then may the connection serve another message.
+// AtEOF reports whether the body was read to its end. Only then can another message be read from the connection.
 func (b *Body) AtEOF() bool { return b.eof }
 
-// Read implements io.Reader. It returns what is buffered rather than wait for p to fill.
+// Read implements io.Reader. It returns the data that is available and does not wait until p is full.
 func (b *Body) Read(p []byte) (int, error) {
 	if b.eof {
 		return 0, io.EOF
@@ -71,8 +71,8 @@
 	return n, err
 }
 
-// WaitReadable blocks until the connection has something for the body or has failed, which the next Read reports. The
-// line end after the data of the last chunk does not count as something.
+// WaitReadable blocks until the connection has more data of the body or has failed. The next Read returns the error.
+// The CRLF after the data of a chunk does not end the wait.
 func (b *Body) WaitReadable() {
 	if b.eof || b.err != nil {
 		return
@@ -82,29 +82,29 @@
 			return
 		}
 	}
-	_, _ = b.br.Peek(1) // the next Read meets the error again
+	_, _ = b.br.Peek(1) // the next Read returns the same error
 }
 
-// Buffered reports whether a Read returns without waiting for the connection.
+// Buffered reports whether the next Read returns without waiting for data from the connection.
 func (b *Body) Buffered() bool {
 	n := b.br.Buffered()
 	if b.eof || !b.chunked || b.remaining > 0 || n == 0 {
 		return b.eof || n > 0
 	}
-	buffered, _ := b.br.Peek(n) // never reads, so it can't fail
-	if !b.lineEnded {
+	buffered, _ := b.br.Peek(n) // can't fail: all n bytes are buffered
+	if !b.chunkEndRead {
 		buffered = buffered[min(len(crlf), n):]
 	}
 	sizeEnd := bytes.IndexByte(buffered, '\n')
 	return sizeEnd >= 0 && sizeEnd+1 < len(buffered)
 }
 
-// ReadAll reads a body of at most limit bytes; more is an *Error with status 413.
+// ReadAll reads the whole body. For a body of more than limit bytes it returns an *Error with status 413.
 func ReadAll(b *Body, limit int64) ([]byte, error) {
 	if !b.chunked && b.remaining > limit {
 		return nil, bodyTooLarge(limit)
 	}
-	if n := b.remaining; !b.chunked && n >= 0 && n <= preallocateMax {
+	if n := b.remaining; !b.chunked && n >= 0 && n <= maxPreallocatedBody {
 		data := make([]byte, n)
 		_, err := io.ReadFull(b, data)
 		if errors.Is(err, io.EOF) && n > 0 {
--- a/internal/http1/chunk.go
+++ b/internal/http1/chunk.go
@@ -8,15 +8,15 @@
 	"net/http"
 )
 
-// maxChunkSizeDigits keeps a chunk's size within an int64.
+// maxChunkSizeDigits is the maximum number of hexadecimal digits of a chunk size, so that it fits an int64.
 const maxChunkSizeDigits = 15
 
-// nextChunk reads the size line of the next chunk, and the trailer section when it is the last one.
+// nextChunk reads the size line of the next chunk. After the last chunk it also reads the trailer section.
 func (b *Body) nextChunk() error {
 	if err := b.endChunk(); err != nil {
 		return err
 	}
-	b.lineEnded = false
+	b.chunkEndRead = false
 	line, err := b.readLine()
 	if err != nil {
 		return err
@@ -32,9 +32,9 @@
 	return b.skipTrailer()
 }
 
-// endChunk reads the line end after a chunk's data, once.
+// endChunk reads the CRLF after the data of a chunk, unless it was already read.
 func (b *Body) endChunk() error {
-	if b.lineEnded {
+	if b.chunkEndRead {
 		return nil
 	}
 	line, err := b.readLine()
@@ -44,11 +44,12 @@
 	if len(line) != 0 {
 		return badMessage("chunk longer than told")
 	}
-	b.lineEnded = true
+	b.chunkEndRead = true
 	return nil
 }
 
-// skipTrailer reads the trailer section, of bounded size, and sets the body's end.
+// skipTrailer reads and discards the trailer section, and marks the body as complete. A section of more than maxTrailer
+// bytes is an error.
 func (b *Body) skipTrailer() error {
 	for size := 0; ; {
 		line, err := b.readLine()
@@ -65,7 +66,7 @@
 	}
 }
 
-// readLine reads one line without its CRLF; it is valid until the next read.
+// readLine reads one line and returns it without its CRLF. The slice is valid until the next read.
 func (b *Body) readLine() ([]byte, error) {
 	line, err := b.br.ReadSlice('\n')
 	switch {
@@ -85,7 +86,7 @@
 	return line, nil
 }
 
-// parseChunkSize reads the hexadecimal size at the start of a chunk's first line and ignores its extensions.
+// parseChunkSize parses the hexadecimal size at the start of a chunk's size line and ignores chunk extensions.
 func parseChunkSize(line []byte) (int64, error) {
 	size, digits := int64(0), 0
 	for digits < len(line) {
@@ -105,7 +106,7 @@
 	return size, nil
 }
 
-// hexDigit is the value of a hexadecimal digit, -1 for any other byte.
+// hexDigit returns the value of a hexadecimal digit, or -1 for any other byte.
 func hexDigit(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// Field is one header field; the name is as received.
+// Field is one header field. The case of its name is as received.
 type Field struct{ Name, Value string }
 
-// Header holds fields in the order received.
+// Header holds header fields in the order received.
 type Header []Field
 
-// Get returns the first value of a field, "" when absent. Names compare without regard to case.
+// Get returns the value of the first field with the given name, or "" if there is none. The case of names is ignored.
 func (h Header) Get(name string) string {
 	for i := range h {
 		if strings.EqualFold(h[i].Name, name) {
@@ -26,7 +26,7 @@
 	return ""
 }
 
-// Has reports whether a comma-separated field holds the token, in any of its lines.
+// Has reports whether the comma-separated list in the fields with the given name contains token. Case is ignored.
 func (h Header) Has(name, token string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
@@ -41,14 +41,14 @@
 	return false
 }
 
-// parseHeader parses the lines of a header section.
+// parseHeader parses the field lines of a header section.
 func parseHeader(section string, maxFields int) (Header, error) {
 	header := make(Header, 0, min(strings.Count(section, "\n"), maxFields))
 	for section != "" {
 		var line string
 		line, section, _ = strings.Cut(section, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !isToken(name) { // also folded lines and space before the colon
+		if !ok || !isToken(name) { // rejects folded lines and space before the colon too
 			return nil, badMessage("malformed header field")
 		}
 		value = strings.Trim(value, " \t")
@@ -63,7 +63,7 @@
 	return header, nil
 }
 
-// hasControl reports whether a field value holds a control character other than a tab.
+// hasControl reports whether a field value contains a control character other than a tab.
 func hasControl(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c < ' ' && c != '\t' || c == 127 {
@@ -92,14 +92,14 @@
 	headerEnd = []byte("\r\n\r\n")
 )
 
-// HeaderBuffered reports whether a complete header is in br, so that reading it does not block.
+// HeaderBuffered reports whether br has buffered a complete header, so that reading it does not block.
 func HeaderBuffered(br *bufio.Reader) bool {
-	buffered, _ := br.Peek(br.Buffered()) // never reads, so it can't fail
+	buffered, _ := br.Peek(br.Buffered()) // can't fail: all these bytes are buffered
 	return bytes.Contains(buffered, headerEnd)
 }
 
-// readHeader reads the start line and the header section up to the empty line and returns them without it. It
-// returns io.EOF when nothing came at all, and io.ErrUnexpectedEOF for a header that was cut short.
+// readHeader reads a start line and header section, and returns them without the empty line that ends them. If the
+// connection ends, it returns io.EOF before the first byte and io.ErrUnexpectedEOF within the header.
 func readHeader(br *bufio.Reader, maxBytes int, skipEmptyLine bool) (string, error) {
 	if header, ok := readBufferedHeader(br, maxBytes); ok {
 		return header, nil
@@ -148,15 +148,15 @@
 	return nil
 }
 
-// readBufferedHeader takes a header that is in br as a whole and well formed, the usual case. All others are left to
-// the line by line reading of readHeader, which finds the error.
+// readBufferedHeader reads a header that is completely buffered and has well-formed line ends, which is the usual case.
+// In all other cases it reads nothing, and readHeader reads the header line by line and finds any error.
 func readBufferedHeader(br *bufio.Reader, maxBytes int) (header string, ok bool) {
 	if br.Buffered() == 0 {
 		if _, err := br.Peek(1); err != nil {
-			return "", false // the next read reports it
+			return "", false // the next read returns the error
 		}
 	}
-	buffered, _ := br.Peek(br.Buffered()) // never reads, so it can't fail
+	buffered, _ := br.Peek(br.Buffered()) // can't fail: all these bytes are buffered
 	end := bytes.Index(buffered, headerEnd)
 	if end <= 0 || end+len(headerEnd) > maxBytes || buffered[0] == '\r' {
 		return "", false
@@ -166,6 +166,6 @@
 		return "", false // a bare CR or LF
 	}
 	header = string(lines)
-	_, _ = br.Discard(end + len(headerEnd)) // all of it is buffered, so it can't fail
+	_, _ = br.Discard(end + len(headerEnd)) // can't fail: all these bytes are buffered
 	return header, true
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,11 +1,11 @@
 // Package http1 parses HTTP/1.1 messages (RFC 9112) from a bufio.Reader: request headers for a server, response
 // headers for a client, and the bodies of both. It does not interpret messages and opens no sockets.
 //
-// It is stricter than the RFC asks wherever leniency lets two parsers disagree on where a message ends: bare
-// LF, folded fields, space before a colon, more than one Content-Length, and Content-Length beside
-// Transfer-Encoding are all errors.
+// It is stricter than the RFC wherever leniency would let two parsers disagree on where a message ends. Bare LF, folded
+// fields, space before a colon, more than one Content-Length, and Content-Length together with Transfer-Encoding are
+// errors.
 //
-// All state is in the caller's values, which one goroutine uses at a time; the package starts no goroutines.
+// The package keeps no state and starts no goroutines. Its values are not safe for concurrent use.
 package http1
 
 import (
@@ -13,13 +13,14 @@
 	"net/http"
 )
 
-// Limits bound the memory that one message may take. All are required.
+// Limits bound the memory used for one message. All fields are required.
 type Limits struct {
-	MaxHeaderBytes  int // bytes of a start line with its header section, and of a trailer section
+	MaxHeaderBytes  int // for a start line with its header section, and for a trailer section
 	MaxHeaderFields int
 }
 
-// Error is a message that breaks the protocol or a limit. Status is the answer that a server owes for it.
+// Error is the error for a message that violates the protocol or exceeds a limit. Status is the status with which a
+// server responds to such a request.
 type Error struct {
 	Status int
 	Reason string
@@ -27,12 +28,12 @@
 
 func (e *Error) Error() string { return "http1: " + e.Reason }
 
-// badMessage returns the error of a message that breaks the protocol.
+// badMessage returns the error for a message that violates the protocol.
 func badMessage(format string, args ...any) error {
 	return &Error{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// bodyTooLarge returns the error of a body that is longer than its reader allows.
+// bodyTooLarge returns the error for a body of more than limit bytes.
 func bodyTooLarge(limit int64) error {
 	return &Error{http.StatusRequestEntityTooLarge, fmt.Sprintf("body over %d bytes", limit)}
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// scriptedReader returns one of its pieces from each read and counts the reads.
+// scriptedReader returns one of its pieces per read and counts the reads.
 type scriptedReader struct {
 	pieces []string
 	reads  int
@@ -146,8 +146,8 @@
 	return n, nil
 }
 
-// The line end after a chunk's data must not end the wait of a stream: the stream would take a buffer and hold it for
-// as long as it waits for the next chunk.
+// TestWaitReadableSkipsLineEndAfterChunk checks that the CRLF after a chunk's data does not end WaitReadable. Otherwise
+// a stream would hold a buffer for as long as it waits for the next chunk.
 func TestWaitReadableSkipsLineEndAfterChunk(t *testing.T) {
 	source := &scriptedReader{pieces: []string{"2\r\nab\r\n", "2\r\ncd\r", "\n", "0\r\n\r\n"}}
 	var b Body
@@ -182,8 +182,9 @@
 	}
 }
 
-// FuzzHeads checks that a header reads the same whether it is buffered as a whole or arrives a byte at a time.
-func FuzzHeads(f *testing.F) {
+// FuzzRequestHeaderBuffering checks that ReadRequest has the same result for a header that is completely buffered and
+// for one that arrives byte by byte.
+func FuzzRequestHeaderBuffering(f *testing.F) {
 	for _, s := range []string{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n", "\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", "GET / HTTP/1.1\nHost: a\r\n\r\n",
 		"GET / HTTP/1.1\r\nHost: a\r\r\n\r\n", "\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -201,7 +202,7 @@
 	})
 }
 
-// FuzzRequest checks that net/http frames every message that this parser accepts in the same way.
+// FuzzRequest checks that net/http reads the same body from every request that this parser accepts.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
@@ -220,7 +221,7 @@
 		}
 		peer, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(data)))
 		if err != nil {
-			return // net/http rejects more targets and host names; that is no disagreement on framing
+			return // net/http rejects more targets and host names, which does not affect the framing
 		}
 		want, err := io.ReadAll(peer.Body)
 		if err == nil && !bytes.Equal(got, want) {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// Message is what requests and responses share.
+// Message is the part that requests and responses have in common.
 type Message struct {
-	Minor         int // HTTP/1.Minor
+	Minor         int // minor protocol version: HTTP/1.Minor
 	Header        Header
-	ContentLength int64 // of the body; -1 = unknown (chunked, or until close)
+	ContentLength int64 // body length; -1 = unknown (chunked, or until the connection closes)
 	Chunked       bool
-	Close         bool // the connection ends after this message
+	Close         bool // the connection closes after this message
 }
 
-// parseVersion returns the minor version of an HTTP/1 protocol name.
+// parseVersion parses a protocol version such as HTTP/1.1 and returns its minor version.
 func parseVersion(proto string) (minor int, err error) {
 	switch proto {
 	case "HTTP/1.1":
@@ -29,7 +29,7 @@
 	return 0, badMessage("malformed protocol version")
 }
 
-// setFraming determines from the header where the body ends (RFC 9112 6.3) and whether the connection persists.
+// setFraming sets the framing of the body (RFC 9112 6.3) and whether the connection persists, from the header.
 func (m *Message) setFraming() error {
 	m.ContentLength = -1
 	for _, field := range m.Header {
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -13,13 +13,13 @@
 	ExpectContinue bool // the client waits for 100 Continue before it sends the body
 }
 
-// Path is the target without its query.
+// Path returns the request target without its query.
 func (r *Request) Path() string {
 	path, _, _ := strings.Cut(r.Target, "?")
 	return path
 }
 
-// ReadRequest reads one request line and header. It returns io.EOF when the connection ended between messages.
+// ReadRequest reads one request line and header. It returns io.EOF if the connection ends before the first byte.
 func ReadRequest(br *bufio.Reader, limits Limits) (*Request, error) {
 	header, err := readHeader(br, limits.MaxHeaderBytes, true)
 	if err != nil {
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	if !r.Chunked && r.ContentLength < 0 {
-		r.ContentLength = 0 // a request never has a body that runs until close
+		r.ContentLength = 0 // the body of a request never extends to the end of the connection
 	}
 	if err := r.setExpectContinue(); err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 	return s != "" && !strings.ContainsFunc(s, func(c rune) bool { return c <= ' ' || c == 127 })
 }
 
-// checkHost reports an error unless there is one Host field; HTTP/1.0 may have none.
+// checkHost returns an error unless there is exactly one Host field, or none in HTTP/1.0.
 func (r *Request) checkHost() error {
 	hosts := 0
 	for _, field := range r.Header {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// MaxInterimResponses is how many headers are read for one response, interim (1xx) ones included.
+// MaxInterimResponses is the maximum number of headers that are read for one response, including interim (1xx) ones.
 const MaxInterimResponses = 8
 
 // Response is a parsed status line and header.
@@ -16,7 +16,7 @@
 	Status int
 }
 
-// ReadResponse reads one status line and header, skipping interim (1xx) responses.
+// ReadResponse reads the status line and header of the next final response. It skips interim (1xx) responses.
 func ReadResponse(br *bufio.Reader, limits Limits) (*Response, error) {
 	for range MaxInterimResponses {
 		if r, err := ReadResponseHeader(br, limits); err != nil || r.Status >= http.StatusOK {
@@ -26,7 +26,7 @@
 	return nil, badMessage("too many interim responses")
 }
 
-// ReadResponseHeader reads one status line and header, which may be those of an interim response.
+// ReadResponseHeader reads one status line and header. They may belong to an interim response.
 func ReadResponseHeader(br *bufio.Reader, limits Limits) (*Response, error) {
 	header, err := readHeader(br, limits.MaxHeaderBytes, false)
 	if err != nil {
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	if r.Status == http.StatusSwitchingProtocols {
-		return nil, badMessage("protocol switch that nobody asked for")
+		return nil, badMessage("unrequested protocol switch")
 	}
 	if r.Status < http.StatusOK {
 		return r, nil
@@ -53,7 +53,7 @@
 		r.ContentLength, r.Chunked = 0, false
 	}
 	if r.ContentLength < 0 && !r.Chunked {
-		r.Close = true // the body runs until the connection ends
+		r.Close = true // the body extends to the end of the connection
 	}
 	return r, nil
 }
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -8,7 +8,7 @@
 // LastChunk ends a chunked body without trailers.
 const LastChunk = "0\r\n\r\n"
 
-// AppendChunk appends p framed as one chunk; an empty p appends nothing, since that would end the body.
+// AppendChunk appends p framed as one chunk. For an empty p it appends nothing, since an empty chunk ends the body.
 func AppendChunk(dst, p []byte) []byte {
 	if len(p) == 0 {
 		return dst
@@ -19,7 +19,8 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendField appends one header line. The value must come from this program or from a parsed field.
+// AppendField appends one header field line. It does not check the value for control characters, so the value must come
+// from this program or from a parsed field.
 func AppendField(dst []byte, name, value string) []byte {
 	dst = append(dst, name...)
 	dst = append(dst, ": "...)
@@ -27,7 +28,7 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendStatusLine appends a response's status line.
+// AppendStatusLine appends the status line of a response.
 func AppendStatusLine(dst []byte, code int) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(code), 10)
@@ -36,8 +37,8 @@
 	return append(dst, "\r\n"...)
 }
 
-// StatusText is the reason phrase of the codes that this program sends, "Status" for all others. It is not
-// http.StatusText, whose phrase for 413 is an older one.
+// StatusText returns the reason phrase of a status code that this program sends, and "Status" for all others. Unlike
+// http.StatusText, it has the current phrase for 413 (RFC 9110).
 func StatusText(code int) string {
 	switch code {
 	case http.StatusOK:
