--- a/internal/monotonic/monotonic.go
+++ b/internal/monotonic/monotonic.go
@@ -1,5 +1,5 @@
-// Package monotonic has points in time by the monotonic clock, in a form that fits an atomic integer. A step of the
-// wall clock doesn't move them, and their type keeps them from being compared with a wall time.
+// Package monotonic provides points in time of the monotonic clock that fit an atomic integer. Steps of the wall clock
+// do not affect them, and their type prevents comparisons with a wall clock time.
 package monotonic
 
 import (
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// start has a monotonic reading, which all points in time are relative to.
+// start is the origin of all points in time. It includes a monotonic clock reading.
 var start = time.Now()
 
-// Time is a point in time, in nanoseconds since this process started. It means nothing to another process. Zero is
-// before any time that Now returns.
+// Time is a point in time, in nanoseconds since the start of this process. It has no meaning in another process. Zero
+// is before every time that Now returns.
 type Time int64
 
-// Now is the present time; it is above zero.
+// Now returns the current time, which is greater than zero.
 func Now() Time { return Time(max(time.Since(start), 1)) }
 
-// Add is the time so much later.
+// Add returns t+d.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
 
-// Sub is how much later t is than u.
+// Sub returns the duration t-u.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// Deadline is t for the standard library, which goes by the monotonic clock with it.
+// Deadline converts t to a time.Time with a monotonic clock reading, for deadlines of the standard library.
 func (t Time) Deadline() time.Time { return start.Add(time.Duration(t)) }
 
-// AtomicTime is a Time that several goroutines read and write.
+// AtomicTime is a Time that is safe for concurrent use.
 type AtomicTime struct{ value atomic.Int64 }
 
-// Load returns the time.
+// Load atomically returns the time.
 func (a *AtomicTime) Load() Time { return Time(a.value.Load()) }
 
-// Store sets the time.
+// Store atomically sets the time.
 func (a *AtomicTime) Store(t Time) { a.value.Store(int64(t)) }
 
-// Swap sets the time and returns the one before.
+// Swap atomically sets the time and returns the previous one.
 func (a *AtomicTime) Swap(t Time) Time { return Time(a.value.Swap(int64(t))) }
 
-// CompareAndSwap sets the time if it is old.
+// CompareAndSwap atomically sets the time to t if it equals old, and reports whether it did.
 func (a *AtomicTime) CompareAndSwap(old, t Time) bool {
 	return a.value.CompareAndSwap(int64(old), int64(t))
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket asks the system about connections, without reading from them and without waiting. It keeps no state
-// and may be used from any goroutine.
+// Package socket queries the receive state of connections from the kernel, without consuming data and without blocking.
+// It keeps no state, and its functions are safe for concurrent use.
 package socket
 
 import (
@@ -8,18 +8,18 @@
 	"syscall"
 )
 
-// State is what the system knows of a connection's incoming side.
+// State is the receive state of a connection.
 type State uint8
 
-// The states of a connection's incoming side.
+// The receive states of a connection.
 const (
-	Idle     State = iota // open, with nothing unread
-	Readable              // bytes are unread; whether an end follows can't be seen
-	Closed                // the peer has closed or reset it, or this side has closed it
+	Idle     State = iota // open, without unread data
+	Readable              // data is unread; whether the peer has closed after it is unknown
+	Closed                // closed or reset by the peer, or closed locally
 )
 
-// ReadState is the state of nc's incoming side. Another goroutine may be reading from nc. A connection that is not the
-// system's is Idle.
+// ReadState returns the receive state of nc. Another goroutine may be reading from nc. A connection that has no socket,
+// such as a net.Pipe, is Idle.
 func ReadState(nc net.Conn) State {
 	conn, ok := nc.(syscall.Conn)
 	if !ok {
@@ -30,7 +30,7 @@
 		return Closed
 	}
 	state := Closed
-	err = raw.Control(func(fd uintptr) { // raw.Read would wait for a read that is under way
+	err = raw.Control(func(fd uintptr) { // raw.Read would wait for a pending read
 		state = peek(int(fd))
 	})
 	if err != nil {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// awaitReadable waits until a read of nc would not wait.
+// awaitReadable waits until a read from nc would not block.
 func awaitReadable(t *testing.T, nc net.Conn) {
 	t.Helper()
 	raw, err := nc.(*net.TCPConn).SyscallConn()
@@ -23,7 +23,7 @@
 	}
 }
 
-// connect returns the two sides of a connection.
+// connect returns the two ends of a TCP connection.
 func connect(t *testing.T) (local net.Conn, peer *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			local, peer := connect(t)
 			reading := make(chan struct{})
-			if c.want == Idle { // while another goroutine reads
+			if c.want == Idle { // while another goroutine is blocked in Read
 				go func() { defer close(reading); _, _ = local.Read(make([]byte, 1)) }()
 				c.act(t, peer)
 			} else {
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,10 +1,10 @@
-// Package sse splits server-sent event streams (WHATWG HTML, section 9.2) into events without copying them. It keeps
-// no state and may be used from any goroutine.
+// Package sse splits streams of server-sent events (WHATWG HTML, section 9.2) into events without copying them. It
+// keeps no state, and its functions are safe for concurrent use.
 package sse
 
 import "bytes"
 
-// Done is the data that ends a stream of the OpenAI API.
+// Done is the data of the last event of a stream in the OpenAI API.
 const Done = "[DONE]"
 
 var (
@@ -13,10 +13,10 @@
 	space     = []byte(" ")
 )
 
-// Split returns the length of the first complete event in buf, its blank line included, or 0 when none is complete
-// yet. Lines may end in LF, CRLF or CR; a CR at the very end of buf does not end a line yet, since an LF may follow.
+// Split returns the length of the first complete event in buf, including its blank line, or 0 if no event is complete.
+// Lines may end in LF, CRLF or CR. A CR at the end of buf does not end a line, since an LF may follow.
 func Split(buf []byte) int {
-	if bytes.IndexByte(buf, '\r') < 0 { // what engines send
+	if bytes.IndexByte(buf, '\r') < 0 { // the usual case: engines end lines in LF
 		if len(buf) > 0 && buf[0] == '\n' {
 			return 1
 		}
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// lineEnd returns the index after the line ending at i, 0 if that is not certain yet.
+// lineEnd returns the index after the line ending that starts at i, or 0 if it may continue past the end of buf.
 func lineEnd(buf []byte, i int) int {
 	if buf[i] == '\n' {
 		return i + 1
@@ -56,8 +56,8 @@
 	return i + 1
 }
 
-// Data returns the data of an event: the slice of the event itself where there is one data line, a joined copy
-// where there are more, nil for an event without data (a comment, say).
+// Data returns the data of an event. For one data line it returns a slice of event, for several lines a joined copy,
+// and for an event without data, such as a comment, nil.
 func Data(event []byte) []byte {
 	var data []byte
 	found := false
@@ -70,7 +70,7 @@
 		}
 		value = bytes.TrimPrefix(value, space)
 		if !found {
-			data, found = value[:len(value):len(value)], true // appending to it copies
+			data, found = value[:len(value):len(value)], true // capacity limited, so that append copies
 			continue
 		}
 		data = append(append(data, '\n'), value...)
@@ -78,7 +78,8 @@
 	return data
 }
 
-// cutLine splits the first line off. A CRLF leaves an empty line, which has no data.
+// cutLine returns the first line of event and the rest. It splits between the CR and the LF of a CRLF, which only adds
+// an empty line that has no data.
 func cutLine(event []byte) (line, rest []byte) {
 	end := bytes.IndexByte(event, '\n')
 	if cr := bytes.IndexByte(event[:max(end, 0)], '\r'); cr >= 0 || end < 0 {
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// splitAll returns the data of all events of a stream that arrives in parts.
+// splitAll returns the data of all events in a stream that is received in parts.
 func splitAll(parts ...[]byte) (data []string) {
 	var buf []byte
 	for _, part := range parts {
@@ -55,6 +55,6 @@
 			t.Fatal("no data")
 		}
 	}); n != 0 {
-		t.Fatalf("%v allocations an event", n)
+		t.Fatalf("%v allocations per event", n)
 	}
 }
