--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// Attempt is the handle by which an attempt is canceled and its progress read. The zero value is ready.
+// Attempt is a handle to cancel one attempt and to read its progress. The zero value is ready to use.
 type Attempt struct {
 	mu           sync.Mutex
-	cancellation cancellation // under mu
-	startedAt    time.Time    // under mu
-	progress     Progress     // under mu
+	cancellation cancellation // guarded by mu
+	startedAt    time.Time    // guarded by mu
+	progress     Progress     // guarded by mu
 
-	delivery delivery    // of the attempt's goroutine
-	stream   streamState // of the attempt's goroutine
+	delivery delivery    // used only by the attempt's goroutine
+	stream   streamState // used only by the attempt's goroutine
 }
 
-// cancellation is what a call of Cancel ends.
+// cancellation holds the dial and the connection that Cancel aborts.
 type cancellation struct {
 	canceled   bool
 	cancelDial context.CancelFunc
-	conn       net.Conn // nil once it went back to the pool
+	conn       net.Conn // nil after its return to the pool
 }
 
-// delivery is how far the request has reached the engine.
+// delivery records how much of the request has reached the engine.
 type delivery struct {
-	connected  bool // a connection was there to send the request on
-	mayHaveRun bool // the engine may act on what it accepted of the request
+	connected  bool // a connection was available for the request
+	mayHaveRun bool // the engine may have started executing the request
 }
 
-// streamState is how far the response stream has come.
+// streamState records what was received of the response stream.
 type streamState struct {
-	begun         bool // its first token came and the sink took it
+	begun         bool // the first token arrived and Sink.Begin accepted the stream
 	lastEventSeen bool
-	events        int // tokens by their place; the last event is not one
+	events        int // events with data, without the last one (sse.Done); used as the token count
 	cachedTokens  float64
-	loadReport    []float64 // of a comment within the stream
+	loadReport    []float64 // from a comment in the stream; nil = none
 }
 
-// Cancel ends the attempt; its outcome is still reported.
+// Cancel aborts the attempt. Prefill or Decode still returns its outcome.
 func (a *Attempt) Cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,7 +49,7 @@
 		a.cancellation.cancelDial()
 	}
 	if a.cancellation.conn != nil {
-		_ = a.cancellation.conn.Close() // the attempt's goroutine sees it closed, and reports that
+		_ = a.cancellation.conn.Close() // wakes the attempt's goroutine, whose I/O on it fails
 	}
 }
 
@@ -60,7 +60,7 @@
 	return a.cancellation.canceled
 }
 
-// setCancelDial makes cancel what Cancel calls; false if the attempt is canceled already.
+// setCancelDial sets the function by which Cancel aborts the dial. It returns false if the attempt is already canceled.
 func (a *Attempt) setCancelDial(cancel context.CancelFunc) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,7 +68,7 @@
 	return !a.cancellation.canceled
 }
 
-// attachConn makes nc the connection that Cancel closes; false if the attempt is canceled already.
+// attachConn sets the connection that Cancel closes. It returns false if the attempt is already canceled.
 func (a *Attempt) attachConn(nc net.Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,7 +76,8 @@
 	return !a.cancellation.canceled
 }
 
-// detachConn keeps Cancel from closing the connection, which goes back to the pool; false if Cancel has closed it.
+// detachConn stops Cancel from closing the connection, so that it can return to the pool. It returns false if Cancel
+// has already closed it.
 func (a *Attempt) detachConn() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -4,31 +4,32 @@
 	"time"
 )
 
-// Call is one attempt's request.
+// Call is the request of one attempt and the limits on sending it.
 type Call struct {
 	Path           string
-	ID             string // of this attempt, unique over replicas and restarts
-	IdempotencyKey string // Idempotency-Key, empty = none
+	ID             string // unique for each attempt, across replicas and restarts
+	IdempotencyKey string // value of the Idempotency-Key header; empty = none
 	Body           []byte
-	SingleUseConn  bool          // must run only once: is sent on a connection of its own
-	NewConn        bool          // is sent on a new connection
+	NotIdempotent  bool          // must not run twice: sent on a new connection, last byte withheld for SettleDelay
+	NewConn        bool          // never sent on an idle connection
 	ConnectTimeout time.Duration // for a new connection; 0 = Client.DialTimeout
-	Deadline       time.Time     // for the first token, or the complete reply of a prefill
-	SendBy         time.Time     // for the last byte to be written; zero = no limit but Deadline
-	// Abandoned reports, at the moment of writing, whether nobody waits for the request any more; nil = somebody does.
+	Deadline       time.Time     // for the first token of a decode or the complete reply of a prefill; zero = none
+	SendBy         time.Time     // for writing the request's last byte; zero = Deadline only
+	// Abandoned reports whether the client has left, so that the request need not be sent. It is called before
+	// the dial, the first byte and a withheld last byte; nil = the client is never considered gone.
 	Abandoned func() bool
 }
 
-// mustNotSend reports whether nobody waits for the request any more or the time to send it has passed.
+// mustNotSend reports whether the client has left or the time to send the request has passed.
 func (c *Call) mustNotSend() bool { return c.Abandoned != nil && c.Abandoned() || c.sendTimePassed() }
 
-// sendTimePassed reports whether the time to send the request has passed.
+// sendTimePassed reports whether SendBy has passed.
 func (c *Call) sendTimePassed() bool { return !c.SendBy.IsZero() && !time.Now().Before(c.SendBy) }
 
-// deadlinePassed reports whether the call's time is up.
+// deadlinePassed reports whether Deadline has passed.
 func (c *Call) deadlinePassed() bool { return !c.Deadline.IsZero() && !time.Now().Before(c.Deadline) }
 
-// writeDeadline is when the request has to be written.
+// writeDeadline is the time by which the request must be written: the earlier of SendBy and Deadline; zero = no limit.
 func (c *Call) writeDeadline() time.Time {
 	if c.SendBy.IsZero() || c.SendBy.After(c.Deadline) && !c.Deadline.IsZero() {
 		return c.Deadline
@@ -36,7 +37,7 @@
 	return c.SendBy
 }
 
-// connectDeadline is when a connection has to be there.
+// connectDeadline is the time by which a new connection must be established; zero = no limit.
 func (c *Call) connectDeadline() time.Time {
 	if c.ConnectTimeout > 0 {
 		return earlierDeadline(c.ConnectTimeout, c.writeDeadline())
@@ -44,7 +45,7 @@
 	return c.writeDeadline()
 }
 
-// earlierDeadline is the end of a wait that starts now and may not go past deadline (zero = none).
+// earlierDeadline is the time at which a wait that starts now ends, but no later than deadline (zero = none).
 func earlierDeadline(wait time.Duration, deadline time.Time) time.Time {
 	if at := time.Now().Add(wait); deadline.IsZero() || at.Before(deadline) {
 		return at
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -6,47 +6,50 @@
 	"brackenbend/internal/http1"
 )
 
-// Protocol is what engines are sent and how their replies are read. VLLM is this product's own.
+// Protocol encodes requests to engines and parses their replies. This package implements it with VLLM.
 type Protocol interface {
-	// AppendHead appends the request line and header of a call, without the empty line.
+	// AppendHead appends the request line and header fields of a call, without the empty line that ends the header.
 	AppendHead(b []byte, e *Endpoint, call *Call) []byte
-	// ParseReply reads a response that is not a stream; err reports that its body broke off.
+	// ParseReply parses a response that is not a stream. err is the error that ended the reading of its body, if any.
 	ParseReply(prefill bool, resp *http1.Response, text []byte, err error) Outcome
-	// ReleaseMessage is the complete request that releases the read state of id; nil: engines release it by themselves.
+	// ReleaseMessage returns the complete request that releases the read state of id, or nil if the protocol has no such
+	// request and engines release state by a time-out.
 	ReleaseMessage(e *Endpoint, id string) []byte
-	// ReleaseAccepted reports whether an engine's response to it is a success.
+	// ReleaseAccepted reports whether the status of the response to a release means success.
 	ReleaseAccepted(status int) bool
 }
 
-// Client holds what is common to all engines. Its fields are set before its first use.
+// Client holds the settings and the connection limits common to all engines. Set its fields before the first use.
 type Client struct {
 	Protocol         Protocol
-	LoadReportHeader string   // field of load reports, and the start of a stream's comment that holds one
-	LoadReportFields []string // names of load figures, in the router's order
-	StateByRequestID bool     // read state is kept by the request's ID at any engine; else by each attempt's at its own
-	RequireLastChunk bool     // a stream is complete with the last chunk after its last event; else with that event
-	RunsWhenComplete bool     // an engine starts at a request's last byte; else its first byte may have an effect
-
-	// SettleDelay is how long the last byte of a request that must run only once is held back: a connection that
-	// breaks within that time, as new ones may, has certainly not run it. 0 = not at all; it needs RunsWhenComplete.
+	LoadReportHeader string   // header field of load reports, and prefix of stream comments with a load report
+	LoadReportFields []string // names of the load metrics that the router uses, in its order
+	StateByRequestID bool     // read state is identified by the request's ID, at all engines; else by each attempt's ID
+	RequireLastChunk bool     // a stream is complete only after the last chunk; else after its last event
+	RunsWhenComplete bool     // engines execute only complete requests; else the first byte may have an effect
+
+	// SettleDelay is how long the last byte of a request that is not idempotent is withheld. New connections may break
+	// soon after they are established; if one breaks within this delay, the engine has certainly not run the request.
+	// 0 = no delay. It takes effect only with RunsWhenComplete.
 	SettleDelay time.Duration
 	Sleep       func(time.Duration) // replaces time.Sleep in tests; nil = time.Sleep
 
 	DialTimeout       time.Duration
-	HeaderTimeout     time.Duration // for a response header, from its first byte; 0 = until the call's deadline
-	StreamIdleTimeout time.Duration // longest silence within a stream
+	HeaderTimeout     time.Duration // from the first byte of a response header to its end; 0 = until the call's deadline
+	StreamIdleTimeout time.Duration // longest time between reads within a stream
 
-	MaxStreamBytes int64 // bytes of a whole stream; 0 = no limit
-	MaxEventBytes  int   // bytes of one event
-	MaxReplyBytes  int64 // bytes of a response that is not a stream
+	MaxStreamBytes int64 // size limit of a whole stream, in bytes; 0 = no limit
+	MaxEventBytes  int   // size limit of one event, in bytes
+	MaxReplyBytes  int64 // size limit of a response body that is not a stream, in bytes
 	Limits         http1.Limits
 
-	MaxConnsPerEndpoint int // open at once, to one engine
-	MaxConns            int // open at once, to all engines; 0 = no limit
-	MaxIdlePerEndpoint  int // kept idle, to one engine
+	MaxConnsPerEndpoint int // open connections to one engine
+	MaxConns            int // open connections to all engines; 0 = no limit
+	MaxIdlePerEndpoint  int // idle connections to one engine
 	IdleTimeout         time.Duration
-	// ReuseDelay is how long a connection is not used again after a response: a second response, which nobody asked
-	// for, may come a little late and would be taken for that to the next request. 0 = not at all.
+	// ReuseDelay is how long a connection must be idle after a response before its reuse. An engine may send an
+	// unsolicited second response a little later, which would be taken for the response to the next request.
+	// 0 = no delay.
 	ReuseDelay time.Duration
 
 	pool poolState
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -8,30 +8,31 @@
 	"brackenbend/internal/socket"
 )
 
-// connReadBuffer bounds a response header line and is all that an idle connection keeps in memory, in bytes.
+// connReadBuffer is the size of a connection's read buffer in bytes. An idle connection holds no other buffer.
 const connReadBuffer = 4096
 
-// persistConn is a connection to an engine with what is known of its use. It belongs to one attempt at a time, or to
-// the idle connections of its endpoint.
+// persistConn is a connection to an engine that may serve several requests. It is owned by one attempt at a time, or is
+// in the list of idle connections of its endpoint.
 type persistConn struct {
 	net.Conn
 	br        *bufio.Reader
-	idleSince time.Time // when its last use ended
-	reused    bool      // an earlier request was sent on it
+	idleSince time.Time // when its last response ended
+	reused    bool      // an earlier request has been sent on it
 }
 
 func newPersistConn(nc net.Conn) *persistConn {
 	return &persistConn{Conn: nc, br: bufio.NewReaderSize(nc, connReadBuffer)}
 }
 
-// idleFor is how long an idle connection has not been used.
+// idleFor is the time since an idle connection was last used.
 func (pc *persistConn) idleFor() time.Duration { return time.Since(pc.idleSince) }
 
-// isQuiet reports that the peer has neither closed an idle connection nor sent anything on it. It narrows, but can't
-// close, the gap in which a connection dies at reuse; so requests that must run only once dial anew.
-func (pc *persistConn) isQuiet() bool { return socket.ReadState(pc.Conn) == socket.Idle }
+// peerIdle reports whether the peer of an idle connection has neither closed it nor sent anything. The peer may still
+// close it between this check and the next request, so a request that is not idempotent always gets a new connection.
+func (pc *persistConn) peerIdle() bool { return socket.ReadState(pc.Conn) == socket.Idle }
 
-// reusable makes a connection ready for its next request; false when it can't serve one.
-func (pc *persistConn) reusable() bool {
+// prepareReuse clears the connection's deadlines for its next request. It returns false if the connection has unread
+// data or its deadlines can't be cleared.
+func (pc *persistConn) prepareReuse() bool {
 	return pc.br.Buffered() == 0 && pc.SetDeadline(time.Time{}) == nil
 }
--- a/internal/engine/dial_linux_test.go
+++ b/internal/engine/dial_linux_test.go
@@ -12,11 +12,11 @@
 	"brackenbend/routing"
 )
 
-// maxBacklog is more connections than the system takes for a backlog of 0.
+// maxBacklog exceeds the number of connections that the kernel accepts for a backlog of 0.
 const maxBacklog = 16
 
-// TestNothingIsSentWhenDrainedWhileDialing: the engine's backlog is full, so the dial waits; the endpoint is drained
-// meanwhile; then the engine accepts. Nothing may be sent.
+// TestNothingIsSentWhenDrainedWhileDialing drains an endpoint while a dial to it is pending because the engine's accept
+// backlog is full. The dial then succeeds, and the request must not be sent.
 func TestNothingIsSentWhenDrainedWhileDialing(t *testing.T) {
 	fd, address := listenWithoutBacklog(t)
 	pending := fillBacklog(t, address)
@@ -25,14 +25,14 @@
 	endpoint := &Endpoint{Address: address}
 	done := make(chan Outcome, 1)
 	go func() {
-		call := Call{Path: "/v1/x", ID: "a", SingleUseConn: true, Body: []byte("{}")}
+		call := Call{Path: "/v1/x", ID: "a", NotIdempotent: true, Body: []byte("{}")}
 		done <- client.Decode(&Attempt{}, endpoint, call, &testSink{})
 	}()
 	for endpoint.Conns() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	endpoint.Close()
-	go func() { // room in the backlog: the dial goes through when the system sends its SYN again
+	go func() { // makes room in the backlog, so that the dial succeeds when the kernel retransmits its SYN
 		for range pending + 1 {
 			accepted, _, err := syscall.Accept(fd)
 			if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// listenWithoutBacklog listens on a socket that takes hardly any connection which is not accepted.
+// listenWithoutBacklog listens on a socket with the smallest backlog of connections that are not yet accepted.
 func listenWithoutBacklog(t *testing.T) (fd int, address string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -67,7 +67,7 @@
 	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// fillBacklog connects until a connect hangs, and returns how many connections are up.
+// fillBacklog connects until a connect times out, and returns the number of established connections.
 func fillBacklog(t *testing.T, address string) int {
 	t.Helper()
 	for n := 0; n <= maxBacklog; n++ {
@@ -77,7 +77,7 @@
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	t.Skip("the backlog does not fill here")
+	t.Skip("the accept backlog does not fill up on this system")
 	return 0
 }
 
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -9,47 +9,47 @@
 	"brackenbend/routing"
 )
 
-// Endpoint is one engine and the connections to it.
+// Endpoint is one engine and its pool of connections.
 type Endpoint struct {
 	ID      routing.EndpointID
 	Name    string
 	Address string
 	Role    routing.Role
 
-	closed       atomic.Bool          // drains or is gone: nothing new is sent
+	closed       atomic.Bool          // draining or removed: no new request is sent
 	lastResponse monotonic.AtomicTime // 0 = never
 
 	mu        sync.Mutex
-	idle      []*persistConn // the longest idle first
-	open      int            // connections open or being opened
-	totalOpen *atomic.Int64  // the same for all endpoints of the client; set with the first connection
+	idle      []*persistConn // the connection that has been idle longest comes first
+	open      int            // connections open or being dialed
+	totalOpen *atomic.Int64  // shared by all endpoints of the client; set before the first connection is counted
 }
 
-// Close stops everything new to the engine, also what was decided but has not sent its first byte. Idle connections
-// are closed.
+// Close keeps new requests from being sent to the engine, including attempts that have been started but have not yet
+// written their first byte. It closes the idle connections.
 func (e *Endpoint) Close() {
 	e.closed.Store(true)
 	e.DiscardIdleConns()
 }
 
-// Open allows new work again.
+// Open allows new requests again after Close.
 func (e *Endpoint) Open() { e.closed.Store(false) }
 
-// IsOpen reports whether new work may be sent to the engine.
+// IsOpen reports whether new requests may be sent to the engine.
 func (e *Endpoint) IsOpen() bool { return !e.closed.Load() }
 
-// LastResponse is when the engine last responded at all; 0 = never.
+// LastResponse is when the engine last sent a response, of any status; 0 = never.
 func (e *Endpoint) LastResponse() monotonic.Time { return e.lastResponse.Load() }
 
-// markResponse records that the engine responds now.
+// markResponse sets the time of the engine's last response to the present.
 func (e *Endpoint) markResponse() { e.lastResponse.Store(monotonic.Now()) }
 
-// DiscardIdleConns closes idle connections, as after a restart of the process behind the address.
+// DiscardIdleConns closes all idle connections, for example after the engine's process was restarted.
 func (e *Endpoint) DiscardIdleConns() {
 	e.discardIdle(func(*persistConn) bool { return true })
 }
 
-// discardIdle closes the idle connections that match.
+// discardIdle closes and removes the idle connections for which match returns true.
 func (e *Endpoint) discardIdle(match func(*persistConn) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -62,22 +62,23 @@
 	})
 }
 
-// removeConn closes a connection that is not, or is about to be no longer, among the idle ones; e.mu is held.
+// removeConn closes a connection and uncounts it. The caller holds e.mu and takes it out of the idle list.
 func (e *Endpoint) removeConn(pc *persistConn) {
-	_ = pc.Close() // nothing more is sent or read on it, whether or not the close succeeds
+	_ = pc.Close() // a failed close does no harm: the connection is not used again
 	e.uncountConn()
 }
 
-// countConn counts a connection that is about to be opened, which then adds to totalOpen; e.mu is held.
+// countConn counts a connection that is about to be dialed; dialWithinLimit adds it to totalOpen. The caller holds
+// e.mu.
 func (e *Endpoint) countConn() { e.open++ }
 
-// uncountConn takes a connection that is closed, or was never opened, out of the counts; e.mu is held.
+// uncountConn removes a connection that was closed or whose dial failed from both counts. The caller holds e.mu.
 func (e *Endpoint) uncountConn() {
 	e.open--
 	e.totalOpen.Add(-1)
 }
 
-// Conns is the number of connections open or being opened.
+// Conns is the number of connections that are open or being dialed.
 func (e *Endpoint) Conns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine is the client of the engines: vLLM's published convention for disaggregated prefill over HTTP/1.1,
-// pooled connections, and the table that turns every network outcome into one routing.Result (docs/gateway.md
-// prints it). It does not choose among engines.
+// Package engine is the HTTP/1.1 client of the engines. It speaks vLLM's published convention for disaggregated
+// prefill, pools connections, and maps every network outcome to one routing.Result by a table that docs/gateway.md
+// reproduces. It does not choose among engines.
 //
-// A Client and its Endpoints may be used from any goroutine; they own the connections and their counts. Each attempt
-// runs on the goroutine that calls Prefill or Decode, and only its Cancel, Canceled and Progress may be called from
-// others. The package starts no goroutines.
+// A Client and its Endpoints are safe for concurrent use; they own the connections and their counts. Each attempt runs
+// on the goroutine that calls Prefill or Decode. Other goroutines may call only its Cancel, Canceled and Progress
+// methods. The package starts no goroutines.
 package engine
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -8,13 +8,13 @@
 	"brackenbend/internal/http1"
 )
 
-// Errors of attempts that end on this side, or by what an engine says within its response.
+// Errors of attempts that this process ends, or that the content of an engine's response ends.
 var (
-	errNotSent   = errors.New("engine: endpoint drains or is gone, or the attempt was canceled, before its first byte")
+	errNotSent   = errors.New("engine: not sent: endpoint draining or removed, attempt canceled, client gone, or too late")
 	errConnLimit = errors.New("engine: connection limit reached")
 
-	errEarlyResponse    = errors.New("engine: response before the last byte of the request")
-	errResponseClaimed  = errors.New("engine: the client already got another response")
+	errEarlyResponse    = errors.New("engine: response arrived before the request was complete")
+	errResponseClaimed  = errors.New("engine: the client has already received another response")
 	errErrorEvent       = errors.New("engine: error event in the stream")
 	errEventTooLarge    = errors.New("engine: event too large")
 	errStreamTooLarge   = errors.New("engine: stream too large")
@@ -22,14 +22,14 @@
 	errStreamTruncated  = errors.New("engine: stream ended without its last event")
 )
 
-// sinkError is an error of the sink that takes a stream: its client is gone or reads nothing.
+// sinkError wraps an error that Sink.Events returned: the client has disconnected or does not read the stream.
 type sinkError struct{ err error }
 
 func (e *sinkError) Error() string { return e.err.Error() }
 func (e *sinkError) Unwrap() error { return e.err }
 
-// connectionBroke reports whether err ended a connection, rather than time running out or a malformed or truncated
-// message.
+// connectionBroke reports whether err means a reset or closed connection, rather than a time-out or a malformed or
+// truncated message.
 func connectionBroke(err error) bool {
 	var protocolError *http1.Error
 	return !errors.Is(err, os.ErrDeadlineExceeded) && !errors.As(err, &protocolError) &&
--- a/internal/engine/failure_test.go
+++ b/internal/engine/failure_test.go
@@ -12,8 +12,8 @@
 	"brackenbend/routing"
 )
 
-// TestFailureOutcome holds which row of the failure table comes first where several match.
-func TestFailureOutcome(t *testing.T) {
+// TestFailureTableOrder checks which row of the failure table applies where several match.
+func TestFailureTableOrder(t *testing.T) {
 	unconnected, connected := delivery{}, delivery{connected: true}
 	started := delivery{connected: true, mayHaveRun: true}
 	timeout := fmt.Errorf("read: %w", os.ErrDeadlineExceeded)
@@ -22,7 +22,7 @@
 		err          error
 		delivery     delivery
 		want         outcomeRow
-		wantCanceled outcomeRow // the same for an attempt that was canceled
+		wantCanceled outcomeRow // for a canceled attempt
 	}{
 		"not sent":           {errNotSent, connected, outcomeRow{7, false}, outcomeRow{7, false}},
 		"connection limit":   {errConnLimit, unconnected, outcomeRow{7, false}, outcomeRow{7, false}},
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestCanceledAttemptWithCompleteReply: the reply was complete, but the attempt was canceled before its connection went
-// back to the pool.
+// TestCanceledAttemptWithCompleteReply checks the outcome of an attempt whose reply was complete, but which was
+// canceled before its connection returned to the pool.
 func TestCanceledAttemptWithCompleteReply(t *testing.T) {
 	a := &Attempt{delivery: delivery{connected: true, mayHaveRun: true}}
 	a.Cancel()
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -16,14 +16,14 @@
 	"brackenbend/routing"
 )
 
-// visibleLineEnds makes each line end of a message readable, so that CR and LF are compared too.
+// visibleLineEnds makes the line ends of a message visible, so that golden files show CR and LF.
 func visibleLineEnds(s string) string {
 	s = strings.ReplaceAll(s, "\r", `\r`)
 	return strings.ReplaceAll(s, "\n", "\\n\n") + "\n"
 }
 
-// captureRequest runs send against a peer that answers one request with response. It returns the bytes that the peer
-// got, with its address replaced.
+// captureRequest runs send against a peer that responds to one request with response. It returns the bytes that the
+// peer received, with the peer's address replaced by ADDRESS.
 func captureRequest(t *testing.T, response string, send func(e *Endpoint)) string {
 	t.Helper()
 	received := make(chan string, 1)
@@ -32,7 +32,7 @@
 		br := bufio.NewReader(io.TeeReader(conn, &raw))
 		readRequest(br)
 		respond(conn, response)
-		readUntilClosed(br) // all that may come behind the request, too
+		readUntilClosed(br) // also captures anything sent after the request
 		received <- raw.String()
 	})
 	send(endpoint)
@@ -51,7 +51,7 @@
 
 var decodeStream = streamHeader + chunk("data: {\"a\":1}\n\n") + chunk("data: [DONE]\n\n") + "0\r\n\r\n"
 
-// TestRequestBytes holds every byte of prefills, decodes and releases as an engine's socket gets them.
+// TestRequestBytes compares every byte that an engine receives for prefills, decodes and releases with golden files.
 func TestRequestBytes(t *testing.T) {
 	for _, extended := range []bool{false, true} {
 		for _, key := range []string{"", "key-1"} {
@@ -63,7 +63,7 @@
 				if extended {
 					text += "== release\n" + visibleLineEnds(captureRelease(t, client))
 				} else if client.ReleasesState() {
-					t.Error("a release without the extension")
+					t.Error("a client without the extension releases read state")
 				}
 				golden.Check(t, name, text)
 			})
@@ -71,7 +71,7 @@
 	}
 }
 
-// captureStages returns the requests of both stages for bodies of all kinds.
+// captureStages returns the requests of both stages for request bodies of all kinds.
 func captureStages(t *testing.T, client *Client, key string) string {
 	t.Helper()
 	var all strings.Builder
@@ -119,7 +119,7 @@
 	})
 }
 
-// suffixIf is a part of a golden file's name.
+// suffixIf returns suffix, a part of a golden file's name, if on is set, else an empty string.
 func suffixIf(on bool, suffix string) string {
 	if on {
 		return suffix
@@ -127,14 +127,14 @@
 	return ""
 }
 
-// TestRequestBytesWithLastByteHeldBack checks that a body whose last byte waits for SettleDelay arrives as the same
-// bytes.
-func TestRequestBytesWithLastByteHeldBack(t *testing.T) {
+// TestRequestBytesWithWithheldLastByte checks that a body whose last byte is withheld for SettleDelay arrives
+// unchanged.
+func TestRequestBytesWithWithheldLastByte(t *testing.T) {
 	client := newLastByteClient()
 	client.SettleDelay = time.Millisecond
 	golden.Check(t, "request-once.golden", visibleLineEnds(captureRequest(t, prefillReply, func(e *Endpoint) {
 		call := newCall(time.Minute)
-		call.ID, call.SingleUseConn, call.Body = "run-1-2", true, []byte(`{"model":"m"}`)
+		call.ID, call.NotIdempotent, call.Body = "run-1-2", true, []byte(`{"model":"m"}`)
 		if out := client.Prefill(&Attempt{}, e, call); out.Result != routing.PrefillDone {
 			t.Errorf("result %d, %v", out.Result, out.Err)
 		}
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -20,7 +20,7 @@
 
 var testLimits = http1.Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 30}
 
-// newTestClient is a client whose engines begin with a request's first byte.
+// newTestClient returns a client of engines that may start at a request's first byte (RunsWhenComplete is not set).
 func newTestClient() *Client {
 	return &Client{
 		Protocol:            VLLM{Extended: true},
@@ -37,26 +37,27 @@
 	}
 }
 
-// newLastByteClient is a client whose engines begin with a request's last byte.
+// newLastByteClient returns a client of engines that start at a request's last byte (RunsWhenComplete is set).
 func newLastByteClient() *Client {
 	c := newTestClient()
 	c.RunsWhenComplete = true
 	return c
 }
 
-// newCall is a call without a body that has so much time.
+// newCall returns a call without a body whose deadline is timeout from now.
 func newCall(timeout time.Duration) Call {
 	return Call{Path: "/v1/x", ID: "a", Deadline: time.Now().Add(timeout)}
 }
 
-// newCallWithBody is a call with a small body that has so much time.
+// newCallWithBody returns a call with a small body whose deadline is timeout from now.
 func newCallWithBody(timeout time.Duration) Call {
 	call := newCall(timeout)
 	call.Body = []byte("{}")
 	return call
 }
 
-// startPeer accepts connections and hands each, with its number, to serve on a goroutine of its own.
+// startPeer starts a server that calls serve for each connection, with the connection's number, in a goroutine of its
+// own. It returns the server's endpoint.
 func startPeer(t *testing.T, serve func(i int, conn *net.TCPConn)) *Endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -84,7 +85,7 @@
 	return &Endpoint{ID: 1, Name: "e", Address: listener.Addr().String()}
 }
 
-// unusedAddress is an address at which nothing listens.
+// unusedAddress returns an address on which nothing listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,7 +98,7 @@
 	return listener.Addr().String()
 }
 
-// readRequest reads one whole request; false when none comes.
+// readRequest reads one request with its body. It returns false if no complete request arrives.
 func readRequest(br *bufio.Reader) bool {
 	r, err := http1.ReadRequest(br, testLimits)
 	if err != nil {
@@ -109,39 +110,39 @@
 	return err == nil
 }
 
-// respond writes text. The client may be gone by then, which some cases are about.
+// respond writes text. It ignores errors, since in some cases the client has already closed the connection.
 func respond(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// readUntilClosed reads all that comes.
+// readUntilClosed reads and discards all data until the connection ends.
 func readUntilClosed(r io.Reader) { _, _ = io.Copy(io.Discard, r) }
 
-// resetOnClose makes the close of a connection a reset.
+// resetOnClose makes closing the connection send a reset.
 func resetOnClose(conn *net.TCPConn) { _ = conn.SetLinger(0) }
 
-// chunk frames s as one chunk.
+// chunk returns s framed as one chunk.
 func chunk(s string) string { return string(http1.AppendChunk(nil, []byte(s))) }
 
-// testSink records a stream.
+// testSink records the events of a stream.
 type testSink struct {
-	received  strings.Builder
-	begun     int // calls of Begin
-	decline   bool
-	fail      error
-	lastIsEnd bool // the latest events were given as the last ones
+	received     strings.Builder
+	beginCalls   int   // number of calls of Begin
+	declineBegin bool  // Begin returns false
+	eventsErr    error // returned by Events
+	lastFlag     bool  // argument last of the latest call of Events
 }
 
 func (s *testSink) Begin() bool {
-	s.begun++
-	return !s.decline
+	s.beginCalls++
+	return !s.declineBegin
 }
 
 func (s *testSink) Events(events []byte, last bool) error {
-	s.lastIsEnd = last
+	s.lastFlag = last
 	s.received.Write(events)
-	return s.fail
+	return s.eventsErr
 }
 
-// discardSink accepts a stream and keeps nothing.
+// discardSink accepts a stream and discards its events.
 type discardSink struct{}
 
 func (discardSink) Begin() bool               { return true }
--- a/internal/engine/loadreport.go
+++ b/internal/engine/loadreport.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// maxLoadFigures bounds the figures that are read of one load report.
-const maxLoadFigures = 64
+// maxLoadMetrics is the maximum number of metrics that are read from one load report.
+const maxLoadMetrics = 64
 
-// loadFigures reads the load figures that the router asked for, in its order; nil when there is no report. A figure
-// that the report lacks is NaN: missing is not zero.
-func (c *Client) loadFigures(report string) []float64 {
+// loadMetrics reads the metrics named in LoadReportFields from a load report, in that order. It returns nil if there is
+// no report. A metric that is missing from the report is NaN, since zero would be a valid value.
+func (c *Client) loadMetrics(report string) []float64 {
 	if len(c.LoadReportFields) == 0 {
 		return nil
 	}
@@ -20,20 +20,20 @@
 	if byName == nil {
 		return nil
 	}
-	figures := make([]float64, len(c.LoadReportFields))
+	metrics := make([]float64, len(c.LoadReportFields))
 	for i, name := range c.LoadReportFields {
 		value, ok := byName[name]
 		if !ok {
 			value = math.NaN()
 		}
-		figures[i] = value
+		metrics[i] = value
 	}
-	return figures
+	return metrics
 }
 
-// ParseLoadReport reads an ORCA load report as it stands in the endpoint-load-metrics header, in its TEXT and JSON
-// forms (Envoy, "Open Request Cost Aggregation"). What is malformed or not finite is left out; the binary form
-// gives nil.
+// ParseLoadReport parses an ORCA load report (Envoy, "Open Request Cost Aggregation") from the value of the
+// endpoint-load-metrics header, in its TEXT or JSON format. Metrics that are malformed or not finite are left out. It
+// returns nil for the binary format.
 func ParseLoadReport(report string) map[string]float64 {
 	format, body, _ := strings.Cut(report, " ")
 	switch format {
@@ -46,43 +46,43 @@
 	}
 }
 
-// loadFigureMap holds finite figures by name, up to maxLoadFigures.
-type loadFigureMap map[string]float64
+// loadMetricMap holds up to maxLoadMetrics finite metrics by name.
+type loadMetricMap map[string]float64
 
-func (m loadFigureMap) add(name string, value float64) {
-	if !math.IsNaN(value) && !math.IsInf(value, 0) && len(m) < maxLoadFigures {
+func (m loadMetricMap) add(name string, value float64) {
+	if !math.IsNaN(value) && !math.IsInf(value, 0) && len(m) < maxLoadMetrics {
 		m[name] = value
 	}
 }
 
-func parseTextReport(body string) loadFigureMap {
-	figures := loadFigureMap{}
+func parseTextReport(body string) loadMetricMap {
+	metrics := loadMetricMap{}
 	for pair := range strings.SplitSeq(body, ",") {
 		name, number, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if value, err := strconv.ParseFloat(strings.TrimSpace(number), 64); ok && err == nil {
-			figures.add(strings.TrimSpace(name), value)
+			metrics.add(strings.TrimSpace(name), value)
 		}
 	}
-	return figures
+	return metrics
 }
 
-func parseJSONReport(body string) loadFigureMap {
+func parseJSONReport(body string) loadMetricMap {
 	var fields map[string]any
 	if json.Unmarshal([]byte(body), &fields) != nil {
 		return nil
 	}
-	figures := loadFigureMap{}
+	metrics := loadMetricMap{}
 	for name, field := range fields {
 		switch field := field.(type) {
 		case float64:
-			figures.add(name, field)
+			metrics.add(name, field)
 		case map[string]any: // named_metrics, request_cost, utilization
 			for key, value := range field {
 				if number, ok := value.(float64); ok {
-					figures.add(name+"."+key, number)
+					metrics.add(name+"."+key, number)
 				}
 			}
 		}
 	}
-	return figures
+	return metrics
 }
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -9,60 +9,61 @@
 	"brackenbend/routing"
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt, with what its response said about the engine.
 type Outcome struct {
 	Result           routing.Result
 	StateMissing     bool
 	CachedTokens     float64
 	LoadReport       []float64
-	KVTransferParams json.RawMessage // of a prefill: what the decode needs to fetch the read state
-	Events           int             // of a stream, that are tokens by their place; the last event is not one
-	Reply            *Reply          // a response about the request itself, to be passed on
+	KVTransferParams json.RawMessage // from a prefill's reply: the decode fetches the read state with it
+	Events           int             // events with data in a stream, without the last one; used as the token count
+	Reply            *Reply          // the error response to an invalid request, to be passed to the client; else nil
 	Err              error           // for logs
 }
 
-// Reply is an engine's response that blames the request.
+// Reply is an engine's error response to an invalid request.
 type Reply struct {
 	Status int
 	Body   []byte
 }
 
-// failure is what is known of an attempt that ended with an error.
+// failure describes an attempt that ended with an error.
 type failure struct {
-	err        error // nil where the response was complete but the attempt was canceled meanwhile
+	err        error // nil if the response was complete but the attempt was canceled before it returned
 	canceled   bool
-	connected  bool // a connection was there to send the request on
-	mayHaveRun bool // the engine may act on what it accepted of the request
+	connected  bool // a connection was available for the request
+	mayHaveRun bool // the engine may have started executing the request
 }
 
-// failureTable gives the result of each failure; the first row that matches counts. docs/gateway.md prints it together
-// with the rows that go by the status of a response (Protocol.ParseReply).
+// failureTable maps each failure to its result; the first row that matches applies. docs/gateway.md reproduces it
+// together with the rows for the status of a response (see Protocol.ParseReply).
 var failureTable = []struct {
 	matches      func(f failure) bool
 	result       routing.Result
 	stateMissing bool
 }{
-	// drain, removal or cancellation before the first byte; connections at their limit
+	// drain, removal or cancellation before the first byte was written, or the connection limit was reached
 	{matches: isOneOf(errNotSent, errConnLimit), result: routing.NotSent},
-	// the stream says or shows that the engine failed
+	// the stream contains an error event or exceeds a size limit
 	{matches: isOneOf(errErrorEvent, errEventTooLarge, errStreamTooLarge), result: routing.EngineError},
-	// the stream ends without its last event
+	// the stream ended without its last event
 	{matches: isOneOf(errStreamTruncated), result: routing.ConnectionReset},
-	// the client got another response, is gone, or reads nothing
+	// the client has another response, has disconnected, or does not read the stream
 	{matches: isOneOf(errResponseClaimed), result: routing.Canceled},
 	{matches: isSinkError, result: routing.Canceled},
-	// canceled before, and after, the engine may have started
+	// the attempt was canceled before the engine can have started, or later
 	{matches: func(f failure) bool { return f.canceled && !f.mayHaveRun }, result: routing.NotSent},
 	{matches: func(f failure) bool { return f.canceled }, result: routing.Canceled},
-	// the request is not complete at the engine
+	// the connection failed before the request was complete, so the engine can't have started
 	{matches: func(f failure) bool { return !f.mayHaveRun && f.connected }, result: routing.RequestIncomplete},
-	// dial refused, unreachable or timed out
+	// the dial was refused or timed out, or the engine is unreachable
 	{matches: func(f failure) bool { return !f.mayHaveRun }, result: routing.ConnectFailed},
-	// no first token, no complete reply, or silence within a stream, for too long
+	// a time-out of the first token, of the complete reply, or between reads within a stream
 	{matches: isOneOf(os.ErrDeadlineExceeded), result: routing.TimedOut},
-	// a malformed response is a response: a decode has fetched its read state, which is gone with it
+	// A malformed response shows that the engine has run the request: a decode has fetched its read state, so that the
+	// state is no longer available.
 	{matches: isProtocolError, result: routing.EngineError, stateMissing: true},
-	// reset or end of the connection after the engine may have started
+	// the connection was reset or closed after the engine may have started
 	{matches: func(failure) bool { return true }, result: routing.ConnectionReset},
 }
 
@@ -87,7 +88,7 @@
 	return errors.As(f.err, &protocolError)
 }
 
-// failureOutcome is the outcome of the attempt that ended with err.
+// failureOutcome returns the outcome of an attempt that ended with err.
 func (a *Attempt) failureOutcome(err error) Outcome {
 	f := failure{
 		err: err, canceled: a.Canceled(), connected: a.delivery.connected, mayHaveRun: a.delivery.mayHaveRun,
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -14,7 +14,7 @@
 	"brackenbend/routing"
 )
 
-// TestDecodeOutcomeTable causes every way in which an attempt can end on the network.
+// TestDecodeOutcomeTable checks the result of a decode for every way in which it can end on the network.
 func TestDecodeOutcomeTable(t *testing.T) {
 	const events = "data: {}\n\ndata: [DONE]\n\n"
 	whole := streamHeader + chunk("data: {}\n\n") + chunk("data: [DONE]\n\n") + http1.LastChunk
@@ -85,14 +85,14 @@
 			call.Path = "/v1/chat/completions"
 			var sink testSink
 			out := newTestClient().Decode(&Attempt{}, endpoint, call, &sink)
-			if out.Result != c.want || sink.begun != c.begun {
-				t.Errorf("result %d (%v), want %d; begun %d, want %d", out.Result, out.Err, c.want, sink.begun, c.begun)
+			if out.Result != c.want || sink.beginCalls != c.begun {
+				t.Errorf("result %d (%v), want %d; begun %d, want %d", out.Result, out.Err, c.want, sink.beginCalls, c.begun)
 			}
 			if c.begun == 0 {
 				return
 			}
-			if sink.lastIsEnd != (c.want == routing.Served) {
-				t.Errorf("last events given as the end: %v", sink.lastIsEnd)
+			if sink.lastFlag != (c.want == routing.Served) {
+				t.Errorf("flag last of the latest events: %v", sink.lastFlag)
 			}
 			if c.want != routing.Served {
 				return
@@ -114,7 +114,7 @@
 	}
 }
 
-// TestResultNumbers holds the numbers of the results, as the router's records have them.
+// TestResultNumbers checks the numeric values of the results, which the router's recordings contain.
 func TestResultNumbers(t *testing.T) {
 	for want, got := range []routing.Result{
 		0: routing.Served,
@@ -134,13 +134,14 @@
 	}
 }
 
-// outcomeRow is what a case holds of an outcome, by number.
+// outcomeRow is the part of an outcome that a test case compares; the result is given by its number.
 type outcomeRow struct {
 	result       int
 	stateMissing bool
 }
 
-// TestOutcomeByConnectionEnd holds the rows that go by how a connection or a response ends, for prefills and decodes.
+// TestOutcomeByConnectionEnd checks the outcomes that depend on how a connection or a response ends, for prefills and
+// decodes.
 func TestOutcomeByConnectionEnd(t *testing.T) {
 	const token = "data: {}\n\n"
 	for name, c := range map[string]struct {
@@ -215,7 +216,7 @@
 	}
 }
 
-// TestOutcomeByTimeAndClient holds the rows that go by time and by the client, by numbers.
+// TestOutcomeByTimeAndClient checks the outcomes that depend on time-outs and on the client.
 func TestOutcomeByTimeAndClient(t *testing.T) {
 	const short = 100 * time.Millisecond
 	token := streamHeader + chunk("data: {}\n\n")
@@ -235,8 +236,8 @@
 		},
 		"no first token in time":          {patient, streamHeader, short, &testSink{}, 3},
 		"time is up before it begins":     {patient, "", -time.Second, nil, 7},
-		"client got another response":     {patient, token, time.Minute, &testSink{decline: true}, 6},
-		"client does not read the stream": {patient, token, time.Minute, &testSink{fail: io.ErrClosedPipe}, 6},
+		"client got another response":     {patient, token, time.Minute, &testSink{declineBegin: true}, 6},
+		"client does not read the stream": {patient, token, time.Minute, &testSink{eventsErr: io.ErrClosedPipe}, 6},
 		"silence within a stream":         {impatient, token, time.Minute, &testSink{}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -258,7 +259,7 @@
 	}
 }
 
-// TestOutcomeByStatus holds every row of the outcome table that goes by a status, for prefills and decodes, by numbers.
+// TestOutcomeByStatus compares the outcomes of all response statuses, for prefills and decodes, with a golden file.
 func TestOutcomeByStatus(t *testing.T) {
 	var all strings.Builder
 	for _, extended := range []bool{false, true} {
@@ -289,12 +290,12 @@
 	golden.Check(t, "outcome-by-status.golden", all.String())
 }
 
-// statusWithFields reports whether the fields of the extension are tried with a status.
+// statusWithFields reports whether the header fields of the extension are tested with a status.
 func statusWithFields(status int) bool {
 	return status == 200 || status == 400 || status == 429 || status == 503
 }
 
-// outcomeOfStatus is the outcome of an attempt whose engine responds with a status and the header lines fields.
+// outcomeOfStatus returns the outcome of an attempt whose engine responds with status and the header lines in fields.
 func outcomeOfStatus(t *testing.T, extended, prefill bool, status int, fields string) Outcome {
 	t.Helper()
 	response := fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: 30\r\n\r\n%s", status, fields,
@@ -316,7 +317,7 @@
 	return client.Decode(&Attempt{}, endpoint, newCallWithBody(time.Minute), &testSink{})
 }
 
-// TestOutcomeByPrefillReply holds what a prefill's 200 becomes by its body.
+// TestOutcomeByPrefillReply compares the outcomes of prefill replies with status 200, by body, with a golden file.
 func TestOutcomeByPrefillReply(t *testing.T) {
 	var all strings.Builder
 	for _, text := range []string{
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -13,20 +13,20 @@
 	"brackenbend/internal/monotonic"
 )
 
-// poolState is what a client knows of the connections to all its endpoints.
+// poolState holds what a client tracks about the connections to all its endpoints.
 type poolState struct {
-	open          atomic.Int64         // connections open or being opened
-	reuseFailedAt monotonic.AtomicTime // when a reused connection last broke; 0 = never
+	open          atomic.Int64         // connections open or being dialed
+	reuseFailedAt monotonic.AtomicTime // when a reused connection last failed; 0 = never
 
-	mu       sync.Mutex             // taken before an endpoint's
+	mu       sync.Mutex             // locked before Endpoint.mu
 	withIdle map[*Endpoint]struct{} // endpoints that may have idle connections
 }
 
-// OpenConns is the number of connections to engines that are open or being opened.
+// OpenConns is the number of connections to all engines that are open or being dialed.
 func (c *Client) OpenConns() int64 { return c.pool.open.Load() }
 
-// getConn returns an idle connection that is alive, unless a new one is asked for, else a new one until deadline
-// (zero = none). The dial can be canceled by a, unless that is nil.
+// getConn returns a usable idle connection, or dials a new one if there is none, newConn is set or reuse is suspended.
+// The dial ends at deadline (zero = no deadline) and when a is canceled; a may be nil.
 func (c *Client) getConn(a *Attempt, e *Endpoint, newConn bool, deadline time.Time) (*persistConn, error) {
 	newConn = newConn || c.reuseSuspended()
 	pc, err := c.reuseOrReserve(e, newConn)
@@ -43,8 +43,8 @@
 	return newPersistConn(nc), nil
 }
 
-// reuseOrReserve takes an idle connection, unless a new one is asked for. With neither a connection nor an error it has
-// counted one that the caller has to open.
+// reuseOrReserve returns an idle connection unless newConn is set. If it returns neither a connection nor an error, it
+// has counted a connection that the caller must dial.
 func (c *Client) reuseOrReserve(e *Endpoint, newConn bool) (*persistConn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,14 +59,15 @@
 		if len(e.idle) == 0 {
 			return nil, errConnLimit
 		}
-		e.removeConn(e.idle[0]) // makes room for the new one
+		e.removeConn(e.idle[0]) // stays within the limit with the new connection
 		e.idle = e.idle[1:]
 	}
 	e.countConn()
 	return nil, nil
 }
 
-// takeIdle takes the latest idle connection that has rested and is alive, and closes those that are not; e.mu is held.
+// takeIdle removes and returns the most recently used idle connection that has been idle for ReuseDelay and is usable.
+// It closes those that have expired or were closed by the peer. The caller holds e.mu.
 func (c *Client) takeIdle(e *Endpoint) *persistConn {
 	for i := len(e.idle) - 1; i >= 0; i-- {
 		pc := e.idle[i]
@@ -74,7 +75,7 @@
 			continue
 		}
 		e.idle = slices.Delete(e.idle, i, i+1)
-		if pc.idleFor() < c.IdleTimeout && pc.isQuiet() {
+		if pc.idleFor() < c.IdleTimeout && pc.peerIdle() {
 			return pc
 		}
 		e.removeConn(pc)
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// dialWithinLimit opens a connection that its endpoint has counted, unless all engines together have too many.
+// dialWithinLimit dials a connection that its endpoint has already counted. At the limit MaxConns it first closes an
+// idle connection of any endpoint, and fails if there is none.
 func (c *Client) dialWithinLimit(a *Attempt, e *Endpoint, deadline time.Time) (net.Conn, error) {
 	open := c.pool.open.Add(1)
 	if c.MaxConns > 0 && open > int64(c.MaxConns) && !c.evictLongestIdle() {
@@ -101,7 +103,8 @@
 	return dialer.DialContext(ctx, "tcp", e.Address)
 }
 
-// putConn returns a connection after use. It is kept only when its last response ended cleanly.
+// putConn returns a connection after use. It closes the connection unless clean is set, which means that the last
+// response was read to its end and allows reuse.
 func (c *Client) putConn(e *Endpoint, pc *persistConn, clean bool) {
 	if !c.keepIdle(e, pc, clean) {
 		return
@@ -114,11 +117,11 @@
 	c.pool.withIdle[e] = struct{}{}
 }
 
-// keepIdle adds a connection to the idle ones of its endpoint, or closes it.
+// keepIdle adds a connection to the idle connections of its endpoint and returns true, or closes it.
 func (c *Client) keepIdle(e *Endpoint, pc *persistConn, clean bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	keep := clean && e.IsOpen() && !c.reuseSuspended() && len(e.idle) < c.MaxIdlePerEndpoint && pc.reusable()
+	keep := clean && e.IsOpen() && !c.reuseSuspended() && len(e.idle) < c.MaxIdlePerEndpoint && pc.prepareReuse()
 	if !keep {
 		e.removeConn(pc)
 		return false
@@ -128,7 +131,8 @@
 	return true
 }
 
-// evictLongestIdle closes the connection that has been idle longest at any endpoint; false when none was idle.
+// evictLongestIdle closes the connection that has been idle longest across all endpoints. It returns false if there is
+// no idle connection.
 func (c *Client) evictLongestIdle() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -146,7 +150,7 @@
 	}
 	oldest.mu.Lock()
 	defer oldest.mu.Unlock()
-	if len(oldest.idle) == 0 { // taken meanwhile
+	if len(oldest.idle) == 0 { // another goroutine has taken it
 		return false
 	}
 	oldest.removeConn(oldest.idle[0])
@@ -154,7 +158,7 @@
 	return true
 }
 
-// CloseExpiredIdle closes connections that have been idle for IdleTimeout, so that engines need not.
+// CloseExpiredIdle closes the connections that have been idle for IdleTimeout, before the engines close them.
 func (c *Client) CloseExpiredIdle() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -168,21 +172,21 @@
 	}
 }
 
-// suspendReuse notes that a reused connection broke although its socket had shown nothing: engines, or proxies before
-// them, close connections sooner than agreed. Another request sent on such a connection may be lost, and one that must
-// run only once may not be retried; a new connection costs only a handshake. So none is reused until all that are idle
-// now are past their time.
+// suspendReuse stops the reuse of connections for IdleTimeout, after which every connection that is idle now has
+// expired. It is called after a reused connection failed although its socket had shown no close: engines, or proxies in
+// front of them, close idle connections earlier than IdleTimeout assumes. A request sent on such a connection may be
+// lost, and one that is not idempotent must not be retried, while a new connection costs only a handshake.
 func (c *Client) suspendReuse() { c.pool.reuseFailedAt.Store(monotonic.Now()) }
 
-// reuseSuspended reports whether connections are neither reused nor kept.
+// reuseSuspended reports whether connections are currently neither reused nor kept idle.
 func (c *Client) reuseSuspended() bool {
 	at := c.pool.reuseFailedAt.Load()
 	return at != 0 && monotonic.Now().Sub(at) < c.IdleTimeout
 }
 
-// onReuseFailure follows a request that was written on a reused connection and got no response. A connection that
-// broke makes all reuse doubtful. One that stayed silent may have died without a sign, or its engine may be slow: only
-// the other idle connections to that engine are doubtful then.
+// onReuseFailure handles the failure of a request that was written on a reused connection and got no response. If the
+// connection broke, the reuse of all connections is suspended. If the response timed out, either the connection was
+// lost without a reset or the engine is slow, so only the other idle connections to that engine are closed.
 func (c *Client) onReuseFailure(e *Endpoint, err error) {
 	switch {
 	case connectionBroke(err):
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -14,14 +14,14 @@
 	"brackenbend/routing"
 )
 
-// servePrefills answers every request on a connection with a prefill's reply.
+// servePrefills responds to every request on a connection with a prefill reply.
 func servePrefills(_ int, conn *net.TCPConn) {
 	for br := bufio.NewReader(conn); readRequest(br); {
 		respond(conn, prefillReply)
 	}
 }
 
-func TestSingleUseCallNeverUsesPooledConnection(t *testing.T) {
+func TestNotIdempotentCallNeverUsesPooledConnection(t *testing.T) {
 	connections := make(chan int, 10)
 	endpoint := startPeer(t, func(i int, conn *net.TCPConn) {
 		br := bufio.NewReader(conn)
@@ -36,7 +36,7 @@
 		singleUse  bool
 		connection int
 	}{{false, 0}, {false, 0}, {true, 1}} {
-		call.SingleUseConn = c.singleUse
+		call.NotIdempotent = c.singleUse
 		if out := client.Prefill(&Attempt{}, endpoint, call); out.Result != routing.PrefillDone {
 			t.Fatalf("%+v", out)
 		}
@@ -51,7 +51,7 @@
 	endpoint := startPeer(t, func(_ int, conn *net.TCPConn) {
 		readRequest(bufio.NewReader(conn))
 		respond(conn, prefillReply)
-		_ = conn.Close() // without having announced it
+		_ = conn.Close() // without a Connection: close header
 		closed <- struct{}{}
 	})
 	client := newTestClient()
@@ -64,11 +64,11 @@
 	}
 }
 
-// awaitCloseSeen waits until the peer's close of the one connection has come through.
+// awaitCloseSeen waits until the peer's close of the endpoint's only connection is visible on this side.
 func awaitCloseSeen(e *Endpoint) {
 	for e.Conns() == 1 {
 		e.mu.Lock()
-		seen := len(e.idle) == 1 && !e.idle[0].isQuiet()
+		seen := len(e.idle) == 1 && !e.idle[0].peerIdle()
 		e.mu.Unlock()
 		if seen {
 			return
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestConnectionLimitOverEndpoints checks that the limit over all endpoints is kept by closing what has been idle
-// longest, wherever that is.
-func TestConnectionLimitOverEndpoints(t *testing.T) {
+// TestConnectionLimitAcrossEndpoints checks that a dial at MaxConns first closes the connection that has been idle
+// longest at any endpoint.
+func TestConnectionLimitAcrossEndpoints(t *testing.T) {
 	client := newTestClient()
 	client.MaxConns = 2
 	endpoints := []*Endpoint{startPeer(t, servePrefills), startPeer(t, servePrefills), startPeer(t, servePrefills)}
@@ -116,20 +116,20 @@
 	if conns != [3]int{0, 1, 1} || client.OpenConns() != 2 {
 		t.Errorf("%v connections, %d in all", conns, client.OpenConns())
 	}
-	client.IdleTimeout = 0 // all idle ones are past their time
+	client.IdleTimeout = 0 // all idle connections have expired
 	client.CloseExpiredIdle()
 	if n := client.OpenConns(); n != 0 || len(client.pool.withIdle) != 0 {
-		t.Errorf("%d connections after the sweep, %d endpoints with some", n, len(client.pool.withIdle))
+		t.Errorf("after CloseExpiredIdle: %d connections, %d endpoints with idle connections", n, len(client.pool.withIdle))
 	}
 }
 
-// TestReuseSuspendedOnceReusedConnectionBroke checks that a reused connection that breaks under its next request is the
-// last that is reused, for IdleTimeout; what breaks on a new connection has no such effect.
-func TestReuseSuspendedOnceReusedConnectionBroke(t *testing.T) {
+// TestReuseSuspendedAfterReusedConnectionBroke checks that no connection is reused for IdleTimeout after a reused one
+// broke during its next request. A new connection that breaks has no such effect.
+func TestReuseSuspendedAfterReusedConnectionBroke(t *testing.T) {
 	endpoint := startPeer(t, func(i int, conn *net.TCPConn) {
 		br := bufio.NewReader(conn)
 		for n := 0; readRequest(br); n++ {
-			if n == 1 || i == 0 { // the socket shows nothing before: the peer waits for the request
+			if n == 1 || i == 0 { // the peer resets only after it has read a request, so the idle socket shows no close
 				resetOnClose(conn)
 				return
 			}
@@ -151,19 +151,18 @@
 		}
 	}
 	if endpoint.Conns() != 0 {
-		t.Errorf("%d connections are kept", endpoint.Conns())
+		t.Errorf("%d connections are kept while reuse is suspended", endpoint.Conns())
 	}
 	failedAt := client.pool.reuseFailedAt.Load()
-	client.pool.reuseFailedAt.Store(failedAt.Add(-client.IdleTimeout)) // they are past their time
+	client.pool.reuseFailedAt.Store(failedAt.Add(-client.IdleTimeout)) // the suspension has ended
 	if got := prefill(); got != routing.PrefillDone || endpoint.Conns() != 1 {
-		t.Errorf("later: %v, %d connections kept", got, endpoint.Conns())
+		t.Errorf("after the suspension: %v, %d connections kept", got, endpoint.Conns())
 	}
 }
 
-// TestReuseDelayKeepsLateSecondResponseApart: an engine responds twice, and its second response is on its way as the
-// next request is sent. It is not taken for that one's, since the connection is not reused so soon. One that has been
-// idle for ReuseDelay is.
-func TestReuseDelayKeepsLateSecondResponseApart(t *testing.T) {
+// TestReuseDelayPreventsMismatchedResponse checks that a late second response of an engine is not taken for the
+// response to the next request: a connection is not reused until it has been idle for ReuseDelay.
+func TestReuseDelayPreventsMismatchedResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		reuseDelay     time.Duration
 		secondResponse bool
@@ -197,8 +196,8 @@
 	}
 }
 
-// serveRequestIDs responds to each request with a stream of its ID. With second, each response is sent once more just
-// before the next one.
+// serveRequestIDs responds to each request with a stream that contains the request's ID. If second is set, it sends
+// each response a second time, just before the next one.
 func serveRequestIDs(conn net.Conn, second bool) {
 	br := bufio.NewReader(conn)
 	late := ""
@@ -219,18 +218,18 @@
 	}
 }
 
-// TestSilentReusedConnectionDiscardsIdleOnes: a request on a reused connection gets no response in time. It may never
-// have arrived, and so may what is sent on the other idle connections to this engine: they are closed.
-func TestSilentReusedConnectionDiscardsIdleOnes(t *testing.T) {
+// TestTimeoutOnReusedConnectionClosesIdleOnes checks that a time-out of a request on a reused connection closes the
+// other idle connections to the same engine. The connection may have been lost without a reset, and so may the others.
+func TestTimeoutOnReusedConnectionClosesIdleOnes(t *testing.T) {
 	both := make(chan struct{}, 2)
 	endpoint := startPeer(t, func(_ int, conn *net.TCPConn) {
 		br := bufio.NewReader(conn)
 		for n := 0; readRequest(br); n++ {
 			if n > 0 {
-				continue // silent
+				continue // no response
 			}
 			both <- struct{}{}
-			for len(both) < cap(both) { // so that two connections are open at one time
+			for len(both) < cap(both) { // waits for the second request, so that two connections are open at once
 				time.Sleep(time.Millisecond)
 			}
 			respond(conn, "HTTP/1.1 503 Full\r\nX-Brackenbend-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -6,16 +6,17 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Progress is how far an attempt came, for logs. Times count from the attempt's start; 0 = it did not come so far.
+// Progress records when an attempt reached each step, for logs. Times count from the attempt's start; 0 = the step was
+// not reached.
 type Progress struct {
-	ReusedConn      bool          // it was sent on a connection that had been used before
-	Connected       time.Duration // a connection was there
-	Written         time.Duration // the system accepted the request's last byte, which does not say that it arrived
-	ResponseStarted time.Duration // the header of a response was here
+	ReusedConn      bool          // the connection had served an earlier request
+	Connected       time.Duration // a connection was available
+	Written         time.Duration // the kernel accepted the request's last byte, which may not have arrived yet
+	ResponseStarted time.Duration // the response header was read
 }
 
-// LostOnReusedConn reports whether the request was written on a reused connection and nothing came back: the
-// connection may be dead with no sign.
+// LostOnReusedConn reports whether the request was written on a reused connection and got no response. The connection
+// may have been lost without a reset.
 func (p Progress) LostOnReusedConn() bool {
 	return p.ReusedConn && p.Written > 0 && p.ResponseStarted == 0
 }
@@ -29,23 +30,23 @@
 	return nil
 }
 
-// Progress is how far the attempt has come.
+// Progress returns the steps that the attempt has reached so far.
 func (a *Attempt) Progress() Progress {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.progress
 }
 
-// start notes when the attempt began.
+// start records the start time of the attempt.
 func (a *Attempt) start() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.startedAt = time.Now()
 }
 
-// advance records a step of the attempt.
+// advance records that the attempt has reached a step.
 func (a *Attempt) advance(step func(p *Progress, elapsed time.Duration)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	step(&a.progress, max(time.Since(a.startedAt), 1)) // 0 would say that the step was not reached
+	step(&a.progress, max(time.Since(a.startedAt), 1)) // 0 would mean that the step was not reached
 }
--- a/internal/engine/relay.go
+++ b/internal/engine/relay.go
@@ -14,45 +14,45 @@
 	"brackenbend/routing"
 )
 
-// relayBufferSize bounds the bytes that a stream usually holds between its two sockets; only a larger event makes the
-// buffer grow, up to Client.MaxEventBytes. While a stream waits it holds no buffer.
+// relayBufferSize is the initial size of a stream's buffer in bytes. The buffer grows only for a larger event, up to
+// Client.MaxEventBytes. A stream that waits for data holds no buffer.
 const relayBufferSize = 8192
 
-// deadlineUpdates is how often the read deadline is moved within StreamIdleTimeout. Moving it for each event would cost
-// a timer update each.
+// deadlineUpdates is the maximum number of read deadline updates per StreamIdleTimeout. An update for each event would
+// cost a timer update each time.
 const deadlineUpdates = 8
 
 var relayBuffers = sync.Pool{New: func() any { b := make([]byte, relayBufferSize); return &b }}
 
-// Starts of the data of events that are looked into; engines write them in this form.
+// Prefixes of the data of error events and usage events, in the form that engines write them.
 var (
 	errorEventPrefix = []byte(`{"error"`)
 	usageEventPrefix = []byte(`{"choices":[],`)
 )
 
-// streamRelay is the state of one stream between its two sockets. It stays on its goroutine's stack.
+// streamRelay passes one stream from an engine's connection to a sink. It stays on its goroutine's stack.
 type streamRelay struct {
 	client  *Client
 	attempt *Attempt
 	conn    *persistConn
-	body    http1.Body // a value: a pointer to it would put it on the heap
+	body    http1.Body // not a pointer, which would move it to the heap
 	sink    Sink
 
 	pooled        *[]byte // the buffer taken from relayBuffers; nil = none
-	buf           []byte  // the pooled buffer, or a larger one
-	filled        int     // bytes of buf that were read and not passed on
+	buf           []byte  // *pooled, or a larger buffer after growBuffer
+	filled        int     // bytes in buf that were read and not yet passed on
 	total         int64   // bytes read
 	deadlineSetAt time.Time
 }
 
-// newStreamRelay returns the relay of the stream that follows the header resp on pc.
+// newStreamRelay returns a relay for the stream whose response header resp was read from pc.
 func newStreamRelay(c *Client, a *Attempt, pc *persistConn, resp *http1.Response, sink Sink) streamRelay {
 	r := streamRelay{client: c, attempt: a, conn: pc, sink: sink}
 	r.body.Reset(pc.br, &resp.Message, c.Limits)
 	return r
 }
 
-// relay passes events on until the stream's end. It allocates nothing for an event that fits its buffer.
+// relay passes events to the sink until the stream ends. It allocates nothing for an event that fits its buffer.
 func (r *streamRelay) relay() Outcome {
 	if err := r.run(); err != nil {
 		return r.attempt.failureOutcome(err)
@@ -60,7 +60,7 @@
 	return Outcome{Result: routing.Served}
 }
 
-// run passes events on until the stream's last one.
+// run reads the stream and passes its events to the sink until the end of the stream or an error.
 func (r *streamRelay) run() error {
 	defer r.releaseBuffer()
 	for {
@@ -94,7 +94,8 @@
 	}
 }
 
-// extendDeadline lets a stream that has begun be silent for StreamIdleTimeout from now.
+// extendDeadline sets the read deadline of a stream that has begun to StreamIdleTimeout from now, unless it was set
+// recently.
 func (r *streamRelay) extendDeadline() error {
 	if !r.attempt.stream.begun {
 		return nil
@@ -119,16 +120,16 @@
 	}
 }
 
-// growBuffer makes room in a buffer that is full with a part of one event.
+// growBuffer doubles a buffer that is filled by one incomplete event.
 func (r *streamRelay) growBuffer() error {
 	if limit := r.client.MaxEventBytes; len(r.buf) >= limit {
 		return fmt.Errorf("%w: over %d bytes", errEventTooLarge, limit)
 	}
-	r.buf = append(r.buf, make([]byte, len(r.buf))...) // leaves the pooled one as it was
+	r.buf = append(r.buf, make([]byte, len(r.buf))...) // allocates a new array; the pooled buffer is unchanged
 	return nil
 }
 
-// read reads what has arrived, so that it is passed on in one write.
+// read reads all data that has arrived, so that its events are passed on in one write.
 func (r *streamRelay) read() error {
 	n, err := r.body.Read(r.buf[r.filled:])
 	r.filled, r.total = r.filled+n, r.total+int64(n)
@@ -139,11 +140,11 @@
 	return err
 }
 
-// forward passes the complete events of the buffer on. It reports done at the stream's end.
+// forward passes the complete events in the buffer to the sink. It returns done at the end of the stream.
 func (r *streamRelay) forward(readErr error) (done bool, err error) {
 	start, end, done, err := r.scan()
 	if !done && err == nil && r.bodyComplete(readErr) {
-		end, done = r.filled, true // with what may follow the last event
+		end, done = r.filled, true // includes any data after the last event
 	}
 	if end > start {
 		if sinkErr := r.sink.Events(r.buf[start:end], done); sinkErr != nil {
@@ -157,13 +158,13 @@
 	return false, nil
 }
 
-// bodyComplete reports whether the body ended after the last event.
+// bodyComplete reports whether the body has ended after the last event. It is used only with RequireLastChunk.
 func (r *streamRelay) bodyComplete(readErr error) bool {
 	return r.client.RequireLastChunk && r.attempt.stream.lastEventSeen && errors.Is(readErr, io.EOF)
 }
 
-// scan finds what of the buffer is to be passed on: events from the first token on. It reports done at the last event,
-// unless the last chunk has to follow.
+// scan returns the range of the buffer to pass on: complete events, starting with the first token. It returns done
+// after the last event, unless the last chunk is required too.
 func (r *streamRelay) scan() (start, end int, done bool, err error) {
 	stream, read := &r.attempt.stream, r.buf[:r.filled]
 	for {
@@ -180,7 +181,7 @@
 			}
 		case stream.begun:
 			r.acceptComment(event)
-		default: // a comment before the first token is not passed on
+		default: // a comment before the first token is dropped
 			start = end + n
 		}
 		end += n
@@ -190,7 +191,7 @@
 	}
 }
 
-// acceptData takes what is counted of an event with data; an error keeps the event from being passed on.
+// acceptData updates the stream's state with an event that has data. After an error the event is not passed on.
 func (r *streamRelay) acceptData(data []byte) error {
 	stream := &r.attempt.stream
 	if bytes.HasPrefix(data, errorEventPrefix) && !r.client.RequireLastChunk {
@@ -213,12 +214,12 @@
 	return nil
 }
 
-// acceptComment takes the load report that a comment within the stream may hold.
+// acceptComment reads the load report that a comment within the stream may contain.
 func (r *streamRelay) acceptComment(event []byte) {
 	if !r.client.RequireLastChunk {
 		return
 	}
 	if report, ok := bytes.CutPrefix(event, []byte(": "+r.client.LoadReportHeader+": ")); ok {
-		r.attempt.stream.loadReport = r.client.loadFigures(string(bytes.TrimSpace(report)))
+		r.attempt.stream.loadReport = r.client.loadMetrics(string(bytes.TrimSpace(report)))
 	}
 }
--- a/internal/engine/relay_test.go
+++ b/internal/engine/relay_test.go
@@ -14,7 +14,7 @@
 	"brackenbend/routing"
 )
 
-// scriptedConn is a connection whose incoming bytes come from a reader.
+// scriptedConn is a connection whose incoming data comes from a reader.
 type scriptedConn struct {
 	net.Conn
 	io.Reader
@@ -41,11 +41,12 @@
 		})
 	}
 	if few, many := allocations(10), allocations(2010); many-few > 10 {
-		t.Errorf("2,000 tokens more allocate %v times more", many-few)
+		t.Errorf("2,000 additional tokens cause %v additional allocations", many-few)
 	}
 }
 
-// frameInChunks frames text in chunks of size bytes, with the size in either case and with an extension.
+// frameInChunks frames text in chunks of size bytes. The chunk sizes are in lower case, in upper case, and with a
+// leading zero and an extension.
 func frameInChunks(text string, size int) string {
 	forms := []string{"%x\r\n%s\r\n", "%X\r\n%s\r\n", "0%x;a=b\r\n%s\r\n"}
 	var b strings.Builder
@@ -57,9 +58,9 @@
 	return b.String() + "0\r\n\r\n"
 }
 
-// TestRelayIndependentOfSplit checks that header, chunks and events that are split at every byte, or arrive a byte at
-// a time, are passed on alike in all forms that the protocol allows.
-func TestRelayIndependentOfSplit(t *testing.T) {
+// TestRelayIsIndependentOfReadBoundaries checks that a stream is relayed unchanged wherever a read splits its header,
+// chunks or events, and in all forms of them that the protocol allows.
+func TestRelayIsIndependentOfReadBoundaries(t *testing.T) {
 	events := []string{
 		`data: {"choices":[{"index":0,"delta":{"content":"oq"},"finish_reason":null}]}`,
 		`data: {"choices":[{"index":0,"delta":{"content":"é✓"},"finish_reason":"stop"}]}`,
@@ -92,7 +93,8 @@
 	}
 }
 
-// checkRelayed relays the response of source and checks that the sink gets want, and what is read of the events.
+// checkRelayed relays the response read from source. It checks that the sink receives want, and that the cached tokens
+// and the load report are read.
 func checkRelayed(t *testing.T, client *Client, name, want string, source io.Reader) {
 	t.Helper()
 	conn := newPersistConn(scriptedConn{Reader: source})
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -7,15 +7,15 @@
 	"brackenbend/internal/http1"
 )
 
-// maxReleaseAttempts bounds the sends of one release. Releasing twice is harmless.
+// maxReleaseAttempts is how often one release is sent at most. Releases are idempotent.
 const maxReleaseAttempts = 3
 
-// ReleasesState reports whether engines are asked to release read state.
+// ReleasesState reports whether the protocol has a request that releases read state.
 func (c *Client) ReleasesState() bool { return c.Protocol.ReleaseMessage(&Endpoint{}, "") != nil }
 
-// ReleaseState releases the read state of id at e, with retries while there is time and a was not canceled. newConn
-// asks for a new connection. Without a release in the protocol it does nothing: engines release state by their own
-// time-out.
+// ReleaseState releases the read state of id at e. It retries until deadline unless a is canceled. If newConn is set,
+// it uses a new connection. It does nothing if the protocol has no release request; engines then release read state by
+// their own time-out.
 func (c *Client) ReleaseState(a *Attempt, e *Endpoint, id string, newConn bool, deadline time.Time) error {
 	message := c.Protocol.ReleaseMessage(e, id)
 	if message == nil {
@@ -33,7 +33,7 @@
 	return err
 }
 
-// release sends one release and reads its response.
+// release sends one release request and reads its response.
 func (c *Client) release(a *Attempt, e *Endpoint, message []byte, newConn bool, deadline time.Time) error {
 	pc, err := c.getConn(a, e, newConn, deadline)
 	if err != nil {
@@ -60,7 +60,7 @@
 	_, err = http1.ReadAll(&body, c.MaxReplyBytes)
 	clean = err == nil && body.AtEOF() && !resp.Close
 	if !c.Protocol.ReleaseAccepted(resp.Status) {
-		return fmt.Errorf("engine: release answered %d", resp.Status)
+		return fmt.Errorf("engine: release failed with status %d", resp.Status)
 	}
 	return err
 }
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -10,8 +10,8 @@
 	"brackenbend/routing"
 )
 
-// readResponseHeader reads the header of the response, skipping interim ones. Each may be waited for until deadline,
-// but must be complete within HeaderTimeout of its first byte.
+// readResponseHeader reads the header of the final response and skips interim ones. The first byte of each header must
+// arrive by deadline, and the rest of it within HeaderTimeout of that byte.
 func (c *Client) readResponseHeader(pc *persistConn, deadline time.Time) (*http1.Response, error) {
 	if c.HeaderTimeout == 0 {
 		return http1.ReadResponse(pc.br, c.Limits)
@@ -23,7 +23,7 @@
 		}
 		if resp.Status >= http.StatusOK {
 			if i > 0 {
-				resp.Close = true // the interim ones were not asked for: what else comes on the connection is not known
+				resp.Close = true // interim responses were not requested, so later data on the connection can't be trusted
 			}
 			return resp, nil
 		}
@@ -34,7 +34,7 @@
 	return nil, &http1.Error{Status: http.StatusBadGateway, Reason: "too many interim responses"}
 }
 
-// readOneHeader reads the next header, which may be that of an interim response.
+// readOneHeader reads the next response header, which may be that of an interim response.
 func (c *Client) readOneHeader(pc *persistConn, deadline time.Time) (*http1.Response, error) {
 	if _, err := pc.br.Peek(1); err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	}
 	resp, err := http1.ReadResponseHeader(pc.br, c.Limits)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, &http1.Error{Status: http.StatusBadGateway, Reason: "the head of the answer does not end"}
+		return nil, &http1.Error{Status: http.StatusBadGateway, Reason: "response header is not complete in time"}
 	}
 	return resp, err
 }
@@ -63,8 +63,8 @@
 	}
 	out := c.Protocol.ParseReply(prefill, resp, text, err)
 	if out.Result == routing.EngineError && !a.delivery.mayHaveRun {
-		out.Result = routing.RequestIncomplete // whatever the reply says, the engine has not started
+		out.Result = routing.RequestIncomplete // the engine has not received the whole request
 	}
-	out.LoadReport = c.loadFigures(resp.Header.Get(c.LoadReportHeader))
+	out.LoadReport = c.loadMetrics(resp.Header.Get(c.LoadReportHeader))
 	return out
 }
--- a/internal/engine/roundtrip.go
+++ b/internal/engine/roundtrip.go
@@ -11,11 +11,11 @@
 	"brackenbend/routing"
 )
 
-// earlyResponseTimeout is how long a response is waited for once the engine has stopped reading the request. It has
-// been sent by then, so what is on its way arrives soon.
+// earlyResponseTimeout is how long to wait for a response after writing the request has failed. An engine that responds
+// before it stops reading the request has sent the response by then, so it arrives soon.
 const earlyResponseTimeout = 50 * time.Millisecond
 
-// requestHeadCapacity holds the request line and header of usual calls without growing, in bytes.
+// requestHeadCapacity is the initial buffer size for a request line and header, in bytes; usual calls fit.
 const requestHeadCapacity = 512
 
 // Prefill runs the prefill stage at e.
@@ -27,38 +27,37 @@
 	return c.readReply(a, e, pc, resp, true)
 }
 
-// roundTrip gets a connection, sends the request and reads the response's header. On failure it returns the outcome
-// and no connection.
+// roundTrip gets a connection, sends the request and reads the response header. On failure it returns only the outcome.
 func (c *Client) roundTrip(a *Attempt, e *Endpoint, call *Call) (*persistConn, *http1.Response, *Outcome) {
 	if a.Canceled() || !e.IsOpen() || call.mustNotSend() || call.deadlinePassed() {
-		return nil, nil, c.abandon(a, e, nil, call, errNotSent)
+		return nil, nil, c.failAttempt(a, e, nil, call, errNotSent)
 	}
 	a.start()
-	pc, err := c.getConn(a, e, call.SingleUseConn || call.NewConn, call.connectDeadline())
+	pc, err := c.getConn(a, e, call.NotIdempotent || call.NewConn, call.connectDeadline())
 	if err != nil {
-		return nil, nil, c.abandon(a, e, nil, call, err)
+		return nil, nil, c.failAttempt(a, e, nil, call, err)
 	}
 	resp, err := c.exchange(a, e, pc, call)
 	if err != nil {
-		return nil, nil, c.abandon(a, e, pc, call, err)
+		return nil, nil, c.failAttempt(a, e, pc, call, err)
 	}
 	return pc, resp, nil
 }
 
-// abandon closes the connection of an attempt that failed with err, and returns the outcome.
-func (c *Client) abandon(a *Attempt, e *Endpoint, pc *persistConn, call *Call, err error) *Outcome {
+// failAttempt closes pc, unless it is nil, and returns the outcome of an attempt that failed with err.
+func (c *Client) failAttempt(a *Attempt, e *Endpoint, pc *persistConn, call *Call, err error) *Outcome {
 	out := a.failureOutcome(err)
 	if pc != nil {
 		a.detachConn()
 		c.putConn(e, pc, false)
 	}
-	if out.Result.NeverExecuted() && call.sendTimePassed() { // the engine is not to blame
+	if out.Result.NeverExecuted() && call.sendTimePassed() { // out of time to send, which is no failure of the engine
 		out.Result = routing.NotSent
 	}
 	return &out
 }
 
-// exchange sends the request on pc and reads the response's header.
+// exchange sends the request on pc and reads the response header.
 func (c *Client) exchange(a *Attempt, e *Endpoint, pc *persistConn, call *Call) (*http1.Response, error) {
 	if err := prepareConn(a, e, pc, call); err != nil {
 		return nil, err
@@ -84,7 +83,7 @@
 	return resp, nil
 }
 
-// prepareConn binds the connection to the attempt and sets its deadlines.
+// prepareConn attaches the connection to the attempt and sets its deadlines.
 func prepareConn(a *Attempt, e *Endpoint, pc *persistConn, call *Call) error {
 	if !a.attachConn(pc.Conn) || !e.IsOpen() || call.mustNotSend() { // canceled or drained while the dial was pending
 		return errNotSent
@@ -100,11 +99,11 @@
 	return nil
 }
 
-// send writes a call's request and returns how many bytes of it the system accepted. The last byte of a request that
-// must run only once is held back until the connection has stood for SettleDelay with all the rest.
+// send writes a call's request and returns how many bytes of it the kernel accepted. It withholds the last byte of a
+// request that is not idempotent until the connection has stayed open for SettleDelay after all other bytes.
 func (c *Client) send(a *Attempt, e *Endpoint, pc *persistConn, call *Call) (int64, error) {
 	message, last := c.requestMessage(e, call), len(call.Body)-1
-	if !call.SingleUseConn || c.SettleDelay <= 0 || !c.RunsWhenComplete || last < 0 {
+	if !call.NotIdempotent || c.SettleDelay <= 0 || !c.RunsWhenComplete || last < 0 {
 		return message.WriteTo(pc.Conn)
 	}
 	(*message)[1] = call.Body[:last]
@@ -119,14 +118,15 @@
 	return written + int64(n), err
 }
 
-// requestMessage is a call's complete request; the body is not copied.
+// requestMessage returns a call's complete request without copying the body.
 func (c *Client) requestMessage(e *Endpoint, call *Call) *net.Buffers {
 	head := make([]byte, 0, requestHeadCapacity)
 	head = append(c.Protocol.AppendHead(head, e, call), "\r\n"...)
 	return &net.Buffers{head, call.Body}
 }
 
-// awaitStable waits for SettleDelay and reports an error unless the connection stood and the request is still wanted.
+// awaitStable waits for SettleDelay. It returns an error if the connection breaks or receives data in that time, or if
+// the request must no longer be sent.
 func (c *Client) awaitStable(a *Attempt, e *Endpoint, pc *persistConn, call *Call) error {
 	if err := pc.SetReadDeadline(earlierDeadline(c.SettleDelay, call.Deadline)); err != nil {
 		return err
@@ -143,12 +143,12 @@
 }
 
 // readEarlyResponse reads the response that an engine may send before it closes a connection without having read the
-// whole request. It returns nil when there is none that explains sendErr.
+// whole request. It returns nil if there is no response with a redirect or error status.
 func (c *Client) readEarlyResponse(pc *persistConn, written int64, sendErr error) *http1.Response {
 	if written == 0 || errors.Is(sendErr, errNotSent) {
 		return nil
 	}
-	_ = pc.SetReadDeadline(time.Now().Add(earlyResponseTimeout)) // where it fails, so does the read
+	_ = pc.SetReadDeadline(time.Now().Add(earlyResponseTimeout)) // if this fails, the read fails too
 	resp, err := http1.ReadResponse(pc.br, c.Limits)
 	if err != nil || resp.Status < http.StatusMultipleChoices {
 		return nil
@@ -157,9 +157,9 @@
 	return resp
 }
 
-// AwaitSettled waits for SettleDelay after an attempt that this side ended: its connection is closed, and the engine
-// has to notice before another engine or the client is sent anything that follows from it. What the engine ended
-// itself needs no wait.
+// AwaitSettled waits for SettleDelay if this process ended the attempt by closing its connection. The engine must
+// notice the close before a retry goes to another engine or the client gets an answer. No wait is needed for an attempt
+// that the engine ended itself.
 func (c *Client) AwaitSettled(out *Outcome) {
 	switch out.Result {
 	case routing.TimedOut, routing.Canceled, routing.EngineError, routing.RequestIncomplete:
--- a/internal/engine/send_test.go
+++ b/internal/engine/send_test.go
@@ -12,7 +12,7 @@
 	"brackenbend/routing"
 )
 
-func TestNothingIsSentOnceClosedOrCanceled(t *testing.T) {
+func TestNothingIsSentAfterCloseOrCancel(t *testing.T) {
 	received := make(chan bool, 4)
 	endpoint := startPeer(t, func(_ int, conn *net.TCPConn) { received <- readRequest(bufio.NewReader(conn)) })
 	client := newTestClient()
@@ -26,7 +26,7 @@
 	if out := client.Prefill(&Attempt{}, endpoint, call); out.Result != routing.NotSent {
 		t.Errorf("closed: %+v", out)
 	}
-	// a drain while the connection is being made
+	// the endpoint is drained after the dial and before the request is written
 	endpoint.Open()
 	conn, err := client.getConn(nil, endpoint, true, time.Time{})
 	if err != nil {
@@ -34,11 +34,11 @@
 	}
 	client.putConn(endpoint, conn, true)
 	if !(&Attempt{}).attachConn(conn.Conn) {
-		t.Fatal("a new attempt can't attach its connection")
+		t.Fatal("a new attempt can't attach a connection")
 	}
 	endpoint.Close()
 	if endpoint.Conns() != 0 {
-		t.Errorf("%d connections stay to an endpoint that drains", endpoint.Conns())
+		t.Errorf("%d connections are kept to a draining endpoint", endpoint.Conns())
 	}
 	select {
 	case sent := <-received:
@@ -65,14 +65,14 @@
 	if out := newTestClient().Prefill(a, endpoint, Call{Path: "/v1/x", ID: "a"}); out.Result != routing.Canceled {
 		t.Errorf("%+v", out)
 	}
-	<-connClosed // the engine sees that nobody waits
+	<-connClosed // the engine must see the connection close
 }
 
-// TestPartialRequest: what was not accepted as a whole never ran where engines begin with the last byte; elsewhere its
-// first byte counts.
-func TestPartialRequest(t *testing.T) {
+// TestResultOfPartiallyWrittenRequest checks the result of a request that was written only in part: it never ran if
+// engines start at the last byte (RunsWhenComplete), and may have run if they may start at the first byte.
+func TestResultOfPartiallyWrittenRequest(t *testing.T) {
 	endpoint := startPeer(t, func(_ int, conn *net.TCPConn) {
-		_ = conn.SetReadBuffer(4096) // a larger buffer takes nothing from the case
+		_ = conn.SetReadBuffer(4096) // if this fails, the case still holds with a larger buffer
 		_, _ = conn.Read(make([]byte, 1))
 		resetOnClose(conn)
 	})
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestSettleDelayHoldsLastByteBack: a request that must run only once never ran when its connection breaks or it is
-// answered or canceled before the last byte; only what breaks after it may have. The delays are long where something
-// ends them, and short where nothing does.
-func TestSettleDelayHoldsLastByteBack(t *testing.T) {
+// TestSettleDelayWithholdsLastByte checks that a request that is not idempotent counts as never run if its connection
+// breaks, or a response or a drain comes, before the last byte is sent. If the connection breaks later, it may have
+// run. The delay is long in cases that end it early, and short in cases that wait for its end.
+func TestSettleDelayWithholdsLastByte(t *testing.T) {
 	body := []byte(`{"model":"chat"}`)
 	allButLast := body[:len(body)-1]
 	respondEarly := func(response string) func(*testing.T, *net.TCPConn, *Endpoint) {
@@ -112,7 +112,7 @@
 		want        routing.Result
 	}{
 		"reset at the first byte": {time.Minute, func(_ *testing.T, conn *net.TCPConn, _ *Endpoint) {
-			_, _ = conn.Read(make([]byte, 1)) // else it may be reset before the dial has seen that it is up
+			_, _ = conn.Read(make([]byte, 1)) // otherwise the reset may come before the dial has completed
 			resetOnClose(conn)
 		}, routing.RequestIncomplete},
 		"reset before the last byte": {time.Minute, func(_ *testing.T, conn *net.TCPConn, _ *Endpoint) {
@@ -133,7 +133,7 @@
 			readUntil(conn, allButLast)
 			e.Close()
 			if n, _ := conn.Read(make([]byte, 1)); n > 0 {
-				t.Error("the last byte came to an engine that drains")
+				t.Error("the last byte was sent to a draining engine")
 			}
 		}, routing.NotSent},
 		"reset after the last byte": {time.Millisecond, func(_ *testing.T, conn *net.TCPConn, _ *Endpoint) {
@@ -152,7 +152,7 @@
 			})
 			close(ready)
 			call := newCall(time.Minute)
-			call.SingleUseConn, call.Body = true, body
+			call.NotIdempotent, call.Body = true, body
 			if out := client.Decode(&Attempt{}, endpoint, call, &testSink{}); out.Result != c.want {
 				t.Errorf("%+v, want %v", out, c.want)
 			}
@@ -160,7 +160,7 @@
 	}
 }
 
-// readUntil reads until what came ends in suffix, or the connection fails.
+// readUntil reads until the received data ends in suffix, or the connection fails.
 func readUntil(conn net.Conn, suffix []byte) {
 	b := make([]byte, 4096)
 	for got := 0; !bytes.HasSuffix(b[:got], suffix); {
@@ -172,33 +172,33 @@
 	}
 }
 
-// TestNothingIsWrittenForAbandonedCall: the client leaves while the attempt waits to begin, while the connection comes
-// up, or while the last byte is held back. Nothing is written from then on, and the request never ran.
+// TestNothingIsWrittenForAbandonedCall checks that nothing more is written once the client has left: before the attempt
+// starts, during the dial, or while the last byte is withheld. The request never ran.
 func TestNothingIsWrittenForAbandonedCall(t *testing.T) {
 	body := []byte(`{"model":"chat"}`)
 	for name, c := range map[string]struct {
-		looks      int // how often the attempt still finds the client there
-		connection bool
-		written    bool // all but the last byte
+		presentChecks int  // how many calls of Abandoned return false
+		connection    bool // a connection is established
+		written       bool // all but the last byte is written
 	}{
-		"before the start":      {looks: 0},
-		"before the first byte": {looks: 1, connection: true},
-		"before the last byte":  {looks: 2, connection: true, written: true},
+		"before the start":      {presentChecks: 0},
+		"before the first byte": {presentChecks: 1, connection: true},
+		"before the last byte":  {presentChecks: 2, connection: true, written: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			received := make(chan []byte, 1)
 			endpoint := startPeer(t, func(_ int, conn *net.TCPConn) {
-				b, _ := io.ReadAll(conn) // what came before a failure counts
+				b, _ := io.ReadAll(conn) // data received before an error counts too
 				received <- b
 			})
 			client := newLastByteClient()
 			client.SettleDelay = time.Millisecond
 			call := newCall(time.Minute)
-			call.SingleUseConn, call.Body = true, body
-			looks := 0
+			call.NotIdempotent, call.Body = true, body
+			checks := 0
 			call.Abandoned = func() bool {
-				looks++
-				return looks > c.looks
+				checks++
+				return checks > c.presentChecks
 			}
 			if out := client.Decode(&Attempt{}, endpoint, call, &testSink{}); out.Result != routing.NotSent {
 				t.Errorf("%+v", out)
@@ -213,12 +213,12 @@
 	}
 }
 
-// TestNothingIsSentPastSendBy: the time in which a request may be sent ends before the call, between the connection's
-// coming up and the first byte, and while the engine does not read the rest of it. The engine runs none of them and is
-// not blamed.
-func TestNothingIsSentPastSendBy(t *testing.T) {
+// TestNothingIsSentAfterSendBy checks that a request is not sent completely once SendBy has passed: before the call,
+// between the dial and the first byte, or during the body, which the engine does not read. The result is NotSent, which
+// does not count as a failure of the engine.
+func TestNothingIsSentAfterSendBy(t *testing.T) {
 	stalled := make(chan struct{})
-	complete := make(chan bool, 10) // of each connection: whether a whole request came
+	complete := make(chan bool, 10) // for each connection, whether a complete request arrived
 	endpoint := startPeer(t, func(_ int, conn *net.TCPConn) {
 		<-stalled
 		req, err := http.ReadRequest(bufio.NewReader(conn))
@@ -230,19 +230,19 @@
 	for name, c := range map[string]struct {
 		bodySize  int
 		remaining time.Duration
-		waitAt    int // the look for an abandoned call that lasts until the time is over; 0 = none
+		blockAt   int // which call of Abandoned blocks until SendBy has passed; 0 = none
 	}{
 		"before the call":           {bodySize: 2, remaining: -time.Millisecond},
-		"once the connection is up": {bodySize: 2, remaining: 200 * time.Millisecond, waitAt: 2},
+		"once the connection is up": {bodySize: 2, remaining: 200 * time.Millisecond, blockAt: 2},
 		"while the body is sent":    {bodySize: 32 << 20, remaining: 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			call := newCall(time.Minute)
 			call.Body = bytes.Repeat([]byte("x"), c.bodySize)
 			call.SendBy = time.Now().Add(c.remaining)
-			looks := 0
+			checks := 0
 			call.Abandoned = func() bool {
-				if looks++; looks == c.waitAt {
+				if checks++; checks == c.blockAt {
 					time.Sleep(time.Until(call.SendBy) + time.Millisecond)
 				}
 				return false
@@ -259,16 +259,16 @@
 		}
 	})
 	close(stalled)
-	for range 2 { // the first made no connection
+	for range 2 { // the case before the call and the one past the deadline dial no connection
 		if <-complete {
-			t.Error("an engine got a whole request")
+			t.Error("an engine received a complete request")
 		}
 	}
 }
 
-// TestAwaitSettledWaitsForAttemptsEndedHere: before anything follows from an attempt that this side ended, its engine
-// gets time to notice. What the engine ended itself, or never got, needs none.
-func TestAwaitSettledWaitsForAttemptsEndedHere(t *testing.T) {
+// TestAwaitSettledWaitsAfterLocallyEndedAttempts checks that AwaitSettled waits after attempts that this process ended,
+// so that their engine can notice, and not after attempts that the engine ended or never received.
+func TestAwaitSettledWaitsAfterLocallyEndedAttempts(t *testing.T) {
 	const settleDelay = 3 * time.Millisecond
 	for result, want := range map[routing.Result]time.Duration{
 		routing.TimedOut:          settleDelay,
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -10,20 +10,21 @@
 	"brackenbend/routing"
 )
 
-// lastChunkTimeout is how long the last chunk is waited for after the last event. Engines send it right behind; a
-// connection without it is closed.
+// lastChunkTimeout is how long to wait for the last chunk after the last event, which engines send immediately. A
+// connection on which it does not arrive in time is closed.
 const lastChunkTimeout = time.Second
 
-// Sink takes a stream. It is called from the attempt's goroutine only.
+// Sink receives the events of a stream. Only the attempt's goroutine calls it.
 type Sink interface {
-	// Begin claims the client's response when the first token is here; false: another response was given.
+	// Begin is called at the first token, before Events. It returns false if the client has already received another
+	// response, which ends the attempt.
 	Begin() bool
-	// Events takes one or more complete events, valid during the call; last: the stream's end is among them. An error
-	// ends the attempt.
+	// Events receives one or more complete events. The slice is valid only during the call. last means that the stream
+	// ends with these events. An error ends the attempt.
 	Events(events []byte, last bool) error
 }
 
-// Decode runs the decode stage, or the whole request, at e and passes its events to sink.
+// Decode runs the decode stage, or the whole request, at e and passes the events of its stream to sink.
 func (c *Client) Decode(a *Attempt, e *Endpoint, call Call, sink Sink) Outcome {
 	pc, resp, failed := c.roundTrip(a, e, &call)
 	if failed != nil {
@@ -32,26 +33,27 @@
 	if resp.Status != http.StatusOK {
 		return c.readReply(a, e, pc, resp, false)
 	}
-	if c.HeaderTimeout > 0 { // the first event comes with the header, in time or not at all
-		_ = pc.SetReadDeadline(earlierDeadline(c.StreamIdleTimeout, call.Deadline)) // where it fails, so does the read
+	if c.HeaderTimeout > 0 { // engines send the first event with the header, so it comes soon or never
+		_ = pc.SetReadDeadline(earlierDeadline(c.StreamIdleTimeout, call.Deadline)) // if this fails, the read fails too
 	}
 	stream := newStreamRelay(c, a, pc, resp, sink)
 	out := stream.relay()
 	out.Events, out.CachedTokens, out.LoadReport = a.stream.events, a.stream.cachedTokens, a.stream.loadReport
 	if out.LoadReport == nil {
-		out.LoadReport = c.loadFigures(resp.Header.Get(c.LoadReportHeader))
+		out.LoadReport = c.loadMetrics(resp.Header.Get(c.LoadReportHeader))
 	}
 	clean := out.Result == routing.Served && !resp.Close && readLastChunk(pc, &stream.body)
 	c.putConn(e, pc, a.detachConn() && clean)
 	return out
 }
 
-// readLastChunk reads the end of a stream's body after its last event; false when something else comes.
+// readLastChunk reads the end of a stream's body after its last event. It returns false if more data or an error
+// follows instead.
 func readLastChunk(pc *persistConn, body *http1.Body) bool {
 	if body.AtEOF() {
 		return true
 	}
-	_ = pc.SetReadDeadline(time.Now().Add(lastChunkTimeout)) // where it fails, so does the read
+	_ = pc.SetReadDeadline(time.Now().Add(lastChunkTimeout)) // if this fails, the read fails too
 	var b [1]byte
 	n, err := body.Read(b[:])
 	return n == 0 && errors.Is(err, io.EOF)
--- a/internal/engine/vllm.go
+++ b/internal/engine/vllm.go
@@ -11,21 +11,22 @@
 	"brackenbend/routing"
 )
 
-// The extension that an engine may speak beside vLLM's convention; docs/gateway.md has it in full.
+// Paths and header fields of the protocol. Those with brackenbend in their name belong to an optional extension of
+// vLLM's convention, which docs/gateway.md specifies.
 const (
-	PathRelease            = "/v1/brackenbend/release" // POST {"request_id": ...}: releases a read state
-	HeaderNeverRan         = "X-Brackenbend-Never-Ran" // on 429 and 503: rejected before it ran
-	HeaderNoState          = "X-Brackenbend-No-State"  // beside it: there was no read state to fetch
+	PathRelease            = "/v1/brackenbend/release" // POST {"request_id": ...} releases a read state
+	HeaderNeverRan         = "X-Brackenbend-Never-Ran" // "1" on 429 and 503: the request was rejected before it ran
+	HeaderNoState          = "X-Brackenbend-No-State"  // "1" along with it: there was no read state to fetch
 	HeaderLoadReport       = "endpoint-load-metrics"   // an ORCA load report
 	headerLoadReportFormat = "endpoint-load-metrics-format"
 	HeaderRequestID        = "X-Request-Id"
 	HeaderIdempotencyKey   = "Idempotency-Key"
 )
 
-// VLLM is vLLM's published convention, with this product's extension where engines speak it.
+// VLLM implements Protocol for vLLM's published convention, optionally with the extension of this project.
 type VLLM struct {
-	Extended  bool   // the engine speaks the extension
-	UserAgent string // User-Agent
+	Extended  bool   // engines support the extension
+	UserAgent string // value of the User-Agent header
 }
 
 // AppendHead implements Protocol.
@@ -46,7 +47,7 @@
 
 // ParseReply implements Protocol.
 func (v VLLM) ParseReply(_ bool, resp *http1.Response, text []byte, err error) Outcome {
-	out := Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: answered %d", resp.Status)}
+	out := Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: response status %d", resp.Status)}
 	switch resp.Status {
 	case http.StatusOK:
 		return parsePrefillReply(text)
@@ -62,7 +63,7 @@
 	return out
 }
 
-// parsePrefillReply reads the 200 of a prefill; that of a decode is a stream.
+// parsePrefillReply parses the body of a prefill's response with status 200.
 func parsePrefillReply(text []byte) Outcome {
 	reply, err := api.ParsePrefillReply(text)
 	switch {
@@ -89,7 +90,7 @@
 	return append(append(b, "\r\n"...), body...)
 }
 
-// ReleaseAccepted implements Protocol; 404 says that the engine holds no such state.
+// ReleaseAccepted implements Protocol. Status 404 means that the engine holds no such state.
 func (VLLM) ReleaseAccepted(status int) bool {
 	return status == http.StatusOK || status == http.StatusNotFound
 }
--- a/internal/engine/wallclock_test.go
+++ b/internal/engine/wallclock_test.go
@@ -1,6 +1,6 @@
 //go:build wallclockstep
 
-// These tests need a standard library whose wall clock they can step: run .ci/wall-clock.
+// These tests need a standard library with a wall clock that they can step; .ci/wall-clock runs them with one.
 
 package engine
 
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// stepWallClock steps the wall clock, until the test ends.
+// stepWallClock steps the wall clock, and steps it back when the test ends.
 func stepWallClock(t *testing.T, step time.Duration) {
 	t.Helper()
 	time.StepWallClock(step)
 	t.Cleanup(func() { time.StepWallClock(-step) })
 }
 
-// TestWallClockReuse: after a reused connection broke none is reused for IdleTimeout. A step of an hour had broken ones
-// trusted at once, or none reused for an hour.
+// TestWallClockReuse checks that reuse stays suspended for IdleTimeout across steps of the wall clock. When the time
+// was taken from the wall clock, a step of an hour ended the suspension at once or extended it by an hour.
 func TestWallClockReuse(t *testing.T) {
 	for name, step := range map[string]time.Duration{"an hour forward": time.Hour, "an hour back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
@@ -26,23 +26,24 @@
 			client.suspendReuse()
 			stepWallClock(t, step)
 			if !client.reuseSuspended() {
-				t.Error("connections are trusted at once")
+				t.Error("the suspension of reuse ended at once")
 			}
 			time.Sleep(client.IdleTimeout)
 			if client.reuseSuspended() {
-				t.Error("connections are not trusted when those that were idle are past their time")
+				t.Error("the suspension of reuse continues after IdleTimeout")
 			}
 		})
 	}
 }
 
-// TestWallClockLastResponse: releases go first to the engine that responded last.
+// TestWallClockLastResponse checks that a step of the wall clock does not change which engine responded last. Releases
+// go to that engine first.
 func TestWallClockLastResponse(t *testing.T) {
 	var earlier, later Endpoint
 	earlier.markResponse()
 	stepWallClock(t, -time.Hour)
 	later.markResponse()
 	if later.LastResponse() <= earlier.LastResponse() {
-		t.Error("the engine that responded last counts as the one before")
+		t.Error("the engine that responded last has the earlier time")
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -83,7 +83,7 @@
 	}
 	if a.decode {
 		call.Body = a.request.bodies.DecodeBody(a.kvParams, a.request.collector != nil)
-		call.SingleUseConn = a.request.class.Idempotency == routing.NotIdempotent
+		call.NotIdempotent = a.request.class.Idempotency == routing.NotIdempotent
 		return l.engines.Decode(&a.handle, a.endpoint, call, a)
 	}
 	call.Body = a.request.bodies.PrefillBody()
--- a/internal/node/protocol/wire_test.go
+++ b/internal/node/protocol/wire_test.go
@@ -114,7 +114,7 @@
 			call := func(body []byte) engine.Call {
 				return engine.Call{
 					Path: "/v1/chat/completions?x=1", ID: "9b1f03aa5c7e2d41", IdempotencyKey: tc.idempotencyKey,
-					SingleUseConn: tc.singleUseConn, Body: body, Deadline: time.Now().Add(time.Minute),
+					NotIdempotent: tc.singleUseConn, Body: body, Deadline: time.Now().Add(time.Minute),
 				}
 			}
 			golden.Check(t, tc.golden, exchangeAll(t, newEngineClient(), call))
