--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -30,7 +30,7 @@
 
 	// SettleDelay is how long the last byte of a request that is not idempotent is withheld. New connections may break
 	// soon after they are established; if one breaks within this delay, the engine has certainly not run the request.
-	// 0 = no delay. It takes effect only with RunsWhenComplete.
+	// 0 = no delay. The last byte is withheld only with RunsWhenComplete. AwaitSettled waits for the same time.
 	SettleDelay time.Duration
 	Sleep       func(time.Duration) // replaces time.Sleep in tests; nil = time.Sleep
 
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -127,9 +127,9 @@
 	return ""
 }
 
-// TestRequestBytesWithWithheldLastByte checks that a body whose last byte is withheld for SettleDelay arrives
+// TestRequestBytesWithDelayedLastByte checks that a body whose last byte is withheld for SettleDelay arrives
 // unchanged.
-func TestRequestBytesWithWithheldLastByte(t *testing.T) {
+func TestRequestBytesWithDelayedLastByte(t *testing.T) {
 	client := newLastByteClient()
 	client.SettleDelay = time.Millisecond
 	golden.Check(t, "request-once.golden", visibleLineEnds(captureRequest(t, prefillReply, func(e *Endpoint) {
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -25,9 +25,9 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		serve func(conn *net.TCPConn, br *bufio.Reader)
-		want  routing.Result
-		begun int
+		serve      func(conn *net.TCPConn, br *bufio.Reader)
+		want       routing.Result
+		beginCalls int
 	}{
 		"served": {reply(whole), routing.Served, 1},
 		"served a byte at a time": {func(conn *net.TCPConn, br *bufio.Reader) {
@@ -85,14 +85,15 @@
 			call.Path = "/v1/chat/completions"
 			var sink testSink
 			out := newTestClient().Decode(&Attempt{}, endpoint, call, &sink)
-			if out.Result != c.want || sink.beginCalls != c.begun {
-				t.Errorf("result %d (%v), want %d; begun %d, want %d", out.Result, out.Err, c.want, sink.beginCalls, c.begun)
+			if out.Result != c.want || sink.beginCalls != c.beginCalls {
+				t.Errorf("result %d (%v), want %d; %d calls of Begin, want %d", out.Result, out.Err, c.want,
+					sink.beginCalls, c.beginCalls)
 			}
-			if c.begun == 0 {
+			if c.beginCalls == 0 {
 				return
 			}
 			if sink.lastFlag != (c.want == routing.Served) {
-				t.Errorf("flag last of the latest events: %v", sink.lastFlag)
+				t.Errorf("argument last of the latest Events call: %v", sink.lastFlag)
 			}
 			if c.want != routing.Served {
 				return
@@ -220,9 +221,9 @@
 func TestOutcomeByTimeAndClient(t *testing.T) {
 	const short = 100 * time.Millisecond
 	token := streamHeader + chunk("data: {}\n\n")
-	patient := newTestClient()
-	impatient := newTestClient()
-	impatient.StreamIdleTimeout = 50 * time.Millisecond
+	client := newTestClient()
+	shortIdleClient := newTestClient()
+	shortIdleClient.StreamIdleTimeout = 50 * time.Millisecond
 	for name, c := range map[string]struct {
 		client   *Client
 		response string
@@ -230,15 +231,15 @@
 		sink     *testSink // nil = a prefill
 		want     int
 	}{
-		"prefill without a response in time": {patient, "", short, nil, 3},
+		"prefill without a response in time": {client, "", short, nil, 3},
 		"prefill without a whole reply in time": {
-			patient, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", short, nil, 3,
+			client, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", short, nil, 3,
 		},
-		"no first token in time":          {patient, streamHeader, short, &testSink{}, 3},
-		"time is up before it begins":     {patient, "", -time.Second, nil, 7},
-		"client got another response":     {patient, token, time.Minute, &testSink{declineBegin: true}, 6},
-		"client does not read the stream": {patient, token, time.Minute, &testSink{eventsErr: io.ErrClosedPipe}, 6},
-		"silence within a stream":         {impatient, token, time.Minute, &testSink{}, 3},
+		"no first token in time":          {client, streamHeader, short, &testSink{}, 3},
+		"time is up before it begins":     {client, "", -time.Second, nil, 7},
+		"client got another response":     {client, token, time.Minute, &testSink{declineBegin: true}, 6},
+		"client does not read the stream": {client, token, time.Minute, &testSink{eventsErr: io.ErrClosedPipe}, 6},
+		"silence within a stream":         {shortIdleClient, token, time.Minute, &testSink{}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoint := startPeer(t, func(_ int, conn *net.TCPConn) {
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -33,10 +33,10 @@
 	client := newTestClient()
 	call := newCall(10 * time.Second)
 	for i, c := range []struct {
-		singleUse  bool
-		connection int
+		notIdempotent bool
+		connection    int
 	}{{false, 0}, {false, 0}, {true, 1}} {
-		call.NotIdempotent = c.singleUse
+		call.NotIdempotent = c.notIdempotent
 		if out := client.Prefill(&Attempt{}, endpoint, call); out.Result != routing.PrefillDone {
 			t.Fatalf("%+v", out)
 		}
@@ -221,15 +221,15 @@
 // TestTimeoutOnReusedConnectionClosesIdleOnes checks that a time-out of a request on a reused connection closes the
 // other idle connections to the same engine. The connection may have been lost without a reset, and so may the others.
 func TestTimeoutOnReusedConnectionClosesIdleOnes(t *testing.T) {
-	both := make(chan struct{}, 2)
+	received := make(chan struct{}, 2)
 	endpoint := startPeer(t, func(_ int, conn *net.TCPConn) {
 		br := bufio.NewReader(conn)
 		for n := 0; readRequest(br); n++ {
 			if n > 0 {
 				continue // no response
 			}
-			both <- struct{}{}
-			for len(both) < cap(both) { // waits for the second request, so that two connections are open at once
+			received <- struct{}{}
+			for len(received) < cap(received) { // waits for the second request, so that two connections are open at once
 				time.Sleep(time.Millisecond)
 			}
 			respond(conn, "HTTP/1.1 503 Full\r\nX-Brackenbend-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
--- a/internal/engine/relay.go
+++ b/internal/engine/relay.go
@@ -158,7 +158,7 @@
 	return false, nil
 }
 
-// bodyComplete reports whether the body has ended after the last event. It is used only with RequireLastChunk.
+// bodyComplete reports whether the body has ended after the last event. Without RequireLastChunk it is always false.
 func (r *streamRelay) bodyComplete(readErr error) bool {
 	return r.client.RequireLastChunk && r.attempt.stream.lastEventSeen && errors.Is(readErr, io.EOF)
 }
