--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -72,7 +72,7 @@
 			respond(conn, "HTTP/1.1 413 x\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}")
 			readRequest(br)
 		}, routing.Served, 0},
-		"100 forever": {reply(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)), routing.EngineError, 0},
+		"too many 100 responses": {reply(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)), routing.EngineError, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -235,11 +235,11 @@
 		"prefill without a whole reply in time": {
 			client, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", short, nil, 3,
 		},
-		"no first token in time":          {client, streamHeader, short, &testSink{}, 3},
-		"time is up before it begins":     {client, "", -time.Second, nil, 7},
-		"client got another response":     {client, token, time.Minute, &testSink{declineBegin: true}, 6},
-		"client does not read the stream": {client, token, time.Minute, &testSink{eventsErr: io.ErrClosedPipe}, 6},
-		"silence within a stream":         {shortIdleClient, token, time.Minute, &testSink{}, 3},
+		"no first token in time":           {client, streamHeader, short, &testSink{}, 3},
+		"deadline passed before the start": {client, "", -time.Second, nil, 7},
+		"client has another response":      {client, token, time.Minute, &testSink{declineBegin: true}, 6},
+		"client does not read the stream":  {client, token, time.Minute, &testSink{eventsErr: io.ErrClosedPipe}, 6},
+		"idle time-out within a stream":    {shortIdleClient, token, time.Minute, &testSink{}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoint := startPeer(t, func(_ int, conn *net.TCPConn) {
--- a/internal/engine/send_test.go
+++ b/internal/engine/send_test.go
@@ -80,8 +80,8 @@
 		client *Client
 		want   routing.Result
 	}{
-		"last byte decides":  {newLastByteClient(), routing.RequestIncomplete},
-		"first byte decides": {newTestClient(), routing.ConnectionReset},
+		"engines start at the last byte":      {newLastByteClient(), routing.RequestIncomplete},
+		"engines may start at the first byte": {newTestClient(), routing.ConnectionReset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			call := newCall(10 * time.Second)
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -28,7 +28,7 @@
 		"folded":             {"GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", 400},
 		"space before colon": {"GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400},
 		"signed length":      {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\n", 400},
-		"listed length":      {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\n", 400},
+		"list of lengths":    {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\n", 400},
 		"empty length":       {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length:\r\n\r\n", 400},
 		"gzip, chunked":      {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 501},
 		"two codings": {
@@ -82,15 +82,15 @@
 		length  int64
 		want    error // nil = an *Error
 	}{
-		"length cut":        {"ab", false, 3, io.ErrUnexpectedEOF},
-		"chunk cut":         {"5\r\nab", true, -1, io.ErrUnexpectedEOF},
-		"no last chunk":     {"2\r\nab\r\n", true, -1, io.ErrUnexpectedEOF},
-		"trailer cut":       {"0\r\nX: y\r\n", true, -1, io.ErrUnexpectedEOF},
-		"chunk too long":    {"2\r\nabc\r\n0\r\n\r\n", true, -1, nil},
-		"size not hex":      {"g\r\n\r\n", true, -1, nil},
-		"no size":           {"\r\n\r\n", true, -1, nil},
-		"size over 63 bits": {"ffffffffffffffff1\r\nab\r\n", true, -1, nil},
-		"chunk line LF":     {"2\nab\r\n0\r\n\r\n", true, -1, nil},
+		"body shorter than its length": {"ab", false, 3, io.ErrUnexpectedEOF},
+		"truncated chunk":              {"5\r\nab", true, -1, io.ErrUnexpectedEOF},
+		"no last chunk":                {"2\r\nab\r\n", true, -1, io.ErrUnexpectedEOF},
+		"truncated trailer section":    {"0\r\nX: y\r\n", true, -1, io.ErrUnexpectedEOF},
+		"chunk too long":               {"2\r\nabc\r\n0\r\n\r\n", true, -1, nil},
+		"size not hex":                 {"g\r\n\r\n", true, -1, nil},
+		"no size":                      {"\r\n\r\n", true, -1, nil},
+		"size over 63 bits":            {"ffffffffffffffff1\r\nab\r\n", true, -1, nil},
+		"bare LF after a chunk size":   {"2\nab\r\n0\r\n\r\n", true, -1, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var b Body
