--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -14,7 +14,7 @@
 	"brackenbend/routing"
 )
 
-// TestDecodeOutcomeTable causes every way in which an attempt can end on the network.
+// TestDecodeOutcomeTable checks the result of a decode for every way in which it can end on the network.
 func TestDecodeOutcomeTable(t *testing.T) {
 	const events = "data: {}\n\ndata: [DONE]\n\n"
 	whole := streamHeader + chunk("data: {}\n\n") + chunk("data: [DONE]\n\n") + http1.LastChunk
@@ -25,9 +25,9 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		serve func(conn *net.TCPConn, br *bufio.Reader)
-		want  routing.Result
-		begun int
+		serve      func(conn *net.TCPConn, br *bufio.Reader)
+		want       routing.Result
+		beginCalls int
 	}{
 		"served": {reply(whole), routing.Served, 1},
 		"served a byte at a time": {func(conn *net.TCPConn, br *bufio.Reader) {
@@ -72,7 +72,7 @@
 			respond(conn, "HTTP/1.1 413 x\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}")
 			readRequest(br)
 		}, routing.Served, 0},
-		"100 forever": {reply(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)), routing.EngineError, 0},
+		"too many 100 responses": {reply(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)), routing.EngineError, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -85,14 +85,15 @@
 			call.Path = "/v1/chat/completions"
 			var sink testSink
 			out := newTestClient().Decode(&Attempt{}, endpoint, call, &sink)
-			if out.Result != c.want || sink.begun != c.begun {
-				t.Errorf("result %d (%v), want %d; begun %d, want %d", out.Result, out.Err, c.want, sink.begun, c.begun)
+			if out.Result != c.want || sink.beginCalls != c.beginCalls {
+				t.Errorf("result %d (%v), want %d; %d calls of Begin, want %d", out.Result, out.Err, c.want,
+					sink.beginCalls, c.beginCalls)
 			}
-			if c.begun == 0 {
+			if c.beginCalls == 0 {
 				return
 			}
-			if sink.lastIsEnd != (c.want == routing.Served) {
-				t.Errorf("last events given as the end: %v", sink.lastIsEnd)
+			if sink.lastFlag != (c.want == routing.Served) {
+				t.Errorf("argument last of the latest Events call: %v", sink.lastFlag)
 			}
 			if c.want != routing.Served {
 				return
@@ -114,7 +115,7 @@
 	}
 }
 
-// TestResultNumbers holds the numbers of the results, as the router's records have them.
+// TestResultNumbers checks the numeric values of the results, which the router's recordings contain.
 func TestResultNumbers(t *testing.T) {
 	for want, got := range []routing.Result{
 		0: routing.Served,
@@ -134,13 +135,14 @@
 	}
 }
 
-// outcomeRow is what a case holds of an outcome, by number.
+// outcomeRow is the part of an outcome that a test case compares; the result is given by its number.
 type outcomeRow struct {
 	result       int
 	stateMissing bool
 }
 
-// TestOutcomeByConnectionEnd holds the rows that go by how a connection or a response ends, for prefills and decodes.
+// TestOutcomeByConnectionEnd checks the outcomes that depend on how a connection or a response ends, for prefills and
+// decodes.
 func TestOutcomeByConnectionEnd(t *testing.T) {
 	const token = "data: {}\n\n"
 	for name, c := range map[string]struct {
@@ -215,13 +217,13 @@
 	}
 }
 
-// TestOutcomeByTimeAndClient holds the rows that go by time and by the client, by numbers.
+// TestOutcomeByTimeAndClient checks the outcomes that depend on time-outs and on the client.
 func TestOutcomeByTimeAndClient(t *testing.T) {
 	const short = 100 * time.Millisecond
 	token := streamHeader + chunk("data: {}\n\n")
-	patient := newTestClient()
-	impatient := newTestClient()
-	impatient.StreamIdleTimeout = 50 * time.Millisecond
+	client := newTestClient()
+	shortIdleClient := newTestClient()
+	shortIdleClient.StreamIdleTimeout = 50 * time.Millisecond
 	for name, c := range map[string]struct {
 		client   *Client
 		response string
@@ -229,15 +231,15 @@
 		sink     *testSink // nil = a prefill
 		want     int
 	}{
-		"prefill without a response in time": {patient, "", short, nil, 3},
+		"prefill without a response in time": {client, "", short, nil, 3},
 		"prefill without a whole reply in time": {
-			patient, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", short, nil, 3,
+			client, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", short, nil, 3,
 		},
-		"no first token in time":          {patient, streamHeader, short, &testSink{}, 3},
-		"time is up before it begins":     {patient, "", -time.Second, nil, 7},
-		"client got another response":     {patient, token, time.Minute, &testSink{decline: true}, 6},
-		"client does not read the stream": {patient, token, time.Minute, &testSink{fail: io.ErrClosedPipe}, 6},
-		"silence within a stream":         {impatient, token, time.Minute, &testSink{}, 3},
+		"no first token in time":           {client, streamHeader, short, &testSink{}, 3},
+		"deadline passed before the start": {client, "", -time.Second, nil, 7},
+		"client has another response":      {client, token, time.Minute, &testSink{declineBegin: true}, 6},
+		"client does not read the stream":  {client, token, time.Minute, &testSink{eventsErr: io.ErrClosedPipe}, 6},
+		"idle time-out within a stream":    {shortIdleClient, token, time.Minute, &testSink{}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoint := startPeer(t, func(_ int, conn *net.TCPConn) {
@@ -258,7 +260,7 @@
 	}
 }
 
-// TestOutcomeByStatus holds every row of the outcome table that goes by a status, for prefills and decodes, by numbers.
+// TestOutcomeByStatus compares the outcomes of all response statuses, for prefills and decodes, with a golden file.
 func TestOutcomeByStatus(t *testing.T) {
 	var all strings.Builder
 	for _, extended := range []bool{false, true} {
@@ -289,12 +291,12 @@
 	golden.Check(t, "outcome-by-status.golden", all.String())
 }
 
-// statusWithFields reports whether the fields of the extension are tried with a status.
+// statusWithFields reports whether the header fields of the extension are tested with a status.
 func statusWithFields(status int) bool {
 	return status == 200 || status == 400 || status == 429 || status == 503
 }
 
-// outcomeOfStatus is the outcome of an attempt whose engine responds with a status and the header lines fields.
+// outcomeOfStatus returns the outcome of an attempt whose engine responds with status and the header lines in fields.
 func outcomeOfStatus(t *testing.T, extended, prefill bool, status int, fields string) Outcome {
 	t.Helper()
 	response := fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: 30\r\n\r\n%s", status, fields,
@@ -316,7 +318,7 @@
 	return client.Decode(&Attempt{}, endpoint, newCallWithBody(time.Minute), &testSink{})
 }
 
-// TestOutcomeByPrefillReply holds what a prefill's 200 becomes by its body.
+// TestOutcomeByPrefillReply compares the outcomes of prefill replies with status 200, by body, with a golden file.
 func TestOutcomeByPrefillReply(t *testing.T) {
 	var all strings.Builder
 	for _, text := range []string{
