--- a/cmd/brackenbend/mutation_test.go
+++ b/cmd/brackenbend/mutation_test.go
@@ -46,17 +46,17 @@
 	"connection reset reported as served": {
 		0, gateway.TestHooks{Outcome: replaceResult(routing.ConnectionReset, routing.Served)},
 	},
-	"ignores drains": {2, gateway.TestHooks{List: ignoreDrains}},
+	"ignores drains": {2, gateway.TestHooks{EndpointUpdate: ignoreDrains}},
 	"ignores drains and keeps endpoints open": {
-		2, gateway.TestHooks{List: ignoreDrains, Gate: (*engine.Endpoint).Open},
+		2, gateway.TestHooks{EndpointUpdate: ignoreDrains, AfterOpenOrClose: (*engine.Endpoint).Open},
 	},
 	"retries requests that are not idempotent": {1, gateway.TestHooks{Settings: allIdempotent}},
 	"executes possible duplicates": {
 		1, gateway.TestHooks{Request: func(q *routing.Request) { q.PossibleDuplicate = false }},
 	},
-	"drops the idempotency key":  {1, gateway.TestHooks{Key: func(string) string { return "" }}},
+	"drops the idempotency key":  {1, gateway.TestHooks{IdempotencyKey: func(string) string { return "" }}},
 	"rejects what may have run":  {1, gateway.TestHooks{Action: rejectInsteadOfFail}},
-	"answers late":               {0, gateway.TestHooks{Wait: waitLonger}},
+	"answers late":               {0, gateway.TestHooks{FirstTokenTimeout: waitLonger}},
 	"answers twice":              {0, gateway.TestHooks{Answer: duplicateResponse}},
 	"drops every eighth answer":  {0, gateway.TestHooks{Answer: replaceEveryEighth[[]byte](nil)}},
 	"drops every eighth release": {4, gateway.TestHooks{Action: dropEveryEighthRelease}},
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -17,7 +17,7 @@
 	stageDecode  = "write"
 )
 
-// resultNames are the results of attempts, as metric label values and in log lines.
+// resultNames are the names of attempt results in metric labels and log lines.
 var resultNames = [...]string{
 	routing.Served:            "served",
 	routing.EngineError:       "errored",
@@ -31,7 +31,7 @@
 	routing.RequestIncomplete: "broke unsent",
 }
 
-// pendingResult stands for the result of an attempt that has not ended.
+// pendingResult is logged in place of a result for an attempt that has not ended.
 const pendingResult = "out"
 
 func (a *attempt) stage() string {
@@ -41,7 +41,8 @@
 	return stagePrefill
 }
 
-// stage is the one in which a request without a first token ended.
+// stage returns the stage in which a request that got no first token ended: decode if one of its prefills succeeded,
+// else prefill.
 func (r *inflightRequest) stage() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +57,7 @@
 	return stagePrefill
 }
 
-// logAnswer counts a request's final answer and writes its one log line.
+// logAnswer counts a request's final answer and writes the request's access log line.
 func (r *inflightRequest) logAnswer(g *Gateway) {
 	r.countAnswer(g)
 	entry := g.log.Check(zap.InfoLevel, "answer "+r.result)
@@ -74,7 +75,7 @@
 		zap.Strings("attempts", r.attemptSummaries()),
 		zap.String("tenant", g.tenantName(r.traits.Tenant)),
 		zap.String("session", strconv.FormatUint(r.traits.Session, 16)),
-		zap.String("prefix", prefixName(r.traits.Prefix)),
+		zap.String("prefix", formatPrefixHash(r.traits.Prefix)),
 		zap.Int("prefix_tokens", int(math.Round(r.traits.PrefixTokens))),
 		zap.Int("max_out", int(r.traits.MaxOutputTokens)),
 		zap.Int64("events", r.eventCount.Load()),
@@ -96,7 +97,7 @@
 	}
 }
 
-// attemptSummaries returns engine, result and duration of each attempt.
+// attemptSummaries returns the engine, the result and the duration of each attempt.
 func (r *inflightRequest) attemptSummaries() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,9 +115,9 @@
 	return summaries
 }
 
-// logFailure logs how an attempt ended that was not served: with the answer's line it shows why a request was retried,
-// rejected or failed.
-func (a *attempt) logFailure(l *eventLoop, out *engine.Outcome, elapsed time.Duration) {
+// logFailure logs an attempt that failed. Together with the access log line of the request it shows why the request was
+// retried, rejected or failed.
+func (a *attempt) logFailure(l *eventLoop, outcome *engine.Outcome, elapsed time.Duration) {
 	entry := l.gateway.log.Check(zap.InfoLevel, "attempt failed")
 	if entry == nil {
 		return
@@ -126,16 +127,16 @@
 		zap.Int("attempt", a.index),
 		zap.String("engine", a.endpoint.Name),
 		zap.String("stage", a.stage()),
-		zap.String("result", resultNames[out.Result]),
-		zap.Bool("no_state", out.StateMissing),
+		zap.String("result", resultNames[outcome.Result]),
+		zap.Bool("no_state", outcome.StateMissing),
 		zap.Duration("took", elapsed),
 		zap.Object("progress", a.handle.Progress()),
-		zap.Error(out.Err),
+		zap.Error(outcome.Err),
 	)
 }
 
-// prefixName is the form of a prompt prefix's hash in logs; "" = none.
-func prefixName(prefix uint64) string {
+// formatPrefixHash formats the hash of a prompt prefix for logs. It returns "" for a request without a prefix.
+func formatPrefixHash(prefix uint64) string {
 	if prefix == 0 {
 		return ""
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -78,7 +78,7 @@
 		Path: a.request.path, ID: a.id, IdempotencyKey: a.request.idempotencyKey, Deadline: a.deadline, SendBy: a.sendBy,
 		ConnectTimeout: a.connectTimeout, NewConn: a.newConn, Abandoned: a.request.abandoned,
 	}
-	if hook := l.gateway.hooks.Key; hook != nil {
+	if hook := l.gateway.hooks.IdempotencyKey; hook != nil {
 		call.IdempotencyKey = hook(call.IdempotencyKey)
 	}
 	if a.decode {
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -11,9 +11,9 @@
 	"brackenbend/internal/monotonic"
 )
 
-// clientConn is the connection of one client. Its goroutine reads requests and writes every response that is not a
-// stream. While a request is in flight it waits in a read, which ends when the client closes the connection, or when
-// interruptRead moves the read deadline into the past.
+// clientConn is a connection from a client. Its goroutine reads requests and writes every response that is not a
+// stream. While a request is in flight, the goroutine blocks in a read, which returns when the client closes the
+// connection or when interruptRead moves the read deadline into the past.
 type clientConn struct {
 	gateway    *Gateway
 	conn       net.Conn
@@ -24,43 +24,45 @@
 
 	// Owned by the connection's goroutine.
 	reader      *bufio.Reader
-	closeReason string // metric label
-	pipelined   bool   // the client sent more while a request was in flight
+	closeReason string // metric label value
+	pipelined   bool   // the client sent more data while a request was in flight
 
-	// Owned by whoever writes to the connection: its goroutine, or the attempt that has begun to stream.
+	// Owned by the writer to the connection: its goroutine, or the worker of the attempt that streams the answer.
 	wroteResponse      bool
 	writeDeadlineSetAt time.Time
 
 	readDeadlineMu sync.Mutex
-	aborted        bool // reads fail at once, for good; guarded by readDeadlineMu
+	aborted        bool // all further reads fail at once; guarded by readDeadlineMu
 }
 
-// clientReadBuffer is the size of a connection's read buffer. Each open connection holds one.
-const clientReadBuffer = 2048
+// clientReadBufferSize is the size of the read buffer of each open connection.
+const clientReadBufferSize = 2048
 
-// idleEvicted in idleSince marks a connection that was closed in favor of a new one.
+// idleEvicted is the idleSince value of a connection that was closed to make room for a new one.
 const idleEvicted = -1
 
-// Bounds on what is read from a client after the sending side was closed.
+// Bounds on the time for which, and the bytes up to which, input from a client is read and discarded after the sending
+// side has been closed.
 const (
 	lingerTime  = 500 * time.Millisecond
 	lingerBytes = 1 << 20
 )
 
-// writeDeadlineSlack is the part of the write timeout for which a deadline is left as it is, instead of being set for
-// every token.
-const writeDeadlineSlack = 8
+// writeDeadlineSlackDivisor sets how long a write deadline is reused: for the write timeout divided by this number. It
+// saves setting a deadline for every token.
+const writeDeadlineSlackDivisor = 8
 
-var longPast = time.Unix(1, 0)
+// pastDeadline is a read deadline that makes pending and later reads fail at once.
+var pastDeadline = time.Unix(1, 0)
 
 func newClientConn(g *Gateway, conn net.Conn) *clientConn {
 	return &clientConn{
-		gateway: g, conn: conn, acceptedAt: time.Now(), reader: bufio.NewReaderSize(conn, clientReadBuffer),
+		gateway: g, conn: conn, acceptedAt: time.Now(), reader: bufio.NewReaderSize(conn, clientReadBufferSize),
 	}
 }
 
-// serve answers requests one after another and then closes the connection, which no other code does but
-// closeIfIdleSince and abort.
+// serve handles the requests on the connection one after another and then closes it. Apart from serve, only
+// closeIfIdleSince and abort close the connection.
 func (c *clientConn) serve() {
 	defer c.close()
 	for {
@@ -70,56 +72,59 @@
 			c.writeReadError(err)
 			return
 		}
-		c.closeReason = closeAnswered // unless it ends for another reason
+		c.closeReason = closeReasonAnswered // replaced if the connection ends for another reason
 		if !c.handleRequest(req) {
 			return
 		}
 	}
 }
 
-// close closes the connection. Closing with unread bytes resets a connection, and a reset drops what the system still
-// holds of a response. So after a response, and while draining, the sending side is closed first, and what the client
-// still sends is read and discarded within bounds of bytes and time.
+// close closes the connection. Closing a socket with unread input resets the connection, and a reset discards the part
+// of a response that is still in socket buffers. So after a response, and while draining, the sending side is closed
+// first, and further input is read and discarded for at most lingerTime and lingerBytes.
 func (c *clientConn) close() {
-	half, ok := c.conn.(interface{ CloseWrite() error })
-	if ok && (c.wroteResponse || c.gateway.drain.started.Load()) && half.CloseWrite() == nil {
-		_ = c.conn.SetReadDeadline(time.Now().Add(lingerTime)) // fails on a broken connection, as the read does
-		_, _ = io.CopyN(io.Discard, c.conn, lingerBytes)       // any error ends the wait
+	halfCloser, ok := c.conn.(interface{ CloseWrite() error })
+	if ok && (c.wroteResponse || c.gateway.drain.started.Load()) && halfCloser.CloseWrite() == nil {
+		_ = c.conn.SetReadDeadline(time.Now().Add(lingerTime)) // fails on a broken connection, where the read fails too
+		_, _ = io.CopyN(io.Discard, c.conn, lingerBytes)       // an error ends the discarding
 	}
-	_ = c.conn.Close() // nothing depends on it any more
+	_ = c.conn.Close() // the connection is not used after this
 }
 
-// leaveIdle ends the time between two requests. It returns false for a connection that was evicted meanwhile: a request
-// that arrived just then is not begun, since its client sends it again elsewhere.
-func (c *clientConn) leaveIdle() bool { return c.idleSince.Swap(0) != idleEvicted }
+// clearIdle marks the end of the wait for a request. It returns false if the connection was evicted during the wait. A
+// request that arrived at that moment must not be started, since the client sends it again on another connection.
+func (c *clientConn) clearIdle() bool { return c.idleSince.Swap(0) != idleEvicted }
 
-// markIdle notes that the connection waits for a request's first byte.
+// markIdle records that the connection waits for the first byte of a request.
 func (c *clientConn) markIdle() { c.idleSince.Store(monotonic.Now()) }
 
-// closeIfIdleSince evicts a connection that has been idle since then. It returns false if it is no longer.
+// closeIfIdleSince evicts the connection if it has been idle since the given time. It returns false if the connection
+// is no longer idle.
 func (c *clientConn) closeIfIdleSince(since monotonic.Time) bool {
 	if !c.idleSince.CompareAndSwap(since, idleEvicted) {
 		return false
 	}
-	_ = c.conn.Close() // its goroutine sees the close in its read
+	_ = c.conn.Close() // the goroutine's read fails
 	return true
 }
 
-// interruptRead wakes the goroutine from its read. Callers close the request's done channel right after.
-func (c *clientConn) interruptRead() { _ = c.conn.SetReadDeadline(longPast) } // fails only where the read fails too
+// interruptRead makes the goroutine's blocked read return. A caller that ends a request closes its done channel right
+// after.
+func (c *clientConn) interruptRead() { _ = c.conn.SetReadDeadline(pastDeadline) } // fails only where the read fails too
 
-// extendRead lets the goroutine wait for as long as the stream lasts; a collected answer has until deadline.
-func (c *clientConn) extendRead(deadline time.Time) { _ = c.setReadDeadline(deadline) } // as above
+// extendReadDeadline replaces the read deadline once an attempt owns the answer. The new deadline is zero, which means
+// none, for a streamed answer, and that of the whole answer for a collected one.
+func (c *clientConn) extendReadDeadline(deadline time.Time) { _ = c.setReadDeadline(deadline) } // as in interruptRead
 
-func (c *clientConn) interruptIfIdle() {
+func (c *clientConn) interruptIdleRead() {
 	if c.idleSince.Load() > 0 {
 		c.interruptRead()
 	}
 }
 
-// abort ends the connection's work at the end of a shutdown, after the router has answered all requests. A stream is
-// cut. Everything else is left to the connection's goroutine, whose reads fail at once: a whole request is rejected by
-// the router, a partial one is answered with an error, and an idle connection is closed.
+// abort ends the connection when the time for a shutdown is over and the router has answered all requests. A connection
+// with a stream is closed. Otherwise all reads of the connection's goroutine fail from now on: a request that was read
+// completely is rejected by the router, a partial one gets an error response, and an idle connection is closed.
 func (c *clientConn) abort() {
 	c.readDeadlineMu.Lock()
 	c.aborted = true
@@ -130,21 +135,21 @@
 	}
 }
 
-// setReadDeadline bounds the following reads. Those of an aborted connection fail at once.
+// setReadDeadline sets the deadline for the following reads. On an aborted connection they fail at once.
 func (c *clientConn) setReadDeadline(deadline time.Time) error {
 	c.readDeadlineMu.Lock()
 	defer c.readDeadlineMu.Unlock()
 	if c.aborted {
-		deadline = longPast
+		deadline = pastDeadline
 	}
 	return c.conn.SetReadDeadline(deadline)
 }
 
-// write writes within the write timeout, or up to an eighth less.
+// write writes b with a deadline of the write timeout, or up to an eighth less where the previous deadline is reused.
 func (c *clientConn) write(b []byte) error {
 	c.wroteResponse = true
 	timeout := c.gateway.Limits.WriteTimeout
-	if now := time.Now(); now.Sub(c.writeDeadlineSetAt) > timeout/writeDeadlineSlack {
+	if now := time.Now(); now.Sub(c.writeDeadlineSetAt) > timeout/writeDeadlineSlackDivisor {
 		if err := c.conn.SetWriteDeadline(now.Add(timeout)); err != nil {
 			return err
 		}
@@ -156,7 +161,7 @@
 
 // writeResponse writes a response that is not a stream.
 func (c *clientConn) writeResponse(response Response, keepAlive bool) error {
-	b := make([]byte, 0, headRoom+len(response.Body))
+	b := make([]byte, 0, headCapacity+len(response.Body))
 	b = response.appendTo(b, c.gateway.RetryAfter, keepAlive)
 	if hook := c.gateway.hooks.Answer; hook != nil {
 		b = hook(b)
--- a/internal/gateway/conn_read.go
+++ b/internal/gateway/conn_read.go
@@ -11,40 +11,40 @@
 	"brackenbend/internal/http1"
 )
 
-// Why a client's connection was closed, as a metric label.
+// Reasons for closing a client's connection, as metric label values.
 const (
-	closeAnswered  = "after an answer"
-	closeClient    = "by the client"
-	closeEvicted   = "to make room"
-	closeIdle      = "idle"
-	closeShutdown  = "front ending"
-	closeMalformed = "malformed request"
-	closeSlow      = "request not whole in time"
+	closeReasonAnswered  = "after an answer"
+	closeReasonClient    = "by the client"
+	closeReasonEvicted   = "to make room"
+	closeReasonIdle      = "idle"
+	closeReasonShutdown  = "front ending"
+	closeReasonMalformed = "malformed request"
+	closeReasonSlow      = "request not whole in time"
 )
 
-// Why no request was read; all other errors are those of http1 and of the connection.
+// Errors of a wait that ended without a request. All other read errors come from http1 and from the connection.
 var (
-	errEvicted     = errors.New("gateway: the connection was closed in favor of a new one")
-	errIdleTimeout = errors.New("gateway: no request came in time")
-	errShutdown    = errors.New("gateway: no request came before the shutdown")
+	errEvicted     = errors.New("gateway: idle connection evicted to make room for a new one")
+	errIdleTimeout = errors.New("gateway: no request received before the idle deadline")
+	errShutdown    = errors.New("gateway: no request received before the shutdown")
 )
 
-// closeReasonOf is the label for a connection on which reading a request failed with err.
+// closeReasonOf returns the close reason of a connection on which reading a request failed with err.
 func closeReasonOf(err error) string {
 	var malformed *http1.Error
 	switch {
 	case errors.Is(err, errEvicted):
-		return closeEvicted
+		return closeReasonEvicted
 	case errors.Is(err, errIdleTimeout):
-		return closeIdle
+		return closeReasonIdle
 	case errors.Is(err, errShutdown):
-		return closeShutdown
+		return closeReasonShutdown
 	case errors.As(err, &malformed):
-		return closeMalformed
+		return closeReasonMalformed
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return closeSlow
+		return closeReasonSlow
 	}
-	return closeClient
+	return closeReasonClient
 }
 
 // readRequest waits for a request and reads its head.
@@ -67,10 +67,10 @@
 	}
 	c.markIdle()
 	var err error
-	if !c.gateway.drain.started.Load() { // otherwise Shutdown may have passed this connection before idleSince was set
+	if !c.gateway.drain.started.Load() { // else Shutdown may have run before markIdle, and won't interrupt this read
 		_, err = c.reader.Peek(1)
 	}
-	if !c.leaveIdle() {
+	if !c.clearIdle() {
 		return errEvicted
 	}
 	draining := c.gateway.drain.started.Load()
@@ -89,9 +89,10 @@
 	}
 }
 
-// readDeadline is the end of a wait for a part of a request. The first request on a connection has FirstRequestTimeout.
-func (c *clientConn) readDeadline(wait time.Duration) time.Time {
-	deadline := time.Now().Add(wait)
+// readDeadline returns the deadline for reading a part of a request: timeout from now, but for the first request on a
+// connection at most FirstRequestTimeout after the connection was accepted.
+func (c *clientConn) readDeadline(timeout time.Duration) time.Time {
+	deadline := time.Now().Add(timeout)
 	if c.gateway.FirstRequestTimeout > 0 && !c.hadRequest {
 		if first := c.acceptedAt.Add(c.gateway.FirstRequestTimeout); first.Before(deadline) {
 			return first
@@ -100,7 +101,8 @@
 	return deadline
 }
 
-// writeReadError answers what could not be read as a request. There is no answer for a client that has left.
+// writeReadError responds to a request that was malformed or not received in time. After other errors there is nobody
+// to respond to, or nothing to respond to.
 func (c *clientConn) writeReadError(err error) {
 	var malformed *http1.Error
 	switch {
--- a/internal/gateway/conn_request.go
+++ b/internal/gateway/conn_request.go
@@ -11,10 +11,10 @@
 	"brackenbend/routing"
 )
 
-// continueResponse is the interim response to a client that waits for it before it sends the body.
+// continueResponse is the interim response to a client that waits for it before sending the body.
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// handleRequest answers one request. It returns whether the connection stays open.
+// handleRequest handles one request. It returns whether the connection stays open.
 func (c *clientConn) handleRequest(req *http1.Request) bool {
 	var body http1.Body
 	body.Reset(c.reader, &req.Message, c.gateway.limits)
@@ -24,16 +24,17 @@
 	return c.serveCompletion(req, &body)
 }
 
-// respond answers a request that never was in flight. A body that was not read ends the connection.
+// respond writes the response to a request that is not passed to the router. It returns whether the connection stays
+// open, which it does not if a part of the request's body is unread.
 func (c *clientConn) respond(req *http1.Request, body *http1.Body, response Response) bool {
 	keepAlive := !req.Close && body.AtEOF() && !c.gateway.drain.deadlinePassed()
 	return c.writeResponse(response, keepAlive) == nil && keepAlive
 }
 
-// reject answers an invalid request and counts it under reason.
-func (c *clientConn) reject(req *http1.Request, body *http1.Body, reason string, e *api.Error) bool {
+// reject responds to an invalid request with an error and counts it under reason.
+func (c *clientConn) reject(req *http1.Request, body *http1.Body, reason string, apiErr *api.Error) bool {
 	c.gateway.metrics.RejectedConnections.WithLabelValues(reason).Inc()
-	return c.respond(req, body, errorResponse(e))
+	return c.respond(req, body, errorResponse(apiErr))
 }
 
 // shed rejects a request that exceeds a limit, before its body is read.
@@ -42,7 +43,7 @@
 	return c.respond(req, body, shedResponse(message))
 }
 
-// bodyReservation is the part of the bound on body bytes that is reserved for a body while it is read.
+// bodyReservation is the part of the limit on buffered body bytes that is reserved for a body while it is read.
 type bodyReservation struct {
 	total *atomic.Int64
 	bytes int64
@@ -50,14 +51,14 @@
 
 func (b *bodyReservation) release() { b.total.Add(-b.bytes) }
 
-// moveTo replaces the reservation by the actual size, which the request holds from here on.
-func (b *bodyReservation) moveTo(request *inflightRequest, size int64) {
+// transferTo replaces the reservation by the body's actual size, which the request holds from then on.
+func (b *bodyReservation) transferTo(request *inflightRequest, size int64) {
 	request.bodyBytes.Store(size)
 	b.total.Add(size - b.bytes)
 	b.bytes = 0
 }
 
-// serveCompletion serves a request for a completion within the bounds on open requests and body bytes.
+// serveCompletion serves a completion request within the limits on open requests and buffered body bytes.
 func (c *clientConn) serveCompletion(req *http1.Request, body *http1.Body) bool {
 	g := c.gateway
 	if g.drain.deadlinePassed() && g.AcceptWhileDraining == 0 {
@@ -76,7 +77,7 @@
 	}
 	fits := size <= maxSize
 	if !fits {
-		size = 0 // rejected when it is read
+		size = 0 // readBody rejects it
 	}
 	if g.bodyBytes.Add(size) > int64(g.Limits.MaxBufferedBodyBytes) && fits {
 		g.bodyBytes.Add(-size)
@@ -85,15 +86,16 @@
 	reservation := bodyReservation{&g.bodyBytes, size}
 	defer reservation.release()
 
-	text, ok := c.readBody(req, body, fits)
+	content, ok := c.readBody(req, body, fits)
 	if !ok {
 		return false
 	}
-	return c.serveParsed(req, body, text, &reservation)
+	return c.serveParsed(req, body, content, &reservation)
 }
 
-// readBody reads the whole body. On failure the connection ends, after an error response where that is possible.
-func (c *clientConn) readBody(req *http1.Request, body *http1.Body, fits bool) (text []byte, ok bool) {
+// readBody reads the whole body. On failure it returns false, after an error response where one can be sent, and the
+// connection has to be closed.
+func (c *clientConn) readBody(req *http1.Request, body *http1.Body, fits bool) (content []byte, ok bool) {
 	if req.ExpectContinue && fits && c.write([]byte(continueResponse)) != nil {
 		return nil, false
 	}
@@ -102,23 +104,25 @@
 			return nil, false
 		}
 	}
-	text, err := http1.ReadAll(body, int64(c.gateway.Limits.MaxBodyBytes))
+	content, err := http1.ReadAll(body, int64(c.gateway.Limits.MaxBodyBytes))
 	if err != nil {
 		c.closeReason = closeReasonOf(err)
 		c.writeReadError(err)
 		return nil, false
 	}
-	return text, true
+	return content, true
 }
 
-// serveParsed parses a request that has been read and sees it to its end.
-func (c *clientConn) serveParsed(req *http1.Request, body *http1.Body, text []byte, reserved *bodyReservation) bool {
+// serveParsed parses a request whose body has been read and serves it. It returns whether the connection stays open.
+func (c *clientConn) serveParsed(
+	req *http1.Request, body *http1.Body, content []byte, reservation *bodyReservation,
+) bool {
 	g := c.gateway
-	request, e := c.newInflightRequest(req, text)
-	if e != nil {
-		return c.reject(req, body, "invalid", e)
+	request, apiErr := c.newInflightRequest(req, content)
+	if apiErr != nil {
+		return c.reject(req, body, "invalid", apiErr)
 	}
-	if g.Pipelining == RejectPipelining && c.reader.Buffered() > 0 { // the client may have given up the one before
+	if g.Pipelining == RejectPipelining && c.reader.Buffered() > 0 { // the client may have given up on this request
 		g.metrics.RejectedConnections.WithLabelValues("pipelined").Inc()
 		_ = c.writeResponse(errorResponse(errPipelined), false) // the connection ends either way
 		return false
@@ -133,22 +137,22 @@
 	g.mu.Lock()
 	c.hadRequest = true
 	g.mu.Unlock()
-	reserved.moveTo(request, int64(len(text)))
+	reservation.transferTo(request, int64(len(content)))
 	defer request.releaseBodyBytes()
 	return c.serveInflight(request)
 }
 
-// newInflightRequest parses a request.
+// newInflightRequest parses a request and assigns its id and its deadlines.
 func (c *clientConn) newInflightRequest(req *http1.Request, body []byte) (*inflightRequest, *api.Error) {
 	g := c.gateway
-	parsed, e := g.Protocol.ParseRequest(req, body)
-	if e != nil {
-		return nil, e
+	parsed, apiErr := g.Protocol.ParseRequest(req, body)
+	if apiErr != nil {
+		return nil, apiErr
 	}
 	id := g.lastRequestID.Add(1)
 	if id > math.MaxUint32 {
 		g.drain.started.Store(true)
-		g.log.Error("all 2^32 request ids of this run are used; restart the gateway")
+		g.log.Error("request ids are exhausted (2^32 per process); restart the gateway")
 		return nil, &api.Error{
 			Status: http.StatusServiceUnavailable, Type: api.TypeServer,
 			Message: "this front must be restarted; nothing was done",
@@ -163,7 +167,7 @@
 		acceptedAt: now, done: make(chan struct{}),
 	}
 	timeout := parsed.FirstTokenTimeout
-	if hook := g.hooks.Wait; hook != nil {
+	if hook := g.hooks.FirstTokenTimeout; hook != nil {
 		timeout = hook(timeout)
 	}
 	request.deadline = now.Add(api.WithMargin(timeout, g.AnswerMargin))
@@ -173,8 +177,8 @@
 	return request, nil
 }
 
-// serveInflight passes a request to the event loop and sees it to its end. It returns whether the connection stays
-// open.
+// serveInflight passes a request to the event loop, waits for the answer and writes it if it is not a stream. It
+// returns whether the connection stays open.
 func (c *clientConn) serveInflight(request *inflightRequest) bool {
 	g := c.gateway
 	backstop := request.deadline.Add(g.AnswerMargin / 2)
@@ -184,16 +188,16 @@
 	c.current.Store(request)
 	defer c.current.Store(nil)
 	g.loop.startRequest(request)
-	clientLeft := c.awaitAnswer(request, backstop)
-	if clientLeft {
+	disconnected := c.awaitAnswer(request, backstop)
+	if disconnected {
 		request.result, request.reason = resultClientGone, reasonClientClosed
 	}
 	request.logAnswer(g)
-	if clientLeft {
-		c.closeReason = closeClient
+	if disconnected {
+		c.closeReason = closeReasonClient
 		return false
 	}
-	if request.response.Status == 0 { // it was a stream
+	if request.response.Status == 0 { // the answer was a stream
 		return request.keepAlive && !c.pipelined && request.result != resultClientGone &&
 			(request.result != resultBroken || g.BrokenStreams == SendErrorEvent)
 	}
--- a/internal/gateway/disconnect.go
+++ b/internal/gateway/disconnect.go
@@ -11,33 +11,36 @@
 	"brackenbend/routing"
 )
 
-// This file is the connection goroutine's wait for the end of its in-flight request. A read at the same time shows
-// whether the client closes its connection.
+// This file contains the connection goroutine's wait for the answer to its in-flight request. The goroutine waits in a
+// read, which also shows whether the client closes the connection.
 
-// awaitAnswer returns when the response is set or the stream has ended, or, with true, when the client has left before.
-func (c *clientConn) awaitAnswer(request *inflightRequest, backstop time.Time) (clientLeft bool) {
+// awaitAnswer waits until the response is set or the stream has ended. It returns true if the client disconnected
+// before that. If there is no answer yet at backstop, which is after the request's deadline, awaitAnswer sets an error
+// response itself.
+func (c *clientConn) awaitAnswer(request *inflightRequest, backstop time.Time) (disconnected bool) {
 	_, err := c.reader.Peek(1)
 	switch {
-	case err == nil && request.answered(): // the client may have the whole answer already: this is its next request
+	case err == nil && request.answered(): // the client may have the whole answer, and this is its next request
 		<-request.done
 		return false
 	case err == nil:
-		return c.awaitAnswerUnread(request, backstop)
+		return c.awaitAnswerWithBufferedInput(request, backstop)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		select {
 		case <-request.done:
 		default:
-			c.readTimedOut(request, backstop)
+			c.handleReadTimeout(request, backstop)
 			<-request.done
 		}
 		return false
 	}
-	return c.clientClosed(request)
+	return c.handleClientClose(request)
 }
 
-// awaitAnswerUnread waits while the client's next bytes are here already: closing can't be seen behind them.
-func (c *clientConn) awaitAnswerUnread(request *inflightRequest, backstop time.Time) (clientLeft bool) {
-	if c.gateway.Pipelining == RejectPipelining { // a client that waits for its answer would not send this
+// awaitAnswerWithBufferedInput waits for the answer when the client has already sent more bytes. A close behind these
+// bytes can't be detected, so the wait is for the answer and the deadlines only.
+func (c *clientConn) awaitAnswerWithBufferedInput(request *inflightRequest, backstop time.Time) (disconnected bool) {
+	if c.gateway.Pipelining == RejectPipelining { // a client that still waits for the answer would not send more
 		response := errorResponse(errPipelined)
 		response.reason = reasonPipelined
 		if request.respond(response) {
@@ -61,13 +64,13 @@
 			timer.Stop()
 			return false
 		case <-timer.C:
-			c.readTimedOut(request, backstop)
+			c.handleReadTimeout(request, backstop)
 		}
 	}
 }
 
-// readTimedOut answers the request if its time is up.
-func (c *clientConn) readTimedOut(request *inflightRequest, backstop time.Time) {
+// handleReadTimeout responds with an error if the deadline of the whole answer or the backstop has passed.
+func (c *clientConn) handleReadTimeout(request *inflightRequest, backstop time.Time) {
 	now := time.Now()
 	state, answerDeadline := request.state.Load(), request.answerDeadline
 	switch {
@@ -79,14 +82,16 @@
 	case state == answerPending && !now.Before(backstop):
 		if request.respond(failureResponse(request, reasonNoDecision)) {
 			c.gateway.metrics.Backstops.Inc()
-			c.gateway.log.Error("no decision came in the client's time", zap.String("id", request.displayID()))
+			c.gateway.log.Error("no routing decision within the client's timeout; responding with an error",
+				zap.String("id", request.displayID()))
 			c.postDisconnected(request)
 		}
 	}
 }
 
-// clientClosed ends a request whose client has closed its connection. It returns false if the stream was whole before.
-func (c *clientConn) clientClosed(request *inflightRequest) (clientLeft bool) {
+// handleClientClose ends a request whose client has closed its connection. It returns false if the answer was a stream
+// that had ended before the client closed the connection.
+func (c *clientConn) handleClientClose(request *inflightRequest) (disconnected bool) {
 	if request.state.CompareAndSwap(answerPending, answerAbandoned) {
 		c.postDisconnected(request)
 		return true
@@ -95,7 +100,7 @@
 		c.postDisconnected(request)
 		request.cancelAttempts()
 		if request.collector == nil {
-			<-request.done // the attempt writes to this connection until it ends
+			<-request.done // until then the attempt writes to this connection
 		}
 		return true
 	}
@@ -103,11 +108,11 @@
 	return request.response.Status != 0 || request.result == resultClientGone
 }
 
-// postDisconnected reports to the router that nobody waits for the request any more.
+// postDisconnected reports to the router that the client does not wait for the request any more.
 func (c *clientConn) postDisconnected(request *inflightRequest) {
 	c.gateway.loop.post(routing.ClientDisconnected{Request: request.id}, nil)
 }
 
-// peerClosed asks the system whether the client has closed its connection. The connection's goroutine finds out by
-// itself, but may be scheduled late.
+// peerClosed asks the operating system whether the client has closed its connection. The connection's goroutine notices
+// it too, but may be scheduled late.
 func (c *clientConn) peerClosed() bool { return socket.ReadState(c.conn) == socket.Closed }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -58,7 +58,7 @@
 	if update.Scope == routing.ListFailed {
 		return event
 	}
-	if hook := l.gateway.hooks.List; hook != nil {
+	if hook := l.gateway.hooks.EndpointUpdate; hook != nil {
 		hook(update)
 	}
 	listed := map[string]bool{}
@@ -84,7 +84,7 @@
 // applyEndpoint updates the endpoint's entry and makes the router's view of it.
 func (l *eventLoop) applyEndpoint(endpoint endpointslice.Endpoint, kind int) routing.Endpoint {
 	entry := l.table.upsert(endpoint, l.gateway.kinds[kind].Role)
-	if hook := l.gateway.hooks.Gate; hook != nil {
+	if hook := l.gateway.hooks.AfterOpenOrClose; hook != nil {
 		hook(entry.engine)
 	}
 	startedAt := time.Duration(0)
--- a/internal/gateway/heldstate_test.go
+++ b/internal/gateway/heldstate_test.go
@@ -28,6 +28,6 @@
 	})
 	r.eventually("one connection was closed, by its client", func() bool {
 		return testutil.CollectAndCount(metrics.ClosedConnections) == 1 &&
-			testutil.ToFloat64(metrics.ClosedConnections.WithLabelValues(closeClient)) == 1
+			testutil.ToFloat64(metrics.ClosedConnections.WithLabelValues(closeReasonClient)) == 1
 	})
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -17,7 +17,7 @@
 	maxAcceptBackoff = 100 * time.Millisecond
 )
 
-// Serve accepts clients until Shutdown or a failure of the listener.
+// Serve accepts connections until Shutdown is called or the listener is closed.
 func (g *Gateway) Serve(listener net.Listener) error {
 	if !g.setListener(listener) {
 		_ = listener.Close() // nothing was accepted on it
@@ -37,7 +37,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		default:
-			// Out of descriptors, for example. Clients wait in the backlog, also while draining; the gateway runs on.
+			// For example, the process is out of file descriptors. Serve tries again later, also while draining. Until
+			// then clients wait in the backlog.
 			g.log.Error("accept failed", zap.Error(err))
 			time.Sleep(backoff)
 			backoff = min(2*backoff, maxAcceptBackoff)
@@ -45,7 +46,8 @@
 	}
 }
 
-// setListener registers Serve with Shutdown. It returns false if Shutdown came first, and may be waiting already.
+// setListener registers the listener and Serve's goroutine for Shutdown. If Shutdown was called before,
+// it registers nothing and returns false, since Shutdown may already be waiting for the registered goroutines.
 func (g *Gateway) setListener(listener net.Listener) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -57,7 +59,8 @@
 	return true
 }
 
-// accept serves a connection in a goroutine of its own, or closes it if there are too many.
+// accept serves a connection in a goroutine of its own. At the connection limit it evicts an idle connection, or else
+// closes the new one.
 func (g *Gateway) accept(conn net.Conn) {
 	g.mu.Lock()
 	if len(g.conns) >= g.Limits.MaxConnections && !g.evictIdleConn() {
@@ -82,8 +85,9 @@
 	}()
 }
 
-// evictIdleConn closes the connection that has been idle longest, if it has been for MinIdleTime. Connections that have
-// not sent any request go first, without that minimum: their request should have followed at once. g.mu is held.
+// evictIdleConn closes the connection that has been idle longest, if it has been idle for at least MinIdleTime.
+// Connections on which no request has arrived are closed first, and without that minimum, since a client should send
+// its first request right after connecting. The caller holds g.mu.
 func (g *Gateway) evictIdleConn() bool {
 	if g.MinIdleTime == 0 {
 		return false
@@ -94,14 +98,14 @@
 		if oldest == nil {
 			return false
 		}
-		if oldest.closeIfIdleSince(idleSince) { // otherwise a request has arrived on it
+		if oldest.closeIfIdleSince(idleSince) { // else a request has just arrived on it
 			delete(g.conns, oldest)
 			return true
 		}
 	}
 }
 
-// oldestIdleConn finds the connection to evict, and since when it has been idle. g.mu is held.
+// oldestIdleConn returns the connection to evict, or nil, and since when it has been idle. The caller holds g.mu.
 func (g *Gateway) oldestIdleConn(now monotonic.Time) (oldest *clientConn, idleSince monotonic.Time) {
 	for c := range g.conns {
 		since := c.idleSince.Load()
--- a/internal/gateway/openai.go
+++ b/internal/gateway/openai.go
@@ -11,7 +11,7 @@
 	"brackenbend/routing"
 )
 
-// openAI is the client protocol of OpenAI's API.
+// openAI is the ClientProtocol of OpenAI's API.
 type openAI struct {
 	classes    []routing.Class
 	classifier atomic.Pointer[api.Classifier] // replaced by Gateway.Reload
@@ -47,25 +47,25 @@
 	return invalidRequest(http.StatusNotFound, codeNotFound, "nothing is served at this path")
 }
 
-// respondModels returns one model, or all with an empty name.
+// respondModels responds with the model of the given name, or with the list of all models if name is empty.
 func (o *openAI) respondModels(name string) *Response {
-	text, e := o.classifier.Load().ModelList(name)
-	if e != nil {
-		response := errorResponse(e)
+	body, apiErr := o.classifier.Load().ModelList(name)
+	if apiErr != nil {
+		response := errorResponse(apiErr)
 		return &response
 	}
-	return &Response{Status: http.StatusOK, Body: text}
+	return &Response{Status: http.StatusOK, Body: body}
 }
 
 // ParseRequest implements ClientProtocol.
 func (o *openAI) ParseRequest(req *http1.Request, body []byte) (*ParsedRequest, *api.Error) {
-	request, e := api.Parse(req.Path(), body)
-	if e != nil {
-		return nil, e
+	request, apiErr := api.Parse(req.Path(), body)
+	if apiErr != nil {
+		return nil, apiErr
 	}
-	traits, e := o.classifier.Load().Classify(request, req.Header)
-	if e != nil {
-		return nil, e
+	traits, apiErr := o.classifier.Load().Classify(request, req.Header)
+	if apiErr != nil {
+		return nil, apiErr
 	}
 	class := &o.classes[traits.Class]
 	switch {
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -16,28 +16,29 @@
 type Response struct {
 	Status      int
 	Body        []byte
-	retryAfter  time.Duration // of a rejection; 0 = none
-	noAutoRetry bool          // SDKs must not retry by themselves
+	retryAfter  time.Duration // how long the client should wait before a retry; 0 = not given
+	noAutoRetry bool          // tells SDKs not to retry automatically
 	requestID   string        // X-Request-Id; "" = no field
 	reason      string        // why the request was not served, for logs and metrics; "" if it was
 }
 
-// Codes of errors.
+// Error codes in responses.
 const (
-	codeBusy              = "busy"                     // rejected by the router; retrying is harmless
-	codeOverloaded        = "overloaded"               // shed before it was read
-	codeMalformed         = "malformed"                // not HTTP, too large, or not whole in time
-	codePipelined         = "pipelined"                // sent before the answer to the request before
+	codeBusy              = "busy"                     // rejected by the router; retrying is safe
+	codeOverloaded        = "overloaded"               // shed before its body was read
+	codeMalformed         = "malformed"                // not valid HTTP, too large, or not received in time
+	codePipelined         = "pipelined"                // sent before the previous request was answered
 	codeDuplicateID       = "open_already"             // an open request has the same client id
 	codeNotFound          = "not_found"                // no such path
-	codeNoIdempotencyKey  = "idempotency_key_missing"  // the class needs one
-	codePossibleDuplicate = "earlier_try_may_have_run" // a client's own retry that was not run
+	codeNoIdempotencyKey  = "idempotency_key_missing"  // the request's class requires one
+	codePossibleDuplicate = "earlier_try_may_have_run" // an SDK's automatic retry, which was not run
 	codeFailed            = "failed"
 	codeTimeout           = "timeout"
-	codeStreamBroken      = "stream_broken" // the last event of a stream that broke
+	codeStreamBroken      = "stream_broken" // in the last event of a broken stream
 )
 
-// Reasons for not serving a request that are found here, as metric label values; the router's are routing.Reason's.
+// Reasons, as metric label values, for which the gateway itself did not serve a request. The names of the router's
+// reasons are those of routing.Reason.
 const (
 	reasonStreamBroke   = "stream broke"
 	reasonClientClosed  = "client closed its connection"
@@ -46,15 +47,17 @@
 	reasonNoDecision    = "no decision in time"
 )
 
-// errPipelined answers a client that sends a request before the answer to the one before.
+// errPipelined is the error for a client that sends a request before the previous one is answered.
 var errPipelined = &api.Error{
 	Status: http.StatusBadRequest, Type: api.TypeInvalidRequest, Code: codePipelined,
 	Message: "one request at a time on a connection",
 }
 
-func errorResponse(e *api.Error) Response { return Response{Status: e.Status, Body: e.JSON()} }
+func errorResponse(apiErr *api.Error) Response {
+	return Response{Status: apiErr.Status, Body: apiErr.JSON()}
+}
 
-// shedResponse answers a request that exceeds a limit of the gateway and was not read.
+// shedResponse is the response to a request that exceeds a limit of the gateway and whose body was not read.
 func shedResponse(message string) Response {
 	response := errorResponse(&api.Error{
 		Status: http.StatusServiceUnavailable, Type: api.TypeServer, Code: codeOverloaded, Message: message,
@@ -63,7 +66,7 @@
 	return response
 }
 
-// rejectionResponse answers a request that the router rejected; retrying it is harmless.
+// rejectionResponse is the response to a request that the router rejected. Retrying such a request is safe.
 func rejectionResponse(rejection routing.Reject) Response {
 	response := errorResponse(&api.Error{
 		Status: http.StatusTooManyRequests, Type: api.TypeRateLimit, Code: codeBusy,
@@ -75,7 +78,8 @@
 	return response
 }
 
-// possibleDuplicateResponse answers a client's own retry that was not run, since an earlier one may have run.
+// possibleDuplicateResponse is the response to an SDK's automatic retry that was not run, since the request may already
+// have run.
 func possibleDuplicateResponse() Response {
 	response := errorResponse(&api.Error{
 		Status: http.StatusBadGateway, Type: api.TypeServer, Code: codePossibleDuplicate,
@@ -87,36 +91,36 @@
 	return response
 }
 
-// failureResponse promises nothing about effects. Where there may be some, the response forbids SDKs to retry
-// by themselves.
+// failureResponse is the response to a request that failed and may have had effects all the same. Unless the request is
+// idempotent, the response tells SDKs not to retry automatically.
 func failureResponse(request *inflightRequest, reason string) Response {
 	idempotent := request.class.Idempotency == routing.Idempotent
-	e := &api.Error{
+	apiErr := &api.Error{
 		Status: http.StatusBadGateway, Type: api.TypeServer, Code: codeFailed,
 		Message: "the request failed; it may have run",
 	}
 	if idempotent {
-		e.Message = "the request failed; it is safe to try again"
+		apiErr.Message = "the request failed; it is safe to try again"
 	}
 	if !time.Now().Before(request.deadline) {
-		e.Status, e.Code = http.StatusGatewayTimeout, codeTimeout
+		apiErr.Status, apiErr.Code = http.StatusGatewayTimeout, codeTimeout
 	}
-	response := errorResponse(e)
+	response := errorResponse(apiErr)
 	response.noAutoRetry = !idempotent
 	response.reason = reason
 	return response
 }
 
-// brokenStreamEvent is the last event of a stream that broke, under the policy SendErrorEvent.
+// brokenStreamEvent is the last event of a broken stream under the policy SendErrorEvent.
 func brokenStreamEvent() []byte {
-	e := &api.Error{Type: api.TypeServer, Code: codeStreamBroken, Message: "the stream broke; it may have run on"}
-	return append(append([]byte("data: "), e.JSON()...), "\n\n"...)
+	apiErr := &api.Error{Type: api.TypeServer, Code: codeStreamBroken, Message: "the stream broke; it may have run on"}
+	return append(append([]byte("data: "), apiErr.JSON()...), "\n\n"...)
 }
 
-// headRoom is the space reserved for the head of a response, which is allocated in one piece with its body.
-const headRoom = 256
+// headCapacity is the capacity reserved for a response's head in the buffer that holds both head and body.
+const headCapacity = 256
 
-// appendTo appends the whole message to b.
+// appendTo appends the head and the body of the response to b.
 func (r *Response) appendTo(b []byte, format RetryAfterFormat, keepAlive bool) []byte {
 	b = http1.AppendStatusLine(b, r.Status)
 	b = http1.AppendField(b, "Content-Type", "application/json")
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -8,30 +8,32 @@
 	"brackenbend/internal/monotonic"
 )
 
-// defaultDrainGrace is how long a draining gateway still waits for clients that are connecting, and for requests on
-// idle connections: a request that crosses the close of its connection would remain without an answer.
+// defaultDrainGrace is how long a draining gateway waits for clients that are connecting and for requests on idle
+// connections. Without this wait, a request that is sent just as its connection is closed would get no response.
 const defaultDrainGrace = 50 * time.Millisecond
 
 // drainState is the progress of a graceful shutdown.
 type drainState struct {
 	started  atomic.Bool
-	grace    time.Duration        // set before started
+	grace    time.Duration        // minimum for graceEnd; set before started
 	deadline monotonic.AtomicTime // end of AcceptWhileDraining; set before started
 }
 
-// graceEnd returns until when a draining gateway waits for connections and requests that may still come: the deadline,
-// but at least the grace from now.
+// graceEnd returns the time until which a draining gateway waits for new connections and for requests on idle
+// connections: the deadline, but at least grace from now.
 func (d *drainState) graceEnd() time.Time {
 	return max(monotonic.Now().Add(d.grace), d.deadline.Load()).Deadline()
 }
 
-// deadlinePassed reports that no further requests are accepted and each answer ends its connection.
+// deadlinePassed reports whether the gateway is draining and the time of AcceptWhileDraining is over. From then on each
+// response ends its connection.
 func (d *drainState) deadlinePassed() bool {
 	return d.started.Load() && monotonic.Now() >= d.deadline.Load()
 }
 
-// Shutdown shuts down gracefully: it stops accepting and waits until open requests are answered. Once ctx is done the
-// router rejects or fails the rest, and streams are cut. It returns when no connection and no attempt is left.
+// Shutdown shuts the gateway down gracefully: it stops accepting connections and requests and waits until open requests
+// are answered. Once ctx is done, the router rejects or fails the remaining requests, and connections with streams are
+// closed. Shutdown returns when no connection and no attempt is left.
 func (g *Gateway) Shutdown(ctx context.Context) {
 	g.startDraining()
 	done := make(chan struct{})
@@ -56,11 +58,11 @@
 	defer g.mu.Unlock()
 	g.drain.started.Store(true)
 	if l, ok := g.listener.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = l.SetDeadline(g.drain.graceEnd()) // connections in the backlog are still accepted; fails only on a closed one
+		_ = l.SetDeadline(g.drain.graceEnd()) // the backlog is still accepted; fails only on a closed listener
 	} else if g.listener != nil {
-		_ = g.listener.Close() // Serve, which ends by it, reports what matters
+		_ = g.listener.Close() // makes Serve return, also if Close fails
 	}
 	for c := range g.conns {
-		c.interruptIfIdle()
+		c.interruptIdleRead()
 	}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -12,18 +12,18 @@
 	"brackenbend/routing"
 )
 
-// This file relays an attempt's stream to the client. All of it runs in the attempt's worker.
+// This file contains the relay of an attempt's stream to the client. All of it runs in the attempt's worker.
 
-// frameBuffers hold what is framed for a client. A stream has one only while it writes, so that open streams that wait
-// for a token hold none.
+// frameBuffers pools the buffers in which events are framed for a client. A stream holds a buffer only while it writes,
+// so that open streams that wait for a token need none.
 var frameBuffers = sync.Pool{New: func() any { b := make([]byte, 0, frameBufferSize); return &b }}
 
 const (
-	frameBufferSize = 8192 + 64 // one read of an engine's stream and its framing
-	maxPooledFrame  = 64 << 10  // larger buffers are not kept
+	frameBufferSize    = 8192 + 64 // for one read of an engine's stream, and the framing
+	maxPooledFrameSize = 64 << 10  // larger buffers are not returned to the pool
 )
 
-var errPartialEvent = errors.New("gateway: the stream holds a partial event")
+var errPartialEvent = errors.New("gateway: engine's stream contains a partial event")
 
 func (a *attempt) getFrameBuffer() {
 	if a.frameBuffer == nil {
@@ -36,23 +36,24 @@
 	if a.frameBuffer == nil {
 		return
 	}
-	if *a.frameBuffer = a.frame[:0]; cap(a.frame) <= maxPooledFrame {
+	if *a.frameBuffer = a.frame[:0]; cap(a.frame) <= maxPooledFrameSize {
 		frameBuffers.Put(a.frameBuffer)
 	}
 	a.frameBuffer, a.frame = nil, nil
 }
 
-// Begin implements engine.Sink: the first token is here.
+// Begin implements engine.Sink. It is called at the first token and makes the attempt the owner of the answer. It
+// returns false if the answer has another owner or the client has disconnected.
 func (a *attempt) Begin() bool {
 	r := a.request
 	if !r.state.CompareAndSwap(answerPending, answerStreaming) {
 		return false
 	}
 	a.ownsAnswer = true
-	r.bodies = nil // no further attempt needs it, and a stream may last
+	r.bodies = nil // no further attempt needs them, and a stream may last long
 	r.releaseBodyBytes()
 	r.firstToken.Store(int64(time.Since(r.acceptedAt)))
-	r.conn.extendRead(r.answerDeadline)
+	r.conn.extendReadDeadline(r.answerDeadline)
 	a.post(routing.FirstToken{
 		Request: r.id, Attempt: a.index, Endpoint: a.endpoint.ID, Elapsed: time.Since(a.startedAt),
 	}, nil)
@@ -78,14 +79,14 @@
 	return append(b, "\r\n"...)
 }
 
-// Events implements engine.Sink. The response's head waits in a.frame to be written with the first events.
+// Events implements engine.Sink. The first events are written together with the response's head, which is in a.frame.
 func (a *attempt) Events(p []byte, last bool) error {
 	if a.request.collector != nil {
 		return a.collect(p)
 	}
 	a.getFrameBuffer()
 	a.frame = a.appendFrame(a.frame, p)
-	if last { // endStream writes it with the end of the body
+	if last { // endStream writes the events with the end of the body
 		return nil
 	}
 	a.writeErr = a.request.conn.write(a.frame)
@@ -117,22 +118,23 @@
 	return nil
 }
 
-// finishAnswer ends the client's answer if this attempt owns it. It returns whether that ended the request.
-func (a *attempt) finishAnswer(out *engine.Outcome) (requestDone bool) {
+// finishAnswer ends the client's answer if this attempt owns it, or passes on an engine's error response about the
+// request itself. It returns whether that ended the request.
+func (a *attempt) finishAnswer(outcome *engine.Outcome) (requestDone bool) {
 	r := a.request
-	if out.Reply != nil { // the engine blames the request; its reply is the answer
-		return r.respond(Response{Status: out.Reply.Status, Body: out.Reply.Body})
+	if outcome.Reply != nil { // the request itself is at fault; the engine's reply is the answer
+		return r.respond(Response{Status: outcome.Reply.Status, Body: outcome.Reply.Body})
 	}
 	if !a.ownsAnswer {
 		return false
 	}
-	r.eventCount.Store(int64(out.Events))
+	r.eventCount.Store(int64(outcome.Events))
 	if r.collector == nil {
-		a.endStream(out)
+		a.endStream(outcome)
 		return true
 	}
 	body, err := r.collector.JSON()
-	if out.Result != routing.Served || err != nil {
+	if outcome.Result != routing.Served || err != nil {
 		r.respondFrom(answerStreaming, failureResponse(r, reasonStreamBroke))
 		return true
 	}
@@ -140,14 +142,15 @@
 	return true
 }
 
-// endStream writes the end of a stream and returns the connection to its goroutine. The request is answered before its
-// last chunk is written: a client that has it may send its next request at once.
-func (a *attempt) endStream(out *engine.Outcome) {
+// endStream writes the end of a stream and hands the connection back to its goroutine. The request is marked as
+// answered before the last chunk is written, since a client that has received that chunk may send its next request at
+// once.
+func (a *attempt) endStream(outcome *engine.Outcome) {
 	r := a.request
 	r.state.CompareAndSwap(answerStreaming, answerDone)
 	r.result = resultServed
-	a.getFrameBuffer() // it has the head, where no event followed it
-	broke := out.Result != routing.Served
+	a.getFrameBuffer() // still holds the head if there was no event
+	broke := outcome.Result != routing.Served
 	policy := r.conn.gateway.BrokenStreams
 	if broke {
 		r.result, r.reason = resultBroken, reasonStreamBroke
