--- a/internal/gateway/conn_test.go
+++ b/internal/gateway/conn_test.go
@@ -85,38 +85,39 @@
 	}
 	_ = last.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := last.Read(make([]byte, 1)); err == nil || errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a connection over the limit stays: %v", err)
+		t.Errorf("a connection over the limit was not closed: %v", err)
 	}
 }
 
-// racingConn is a client's connection on which a request arrives while something else happens.
+// racingConn is a client's connection on which a request arrives right after duringRead has run.
 type racingConn struct {
 	net.Conn
-	meanwhile func()
-	closed    bool
+	duringRead func()
+	closed     bool
 }
 
 func (c *racingConn) Read(p []byte) (int, error) {
-	c.meanwhile()
+	c.duringRead()
 	return copy(p, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n"), nil
 }
 func (c *racingConn) Close() error                    { c.closed = true; return nil }
 func (c *racingConn) SetReadDeadline(time.Time) error { return nil }
 
-// TestEvictionRacesWithRequest: a request arrives in the moment in which its connection is evicted. Its client sees the
-// close and sends it again, so begun here it would run twice. A connection whose request came first stays.
-func TestEvictionRacesWithRequest(t *testing.T) {
-	for name, during := range map[string]bool{"evicted first": true, "request first": false} {
+// TestConnectionIsEitherEvictedOrServed: a request arrives while its connection is being evicted. The client sees the
+// close and sends the request again, so if the gateway started it, it would run twice. A connection whose request
+// arrived before the eviction is not evicted.
+func TestConnectionIsEitherEvictedOrServed(t *testing.T) {
+	for name, evictFirst := range map[string]bool{"evicted first": true, "request first": false} {
 		t.Run(name, func(t *testing.T) {
 			g := &Gateway{
 				Options: Options{MinIdleTime: time.Nanosecond},
 				limits:  http1.Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 10},
 				conns:   map[*clientConn]struct{}{},
 			}
-			conn := &racingConn{meanwhile: func() {}}
+			conn := &racingConn{duringRead: func() {}}
 			evicted := false
-			if during {
-				conn.meanwhile = func() {
+			if evictFirst {
+				conn.duringRead = func() {
 					time.Sleep(time.Microsecond)
 					evicted = g.evictIdleConn()
 				}
@@ -125,17 +126,18 @@
 			c.hadRequest = true
 			g.conns[c] = struct{}{}
 			req, err := c.readRequest()
-			if !during {
+			if !evictFirst {
 				evicted = g.evictIdleConn()
 			}
-			if (req == nil) != during || (err != nil) != during || evicted != during || conn.closed != during {
+			if (req == nil) != evictFirst || (err != nil) != evictFirst || evicted != evictFirst ||
+				conn.closed != evictFirst {
 				t.Errorf("request %v, error %v, evicted %v, closed %v", req != nil, err, evicted, conn.closed)
 			}
 		})
 	}
 }
 
-// hookedConn is a client's connection, at the gateway's end, that stops at named points.
+// hookedConn is the gateway's end of a client's connection. It calls hooks before and after reads and after writes.
 type hookedConn struct {
 	*net.TCPConn
 	beforeRead func()
@@ -162,8 +164,9 @@
 	return n, err
 }
 
-// connect makes a client's connection whose other end, with hooks, is passed to the gateway once before has returned.
-func (r *rig) connect(hooked *hookedConn, before ...func(*net.TCPConn)) *net.TCPConn {
+// connectHooked connects a client to the gateway and returns the client's end. The gateway gets its end, with hooks,
+// once the functions of beforeAccept have returned, which get the client's end.
+func (r *rig) connectHooked(gatewayEnd *hookedConn, beforeAccept ...func(*net.TCPConn)) *net.TCPConn {
 	r.t.Helper()
 	l := listen(r.t)
 	defer closeQuietly(l)
@@ -172,14 +175,14 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { closeQuietly(client) })
-	hooked.TCPConn, err = l.AcceptTCP()
+	gatewayEnd.TCPConn, err = l.AcceptTCP()
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	for _, f := range before {
+	for _, f := range beforeAccept {
 		f(client.(*net.TCPConn))
 	}
-	r.gateway.accept(hooked)
+	r.gateway.accept(gatewayEnd)
 	return client.(*net.TCPConn)
 }
 
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -19,7 +19,7 @@
 	"brackenbend/routing"
 )
 
-// TestDisconnectCancelsAttempts: the client leaves while an engine has the request.
+// TestDisconnectCancelsAttempts: the client disconnects while an engine works on the request.
 func TestDisconnectCancelsAttempts(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	for _, phase := range []string{"waiting", "streaming"} {
@@ -36,7 +36,7 @@
 			r.awaitOpenRequests(1)
 			closeQuietly(c)
 			r.awaitOpenRequests(0)
-			r.eventually("no engine works on it", func() bool {
+			r.eventually("no engine works on the request", func() bool {
 				for _, e := range r.engines {
 					if e.Working() > 0 {
 						return false
@@ -48,8 +48,9 @@
 	}
 }
 
-// TestClientThatStopsReading: memory stays bounded, and the attempt is canceled.
-func TestClientThatStopsReading(t *testing.T) {
+// TestClientThatStopsReadingIsCanceled: the client reads nothing of an endless stream. Its request ends once a write
+// has timed out, and the heap stays bounded.
+func TestClientThatStopsReadingIsCanceled(t *testing.T) {
 	r := newRig(t, `stall-time="300ms"`, "reader", "writer")
 	c := r.dial("")
 	_ = c.(*net.TCPConn).SetReadBuffer(4096)
@@ -69,22 +70,22 @@
 	}
 }
 
-// TestOneAnswerOfRacingOwners: a rejection, a first token and a disconnect come at once, and exactly one of them owns
-// the answer.
-func TestOneAnswerOfRacingOwners(t *testing.T) {
+// TestExactlyOneOwnerOfAnswer: a rejection, a first token and a disconnect happen at the same time, and exactly one of
+// them must own the answer.
+func TestExactlyOneOwnerOfAnswer(t *testing.T) {
 	for range 2000 {
-		ours, theirs := net.Pipe()
+		gatewayEnd, clientEnd := net.Pipe()
 		g := &Gateway{settings: &config.Settings{Limits: &config.Limits{WriteTimeout: time.Second}}}
 		request := &inflightRequest{
-			conn: newClientConn(g, ours), class: &routing.Class{}, done: make(chan struct{}), chunked: true,
+			conn: newClientConn(g, gatewayEnd), class: &routing.Class{}, done: make(chan struct{}), chunked: true,
 			acceptedAt: time.Now(),
 		}
 		a := &attempt{request: request, endpoint: &engine.Endpoint{}, post: func(routing.Event, localEvent) {}}
-		go func() { _, _ = io.Copy(io.Discard, theirs) }() // ends with the pipe
+		go func() { _, _ = io.Copy(io.Discard, clientEnd) }() // ends with the pipe
 		var wait sync.WaitGroup
 		var won [3]bool
 		start := make(chan struct{})
-		for i, act := range []func() bool{
+		for i, claim := range []func() bool{
 			func() bool { return request.respond(rejectionResponse(routing.Reject{RetryAfter: time.Second})) },
 			a.Begin,
 			func() bool { return request.state.CompareAndSwap(answerPending, answerAbandoned) },
@@ -93,51 +94,52 @@
 			go func() {
 				defer wait.Done()
 				<-start
-				won[i] = act()
+				won[i] = claim()
 			}()
 		}
 		close(start)
 		wait.Wait()
-		n := 0
+		winners := 0
 		for _, w := range won {
 			if w {
-				n++
+				winners++
 			}
 		}
-		if n != 1 {
-			t.Fatalf("%d of a rejection, a first token and a disconnect won: %v", n, won)
+		if winners != 1 {
+			t.Fatalf("%d of a rejection, a first token and a disconnect won: %v", winners, won)
 		}
-		closeQuietly(ours)
-		closeQuietly(theirs)
+		closeQuietly(gatewayEnd)
+		closeQuietly(clientEnd)
 	}
 }
 
-// TestRequestAtEndOfStream: a client that has the last chunk sends its next request, which is read before the gateway's
-// write of that chunk has returned. It is the next request on that connection, not one pipelined behind the first.
-func TestRequestAtEndOfStream(t *testing.T) {
+// TestRequestAfterLastChunkIsNotPipelined: a client that has received the last chunk sends its next request, and the
+// gateway reads it before the write of that chunk has returned. It must not be taken for a request pipelined behind the
+// first.
+func TestRequestAfterLastChunkIsNotPipelined(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	r.gateway.Pipelining = RejectPipelining
-	next, lastChunk := make(chan struct{}), make(chan struct{})
+	nextRequestRead, lastChunkWritten := make(chan struct{}), make(chan struct{})
 	requests, streams := 0, 0
-	c := r.connect(&hookedConn{
+	c := r.connectHooked(&hookedConn{
 		afterRead: func(p []byte) {
 			if bytes.HasPrefix(p, []byte("POST")) {
 				if requests++; requests == 2 {
-					close(next)
+					close(nextRequestRead)
 				}
 			}
 		},
 		afterWrite: func(p []byte) {
 			if bytes.HasSuffix(p, []byte("0\r\n\r\n")) {
 				if streams++; streams == 1 {
-					close(lastChunk)
-					<-next
+					close(lastChunkWritten)
+					<-nextRequestRead
 				}
 			}
 		},
 	})
 	send(t, c, request(chat(true, 3), ""))
-	<-lastChunk
+	<-lastChunkWritten
 	send(t, c, request(chat(true, 4), "Connection: close\r\n"))
 	got, err := readAll(c)
 	if err != nil || strings.Count(got, "HTTP/1.1 200") != 2 || strings.Count(got, "[DONE]") != 2 {
@@ -145,30 +147,30 @@
 	}
 }
 
-// TestCloseNotYetRead: a client has left, but its connection's goroutine has not seen it when the first attempt is
-// about to be written. The system knows, and nothing is sent.
-func TestCloseNotYetRead(t *testing.T) {
+// TestNoAttemptIsSentAfterUnreadClose: a client has disconnected, but its connection's goroutine has not read the close
+// when the first attempt is about to be sent. The operating system reports the close, and nothing is sent.
+func TestNoAttemptIsSentAfterUnreadClose(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
-	reads, seen := 0, make(chan struct{})
-	released := make(chan struct{})
-	release := sync.OnceFunc(func() { close(released) })
-	defer release()
-	r.connect(&hookedConn{
+	reads, secondReadStarted := 0, make(chan struct{})
+	readResumed := make(chan struct{})
+	resumeRead := sync.OnceFunc(func() { close(readResumed) })
+	defer resumeRead()
+	r.connectHooked(&hookedConn{
 		beforeRead: func() {
-			if reads++; reads == 2 { // the one that sees the close
-				close(seen)
-				<-released
+			if reads++; reads == 2 { // the read that would see the close
+				close(secondReadStarted)
+				<-readResumed
 			}
 		},
 	}, func(c *net.TCPConn) {
 		send(t, c, request(chat(true, 3), ""))
 		closeQuietly(c)
 	})
-	<-seen
-	r.eventually("an attempt is not sent", func() bool {
+	<-secondReadStarted
+	r.eventually("an attempt ended as not sent", func() bool {
 		return testutil.ToFloat64(r.gateway.metrics.Attempts.WithLabelValues("read", resultNames[routing.NotSent])) > 0
 	})
-	release()
+	resumeRead()
 	r.eventually("the connection has ended", func() bool {
 		return testutil.ToFloat64(r.gateway.metrics.ClientConnections) == 0
 	})
--- a/internal/gateway/sdk_test.go
+++ b/internal/gateway/sdk_test.go
@@ -15,16 +15,17 @@
 	fakeengine "brackenbend/internal/fake/engine"
 )
 
-// The published SDK is an independent peer for requests, streams, errors and retries.
+// The tests in this file use the published OpenAI SDK as an independent client for requests, streams, errors and
+// retries.
 
-// newSDK makes a client for the gateway, or what stands before it, at address.
+// newSDK makes an SDK client for the gateway, or for a proxy to it, at address.
 func newSDK(address string, more ...option.RequestOption) openai.Client {
 	return openai.NewClient(append([]option.RequestOption{
 		option.WithBaseURL("http://" + address + "/v1"), option.WithAPIKey("k"),
 	}, more...)...)
 }
 
-// countRequests counts the requests that an SDK sends, its own retries among them.
+// countRequests counts the requests that an SDK client sends, including its automatic retries.
 func countRequests(count *int) option.RequestOption {
 	return option.WithMiddleware(func(req *http.Request, next option.MiddlewareNext) (*http.Response, error) {
 		*count++
@@ -78,7 +79,7 @@
 		t.Fatalf("%v", err)
 	}
 
-	// A stream that breaks is an error to the SDK, not an end.
+	// The SDK must report a broken stream as an error, not as the end of the stream.
 	for _, e := range r.enginesOf("writer") {
 		e.SetFaults(fakeengine.Faults{ResetMidStream: 1})
 	}
@@ -91,9 +92,9 @@
 	}
 }
 
-// TestSDKDoesNotRetryPossibleExecution: a failed request that is not idempotent makes one attempt, though the SDK
-// retries 5xx by itself.
-func TestSDKDoesNotRetryPossibleExecution(t *testing.T) {
+// TestSDKDoesNotRetryFailureOfNonIdempotentRequest: the SDK retries 5xx responses automatically. For a failed request
+// that is not idempotent, the gateway's response makes it send the request only once.
+func TestSDKDoesNotRetryFailureOfNonIdempotentRequest(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	for _, e := range r.enginesOf("writer") {
 		e.SetFaults(fakeengine.Faults{FailFast: 1})
@@ -105,41 +106,42 @@
 	})
 	var apiErr *openai.Error
 	if !errors.As(err, &apiErr) || apiErr.StatusCode != 502 || requests != 1 {
-		t.Fatalf("%d requests, %v", requests, err)
+		t.Fatalf("%d requests were sent, error %v", requests, err)
 	}
 }
 
-// lossyPath listens before a gateway and breaks its first connections as the first byte of an answer comes back.
-func lossyPath(t *testing.T, gatewayAddress string, breaks int64) (address string) {
+// startLossyProxy starts a proxy to a gateway and returns its address. The proxy closes its first connections, failures
+// in number, when the first byte of a response arrives on them.
+func startLossyProxy(t *testing.T, gatewayAddress string, failures int64) (address string) {
 	t.Helper()
 	l := listen(t)
 	t.Cleanup(func() { closeQuietly(l) })
-	var left atomic.Int64
-	left.Store(breaks)
+	var remainingFailures atomic.Int64
+	remainingFailures.Store(failures)
 	go func() {
 		for {
 			client, err := l.Accept()
 			if err != nil {
 				return
 			}
-			gateway, err := net.Dial("tcp", gatewayAddress)
+			upstream, err := net.Dial("tcp", gatewayAddress)
 			if err != nil {
 				closeQuietly(client)
 				return
 			}
 			go func() {
-				_, _ = io.Copy(gateway, client) // ends with either connection
-				closeQuietly(gateway)
+				_, _ = io.Copy(upstream, client) // ends with either connection
+				closeQuietly(upstream)
 			}()
 			go func() {
 				defer closeQuietly(client)
-				defer closeQuietly(gateway)
-				first := make([]byte, 1)
-				if _, err := gateway.Read(first); err != nil || left.Add(-1) >= 0 {
+				defer closeQuietly(upstream)
+				firstByte := make([]byte, 1)
+				if _, err := upstream.Read(firstByte); err != nil || remainingFailures.Add(-1) >= 0 {
 					return
 				}
-				if _, err := client.Write(first); err == nil {
-					_, _ = io.Copy(client, gateway) // ends with either connection
+				if _, err := client.Write(firstByte); err == nil {
+					_, _ = io.Copy(client, upstream) // ends with either connection
 				}
 			}()
 		}
@@ -147,9 +149,10 @@
 	return l.Addr().String()
 }
 
-// TestSDKRetryAfterLostAnswer: the path breaks as the answer begins, and the SDK, with its defaults, retries by itself.
-// What is not idempotent runs once, and its user learns why; what is idempotent is served by the retry.
-func TestSDKRetryAfterLostAnswer(t *testing.T) {
+// TestSDKRetryAfterLostResponse: the connection breaks as the response begins, and the SDK, with its defaults, retries
+// automatically. A request that is not idempotent runs once, and the caller gets an error that says why; an idempotent
+// request is served by the retry.
+func TestSDKRetryAfterLostResponse(t *testing.T) {
 	for _, c := range []struct {
 		class    string
 		requests int
@@ -162,19 +165,19 @@
 		t.Run(c.class, func(t *testing.T) {
 			r := newRig(t, "", "reader", "writer")
 			requests := 0
-			path := lossyPath(t, r.address, 1)
-			sdk := newSDK(path, option.WithHeader("X-Class", c.class), countRequests(&requests))
+			proxyAddress := startLossyProxy(t, r.address, 1)
+			sdk := newSDK(proxyAddress, option.WithHeader("X-Class", c.class), countRequests(&requests))
 			_, err := sdk.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{
 				Model: "m", MaxCompletionTokens: openai.Int(4),
 				Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("order")},
 			})
 			if served := err == nil; served != c.served || requests != c.requests {
-				t.Errorf("%d requests, %v", requests, err)
+				t.Errorf("%d requests were sent, error %v", requests, err)
 			}
 			var apiErr *openai.Error
 			isDuplicate := errors.As(err, &apiErr) && apiErr.StatusCode == 502 && apiErr.Code == "earlier_try_may_have_run"
 			if !c.served && !isDuplicate {
-				t.Errorf("the user gets %v", err)
+				t.Errorf("the SDK returned %v", err)
 			}
 			decodes := 0
 			for _, e := range r.enginesOf("writer") {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -21,29 +21,30 @@
 	r.awaitOpenRequests(1)
 	idle := r.dial("")
 	r.gateway.drain.grace = 2 * time.Second // the client below may be scheduled late
-	late := make(chan string, 1)
-	go func() { // on a connection that was idle, just as the gateway begins to drain
+	lateResponse := make(chan string, 1)
+	go func() { // sends on an idle connection just as the gateway starts to drain
 		for !r.gateway.drain.started.Load() {
 			runtime.Gosched()
 		}
 		_, _ = io.WriteString(idle, request(chat(true, 1), "")) // the answer shows whether it failed
 		text, _ := io.ReadAll(idle)
-		late <- string(text)
+		lateResponse <- string(text)
 	}()
 	r.gateway.Shutdown(t.Context())
 	if text := <-got; !strings.Contains(text, "[DONE]") {
 		t.Errorf("%q", text)
 	}
-	if text := <-late; !strings.HasPrefix(text, "HTTP/1.1 503") || !strings.Contains(text, "Retry-After: 1") {
-		t.Errorf("a request that came with the drain: %q", text)
+	if text := <-lateResponse; !strings.HasPrefix(text, "HTTP/1.1 503") || !strings.Contains(text, "Retry-After: 1") {
+		t.Errorf("response to a request sent at the start of the drain: %q", text)
 	}
 	if _, err := net.Dial("tcp", r.address); err == nil {
-		t.Error("it still accepts")
+		t.Error("the gateway still accepts connections")
 	}
 }
 
-// TestShutdownRejectsAtItsEnd: only a prefill was pending, which has no effect, so the router rejects the request.
-func TestShutdownRejectsAtItsEnd(t *testing.T) {
+// TestShutdownRejectsPendingPrefill: when the time for the shutdown is over, only a prefill is pending. A prefill has
+// no effect, so the router rejects the request instead of failing it.
+func TestShutdownRejectsPendingPrefill(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	for _, e := range r.engines {
 		e.SetFaults(fakeengine.Faults{Stall: true})
@@ -61,24 +62,24 @@
 	}
 }
 
-// TestRequestReadAtEndOfShutdown: the router has been shut down, and the connection is aborted, while a request is
-// being read. It is rejected, which is harmless, on a connection that then ends; its client does not remain without an
-// answer.
-func TestRequestReadAtEndOfShutdown(t *testing.T) {
+// TestRequestReadDuringAbortGetsResponse: the router is shut down and the connection aborted while a request is being
+// read. The client must still get a response before the connection ends: a rejection, which is safe to retry, or an
+// error for a partial request.
+func TestRequestReadDuringAbortGetsResponse(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
 		missing    int
 	}{
 		{name: "a whole request", want: "HTTP/1.1 429"},
-		{name: "a partial one", want: "HTTP/1.1 408", missing: 9},
+		{name: "a partial request", want: "HTTP/1.1 408", missing: 9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, "", "reader", "writer")
-			read, aborted := make(chan struct{}), make(chan struct{})
-			client := r.connect(&hookedConn{afterRead: func([]byte) { close(read); <-aborted }})
+			readDone, aborted := make(chan struct{}), make(chan struct{})
+			client := r.connectHooked(&hookedConn{afterRead: func([]byte) { close(readDone); <-aborted }})
 			text := request(chat(true, 3), "X-Class: order\r\n")
 			send(t, client, text[:len(text)-c.missing])
-			<-read
+			<-readDone
 			r.gateway.loop.shutdownRouter()
 			r.gateway.mu.Lock()
 			for conn := range r.gateway.conns {
@@ -95,7 +96,7 @@
 	}
 }
 
-// failingListener fails one accept after fail is set, as one does that is out of descriptors.
+// failingListener fails one Accept after fail is set, as a listener does when file descriptors run out.
 type failingListener struct {
 	*net.TCPListener
 	fail   atomic.Bool
@@ -112,12 +113,12 @@
 	return conn, err
 }
 
-// TestAcceptFailsWhileDraining: an accept fails for lack of descriptors after the shutdown has begun. Clients that
-// still connect are accepted all the same.
-func TestAcceptFailsWhileDraining(t *testing.T) {
+// TestAcceptErrorWhileDrainingIsRetried: Accept fails for lack of file descriptors after the shutdown has begun.
+// Clients that connect afterwards must still be accepted.
+func TestAcceptErrorWhileDrainingIsRetried(t *testing.T) {
 	l := &failingListener{TCPListener: listen(t), failed: make(chan struct{})}
 	r := newRigOn(t, l, "", "reader", "writer")
-	r.eventually("it listens", func() bool {
+	r.eventually("the gateway has a listener", func() bool {
 		r.gateway.mu.Lock()
 		defer r.gateway.mu.Unlock()
 		return r.gateway.listener != nil
@@ -129,12 +130,12 @@
 		r.gateway.Shutdown(t.Context())
 		close(ended)
 	}()
-	r.eventually("it drains", r.gateway.drain.started.Load)
+	r.eventually("the gateway is draining", r.gateway.drain.started.Load)
 	r.dial("")
 	<-l.failed
 	if got := r.raw(request(chat(true, 3), "Connection: close\r\n")); !strings.Contains(got, "[DONE]") {
 		t.Errorf("%q", got)
 	}
-	_ = l.SetDeadline(time.Now()) // nobody else is to come
+	_ = l.SetDeadline(time.Now()) // ends Serve: no further client connects
 	<-ended
 }
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -15,28 +15,29 @@
 	"brackenbend/routing"
 )
 
-// What differs from run to run.
+// Header fields whose values differ from run to run.
 var (
-	runID      = regexp.MustCompile(`X-Request-Id: [0-9a-f]{16}-[0-9a-f]+-0\r`)
-	waitWhole  = regexp.MustCompile(`Retry-After: [1-9][0-9]*\r`)
-	waitMillis = regexp.MustCompile(`retry-after-ms: [1-9][0-9]*\r`)
+	requestIDField    = regexp.MustCompile(`X-Request-Id: [0-9a-f]{16}-[0-9a-f]+-0\r`)
+	retryAfterField   = regexp.MustCompile(`Retry-After: [1-9][0-9]*\r`)
+	retryAfterMsField = regexp.MustCompile(`retry-after-ms: [1-9][0-9]*\r`)
 )
 
-// visible makes each line end of a message readable, so that CR and LF are compared too, and replaces the id of a run.
-func visible(s string) string {
-	s = runID.ReplaceAllString(s, "X-Request-Id: ID\r")
+// normalizeMessage replaces the request id in a message and writes each CR and LF as an escape sequence, so that golden
+// files show them.
+func normalizeMessage(s string) string {
+	s = requestIDField.ReplaceAllString(s, "X-Request-Id: ID\r")
 	s = strings.ReplaceAll(s, "\r", `\r`)
 	return strings.ReplaceAll(s, "\n", "\\n\n") + "\n"
 }
 
-const ending = "Connection: close\r\n"
+const connectionClose = "Connection: close\r\n"
 
-// TestClientAnswerBytes records what clients of OpenAI's API get, byte for byte.
-func TestClientAnswerBytes(t *testing.T) {
+// TestClientResponseBytes compares the responses to clients of OpenAI's API, byte by byte, with golden files.
+func TestClientResponseBytes(t *testing.T) {
 	r, engine := newScriptedRig(t, `head="2KiB" body="1KiB"`)
-	post := func(body, more string) string { return request(body, more+ending) }
+	post := func(body, more string) string { return request(body, more+connectionClose) }
 	text := strings.Replace(post(`{"model":"m","prompt":"hello"}`, ""), "/v1/chat/completions", "/v1/completions", 1)
-	plain := func(line string) string { return line + " HTTP/1.1\r\nHost: a\r\n" + ending + "\r\n" }
+	plain := func(line string) string { return line + " HTTP/1.1\r\nHost: a\r\n" + connectionClose + "\r\n" }
 	error400 := "HTTP/1.1 400 x\r\nContent-Length: 26\r\n\r\n" + `{"error":{"message":"no"}}`
 	for _, c := range []struct{ name, answer, send string }{
 		{"stream", wholeStream, post(chat(true, 5), "")},
@@ -98,11 +99,12 @@
 		engine.setAnswer(writes(c.answer))
 		got := r.raw(c.send)
 		name := strings.NewReplacer(", ", "-", " ", "-", "/", "", "'", "").Replace(c.name)
-		golden.Check(t, "client-"+name+".golden", visible(got))
+		golden.Check(t, "client-"+name+".golden", normalizeMessage(got))
 	}
 }
 
-// TestStreamChunkBytes records the chunks of a stream whose events come one by one, on a connection that stays.
+// TestStreamChunkBytes compares with a golden file the chunks of a stream whose events arrive one by one, on a
+// connection that stays open.
 func TestStreamChunkBytes(t *testing.T) {
 	r, engine := newScriptedRig(t, "")
 	next := make(chan struct{})
@@ -122,52 +124,55 @@
 		next <- struct{}{}
 	}
 	all += until(t, br, "0\r\n\r\n")
-	golden.Check(t, "stream-chunks.golden", visible(all))
+	golden.Check(t, "stream-chunks.golden", normalizeMessage(all))
 }
 
-// TestRejectionBytesOnSocket: without a decode endpoint everything is rejected. The wait is the router's, and replaced.
-func TestRejectionBytesOnSocket(t *testing.T) {
+// TestRejectionBytes: without a decode endpoint every request is rejected. The router chooses the time to wait before a
+// retry, so the comparison leaves it out.
+func TestRejectionBytes(t *testing.T) {
 	r := newRig(t, "", "reader")
 	for _, class := range []string{"brief", "quick"} {
-		got := r.raw(request(chat(true, 5), "X-Class: "+class+"\r\n"+ending))
-		got = waitWhole.ReplaceAllString(got, "Retry-After: S\r")
-		golden.Check(t, "refusal-"+class+".golden", visible(waitMillis.ReplaceAllString(got, "retry-after-ms: MS\r")))
+		got := r.raw(request(chat(true, 5), "X-Class: "+class+"\r\n"+connectionClose))
+		got = retryAfterField.ReplaceAllString(got, "Retry-After: S\r")
+		golden.Check(t, "refusal-"+class+".golden",
+			normalizeMessage(retryAfterMsField.ReplaceAllString(got, "retry-after-ms: MS\r")))
 	}
 }
 
-// TestTimeoutBytesOnSocket: a decode that is not answered ends with the client's timeout.
-func TestTimeoutBytesOnSocket(t *testing.T) {
+// TestTimeoutBytes: a request whose decode gets no response fails at the end of the client's timeout.
+func TestTimeoutBytes(t *testing.T) {
 	for _, stream := range []bool{true, false} {
-		// Each has a gateway that has seen no timeout yet.
+		// Each case has its own gateway, which has seen no timeout yet.
 		t.Run(fmt.Sprintf("stream %v", stream), func(t *testing.T) {
 			r, engine := newScriptedRig(t, "")
 			engine.setAnswer(func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // ends with the connection
-			got := r.raw(request(chat(stream, 5), "X-Class: quick\r\n"+ending))
-			golden.Check(t, fmt.Sprintf("timeout-stream-%v.golden", stream), visible(got))
+			got := r.raw(request(chat(stream, 5), "X-Class: quick\r\n"+connectionClose))
+			golden.Check(t, fmt.Sprintf("timeout-stream-%v.golden", stream), normalizeMessage(got))
 		})
 	}
 }
 
-// written returns the bytes of a response, as a connection of g writes it.
-func written(t *testing.T, g *Gateway, response Response, keepAlive bool) string {
+// responseBytes returns the bytes of a response, normalized, as a connection of g writes it.
+func responseBytes(t *testing.T, g *Gateway, response Response, keepAlive bool) string {
 	t.Helper()
-	ours, theirs := net.Pipe()
-	defer closeQuietly(theirs)
+	gatewayEnd, clientEnd := net.Pipe()
+	defer closeQuietly(clientEnd)
 	go func() {
-		defer closeQuietly(ours)
-		if err := newClientConn(g, ours).writeResponse(response, keepAlive); err != nil {
+		defer closeQuietly(gatewayEnd)
+		if err := newClientConn(g, gatewayEnd).writeResponse(response, keepAlive); err != nil {
 			t.Error(err)
 		}
 	}()
-	text, err := io.ReadAll(theirs)
+	text, err := io.ReadAll(clientEnd)
 	if err != nil {
 		t.Error(err)
 	}
-	return visible(string(text))
+	return normalizeMessage(string(text))
 }
 
-// TestRejectionAndFailureBytes records every form of a rejection and of a failure, with given waits, not measured ones.
-func TestRejectionAndFailureBytes(t *testing.T) {
+// TestRejectionAndFailureFormats compares every form of a rejection and of a failure with a golden file. The times to
+// wait before a retry are fixed here, not the router's.
+func TestRejectionAndFailureFormats(t *testing.T) {
 	var all strings.Builder
 	newGateway := func(format RetryAfterFormat) *Gateway {
 		return &Gateway{Options: Options{
@@ -186,28 +191,28 @@
 				response := rejectionResponse(routing.Reject{RetryAfter: wait, NoAutoRetry: noAutoRetry})
 				response.requestID = "an-id"
 				fmt.Fprintf(&all, "== refusal, %s, wait %d ms, not to be repeated %v\n%s",
-					form.name, wait.Milliseconds(), noAutoRetry, written(t, g, response, noAutoRetry))
+					form.name, wait.Milliseconds(), noAutoRetry, responseBytes(t, g, response, noAutoRetry))
 			}
 		}
 	}
 	g := newGateway(NoRetryAfter)
 	now := time.Now()
 	for _, class := range []struct {
-		name string
-		is   routing.Idempotency
+		name        string
+		idempotency routing.Idempotency
 	}{{"safe", routing.Idempotent}, {"keyed", routing.IdempotentWithKey}, {"unsafe", routing.NotIdempotent}} {
-		for _, late := range []bool{false, true} {
-			request := &inflightRequest{class: &routing.Class{Idempotency: class.is}, deadline: now.Add(time.Hour)}
-			if late {
+		for _, deadlinePassed := range []bool{false, true} {
+			request := &inflightRequest{class: &routing.Class{Idempotency: class.idempotency}, deadline: now.Add(time.Hour)}
+			if deadlinePassed {
 				request.deadline = now
 			}
 			for _, reason := range []string{reasonStreamBroke, reasonNoDecision, reasonAnswerTimeout} {
 				fmt.Fprintf(&all, "== failure, %s, time is up %v, %s\n%s",
-					class.name, late, reason, written(t, g, failureResponse(request, reason), true))
+					class.name, deadlinePassed, reason, responseBytes(t, g, failureResponse(request, reason), true))
 			}
 		}
 	}
-	fmt.Fprintf(&all, "== failure of a repeat\n%s", written(t, g, possibleDuplicateResponse(), false))
-	fmt.Fprintf(&all, "== two at once\n%s", written(t, g, errorResponse(errPipelined), false))
+	fmt.Fprintf(&all, "== failure of a repeat\n%s", responseBytes(t, g, possibleDuplicateResponse(), false))
+	fmt.Fprintf(&all, "== two at once\n%s", responseBytes(t, g, errorResponse(errPipelined), false))
 	golden.Check(t, "refusal-and-failure.golden", all.String())
 }
