--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -17,8 +17,8 @@
 	stageDecode  = "write"
 )
 
-// resultNames are the names of attempt results in metric labels and log lines.
-var resultNames = [...]string{
+// attemptResultNames are the results of attempts in metric labels and log lines.
+var attemptResultNames = [...]string{
 	routing.Served:            "served",
 	routing.EngineError:       "errored",
 	routing.Rejected:          "turned",
@@ -48,7 +48,7 @@
 	defer r.mu.Unlock()
 	for _, a := range r.attempts {
 		a.resultMu.Lock()
-		prefilled := a.result == resultNames[routing.PrefillDone]
+		prefilled := a.result == attemptResultNames[routing.PrefillDone]
 		a.resultMu.Unlock()
 		if prefilled {
 			return stageDecode
@@ -57,8 +57,8 @@
 	return stagePrefill
 }
 
-// logAnswer counts a request's final answer and writes the request's access log line.
-func (r *inflightRequest) logAnswer(g *Gateway) {
+// recordAnswer counts a request's final answer and writes the request's access log line.
+func (r *inflightRequest) recordAnswer(g *Gateway) {
 	r.countAnswer(g)
 	entry := g.log.Check(zap.InfoLevel, "answer "+r.result)
 	if entry == nil {
@@ -127,7 +127,7 @@
 		zap.Int("attempt", a.index),
 		zap.String("engine", a.endpoint.Name),
 		zap.String("stage", a.stage()),
-		zap.String("result", resultNames[outcome.Result]),
+		zap.String("result", attemptResultNames[outcome.Result]),
 		zap.Bool("no_state", outcome.StateMissing),
 		zap.Duration("took", elapsed),
 		zap.Object("progress", a.handle.Progress()),
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -99,7 +99,7 @@
 	}
 	elapsed := time.Since(a.startedAt)
 	a.resultMu.Lock()
-	a.result, a.elapsed = resultNames[out.Result], elapsed
+	a.result, a.elapsed = attemptResultNames[out.Result], elapsed
 	a.resultMu.Unlock()
 	prefilled := out.Result == routing.PrefillDone
 	if out.Result != routing.Served && !prefilled {
--- a/internal/gateway/conn_request.go
+++ b/internal/gateway/conn_request.go
@@ -192,7 +192,7 @@
 	if disconnected {
 		request.result, request.reason = resultClientGone, reasonClientClosed
 	}
-	request.logAnswer(g)
+	request.recordAnswer(g)
 	if disconnected {
 		c.closeReason = closeReasonClient
 		return false
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -168,7 +168,7 @@
 	})
 	<-secondReadStarted
 	r.eventually("an attempt ended as not sent", func() bool {
-		return testutil.ToFloat64(r.gateway.metrics.Attempts.WithLabelValues("read", resultNames[routing.NotSent])) > 0
+		return testutil.ToFloat64(r.gateway.metrics.Attempts.WithLabelValues("read", attemptResultNames[routing.NotSent])) > 0
 	})
 	resumeRead()
 	r.eventually("the connection has ended", func() bool {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -44,7 +44,7 @@
 	stopping       bool
 	statusLoggedAt time.Time
 	attemptResults struct {
-		prefill, decode [len(resultNames)]prometheus.Counter
+		prefill, decode [len(attemptResultNames)]prometheus.Counter
 	}
 }
 
@@ -89,7 +89,7 @@
 		requests: map[routing.RequestID]*inflightRequest{}, table: newEndpointTable(),
 		hungEngines: map[*engine.Endpoint]*hungEngine{},
 	}
-	for result, name := range resultNames {
+	for result, name := range attemptResultNames {
 		l.attemptResults.prefill[result] = g.metrics.Attempts.WithLabelValues(stagePrefill, name)
 		l.attemptResults.decode[result] = g.metrics.Attempts.WithLabelValues(stageDecode, name)
 	}
