--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -79,7 +79,7 @@
 		Path: a.request.path, ID: a.id, IdempotencyKey: a.request.idempotencyKey, Deadline: a.deadline, SendBy: a.sendBy,
 		ConnectTimeout: a.connectTimeout, NewConn: a.newConn, Abandoned: a.request.abandoned,
 	}
-	if hook := l.gateway.hooks.Key; hook != nil {
+	if hook := l.gateway.hooks.IdempotencyKey; hook != nil {
 		call.IdempotencyKey = hook(call.IdempotencyKey)
 	}
 	if a.decode {
@@ -100,7 +100,7 @@
 	}
 	elapsed := time.Since(a.startedAt)
 	a.resultMu.Lock()
-	a.result, a.elapsed = resultNames[out.Result], elapsed
+	a.result, a.elapsed = attemptResultNames[out.Result], elapsed
 	a.resultMu.Unlock()
 	prefilled := out.Result == routing.PrefillDone
 	if out.Result != routing.Served && !prefilled {
