--- a/routing/actions.go
+++ b/routing/actions.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// Action is a decision; Step returns the types below, in the order in which they are to be carried out.
+// Action is a decision of a Router: one of the types below. Actions must be carried out in the order in which
+// Step returns them.
 type Action interface{ action() }
 
 type (
-	// Send starts the next attempt of a request (attempts count from 0).
+	// Send starts the next attempt of a request; attempts are numbered from 0.
 	Send struct {
 		Request  RequestID
 		Endpoint EndpointID
 		Timeout  time.Duration // 0 = until the request's deadline
-		// ConnectTimeout bounds the time to connect while a read state waits; 0 = the caller's default.
+		// ConnectTimeout bounds the time to connect. It is set while a read state waits; 0 = the caller's
+		// default.
 		ConnectTimeout time.Duration
-		// SendWindow bounds the time until the request's last byte is sent: an earlier attempt of a request
-		// that is idempotent with a key may have run, and repeats are dropped only inside the class's dedup
-		// window. 0 = no such bound.
+		// SendWindow bounds the time until the request's last byte is sent. It is set for a request that is
+		// idempotent with a key and of which an earlier attempt may have run, since repeats are dropped only
+		// inside the dedup window of its class. 0 = no bound.
 		SendWindow time.Duration
 	}
-	// Reject is a final answer: not now, and retrying after RetryAfter is harmless.
+	// Reject is a final answer: the request is not served now, and a retry after RetryAfter is harmless.
 	Reject struct {
 		Request     RequestID
 		RetryAfter  time.Duration
-		NoAutoRetry bool // the client should not retry by itself but hand the error to its user, who may
+		NoAutoRetry bool // the client should leave the retry to its user instead of retrying by itself
 		Reason      Reason
 	}
-	// Fail is a final answer that promises nothing about effects.
+	// Fail is a final answer that leaves open whether the request had an effect.
 	Fail struct {
 		Request           RequestID
-		PossibleDuplicate bool // nothing was sent, since an earlier attempt of the client may have run
+		PossibleDuplicate bool // nothing was sent, since an earlier request of the client may have run
 		Reason            Reason
 	}
 	// Cancel cancels an attempt in flight.
@@ -38,20 +40,20 @@
 	}
 	// ReleaseState releases every read state and reservation held for a request.
 	ReleaseState struct{ Request RequestID }
-	// Reserve asks a decode endpoint to hold capacity during the prefill. This router never returns it: it
-	// picks the decode endpoint after the prefill.
+	// Reserve asks a decode endpoint to hold capacity during the prefill. A Router never returns it, since it
+	// chooses the decode endpoint after the prefill.
 	Reserve struct {
 		Request  RequestID
 		Endpoint EndpointID
 	}
-	// SetTimer asks for a Timer event.
+	// SetTimer asks for a Timer event with this tag.
 	SetTimer struct {
 		After time.Duration
 		Tag   uint64
 	}
-	// FetchEndpoints asks for the endpoint list and its changes.
+	// FetchEndpoints asks for an EndpointList event.
 	FetchEndpoints struct{}
-	// Log is a line for the operators.
+	// Log is a log line for operators.
 	Log struct{ Text string }
 )
 
@@ -65,24 +67,25 @@
 func (FetchEndpoints) action() {}
 func (Log) action()            {}
 
-// Reason says why a request was given up. It is for logs and metrics; nothing is decided by it.
+// Reason says why a request was rejected or failed. It is only for logs and metrics; no decision depends on
+// it.
 type Reason uint8
 
 // The reasons for which a Router rejects or fails a request.
 const (
-	ReasonNone              Reason = iota // none given
-	ReasonDeadline                        // past its deadline, or too close to it for what is left to do
-	ReasonObjectiveMissed                 // the first token can't meet the latency objective any more
-	ReasonOverload                        // shed on arrival, since most answers come late
-	ReasonAttemptsExhausted               // all attempts are used
-	ReasonMayHaveRun                      // an attempt may have run, and the class must not be repeated
-	ReasonPossibleDuplicate               // the client's own earlier attempt may have run
-	ReasonStateExpired                    // the read state was released before a decode took it
+	ReasonNone              Reason = iota // no reason given
+	ReasonDeadline                        // the deadline has passed or is too close to finish in time
+	ReasonObjectiveMissed                 // the first token can no longer meet the latency objective
+	ReasonOverload                        // shed on arrival, because most answers are late
+	ReasonAttemptsExhausted               // no attempts are left
+	ReasonMayHaveRun                      // an attempt may have run, and the class must not run twice
+	ReasonPossibleDuplicate               // an earlier request of the client may have run
+	ReasonStateExpired                    // the read state was released before a decode fetched it
 	ReasonNoDecodeEndpoint                // no decode endpoint may be sent to
-	ReasonShutdown                        // this replica ends
+	ReasonShutdown                        // this replica shuts down
 )
 
-// reasonNames are label values of metrics, which dashboards and alerts match; they stay as they are.
+// reasonNames are label values of metrics. Dashboards and alerts match them, so they must not change.
 var reasonNames = [...]string{
 	ReasonNone:              "no reason given",
 	ReasonDeadline:          "deadline",
--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -8,91 +8,98 @@
 )
 
 const (
-	// maxWarmCandidates is how many warm endpoints of the hash order may prefill a prompt: one prefilled far
-	// down the order pushes out what others keep there.
+	// maxWarmCandidates is how many endpoints past slow start are tried for a prompt in hash order: a prompt
+	// prefilled farther down the order would evict the cached prefixes that other keys keep there.
 	maxWarmCandidates = 2
-	// maxPreferredShare is the share of requests, against an even one, from which an endpoint that is
-	// preferred more passes some on.
+	// maxPreferredShare is the multiple of an even share of the requests above which an endpoint that is
+	// preferred by more diverts some of them to the next candidate.
 	maxPreferredShare = 1.3
-	// slowPrefillFactor is how many times slower than the mean an endpoint passes some on.
+	// slowPrefillFactor is the multiple of the mean prefill time per token above which an endpoint diverts
+	// more requests.
 	slowPrefillFactor = 1.5
-	// preferredPrior is how many requests each endpoint is taken to be preferred by before any is seen.
+	// preferredPrior is added to the count of requests that prefer an endpoint, so that the first few
+	// requests of a replica are not diverted.
 	preferredPrior = 1.0
-	// preferredDecay is the time constant of those counts.
+	// preferredDecay is the time constant of prefixCache.preferredRequests.
 	preferredDecay = 30 * time.Second
-	// affinitySpread is how many times its even share of the endpoints a key is spread over: several replicas
-	// and uneven prompts need more than one.
+	// affinitySpread is the multiple of its proportional share of the endpoints that a key is spread over:
+	// replicas that don't share their counts, and prompts of uneven length, need more than 1.
 	affinitySpread = 3.0
-	// keyCountInterval is how often the counts of keys are halved; those below minKeyCount are dropped.
+	// keyCountInterval is how often the request counts of keys are halved; counts below minKeyCount are
+	// dropped.
 	keyCountInterval = 20 * time.Second
 	minKeyCount      = 0.25
-	// keyCountPrior keeps the first few requests of a replica from spreading their keys.
+	// keyCountPrior is added to the total count, so that the first few requests of a replica don't make their
+	// keys look popular.
 	keyCountPrior = 5
 
-	// triedFirstBit is set in the rank of candidates to be tried first.
+	// triedFirstBit is set in the rank of candidates that the request was not tried on and that are not
+	// avoided for it.
 	triedFirstBit = 1 << 63
 )
 
-// prefixAffinity decides how many endpoints a key is spread over: a popular prefix would crowd a single one.
+// prefixAffinity sends requests of the same affinity key to the same prefill endpoints, so that these find
+// the prompt prefix in their cache. A popular key is spread over several endpoints, since one would be
+// overloaded.
 type prefixAffinity struct {
-	seen           map[uint64]float64 // requests by key; halved at intervals
-	seenTotal      float64
-	halveAt        time.Duration
-	spread         map[uint64]int // preferred endpoints of each key that has more than one
-	spreadVersion  uint64         // order version for which spread holds
-	usablePrefills float64        // prefill endpoints that may be sent to
-	candidates     []candidate    // of the current choice; the slice is reused
+	requestCounts  map[uint64]float64 // by key; halved every keyCountInterval
+	requestTotal   float64
+	halveAt        time.Duration  // when the counts are halved next
+	spread         map[uint64]int // number of preferred endpoints of each key that has several
+	spreadVersion  uint64         // order version for which spread was computed
+	usablePrefills float64        // number of prefill endpoints that may be sent to
+	candidates     []candidate    // result of rankCandidates; the slice is reused
 }
 
-// affinityChoices are what affinity remembers of a request.
+// affinityChoices is the state that affinity keeps for a request.
 type affinityChoices struct {
-	counted     bool       // at the endpoint that it prefers
-	full        []*backend // candidates that had no capacity for it when all were asked ...
-	fullVersion uint64     // ... in this version of the order; 0 = never
+	counted     bool       // it is counted in preferredRequests of the endpoint that it prefers
+	full        []*backend // candidates that were tried without success when none had capacity ...
+	fullVersion uint64     // ... in this order version; 0 = unknown
 }
 
-// candidate is an endpoint in the hash order of a key.
+// candidate is an endpoint with its rank in the hash order of a key; the highest rank comes first.
 type candidate struct {
 	backend *backend
 	rank    uint64
 }
 
 func newPrefixAffinity() prefixAffinity {
-	return prefixAffinity{seen: map[uint64]float64{}, spread: map[uint64]int{}}
+	return prefixAffinity{requestCounts: map[uint64]float64{}, spread: map[uint64]int{}}
 }
 
-// preferredCount is how many of a number of endpoints a key prefers, by its part of this replica's requests;
-// all replicas see about the same.
+// preferredCount returns how many of the given number of endpoints a key prefers, by its share of this
+// replica's requests. The shares are about the same at all replicas.
 func (a *prefixAffinity) preferredCount(key uint64, endpoints float64) int {
-	popularity := max(a.seen[key]-1, 0) / (a.seenTotal + keyCountPrior)
+	popularity := max(a.requestCounts[key]-1, 0) / (a.requestTotal + keyCountPrior)
 	return 1 + int(min(popularity*affinitySpread, 1)*endpoints)
 }
 
-// halveCounts lets old requests count less.
+// halveCounts halves all request counts, so that old requests count less.
 func (a *prefixAffinity) halveCounts(now time.Duration) {
-	a.halveAt, a.seenTotal = now+keyCountInterval, a.seenTotal/2
-	for key := range a.seen {
-		a.seen[key] /= 2
+	a.halveAt, a.requestTotal = now+keyCountInterval, a.requestTotal/2
+	for key := range a.requestCounts {
+		a.requestCounts[key] /= 2
 	}
-	maps.DeleteFunc(a.seen, func(_ uint64, count float64) bool { return count < minKeyCount })
+	maps.DeleteFunc(a.requestCounts, func(_ uint64, count float64) bool { return count < minKeyCount })
 }
 
-// refreshSpread counts the preferred endpoints of all keys anew for a version of the order.
+// refreshSpread recomputes the number of preferred endpoints of all keys if the order version has changed.
 func (a *prefixAffinity) refreshSpread(orderVersion uint64) {
 	if a.spreadVersion == orderVersion {
 		return
 	}
 	a.spreadVersion = orderVersion
 	clear(a.spread)
-	for key := range a.seen {
+	for key := range a.requestCounts {
 		if n := a.preferredCount(key, a.usablePrefills); n > 1 {
 			a.spread[key] = n
 		}
 	}
 }
 
-// countAffinityKey counts the key of a new request. Where a key gets more or fewer preferred endpoints, its
-// queued requests are tried again.
+// countAffinityKey counts the key of a new request. If the number of preferred endpoints of a key changes,
+// its queued requests are tried again.
 func (r *Router) countAffinityKey(req *request) {
 	a := &r.affinity
 	if r.now > a.halveAt {
@@ -100,12 +107,12 @@
 		r.orderChanged()
 	}
 	newKey := req.affinityKey()
-	a.seen[newKey]++
-	a.seenTotal++
+	a.requestCounts[newKey]++
+	a.requestTotal++
 	a.spread[newKey] = max(a.spread[newKey], 1)
-	for key, before := range a.spread {
+	for key, oldCount := range a.spread {
 		n := a.preferredCount(key, a.usablePrefills)
-		if a.spread[key] = n; n != before {
+		if a.spread[key] = n; n != oldCount {
 			r.queue.retryKey(key)
 		}
 		if n == 1 {
@@ -114,48 +121,48 @@
 	}
 }
 
-// preferredBackend returns the first endpoint of a role with capacity, in the hash order of the request's
-// key; nil if none has any.
+// preferredBackend returns the endpoint of a role to which the request is sent: the first with capacity in
+// the hash order of its key that does not divert it, else the first with capacity, else nil.
 func (r *Router) preferredBackend(req *request, role Role) *backend {
 	candidates := r.rankCandidates(req, role)
 	if !req.choices.counted && len(candidates) > 0 {
 		req.choices.counted = true
-		candidates[0].backend.cache.preferred++
+		candidates[0].backend.cache.preferredRequests++
 	}
 	totalPreferred := 0.0
 	for _, c := range candidates {
-		totalPreferred += c.backend.cache.preferred
+		totalPreferred += c.backend.cache.preferredRequests
 	}
 	evenShare := totalPreferred/float64(len(candidates)) + preferredPrior
-	var overloaded *backend // the first with capacity, though it should pass requests on
+	var fallback *backend // the first with capacity that diverts the request
 	warm := 0
 	req.choices.full, req.choices.fullVersion = req.choices.full[:0], 0
 	for _, c := range candidates {
 		req.choices.full = append(req.choices.full, c.backend)
 		if r.hasCapacity(c.backend, req) {
-			if !c.backend.passesOn(req, evenShare) {
+			if !c.backend.divertsRequest(req, evenShare) {
 				return c.backend
 			}
-			if overloaded == nil {
-				overloaded = c.backend
+			if fallback == nil {
+				fallback = c.backend
 			}
 		}
 		if !r.inSlowStart(c.backend) {
 			warm++
 		}
-		if warm >= maxWarmCandidates && overloaded == nil {
+		if warm >= maxWarmCandidates && fallback == nil {
 			break
 		}
 	}
-	if overloaded == nil && role == RolePrefill && !r.capacity.anySlowStart {
+	if fallback == nil && role == RolePrefill && !r.capacity.anySlowStart {
 		req.choices.fullVersion = r.capacity.orderVersion
 	}
-	return overloaded
+	return fallback
 }
 
-// rankCandidates lists the usable endpoints of a role by rendezvous hashing, those that failed the request's
-// class or were tried for it last. All known endpoints have their place in the order, so an ejected one does
-// not move the preferences of other keys.
+// rankCandidates returns the usable endpoints of a role in rendezvous hash order. Endpoints that the request
+// was tried on or that are avoided for it come last. The rank of an endpoint depends on no other endpoint, so
+// an ejection does not change which endpoints other keys prefer.
 func (r *Router) rankCandidates(req *request, role Role) []candidate {
 	candidates := r.affinity.candidates[:0]
 	key := req.affinityKey()
@@ -171,7 +178,7 @@
 	}
 	r.affinity.candidates = candidates
 	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.rank, a.rank) })
-	// A popular key has several preferred endpoints, and each session keeps to one of them.
+	// A popular key has several preferred endpoints; each session prefers the same one of them every time.
 	preferred := min(r.affinity.preferredCount(key, float64(len(candidates))), len(candidates))
 	slices.SortFunc(candidates[:preferred], func(a, b candidate) int {
 		return cmp.Compare(b.backend.sessionRank(req), a.backend.sessionRank(req))
@@ -179,13 +186,14 @@
 	return candidates
 }
 
-// sessionRank orders the preferred endpoints of a popular key for the sessions that share it.
+// sessionRank orders the preferred endpoints of a popular key for a session, the highest first.
 func (b *backend) sessionRank(req *request) float64 { return uniform(uint64(b.ID), req.Session) }
 
-// passesOn reports that a request goes to the next candidate, since this one is preferred more than evenly or
-// is slow. All requests of a session are treated alike.
-func (b *backend) passesOn(req *request, evenShare float64) bool {
-	share := (b.cache.preferred + preferredPrior) / evenShare
+// divertsRequest reports whether a request should go to the next candidate, because this endpoint is
+// preferred by more than an even share of the requests or is slow. The decision is the same for all requests
+// of a session.
+func (b *backend) divertsRequest(req *request, evenShare float64) bool {
+	share := (b.cache.preferredRequests + preferredPrior) / evenShare
 	share *= max(b.pace.slowness/slowPrefillFactor, 1)
 	return uniform(uint64(b.ID), cmp.Or(req.Session, uint64(req.ID)))*share > maxPreferredShare
 }
--- a/routing/affinity_test.go
+++ b/routing/affinity_test.go
@@ -24,7 +24,7 @@
 		listed = append(listed, prefillEndpoint(id))
 	}
 	h := newHarness(t, testConfig(), listed...)
-	h.router.affinity.seenTotal = 1e4
+	h.router.affinity.requestTotal = 1e4
 	return h
 }
 
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestAffinityPassesEndpointsInSlowStart(t *testing.T) {
+func TestAffinitySkipsEndpointsInSlowStart(t *testing.T) {
 	h := newAffinityHarness(t, decodeEndpoint(50))
 	preferred := usedEndpoints(h, 1, 20)
 	var restarts []Event
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -28,7 +28,7 @@
 		a.cost.uncached = b.uncachedTokens(req)
 	}
 	r.decayStats(b)
-	b.silence.sent(req, r.now)
+	b.silence.addAttempt(req, r.now)
 	b.load.attempts++
 	if b.health.ejected { // it has its trial
 		r.orderChanged()
@@ -37,11 +37,11 @@
 	b.load.uncached += a.cost.uncached
 	a.cost.queued = b.load.uncached
 	if r.inSlowStart(b) {
-		b.load.warmUpSends = append(b.load.warmUpSends, r.now)
+		b.load.slowStartSends = append(b.load.slowStartSends, r.now)
 	}
 	req.attempts = append(req.attempts, a)
 	req.inFlight++
-	req.state.requested = req.state.requested || !decode
+	req.state.prefillSent = req.state.prefillSent || !decode
 	connectTimeout := time.Duration(0)
 	if req.state.backend != nil {
 		connectTimeout = r.config.StateTTL / stateTTLParts
@@ -105,15 +105,15 @@
 		r.admission.shedder.observe(r.now, req.class, late)
 	}
 	if b.role == RoleDecode {
-		movingAverage(&b.pace.slowness, elapsed/r.latency.firstToken, slownessWeight)
-		movingAverage(&r.latency.firstToken, elapsed, firstTokenWeight)
+		updateAverage(&b.pace.slowness, elapsed/r.latency.firstToken, slownessWeight)
+		updateAverage(&r.latency.firstToken, elapsed, firstTokenWeight)
 	}
 	if a.cost.uncached > 0 {
 		r.capacity.stale = true
 		r.observePrefill(a, event.Elapsed)
 		r.mixed.observe(a, r.latency.usualFirstToken(a.cost.queued), event.Elapsed)
 	}
-	r.answered(a, true)
+	r.markAnswered(a, true)
 	r.observeSuccess(b, req, elapsed < timeoutFactor*r.latency.firstToken+recoverySlack)
 }
 
@@ -126,7 +126,7 @@
 	r.endAttempt(req, a, event)
 	switch {
 	case req.ended:
-		if event.Result == PrefillDone || a.decode && req.state.requested && !req.streaming && !a.canceled {
+		if event.Result == PrefillDone || a.decode && req.state.prefillSent && !req.streaming && !a.canceled {
 			r.emit(ReleaseState{req.ID}) // nobody will fetch it
 		}
 	case event.RequestDone || event.Result == Served:
@@ -155,7 +155,7 @@
 	req.inFlight--
 	b.load.attempts--
 	b.load.memory = max(b.load.memory-a.cost.memory, 0)
-	r.answered(a, event.Result.fromEndpoint())
+	r.markAnswered(a, event.Result.fromEndpoint())
 	r.observeResult(req, a, event)
 	if a.decode && event.Result.mayHaveExecuted() && !req.execution.possible {
 		req.execution = possibleExecution{possible: true, backend: b, sentAt: a.sentAt}
@@ -181,7 +181,7 @@
 		r.observeFailure(b, req, connectFailureFactor*outcomeWeight)
 	case Rejected:
 		if !event.StateMissing {
-			b.load.fullUntil, r.admission.shedder.rejectedAt = r.now+rejectedPause, r.now
+			b.load.pausedUntil, r.admission.shedder.rejectedAt = r.now+rejectedPause, r.now
 			r.observeRejection(b, req, true)
 		}
 	case Canceled, NotSent: // the endpoint had no part in it
@@ -191,9 +191,9 @@
 func (r *Router) prefillDone(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.observePrefill(a, event.Elapsed)
-	movingAverage(&r.latency.prefillTime, event.Elapsed.Seconds(), prefillTimeWeight)
+	updateAverage(&r.latency.prefillTime, event.Elapsed.Seconds(), prefillTimeWeight)
 	uncached := max(req.PromptTokens-event.CachedTokens, 0) + promptOverhead
-	movingAverage(&r.latency.uncachedTokens[req.Class], uncached, uncachedTokensWeight)
+	updateAverage(&r.latency.uncachedTokens[req.Class], uncached, uncachedTokensWeight)
 	b.pace.completed++
 	b.cache.store(req)
 	limit := timeoutFactor*a.cost.queued*r.latency.prefillPace + recoverySlack
@@ -203,15 +203,15 @@
 func (r *Router) attemptTimedOut(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.mixed.observe(a, r.latency.usualFirstToken(a.cost.queued), event.Elapsed)
-	movingAverage(&b.pace.slowness, timeoutFactor, slownessWeight)
+	updateAverage(&b.pace.slowness, timeoutFactor, slownessWeight)
 	if r.now < req.Deadline || a.sentAt+deadlineBlame < r.now {
 		r.observeFailure(b, req, outcomeWeight)
 	} else {
 		r.observeSuccess(b, req, false)
 	}
 	if a.decode {
-		movingAverage(&r.latency.firstToken, event.Elapsed.Seconds(), firstTokenTimeoutWeight)
+		updateAverage(&r.latency.firstToken, event.Elapsed.Seconds(), firstTokenTimeoutWeight)
 	} else {
-		movingAverage(&r.latency.prefillTime, event.Elapsed.Seconds(), prefillTimeoutWeight)
+		updateAverage(&r.latency.prefillTime, event.Elapsed.Seconds(), prefillTimeoutWeight)
 	}
 }
--- a/routing/backend.go
+++ b/routing/backend.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// goneRetention is how long an endpoint that is gone and has no attempt in flight is remembered: one that
-	// is listed again sooner keeps its statistics.
+	// goneRetention is how long an endpoint that has left the list and has no attempt in flight is kept, so
+	// that it keeps its statistics if it is listed again.
 	goneRetention = 4 * failureDecay
-	// maxCachedPrefixes bounds the prefixes and sessions remembered for an endpoint; past it all are dropped.
+	// maxCachedPrefixes is the number of prefixes and sessions kept for an endpoint above which all of them
+	// are dropped.
 	maxCachedPrefixes = 20000
-	// promptOverhead is added to the uncached tokens of each prompt: a prompt found whole in the cache takes
-	// time too.
+	// promptOverhead is added to the uncached tokens of each prompt, since a fully cached prompt takes time
+	// too.
 	promptOverhead = 200
 )
 
-// backendSet is the endpoint list as this replica knows it, with sums over roles and localities.
+// backendSet holds the endpoints known to this replica, with sums by role and locality.
 type backendSet struct {
 	byID         map[EndpointID]*backend
 	sorted       []*backend // by id
 	roles        [RoleMixed + 1]roleStats
 	cells, zones localities
-	evaluateAt   time.Duration // outliers are looked for next
-	fetchAt      time.Duration // the list is fetched next, where it is polled
+	evaluateAt   time.Duration // time of the next outlier detection
+	fetchAt      time.Duration // time of the next fetch of the endpoint list, if it is polled
 }
 
-// backend is what this replica knows of one endpoint.
+// backend is the state that this replica keeps for one endpoint.
 type backend struct {
 	listing
 	load    load
@@ -41,26 +42,26 @@
 type listing struct {
 	Endpoint
 	role   Role
-	listed bool          // it is ready
-	goneAt time.Duration // when it was first seen to be gone; 0 = it is on the list
+	listed bool          // the list says that it is ready
+	goneAt time.Duration // when it was found to have left the list; 0 = it is not gone
 }
 
-// load is what this replica has in flight at an endpoint.
+// load is the load of this replica's attempts in flight at an endpoint.
 type load struct {
-	attempts    int
-	memory      float64         // tokens reserved by them
-	uncached    float64         // prompt tokens waiting to be prefilled
-	fullUntil   time.Duration   // it has no capacity until then
-	warmUpSends []time.Duration // during slow start: sends of the last window
+	attempts       int
+	memory         float64         // tokens reserved by them
+	uncached       float64         // prompt tokens waiting to be prefilled
+	pausedUntil    time.Duration   // it is treated as full until then
+	slowStartSends []time.Duration // times of the sends in the last window, while in slow start
 }
 
-// prefixCache is what an endpoint is taken to keep of prompts, and how much it is wanted for that.
+// prefixCache models which prompts an endpoint has in its cache, and counts the requests that prefer it.
 type prefixCache struct {
-	tokens    map[uint64]float64 // cached prompt tokens, by prefix and by session
-	preferred float64            // requests that preferred this endpoint; decays
+	tokens            map[uint64]float64 // cached prompt tokens, by prefix and by session
+	preferredRequests float64            // number of requests that preferred this endpoint; decays
 }
 
-// store remembers a prompt that the endpoint has prefilled.
+// store records that the endpoint has prefilled the prompt of a request.
 func (c *prefixCache) store(req *request) {
 	if len(c.tokens) > maxCachedPrefixes {
 		c.tokens = map[uint64]float64{}
@@ -88,7 +89,7 @@
 	for _, endpoint := range update.Endpoints {
 		r.updateEndpoint(endpoint)
 	}
-	r.backends.forgetGone(r.now)
+	r.backends.removeGone(r.now)
 	r.sumRoles()
 	r.backends.evaluateAt = 0
 	r.orderChanged()
@@ -107,7 +108,7 @@
 		r.backends.sorted = append(r.backends.sorted, b)
 	}
 	if endpoint.StartedAt > b.StartedAt {
-		b.restarted(r.now)
+		b.resetAfterRestart(r.now)
 	}
 	b.listing = listing{
 		Endpoint: endpoint,
@@ -125,25 +126,26 @@
 	}
 }
 
-// restarted notes a new process behind an endpoint: its cache is empty and its health unknown.
-func (b *backend) restarted(now time.Duration) {
+// resetAfterRestart discards what was learned of the endpoint's previous process: the new one has an empty
+// cache and unknown health.
+func (b *backend) resetAfterRestart(now time.Duration) {
 	b.cache.tokens = map[uint64]float64{}
 	b.pace.completed, b.pace.slowness, b.pace.decayedAt = 0, 0, now
 	b.health.reset(now)
 }
 
-// forgetGone drops endpoints that have been gone for goneRetention and have no attempt in flight: names that
-// never come back, as those of replaced pods, would cost memory and time for ever.
-func (s *backendSet) forgetGone(now time.Duration) {
+// removeGone removes endpoints that left the list more than goneRetention ago and have no attempt in flight.
+// Endpoints that never come back, such as replaced pods, would otherwise take memory and time forever.
+func (s *backendSet) removeGone(now time.Duration) {
 	s.sorted = slices.DeleteFunc(s.sorted, func(b *backend) bool {
 		if b.State == EndpointGone && b.goneAt == 0 {
 			b.goneAt = now
 		}
-		forget := b.State == EndpointGone && b.load.attempts == 0 && now-b.goneAt > goneRetention
-		if forget {
+		remove := b.State == EndpointGone && b.load.attempts == 0 && now-b.goneAt > goneRetention
+		if remove {
 			delete(s.byID, b.ID)
 		}
-		return forget
+		return remove
 	})
 	slices.SortFunc(s.sorted, func(a, b *backend) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/routing/backend_test.go
+++ b/routing/backend_test.go
@@ -19,22 +19,22 @@
 		listed:  endpoints(340, 400),
 		nextID:  100000,
 	}
-	f.list()
+	f.sendList()
 	return f
 }
 
-func (f *rollingFleet) list() {
+func (f *rollingFleet) sendList() {
 	f.harness.step(EndpointList{Scope: ListFull, Endpoints: f.listed})
 }
 
-func (f *rollingFleet) roll() {
+func (f *rollingFleet) replacePods() {
 	for range 20 {
 		i := int(f.nextID) % len(f.listed)
 		f.listed[i].ID = f.nextID
 		f.nextID++
 	}
 	f.harness.now += time.Minute
-	f.list()
+	f.sendList()
 }
 
 // TestGoneEndpointsAreForgotten: what is remembered is bounded by the list and by what went of late.
@@ -43,7 +43,7 @@
 	known := &f.harness.router.backends
 	most := len(f.listed) + 20*int(goneRetention/time.Minute+1)
 	for range 5000 {
-		f.roll()
+		f.replacePods()
 		if n := len(known.sorted); n > most || n != len(known.byID) {
 			t.Fatalf("%d endpoints and %d ids are known, %d at most", n, len(known.byID), most)
 		}
@@ -97,10 +97,10 @@
 	onlyAction[FetchEndpoints](t, h.advance(time.Second))
 }
 
-// TestEndpointChangesItsRole: a prefill endpoint becomes a decode endpoint while prefills are in flight there and a
-// state waits there. What is in flight ends as it would have, nothing new is prefilled there, and its load comes out
-// even.
-func TestEndpointChangesItsRole(t *testing.T) {
+// TestAttemptsInFlightEndNormallyWhenAnEndpointChangesRole: a prefill endpoint becomes a decode endpoint while
+// prefills are in flight there and a state waits there. What is in flight ends as it would have, nothing new is
+// prefilled there, and its load comes out even.
+func TestAttemptsInFlightEndNormallyWhenAnEndpointChangesRole(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
 	for id := RequestID(1); id <= 3; id++ {
 		sends := actionsOf[Send](h.step(h.request(id, idempotentClass, 500)))
@@ -153,7 +153,7 @@
 		b.Run(name, func(b *testing.B) {
 			f := newRollingFleet(b)
 			for range rolls {
-				f.roll()
+				f.replacePods()
 			}
 			h := f.harness
 			b.ResetTimer()
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// BenchmarkHeld measures one event beside n queued requests, on 20 endpoints that have no capacity.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkQueuedRequests measures one event beside n queued requests, on 20 endpoints that have no capacity.
+func BenchmarkQueuedRequests(b *testing.B) {
 	for _, n := range []int{200, 3000, 10000} {
 		b.Run(fmt.Sprintf("new and gone beside %d", n), func(b *testing.B) { newFullRouter(b, n).arrivals(b) })
 		b.Run(fmt.Sprintf("nothing beside %d", n), func(b *testing.B) { newFullRouter(b, n).timers(b) })
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -8,44 +8,44 @@
 const (
 	// maxPrefills bounds this replica's attempts at a prefill endpoint.
 	maxPrefills = 6
-	// maxBacklog bounds this replica's prompt tokens waiting at an endpoint, as time to prefill them there: a
-	// request waits better in the queue, where it can still go elsewhere.
+	// maxBacklog bounds this replica's prompt tokens that wait at an endpoint, as the time to prefill them
+	// there. Further requests wait in the queue instead, from where they can still go to any endpoint.
 	maxBacklog = 300 * time.Millisecond
-	// decodeMemoryFraction is the part of its share of a decode endpoint's memory that a replica fills; the
-	// rest is for outputs longer than expected.
+	// decodeMemoryFraction is the fraction of its share of a decode endpoint's memory that a replica fills;
+	// the rest is a reserve for outputs that are longer than expected.
 	decodeMemoryFraction = 0.95
-	// expectedOutputFraction is the expected length of an output, as a part of its maximum.
+	// expectedOutputFraction is the expected length of an output, as a fraction of its maximum.
 	expectedOutputFraction = 0.4
-	// memorySlack lets sums of tokens differ by rounding.
+	// memorySlack is a tolerance, in tokens, for rounding errors in sums of memory.
 	memorySlack = 1
 )
 
-// capacityState says whether queued requests must be tried again, and sums up the capacity of all endpoints.
+// capacityState tracks whether queued requests must be tried again, and bounds the capacity of all endpoints.
 type capacityState struct {
 	stale        bool          // capacity or the order of endpoints may have changed
 	anySlowStart bool          // some endpoint is in slow start, so its capacity grows all the time
-	growsAt      time.Duration // capacity may grow by time alone then; 0 = not
-	orderVersion uint64        // changes with the order in which endpoints are tried
+	growsAt      time.Duration // next time at which a pause ends or a trial is due; 0 = none
+	orderVersion uint64        // incremented when endpoints may be tried in another order
 	bounds       capacityBounds
 }
 
-// capacityBounds are what capacity there is at most, whatever the request.
+// capacityBounds are upper bounds of the capacity, whatever the request; knownToBeFull uses them.
 type capacityBounds struct {
-	largestFree float64 // of decode endpoints: the most free memory of one
-	totalFree   float64 // of decode endpoints: the free memory of all
-	prefills    float64 // attempts at prefill endpoints
-	mixed       bool    // some mixed endpoint may have capacity
+	largestFree     float64 // largest free memory of any decode endpoint
+	totalFree       float64 // free memory of all decode endpoints
+	prefillAttempts float64 // attempts in flight at prefill endpoints
+	mixedMayFit     bool    // some mixed endpoint may have capacity
 }
 
-// orderChanged notes that endpoints may be tried in another order from now on.
+// orderChanged records that endpoints may be tried in another order from now on.
 func (r *Router) orderChanged() {
 	r.capacity.orderVersion++
 	r.capacity.stale = true
 }
 
-// refreshCapacity reports that all queued requests must be tried again, and then sums up the capacity. It
-// grows by outcomes and by updates of the list (stale), by the end of a pause, and all the time during slow
-// start.
+// refreshCapacity reports whether all queued requests must be tried again, and if so recomputes the capacity
+// bounds. Capacity grows with outcomes and updates of the endpoint list (stale), when a pause ends or a trial
+// is due (growsAt), and continuously during slow start.
 func (r *Router) refreshCapacity() bool {
 	c := &r.capacity
 	grown := c.growsAt > 0 && r.now >= c.growsAt
@@ -66,17 +66,17 @@
 	return true
 }
 
-// addCapacity adds one endpoint to the summed capacity.
+// addCapacity adds one listed endpoint to the capacity bounds.
 func (r *Router) addCapacity(b *backend) {
 	c := &r.capacity
 	c.anySlowStart = c.anySlowStart || r.inSlowStart(b)
-	for _, at := range [2]time.Duration{b.load.fullUntil, b.health.trialAt} {
+	for _, at := range [2]time.Duration{b.load.pausedUntil, b.health.trialAt} {
 		if at > r.now && (c.growsAt == 0 || at < c.growsAt) {
 			c.growsAt = at
 		}
 	}
 	if b.role == RolePrefill {
-		c.bounds.prefills += float64(b.load.attempts)
+		c.bounds.prefillAttempts += float64(b.load.attempts)
 		trial := b.load.attempts == 0 && r.now >= b.health.trialAt
 		if !b.health.ejected || trial || r.backends.roles[RolePrefill].healthy == 0 {
 			r.affinity.usablePrefills++
@@ -84,18 +84,18 @@
 		return
 	}
 	if b.load.attempts == 0 {
-		c.bounds.largestFree = math.Inf(1) // an idle endpoint takes any request
+		c.bounds.largestFree = math.Inf(1) // an idle endpoint accepts a request of any size
 	}
-	c.bounds.mixed = c.bounds.mixed || b.role == RoleMixed && b.mayHaveCapacity(r.now)
+	c.bounds.mixedMayFit = c.bounds.mixedMayFit || b.role == RoleMixed && b.mayHaveCapacity(r.now)
 	free := r.memoryLimit(b) - b.load.memory
 	c.bounds.largestFree = max(c.bounds.largestFree, free)
 	c.bounds.totalFree += max(free, 0)
 }
 
-// hasCapacity reports that an endpoint takes a further attempt of this replica.
+// hasCapacity reports whether an endpoint can be sent a further attempt of this replica.
 func (r *Router) hasCapacity(b *backend, req *request) bool {
 	switch {
-	case !r.usable(b, req) || r.now < b.load.fullUntil:
+	case !r.usable(b, req) || r.now < b.load.pausedUntil:
 		return false
 	case b.load.attempts == 0:
 		return true
@@ -110,9 +110,9 @@
 	return fits && backlog*b.pace.perToken <= maxBacklog.Seconds()
 }
 
-// mayHaveCapacity is what hasCapacity asks of the endpoint alone.
+// mayHaveCapacity is the part of hasCapacity that does not depend on the request.
 func (b *backend) mayHaveCapacity(now time.Duration) bool {
-	if !b.listed || now < b.load.fullUntil {
+	if !b.listed || now < b.load.pausedUntil {
 		return false
 	}
 	if b.load.attempts == 0 {
@@ -122,8 +122,8 @@
 		b.load.uncached*b.pace.perToken <= maxBacklog.Seconds()
 }
 
-// usable reports that an endpoint may be sent to at all. An ejected one takes one trial at a time, unless all
-// of its role are ejected: then the least bad serve.
+// usable reports whether an endpoint may be sent to at all. An ejected endpoint gets one trial at a time,
+// unless all endpoints of its role are ejected: then all of them are used.
 func (r *Router) usable(b *backend, req *request) bool {
 	if !b.listed || !r.slowStartAllows(b, req) {
 		return false
@@ -133,22 +133,22 @@
 	return !b.health.ejected || trial || r.backends.roles[b.role].healthy == 0
 }
 
-// memoryLimit is the part of an endpoint's memory that this replica may fill, in tokens.
+// memoryLimit is how much of an endpoint's memory this replica may fill, in tokens.
 func (r *Router) memoryLimit(b *backend) float64 {
 	memory := r.config.Kinds[b.Kind].Memory
 	if memory == 0 {
 		return math.MaxInt64
 	}
-	return memory * decodeMemoryFraction / float64(r.config.Replicas) * r.presentCapacity(b)
+	return memory * decodeMemoryFraction / float64(r.config.Replicas) * r.capacityFraction(b)
 }
 
-// memoryTokens is what the request takes of a decode endpoint's memory.
+// memoryTokens is the memory of a decode endpoint that the request is expected to take, in tokens.
 func (req *request) memoryTokens() float64 {
 	return req.PromptTokens + expectedOutputFraction*req.MaxOutputTokens
 }
 
-// decodeHasCapacity reports that some endpoint that decodes has capacity beyond what is being prefilled for
-// it now.
+// decodeHasCapacity reports whether the endpoints that decode have capacity for the request beyond what the
+// prefills in flight will take, each counted as large as this request.
 func (r *Router) decodeHasCapacity(req *request) bool {
 	prefilling, free, found := 0.0, 0.0, false
 	for _, b := range r.backends.sorted {
@@ -162,19 +162,19 @@
 	return found && free > prefilling
 }
 
-// knownToBeFull reports that placeQueued can't succeed, without the cost of trying: no decode endpoint has
-// that much free memory, or the prefill endpoints that would be tried are as full as when they were tried
-// last. A request that was never counted at its preferred endpoint is tried.
+// knownToBeFull reports whether placeQueued is certain to fail, without the cost of trying it: because no
+// decode endpoint has enough free memory, or because the prefill endpoints that would be tried are still as
+// full as at the last try. A request that is not yet counted at its preferred endpoint is always tried.
 func (r *Router) knownToBeFull(req *request) bool {
 	need, bounds := req.memoryTokens(), &r.capacity.bounds
 	mixed := r.backends.roles[RoleMixed].listed > 0
 	prefillsFillMemory := !mixed && r.backends.roles[RolePrefill].listed > 0 &&
-		need*bounds.prefills > bounds.totalFree+memorySlack
+		need*bounds.prefillAttempts > bounds.totalFree+memorySlack
 	if need > bounds.largestFree+memorySlack || prefillsFillMemory {
 		return req.choices.counted || !mixed
 	}
 	unchanged := req.choices.fullVersion == r.capacity.orderVersion
-	if !req.choices.counted || bounds.mixed || r.capacity.anySlowStart || !unchanged {
+	if !req.choices.counted || bounds.mixedMayFit || r.capacity.anySlowStart || !unchanged {
 		return false
 	}
 	for _, b := range req.choices.full {
--- a/routing/config.go
+++ b/routing/config.go
@@ -12,16 +12,16 @@
 const (
 	RolePrefill Role = iota // computes the KV cache state of prompts
 	RoleDecode              // generates the output from such a state
-	RoleMixed               // both stages
+	RoleMixed               // does both stages
 )
 
 // Idempotency says how the requests of a class may be repeated.
 type Idempotency uint8
 
-// The kinds of idempotency.
+// The values of Idempotency.
 const (
 	Idempotent        Idempotency = iota // may be repeated freely
-	IdempotentWithKey                    // repeats are dropped inside a dedup scope, for the dedup window
+	IdempotentWithKey                    // repeats are dropped inside the dedup scope during the dedup window
 	NotIdempotent                        // must never run twice
 )
 
@@ -37,10 +37,10 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name                    string        // for logs only
-	LatencyObjective        time.Duration // the first token is wanted within this time ...
-	LatencyObjectivePer1000 time.Duration // ... plus this for each 1,000 prompt tokens
-	LateWeight              float64       // value of an answer past its objective, as a part of the usual
+	Name                    string        // only for logs
+	LatencyObjective        time.Duration // target time to the first token ...
+	LatencyObjectivePer1000 time.Duration // ... plus this time for each 1,000 prompt tokens
+	LateWeight              float64       // value of a late answer, as a fraction of one in time
 	PriorityWeight          float64       // value of a request, or of a unit of its work; 0 = 1
 	Idempotency             Idempotency
 	DedupScope              DedupScope    // for IdempotentWithKey
@@ -48,56 +48,56 @@
 
 	// Carried for callers; the router does not use them.
 
-	TokenLatencyObjective time.Duration // wanted time between tokens
-	Deadline              time.Duration // how long a client waits in all; Request.Deadline is what counts
+	TokenLatencyObjective time.Duration // target time between tokens
+	Deadline              time.Duration // total time a client waits; Request.Deadline is used
 }
 
 // Kind describes one kind of endpoint.
 type Kind struct {
 	Role   Role
-	Memory float64 // tokens; 0 = unknown
+	Memory float64 // KV cache memory, in tokens; 0 = unknown
 }
 
 // Tenant is one customer and its quota.
 type Tenant struct {
-	QuotaPerS float64 // requests a second over all replicas; 0 = no limit
+	QuotaPerS float64 // requests per second over all replicas; 0 = no limit
 	Share     float64 // Carried for callers; the router does not use it.
 }
 
-// Config holds the settings of a Router. A zero value means the documented default.
+// Config holds the settings of a Router. For a zero value, the documented default is used.
 type Config struct {
-	Replicas         int // equal replicas of the gateway; 0 = 1
+	Replicas         int // number of replicas of the gateway; 0 = 1
 	Classes          []Class
 	Kinds            []Kind
 	Tenants          []Tenant      // may be empty
-	OverQuotaWeight  float64       // value of a request beyond its tenant's quota, as a part of the usual
-	WeightByWork     bool          // PriorityWeight is of each unit of work, else of a request
-	MaxAttempts      int           // for one request; 0 = 2
+	OverQuotaWeight  float64       // value of a request beyond its tenant's quota, as a fraction of others
+	WeightByWork     bool          // PriorityWeight is per unit of work; else per request
+	MaxAttempts      int           // attempts for one request, prefills included; 0 = 2
 	CanCancel        bool          // attempts in flight may be canceled
-	MaxRetryAfter    time.Duration // the longest advised wait that clients follow; 0 = 1 s
-	DecodeCanPrefill bool          // a decode endpoint computes a missing read state by itself
-	StateTTL         time.Duration // a read state must be fetched or released within; 0 = 300 ms
-	SlowStartFrom    float64       // part of its capacity at which an endpoint starts; 0 = 0.25
-	SlowStartFor     time.Duration // warm after this; 0 = no slow start
-	OverloadFactor   float64       // sent more than so many times its present capacity ...
-	OverloadAfter    time.Duration // ... for so long, an endpoint in slow start fails
-	PollEndpoints    bool          // the endpoint list must be fetched (FetchEndpoints)
-	PollInterval     time.Duration // it is fetched at least this often
+	MaxRetryAfter    time.Duration // longest Retry-After that clients honor; 0 = 1 s
+	DecodeCanPrefill bool          // decode endpoints compute a missing read state themselves
+	StateTTL         time.Duration // time within which a read state must be fetched or released; 0 = 300 ms
+	SlowStartFrom    float64       // fraction of its capacity that an endpoint has when it starts; 0 = 0.25
+	SlowStartFor     time.Duration // time from its start until an endpoint is warm; 0 = no slow start
+	OverloadFactor   float64       // an endpoint in slow start fails if sent more than this multiple ...
+	OverloadAfter    time.Duration // ... of its current capacity for this long
+	PollEndpoints    bool          // the endpoint list has to be fetched by FetchEndpoints
+	PollInterval     time.Duration // longest time between two fetches
 
 	// Carried for callers; the router does not use them.
 
 	Zone             int           // the zone of this replica
-	Hedging          bool          // two attempts of a request may be in flight; it never does it
-	ReserveAhead     bool          // decode endpoints can be reserved; it picks them after the prefill
-	ResumeStreams    bool          // broken streams come again; they are requests like any other
-	AnswerSlack      time.Duration // time past the deadline in which a final answer still counts
-	DrainGrace       time.Duration // sends to a draining endpoint must stop within; they stop at once
+	Hedging          bool          // hedged requests are allowed; the router never sends any
+	ReserveAhead     bool          // decode endpoints can be reserved; the router never does
+	ResumeStreams    bool          // clients resume broken streams; those are requests like any other
+	AnswerSlack      time.Duration // time after the deadline in which a final answer still counts
+	DrainGrace       time.Duration // sends to a draining endpoint must stop within this time; they stop at once
 	LoadReportFields []string      // names of the figures in Outcome.LoadReport
 }
 
-// ConfigError is a field of a Config that a Router can't work with.
+// ConfigError reports an invalid field of a Config.
 type ConfigError struct {
-	Field   string // by the name that it has in settings files
+	Field   string // its name in settings files
 	Problem string
 }
 
@@ -124,9 +124,9 @@
 			return &ConfigError{fmt.Sprintf("Kinds[%d].Memory", i), "negative"}
 		}
 	}
-	for _, span := range c.durations() {
-		if span.value < 0 {
-			return &ConfigError{span.field, "negative time"}
+	for _, duration := range c.durations() {
+		if duration.value < 0 {
+			return &ConfigError{duration.field, "negative time"}
 		}
 	}
 	if c.Replicas < 0 || c.MaxAttempts < 0 {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// configDuration is a duration of a Config by the name that it has in settings files.
+// configDuration is a duration of a Config with its name in settings files.
 type configDuration struct {
 	field string
 	value time.Duration
--- a/routing/environment_test.go
+++ b/routing/environment_test.go
@@ -20,13 +20,13 @@
 	unsettled     map[RequestID]*requestRecord // those of them that still owe or hold something
 	endpoints     map[EndpointID]Endpoint
 	notReadySince map[EndpointID]time.Duration
-	planned       []plannedOccurrence
+	scheduled     []scheduledEvent
 	recentSends   map[EndpointID][]time.Duration
 	log           []string
 }
 
-// plannedOccurrence is an event to come.
-type plannedOccurrence struct {
+// scheduledEvent is an event to come.
+type scheduledEvent struct {
 	at    time.Duration
 	event Event
 }
@@ -100,11 +100,11 @@
 		}
 		events = append(events, env.dueEvents()...)
 		if len(events) > 0 {
-			env.observe(events)
+			env.recordEvents(events)
 			env.apply(env.router.Step(env.now, events))
 		}
-		env.checkTimes()
-		if i >= steps && len(env.planned) == 0 {
+		env.checkDeadlines()
+		if i >= steps && len(env.scheduled) == 0 {
 			break
 		}
 	}
@@ -120,8 +120,8 @@
 	env.t.Fatalf("%v: "+format, append([]any{env.now}, args...)...)
 }
 
-func (env *environment) plan(after time.Duration, event Event) {
-	env.planned = append(env.planned, plannedOccurrence{env.now + after, event})
+func (env *environment) schedule(after time.Duration, event Event) {
+	env.scheduled = append(env.scheduled, scheduledEvent{env.now + after, event})
 }
 
 func (env *environment) arrival() Event {
@@ -143,7 +143,7 @@
 	record := &requestRecord{request: req, class: env.config.Classes[class]}
 	env.requests[req.ID], env.unsettled[req.ID] = record, record
 	if env.rnd.Intn(20) == 0 {
-		env.plan(time.Duration(env.rnd.Intn(1000))*ms, ClientDisconnected{Request: req.ID})
+		env.schedule(time.Duration(env.rnd.Intn(1000))*ms, ClientDisconnected{Request: req.ID})
 	}
 	return req
 }
@@ -170,19 +170,19 @@
 // dueEvents returns the planned events whose time has come and that are still legal.
 func (env *environment) dueEvents() []Event {
 	var events []Event
-	rest := env.planned[:0]
-	for _, p := range env.planned {
+	rest := env.scheduled[:0]
+	for _, p := range env.scheduled {
 		if p.at > env.now {
 			rest = append(rest, p)
-		} else if env.legal(p.event) {
+		} else if env.stillPossible(p.event) {
 			events = append(events, p.event)
 		}
 	}
-	env.planned = rest
+	env.scheduled = rest
 	return events
 }
 
-func (env *environment) legal(event Event) bool {
+func (env *environment) stillPossible(event Event) bool {
 	switch event := event.(type) {
 	case ClientDisconnected:
 		req := env.requests[event.Request]
@@ -196,8 +196,8 @@
 	return true
 }
 
-// observe books events as the rules see them, and completes outcomes.
-func (env *environment) observe(events []Event) {
+// recordEvents books events as the rules see them, and completes outcomes.
+func (env *environment) recordEvents(events []Event) {
 	for i, event := range events {
 		switch event := event.(type) {
 		case ClientDisconnected:
@@ -207,14 +207,14 @@
 			req.streaming, req.stateHeld = true, false // the state was fetched
 		case Outcome:
 			req := env.requests[event.Request]
-			env.observeOutcome(req, event)
+			env.recordOutcome(req, event)
 			event.RequestDone = req.ended
 			events[i] = event
 		}
 	}
 }
 
-func (env *environment) observeOutcome(req *requestRecord, event Outcome) {
+func (env *environment) recordOutcome(req *requestRecord, event Outcome) {
 	a := &req.attempts[event.Attempt]
 	a.inFlight = false
 	noAnswer := event.Result == EngineError || event.Result == TimedOut ||
@@ -255,9 +255,9 @@
 		case Send:
 			env.send(a)
 		case Reject:
-			env.answer(a.Request, true)
+			env.checkAnswer(a.Request, true)
 		case Fail:
-			env.answer(a.Request, false)
+			env.checkAnswer(a.Request, false)
 		case ReleaseState:
 			if req := env.requests[a.Request]; !req.awaitedByDecode() {
 				req.stateHeld = false
@@ -266,12 +266,12 @@
 			attempt := &env.requests[a.Request].attempts[a.Attempt]
 			attempt.arrived = false // an engine drops at once what waits for its state
 			if attempt.inFlight {
-				env.plan(ms, Outcome{
+				env.schedule(ms, Outcome{
 					Request: a.Request, Attempt: a.Attempt, Endpoint: attempt.endpoint, Result: Canceled,
 				})
 			}
 		case SetTimer:
-			env.plan(a.After, Timer{Tag: a.Tag})
+			env.schedule(a.After, Timer{Tag: a.Tag})
 		}
 	}
 }
@@ -348,16 +348,16 @@
 		after, outcome.Result, outcome.StateMissing = max(limit, 0), TimedOut, false
 	} else if streamEnd && after > limit {
 		attempt.arrived = decode
-		env.plan(limit+ms, Outcome{
+		env.schedule(limit+ms, Outcome{
 			Request: outcome.Request, Attempt: outcome.Attempt, Endpoint: outcome.Endpoint, Result: TimedOut,
 			Elapsed: limit,
 		})
-		env.planned = withoutFirstToken(env.planned, outcome)
+		env.scheduled = withoutFirstToken(env.scheduled, outcome)
 		return
 	}
 	attempt.arrived = decode && (begins || reachesEndpoint(outcome.Result))
 	outcome.Elapsed = after
-	env.plan(after, outcome)
+	env.schedule(after, outcome)
 }
 
 // drawResult draws an outcome and its time; begins says that a stream begins before, whose first token is planned.
@@ -371,7 +371,7 @@
 		outcome.Result = PrefillDone
 	case draw < 13:
 		begins = true
-		env.plan(after, FirstToken{
+		env.schedule(after, FirstToken{
 			Request: a.Request, Attempt: outcome.Attempt, Endpoint: a.Endpoint, Elapsed: after,
 		})
 		outcome.Result = Served
@@ -400,17 +400,17 @@
 func reachesEndpoint(r Result) bool { return r == Served || r == EngineError || r == Rejected }
 
 // withoutFirstToken takes back the first token of an attempt that will time out.
-func withoutFirstToken(planned []plannedOccurrence, o Outcome) []plannedOccurrence {
-	for i, p := range planned {
+func withoutFirstToken(scheduled []scheduledEvent, o Outcome) []scheduledEvent {
+	for i, p := range scheduled {
 		if f, ok := p.event.(FirstToken); ok && f.Request == o.Request && f.Attempt == o.Attempt {
-			return append(planned[:i], planned[i+1:]...)
+			return append(scheduled[:i], scheduled[i+1:]...)
 		}
 	}
-	return planned
+	return scheduled
 }
 
-// answer checks a final answer: one for each request, and no rejection where a retry may do harm.
-func (env *environment) answer(id RequestID, rejected bool) {
+// checkAnswer checks a final answer: one for each request, and no rejection where a retry may do harm.
+func (env *environment) checkAnswer(id RequestID, rejected bool) {
 	req := env.requests[id]
 	if req.ended {
 		env.fail("request %d answered twice", id)
@@ -424,8 +424,8 @@
 	}
 }
 
-// checkTimes holds the clock against the answers that are owed and the states that are held.
-func (env *environment) checkTimes() {
+// checkDeadlines holds the clock against the answers that are owed and the states that are held.
+func (env *environment) checkDeadlines() {
 	for id, req := range env.unsettled {
 		if !req.ended && !req.streaming && env.now > req.request.Deadline+answerTolerance {
 			env.fail("request %d not answered by its deadline", id)
--- a/routing/eventqueue_test.go
+++ b/routing/eventqueue_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// plannedEvent is an event at a time; events at one time keep their order.
-type plannedEvent struct {
+// queuedEvent is an event at a time; events at one time keep their order.
+type queuedEvent struct {
 	at    time.Duration
 	order int
 	event Event
@@ -14,29 +14,29 @@
 
 // eventQueue holds events to come, the earliest first.
 type eventQueue struct {
-	events  eventHeap
-	planned int
+	events eventHeap
+	pushed int
 }
 
-func (q *eventQueue) plan(at time.Duration, event Event) {
-	q.planned++
-	heap.Push(&q.events, plannedEvent{at, q.planned, event})
+func (q *eventQueue) push(at time.Duration, event Event) {
+	q.pushed++
+	heap.Push(&q.events, queuedEvent{at, q.pushed, event})
 }
 
-// next returns the earliest event.
-func (q *eventQueue) next() plannedEvent { return heap.Pop(&q.events).(plannedEvent) }
+// pop returns the earliest event.
+func (q *eventQueue) pop() queuedEvent { return heap.Pop(&q.events).(queuedEvent) }
 
 // due reports that there is an event at a time or before.
 func (q *eventQueue) due(now time.Duration) bool { return len(q.events) > 0 && q.events[0].at <= now }
 
-type eventHeap []plannedEvent
+type eventHeap []queuedEvent
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(plannedEvent)) }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(queuedEvent)) }
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
--- a/routing/events.go
+++ b/routing/events.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// EndpointID names an endpoint; it stays the same when the endpoint's process restarts.
+// EndpointID identifies an endpoint; it stays the same when the endpoint's process restarts.
 type EndpointID uint32
 
-// RequestID names a request; ids are never used twice.
+// RequestID identifies a request; an id is never reused.
 type RequestID uint32
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState uint8
 
 // The states of a listed endpoint.
@@ -18,29 +18,29 @@
 	EndpointDraining
 )
 
-// Endpoint is one line of the endpoint list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID        EndpointID
 	Kind      int // index in Config.Kinds
 	Zone      int
 	Cell      int
 	State     EndpointState
-	StartedAt time.Duration // last start of its process; 0 = long ago
+	StartedAt time.Duration // last start of its process; 0 = long ago, not in slow start
 	Weight    float64       // Carried for callers; the router does not use it.
 }
 
-// ListScope says what an EndpointList holds.
+// ListScope says which endpoints an EndpointList holds.
 type ListScope uint8
 
-// The scopes of an EndpointList.
+// The values of ListScope.
 const (
-	ListChanges ListScope = iota // only lines that changed
-	ListFull                     // all lines; what is missing is gone
-	ListCached                   // all lines as last known to this replica, perhaps old
-	ListFailed                   // fetching failed; the previous list stays
+	ListChanges ListScope = iota // only those that changed
+	ListFull                     // all; one that is missing is gone
+	ListCached                   // all as last known to this replica, possibly out of date
+	ListFailed                   // none: the fetch failed, and the previous list stays valid
 )
 
-// Event is an input of Router.Step, one of the types below.
+// Event is an input of Router.Step: one of the types below.
 type Event interface{ event() }
 
 type (
@@ -49,52 +49,53 @@
 		Scope     ListScope
 		Endpoints []Endpoint
 	}
-	// Request has arrived at this replica, which owes it one final answer by its Deadline.
+	// Request reports a request that arrived at this replica, which must give it one final answer by its
+	// Deadline.
 	Request struct {
 		ID              RequestID
 		Class           int // index in Config.Classes
 		Tenant          int // index in Config.Tenants
 		Session         uint64
-		Prefix          uint64 // id of the prompt prefix that it shares with others; 0 = none
+		Prefix          uint64 // id of a prompt prefix that other requests have too; 0 = none
 		PromptTokens    float64
 		PrefixTokens    float64
 		MaxOutputTokens float64
 		Deadline        time.Duration
-		// PossibleDuplicate marks a retry by the client itself of which an earlier attempt, at any replica,
-		// may have run.
+		// PossibleDuplicate marks a retry by the client, where an earlier request of it, at any replica, may
+		// have run.
 		PossibleDuplicate bool
 
 		// Carried for callers; the router does not use them.
 
-		Retry         bool // a retry of the client, where clients mark them
-		ResumedStream bool // came again after its stream broke
+		Retry         bool // a retry by the client, if clients mark their retries
+		ResumedStream bool // sent again by the client after its stream broke
 	}
-	// FirstToken reports that a stream has begun; its request has no deadline from then on.
+	// FirstToken reports that the stream of an attempt has begun; from then on its request has no deadline.
 	FirstToken struct {
 		Request  RequestID
 		Attempt  int
 		Endpoint EndpointID
 		Elapsed  time.Duration
 	}
-	// Outcome reports how an attempt ended; each Send gets exactly one.
+	// Outcome reports how an attempt ended. Each Send gets exactly one.
 	Outcome struct {
 		Request      RequestID
 		Attempt      int
 		Endpoint     EndpointID
 		Elapsed      time.Duration
-		RequestDone  bool // the request is complete, no answer is owed
+		RequestDone  bool // the request is complete and needs no further answer
 		Result       Result
-		StateMissing bool      // there was no read state to fetch, or it was lost with an answer that failed
-		CachedTokens float64   // with PrefillDone and Served: prompt tokens found in the endpoint's cache
+		StateMissing bool      // there was no read state to fetch, or it was lost when the answer failed
+		CachedTokens float64   // for PrefillDone and Served: prompt tokens found in the endpoint's cache
 		LoadReport   []float64 // Carried for callers; the router does not use it.
 	}
-	// ClientDisconnected reports that the client is gone; no answer is owed.
+	// ClientDisconnected reports that the client has disconnected; its request needs no answer.
 	ClientDisconnected struct{ Request RequestID }
-	// Shutdown reports that this replica ends now: each request without an answer gets its final one.
+	// Shutdown reports that this replica shuts down now; each request without an answer gets one.
 	Shutdown struct{}
-	// Timer is a wake-up that a SetTimer action asked for.
+	// Timer reports that a timer set by a SetTimer action has fired.
 	Timer struct{ Tag uint64 }
-	// Reserved answers a Reserve.
+	// Reserved reports the result of a Reserve.
 	Reserved struct {
 		Request  RequestID
 		Endpoint EndpointID
--- a/routing/hash.go
+++ b/routing/hash.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// hash64 is a 64-bit finalizer (that of splitmix64); every replica hashes alike.
+// hash64 is the 64-bit finalizer of splitmix64. It has no seed, so all replicas hash alike.
 func hash64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -11,7 +11,7 @@
 	return x ^ x>>31
 }
 
-// uniform is a number in (0, 1) that is always the same for a seed and an id.
+// uniform returns a pseudo-random number in (0, 1) that depends only on the seed and the id.
 func uniform(seed, id uint64) float64 {
 	return (float64(hash64(seed^hash64(id))>>11) + 0.5) / (1 << 53)
 }
--- a/routing/invariants_test.go
+++ b/routing/invariants_test.go
@@ -14,7 +14,7 @@
 	return config
 }
 
-func TestRulesUnderRandomEvents(t *testing.T) {
+func TestInvariantsHoldUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
 		for _, arrivals := range []float64{0.05, 0.4} {
 			t.Run(fmt.Sprintf("seed %d at %.2f", seed, arrivals), func(t *testing.T) {
--- a/routing/longprompts_test.go
+++ b/routing/longprompts_test.go
@@ -67,7 +67,7 @@
 }
 
 func (run *longPromptsRun) plan(after time.Duration, replica int, event Event) {
-	run.queue.plan(run.now+after, replicaEvent{event, replica})
+	run.queue.push(run.now+after, replicaEvent{event, replica})
 }
 
 // play lets requests come at load times what the prefill endpoints can do.
@@ -83,7 +83,7 @@
 		})
 	}
 	for len(run.queue.events) > 0 {
-		next := run.queue.next()
+		next := run.queue.pop()
 		run.now = next.at
 		event := next.event.(replicaEvent)
 		if run.observe != nil {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -10,43 +10,45 @@
 const (
 	// outcomeWeight is the weight of the newest outcome in a failure rate.
 	outcomeWeight = 0.25
-	// connectFailureFactor is how much more a failed connection weighs: the process is likely gone.
+	// connectFailureFactor multiplies the weight of a failed connection: the process has probably ended.
 	connectFailureFactor = 2
-	// otherClassFactor is how much less an outcome weighs for other classes: an endpoint may
-	// fail one class only.
+	// otherClassFactor divides the weight of an outcome for classes other than that of its request: an
+	// endpoint may fail one class only.
 	otherClassFactor = 2
-	// sparseOutcomeDecay makes an outcome weigh nearly two thirds after so long without one: a replica of
-	// many sees an endpoint twice a minute.
+	// sparseOutcomeDecay is the time without an outcome after which the next one weighs at least 1-1/e. With
+	// many replicas each of them may see only two outcomes of an endpoint in a minute.
 	sparseOutcomeDecay = 20 * time.Second
 	// failureDecay is the time constant of failure and rejection rates and of slowness.
 	failureDecay = 30 * time.Second
-	// maxFailureRate is how far an endpoint's failure rate may lie above its peers' median before it is
-	// ejected, and the rate of a class from which the endpoint is avoided for it.
+	// maxFailureRate is how far an endpoint's failure rate may lie above the median of its role before the
+	// endpoint is ejected, and the failure or rejection rate of one class above which the endpoint is avoided
+	// for that class.
 	maxFailureRate = 0.4
-	// recoveredFailureRate bounds the failure rate with which an endpoint comes back from ejection.
+	// recoveredFailureRate caps the failure rate of an endpoint when it is reinstated.
 	recoveredFailureRate = 0.3
-	// evaluationInterval is the time between two looks at all endpoints; after a failure one follows at once.
+	// evaluationInterval is the time between evaluations of all endpoints; a failure triggers one at once.
 	evaluationInterval = 100 * time.Millisecond
-	// baseEjectionTime is the first time between ejection and trial. It doubles with each ejection, up to
-	// maxEjectionTime, and halves with each recovery.
+	// baseEjectionTime is the time from the first ejection of an endpoint to its trial. It doubles with each
+	// further ejection, up to maxEjectionTime, and halves with each recovery.
 	baseEjectionTime = 500 * time.Millisecond
 	maxEjectionTime  = 8 * time.Second
-	// minMeasuredRate is the least rate of a role, in attempts a second, by which the ejection time is
-	// stretched.
+	// minMeasuredRate is the rate of a role, in completed attempts per second and endpoint, above which the
+	// ejection time is at least the mean interval between such attempts.
 	minMeasuredRate = 0.01
-	// slowDecodeFactor is how many times the mean its first tokens take before a decode endpoint is avoided.
+	// slowDecodeFactor is the multiple of the mean time to the first token above which a decode endpoint is
+	// avoided.
 	slowDecodeFactor = 4.0
 )
 
-// health is how an endpoint's attempts end, and whether it is ejected.
+// health tracks how an endpoint's attempts end, and whether it is ejected.
 type health struct {
-	failureRate  float64   // of the class that failed least
-	failures     []float64 // rate of late outcomes that failed, by class; decays
-	rejections   []float64 // rate of late attempts that it rejected, by class; decays
-	outcomeAt    time.Duration
+	failureRate  float64       // of the class with the lowest rate
+	failures     []float64     // fraction of recent outcomes that are failures, by class; decays
+	rejections   []float64     // fraction of recent attempts that it rejected, by class; decays
+	outcomeAt    time.Duration // last outcome
 	ejected      bool
-	trialAt      time.Duration // next trial
-	ejectionTime time.Duration // as last used
+	trialAt      time.Duration // earliest time of the next trial
+	ejectionTime time.Duration // length of the last ejection
 }
 
 func newHealth(classes int, now time.Duration) health {
@@ -57,16 +59,16 @@
 	}
 }
 
-// reset forgets what a former process did.
+// reset discards what was learned of the endpoint's previous process.
 func (h *health) reset(now time.Duration) {
 	h.ejected, h.failureRate, h.ejectionTime, h.outcomeAt = false, 0, 0, now
 	clear(h.failures)
 	clear(h.rejections)
 }
 
-// detectOutliers ejects endpoints that do far worse than the peers of their role: they fail more or are
-// silent. That covers crashed, failing, stalled and unreachable endpoints alike. When most are as bad none is
-// ejected.
+// detectOutliers ejects endpoints that do far worse than others of their role: they fail more often or are
+// silent. This covers crashed, failing, stalled and unreachable endpoints alike. If most endpoints of a role
+// fail as often or are silent, none of them is ejected for it.
 func (r *Router) detectOutliers() {
 	r.backends.evaluateAt = r.now + evaluationInterval
 	for _, b := range r.backends.sorted {
@@ -96,7 +98,7 @@
 	}
 	b.health.ejected = true
 	r.orderChanged()
-	sendInterval := time.Duration(0) // between this replica's sends to an endpoint of the role
+	sendInterval := time.Duration(0) // mean interval between this replica's sends to an endpoint of the role
 	if stats.rate > minMeasuredRate {
 		sendInterval = seconds(1 / stats.rate)
 	}
@@ -106,7 +108,7 @@
 		roleNames[b.role], b.ID, cause, b.health.failureRate)})
 }
 
-// reinstate takes an endpoint into use again after a trial that went well.
+// reinstate puts an endpoint back into use after a successful trial.
 func (r *Router) reinstate(b *backend) {
 	b.health.ejected = false
 	b.health.ejectionTime /= 2
@@ -118,7 +120,8 @@
 
 var roleNames = [...]string{RolePrefill: "prefill", RoleDecode: "decode", RoleMixed: "mixed"}
 
-// observeSuccess takes an attempt that went well; inUsualTime is whether it ends an ejection.
+// observeSuccess records a successful attempt. It ends an ejection only if it took no more than the usual
+// time.
 func (r *Router) observeSuccess(b *backend, req *request, inUsualTime bool) {
 	r.observeOutcome(b, req, false, outcomeWeight)
 	if b.health.ejected && inUsualTime {
@@ -126,7 +129,7 @@
 	}
 }
 
-// observeFailure takes an attempt that failed, with a weight.
+// observeFailure records a failed attempt with a weight.
 func (r *Router) observeFailure(b *backend, req *request, weight float64) {
 	r.observeOutcome(b, req, true, weight)
 	if b.health.ejected && r.now >= b.health.trialAt {
@@ -136,9 +139,9 @@
 	}
 }
 
-// observeOutcome takes one outcome into the failure rates of an endpoint: in full for the class of its
-// request, by half for others. A failed connection counts in full for all. An outcome after a long time
-// without one weighs more.
+// observeOutcome updates the failure rates of an endpoint with one outcome. It has its full weight for the
+// class of the request and, unless it is a failed connection, less for others (otherClassFactor). An outcome
+// after a long time without one weighs more (sparseOutcomeDecay).
 func (r *Router) observeOutcome(b *backend, req *request, failed bool, weight float64) {
 	r.observeRejection(b, req, false)
 	h := &b.health
@@ -155,24 +158,26 @@
 	h.failureRate = slices.Min(h.failures)
 }
 
-// observeRejection takes whether an endpoint rejected an attempt. It guards against endpoints that reject one
-// class: a pause for all is too short and too wide there, and each request of that class would be rejected by
-// one after another until no attempt is left. Where all are full, all are alike and none is tried last.
+// observeRejection records whether an endpoint rejected an attempt. The rate by class guards against
+// endpoints that reject one class only. The pause after a rejection is too short for that and affects all
+// classes, so requests of that class would be rejected by one such endpoint after another until they have no
+// attempts left. If all endpoints are full, all have high rates and their order does not change.
 func (r *Router) observeRejection(b *backend, req *request, rejected bool) {
 	r.observeRate(&b.health.rejections[req.Class], rejected, outcomeWeight)
 }
 
-// observeRate moves a rate by one attempt. Where it passes maxFailureRate the order of endpoints changes.
+// observeRate updates a rate with one attempt. If the rate crosses maxFailureRate, the order of endpoints
+// changes.
 func (r *Router) observeRate(rate *float64, happened bool, weight float64) {
 	above := *rate > maxFailureRate
-	movingAverage(rate, boolToFloat(happened), weight)
+	updateAverage(rate, boolToFloat(happened), weight)
 	if above != (*rate > maxFailureRate) {
 		r.orderChanged()
 	}
 }
 
-// avoidedFor reports that an endpoint has failed, rejected or been silent to the request's class, or that its
-// first tokens are slow: it is tried last.
+// avoidedFor reports whether an endpoint is tried last for a request: because it fails, rejects or is silent
+// to the request's class, or because its first tokens are slow. It is false for ejected endpoints.
 func (b *backend) avoidedFor(req *request) bool {
 	if b.health.ejected {
 		return false
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -7,39 +7,42 @@
 )
 
 const (
-	// mixedCapacityFactor is what a mixed endpoint can prefill or decode, against one that does only that.
+	// mixedCapacityFactor is the prefill or decode throughput of a mixed endpoint, relative to an endpoint
+	// that does only that stage.
 	mixedCapacityFactor = 0.6
-	// maxMixedOwed bounds the requests owed to mixed endpoints, either way.
-	maxMixedOwed, minMixedOwed = 2, -1
-	// mixedSlownessWeight is the weight of the newest request in mixedBalance.slowness.
+	// maxMixedCredit and minMixedCredit bound mixedScheduler.credit, in requests.
+	maxMixedCredit, minMixedCredit = 2, -1
+	// mixedSlownessWeight is the weight of the newest sample in mixedScheduler.slowness.
 	mixedSlownessWeight = 0.2
-	// parkedFraction is the part of the state TTL for which a read state may wait for a decode endpoint.
-	parkedFraction = 0.5
-	// minShortage keeps divisions by a locality's shortage or parts defined.
+	// maxDecodeWaitFraction is the fraction of the state TTL for which a read state may wait until some
+	// decode endpoint may be sent to.
+	maxDecodeWaitFraction = 0.5
+	// minShortage avoids division by zero in localityShare.shortage and by its result.
 	minShortage = 1e-9
 )
 
-// mixedBalance spreads whole requests over mixed endpoints where others prefill and decode separately.
-type mixedBalance struct {
-	owed     float64 // whole requests that mixed endpoints have yet to take
-	slowness float64 // their mean time to the first token, against that by separate endpoints
+// mixedScheduler decides how many requests go to mixed endpoints, which do both stages, in a fleet that also
+// has separate prefill and decode endpoints.
+type mixedScheduler struct {
+	credit   float64 // requests that mixed endpoints must still be sent to get their share
+	slowness float64 // mean time to the first token there, divided by the usual time elsewhere
 }
 
-// observe takes the time to a first token, or the time without one, at a mixed endpoint, against the time
-// that separate endpoints usually take.
-func (m *mixedBalance) observe(a *attempt, usual float64, elapsed time.Duration) {
+// observe updates slowness with an attempt at a mixed endpoint: elapsed is its time to the first token, or
+// until its time-out, and usual is the time, in seconds, that separate endpoints usually take.
+func (m *mixedScheduler) observe(a *attempt, usual float64, elapsed time.Duration) {
 	if a.backend.role == RoleMixed && a.cost.queued > 0 {
-		movingAverage(&m.slowness, elapsed.Seconds()/usual, mixedSlownessWeight)
+		updateAverage(&m.slowness, elapsed.Seconds()/usual, mixedSlownessWeight)
 	}
 }
 
-// placeQueued sends a queued request to a prefill endpoint, or whole to a mixed one, if there is capacity for
-// it.
+// placeQueued sends a queued request to a prefill endpoint, or to an endpoint that does both stages, and
+// reports whether one had capacity for it.
 func (r *Router) placeQueued(req *request) bool {
 	prefills, mixed := &r.backends.roles[RolePrefill], &r.backends.roles[RoleMixed]
-	if mixed.listed > 0 && (prefills.listed == 0 || r.mixed.owed >= 1) {
+	if mixed.listed > 0 && (prefills.listed == 0 || r.mixed.credit >= 1) {
 		if b := r.preferredBackend(req, RoleMixed); b != nil {
-			r.mixed.owed = max(r.mixed.owed-1, minMixedOwed)
+			r.mixed.credit = max(r.mixed.credit-1, minMixedCredit)
 			r.send(req, b, true)
 			return true
 		}
@@ -58,31 +61,33 @@
 		return false
 	}
 	if mixed.healthy > 0 {
-		r.oweMixed()
+		r.addMixedCredit()
 	}
 	r.send(req, b, false)
 	return true
 }
 
-// oweMixed adds the mixed endpoints' part of a request, by what they can prefill and decode and how slow they
-// are.
-func (r *Router) oweMixed() {
+// addMixedCredit adds the mixed endpoints' share of one request to their credit: the smaller of their share
+// of the decode capacity and their prefill capacity relative to that of the prefill endpoints, divided by
+// their slowness.
+func (r *Router) addMixedCredit() {
 	mixed, decodes := &r.backends.roles[RoleMixed], &r.backends.roles[RoleDecode]
 	decodeCapacity := mixedCapacityFactor *
 		min(mixed.healthy, mixed.memory/decodes.memory*max(decodes.healthy, 1e-9))
-	part := min(
+	share := min(
 		decodeCapacity/(decodeCapacity+decodes.healthy),
 		mixedCapacityFactor*mixed.healthy/max(r.backends.roles[RolePrefill].healthy, 1),
 	)
-	r.mixed.owed = min(r.mixed.owed+part/max(r.mixed.slowness, 1), maxMixedOwed)
+	r.mixed.credit = min(r.mixed.credit+share/max(r.mixed.slowness, 1), maxMixedCredit)
 }
 
-// placeDecode sends a prefilled request to a decode endpoint; if none may be sent to, the request is parked
-// for a part of the state TTL. That counts from the prefill, or from the last reply of a decode endpoint:
-// while connections fail the state waits.
+// placeDecode sends a prefilled request to a decode endpoint. If none may be sent to, the request waits for
+// at most maxDecodeWaitFraction of the state TTL, counted from the end of the prefill or from the last reply
+// of a decode endpoint. Failed connections don't restart that time, since the prefill endpoint holds the
+// state throughout.
 func (r *Router) placeDecode(req *request) {
 	b := r.decodeBackend(req, false)
-	parkedFor := r.now - req.state.since
+	waited := r.now - req.state.renewedAt
 	reason := r.giveUpReason(req)
 	switch {
 	case reason != ReasonNone:
@@ -90,7 +95,7 @@
 		reason = ReasonDeadline
 	case r.stateExpired(req):
 		reason = ReasonStateExpired
-	case b == nil && parkedFor >= time.Duration(parkedFraction*float64(r.config.StateTTL)):
+	case b == nil && waited >= time.Duration(maxDecodeWaitFraction*float64(r.config.StateTTL)):
 		reason = ReasonNoDecodeEndpoint
 	}
 	switch {
@@ -99,24 +104,25 @@
 	case b != nil:
 		r.send(req, b, true)
 	default:
-		r.readStates.parked = append(r.readStates.parked, req)
+		r.readStates.awaitingDecode = append(r.readStates.awaitingDecode, req)
 	}
 }
 
-// decodeRank orders endpoints for a decode, smallest first.
+// decodeRank is the sort key of a candidate for a decode; the smallest, compared in order, is the best.
 type decodeRank [6]float64
 
-// decodeBackend returns the endpoint with the fewest attempts of this replica, ties going to the prefill's
-// cell, then its zone. If none has capacity it is, unless capacity is required, the least loaded that may be
-// sent to at all, ejected ones last; nil if there is none.
+// decodeBackend returns the endpoint with capacity that has the fewest attempts of this replica; ties go to
+// the cell of the request's prefill endpoint, then to its zone. If none has capacity and requireCapacity is
+// false, it returns the endpoint with the fewest attempts of those that may be sent to at all, ejected ones
+// last. It returns nil if there is none.
 func (r *Router) decodeBackend(req *request, requireCapacity bool) *backend {
 	var best *backend
 	var bestRank decodeRank
 	decodesListed := r.backends.roles[RoleDecode].listed > 0
-	keepCell, keepZone := r.keepLocality(req)
+	preferCell, preferZone := r.preferPrefillLocality(req)
 	for _, b := range r.backends.sorted {
-		spared := b.role == RolePrefill || b.role == RoleMixed && req.state.backend != nil && decodesListed
-		if spared || !b.listed || !r.repeatAllowed(req, b) {
+		skip := b.role == RolePrefill || b.role == RoleMixed && req.state.backend != nil && decodesListed
+		if skip || !b.listed || !r.repeatAllowed(req, b) {
 			continue
 		}
 		capacity := r.hasCapacity(b, req)
@@ -127,8 +133,8 @@
 			boolToFloat(!capacity) + boolToFloat(!capacity && b.health.ejected),
 			boolToFloat(req.triedOn(b)) + boolToFloat(b.avoidedFor(req)),
 			float64(b.load.attempts),
-			boolToFloat(!keepCell || b.Cell != req.state.backend.Cell),
-			boolToFloat(!keepZone || b.Zone != req.state.backend.Zone),
+			boolToFloat(!preferCell || b.Cell != req.state.backend.Cell),
+			boolToFloat(!preferZone || b.Zone != req.state.backend.Zone),
 			-math.Log(uniform(r.seed^uint64(b.ID), uint64(req.ID))) / r.backends.cells.at(b.Cell).shortage(),
 		}
 		if best == nil || slices.Compare(rank[:], bestRank[:]) < 0 {
@@ -138,11 +144,13 @@
 	return best
 }
 
-// keepLocality reports whether ties between decode endpoints go to the prefill's cell, and to its zone. They
-// do, unless a replica has less than one attempt for each decode endpoint, so that nearly all are tied, and
-// the cell has a larger part of the prefill capacity than of the decode capacity: then that part stays and
-// the rest goes where decode endpoints are short of prefills.
-func (r *Router) keepLocality(req *request) (cell, zone bool) {
+// preferPrefillLocality reports whether ties between decode endpoints go to the cell, and to the zone, of the
+// request's prefill endpoint. Usually they do. But where a replica has less than one attempt in flight per
+// decode endpoint, nearly all decode endpoints tie, and if the cell has a larger share of the prefill
+// capacity than of the decode capacity, its decode endpoints would get too many requests. Then only the
+// fraction that they have the capacity for stays in the cell, and the rest goes to cells that have more
+// decode than prefill capacity. The same holds for zones.
+func (r *Router) preferPrefillLocality(req *request) (cell, zone bool) {
 	stats := &r.backends.roles[RoleDecode]
 	prefilled := req.state.backend != nil
 	if !prefilled || stats.inFlight >= stats.listed {
@@ -153,8 +161,9 @@
 	return u*c.prefill <= c.decode, u*z.prefill <= z.decode
 }
 
-// repeatAllowed reports that an endpoint may get a request of which an earlier attempt may have run: any
-// endpoint if the class is idempotent, one in the same dedup scope and window if it is with a key.
+// repeatAllowed reports whether the request may be sent to an endpoint, given that an earlier attempt may
+// have run: to any endpoint if the class is idempotent, and to one in the same dedup scope, inside the dedup
+// window, if it is idempotent with a key.
 func (r *Router) repeatAllowed(req *request, b *backend) bool {
 	if !req.execution.possible || req.class.Idempotency == Idempotent {
 		return true
@@ -172,27 +181,27 @@
 	}
 }
 
-// localityShare is a locality's part of all prefill capacity and of all decode capacity.
+// localityShare is the share that a cell or zone has of all prefill capacity and of all decode capacity.
 type localityShare struct{ prefill, decode float64 }
 
-// shortage is how far the prefill part lacks behind the decode part.
+// shortage is how far the prefill share falls short of the decode share, as a fraction of the latter.
 func (s localityShare) shortage() float64 {
 	return max(1-s.prefill/max(s.decode, minShortage), minShortage)
 }
 
-// localities are by cell or zone.
+// localities holds the shares of all cells or of all zones, by number.
 type localities map[int]*localityShare
 
-func (l localities) at(place int) *localityShare {
-	share := l[place]
+func (l localities) at(locality int) *localityShare {
+	share := l[locality]
 	if share == nil {
 		share = &localityShare{}
-		l[place] = share
+		l[locality] = share
 	}
 	return share
 }
 
-// sumLocalities sums up each cell's and zone's parts anew.
+// sumLocalities recomputes the capacity shares of all cells and zones.
 func (r *Router) sumLocalities() {
 	r.backends.cells, r.backends.zones = localities{}, localities{}
 	for _, b := range r.backends.sorted {
@@ -200,13 +209,13 @@
 			continue
 		}
 		cell, zone := r.backends.cells.at(b.Cell), r.backends.zones.at(b.Zone)
-		part := r.presentCapacity(b) / r.backends.roles[b.role].healthy
+		share := r.capacityFraction(b) / r.backends.roles[b.role].healthy
 		if b.role == RolePrefill {
-			cell.prefill += part
-			zone.prefill += part
+			cell.prefill += share
+			zone.prefill += share
 		} else {
-			cell.decode += part
-			zone.decode += part
+			cell.decode += share
+			zone.decode += share
 		}
 	}
 }
--- a/routing/placement_test.go
+++ b/routing/placement_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestTiedDecodesLeaveACellOfPrefills: three quarters of the prefill endpoints stand in a cell with a quarter of the
-// decode endpoints. With an attempt in flight here and there all decode endpoints tie, and the cell's must not get most
-// of the requests.
-func TestTiedDecodesLeaveACellOfPrefills(t *testing.T) {
+// TestTiedDecodeEndpointsGetEvenLoadAcrossCells: three quarters of the prefill endpoints stand in a cell with a
+// quarter of the decode endpoints. With an attempt in flight here and there all decode endpoints tie, and the cell's
+// must not get most of the requests.
+func TestTiedDecodeEndpointsGetEvenLoadAcrossCells(t *testing.T) {
 	listed := endpoints(8, 8)
 	prefills, decodes := listed[:8], listed[8:]
 	for i := range prefills {
@@ -31,15 +31,15 @@
 type mixedCase struct {
 	prefills, decodes, mixed int
 	memory                   float64 // of a mixed endpoint, against a decode endpoint
-	late                     float64 // first tokens of mixed endpoints, against the usual
-	least, most              float64 // part of the requests that mixed endpoints take
+	slowdown                 float64 // first tokens of mixed endpoints, against the usual
+	minShare, maxShare       float64 // part of the requests that mixed endpoints take
 }
 
-// TestMixedEndpointsTakeTheirPart: few large decode endpoints beside many prefill endpoints, and mixed endpoints with a
-// fifth of a decode endpoint's memory. By decoding they could take a third of what the decode endpoints do, but they
+// TestMixedEndpointsGetTheirShare: few large decode endpoints beside many prefill endpoints, and mixed endpoints with
+// a fifth of a decode endpoint's memory. By decoding they could take a third of what the decode endpoints do, but they
 // have to prefill it too, as the many prefill endpoints do for the rest; and when their first tokens come late they
 // take less.
-func TestMixedEndpointsTakeTheirPart(t *testing.T) {
+func TestMixedEndpointsGetTheirShare(t *testing.T) {
 	cases := []mixedCase{
 		{40, 40, 15, 1, 1, 0.13, 0.18},    // by decoding: 9 of 49, for each prefill
 		{75, 10, 15, 0.2, 1, 0.09, 0.12},  // by prefilling: 9 of 75
@@ -49,15 +49,15 @@
 	}
 	for _, tc := range cases {
 		t.Run(fmt.Sprintf("%+v", tc), func(t *testing.T) {
-			if part := tc.mixedPart(t, 2000); part < tc.least || part > tc.most {
-				t.Errorf("mixed endpoints took %.3f", part)
+			if share := tc.mixedShare(t, 2000); share < tc.minShare || share > tc.maxShare {
+				t.Errorf("mixed endpoints took %.3f", share)
 			}
 		})
 	}
 }
 
-// mixedPart plays requests and returns the part that mixed endpoints took.
-func (tc mixedCase) mixedPart(t *testing.T, requests int) float64 {
+// mixedShare plays requests and returns the part that mixed endpoints took.
+func (tc mixedCase) mixedShare(t *testing.T, requests int) float64 {
 	t.Helper()
 	const firstMixedID = 900
 	config := testConfig()
@@ -74,8 +74,8 @@
 		attempt := 0
 		if send.Endpoint >= firstMixedID {
 			mixed++
-			if tc.late > 1 && mixed > 20 { // against the usual time of separate endpoints, by the router's own means
-				took = seconds(tc.late * h.router.latency.usualFirstToken(500))
+			if tc.slowdown > 1 && mixed > 20 { // against the usual time of separate endpoints, by the router's own means
+				took = seconds(tc.slowdown * h.router.latency.usualFirstToken(500))
 			}
 		} else {
 			send = onlyAction[Send](t, h.prefilled(req.ID, send.Endpoint, took))
@@ -91,8 +91,8 @@
 	return float64(mixed) / float64(requests)
 }
 
-// TestMixedEndpointsWhereAllDecodesAreEjected: what they are owed stays a number.
-func TestMixedEndpointsWhereAllDecodesAreEjected(t *testing.T) {
+// TestMixedCreditStaysFiniteWhenAllDecodesAreEjected: what they are owed stays a number.
+func TestMixedCreditStaysFiniteWhenAllDecodesAreEjected(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), mixedEndpoint(3))
 	h.router.eject(h.backend(2), "test")
 	h.router.sumRoles()
@@ -101,8 +101,8 @@
 		req.Prefix = uint64(id)
 		h.advance(20*ms, req)
 	}
-	owed := h.router.mixed.owed
-	if within := owed >= minMixedOwed && owed <= maxMixedOwed; !within { // NaN is not
+	owed := h.router.mixed.credit
+	if within := owed >= minMixedCredit && owed <= maxMixedCredit; !within { // NaN is not
 		t.Errorf("%v whole requests are owed to the mixed endpoint", owed)
 	}
 }
--- a/routing/readstate.go
+++ b/routing/readstate.go
@@ -5,75 +5,76 @@
 	"time"
 )
 
-// stateTTLParts divides the state TTL: one part is left for a release to arrive, and is what a connection may
-// take to come up while a state waits.
+// stateTTLParts divides the state TTL. One part of it is reserved for a release to reach the endpoint, and
+// one part is the connect timeout of attempts for which a state waits.
 const stateTTLParts = 5
 
-// A read state's time runs from the end of its prefill, or from the last answer of a decode endpoint that did
-// not take it. An attempt in flight does not stop it: that its bytes were accepted here says nothing of
-// whether they arrived, and connections may fall silent with no error. Only an answer of the decode endpoint
-// says that. So near the end of its time a state is released though a decode is in flight. Where that decode
-// did arrive the release does nothing: a state for which an attempt waits at a running decode endpoint stays.
+// The TTL of a read state runs from the end of its prefill, or from the last response of a decode endpoint
+// that did not fetch it. An attempt in flight does not stop it: that the local socket accepted the bytes does
+// not mean that they arrived, and a connection may stop delivering without an error. Only a response of the
+// decode endpoint shows that they did. So a state is released shortly before its TTL ends even while a decode
+// is in flight. If that decode did arrive, the release has no effect, since a state that an attempt at a
+// running decode endpoint waits for is kept.
 
-// readStates are the read states that wait for a decode endpoint.
+// readStates tracks read states from the end of their prefill until they are fetched or released.
 type readStates struct {
-	parked   []*request    // no decode endpoint may be sent to yet
-	expiries []stateExpiry // the earliest first
+	awaitingDecode []*request    // prefilled requests for which no decode endpoint is usable yet
+	expiries       []stateExpiry // the earliest first
 }
 
 // heldState is the read state of one request.
 type heldState struct {
-	backend   *backend      // where it is held; nil = nowhere
-	since     time.Duration // when its time began
-	requested bool          // some prefill was sent: a state may be held
+	backend     *backend      // the endpoint that holds it; nil = none
+	renewedAt   time.Duration // when its TTL started
+	prefillSent bool          // a prefill was sent, so some endpoint may hold a state
 }
 
-// stateExpiry is the end of a read state's time, unless it has been fetched or renewed by then.
+// stateExpiry is the time at which a read state is released, unless it was fetched or renewed before.
 type stateExpiry struct {
 	req *request
 	at  time.Duration
 }
 
-// unpark takes a request off those that wait for a decode endpoint.
-func (s *readStates) unpark(req *request) {
-	s.parked = slices.DeleteFunc(s.parked, func(other *request) bool { return other == req })
+// removeAwaitingDecode removes a request from those that wait for a decode endpoint, if it is one of them.
+func (s *readStates) removeAwaitingDecode(req *request) {
+	s.awaitingDecode = slices.DeleteFunc(s.awaitingDecode, func(other *request) bool { return other == req })
 }
 
-// stateTime is how long a read state may be held here; the rest of its TTL is for the release to arrive.
-func (r *Router) stateTime() time.Duration {
+// maxStateAge is the age at which a read state is released; the rest of its TTL is for the release to arrive.
+func (r *Router) maxStateAge() time.Duration {
 	return r.config.StateTTL * (stateTTLParts - 1) / stateTTLParts
 }
 
-// stateExpired reports that the time of a request's read state is up.
-func (r *Router) stateExpired(req *request) bool { return r.now-req.state.since > r.stateTime() }
+// stateExpired reports whether a request's read state is older than maxStateAge.
+func (r *Router) stateExpired(req *request) bool { return r.now-req.state.renewedAt > r.maxStateAge() }
 
-// renewState starts the time of a request's read state anew.
+// renewState restarts the TTL of a request's read state.
 func (r *Router) renewState(req *request) {
-	req.state.since = r.now
-	r.readStates.expiries = append(r.readStates.expiries, stateExpiry{req, r.now + r.stateTime()})
+	req.state.renewedAt = r.now
+	r.readStates.expiries = append(r.readStates.expiries, stateExpiry{req, r.now + r.maxStateAge()})
 }
 
-// valid reports that a state is still held for its request and that its time was not renewed.
-func (r *Router) valid(expiry stateExpiry) bool {
+// expiryPending reports whether a state is still held for its request and was not renewed since.
+func (r *Router) expiryPending(expiry stateExpiry) bool {
 	state := &expiry.req.state
-	return !expiry.req.ended && state.backend != nil && state.since+r.stateTime() == expiry.at
+	return !expiry.req.ended && state.backend != nil && state.renewedAt+r.maxStateAge() == expiry.at
 }
 
-// releaseExpiredStates releases the states whose time is up while a decode is in flight. A request with
-// nothing in flight is parked, and placeDecode ends it.
+// releaseExpiredStates releases expired states while a decode is in flight. A request with nothing in flight
+// waits in awaitingDecode, and placeDecode ends it.
 func (r *Router) releaseExpiredStates() {
 	expiries := r.readStates.expiries
-	done := 0
-	for ; done < len(expiries); done++ {
-		expiry := expiries[done]
-		valid := r.valid(expiry)
-		if valid && expiry.at >= r.now {
+	expired := 0
+	for ; expired < len(expiries); expired++ {
+		expiry := expiries[expired]
+		pending := r.expiryPending(expiry)
+		if pending && expiry.at >= r.now {
 			break
 		}
-		if valid && expiry.req.inFlight > 0 {
+		if pending && expiry.req.inFlight > 0 {
 			r.emit(ReleaseState{expiry.req.ID})
 		}
 	}
-	clear(expiries[:done]) // the array before the rest must not keep requests alive
-	r.readStates.expiries = expiries[done:]
+	clear(expiries[:expired]) // or the shared array would keep the requests alive
+	r.readStates.expiries = expiries[expired:]
 }
--- a/routing/readstate_test.go
+++ b/routing/readstate_test.go
@@ -73,10 +73,10 @@
 	}
 }
 
-// TestStateIsReleasedBehindASilentDecode: a decode has been sent and nothing is heard of it. The state is released in
-// time and the attempt goes on. If it begins, all is well; if the endpoint rejects it, the state waited for it and goes
-// to another one; if it ends without an answer, the request is prefilled again.
-func TestStateIsReleasedBehindASilentDecode(t *testing.T) {
+// TestStateIsReleasedInTimeDespiteASilentDecode: a decode has been sent and nothing is heard of it. The state is
+// released in time and the attempt goes on. If it begins, all is well; if the endpoint rejects it, the state waited
+// for it and goes to another one; if it ends without an answer, the request is prefilled again.
+func TestStateIsReleasedInTimeDespiteASilentDecode(t *testing.T) {
 	tests := []struct {
 		name   string
 		end    func(h *harness, endpoint EndpointID) []Action
--- a/routing/recorded_test.go
+++ b/routing/recorded_test.go
@@ -128,7 +128,7 @@
 	return rec
 }
 
-func (rec *recording) plan(after time.Duration, event Event) { rec.queue.plan(rec.now+after, event) }
+func (rec *recording) plan(after time.Duration, event Event) { rec.queue.push(rec.now+after, event) }
 
 // play returns the run's line of the recorded file.
 func (rec *recording) play() string {
@@ -150,7 +150,7 @@
 		rec.now = rec.queue.events[0].at
 		var events []Event
 		for rec.queue.due(rec.now) {
-			if event := rec.deliver(rec.queue.next().event); event != nil {
+			if event := rec.deliver(rec.queue.pop().event); event != nil {
 				events = append(events, event)
 			}
 		}
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -119,11 +119,11 @@
 			r.emit(Cancel{req.ID, i})
 		}
 	}
-	if req.state.requested && !req.streaming {
+	if req.state.prefillSent && !req.streaming {
 		r.emit(ReleaseState{req.ID})
 	}
 	r.queue.remove(req)
-	r.readStates.unpark(req)
+	r.readStates.removeAwaitingDecode(req)
 	if req.inFlight == 0 {
 		delete(r.requests, req.ID)
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -1,10 +1,11 @@
-// Package routing decides for one replica of a gateway in front of separate prefill and decode endpoints:
-// where a request is prefilled and decoded, and when it is queued, retried, rejected or failed.
+// Package routing makes the routing decisions of one replica of a gateway in front of separate prefill and
+// decode endpoints: where each request is prefilled and decoded, and when it is queued, retried, rejected or
+// failed.
 //
-// It is a pure state machine. Router.Step takes events (events.go) and returns actions (actions.go); it reads
-// no clock, does no input or output, and starts no goroutine. A Router belongs to one goroutine and shares
-// nothing with other Routers; replicas of a gateway don't talk to each other. The same events at the same
-// times give the same actions.
+// A Router is a deterministic state machine. Router.Step takes events (events.go) and returns actions
+// (actions.go). It reads no clock, does no I/O and starts no goroutines: the same events at the same times
+// give the same actions. A Router must be used by one goroutine at a time and shares no state with other
+// Routers; the replicas of a gateway don't communicate.
 package routing
 
 import (
@@ -16,9 +17,10 @@
 
 const (
 	// queuedWakeInterval is the longest time between two steps while requests wait for capacity or for a
-	// decode endpoint: it bounds how late a deadline or a freed endpoint is noticed.
+	// decode endpoint. It bounds the delay until a passed deadline or new capacity is noticed.
 	queuedWakeInterval = 20 * time.Millisecond
-	// idleWakeInterval is the same while requests are only in flight: silent endpoints must be noticed.
+	// idleWakeInterval is the longest time between two steps while requests are only in flight, so that
+	// silent endpoints are noticed.
 	idleWakeInterval = 200 * time.Millisecond
 	// wakeTag is the tag of the one timer that a Router uses.
 	wakeTag = 1
@@ -27,20 +29,21 @@
 	defaultMaxRetryAfter = time.Second
 	defaultSlowStartFrom = 0.25
 
-	// minFetchInterval bounds how often a polled endpoint list is fetched, also after a failed fetch.
+	// minFetchInterval is the least time between fetches of a polled endpoint list, also after a failed
+	// fetch.
 	minFetchInterval = time.Second
 )
 
-// DefaultStateTTL takes the place of a Config.StateTTL of 0.
+// DefaultStateTTL is used if Config.StateTTL is 0.
 const DefaultStateTTL = 300 * time.Millisecond
 
-// Router decides for one replica. It is not safe for concurrent use.
+// Router makes the decisions for one replica. It is not safe for concurrent use.
 type Router struct {
 	config     Config
-	seed       uint64        // differs between replicas, so that they draw differently
-	now        time.Duration // of the current step
-	actions    []Action      // returned by the current step
-	wakeAt     time.Duration // the earliest wake-up asked for and still to come; 0 = none
+	seed       uint64        // differs between replicas, so that their random draws are independent
+	now        time.Duration // time of the current step
+	actions    []Action      // actions of the current step
+	wakeAt     time.Duration // earliest pending timer; 0 = none
 	requests   map[RequestID]*request
 	backends   backendSet
 	queue      requestQueue
@@ -49,10 +52,11 @@
 	readStates readStates
 	admission  admission
 	latency    latencyStats
-	mixed      mixedBalance
+	mixed      mixedScheduler
 }
 
-// New makes a Router for one replica; each replica of a gateway uses another seed.
+// New returns a Router for one replica. Each replica of a gateway must use a different seed. An invalid
+// config gives a *ConfigError.
 func New(config Config, seed uint64) (*Router, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -75,7 +79,8 @@
 	}, nil
 }
 
-// Step takes the events that happened at now, in order, and returns what to do, in order.
+// Step processes the events that happened at the time now, in order, and returns the actions to carry out, in
+// order.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
 	elapsed := (now - r.now).Seconds()
 	r.now, r.actions = now, nil
@@ -91,9 +96,9 @@
 		r.emit(FetchEndpoints{})
 		r.backends.fetchAt = r.now + max(r.config.PollInterval/2, minFetchInterval)
 	}
-	parked := r.readStates.parked
-	r.readStates.parked = nil
-	for _, req := range parked {
+	awaitingDecode := r.readStates.awaitingDecode
+	r.readStates.awaitingDecode = nil
+	for _, req := range awaitingDecode {
 		r.placeDecode(req)
 	}
 	r.dispatch()
@@ -120,7 +125,7 @@
 	}
 }
 
-// shutdown gives each request without an answer its final one; what still arrives is rejected too.
+// shutdown answers each request that has no answer yet. Requests that arrive afterwards are rejected.
 func (r *Router) shutdown() {
 	r.admission.shuttingDown = true
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
@@ -132,10 +137,10 @@
 
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-// setTimer asks for the next wake-up, unless one that is as early is still to come.
+// setTimer sets a timer for the next step, unless a pending timer fires as early.
 func (r *Router) setTimer() {
 	after := idleWakeInterval
-	if len(r.queue.waiting)+len(r.readStates.parked) > 0 {
+	if len(r.queue.waiting)+len(r.readStates.awaitingDecode) > 0 {
 		after = queuedWakeInterval
 	} else if len(r.requests) == 0 && !r.config.PollEndpoints {
 		return
--- a/routing/silence.go
+++ b/routing/silence.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// minSilence and silenceFactor say when an endpoint is silent: nothing was heard of it for so long, and
-	// so many times the usual.
+	// An endpoint is silent if attempts wait there and it has not responded for longer than minSilence plus
+	// silenceFactor times the usual response time.
 	minSilence    = 1000 * time.Millisecond
 	silenceFactor = 6.0
 )
 
-// silence tracks what was heard of an endpoint.
+// silence tracks the attempts at an endpoint that have no response yet.
 type silence struct {
-	unanswered int           // attempts of which nothing was heard yet
-	heardAt    time.Duration // when something was last heard, or the first of these was sent
-	attempts   []attemptRef  // that may be unanswered, the oldest first
-	byClass    []bool        // classes of which an attempt has been unanswered for longer than silence allows
-	next       []bool        // the slice that byClass is computed in next
+	unanswered  int           // number of attempts without any response
+	silentSince time.Duration // last response, or the first unanswered send if that was later
+	attempts    []attemptRef  // attempts that may be unanswered, the oldest first
+	byClass     []bool        // classes with an attempt unanswered for longer than maxSilence
+	scratch     []bool        // reused for the next computation of byClass
 }
 
-// attemptRef names an attempt; pointers to attempts don't last, as their slice grows.
+// attemptRef identifies an attempt. A pointer to it would become stale when its request's slice grows.
 type attemptRef struct {
 	req   *request
 	index int
@@ -29,20 +29,20 @@
 
 func (ref attemptRef) attempt() *attempt { return &ref.req.attempts[ref.index] }
 
-// toClass reports that an attempt of a class has been unanswered for long.
+// toClass reports whether the endpoint is silent to a class.
 func (s *silence) toClass(class int) bool { return class < len(s.byClass) && s.byClass[class] }
 
-// sent notes that the next attempt of a request is sent.
-func (s *silence) sent(req *request, now time.Duration) {
+// addAttempt records that the next attempt of a request is sent to the endpoint.
+func (s *silence) addAttempt(req *request, now time.Duration) {
 	if s.unanswered++; s.unanswered == 1 {
-		s.heardAt = now
+		s.silentSince = now
 	}
 	s.attempts = append(s.attempts, attemptRef{req, len(req.attempts)})
 }
 
-// maxSilence is how long nothing may be heard of an endpoint, or of an attempt there: much longer than the
-// usual time. Attempts of a class that is not idempotent have no time-out, so without it a stall would show
-// at their deadlines only.
+// maxSilence is the time without a response after which an endpoint, or an attempt there, counts as silent:
+// much longer than the usual response time. Attempts of a class that is not idempotent have no time-out, so
+// without this check a stall would only be noticed at their deadlines.
 func (r *Router) maxSilence(b *backend) time.Duration {
 	usual := b.load.uncached * r.latency.prefillPace
 	if b.role != RolePrefill {
@@ -51,12 +51,14 @@
 	return minSilence + seconds(silenceFactor*usual)
 }
 
-// silent reports that an endpoint has attempts and nothing was heard of it for longer than silence allows.
+// silent reports whether an endpoint has unanswered attempts and has not responded for longer than
+// maxSilence.
 func (r *Router) silent(b *backend) bool {
-	return b.silence.unanswered > 0 && r.now-b.silence.heardAt > r.maxSilence(b)
+	return b.silence.unanswered > 0 && r.now-b.silence.silentSince > r.maxSilence(b)
 }
 
-// refreshClassSilence finds the classes to which each endpoint is silent, though it may answer others.
+// refreshClassSilence recomputes the classes to which each endpoint is silent; it may still answer other
+// classes.
 func (r *Router) refreshClassSilence() {
 	for _, b := range r.backends.sorted {
 		s := &b.silence
@@ -67,31 +69,31 @@
 			continue
 		}
 		if s.byClass == nil {
-			s.byClass, s.next = make([]bool, len(r.config.Classes)), make([]bool, len(r.config.Classes))
+			s.byClass, s.scratch = make([]bool, len(r.config.Classes)), make([]bool, len(r.config.Classes))
 		}
-		clear(s.next)
+		clear(s.scratch)
 		allowed := r.maxSilence(b)
 		for _, ref := range s.attempts {
 			overdue := !ref.req.ended && r.now-ref.attempt().sentAt > allowed
-			s.next[ref.req.Class] = s.next[ref.req.Class] || overdue
+			s.scratch[ref.req.Class] = s.scratch[ref.req.Class] || overdue
 		}
-		if !slices.Equal(s.next, s.byClass) {
-			s.next, s.byClass = s.byClass, s.next
+		if !slices.Equal(s.scratch, s.byClass) {
+			s.scratch, s.byClass = s.byClass, s.scratch
 			r.orderChanged()
 		}
 	}
 }
 
-// answered books an attempt out of those that are unanswered and wait to be prefilled; byEndpoint says that
-// the endpoint itself was heard.
-func (r *Router) answered(a *attempt, byEndpoint bool) {
+// markAnswered removes an attempt from the unanswered ones and its prompt from those that wait to be
+// prefilled. fromEndpoint says that the endpoint itself has responded.
+func (r *Router) markAnswered(a *attempt, fromEndpoint bool) {
 	b := a.backend
 	if a.awaitingReply {
 		b.silence.unanswered--
 	}
 	b.load.uncached = max(b.load.uncached-a.cost.uncached, 0)
 	a.awaitingReply, a.cost.uncached = false, 0
-	if byEndpoint {
-		b.silence.heardAt = r.now
+	if fromEndpoint {
+		b.silence.silentSince = r.now
 	}
 }
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestSilenceOfAllEjectsNone(t *testing.T) {
+func TestNoEndpointIsEjectedWhenAllAreSilent(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3), decodeEndpoint(4))
 	for id := RequestID(1); id <= 30; id++ {
 		prefill := onlyAction[Send](t, h.advance(30*ms, h.request(id, notIdempotentClass, 500)))
@@ -61,7 +61,7 @@
 	}
 	for range 60 { // the endpoint answers others all the while
 		h.advance(50 * ms)
-		h.backend(silent).silence.heardAt = h.now
+		h.backend(silent).silence.silentSince = h.now
 	}
 	ejected := h.backend(silent).health.ejected
 	if elsewhere == 0 || ejected || !silentTo(notIdempotentClass) || silentTo(idempotentClass) {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -47,12 +47,12 @@
 	}
 }
 
-// TestSlowStartAheadOfTheClock: a start in the future counts as just started.
-func TestSlowStartAheadOfTheClock(t *testing.T) {
+// TestStartTimeInTheFutureCountsAsJustStarted: a start in the future counts as just started.
+func TestStartTimeInTheFutureCountsAsJustStarted(t *testing.T) {
 	e := decodeEndpoint(2)
 	e.StartedAt = 2 * time.Hour
 	h := newHarness(t, testConfig(), prefillEndpoint(1), e)
-	if p := h.router.presentCapacity(h.backend(2)); p != 0.25 {
+	if p := h.router.capacityFraction(h.backend(2)); p != 0.25 {
 		t.Fatalf("present capacity %v", p)
 	}
 }
@@ -149,9 +149,9 @@
 const (
 	runPrefills, runDecodes = 12, 24
 
-	runWindow    = 1500 * time.Millisecond // testConfig's OverloadAfter
-	runPerWindow = 120                     // requests, before the burst
-	runStart     = 30 * time.Second
+	runWindow            = 1500 * time.Millisecond // testConfig's OverloadAfter
+	runRequestsPerWindow = 120                     // requests, before the burst
+	runStart             = 30 * time.Second
 )
 
 // TestSlowStartLimitHoldsInEveryWindow: endpoints that have just started get, from all replicas together and in any
@@ -161,17 +161,17 @@
 func TestSlowStartLimitHoldsInEveryWindow(t *testing.T) {
 	firstHalf := func(i int) bool { return i < runPrefills/2 }
 	even := func(i int) bool { return i%2 == 0 }
-	aDecode := func(i int) bool { return i == 15 }
+	oneDecode := func(i int) bool { return i == 15 }
 	cases := []slowStartCase{
 		{"a prefill", func(i int) bool { return i == 3 }, false, false},
-		{"a decode, replicas restart", aDecode, true, false},
+		{"a decode, replicas restart", oneDecode, true, false},
 		{"half of the prefills", firstHalf, false, false},
 		{"half of all, replicas restart", even, true, false},
 		{"all prefills but one", func(i int) bool { return i < runPrefills-1 }, false, false},
 		{"all decodes but one, replicas restart", func(i int) bool { return i > runPrefills }, true, false},
 		{"half of the prefills, others fail", firstHalf, false, true},
 		{"half of all, others fail, replicas restart", even, true, true},
-		{"a decode, others fail", aDecode, false, true},
+		{"a decode, others fail", oneDecode, false, true},
 	}
 	for _, replicas := range []int{3, 30, 300} {
 		for _, tc := range cases {
@@ -182,8 +182,8 @@
 				}
 				run.group = newReplicaGroup(t, run.config, replicas, run.listed)
 				run.skewTraffic(replicas)
-				run.group.play(20*runPerWindow, runStart, run.prefix)
-				run.start(t, replicas)
+				run.group.play(20*runRequestsPerWindow, runStart, run.prefix)
+				run.startEndpoints(t, replicas)
 				total := 0
 				for window := range 6 {
 					total += run.playWindow(t, window)
@@ -211,8 +211,8 @@
 	run.group.harnesses = harnesses
 }
 
-// start begins the slow start, and the faults beside it.
-func (run *slowStartRun) start(t *testing.T, replicas int) {
+// startEndpoints begins the slow start, and the faults beside it.
+func (run *slowStartRun) startEndpoints(t *testing.T, replicas int) {
 	t.Helper()
 	for i := range run.listed {
 		if run.starting(i) {
@@ -243,9 +243,9 @@
 	t.Helper()
 	g := run.group
 	g.sends = map[EndpointID]int{}
-	requests := runPerWindow
+	requests := runRequestsPerWindow
 	if window > 1 {
-		requests = runPerWindow * 3 / 2
+		requests = runRequestsPerWindow * 3 / 2
 	}
 	g.playFrom(requests, runStart+time.Duration(window)*runWindow, runWindow, run.prefix)
 	elapsed := float64(window) * runWindow.Seconds() // since the start, at the window's start
--- a/routing/stats.go
+++ b/routing/stats.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// throughputDecay is the time constant of completed work.
+	// throughputDecay is the time constant of pace.completed.
 	throughputDecay = 5 * time.Second
 
-	// Initial values of moving averages, until the first samples come.
-	initialPrefillPace = 1e-4 // seconds a token
+	// Initial values of moving averages.
+	initialPrefillPace = 1e-4 // seconds per token
 	initialFirstToken  = 0.3  // seconds
 
-	// Weights of the newest sample in moving averages: small for those of a whole replica, large for the
-	// slowness of one endpoint, which sees few.
+	// Weights of the newest sample in moving averages: small for averages over a whole replica, large for the
+	// slowness of one endpoint, which gets few samples.
 	prefillPaceWeight       = 0.05
 	prefillTimeWeight       = 0.3
 	prefillTimeoutWeight    = 0.1 // a time-out says only that it takes at least so long
@@ -26,21 +26,21 @@
 	backendPaceWeight       = 0.1
 	slownessWeight          = 0.6
 
-	// minPacedTokens is the least queued tokens by which a prefill's time is divided.
+	// minPacedTokens is the least number of tokens by which the time of a prefill is divided.
 	minPacedTokens = 200
-	// minServiceFraction is the part of the mean service time within which no first token comes.
-	minServiceFraction = 4
-	// minRoleMemory keeps divisions by a role's memory defined.
+	// minServiceDivisor divides the mean service time: no first token is expected in less time than that.
+	minServiceDivisor = 4
+	// minRoleMemory keeps the summed memory of a role above 0, since it is used as a divisor.
 	minRoleMemory = 1e-9
 )
 
-// movingAverage moves an exponential moving average to a sample of a weight.
-func movingAverage(average *float64, sample, weight float64) {
+// updateAverage updates an exponential moving average with a sample of the given weight.
+func updateAverage(average *float64, sample, weight float64) {
 	*average += weight * (sample - *average)
 }
 
-// decay lets a figure fall exponentially with time. Most are 0 where a replica sees few requests of many
-// endpoints.
+// decay reduces a value exponentially with the elapsed time, in seconds. It skips the computation for 0,
+// which is the most frequent value where a replica sees few requests of many endpoints.
 func decay(value *float64, elapsed float64, timeConstant time.Duration) {
 	if *value != 0 {
 		*value *= math.Exp(-elapsed / timeConstant.Seconds())
@@ -49,9 +49,9 @@
 
 // latencyStats are moving averages over all requests of this replica.
 type latencyStats struct {
-	uncachedTokens []float64 // of a prompt, by class
-	prefillPace    float64   // seconds a token, this replica's backlog included
-	prefillTime    float64   // seconds from the send of a prefill to its end, others' backlog included
+	uncachedTokens []float64 // uncached tokens per prompt, by class
+	prefillPace    float64   // seconds per prompt token, including this replica's backlog
+	prefillTime    float64   // seconds from the send of a prefill to its end, including all backlog there
 	firstToken     float64   // seconds from the send of a decode to the first token
 }
 
@@ -63,36 +63,37 @@
 	}
 }
 
-// minServiceTime is the least time in which a queued request of a class may get its first token.
+// minServiceTime is a lower bound of the time until a queued request of a class gets its first token.
 func (l *latencyStats) minServiceTime(class int) time.Duration {
-	return seconds(l.uncachedTokens[class]*l.prefillPace/minServiceFraction + l.firstToken/minServiceFraction)
+	return seconds(l.uncachedTokens[class]*l.prefillPace/minServiceDivisor + l.firstToken/minServiceDivisor)
 }
 
-// usualFirstToken is the usual time to a first token, in seconds, behind a number of queued tokens.
+// usualFirstToken is the usual time to the first token, in seconds, if the given number of tokens has to be
+// prefilled before.
 func (l *latencyStats) usualFirstToken(queued float64) float64 {
 	return queued*l.prefillPace + l.firstToken
 }
 
-// pace is how fast an endpoint works, as this replica sees it.
+// pace is how fast an endpoint works, as observed by this replica.
 type pace struct {
-	perToken  float64 // seconds that a waiting prompt token takes, this replica's backlog included
-	slowness  float64 // times of this replica's attempts there, against the mean; decays
-	completed float64 // prefills and answers; decays
-	decayedAt time.Duration
+	perToken  float64       // seconds per waiting prompt token, including this replica's backlog
+	slowness  float64       // mean time of this replica's attempts there, relative to all endpoints; decays
+	completed float64       // number of completed prefills and answers; decays
+	decayedAt time.Duration // when the decaying values were last updated
 }
 
-// observePrefill takes the time that an attempt took until its prompt was prefilled.
+// observePrefill records the time that an attempt took until its prompt was prefilled.
 func (r *Router) observePrefill(a *attempt, elapsed time.Duration) {
 	b := a.backend
 	perToken := elapsed.Seconds() / max(a.cost.queued, minPacedTokens)
-	movingAverage(&b.pace.perToken, perToken, backendPaceWeight)
-	movingAverage(&b.pace.slowness, perToken/r.latency.prefillPace, slownessWeight)
+	updateAverage(&b.pace.perToken, perToken, backendPaceWeight)
+	updateAverage(&b.pace.slowness, perToken/r.latency.prefillPace, slownessWeight)
 	if b.role == RolePrefill {
-		movingAverage(&r.latency.prefillPace, perToken, prefillPaceWeight)
+		updateAverage(&r.latency.prefillPace, perToken, prefillPaceWeight)
 	}
 }
 
-// decayStats brings the decaying figures of an endpoint to the present.
+// decayStats updates the decaying values of an endpoint to the current time.
 func (r *Router) decayStats(b *backend) {
 	elapsed := (r.now - b.pace.decayedAt).Seconds()
 	b.pace.decayedAt = r.now
@@ -106,30 +107,31 @@
 			}
 		}
 	}
-	decay(&b.cache.preferred, elapsed, preferredDecay)
+	decay(&b.cache.preferredRequests, elapsed, preferredDecay)
 }
 
-// roleStats sum up the endpoints of a role, once for every change rather than once for every endpoint.
+// roleStats holds sums over the endpoints of a role. They are computed once for each evaluation or update of
+// the list, not once for each endpoint.
 type roleStats struct {
 	listed, healthy float64   // listed endpoints, and those of them that are not ejected
 	warm, idle      float64   // listed endpoints past slow start, and those without attempts of this replica
-	inFlight        float64   // attempts of this replica
-	completed       float64   // by warm endpoints, of late
-	rate            float64   // completed a second by a warm endpoint for this replica, as last seen
-	failureRates    []float64 // of the listed ones, sorted
-	silent          int       // silent ones that are not ejected
-	memory          float64   // tokens, of those that are not ejected
+	inFlight        float64   // attempts of this replica in flight at listed endpoints
+	completed       float64   // pace.completed of the warm endpoints
+	rate            float64   // completed per second by a warm endpoint for this replica, as last computed
+	failureRates    []float64 // of the listed endpoints, sorted
+	silent          int       // listed endpoints that are silent and not ejected
+	memory          float64   // memory of the listed endpoints that are not ejected, in tokens
 }
 
-// reset begins a new sum. The rate stays, for the case that no endpoint is warm.
+// reset clears the sums. The rate stays, since it can't be computed while no endpoint is warm.
 func (s *roleStats) reset() {
 	*s = roleStats{rate: s.rate, failureRates: s.failureRates[:0], memory: minRoleMemory}
 }
 
-// medianFailureRate is the lower median.
+// medianFailureRate is the lower median of the failure rates.
 func (s *roleStats) medianFailureRate() float64 { return s.failureRates[(len(s.failureRates)-1)/2] }
 
-// sumRoles sums up each role anew.
+// sumRoles recomputes the sums of all roles and localities.
 func (r *Router) sumRoles() {
 	r.refreshClassSilence()
 	roles := &r.backends.roles
