--- a/routing/affinity_test.go
+++ b/routing/affinity_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// usedEndpoints lets requests with one prefix arrive and returns the endpoints that they are sent to.
+// usedEndpoints sends the router requests with one prefix and returns the endpoints that they go to.
 func usedEndpoints(h *harness, from, to RequestID) map[EndpointID]bool {
 	used := map[EndpointID]bool{}
 	for id := from; id <= to; id++ {
@@ -16,7 +16,8 @@
 	return used
 }
 
-// newAffinityHarness has six prefill endpoints. Each prefix is a small part of what was seen, so it prefers one.
+// newAffinityHarness returns a harness with six prefill endpoints. The total request count is so high that no key is
+// popular, so each key prefers one endpoint.
 func newAffinityHarness(t *testing.T, decodes ...Endpoint) *harness {
 	t.Helper()
 	listed := decodes
@@ -49,11 +50,11 @@
 			return
 		}
 	}
-	t.Fatal("nothing was sent past the restarted endpoints")
+	t.Fatal("all requests went to the restarted endpoints")
 }
 
-// TestAffinitySpreadsAPopularPrefix: half of the traffic has one prefix. It is prefilled evenly everywhere, since half
-// of all prefills would crowd a few endpoints, while a prefix of few requests keeps to few.
+// TestAffinitySpreadsAPopularPrefix: half of the requests share one prefix. They must be prefilled evenly at all
+// endpoints, since a few would be overloaded by them, while a prefix with few requests stays on few endpoints.
 func TestAffinitySpreadsAPopularPrefix(t *testing.T) {
 	for _, replicas := range []int{4, 100} {
 		group := newReplicaGroup(t, testConfig(), replicas, endpoints(30, 10))
@@ -74,11 +75,11 @@
 			return most, used
 		}
 		if most, used := prefills(1000, 7); most > 100 || used < 28 {
-			t.Errorf("%d replicas: the popular prefix's busiest endpoint got %d of 1000, %d endpoints any",
+			t.Errorf("%d replicas: the busiest endpoint got %d of 1000 requests of the popular prefix, %d endpoints got any",
 				replicas, most, used)
 		}
 		if most, used := prefills(2*replicas, 555); used > 10 || 3*most < 2*replicas {
-			t.Errorf("%d replicas: a rare prefix's busiest endpoint got %d of %d, %d endpoints any",
+			t.Errorf("%d replicas: the busiest endpoint got %d of %d requests of a rare prefix, %d endpoints got any",
 				replicas, most, 2*replicas, used)
 		}
 	}
--- a/routing/backend_test.go
+++ b/routing/backend_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// rollingFleet is 740 endpoints whose pods are replaced all the time: 20 new names a minute, as full lists.
+// rollingFleet is a fleet of 740 endpoints of which 20 are replaced by new ids every minute, by full endpoint lists.
 type rollingFleet struct {
 	harness *harness
 	listed  []Endpoint
@@ -37,7 +37,8 @@
 	f.sendList()
 }
 
-// TestGoneEndpointsAreForgotten: what is remembered is bounded by the list and by what went of late.
+// TestGoneEndpointsAreForgotten: the number of endpoints kept is bounded by the length of the list and the number of
+// endpoints that left it recently.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	f := newRollingFleet(t)
 	known := &f.harness.router.backends
@@ -45,23 +46,24 @@
 	for range 5000 {
 		f.replacePods()
 		if n := len(known.sorted); n > most || n != len(known.byID) {
-			t.Fatalf("%d endpoints and %d ids are known, %d at most", n, len(known.byID), most)
+			t.Fatalf("%d endpoints and %d ids are kept, want equal numbers and at most %d", n, len(known.byID), most)
 		}
 	}
 	f.harness.step(f.harness.request(1, idempotentClass, 500))
 	f.harness.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{{ID: 77, State: EndpointGone}}})
 	if f.harness.backend(77) != nil {
-		t.Error("an endpoint that was gone when first heard of is remembered")
+		t.Error("an endpoint that was already gone in its first update is kept")
 	}
 }
 
-// TestGoneEndpointKeepsItsStatistics: its attempts until they end, and its health for a while.
+// TestGoneEndpointKeepsItsStatistics: an endpoint that left the list is kept while it has attempts in flight, and its
+// health survives if it is listed again soon.
 func TestGoneEndpointKeepsItsStatistics(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
 	list := func(listed ...Endpoint) { h.step(EndpointList{Scope: ListFull, Endpoints: listed}) }
 	sends := actionsOf[Send](h.step(h.request(1, idempotentClass, 500)))
 	if len(sends) != 1 || sends[0].Endpoint != 1 {
-		t.Fatalf("%v", sends)
+		t.Fatalf("sends %v, want one to endpoint 1", sends)
 	}
 	h.backend(1).health.failures[0] = 0.9
 	for range 3 {
@@ -74,7 +76,7 @@
 	h.step(Outcome{Request: 1, Endpoint: 1, Result: ConnectionReset})
 	list(decodeEndpoint(2))
 	if h.backend(1) != nil {
-		t.Error("it was not forgotten once its attempt had ended")
+		t.Error("the endpoint is kept although its attempt has ended")
 	}
 	list(prefillEndpoint(3), decodeEndpoint(2))
 	h.backend(3).health.failures[0] = 0.9
@@ -82,7 +84,7 @@
 	h.now += time.Second
 	list(prefillEndpoint(3), decodeEndpoint(2))
 	if b := h.backend(3); b.health.failures[0] < 0.8 || b.goneAt != 0 {
-		t.Errorf("an endpoint back after a second has lost its statistics: failure rate %.2f", b.health.failures[0])
+		t.Errorf("an endpoint listed again after a second lost its statistics: failure rate %.2f", b.health.failures[0])
 	}
 }
 
@@ -91,21 +93,21 @@
 	config.PollEndpoints, config.PollInterval = true, 4*time.Second
 	h := newHarness(t, config)
 	if actions := h.advance(3 * time.Second); len(actionsOf[FetchEndpoints](actions)) != 1 {
-		t.Fatalf("no second fetch in %+v", actions)
+		t.Fatalf("want one fetch, got %+v", actions)
 	}
 	h.advance(ms, EndpointList{Scope: ListFailed})
 	onlyAction[FetchEndpoints](t, h.advance(time.Second))
 }
 
-// TestAttemptsInFlightEndNormallyWhenAnEndpointChangesRole: a prefill endpoint becomes a decode endpoint while
-// prefills are in flight there and a state waits there. What is in flight ends as it would have, nothing new is
-// prefilled there, and its load comes out even.
+// TestAttemptsInFlightEndNormallyWhenAnEndpointChangesRole: a prefill endpoint becomes a decode endpoint while it has
+// prefills in flight and holds a read state. The attempts in flight end as usual, no further prompt is prefilled
+// there, and its load is 0 when all of them have ended.
 func TestAttemptsInFlightEndNormallyWhenAnEndpointChangesRole(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
 	for id := RequestID(1); id <= 3; id++ {
 		sends := actionsOf[Send](h.step(h.request(id, idempotentClass, 500)))
 		if len(sends) != 1 || sends[0].Endpoint != 1 {
-			t.Fatalf("%v", sends)
+			t.Fatalf("sends %v, want one to endpoint 1", sends)
 		}
 	}
 	prefilled := func(id RequestID, took time.Duration) []Action {
@@ -113,7 +115,7 @@
 	}
 	actions := prefilled(1, 20*ms)
 	if sends := actionsOf[Send](actions); len(sends) != 1 || sends[0].Endpoint != 2 {
-		t.Fatalf("%v", actions)
+		t.Fatalf("actions %v, want one send to endpoint 2", actions)
 	}
 	draining := prefillEndpoint(1)
 	draining.State = EndpointDraining
@@ -123,12 +125,12 @@
 	h.step(EndpointList{Scope: ListChanges, Endpoints: []Endpoint{changed}})
 	sends := actionsOf[Send](h.step(h.request(4, idempotentClass, 500)))
 	if len(sends) != 1 || sends[0].Endpoint != 3 {
-		t.Errorf("a prompt goes to %v", sends)
+		t.Errorf("sends of a new request %v, want one to endpoint 3", sends)
 	}
 	for id := RequestID(2); id <= 3; id++ { // their prefills began before the change
 		actions := prefilled(id, 30*ms)
 		if sends := actionsOf[Send](actions); len(sends) != 1 || sends[0].Endpoint == 3 {
-			t.Errorf("the state at the changed endpoint goes to %v", actions)
+			t.Errorf("actions %v, want one send to a decode endpoint", actions)
 		}
 	}
 	for id := RequestID(1); id <= 3; id++ {
@@ -141,15 +143,15 @@
 	b := h.backend(1)
 	idle := b.load.attempts == 0 && b.load.memory == 0 && b.load.uncached == 0 && b.silence.unanswered == 0
 	if !idle || b.role != RoleDecode {
-		t.Errorf("role %d, load %+v, %d unanswered at an endpoint with nothing to do",
+		t.Errorf("role %d, load %+v, %d unanswered after all attempts have ended",
 			b.role, b.load, b.silence.unanswered)
 	}
 }
 
-// BenchmarkRolling is an arrival and its end in a fleet of 740 that has seen 740 names, and one that has seen 100,000
-// more; the two must cost alike.
+// BenchmarkRolling measures the arrival and the end of a request in a new fleet of 740 endpoints and in one where
+// 100,000 endpoints were replaced before. Both must cost about the same.
 func BenchmarkRolling(b *testing.B) {
-	for name, rolls := range map[string]int{"new": 0, "after 100,000 names": 5000} {
+	for name, rolls := range map[string]int{"new": 0, "after 100,000 replaced endpoints": 5000} {
 		b.Run(name, func(b *testing.B) {
 			f := newRollingFleet(b)
 			for range rolls {
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// BenchmarkStep is one request's arrival and its end, at several sizes.
+// BenchmarkStep measures the arrival and the end of a request in fleets of several sizes.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 74, 100, 740} {
-		b.Run(fmt.Sprintf("%d servers", n), func(b *testing.B) { benchmarkStep(b, n*2/5, n-n*2/5) })
+		b.Run(fmt.Sprintf("%d endpoints", n), func(b *testing.B) { benchmarkStep(b, n*2/5, n-n*2/5) })
 	}
 }
 
@@ -31,16 +31,16 @@
 	}
 }
 
-// BenchmarkQueuedRequests measures one event beside n queued requests, on 20 endpoints that have no capacity.
+// BenchmarkQueuedRequests measures one event while n requests are queued for 20 endpoints without capacity.
 func BenchmarkQueuedRequests(b *testing.B) {
 	for _, n := range []int{200, 3000, 10000} {
-		b.Run(fmt.Sprintf("new and gone beside %d", n), func(b *testing.B) { newFullRouter(b, n).arrivals(b) })
-		b.Run(fmt.Sprintf("nothing beside %d", n), func(b *testing.B) { newFullRouter(b, n).timers(b) })
-		b.Run(fmt.Sprintf("room beside %d", n), func(b *testing.B) { newFullRouter(b, n).retries(b) })
+		b.Run(fmt.Sprintf("arrival and disconnect, %d queued", n), func(b *testing.B) { newFullRouter(b, n).arrivals(b) })
+		b.Run(fmt.Sprintf("timer, %d queued", n), func(b *testing.B) { newFullRouter(b, n).timers(b) })
+		b.Run(fmt.Sprintf("freed capacity, %d queued", n), func(b *testing.B) { newFullRouter(b, n).retries(b) })
 	}
 }
 
-// fullRouter is a router whose endpoints have no capacity, with requests in its queue.
+// fullRouter is a router with queued requests, whose endpoints have no capacity.
 type fullRouter struct {
 	router   *Router
 	rnd      *rand.Rand
@@ -53,7 +53,7 @@
 
 func newFullRouter(b *testing.B, requests int) *fullRouter {
 	b.Helper()
-	const prefillsInFlight = 48 // eight endpoints, maxPrefills each
+	const prefillsInFlight = 48 // maxPrefills at each of eight endpoints
 	config := testConfig()
 	for i := range config.Classes {
 		config.Classes[i].LatencyObjective = time.Hour
@@ -91,7 +91,7 @@
 		f.router.Step(f.now, []Event{f.request()})
 		f.router.Step(f.now, []Event{ClientDisconnected{f.nextID}})
 	}
-	b.ReportMetric(float64(f.queued), "held")
+	b.ReportMetric(float64(f.queued), "queued")
 }
 
 func (f *fullRouter) timers(b *testing.B) {
@@ -100,10 +100,10 @@
 		f.now += 10 * time.Microsecond
 		f.router.Step(f.now, []Event{Timer{}})
 	}
-	b.ReportMetric(float64(f.queued), "held")
+	b.ReportMetric(float64(f.queued), "queued")
 }
 
-// retries lets prefills fail: each is queued again and another takes its place.
+// retries makes prefills fail. Each failed request is queued again, and another one is sent instead.
 func (f *fullRouter) retries(b *testing.B) {
 	b.ResetTimer()
 	for range b.N {
@@ -116,11 +116,11 @@
 			})
 			f.attempts[id]++
 			if req := f.router.requests[id]; req != nil {
-				req.attempts = req.attempts[:0] // or its attempts run out
+				req.attempts = req.attempts[:0] // otherwise it would run out of attempts
 				f.attempts[id] = 0
 			}
 			break
 		}
 	}
-	b.ReportMetric(float64(f.queued), "held")
+	b.ReportMetric(float64(f.queued), "queued")
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -91,7 +91,7 @@
 	ReserveAhead     bool          // decode endpoints can be reserved; the router never does
 	ResumeStreams    bool          // clients resume broken streams; those are requests like any other
 	AnswerSlack      time.Duration // time after the deadline in which a final answer still counts
-	DrainGrace       time.Duration // sends to a draining endpoint must stop within this time; they stop at once
+	DrainGrace       time.Duration // time in which sends to a draining endpoint must stop; they stop at once
 	LoadReportFields []string      // names of the figures in Outcome.LoadReport
 }
 
--- a/routing/encodeaction_test.go
+++ b/routing/encodeaction_test.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// encodeAction writes an action in a form that stays the same when types and fields are renamed: a fixed name for the
-// kind of action, then its values in a fixed order. Durations are nanoseconds. Of a log line only its position counts.
+// encodeAction encodes an action in a form that does not depend on the names of types and fields: a fixed name for the
+// type of the action, then its values in a fixed order. Durations are in nanoseconds. The text of a Log is left out.
 func encodeAction(a Action) string {
 	switch a := a.(type) {
 	case Send:
@@ -28,10 +28,10 @@
 	case Log:
 		return "log"
 	}
-	panic("an action of no known kind")
+	panic("unknown type of action")
 }
 
-// encode joins a name and values by spaces.
+// encode joins a name and values with spaces.
 func encode(name string, values ...any) string {
 	var b strings.Builder
 	b.WriteString(name)
--- a/routing/environment_test.go
+++ b/routing/environment_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// environment answers a Router with random but legal events and checks the rules that hold for its actions. It models
-// no service: outcomes and their times are drawn blindly.
+// environment gives a Router random but valid events and checks that its actions keep the invariants. It does not
+// model endpoints: outcomes and their times are random, independent of load.
 type environment struct {
 	t             *testing.T
 	rnd           *rand.Rand
@@ -17,7 +17,7 @@
 	now           time.Duration
 	lastID        RequestID
 	requests      map[RequestID]*requestRecord
-	unsettled     map[RequestID]*requestRecord // those of them that still owe or hold something
+	unsettled     map[RequestID]*requestRecord // not answered, with attempts in flight or with a held state
 	endpoints     map[EndpointID]Endpoint
 	notReadySince map[EndpointID]time.Duration
 	scheduled     []scheduledEvent
@@ -25,13 +25,13 @@
 	log           []string
 }
 
-// scheduledEvent is an event to come.
+// scheduledEvent is an event that happens at a later time.
 type scheduledEvent struct {
 	at    time.Duration
 	event Event
 }
 
-// requestRecord is what the rules need to know of a request.
+// requestRecord is the state of a request that the invariants depend on.
 type requestRecord struct {
 	request   Request
 	class     Class
@@ -48,16 +48,16 @@
 	inFlight   bool
 	decode     bool
 	mayHaveRun bool
-	// arrived says that it is a decode which has reached a running endpoint. The connection of all others may be
-	// silent, and they do not stop the clock of a held state.
+	// arrived says that this is a decode that has reached a running endpoint. Other attempts may be on a connection
+	// that is silent, so they don't stop the TTL of a held state.
 	arrived bool
 }
 
-// maxSlowStartSends is more than an endpoint in slow start may get in a window, whatever its peers get: a crude bound
-// that a flood would break.
+// maxSlowStartSends is a coarse upper bound of the sends to an endpoint in slow start in one window, whatever other
+// endpoints get. Without any limit there would be far more.
 const maxSlowStartSends = 25
 
-// answerTolerance is how far past a request's deadline a step may come.
+// answerTolerance is how long after its deadline a request may still be unanswered, since steps are apart in time.
 const answerTolerance = 25 * ms
 
 func newEnvironment(t *testing.T, config Config, seed int64, endpoints int) *environment {
@@ -86,7 +86,8 @@
 	return env
 }
 
-// run plays steps with arrivals of a probability, then waits until all requests are settled.
+// run plays a number of steps, each with an arrival with the given probability, then runs on until all requests are
+// settled.
 func (env *environment) run(steps int, arrivals float64) {
 	const settleSteps = 3000
 	for i := range steps + settleSteps {
@@ -110,7 +111,7 @@
 	}
 	for id, req := range env.unsettled {
 		if !req.ended || req.stateHeld {
-			env.fail("request %d left: ended %v, state held %v", id, req.ended, req.stateHeld)
+			env.fail("request %d not settled at the end of the run: ended %v, state held %v", id, req.ended, req.stateHeld)
 		}
 	}
 }
@@ -167,7 +168,7 @@
 	return EndpointList{Scope: ListChanges, Endpoints: []Endpoint{e}}
 }
 
-// dueEvents returns the planned events whose time has come and that are still legal.
+// dueEvents removes the scheduled events that are due and returns those that are still possible.
 func (env *environment) dueEvents() []Event {
 	var events []Event
 	rest := env.scheduled[:0]
@@ -190,13 +191,13 @@
 	case FirstToken:
 		req := env.requests[event.Request]
 		return !req.ended && !req.streaming
-	case Outcome: // a cancel or an earlier outcome may have come first
+	case Outcome: // a cancel or an earlier outcome may have ended the attempt
 		return env.requests[event.Request].attempts[event.Attempt].inFlight
 	}
 	return true
 }
 
-// recordEvents books events as the rules see them, and completes outcomes.
+// recordEvents updates the records with events, and sets RequestDone in outcomes.
 func (env *environment) recordEvents(events []Event) {
 	for i, event := range events {
 		switch event := event.(type) {
@@ -227,7 +228,7 @@
 		req.ended, req.stateHeld = true, false
 	case event.StateMissing:
 		req.stateHeld = false
-	case a.arrived: // the state waits on
+	case a.arrived: // the state is still held, and its TTL starts again
 		req.heldSince = env.now
 	}
 	a.arrived = false
@@ -236,8 +237,8 @@
 	}
 }
 
-// awaitedByDecode reports that a decode in flight has reached a running endpoint: only such a one stops the clock of a
-// held state, and keeps it from a release.
+// awaitedByDecode reports whether a decode in flight has reached a running endpoint. Only such a decode stops the TTL
+// of a held state and keeps it from being released.
 func (req *requestRecord) awaitedByDecode() bool {
 	for _, a := range req.attempts {
 		if a.inFlight && a.arrived {
@@ -247,7 +248,7 @@
 	return false
 }
 
-// apply carries out actions and checks the rules for each.
+// apply carries out actions and checks the invariants for each.
 func (env *environment) apply(actions []Action) {
 	for _, a := range actions {
 		env.log = append(env.log, fmt.Sprintf("%d %+v", env.now, a))
@@ -264,7 +265,7 @@
 			}
 		case Cancel:
 			attempt := &env.requests[a.Request].attempts[a.Attempt]
-			attempt.arrived = false // an engine drops at once what waits for its state
+			attempt.arrived = false // an engine drops an attempt that waits for its state at once
 			if attempt.inFlight {
 				env.schedule(ms, Outcome{
 					Request: a.Request, Attempt: a.Attempt, Endpoint: attempt.endpoint, Result: Canceled,
@@ -276,24 +277,24 @@
 	}
 }
 
-// send checks that an attempt may be sent, and draws its outcome.
+// send checks that an attempt may be sent, and schedules a random outcome for it.
 func (env *environment) send(a Send) {
 	req, e := env.requests[a.Request], env.endpoints[a.Endpoint]
 	if req == nil || req.ended {
-		env.fail("sent %d after its end", a.Request)
+		env.fail("request %d sent after its end", a.Request)
 	}
 	if since, ok := env.notReadySince[a.Endpoint]; ok && env.now-since > env.config.DrainGrace {
-		env.fail("sent %d to endpoint %d, not ready since %v", a.Request, a.Endpoint, since)
+		env.fail("request %d sent to endpoint %d, which is not ready since %v", a.Request, a.Endpoint, since)
 	}
 	if len(req.attempts) >= env.config.MaxAttempts {
-		env.fail("request %d: attempt %d", a.Request, len(req.attempts))
+		env.fail("request %d sent again after %d attempts", a.Request, len(req.attempts))
 	}
 	for _, earlier := range req.attempts {
 		if earlier.inFlight {
 			env.fail("request %d has two attempts in flight", a.Request)
 		}
 		if earlier.mayHaveRun && !env.repeatable(req, earlier, e) {
-			env.fail("request %d of class %s sent again to endpoint %d", a.Request, req.class.Name, a.Endpoint)
+			env.fail("request %d of class %s may have run and is sent to endpoint %d", a.Request, req.class.Name, a.Endpoint)
 		}
 	}
 	env.checkSlowStart(e)
@@ -304,7 +305,7 @@
 	env.drawOutcome(a, req, decode)
 }
 
-// repeatable reports that a request of which an attempt may have run may be sent to an endpoint.
+// repeatable reports whether a request of which an attempt may have run may be sent to an endpoint.
 func (env *environment) repeatable(req *requestRecord, earlier attemptRecord, to Endpoint) bool {
 	switch req.class.Idempotency {
 	case NotIdempotent:
@@ -317,7 +318,7 @@
 	}
 }
 
-// checkSlowStart checks that an endpoint in slow start gets at most maxSlowStartSends in a window.
+// checkSlowStart checks that an endpoint in slow start gets at most maxSlowStartSends sends in a window.
 func (env *environment) checkSlowStart(e Endpoint) {
 	if e.StartedAt == 0 || env.now-e.StartedAt > env.config.SlowStartFor {
 		return
@@ -334,7 +335,7 @@
 	}
 }
 
-// drawOutcome draws how and when an attempt ends, and plans its events.
+// drawOutcome draws at random how and when an attempt ends, and schedules its events.
 func (env *environment) drawOutcome(a Send, req *requestRecord, decode bool) {
 	outcome, begins, after := env.drawResult(a, req, decode)
 	limit := req.request.Deadline - env.now
@@ -360,7 +361,8 @@
 	env.schedule(after, outcome)
 }
 
-// drawResult draws an outcome and its time; begins says that a stream begins before, whose first token is planned.
+// drawResult draws an outcome and its time at random. If begins is true, a stream begins before the outcome, and its
+// first token is scheduled.
 func (env *environment) drawResult(a Send, req *requestRecord, decode bool) (
 	outcome Outcome, begins bool, after time.Duration,
 ) {
@@ -395,11 +397,11 @@
 	return outcome, begins, after
 }
 
-// reachesEndpoint says of the end that is drawn for a decode that it reached a running endpoint. A silent one, or one
-// whose connection breaks, never did.
+// reachesEndpoint reports whether a decode with this result reaches a running endpoint. One that is silent or whose
+// connection breaks does not.
 func reachesEndpoint(r Result) bool { return r == Served || r == EngineError || r == Rejected }
 
-// withoutFirstToken takes back the first token of an attempt that will time out.
+// withoutFirstToken removes the first token of an attempt that will time out from the scheduled events.
 func withoutFirstToken(scheduled []scheduledEvent, o Outcome) []scheduledEvent {
 	for i, p := range scheduled {
 		if f, ok := p.event.(FirstToken); ok && f.Request == o.Request && f.Attempt == o.Attempt {
@@ -409,7 +411,8 @@
 	return scheduled
 }
 
-// checkAnswer checks a final answer: one for each request, and no rejection where a retry may do harm.
+// checkAnswer checks that a request gets only one final answer, and that it is not rejected where a retry may have a
+// second effect.
 func (env *environment) checkAnswer(id RequestID, rejected bool) {
 	req := env.requests[id]
 	if req.ended {
@@ -424,14 +427,14 @@
 	}
 }
 
-// checkDeadlines holds the clock against the answers that are owed and the states that are held.
+// checkDeadlines checks that requests are answered by their deadlines and states released by the end of their TTL.
 func (env *environment) checkDeadlines() {
 	for id, req := range env.unsettled {
 		if !req.ended && !req.streaming && env.now > req.request.Deadline+answerTolerance {
 			env.fail("request %d not answered by its deadline", id)
 		}
 		if req.stateHeld && !req.awaitedByDecode() && env.now-req.heldSince > env.config.StateTTL {
-			env.fail("request %d keeps its state, and no decode has arrived", id)
+			env.fail("the read state of request %d is held beyond its TTL though no decode has arrived", id)
 		}
 		inFlight := false
 		for _, a := range req.attempts {
--- a/routing/eventqueue_test.go
+++ b/routing/eventqueue_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// queuedEvent is an event at a time; events at one time keep their order.
+// queuedEvent is an event with its time; events at the same time keep the order in which they were pushed.
 type queuedEvent struct {
 	at    time.Duration
 	order int
 	event Event
 }
 
-// eventQueue holds events to come, the earliest first.
+// eventQueue is a priority queue of future events, the earliest first.
 type eventQueue struct {
 	events eventHeap
 	pushed int
@@ -23,10 +23,10 @@
 	heap.Push(&q.events, queuedEvent{at, q.pushed, event})
 }
 
-// pop returns the earliest event.
+// pop removes and returns the earliest event.
 func (q *eventQueue) pop() queuedEvent { return heap.Pop(&q.events).(queuedEvent) }
 
-// due reports that there is an event at a time or before.
+// due reports whether an event is due at the time now.
 func (q *eventQueue) due(now time.Duration) bool { return len(q.events) > 0 && q.events[0].at <= now }
 
 type eventHeap []queuedEvent
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,7 +7,7 @@
 	"brackenbend/routing"
 )
 
-// A gateway gives the Router its endpoint list and a request, and carries out the actions that come back.
+// A gateway passes the endpoint list and a request to a Router, and carries out the actions that it returns.
 func Example() {
 	r, err := routing.New(routing.Config{
 		Replicas: 2, MaxAttempts: 4, StateTTL: 500 * time.Millisecond,
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// testConfig has a kind of endpoint for each role, and a class of each idempotency.
+// testConfig returns a Config with a kind of endpoint for each role and a class for each kind of idempotency.
 func testConfig() Config {
 	return Config{
 		Replicas: 1, MaxAttempts: 4, CanCancel: true, StateTTL: 500 * ms, MaxRetryAfter: time.Second,
@@ -45,7 +45,7 @@
 	return router
 }
 
-// harness drives one Router by hand.
+// harness drives one Router with a simulated clock.
 type harness struct {
 	router *Router
 	now    time.Duration
@@ -60,7 +60,7 @@
 
 func (h *harness) step(events ...Event) []Action { return h.router.Step(h.now, events) }
 
-// advance steps after a time has passed.
+// advance moves the clock forward and steps.
 func (h *harness) advance(d time.Duration, events ...Event) []Action {
 	h.now += d
 	return h.step(events...)
@@ -73,7 +73,7 @@
 	}
 }
 
-// end lets an attempt end after a time.
+// end moves the clock forward and reports the outcome of an attempt.
 func (h *harness) end(result Result, id RequestID, attempt int, endpoint EndpointID, took time.Duration) []Action {
 	return h.advance(took, Outcome{
 		Request: id, Attempt: attempt, Endpoint: endpoint, Result: result, RequestDone: result == Served,
@@ -81,24 +81,24 @@
 	})
 }
 
-// prefilled lets the first attempt of a request, a prefill, end after a time.
+// prefilled moves the clock forward and reports that the first attempt of a request, a prefill, is done.
 func (h *harness) prefilled(id RequestID, endpoint EndpointID, took time.Duration) []Action {
 	return h.end(PrefillDone, id, 0, endpoint, took)
 }
 
-// firstToken lets the stream of an attempt begin after a time.
+// firstToken moves the clock forward and reports the first token of an attempt.
 func (h *harness) firstToken(id RequestID, attempt int, endpoint EndpointID, took time.Duration) {
 	h.advance(took, FirstToken{Request: id, Attempt: attempt, Endpoint: endpoint, Elapsed: took})
 }
 
-// prefillRequest lets a request arrive and be prefilled, and returns the send of its decode.
+// prefillRequest reports the arrival of a request and its prefill, and returns the send of its decode.
 func (h *harness) prefillRequest(t *testing.T, req Request, took time.Duration) Send {
 	t.Helper()
 	prefill := onlyAction[Send](t, h.step(req))
 	return onlyAction[Send](t, h.prefilled(req.ID, prefill.Endpoint, took))
 }
 
-// fillPrefills sends prefills until the endpoint has no capacity, and returns how many were sent.
+// fillPrefills reports arrivals until the prefill endpoint has no capacity, and returns how many were sent there.
 func (h *harness) fillPrefills(class int, promptTokens float64) int {
 	total := 0
 	for id := RequestID(1000); id < 1040; id++ {
@@ -110,7 +110,7 @@
 	return total
 }
 
-// backend returns what the router knows of an endpoint; nil if nothing.
+// backend returns the router's state of an endpoint; nil if it has none.
 func (h *harness) backend(id EndpointID) *backend { return h.router.backends.byID[id] }
 
 func prefillEndpoint(id EndpointID) Endpoint {
@@ -155,7 +155,7 @@
 	return out
 }
 
-// onlyAction returns the one action of a type, of which there must be exactly one.
+// onlyAction returns the only action of a type, and fails the test if there is not exactly one.
 func onlyAction[T Action](t *testing.T, actions []Action) T {
 	t.Helper()
 	got := actionsOf[T](actions)
--- a/routing/invariants_test.go
+++ b/routing/invariants_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// environmentConfig is testConfig with tight times and quotas.
+// environmentConfig returns testConfig with two replicas, a shorter state TTL and low quotas.
 func environmentConfig() Config {
 	config := testConfig()
 	config.Replicas, config.DrainGrace, config.StateTTL = 2, 0, 300*ms
@@ -35,10 +35,10 @@
 		logs[i] = env.log
 	}
 	if len(logs[0]) < 1000 {
-		t.Fatalf("only %d actions", len(logs[0]))
+		t.Fatalf("only %d actions, too few to compare", len(logs[0]))
 	}
 	if !reflect.DeepEqual(logs[0], logs[1]) {
-		t.Fatal("the same events led to other actions")
+		t.Fatal("the same events gave different actions")
 	}
 }
 
@@ -49,6 +49,6 @@
 	other.run(700, 0.3)
 	one.run(1500, 0.3)
 	if !reflect.DeepEqual(alone.log, one.log) {
-		t.Fatal("another router changed the actions")
+		t.Fatal("the actions changed when another router ran")
 	}
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestOutlierThatFailsFastIsEjected: by fewest attempts alone everything would go to the endpoint that fails at once.
+// TestOutlierThatFailsFastIsEjected: an endpoint that fails attempts at once always has the fewest in flight, so
+// without ejection it would get all requests.
 func TestOutlierThatFailsFastIsEjected(t *testing.T) {
 	const failing = EndpointID(2)
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(failing), decodeEndpoint(3), decodeEndpoint(4))
@@ -37,7 +38,7 @@
 		}
 	}
 	if b.health.ejected {
-		t.Fatal("still ejected though 40 prefills that go well were on offer")
+		t.Fatal("still ejected after 40 requests that it could have prefilled")
 	}
 }
 
@@ -48,8 +49,8 @@
 	h.prefillRequest(t, h.request(1, notIdempotentClass, 500), ms)
 }
 
-// TestOutlierIsAvoidedAfterOneFailureWhereOutcomesAreSparse: a replica that sees an endpoint twice a minute goes
-// elsewhere after one error.
+// TestOutlierIsAvoidedAfterOneFailureWhereOutcomesAreSparse: a replica that sends an endpoint two requests a minute
+// avoids it after a single failure.
 func TestOutlierIsAvoidedAfterOneFailureWhereOutcomesAreSparse(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3))
 	h.advance(30 * time.Second)
@@ -66,12 +67,13 @@
 	}
 }
 
-// TestOutlierForOneClassServesOthers: an endpoint that fails one class is tried last for it and still serves others.
+// TestOutlierForOneClassServesOthers: an endpoint that fails one class is tried last for that class and still serves
+// others.
 func TestOutlierForOneClassServesOthers(t *testing.T) {
 	config := testConfig()
 	config.Classes[1].Idempotency = Idempotent
 	h := newHarness(t, config, prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3))
-	sent := map[int]int{} // to endpoint 2, which fails class 1, by class
+	sent := map[int]int{} // sends to endpoint 2, which fails class 1, by class
 	for id := RequestID(1); id <= 80; id++ {
 		class := int(id % 2)
 		h.now += 200 * ms
@@ -95,7 +97,8 @@
 	}
 }
 
-// TestRejectingEndpointIsTriedLastForThatClass: and as before for others.
+// TestRejectingEndpointIsTriedLastForThatClass: an endpoint that rejects one class is tried last for it, and as before
+// for others.
 func TestRejectingEndpointIsTriedLastForThatClass(t *testing.T) {
 	const rejecting = EndpointID(2) // it rejects class 0
 	config := testConfig()
@@ -121,11 +124,11 @@
 		}
 		return triedFirst
 	}
-	playMany(0, 12) // the router learns
+	playMany(0, 12) // the rejection rate rises
 	if n := playMany(0, 10); n > 0 {
 		t.Errorf("the endpoint that rejects the class was tried first %d times of 10", n)
 	}
 	if n := playMany(1, 20); n == 0 {
-		t.Error("another class does not go there any more")
+		t.Error("requests of another class are no longer sent to the endpoint that rejects class 0")
 	}
 }
--- a/routing/readstate_test.go
+++ b/routing/readstate_test.go
@@ -29,13 +29,13 @@
 	onlyAction[Reject](t, actions)
 }
 
-// TestStateDoesNotWaitForFailingConnections: one decode endpoint after another can't be reached. The state waits all
-// the while, so connections get little time, and it is released in time with an answer; a decode endpoint that got the
-// request and rejected it ends the wait.
+// TestStateDoesNotWaitForFailingConnections: the connections to one decode endpoint after another fail. The state is
+// held throughout, so the time to connect is short, and the state is released and the request rejected before the TTL
+// ends. A decode endpoint that receives the request and rejects it restarts the TTL.
 func TestStateDoesNotWaitForFailingConnections(t *testing.T) {
 	tests := []struct {
 		name         string
-		rejected     int // attempt that arrives and is rejected; 0 = none
+		rejected     int // number of the attempt that a decode endpoint rejects; 0 = none
 		wantAttempts int
 	}{
 		{"all connections fail", 0, 5},
@@ -55,7 +55,7 @@
 			for len(actionsOf[Send](actions)) > 0 {
 				send, result := onlyAction[Send](t, actions), ConnectFailed
 				if send.ConnectTimeout <= 0 || waited+send.ConnectTimeout > config.StateTTL {
-					t.Fatalf("attempt %d after %v may take %v to connect", attempts, waited, send.ConnectTimeout)
+					t.Fatalf("attempt %d, sent after %v, may take %v to connect", attempts, waited, send.ConnectTimeout)
 				}
 				attempts++
 				waited += send.ConnectTimeout
@@ -73,17 +73,18 @@
 	}
 }
 
-// TestStateIsReleasedInTimeDespiteASilentDecode: a decode has been sent and nothing is heard of it. The state is
-// released in time and the attempt goes on. If it begins, all is well; if the endpoint rejects it, the state waited
-// for it and goes to another one; if it ends without an answer, the request is prefilled again.
+// TestStateIsReleasedInTimeDespiteASilentDecode: a decode is in flight and has no response. The state is released
+// before its TTL ends, and the attempt stays in flight. If its stream begins, nothing more is sent. If the endpoint
+// rejects it, the attempt had arrived and kept the state, so the decode is sent to another endpoint. If it ends
+// without a response, the request is prefilled again.
 func TestStateIsReleasedInTimeDespiteASilentDecode(t *testing.T) {
 	tests := []struct {
 		name   string
 		end    func(h *harness, endpoint EndpointID) []Action
-		sent   bool // there is a further attempt
+		sent   bool // a further attempt is sent
 		decode bool // it is a decode
 	}{
-		{"begins", func(h *harness, endpoint EndpointID) []Action {
+		{"first token", func(h *harness, endpoint EndpointID) []Action {
 			return h.step(FirstToken{Request: 1, Attempt: 1, Endpoint: endpoint, Elapsed: 900 * ms})
 		}, false, false},
 		{"rejected", func(h *harness, endpoint EndpointID) []Action {
@@ -92,7 +93,7 @@
 		{"times out", func(h *harness, endpoint EndpointID) []Action {
 			return h.step(Outcome{Request: 1, Attempt: 1, Endpoint: endpoint, Result: TimedOut})
 		}, true, false},
-		{"breaks", func(h *harness, endpoint EndpointID) []Action {
+		{"connection reset", func(h *harness, endpoint EndpointID) []Action {
 			return h.step(Outcome{Request: 1, Attempt: 1, Endpoint: endpoint, Result: ConnectionReset})
 		}, true, false},
 	}
@@ -104,21 +105,21 @@
 			req.Deadline += 10 * time.Second
 			decode := h.prefillRequest(t, req, ms)
 			if actions := h.advance(config.StateTTL / 2); len(actionsOf[ReleaseState](actions)) > 0 {
-				t.Errorf("released after half of the time: %v", actions)
+				t.Errorf("released after half of the TTL: %v", actions)
 			}
 			actions := h.advance(config.StateTTL/2 - 50*ms)
 			onlyAction[ReleaseState](t, actions)
 			if len(actionsOf[Cancel](actions))+len(actionsOf[Reject](actions)) > 0 {
-				t.Errorf("the attempt does not go on: %v", actions)
+				t.Errorf("the attempt was canceled or the request rejected: %v", actions)
 			}
 			h.now += 100 * ms
 			actions = tc.end(h, decode.Endpoint)
 			sends, releases := actionsOf[Send](actions), actionsOf[ReleaseState](actions)
 			switch {
 			case len(sends) != boolToInt(tc.sent):
-				t.Errorf("%v", actions)
+				t.Errorf("wrong number of sends: %v", actions)
 			case tc.sent && (sends[0].Endpoint != 1) != tc.decode:
-				t.Errorf("sent to %d", sends[0].Endpoint)
+				t.Errorf("the further attempt is at the wrong endpoint: %d", sends[0].Endpoint)
 			case len(releases) != boolToInt(tc.sent && !tc.decode):
 				t.Errorf("%d releases before the next attempt: %v", len(releases), actions)
 			}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -9,7 +9,7 @@
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3))
 	prefill := onlyAction[Send](t, h.step(h.request(1, idempotentClass, 1000)))
 	if prefill.Endpoint != 1 {
-		t.Fatalf("prefilled at %d, want the prefill endpoint", prefill.Endpoint)
+		t.Fatalf("prefilled at endpoint %d, want the prefill endpoint", prefill.Endpoint)
 	}
 	decode := onlyAction[Send](t, h.prefilled(1, 1, 100*ms))
 	if decode.Endpoint == 1 {
@@ -24,7 +24,7 @@
 		t.Fatalf("actions after the end: %+v", actions)
 	}
 	if len(h.router.requests) != 0 {
-		t.Fatal("request not forgotten")
+		t.Fatal("the router keeps a request that has ended")
 	}
 }
 
@@ -46,12 +46,12 @@
 		EndpointList{Scope: ListFull},
 	)
 	if len(actionsOf[Send](actions)) != 0 {
-		t.Fatalf("sent with an empty endpoint list: %+v", actions)
+		t.Fatalf("sends with an empty endpoint list: %+v", actions)
 	}
 	onlyAction[Reject](t, h.advance(5*time.Second))
 }
 
-// TestShutdownRejectsRequests: also those that arrive after the shutdown has begun.
+// TestShutdownRejectsRequests: requests without an answer are rejected at a shutdown, also those that arrive after it.
 func TestShutdownRejectsRequests(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
 	onlyAction[Send](t, h.step(h.request(1, notIdempotentClass, 1000)))
@@ -59,7 +59,7 @@
 	for id := RequestID(2); id < 40; id++ {
 		actions := h.step(h.request(id, notIdempotentClass, 1000))
 		if r := onlyAction[Reject](t, actions); r.Request != id || len(actionsOf[Send](actions)) > 0 {
-			t.Errorf("%+v", actions)
+			t.Errorf("want only a rejection of the new request, got %+v", actions)
 		}
 	}
 }
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestSilentEndpointIsEjected: attempts that are not idempotent have no time-out, so only silence shows a stall.
+// TestSilentEndpointIsEjected: attempts of a class that is not idempotent have no time-out, so a stalled endpoint
+// shows only by its silence.
 func TestSilentEndpointIsEjected(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3), decodeEndpoint(4))
 	lateSends, silent := 0, EndpointID(0)
@@ -37,21 +38,21 @@
 	}
 	for _, id := range []EndpointID{2, 3, 4} {
 		if h.backend(id).health.ejected {
-			t.Fatalf("endpoint %d ejected for what all suffer", id)
+			t.Fatalf("endpoint %d ejected though all endpoints are silent", id)
 		}
 	}
 }
 
 // TestEndpointSilentToOneClassIsTriedLastForIt: an endpoint answers one class and is silent to another, whose attempts
-// have no time-out. Once one has been silent for long, that class goes to the other endpoint though it has more
-// attempts; other classes stay.
+// have no time-out. Once one of these has been unanswered for long, requests of that class go to another endpoint,
+// although it has more attempts. Other classes are not affected.
 func TestEndpointSilentToOneClassIsTriedLastForIt(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3))
 	decodedAt := func(id RequestID, class int) EndpointID {
 		h.now += 10 * ms
 		return h.prefillRequest(t, h.request(id, class, 500), 10*ms).Endpoint
 	}
-	silent := decodedAt(1, notIdempotentClass) // nothing is heard of this one
+	silent := decodedAt(1, notIdempotentClass) // this attempt gets no response
 	silentTo := func(class int) bool { return h.backend(silent).silence.toClass(class) }
 	elsewhere := 0
 	for id := RequestID(2); id < 6; id++ {
@@ -59,27 +60,27 @@
 		endpoint := h.router.requests[id].attempts[1].backend.ID
 		h.step(FirstToken{Request: id, Attempt: 1, Endpoint: endpoint, Elapsed: 10 * ms})
 	}
-	for range 60 { // the endpoint answers others all the while
+	for range 60 { // the endpoint keeps answering other attempts
 		h.advance(50 * ms)
 		h.backend(silent).silence.silentSince = h.now
 	}
 	ejected := h.backend(silent).health.ejected
 	if elsewhere == 0 || ejected || !silentTo(notIdempotentClass) || silentTo(idempotentClass) {
-		t.Fatalf("%d streams elsewhere, %+v", elsewhere, h.backend(silent))
+		t.Fatalf("%d streams at the other endpoint, state of the silent one %+v", elsewhere, h.backend(silent))
 	}
-	for _, b := range h.router.backends.sorted { // the silent one has the fewest attempts
+	for _, b := range h.router.backends.sorted { // so that the silent one has the fewest attempts
 		if b.role == RoleDecode && b.ID != silent {
 			b.load.attempts = 9
 		}
 	}
 	if decodedAt(20, notIdempotentClass) == silent {
-		t.Error("the class went to the endpoint that is silent to it")
+		t.Error("a request went to the endpoint that is silent to its class")
 	}
 	if decodedAt(21, idempotentClass) != silent {
-		t.Error("another class left the endpoint too")
+		t.Error("a request of another class avoids the endpoint too")
 	}
 	h.step(Outcome{Request: 1, Attempt: 1, Endpoint: silent, Result: TimedOut, Elapsed: 5 * time.Second})
 	if h.advance(evaluationInterval); silentTo(notIdempotentClass) {
-		t.Error("still taken for silent when the attempt has ended")
+		t.Error("the endpoint still counts as silent to the class after the attempt has ended")
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestSlowStartOfADecodeEndpointLimitsItsSends: one that has just started is empty and would get everything; what it
-// gets stays within its budget.
+// TestSlowStartOfADecodeEndpointLimitsItsSends: a decode endpoint that has just started has the fewest attempts, so
+// without a limit it would get all requests. Its sends must stay within its budget.
 func TestSlowStartOfADecodeEndpointLimitsItsSends(t *testing.T) {
 	const starting = EndpointID(3)
 	config := testConfig()
@@ -40,32 +40,32 @@
 	h.now += 7 * time.Second
 	late := play(2000, 15)
 	if early < 1 || early > 4 {
-		t.Fatalf("%d sends of 15 to the endpoint just started", early)
+		t.Fatalf("%d of 15 sends went to the endpoint that has just started, want 1 to 4", early)
 	}
 	if late < early {
-		t.Fatalf("%d sends when half warm, %d when just started", late, early)
+		t.Fatalf("%d sends 7 s after the start, fewer than the %d right after it", late, early)
 	}
 }
 
-// TestStartTimeInTheFutureCountsAsJustStarted: a start in the future counts as just started.
+// TestStartTimeInTheFutureCountsAsJustStarted: the clock of an endpoint may be ahead of that of the gateway.
 func TestStartTimeInTheFutureCountsAsJustStarted(t *testing.T) {
 	e := decodeEndpoint(2)
 	e.StartedAt = 2 * time.Hour
 	h := newHarness(t, testConfig(), prefillEndpoint(1), e)
 	if p := h.router.capacityFraction(h.backend(2)); p != 0.25 {
-		t.Fatalf("present capacity %v", p)
+		t.Fatalf("capacity fraction %v, want 0.25", p)
 	}
 }
 
 // TestSlowStartBudgetHoldsOverAllReplicas: whatever the number of replicas, all of them together send an endpoint that
-// has just started no more than an even part of the traffic, also when a whole role restarted; and it is not left
-// without work.
+// has just started at most OverloadFactor times its even share by capacity, also when a whole role has restarted. Where
+// several endpoints start, they get some work.
 func TestSlowStartBudgetHoldsOverAllReplicas(t *testing.T) {
 	const prefills, decodes = 12, 24
 	const start = 30 * time.Second
 	tests := []struct {
 		name     string
-		starting func(i int) bool // nil: the endpoint preferred by a prefix that most requests share
+		starting func(i int) bool // nil: the preferred endpoint of a prefix that all requests share
 	}{
 		{"one decode", func(i int) bool { return i == prefills }},
 		{"one prefill", func(i int) bool { return i == 3 }},
@@ -108,7 +108,7 @@
 						even = 240.0 / decodes
 					}
 					if limit := config.OverloadFactor * 0.4 * even; float64(g.sends[e.ID]) > limit {
-						t.Errorf("endpoint %d in slow start got %d sends, %.0f at most", e.ID, g.sends[e.ID], limit)
+						t.Errorf("endpoint %d in slow start got %d sends, want at most %.0f", e.ID, g.sends[e.ID], limit)
 					}
 				}
 				if started > 1 && total == 0 {
@@ -119,7 +119,7 @@
 	}
 }
 
-// busiest returns the index of the endpoint that was sent most.
+// busiest returns the index of the endpoint with the most sends.
 func (g *replicaGroup) busiest(listed []Endpoint) int {
 	busiest := 0
 	for i := range listed {
@@ -130,15 +130,15 @@
 	return busiest
 }
 
-// slowStartCase is a set of endpoints that have just started, and what is wrong beside.
+// slowStartCase says which endpoints start, and which faults there are at the same time.
 type slowStartCase struct {
 	name     string
 	starting func(i int) bool
-	restarts bool // half of the replicas restart and forget what they sent
-	failing  bool // an eighth of the endpoints that have not just started fail attempts, which are retried
+	restarts bool // half of the replicas restart, so that they don't know what they sent
+	failing  bool // an eighth of the other endpoints fail attempts, which are retried
 }
 
-// slowStartRun plays windows of a slow start.
+// slowStartRun runs a slowStartCase window by window.
 type slowStartRun struct {
 	slowStartCase
 	group  *replicaGroup
@@ -150,28 +150,28 @@
 	runPrefills, runDecodes = 12, 24
 
 	runWindow            = 1500 * time.Millisecond // testConfig's OverloadAfter
-	runRequestsPerWindow = 120                     // requests, before the burst
+	runRequestsPerWindow = 120                     // before the traffic rises by half
 	runStart             = 30 * time.Second
 )
 
-// TestSlowStartLimitHoldsInEveryWindow: endpoints that have just started get, from all replicas together and in any
-// window of OverloadAfter, no more than N and what chance adds, N being what the configuration allows an endpoint of
-// so much capacity; and they get work. Replicas share nothing: some see several times the mean of the traffic, some
-// have restarted, and a burst comes on top.
+// TestSlowStartLimitHoldsInEveryWindow: in every window of OverloadAfter, an endpoint in slow start gets from all
+// replicas together no more than OverloadFactor allows for its current capacity, plus a margin for random variation;
+// and such endpoints get some work. Replicas don't coordinate: a tenth of them get four times the requests of others,
+// some restart, and the traffic rises by half in between.
 func TestSlowStartLimitHoldsInEveryWindow(t *testing.T) {
 	firstHalf := func(i int) bool { return i < runPrefills/2 }
 	even := func(i int) bool { return i%2 == 0 }
 	oneDecode := func(i int) bool { return i == 15 }
 	cases := []slowStartCase{
-		{"a prefill", func(i int) bool { return i == 3 }, false, false},
-		{"a decode, replicas restart", oneDecode, true, false},
+		{"one prefill", func(i int) bool { return i == 3 }, false, false},
+		{"one decode, replicas restart", oneDecode, true, false},
 		{"half of the prefills", firstHalf, false, false},
 		{"half of all, replicas restart", even, true, false},
 		{"all prefills but one", func(i int) bool { return i < runPrefills-1 }, false, false},
 		{"all decodes but one, replicas restart", func(i int) bool { return i > runPrefills }, true, false},
 		{"half of the prefills, others fail", firstHalf, false, true},
 		{"half of all, others fail, replicas restart", even, true, true},
-		{"a decode, others fail", oneDecode, false, true},
+		{"one decode, others fail", oneDecode, false, true},
 	}
 	for _, replicas := range []int{3, 30, 300} {
 		for _, tc := range cases {
@@ -189,10 +189,10 @@
 					total += run.playWindow(t, window)
 				}
 				if tc.failing && run.group.retries == 0 {
-					t.Error("there were no retries")
+					t.Error("no attempt was retried")
 				}
 				if total == 0 {
-					t.Error("no work for those that have just started")
+					t.Error("endpoints in slow start got no work at all")
 				}
 			})
 		}
@@ -201,7 +201,7 @@
 
 func (run *slowStartRun) prefix() uint64 { return uint64(run.group.rnd.Intn(200)) }
 
-// skewTraffic gives a tenth of the replicas four times the requests of others.
+// skewTraffic gives a tenth of the replicas four times as many requests as others.
 func (run *slowStartRun) skewTraffic(replicas int) {
 	harnesses := run.group.harnesses
 	for i := range max(replicas/10, 1) {
@@ -211,7 +211,7 @@
 	run.group.harnesses = harnesses
 }
 
-// startEndpoints begins the slow start, and the faults beside it.
+// startEndpoints starts the endpoints of the case and its faults.
 func (run *slowStartRun) startEndpoints(t *testing.T, replicas int) {
 	t.Helper()
 	for i := range run.listed {
@@ -238,7 +238,7 @@
 	}
 }
 
-// playWindow plays one window, checks what the starting endpoints got in it, and returns the sum.
+// playWindow plays one window, checks the number of sends to each starting endpoint, and returns their sum.
 func (run *slowStartRun) playWindow(t *testing.T, window int) (total int) {
 	t.Helper()
 	g := run.group
@@ -248,7 +248,7 @@
 		requests = runRequestsPerWindow * 3 / 2
 	}
 	g.playFrom(requests, runStart+time.Duration(window)*runWindow, runWindow, run.prefix)
-	elapsed := float64(window) * runWindow.Seconds() // since the start, at the window's start
+	elapsed := float64(window) * runWindow.Seconds() // from the start of the endpoints to the start of the window
 	present := run.config.SlowStartFrom + (1-run.config.SlowStartFrom)*elapsed/run.config.SlowStartFor.Seconds()
 	for i, e := range run.listed {
 		if !run.starting(i) {
@@ -262,7 +262,7 @@
 		}
 		limit := run.config.OverloadFactor * present * float64(requests) / peers
 		if limit += 2*math.Sqrt(limit) + 2; float64(sends) > limit {
-			t.Errorf("window %d: endpoint %d got %d, %.0f at most", window, e.ID, sends, limit)
+			t.Errorf("window %d: endpoint %d got %d sends, want at most %.0f", window, e.ID, sends, limit)
 		}
 	}
 	return total
