--- a/routing/actions.go
+++ b/routing/actions.go
@@ -67,8 +67,7 @@
 func (FetchEndpoints) action() {}
 func (Log) action()            {}
 
-// Reason says why a request was rejected or failed. It is only for logs and metrics; no decision depends on
-// it.
+// Reason says why a request was rejected or failed. It is for logs and metrics; no decision depends on it.
 type Reason uint8
 
 // The reasons for which a Router rejects or fails a request.
--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -25,8 +25,8 @@
 	// affinitySpread is the multiple of its proportional share of the endpoints that a key is spread over:
 	// replicas that don't share their counts, and prompts of uneven length, need more than 1.
 	affinitySpread = 3.0
-	// keyCountInterval is how often the request counts of keys are halved; counts below minKeyCount are
-	// dropped.
+	// keyCountInterval is how often the request counts of keys are halved. Counts below minKeyCount are then
+	// removed.
 	keyCountInterval = 20 * time.Second
 	minKeyCount      = 0.25
 	// keyCountPrior is added to the total count, so that the first few requests of a replica don't make their
--- a/routing/backend.go
+++ b/routing/backend.go
@@ -13,8 +13,7 @@
 	// maxCachedPrefixes is the number of prefixes and sessions kept for an endpoint above which all of them
 	// are dropped.
 	maxCachedPrefixes = 20000
-	// promptOverhead is added to the uncached tokens of each prompt, since a fully cached prompt takes time
-	// too.
+	// promptOverhead is added to the uncached tokens of each prompt: a fully cached prompt takes time too.
 	promptOverhead = 200
 )
 
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -35,8 +35,7 @@
 	// minMeasuredRate is the rate of a role, in completed attempts per second and endpoint, above which the
 	// ejection time is at least the mean interval between such attempts.
 	minMeasuredRate = 0.01
-	// slowDecodeFactor is the multiple of the mean time to the first token above which a decode endpoint is
-	// avoided.
+	// slowDecodeFactor is the multiple of the mean time to first token above which an endpoint is avoided.
 	slowDecodeFactor = 4.0
 )
 
@@ -120,8 +119,7 @@
 
 var roleNames = [...]string{RolePrefill: "prefill", RoleDecode: "decode", RoleMixed: "mixed"}
 
-// observeSuccess records a successful attempt. It ends an ejection only if it took no more than the usual
-// time.
+// observeSuccess records a successful attempt, which ends an ejection if it took no more than the usual time.
 func (r *Router) observeSuccess(b *backend, req *request, inUsualTime bool) {
 	r.observeOutcome(b, req, false, outcomeWeight)
 	if b.health.ejected && inUsualTime {
@@ -166,8 +164,7 @@
 	r.observeRate(&b.health.rejections[req.Class], rejected, outcomeWeight)
 }
 
-// observeRate updates a rate with one attempt. If the rate crosses maxFailureRate, the order of endpoints
-// changes.
+// observeRate updates a rate with one attempt. The order of endpoints changes if it crosses maxFailureRate.
 func (r *Router) observeRate(rate *float64, happened bool, weight float64) {
 	above := *rate > maxFailureRate
 	updateAverage(rate, boolToFloat(happened), weight)
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -135,6 +135,7 @@
 			float64(b.load.attempts),
 			boolToFloat(!preferCell || b.Cell != req.state.backend.Cell),
 			boolToFloat(!preferZone || b.Zone != req.state.backend.Zone),
+			// A random choice, weighted by the shortage of prefill capacity in the cell.
 			-math.Log(uniform(r.seed^uint64(b.ID), uint64(req.ID))) / r.backends.cells.at(b.Cell).shortage(),
 		}
 		if best == nil || slices.Compare(rank[:], bestRank[:]) < 0 {
--- a/routing/router.go
+++ b/routing/router.go
@@ -29,8 +29,7 @@
 	defaultMaxRetryAfter = time.Second
 	defaultSlowStartFrom = 0.25
 
-	// minFetchInterval is the least time between fetches of a polled endpoint list, also after a failed
-	// fetch.
+	// minFetchInterval is the least time between fetches of a polled endpoint list, even after a failure.
 	minFetchInterval = time.Second
 )
 
@@ -79,7 +78,7 @@
 	}, nil
 }
 
-// Step processes the events that happened at the time now, in order, and returns the actions to carry out, in
+// Step processes the events that happened at the time now, in order. It returns the actions to carry out, in
 // order.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
 	elapsed := (now - r.now).Seconds()
--- a/routing/silence.go
+++ b/routing/silence.go
@@ -51,14 +51,12 @@
 	return minSilence + seconds(silenceFactor*usual)
 }
 
-// silent reports whether an endpoint has unanswered attempts and has not responded for longer than
-// maxSilence.
+// silent reports whether an endpoint has unanswered attempts and has sent nothing for more than maxSilence.
 func (r *Router) silent(b *backend) bool {
 	return b.silence.unanswered > 0 && r.now-b.silence.silentSince > r.maxSilence(b)
 }
 
-// refreshClassSilence recomputes the classes to which each endpoint is silent; it may still answer other
-// classes.
+// refreshClassSilence recomputes for each endpoint the classes that it does not answer. It may answer others.
 func (r *Router) refreshClassSilence() {
 	for _, b := range r.backends.sorted {
 		s := &b.silence
--- a/routing/stats.go
+++ b/routing/stats.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// throughputDecay is the time constant of pace.completed.
+	// throughputDecay is the time constant of pace.completed, and divides it to give a rate.
 	throughputDecay = 5 * time.Second
 
 	// Initial values of moving averages.
@@ -39,8 +39,8 @@
 	*average += weight * (sample - *average)
 }
 
-// decay reduces a value exponentially with the elapsed time, in seconds. It skips the computation for 0,
-// which is the most frequent value where a replica sees few requests of many endpoints.
+// decay reduces a value exponentially with the elapsed time, in seconds. It skips the computation for 0, the
+// most frequent value where a replica sends many endpoints only a few requests.
 func decay(value *float64, elapsed float64, timeConstant time.Duration) {
 	if *value != 0 {
 		*value *= math.Exp(-elapsed / timeConstant.Seconds())
