--- a/routing/admission.go
+++ b/routing/admission.go
@@ -1,14 +1,14 @@
 package routing
 
-// minQuotaBurst is the least burst of a tenant within its quota: the quota of a small tenant at one of many
-// replicas is far below one request.
+// minQuotaBurst is the least burst in requests that is within a tenant's quota: a small tenant's quota, divided by
+// many replicas, is far below one request per second.
 const minQuotaBurst = 2.0
 
-// admission decides what is taken in, and in which order.
+// admission holds the state that decides which requests are admitted and which are within their quota.
 type admission struct {
-	quotas       []tokenBucket // by tenant
+	quotas       []tokenBucket // by index in Config.Tenants
 	shedder      loadShedder
-	congestion   prefillCongestion
+	congestion   congestionController
 	shuttingDown bool
 }
 
@@ -27,15 +27,15 @@
 	}
 }
 
-// overQuota books a request of a tenant and reports that it is beyond the quota.
-func (a *admission) overQuota(tenant int) bool {
+// takeQuota takes a request from its tenant's quota and reports whether it exceeds the quota.
+func (a *admission) takeQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(a.quotas) || a.quotas[tenant].rate <= 0 {
 		return false
 	}
 	return !a.quotas[tenant].take()
 }
 
-// tokenBucket keeps a tenant's quota, in requests.
+// tokenBucket limits the rate of a tenant's requests: level is in requests, rate in requests per second.
 type tokenBucket struct{ level, rate float64 }
 
 func (t *tokenBucket) refill(elapsed float64) {
@@ -50,7 +50,9 @@
 	return true
 }
 
-func (r *Router) arrive(event Request) {
+// handleRequest queues a new request, marked as shed if it is to be rejected at the next dispatch. It drops
+// requests with a known id or an unknown class.
+func (r *Router) handleRequest(event Request) {
 	if r.requests[event.ID] != nil || event.Class < 0 || event.Class >= len(r.config.Classes) {
 		return
 	}
@@ -60,11 +62,11 @@
 		return
 	}
 	req := &request{Request: event, class: class, arrivedAt: r.now}
-	req.queued.overQuota = r.admission.overQuota(event.Tenant)
-	req.queued.limit = min(req.Deadline, req.objectiveAt())
+	req.queued.overQuota = r.admission.takeQuota(event.Tenant)
+	req.queued.dueAt = min(req.Deadline, req.objectiveAt())
 	r.countAffinityKey(req)
 	r.requests[event.ID] = req
-	r.queue.shares.arrived(req)
+	r.queue.shares.countArrival(req)
 	r.queue.add(req)
-	req.shed = r.admission.shuttingDown || r.shouldShed(req) || r.congestionSheds(req)
+	req.shed = r.admission.shuttingDown || r.shedForOverload(req) || r.shedForCongestion(req)
 }
--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -106,7 +106,7 @@
 	for key, before := range a.spread {
 		n := a.preferredCount(key, a.usablePrefills)
 		if a.spread[key] = n; n != before {
-			r.queue.retryKey(key)
+			r.queue.recheckKey(key)
 		}
 		if n == 1 {
 			delete(a.spread, key)
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -10,14 +10,14 @@
 	// timeoutFactor is the time-out of an attempt as a multiple of its usual time ...
 	timeoutFactor = 8.0
 	// ... and earlyTimeoutFactor the least such multiple where another attempt can then still be in time.
-	earlyTimeoutFactor = 4.0
-	// recoverySlack is added to the usual time, in seconds, within which a trial has to go well.
-	recoverySlack = 0.5
-	// deadlineBlame is how long an attempt must have been in flight for a time-out at its deadline to count
+	minEarlyTimeoutFactor = 4.0
+	// trialSlack is added to the usual time, in seconds, within which a trial has to go well.
+	trialSlack = 0.5
+	// minTimeToBlameEndpoint is how long an attempt must have been in flight for a time-out at its deadline to count
 	// against the endpoint.
-	deadlineBlame = time.Second
-	// rejectedPause is how long an endpoint that rejected an attempt has no capacity.
-	rejectedPause = 150 * time.Millisecond
+	minTimeToBlameEndpoint = time.Second
+	// rejectionPause is how long an endpoint that rejected an attempt has no capacity.
+	rejectionPause = 150 * time.Millisecond
 )
 
 // send starts an attempt and books what it takes.
@@ -59,33 +59,33 @@
 // where another attempt can then still meet the objective: a guard against requests lost at a healthy
 // endpoint.
 func (r *Router) timeout(req *request, a *attempt) time.Duration {
-	usual := a.cost.queued * max(r.latency.prefillPace, a.backend.pace.perToken)
-	least, attemptsToFinish := minPrefillTimeout, 2
+	expected := a.cost.queued * max(r.latency.prefillPace, a.backend.pace.perToken)
+	minTimeout, attemptsToFinish := minPrefillTimeout, 2
 	if a.decode {
-		usual += r.latency.firstToken
-		least, attemptsToFinish = minFirstTokenTimeout, 1
+		expected += r.latency.firstToken
+		minTimeout, attemptsToFinish = minFirstTokenTimeout, 1
 	} else {
 		// What waits for other replicas takes the same time for a short prompt as for a long one.
-		usual = max(usual, r.latency.prefillTime)
+		expected = max(expected, r.latency.prefillTime)
 	}
 	untilObjective := req.objectiveAt() - r.now
-	if r.admission.shedder.fraction > overloadShedFraction {
-		return max(untilObjective, minAnswerTime)
+	if r.admission.shedder.shedFraction > overloadShedFraction {
+		return max(untilObjective, finalAnswerMargin)
 	}
 	attemptsLeft := r.config.MaxAttempts - len(req.attempts)
 	if attemptsLeft < attemptsToFinish || a.decode && req.class.Idempotency != Idempotent {
 		return 0
 	}
-	limit := max(least, seconds(timeoutFactor*usual))
-	inTime := untilObjective - seconds(2*(usual+r.latency.firstToken))
-	if inTime > seconds(earlyTimeoutFactor*usual) {
-		limit = min(limit, inTime)
+	timeout := max(minTimeout, seconds(timeoutFactor*expected))
+	earlyTimeout := untilObjective - seconds(2*(expected+r.latency.firstToken))
+	if earlyTimeout > seconds(minEarlyTimeoutFactor*expected) {
+		timeout = min(timeout, earlyTimeout)
 	}
-	return limit
+	return timeout
 }
 
-// attemptOf returns the attempt that an event names; nil if there is none.
-func (r *Router) attemptOf(id RequestID, index int) (*request, *attempt) {
+// findAttempt returns the attempt that an event names; nil if there is none.
+func (r *Router) findAttempt(id RequestID, index int) (*request, *attempt) {
 	req := r.requests[id]
 	if req == nil || index < 0 || index >= len(req.attempts) {
 		return nil, nil
@@ -93,8 +93,8 @@
 	return req, &req.attempts[index]
 }
 
-func (r *Router) firstToken(event FirstToken) {
-	req, a := r.attemptOf(event.Request, event.Attempt)
+func (r *Router) handleFirstToken(event FirstToken) {
+	req, a := r.findAttempt(event.Request, event.Attempt)
 	if req == nil {
 		return
 	}
@@ -114,12 +114,12 @@
 		r.mixed.observe(a, r.latency.usualFirstToken(a.cost.queued), event.Elapsed)
 	}
 	r.answered(a, true)
-	r.observeSuccess(b, req, elapsed < timeoutFactor*r.latency.firstToken+recoverySlack)
+	r.observeSuccess(b, req, elapsed < timeoutFactor*r.latency.firstToken+trialSlack)
 }
 
-// outcome ends an attempt: books out what it took, learns from it, and decides what comes next.
-func (r *Router) outcome(event Outcome) {
-	req, a := r.attemptOf(event.Request, event.Attempt)
+// handleOutcome ends an attempt: books out what it took, learns from it, and decides what comes next.
+func (r *Router) handleOutcome(event Outcome) {
+	req, a := r.findAttempt(event.Request, event.Attempt)
 	if req == nil || !a.inFlight {
 		return
 	}
@@ -155,7 +155,7 @@
 	req.inFlight--
 	b.load.attempts--
 	b.load.memory = max(b.load.memory-a.cost.memory, 0)
-	r.answered(a, event.Result.fromEndpoint())
+	r.answered(a, event.Result.endsSilence())
 	r.observeResult(req, a, event)
 	if a.decode && event.Result.mayHaveExecuted() && !req.execution.possible {
 		req.execution = possibleExecution{possible: true, backend: b, sentAt: a.sentAt}
@@ -170,25 +170,25 @@
 	}
 	switch event.Result {
 	case PrefillDone:
-		r.prefillDone(req, a, event)
+		r.observePrefillDone(req, a, event)
 	case Served:
 		b.pace.completed++
 	case EngineError, ConnectionReset, RequestIncomplete: // one connection may break at a healthy endpoint
 		r.observeFailure(b, req, outcomeWeight)
 	case TimedOut:
-		r.attemptTimedOut(req, a, event)
+		r.observeTimeout(req, a, event)
 	case ConnectFailed:
 		r.observeFailure(b, req, connectFailureFactor*outcomeWeight)
 	case Rejected:
 		if !event.StateMissing {
-			b.load.fullUntil, r.admission.shedder.rejectedAt = r.now+rejectedPause, r.now
+			b.load.fullUntil, r.admission.shedder.rejectedAt = r.now+rejectionPause, r.now
 			r.observeRejection(b, req, true)
 		}
 	case Canceled, NotSent: // the endpoint had no part in it
 	}
 }
 
-func (r *Router) prefillDone(req *request, a *attempt, event Outcome) {
+func (r *Router) observePrefillDone(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.observePrefill(a, event.Elapsed)
 	movingAverage(&r.latency.prefillTime, event.Elapsed.Seconds(), prefillTimeWeight)
@@ -196,15 +196,15 @@
 	movingAverage(&r.latency.uncachedTokens[req.Class], uncached, uncachedTokensWeight)
 	b.pace.completed++
 	b.cache.store(req)
-	limit := timeoutFactor*a.cost.queued*r.latency.prefillPace + recoverySlack
+	limit := timeoutFactor*a.cost.queued*r.latency.prefillPace + trialSlack
 	r.observeSuccess(b, req, event.Elapsed.Seconds() < limit)
 }
 
-func (r *Router) attemptTimedOut(req *request, a *attempt, event Outcome) {
+func (r *Router) observeTimeout(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.mixed.observe(a, r.latency.usualFirstToken(a.cost.queued), event.Elapsed)
 	movingAverage(&b.pace.slowness, timeoutFactor, slownessWeight)
-	if r.now < req.Deadline || a.sentAt+deadlineBlame < r.now {
+	if r.now < req.Deadline || a.sentAt+minTimeToBlameEndpoint < r.now {
 		r.observeFailure(b, req, outcomeWeight)
 	} else {
 		r.observeSuccess(b, req, false)
--- a/routing/congestion.go
+++ b/routing/congestion.go
@@ -5,108 +5,116 @@
 	"time"
 )
 
+// A prefill ratio is the time that a prefill took, divided by the latency objective of its request.
 const (
-	// congestionTarget is the part of a latency objective that prefills may take in the mean.
-	congestionTarget = 0.5
-	// rejectedPrefillTime is what a rejected prefill counts as, in latency objectives: the endpoint's queue
-	// is full.
-	rejectedPrefillTime = 4.0
-	// congestionDecrease is the rate a second at which the admission level falls, for each latency objective
-	// that prefills take beyond the target; congestionIncrease is how much it rises a second for each one
-	// below it.
-	congestionDecrease = 0.3
-	congestionIncrease = 0.1
-	// Congestion has ended when no prefill was beyond the target for calmTime: after calmBeforeFaster more,
-	// each further one doubles the increase, at most maxIncreaseDoublings times.
-	calmTime             = 1500 * time.Millisecond
-	calmBeforeFaster     = 3
+	// targetPrefillRatio is the prefill ratio that the controller aims at.
+	targetPrefillRatio = 0.5
+	// rejectedPrefillRatio is the prefill ratio that a rejected prefill counts as: a rejection means that the
+	// endpoint's queue is full.
+	rejectedPrefillRatio = 4.0
+	// admissionDecreaseRate is the relative decrease of the admission level per second, for each unit by which
+	// the prefill ratio exceeds the target.
+	admissionDecreaseRate = 0.3
+	// admissionIncreaseRate is the absolute increase of the admission level per second, for each unit by which
+	// the prefill ratio is below the target.
+	admissionIncreaseRate = 0.1
+	// Recovery speeds up once no prefill has reached the target for fastRecoveryDelay. The first
+	// fastRecoveryPrefills prefills after that leave the increase as it is; each further one doubles it, at
+	// most maxIncreaseDoublings times.
+	fastRecoveryDelay    = 1500 * time.Millisecond
+	fastRecoveryPrefills = 3
 	maxIncreaseDoublings = 5
-	// maxCongestionSpan bounds the time since the last prefill for which one counts: it may be alone.
-	maxCongestionSpan = time.Second
-	// quietAfter is how long no prefill may end before the level rises by itself, by quietIncrease a second:
-	// where nearly all is shed and little comes, no prefill would show that congestion has ended.
-	quietAfter    = 8 * time.Second
-	quietIncrease = 0.05
-	// minAdmissionLevel keeps prefills coming, so that they show when congestion ends.
+	// maxPrefillInterval bounds the time for which one prefill moves the admission level: a prefill that ends
+	// after a long time without one may not be typical of that time.
+	maxPrefillInterval = time.Second
+	// If no prefill ends for idleRecoveryDelay, the admission level rises by idleRecoveryRate per second.
+	// Otherwise a replica with little traffic that sheds most of it would have no prefills that show the end
+	// of the congestion.
+	idleRecoveryDelay = 8 * time.Second
+	idleRecoveryRate  = 0.05
+	// minAdmissionLevel keeps some prefills running, since only their times show when congestion ends.
 	minAdmissionLevel = 0.1
 
-	// congestionSeed separates these draws from others of the same request.
+	// congestionSeed makes the random draws of congestion control independent of other draws for the request.
 	congestionSeed = 3
 )
 
-// prefillCongestion decides how much a replica admits while other replicas fill the prefill endpoints. A
-// replica of many never reaches its own bounds on a prefill endpoint, so it queues nothing; what others send
-// shows only in how long its own prefills take and in rejections. Each replica moves its level of admission
-// by what its own prefills took: up by a constant, down by a part of itself. All see the same queues, so
-// those that admit more come down faster, and all end at about the same level; steps in proportion, both
-// ways, would leave them apart.
-type prefillCongestion struct {
-	shed        float64 // 1 - level of admission, when last observed; 0 = all are admitted
-	observedAt  time.Duration
-	congestedAt time.Duration // when a prefill last took the target or more
-	calm        int           // prefills since calmTime after that
-	lengths     promptLengths // uncached, as far as prefixes tell
+// congestionController sets the fraction of new requests that is rejected on arrival because prefill endpoints
+// are congested, by additive increase and multiplicative decrease (AIMD) of the admission level.
+//
+// Where many replicas share the prefill endpoints, a replica stays below its own limits at each endpoint and
+// queues nothing. It notices the load of the other replicas only by its own prefill times and by rejections.
+// All replicas see the same endpoint queues, and a multiplicative decrease lowers the higher admission levels by
+// more, so the levels of all replicas converge. With a multiplicative increase they would stay apart.
+type congestionController struct {
+	shedFraction    float64       // 1 - admission level at observedAt; 0 = all requests are admitted
+	observedAt      time.Duration // end of the last prefill that was observed
+	congestedAt     time.Duration // when a prefill last reached the target ratio
+	belowTarget     int           // prefills since fastRecoveryDelay after congestedAt
+	uncachedLengths promptLengths // uncached tokens of recent prompts, estimated by their prefixes
 }
 
-// observe takes how long a prefill took, in latency objectives of its request.
-func (c *prefillCongestion) observe(now time.Duration, objectives float64) {
-	shed := c.shedAt(now)
-	span := min(now-c.observedAt, maxCongestionSpan).Seconds()
+// observe adjusts the admission level by the prefill ratio of a prefill that has ended.
+func (c *congestionController) observe(now time.Duration, ratio float64) {
+	shedFraction := c.shedFractionAt(now)
+	interval := min(now-c.observedAt, maxPrefillInterval).Seconds()
 	c.observedAt = now
-	level, excess := 1-shed, objectives-congestionTarget
+	level, excess := 1-shedFraction, ratio-targetPrefillRatio
 	if excess >= 0 {
-		c.calm, c.congestedAt = 0, now
-		level *= math.Exp(-congestionDecrease * excess * span)
+		c.belowTarget, c.congestedAt = 0, now
+		level *= math.Exp(-admissionDecreaseRate * excess * interval)
 	} else {
-		if now-c.congestedAt >= calmTime {
-			c.calm++
+		if now-c.congestedAt >= fastRecoveryDelay {
+			c.belowTarget++
 		}
-		doublings := min(max(c.calm-calmBeforeFaster, 0), maxIncreaseDoublings)
-		level -= congestionIncrease * math.Exp2(float64(doublings)) * excess * span
+		doublings := min(max(c.belowTarget-fastRecoveryPrefills, 0), maxIncreaseDoublings)
+		level -= admissionIncreaseRate * math.Exp2(float64(doublings)) * excess * interval
 	}
-	c.shed = 1 - min(max(level, minAdmissionLevel), 1)
+	c.shedFraction = 1 - min(max(level, minAdmissionLevel), 1)
 }
 
-// shedAt is how much is shed at a time.
-func (c *prefillCongestion) shedAt(now time.Duration) float64 {
-	quiet := max(now-c.observedAt-quietAfter, 0).Seconds()
-	return max(c.shed-quietIncrease*quiet, 0)
+// shedFractionAt returns the fraction to be shed at a time, with the recovery while no prefill ends.
+func (c *congestionController) shedFractionAt(now time.Duration) float64 {
+	idle := max(now-c.observedAt-idleRecoveryDelay, 0).Seconds()
+	return max(c.shedFraction-idleRecoveryRate*idle, 0)
 }
 
-// budget is the prompt tokens up to which requests are admitted for certain, where some are shed.
-func (c *prefillCongestion) budget(shed float64) float64 {
-	return (c.lengths.mean() + promptOverhead) * (1 - shed) / shed
+// tokenBudget returns the length in tokens, including promptOverhead, up to which all prompts are admitted while a
+// fraction above 0 is shed.
+func (c *congestionController) tokenBudget(shedFraction float64) float64 {
+	return (c.uncachedLengths.mean() + promptOverhead) * (1 - shedFraction) / shedFraction
 }
 
-// observePrefillTime takes how a prefill attempt ended.
+// observePrefillTime passes the prefill ratio of an attempt that has ended to the congestion controller.
 func (r *Router) observePrefillTime(req *request, event Outcome) {
 	objective := req.objectiveAt() - req.arrivedAt
 	if objective <= 0 {
 		return
 	}
-	took := event.Elapsed.Seconds() / objective.Seconds()
+	ratio := event.Elapsed.Seconds() / objective.Seconds()
 	switch event.Result {
 	case PrefillDone:
-		req.congested = req.congested || took > congestionTarget
+		req.congested = req.congested || ratio > targetPrefillRatio
 	case TimedOut:
-		took = max(took, congestionTarget) // it would have taken longer
+		ratio = max(ratio, targetPrefillRatio) // the prefill would have taken longer than the time-out
 		req.congested = true
 	case Rejected:
-		took = rejectedPrefillTime
+		ratio = rejectedPrefillRatio
 	default:
 		return
 	}
-	r.admission.congestion.observe(r.now, took)
+	r.admission.congestion.observe(r.now, ratio)
 }
 
-// congestionSheds draws whether a new request is rejected because the prefill endpoints are congested.
-func (r *Router) congestionSheds(req *request) bool {
+// shedForCongestion draws whether a new request is rejected because the prefill endpoints are congested.
+func (r *Router) shedForCongestion(req *request) bool {
 	c := &r.admission.congestion
-	tokens := max(req.PromptTokens-req.PrefixTokens, 0)
-	c.lengths.add(tokens)
-	shed := c.shedAt(r.now)
-	if shed == 0 {
+	uncached := max(req.PromptTokens-req.PrefixTokens, 0)
+	c.uncachedLengths.add(uncached)
+	shedFraction := c.shedFractionAt(r.now)
+	if shedFraction == 0 {
 		return false
 	}
-	return uniform(r.seed+congestionSeed, uint64(req.ID)) >= c.lengths.admission(tokens, c.budget(shed))
+	return uniform(r.seed+congestionSeed, uint64(req.ID)) >=
+		c.uncachedLengths.admissionProbability(uncached, c.tokenBudget(shedFraction))
 }
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// minAnswerTime is how long before the deadline of a queued request its final answer is sent, so that it
+// finalAnswerMargin is how long before the deadline of a queued request its final answer is sent, so that it
 // arrives in time.
-const minAnswerTime = 30 * time.Millisecond
+const finalAnswerMargin = 30 * time.Millisecond
 
 // dispatch sends queued requests to endpoints with capacity: shortest prompt first, and now and then one that
 // has starved. Requests beyond their tenant's quota come last. Where nothing has changed that could have made
@@ -25,12 +25,12 @@
 			r.finish(req, r.finalAnswer(req, q.position(req, promoted), r.expiredReason(req)))
 		case r.knownToBeFull(req):
 		case r.placeQueued(req):
-			q.dispatched(req)
+			q.markDispatched(req)
 			// Each send adds to what mixed endpoints are owed, so others may go there now.
 			r.capacity.stale = r.capacity.stale || r.backends.roles[RoleMixed].listed > 0
 			if r.capacity.stale && !all { // try all requests behind this one too
 				all = true
-				q.selected, i = append(q.selected[:0], q.after(req, promoted)...), -1
+				q.selected, i = append(q.selected[:0], q.queuedAfter(req, promoted)...), -1
 			}
 		}
 	}
@@ -45,12 +45,12 @@
 	if all {
 		q.selected = append(q.selected, q.waiting...)
 	} else {
-		q.selected = append(q.selected, q.retry...)
+		q.selected = append(q.selected, q.recheck...)
 		r.selectExpired()
 		slices.SortFunc(q.selected, compareDispatch)
 		q.selected = slices.Compact(q.selected)
 	}
-	q.retry = q.retry[:0]
+	q.recheck = q.recheck[:0]
 	if i := slices.Index(q.selected, promoted); promoted != nil && i > 0 {
 		q.selected = slices.Insert(slices.Delete(q.selected, i, i+1), 0, promoted)
 	}
@@ -58,13 +58,13 @@
 
 func (r *Router) selectExpired() {
 	q := &r.queue
-	for class := range q.byLimit {
+	for class := range q.byDueTime {
 		for {
-			req := q.nextLimit(class)
+			req := q.nextDue(class)
 			if req == nil || !r.expired(req) {
 				break
 			}
-			heap.Pop(&q.byLimit[class])
+			heap.Pop(&q.byDueTime[class])
 			q.selected = append(q.selected, req)
 		}
 	}
@@ -73,7 +73,7 @@
 // expired reports that a queued request can't be answered in time any more, or must not be tried. It is given
 // up early, while a retry may still help its client.
 func (r *Router) expired(req *request) bool {
-	return r.now+max(minAnswerTime, r.latency.minServiceTime(req.Class)) >= req.queued.limit ||
+	return r.now+max(finalAnswerMargin, r.latency.minServiceTime(req.Class)) >= req.queued.dueAt ||
 		len(req.attempts) >= r.config.MaxAttempts || req.shed
 }
 
@@ -86,7 +86,7 @@
 		return ReasonOverload
 	case len(req.attempts) >= r.config.MaxAttempts:
 		return ReasonAttemptsExhausted
-	case req.queued.limit >= req.Deadline:
+	case req.queued.dueAt >= req.Deadline:
 		return ReasonDeadline
 	}
 	return ReasonObjectiveMissed
--- a/routing/lengthshares.go
+++ b/routing/lengthshares.go
@@ -1,37 +1,40 @@
 package routing
 
 const (
-	// minDispatchShare is the part of what all requests get that a band of long prompts is to get at least:
-	// half, and a margin for promoted requests that find no capacity.
-	minDispatchShare = 0.65
-	// shareDecay is the part of the counts that is forgotten with each arrival.
-	shareDecay = 0.005
+	// minDispatchFraction is the least dispatch rate (dispatched requests per arrival) of a band of long
+	// prompts, as a fraction of the rate over all prompts: one half, plus a margin for promoted requests that
+	// find no capacity.
+	minDispatchFraction = 0.65
+	// shareDecayPerArrival is the fraction by which each arrival decays all counts.
+	shareDecayPerArrival = 0.005
 )
 
-// lengthShares bounds how far shortest first favors short prompts. Under lasting overload the longest are
-// given up at their objective before age alone would promote them, so it counts how many of each band of
-// lengths were dispatched.
+// lengthShares counts arrived and dispatched requests by prompt length band, so that the queue can promote
+// requests of a band that is underserved. Promotion by age alone is not enough: under lasting overload,
+// dispatching the shortest prompt first leaves the longest prompts in the queue until their latency objective,
+// and they are given up before they reach the starvation age.
 type lengthShares struct {
 	lengths promptLengths
 	counts  [bandLongest + 1]struct{ arrived, dispatched float64 }
 }
 
-// arrived counts a new request.
-func (s *lengthShares) arrived(req *request) {
+// countArrival decays the counts and adds a new request.
+func (s *lengthShares) countArrival(req *request) {
 	s.lengths.add(req.PromptTokens)
 	for band := range s.counts {
-		s.counts[band].arrived *= 1 - shareDecay
-		s.counts[band].dispatched *= 1 - shareDecay
+		s.counts[band].arrived *= 1 - shareDecayPerArrival
+		s.counts[band].dispatched *= 1 - shareDecayPerArrival
 	}
 	s.counts[s.lengths.band(req.PromptTokens)].arrived++
 }
 
-// dispatched counts the first attempt of a request.
-func (s *lengthShares) dispatched(req *request) {
+// countDispatch adds a request whose first attempt is sent.
+func (s *lengthShares) countDispatch(req *request) {
 	s.counts[s.lengths.band(req.PromptTokens)].dispatched++
 }
 
-// underserved reports that a band lacks a dispatch to have its least share.
+// underserved reports whether the dispatch rate of a band, with one more request dispatched, is still below
+// minDispatchFraction of the rate over all bands.
 func (s *lengthShares) underserved(band lengthBand) bool {
 	arrived, dispatched := 0.0, 0.0
 	for _, count := range s.counts {
@@ -39,10 +42,11 @@
 		dispatched += count.dispatched
 	}
 	own := s.counts[band]
-	return (own.dispatched+1)*arrived < minDispatchShare*dispatched*own.arrived
+	return (own.dispatched+1)*arrived < minDispatchFraction*dispatched*own.arrived
 }
 
-// takes reports that a queued request may be promoted for a band.
-func (s *lengthShares) takes(req *request, band lengthBand) bool {
+// mayPromote reports whether a queued request belongs to a band and may be promoted as one of it. Requests beyond
+// their tenant's quota may not.
+func (s *lengthShares) mayPromote(req *request, band lengthBand) bool {
 	return !req.queued.overQuota && s.lengths.band(req.PromptTokens) == band
 }
--- a/routing/lengthshares_test.go
+++ b/routing/lengthshares_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// TestUnderservedLengthsArePromoted: more short prompts come than there is capacity for, all the time. Shortest first
-// alone gives up each long prompt at its objective, which ends before age promotes it. The shortest of the long ones
-// goes first then, at most every dispatchesPerPromotion dispatches, and none beyond its tenant's quota.
+// TestUnderservedLengthsArePromoted checks promotion by prompt length while short prompts alone exceed the capacity.
+// Dispatching the shortest prompt first would then leave every long prompt in the queue until its latency objective,
+// and it would be given up before it reaches the starvation age. Long prompts must be dispatched, but at most one in
+// dispatchesPerPromotion dispatches, and none beyond its tenant's quota.
 func TestUnderservedLengthsArePromoted(t *testing.T) {
 	config := testConfig()
 	config.Tenants = []Tenant{{}, {QuotaPerS: 0.01}}
@@ -45,36 +46,36 @@
 		}
 		lastLong = i
 		if tenants[id] == 1 {
-			t.Errorf("request %d is beyond its tenant's quota and was promoted", id)
+			t.Errorf("request %d exceeds its tenant's quota and was promoted", id)
 		}
 	}
 	// A tenth of the arrivals are long, and half of those may be promoted.
-	if most := len(dispatched) * 3 / 4; long < most/50 || long > most/8 {
-		t.Errorf("%d of %d dispatches are long prompts", long, most)
+	if measured := len(dispatched) * 3 / 4; long < measured/50 || long > measured/8 {
+		t.Errorf("%d of %d dispatches are long prompts, want between 1/50 and 1/8", long, measured)
 	}
 }
 
-// TestLengthSharesForget: what was dispatched long ago does not count against a band now.
-func TestLengthSharesForget(t *testing.T) {
+// TestLengthSharesDecay checks that dispatches of long ago do not hide that a band is underserved now.
+func TestLengthSharesDecay(t *testing.T) {
 	var shares lengthShares
 	add := func(id RequestID, tokens float64, dispatched bool) {
 		req := &request{Request: Request{ID: id, PromptTokens: tokens}}
-		shares.arrived(req)
+		shares.countArrival(req)
 		if dispatched {
-			shares.dispatched(req)
+			shares.countDispatch(req)
 		}
 	}
 	for id := range RequestID(1000) {
 		add(id, 100+float64(id%10)*100, true)
 	}
 	if shares.underserved(bandLongest) {
-		t.Fatal("underserved though all were dispatched")
+		t.Fatal("bandLongest is underserved though all its requests were dispatched")
 	}
 	for id := range RequestID(1000) {
 		tokens := 100 + float64(id%10)*100
 		add(1000+id, tokens, tokens < 800)
 	}
 	if !shares.underserved(bandLongest) {
-		t.Error("not underserved after a thousand arrivals of which none of the longest was dispatched")
+		t.Error("bandLongest is not underserved after a thousand arrivals in which none of its requests was dispatched")
 	}
 }
--- a/routing/loadshed.go
+++ b/routing/loadshed.go
@@ -7,82 +7,84 @@
 )
 
 const (
-	// shedRate is how fast the shed fraction follows: the change of the logarithm of what is admitted,
-	// in a second.
-	shedRate = 0.45
-	// recoveryStep is how much an answer in time raises what is admitted, against what a late one
-	// lowers it.
-	recoveryStep = 1.5
-	// maxShedFraction bounds the shed fraction, so that answers still show when the overload has ended.
+	// shedAdjustRate is how fast the shed fraction changes: the change per second of the logarithm of the
+	// admitted fraction, for an adjustment of 1.
+	shedAdjustRate = 0.45
+	// recoveryFactor is how much more an answer in time raises the admitted fraction than a late answer of no
+	// value lowers it.
+	recoveryFactor = 1.5
+	// maxShedFraction keeps some requests admitted, since only their answers show the end of the overload.
 	maxShedFraction = 0.9
-	// maxSpanInTime and maxSpanLate are for how much time since the last answer one in time, and a late
-	// one, counts: a late one after a long silence may be alone.
-	maxSpanInTime = 3 * time.Second
-	maxSpanLate   = 1 * time.Second
-	// rejectionHold is how long after an endpoint rejected an attempt no more is admitted: answers in
-	// time then come from requests sent before those that fill the endpoints' queues.
+	// maxTimelyInterval and maxLateInterval bound the time since the last answer for which an answer in time, or
+	// a late one, adjusts the shed fraction. After a long time without answers a late one may be an exception.
+	maxTimelyInterval = 3 * time.Second
+	maxLateInterval   = 1 * time.Second
+	// rejectionHold is how long the shed fraction does not fall after an endpoint rejected an attempt: answers in
+	// time then belong to requests sent before the endpoints' queues filled up.
 	rejectionHold = 2 * time.Second
-	// maxShedBias bounds how many times more, or less, readily than others a request is shed, so that
-	// no class or length is shut out.
+	// maxShedBias bounds the factor by which a request is more, or less, likely to be shed than the average, so
+	// that no class and no prompt length is rejected altogether.
 	maxShedBias = 6.0
-	// valueWeight is the weight of the newest request in the mean value.
-	valueWeight = 0.02
-	// valueOverhead is added to the uncached prompt tokens when a request's value is divided by its
-	// work: each request takes some work however short it is.
-	valueOverhead = 200
-	// overloadShedFraction is the shed fraction from which requests that have missed their objective
+	// meanValueWeight is the weight of the newest request in the moving average of values.
+	meanValueWeight = 0.02
+	// valueOverheadTokens is added to the uncached prompt tokens when a request's value is divided by its work,
+	// since even the shortest request takes some work.
+	valueOverheadTokens = 200
+	// overloadShedFraction is the shed fraction above which requests that have missed their latency objective
 	// are given up.
 	overloadShedFraction = 0.1
 
-	// shedSeed separates the draws of load shedding from others of the same request.
+	// shedSeed makes the random draws of load shedding independent of other draws for the request.
 	shedSeed = 2
 )
 
-// loadShedder keeps the fraction of new requests that is rejected on arrival. Where most answers come
-// late, more is asked than can be done in time, whatever the cause: a surge, or endpoints gone, slow or
-// starting. A queue then makes all answers late, so as many requests are shed as keeps the rest in
-// time. It costs answers where less work makes nothing faster.
+// loadShedder sets the fraction of new requests that is rejected on arrival because of overload. If most answers
+// come late, the load exceeds what the endpoints can answer in time, whether because of a surge or because
+// endpoints are gone, slow or starting. Queueing the excess would make all answers late, so the fraction rises
+// until the admitted requests are answered in time. Shedding only loses answers where a lower load does not make
+// the rest faster.
 type loadShedder struct {
-	fraction   float64
-	updatedAt  time.Duration
-	rejectedAt time.Duration // when an endpoint last rejected an attempt
-	meanValue  float64       // for each unit of work, over requests
+	shedFraction float64
+	updatedAt    time.Duration // time of the last observed answer
+	rejectedAt   time.Duration // when an endpoint last rejected an attempt
+	meanValue    float64       // moving average of the values of requests
 }
 
-// observe moves the fraction by whether an answer met its latency objective. It moves by time passed,
-// to be alike in a replica of few requests and of many.
+// observe adjusts the shed fraction by whether an answer met its latency objective. The adjustment is proportional
+// to the time since the last answer, so that replicas with few and with many requests adjust equally fast.
 func (s *loadShedder) observe(now time.Duration, class *Class, late bool) {
-	elapsed, step := min(now-s.updatedAt, maxSpanInTime).Seconds(), -recoveryStep
+	elapsed, adjustment := min(now-s.updatedAt, maxTimelyInterval).Seconds(), -recoveryFactor
 	switch {
 	case late:
-		elapsed, step = min(elapsed, maxSpanLate.Seconds()), 1-class.LateWeight
+		elapsed, adjustment = min(elapsed, maxLateInterval.Seconds()), 1-class.LateWeight
 	case now-s.rejectedAt < rejectionHold:
-		step = 0
+		adjustment = 0
 	}
 	s.updatedAt = now
-	s.fraction = min(max(1-(1-s.fraction)*math.Exp(-shedRate*elapsed*step), 0), maxShedFraction)
+	s.shedFraction = min(max(1-(1-s.shedFraction)*math.Exp(-shedAdjustRate*elapsed*adjustment), 0), maxShedFraction)
 }
 
-// bias is how many times more readily than others a request of a value is shed: by how far its value
-// lies below the mean.
-func (s *loadShedder) bias(value float64) float64 {
+// shedBias returns how many times more likely than the average a request of a value is shed: the mean value divided
+// by its own, within maxShedBias.
+func (s *loadShedder) shedBias(value float64) float64 {
 	s.meanValue = cmp.Or(s.meanValue, value)
-	s.meanValue += valueWeight * (value - s.meanValue)
+	s.meanValue += meanValueWeight * (value - s.meanValue)
 	return min(max(s.meanValue/max(value, 1e-9), 1/maxShedBias), maxShedBias)
 }
 
-// shouldShed draws whether a new request is rejected. The draw is the request's own, so that no
-// session, prefix or tenant is shed more than others.
-func (r *Router) shouldShed(req *request) bool {
-	chance := r.admission.shedder.fraction * r.admission.shedder.bias(r.value(req))
-	return uniform(r.seed+shedSeed, uint64(req.ID)) < chance
+// shedForOverload draws whether a new request is rejected because of overload. The draw depends on the request's id
+// only, so that shedding does not single out sessions, prefixes or tenants.
+func (r *Router) shedForOverload(req *request) bool {
+	probability := r.admission.shedder.shedFraction * r.admission.shedder.shedBias(r.requestValue(req))
+	return uniform(r.seed+shedSeed, uint64(req.ID)) < probability
 }
 
-// value is the priority weight of a request for each unit of the work that it asks for.
-func (r *Router) value(req *request) float64 {
+// requestValue returns the priority weight of a request per unit of work, or the configured weight itself where that
+// already is per unit of work. Requests beyond their tenant's quota are worth a fraction of it.
+func (r *Router) requestValue(req *request) float64 {
 	value := cmp.Or(req.class.PriorityWeight, 1)
 	if !r.config.WeightByWork {
-		value /= max(req.PromptTokens-req.PrefixTokens, 0) + valueOverhead
+		value /= max(req.PromptTokens-req.PrefixTokens, 0) + valueOverheadTokens
 	}
 	if req.queued.overQuota {
 		value *= r.config.OverQuotaWeight
@@ -90,8 +92,8 @@
 	return value
 }
 
-// objectiveLost reports that a request has missed its objective while most answers come late: the
-// capacity that it would take serves better a request that can be in time.
-func (r *Router) objectiveLost(req *request) bool {
-	return r.admission.shedder.fraction > overloadShedFraction && r.now >= req.objectiveAt()
+// objectiveMissedInOverload reports whether a request has missed its latency objective during overload. It is then
+// given up, so that its capacity goes to requests that can still be answered in time.
+func (r *Router) objectiveMissedInOverload(req *request) bool {
+	return r.admission.shedder.shedFraction > overloadShedFraction && r.now >= req.objectiveAt()
 }
--- a/routing/loadshed_test.go
+++ b/routing/loadshed_test.go
@@ -11,7 +11,7 @@
 	shedder := &h.router.admission.shedder
 	h.now += span
 	shedder.observe(h.now, &h.router.config.Classes[0], false)
-	return shedder.fraction
+	return shedder.shedFraction
 }
 
 // TestLoadIsShedWhileAnswersAreLate: while first tokens come after their objective a part of new requests is rejected
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	if fraction := h.router.admission.shedder.fraction; fraction < 0.3 || lateAttempts > 60 {
+	if fraction := h.router.admission.shedder.shedFraction; fraction < 0.3 || lateAttempts > 60 {
 		t.Fatalf("shed fraction %.2f, %d attempts of the last 20 requests", fraction, lateAttempts)
 	}
 }
@@ -90,7 +90,7 @@
 		req := h.request(RequestID(i+1), idempotentClass, 600)
 		req.PrefixTokens, req.Tenant = 0, 1
 		change(&req, i%2)
-		h.router.admission.shedder.fraction = fraction
+		h.router.admission.shedder.shedFraction = fraction
 		shed[i%2] += len(actionsOf[Reject](h.step(req)))
 		h.step(ClientDisconnected{Request: req.ID})
 		h.now += ms
@@ -144,9 +144,9 @@
 			gap := time.Duration(float64(time.Second) / rate)
 			h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
 			shedder := &h.router.admission.shedder
-			shedder.fraction, shedder.updatedAt = maxShedFraction, h.now
+			shedder.shedFraction, shedder.updatedAt = maxShedFraction, h.now
 			took := time.Duration(0)
-			for ; shedder.fraction > 0 && took < time.Minute; took += gap {
+			for ; shedder.shedFraction > 0 && took < time.Minute; took += gap {
 				observeInTime(h, gap)
 			}
 			if took > 3500*ms+gap {
@@ -170,7 +170,7 @@
 				Request: 1, Attempt: boolToInt(stateMissing), Endpoint: send.Endpoint, Result: Rejected,
 				StateMissing: stateMissing, Elapsed: ms,
 			})
-			h.router.admission.shedder.fraction = 0.5
+			h.router.admission.shedder.shedFraction = 0.5
 			if fraction := observeInTime(h, 200*ms); (fraction == 0.5) == stateMissing {
 				t.Errorf("shed fraction %.2f of 0.5 after an answer in time", fraction)
 			}
@@ -196,7 +196,7 @@
 			for session := range sessions {
 				shed := 0
 				for turn := range turns {
-					h.router.admission.shedder.fraction = 0.5
+					h.router.admission.shedder.shedFraction = 0.5
 					req := h.request(RequestID(1+turn*sessions+session), idempotentClass, 200)
 					req.Session, req.Prefix = uint64(1+session), uint64(1+session%20)
 					actions := h.step(req)
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -27,8 +27,8 @@
 	return r == EngineError || r == TimedOut || r == ConnectionReset || r == Canceled
 }
 
-// fromEndpoint reports that the result doesn't speak for silence of the endpoint. A connection that breaks
+// endsSilence reports that the result doesn't speak for silence of the endpoint. A connection that breaks
 // was up before, and an attempt that was not sent had no answer to wait for.
-func (r Result) fromEndpoint() bool {
+func (r Result) endsSilence() bool {
 	return r != TimedOut && r != Canceled && r != ConnectFailed
 }
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -86,7 +86,7 @@
 	reason := r.giveUpReason(req)
 	switch {
 	case reason != ReasonNone:
-	case r.now+minAnswerTime >= req.Deadline:
+	case r.now+finalAnswerMargin >= req.Deadline:
 		reason = ReasonDeadline
 	case r.stateExpired(req):
 		reason = ReasonStateExpired
--- a/routing/promptlengths.go
+++ b/routing/promptlengths.go
@@ -6,60 +6,61 @@
 )
 
 const (
-	// recentPrompts is how many prompts the lengths are kept of, and minRecentPrompts from how many on
-	// prompts are told apart by length.
-	recentPrompts    = 256
+	// maxRecentPrompts is the number of prompts whose lengths are kept. Below minRecentPrompts all prompts
+	// count as short.
+	maxRecentPrompts = 256
 	minRecentPrompts = 10
-	// longestPart and longPart bound the bands: the longest tenth of the prompts, and with it the next fifth.
-	longestPart = 0.1
-	longPart    = 0.3
+	// longestFraction is the fraction of recent prompts in bandLongest, and longFraction the fraction in
+	// bandLong and bandLongest together.
+	longestFraction = 0.1
+	longFraction    = 0.3
 )
 
-// lengthBand is a class of prompts by length, against the recent ones of this replica.
+// lengthBand ranks the length of a prompt among the recent prompts of this replica.
 type lengthBand uint8
 
 const (
 	bandShort   lengthBand = iota
-	bandLong               // of the longest three tenths, but not of the longest tenth
-	bandLongest            // of the longest tenth
+	bandLong               // among the longest 30 %, but not the longest 10 %
+	bandLongest            // among the longest 10 %
 )
 
 // promptLengths keeps the lengths of recent prompts, in tokens.
 type promptLengths struct {
-	recent []float64 // in a ring
-	oldest int       // index in recent, once that is full
-	sorted []float64 // the same, ascending
+	recent []float64 // ring buffer, in order of arrival
+	oldest int       // index of the oldest length in recent, once the buffer is full
+	sorted []float64 // the lengths in recent, ascending
 }
 
-// add counts the prompt of a new request.
+// add records the length of a new prompt, in place of the oldest one if the buffer is full.
 func (l *promptLengths) add(tokens float64) {
-	if len(l.recent) < recentPrompts {
+	if len(l.recent) < maxRecentPrompts {
 		l.recent = append(l.recent, tokens)
 	} else {
 		i, _ := slices.BinarySearch(l.sorted, l.recent[l.oldest])
 		l.sorted = slices.Delete(l.sorted, i, i+1)
 		l.recent[l.oldest] = tokens
-		l.oldest = (l.oldest + 1) % recentPrompts
+		l.oldest = (l.oldest + 1) % maxRecentPrompts
 	}
 	i, _ := slices.BinarySearch(l.sorted, tokens)
 	l.sorted = slices.Insert(l.sorted, i, tokens)
 }
 
-// bounds are the indices in sorted at which the bands of long and of longest prompts begin. Prompts of one
-// length are of one band.
-func (l *promptLengths) bounds() (long, longest int) {
+// bandBounds returns the indices in sorted at which bandLong and bandLongest begin. Prompts of equal length are in
+// the same band.
+func (l *promptLengths) bandBounds() (long, longest int) {
 	n := len(l.sorted)
 	if n < minRecentPrompts {
 		return n, n
 	}
-	long, _ = slices.BinarySearch(l.sorted, l.sorted[n-int(longPart*float64(n))])
-	longest, _ = slices.BinarySearch(l.sorted, l.sorted[n-int(longestPart*float64(n))])
+	long, _ = slices.BinarySearch(l.sorted, l.sorted[n-int(longFraction*float64(n))])
+	longest, _ = slices.BinarySearch(l.sorted, l.sorted[n-int(longestFraction*float64(n))])
 	return long, longest
 }
 
-// band is the band of a prompt.
+// band returns the band of a prompt length.
 func (l *promptLengths) band(tokens float64) lengthBand {
-	long, longest := l.bounds()
+	long, longest := l.bandBounds()
 	switch {
 	case longest < len(l.sorted) && tokens >= l.sorted[longest]:
 		return bandLongest
@@ -70,9 +71,9 @@
 	}
 }
 
-// ofBand returns the recent lengths of a band, ascending.
-func (l *promptLengths) ofBand(band lengthBand) []float64 {
-	long, longest := l.bounds()
+// inBand returns the recent lengths in a band, ascending.
+func (l *promptLengths) inBand(band lengthBand) []float64 {
+	long, longest := l.bandBounds()
 	switch band {
 	case bandLongest:
 		return l.sorted[longest:]
@@ -83,7 +84,7 @@
 	}
 }
 
-// mean is the mean recent length.
+// mean returns the mean of the recent lengths.
 func (l *promptLengths) mean() float64 {
 	sum := 0.0
 	for _, tokens := range l.sorted {
@@ -93,55 +94,58 @@
 }
 
 const (
-	// minAdmissionShare is the part of the mean chance of admission that a band of long prompts has at least:
-	// half, and a margin for lengths that change.
-	minAdmissionShare = 0.55
-	// longAdmissionExponent is how steeply the chance falls with length inside such a band.
+	// minAdmissionFraction is the least mean admission probability of a band of long prompts, as a fraction of
+	// the mean over all prompts: one half, plus a margin for a changing distribution of lengths.
+	minAdmissionFraction = 0.55
+	// longAdmissionExponent sets how steeply the admission probability falls with length in a band whose mean
+	// was raised to that minimum.
 	longAdmissionExponent = 2
-	// admissionSearchSteps is how often the search for a band's budget halves its range.
+	// admissionSearchSteps is the number of bisection steps in the search for a band's token budget.
 	admissionSearchSteps = 12
 )
 
-// admission is the chance of admission of a prompt of a length, for a budget: the tokens up to which prompts
-// are admitted for certain. A longer prompt has the chance that makes the mean of its admitted tokens the
-// budget, so that no length takes more work than another. A band of long prompts has together at least
-// minAdmissionShare of the mean chance of all; inside it shorter prompts have more, as they cost less.
-func (l *promptLengths) admission(tokens, budget float64) float64 {
-	chance := admissionChance(tokens, budget, 1)
+// admissionProbability returns the probability with which a prompt is admitted under a token budget. Prompts up to
+// the budget are always admitted. Longer prompts are admitted with a probability inversely proportional to their
+// length, so that the expected admitted tokens are the same for each length. If that leaves the mean probability of a
+// band of long prompts below minAdmissionFraction of the mean over all prompts, the band gets a larger budget of its
+// own. Its probabilities then fall more steeply with length, since its shorter prompts cost less work.
+func (l *promptLengths) admissionProbability(tokens, budget float64) float64 {
+	probability := budgetProbability(tokens, budget, 1)
 	band := l.band(tokens)
 	if band == bandShort {
-		return chance
+		return probability
 	}
-	lengths := l.ofBand(band)
-	part := float64(len(lengths)) / float64(len(l.sorted))
-	own := meanAdmission(lengths, budget, 1)
-	// What the band gets more than its own chance raises the mean of all too.
-	others := meanAdmission(l.sorted, budget, 1) - part*own
-	wanted := minAdmissionShare * others / (1 - minAdmissionShare*part)
-	if own >= wanted {
-		return chance
+	lengths := l.inBand(band)
+	fraction := float64(len(lengths)) / float64(len(l.sorted))
+	own := meanBudgetProbability(lengths, budget, 1)
+	// The mean over all prompts includes the band: solve mean = minAdmissionFraction * (others + fraction*mean).
+	others := meanBudgetProbability(l.sorted, budget, 1) - fraction*own
+	required := minAdmissionFraction * others / (1 - minAdmissionFraction*fraction)
+	if own >= required {
+		return probability
 	}
 	low, high := budget, lengths[len(lengths)-1]+promptOverhead
 	for range admissionSearchSteps {
 		middle := (low + high) / 2
-		if meanAdmission(lengths, middle, longAdmissionExponent) < wanted {
+		if meanBudgetProbability(lengths, middle, longAdmissionExponent) < required {
 			low = middle
 		} else {
 			high = middle
 		}
 	}
-	return max(chance, admissionChance(tokens, high, longAdmissionExponent))
+	return max(probability, budgetProbability(tokens, high, longAdmissionExponent))
 }
 
-// meanAdmission is the mean chance of prompts.
-func meanAdmission(lengths []float64, budget, exponent float64) float64 {
+// meanBudgetProbability returns the mean of budgetProbability over prompt lengths.
+func meanBudgetProbability(lengths []float64, budget, exponent float64) float64 {
 	sum := 0.0
 	for _, tokens := range lengths {
-		sum += admissionChance(tokens, budget, exponent)
+		sum += budgetProbability(tokens, budget, exponent)
 	}
 	return sum / float64(len(lengths))
 }
 
-func admissionChance(tokens, budget, exponent float64) float64 {
+// budgetProbability returns the probability with which a budget admits a prompt, before any minimum for its band.
+func budgetProbability(tokens, budget, exponent float64) float64 {
 	return min(math.Pow(budget/(tokens+promptOverhead), exponent), 1)
 }
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -18,11 +18,11 @@
 // requestQueue holds the requests that wait for capacity and have no read state anywhere.
 type requestQueue struct {
 	waiting        []*request // in dispatch order
-	retry          []*request // of these, what the next dispatch tries though capacity has not changed
+	recheck        []*request // of these, what the next dispatch tries though capacity has not changed
 	selected       []*request // of these, what the current dispatch tries; the slice is reused
 	byArrival      arrivalHeap
-	byLimit        []limitHeap // by class
-	sincePromotion int         // dispatches since the last promotion
+	byDueTime      []dueHeap // by class
+	sincePromotion int       // dispatches since the last promotion
 	shares         lengthShares
 }
 
@@ -31,11 +31,11 @@
 	waiting   bool
 	overQuota bool          // beyond its tenant's quota
 	promoted  bool          // it has starved: the backlog bound no longer counts its own tokens
-	limit     time.Duration // when its latency objective or its deadline ends, whichever is first
+	dueAt     time.Duration // when its latency objective or its deadline ends, whichever is first
 }
 
 func newRequestQueue(classes int) requestQueue {
-	return requestQueue{byLimit: make([]limitHeap, classes)}
+	return requestQueue{byDueTime: make([]dueHeap, classes)}
 }
 
 // compareDispatch is the dispatch order: shortest prompt first, what is beyond its tenant's quota last.
@@ -53,11 +53,11 @@
 func (q *requestQueue) add(req *request) {
 	i, _ := slices.BinarySearchFunc(q.waiting, req, compareDispatch)
 	q.waiting = slices.Insert(q.waiting, i, req)
-	q.retry = append(q.retry, req)
+	q.recheck = append(q.recheck, req)
 	req.queued.waiting = true
 	req.choices.full, req.choices.fullVersion = nil, 0
 	heap.Push(&q.byArrival, req)
-	heap.Push(&q.byLimit[req.Class], req)
+	heap.Push(&q.byDueTime[req.Class], req)
 }
 
 // remove takes a request out of the queue, if it is in it. Its heap entries stay until they come to the top.
@@ -82,20 +82,20 @@
 	return i
 }
 
-// after returns the queued requests that come after req in such a dispatch.
-func (q *requestQueue) after(req, promoted *request) []*request {
+// queuedAfter returns the queued requests that come after req in such a dispatch.
+func (q *requestQueue) queuedAfter(req, promoted *request) []*request {
 	if req == promoted {
 		return q.waiting
 	}
 	return q.waiting[q.position(req, nil):]
 }
 
-// retryKey lets the next dispatch try the requests of an affinity key.
-func (q *requestQueue) retryKey(key uint64) {
+// recheckKey lets the next dispatch try the requests of an affinity key.
+func (q *requestQueue) recheckKey(key uint64) {
 	for _, req := range q.waiting {
 		if req.affinityKey() == key {
 			req.choices.fullVersion = 0
-			q.retry = append(q.retry, req)
+			q.recheck = append(q.recheck, req)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	}
 	if !req.queued.promoted {
 		req.queued.promoted = true
-		q.retry = append(q.retry, req)
+		q.recheck = append(q.recheck, req)
 	}
 	return req
 }
@@ -124,7 +124,7 @@
 // longest band first; nil if there is none. Requests beyond their tenant's quota have no part in it.
 func (q *requestQueue) underserved() *request {
 	for _, band := range [...]lengthBand{bandLongest, bandLong} {
-		lengths := q.shares.lengths.ofBand(band)
+		lengths := q.shares.lengths.inBand(band)
 		if len(lengths) == 0 || !q.shares.underserved(band) {
 			continue
 		}
@@ -134,18 +134,18 @@
 			}
 			return cmp.Compare(req.PromptTokens, tokens)
 		})
-		if i < len(q.waiting) && q.shares.takes(q.waiting[i], band) {
+		if i < len(q.waiting) && q.shares.mayPromote(q.waiting[i], band) {
 			return q.waiting[i]
 		}
 	}
 	return nil
 }
 
-// dispatched takes out a request that was sent.
-func (q *requestQueue) dispatched(req *request) {
+// markDispatched takes out a request that was sent.
+func (q *requestQueue) markDispatched(req *request) {
 	q.remove(req)
 	if len(req.attempts) == 1 {
-		q.shares.dispatched(req)
+		q.shares.countDispatch(req)
 	}
 	if q.sincePromotion++; req.queued.promoted {
 		q.sincePromotion = 0
@@ -155,7 +155,7 @@
 // oldest is the queued request that arrived first; nil if none is queued.
 func (q *requestQueue) oldest() *request {
 	for q.byArrival.Len() > 0 {
-		if req := q.byArrival.first(); req.queued.waiting {
+		if req := q.byArrival.top(); req.queued.waiting {
 			return req
 		}
 		heap.Pop(&q.byArrival)
@@ -163,14 +163,14 @@
 	return nil
 }
 
-// nextLimit is the queued request of a class whose limit comes first; nil if none is queued.
-func (q *requestQueue) nextLimit(class int) *request {
-	limits := &q.byLimit[class]
-	for limits.Len() > 0 {
-		if req := limits.first(); req.queued.waiting {
+// nextDue is the queued request of a class whose limit comes first; nil if none is queued.
+func (q *requestQueue) nextDue(class int) *request {
+	dueTimes := &q.byDueTime[class]
+	for dueTimes.Len() > 0 {
+		if req := dueTimes.top(); req.queued.waiting {
 			return req
 		}
-		heap.Pop(limits)
+		heap.Pop(dueTimes)
 	}
 	return nil
 }
@@ -179,10 +179,10 @@
 // stays until it comes to the top, and a request that is queued again has two.
 type requestHeap []*request
 
-func (h *requestHeap) Len() int        { return len(*h) }
-func (h *requestHeap) Swap(i, j int)   { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
-func (h *requestHeap) Push(x any)      { *h = append(*h, x.(*request)) }
-func (h *requestHeap) first() *request { return (*h)[0] }
+func (h *requestHeap) Len() int      { return len(*h) }
+func (h *requestHeap) Swap(i, j int) { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
+func (h *requestHeap) Push(x any)    { *h = append(*h, x.(*request)) }
+func (h *requestHeap) top() *request { return (*h)[0] }
 
 func (h *requestHeap) Pop() any {
 	last := len(*h) - 1
@@ -200,10 +200,10 @@
 	return a.arrivedAt < b.arrivedAt || a.arrivedAt == b.arrivedAt && compareDispatch(a, b) < 0
 }
 
-// limitHeap is ordered by limit, then by dispatch order.
-type limitHeap struct{ requestHeap }
+// dueHeap is ordered by limit, then by dispatch order.
+type dueHeap struct{ requestHeap }
 
-func (h *limitHeap) Less(i, j int) bool {
+func (h *dueHeap) Less(i, j int) bool {
 	a, b := h.requestHeap[i], h.requestHeap[j]
-	return a.queued.limit < b.queued.limit || a.queued.limit == b.queued.limit && compareDispatch(a, b) < 0
+	return a.queued.dueAt < b.queued.dueAt || a.queued.dueAt == b.queued.dueAt && compareDispatch(a, b) < 0
 }
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -18,7 +18,7 @@
 		stateKept = false // the decode endpoint was silent all the while, and the state was released
 	}
 	reason := r.giveUpReason(req)
-	if reason == ReasonNone && !r.mayRepeat(req, stateKept) {
+	if reason == ReasonNone && !r.mayRetry(req, stateKept) {
 		reason = ReasonMayHaveRun
 	}
 	switch {
@@ -38,9 +38,9 @@
 	}
 }
 
-// mayRepeat reports that a request may have a further attempt, considering that one may have run. One that is
+// mayRetry reports that a request may have a further attempt, considering that one may have run. One that is
 // idempotent with a key is not prefilled again: that would take too much of its dedup window.
-func (r *Router) mayRepeat(req *request, stateKept bool) bool {
+func (r *Router) mayRetry(req *request, stateKept bool) bool {
 	switch {
 	case !req.execution.possible:
 		return true
@@ -57,7 +57,7 @@
 		return ReasonDeadline
 	case len(req.attempts) >= r.config.MaxAttempts:
 		return ReasonAttemptsExhausted
-	case r.objectiveLost(req):
+	case r.objectiveMissedInOverload(req):
 		return ReasonObjectiveMissed
 	}
 	return ReasonNone
@@ -67,11 +67,11 @@
 // failure. A client's own retry of a request that is not idempotent can't be told from one after a lost
 // answer, and is failed on arrival; so a rejection of one asks the client not to retry by itself. ahead is
 // how many queued requests a retry would find.
-func (r *Router) finalAnswer(req *request, ahead int, reason Reason) Action {
-	if !harmlessToRetry(req) {
+func (r *Router) finalAnswer(req *request, queuedAhead int, reason Reason) Action {
+	if !safeToRetry(req) {
 		return Fail{Request: req.ID, Reason: reason}
 	}
-	retryAfter := max(minRetryAfter, time.Duration(ahead)*retryAfterPerRequest)
+	retryAfter := max(minRetryAfter, time.Duration(queuedAhead)*retryAfterPerRequest)
 	return Reject{
 		Request:     req.ID,
 		RetryAfter:  min(retryAfter, r.config.MaxRetryAfter),
@@ -80,8 +80,8 @@
 	}
 }
 
-// harmlessToRetry reports that a client may retry through any replica and at any endpoint.
-func harmlessToRetry(req *request) bool {
+// safeToRetry reports that a client may retry through any replica and at any endpoint.
+func safeToRetry(req *request) bool {
 	if !req.execution.possible && !req.decodeInFlight() {
 		return true
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -106,11 +106,11 @@
 	case EndpointList:
 		r.updateEndpoints(event)
 	case Request:
-		r.arrive(event)
+		r.handleRequest(event)
 	case FirstToken:
-		r.firstToken(event)
+		r.handleFirstToken(event)
 	case Outcome:
-		r.outcome(event)
+		r.handleOutcome(event)
 	case Shutdown:
 		r.shutdown()
 	case ClientDisconnected:
