--- a/routing/affinity_test.go
+++ b/routing/affinity_test.go
@@ -57,7 +57,7 @@
 func TestAffinitySpreadsAPopularPrefix(t *testing.T) {
 	for _, replicas := range []int{4, 100} {
 		group := newReplicaGroup(t, testConfig(), replicas, endpoints(30, 10))
-		group.play(replicas*30, 30*time.Second, func() uint64 {
+		group.run(replicas*30, 30*time.Second, func() uint64 {
 			if group.rnd.Intn(2) == 0 {
 				return 7
 			}
@@ -65,7 +65,7 @@
 		})
 		prefills := func(requests int, prefix uint64) (most, used int) {
 			group.sends = map[EndpointID]int{}
-			group.play(requests, 0, func() uint64 { return prefix })
+			group.run(requests, 0, func() uint64 { return prefix })
 			for id, sent := range group.sends {
 				if group.roles[id] == RolePrefill {
 					most, used = max(most, sent), used+boolToInt(sent > 0)
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// minPrefillTimeout and minFirstTokenTimeout bound time-outs from below, so that a few fast attempts
-	// don't make them too short.
+	// minPrefillTimeout and minFirstTokenTimeout are lower bounds of time-outs, so that a few fast attempts don't
+	// make them too short.
 	minPrefillTimeout    = 800 * time.Millisecond
 	minFirstTokenTimeout = 1500 * time.Millisecond
-	// timeoutFactor is the time-out of an attempt as a multiple of its usual time ...
+	// timeoutFactor is the time-out of an attempt as a multiple of its expected time.
 	timeoutFactor = 8.0
-	// ... and earlyTimeoutFactor the least such multiple where another attempt can then still be in time.
+	// minEarlyTimeoutFactor is the least time-out, as a multiple of the expected time, to which it is shortened so
+	// that another attempt can still meet the latency objective.
 	minEarlyTimeoutFactor = 4.0
-	// trialSlack is added to the usual time, in seconds, within which a trial has to go well.
+	// trialSlack is added, in seconds, to the time in which an attempt must succeed to end an ejection.
 	trialSlack = 0.5
-	// minTimeToBlameEndpoint is how long an attempt must have been in flight for a time-out at its deadline to count
-	// against the endpoint.
+	// minTimeToBlameEndpoint is the time in flight from which an attempt that ends at its request's deadline counts
+	// as a failure of the endpoint.
 	minTimeToBlameEndpoint = time.Second
-	// rejectionPause is how long an endpoint that rejected an attempt has no capacity.
+	// rejectionPause is how long an endpoint is taken to have no capacity after it rejected an attempt.
 	rejectionPause = 150 * time.Millisecond
 )
 
-// send starts an attempt and books what it takes.
+// send starts an attempt and adds its cost to the load of the endpoint.
 func (r *Router) send(req *request, b *backend, decode bool) {
 	a := attempt{backend: b, sentAt: r.now, decode: decode, inFlight: true, awaitingReply: true}
 	a.cost.memory = req.memoryTokens()
@@ -30,7 +31,7 @@
 	r.decayStats(b)
 	b.silence.sent(req, r.now)
 	b.load.attempts++
-	if b.health.ejected { // it has its trial
+	if b.health.ejected { // this attempt is its trial
 		r.orderChanged()
 	}
 	b.load.memory += a.cost.memory
@@ -55,9 +56,9 @@
 	})
 }
 
-// timeout bounds an attempt that another could still replace; 0 lets it run until the deadline. It is shorter
-// where another attempt can then still meet the objective: a guard against requests lost at a healthy
-// endpoint.
+// timeout returns the time-out of an attempt; 0 lets it run until the deadline, if no other attempt may replace it. The
+// time-out is shortened where another attempt can then still meet the latency objective, so that a request lost at a
+// healthy endpoint is still answered in time. During overload it ends at the latency objective.
 func (r *Router) timeout(req *request, a *attempt) time.Duration {
 	expected := a.cost.queued * max(r.latency.prefillPace, a.backend.pace.perToken)
 	minTimeout, attemptsToFinish := minPrefillTimeout, 2
@@ -65,7 +66,7 @@
 		expected += r.latency.firstToken
 		minTimeout, attemptsToFinish = minFirstTokenTimeout, 1
 	} else {
-		// What waits for other replicas takes the same time for a short prompt as for a long one.
+		// The backlog of other replicas at the endpoint delays a short prompt as long as a long one.
 		expected = max(expected, r.latency.prefillTime)
 	}
 	untilObjective := req.objectiveAt() - r.now
@@ -84,7 +85,7 @@
 	return timeout
 }
 
-// findAttempt returns the attempt that an event names; nil if there is none.
+// findAttempt returns the attempt that an event refers to; nil if there is none.
 func (r *Router) findAttempt(id RequestID, index int) (*request, *attempt) {
 	req := r.requests[id]
 	if req == nil || index < 0 || index >= len(req.attempts) {
@@ -93,6 +94,7 @@
 	return req, &req.attempts[index]
 }
 
+// handleFirstToken marks a request as streaming and passes its time to the first token to the statistics.
 func (r *Router) handleFirstToken(event FirstToken) {
 	req, a := r.findAttempt(event.Request, event.Attempt)
 	if req == nil {
@@ -117,7 +119,7 @@
 	r.observeSuccess(b, req, elapsed < timeoutFactor*r.latency.firstToken+trialSlack)
 }
 
-// handleOutcome ends an attempt: books out what it took, learns from it, and decides what comes next.
+// handleOutcome ends an attempt, updates the statistics by its result and decides how its request continues.
 func (r *Router) handleOutcome(event Outcome) {
 	req, a := r.findAttempt(event.Request, event.Attempt)
 	if req == nil || !a.inFlight {
@@ -127,7 +129,7 @@
 	switch {
 	case req.ended:
 		if event.Result == PrefillDone || a.decode && req.state.requested && !req.streaming && !a.canceled {
-			r.emit(ReleaseState{req.ID}) // nobody will fetch it
+			r.emit(ReleaseState{req.ID}) // no decode will fetch the state
 		}
 	case event.RequestDone || event.Result == Served:
 		r.finish(req, nil)
@@ -143,7 +145,7 @@
 	}
 }
 
-// endAttempt books an attempt out and learns from its outcome.
+// endAttempt removes an attempt from the load of its endpoint and updates the statistics by its result.
 func (r *Router) endAttempt(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.decayStats(b)
@@ -162,7 +164,7 @@
 	}
 }
 
-// observeResult takes an attempt's result into the statistics of its endpoint.
+// observeResult updates the statistics of the endpoint by the result of an attempt.
 func (r *Router) observeResult(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	if !a.decode {
@@ -173,7 +175,8 @@
 		r.observePrefillDone(req, a, event)
 	case Served:
 		b.pace.completed++
-	case EngineError, ConnectionReset, RequestIncomplete: // one connection may break at a healthy endpoint
+	case EngineError, ConnectionReset, RequestIncomplete:
+		// A broken connection has no extra weight, since a single one may break at a healthy endpoint.
 		r.observeFailure(b, req, outcomeWeight)
 	case TimedOut:
 		r.observeTimeout(req, a, event)
@@ -184,10 +187,11 @@
 			b.load.fullUntil, r.admission.shedder.rejectedAt = r.now+rejectionPause, r.now
 			r.observeRejection(b, req, true)
 		}
-	case Canceled, NotSent: // the endpoint had no part in it
+	case Canceled, NotSent: // not caused by the endpoint
 	}
 }
 
+// observePrefillDone updates the statistics by a prefill that succeeded.
 func (r *Router) observePrefillDone(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.observePrefill(a, event.Elapsed)
@@ -200,6 +204,8 @@
 	r.observeSuccess(b, req, event.Elapsed.Seconds() < limit)
 }
 
+// observeTimeout updates the statistics by an attempt that timed out. It is no failure of the endpoint if the request's
+// deadline came soon after the send.
 func (r *Router) observeTimeout(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.mixed.observe(a, r.latency.usualFirstToken(a.cost.queued), event.Elapsed)
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// finalAnswerMargin is how long before the deadline of a queued request its final answer is sent, so that it
+// finalAnswerMargin is the time before a request's deadline at which its final answer is sent, so that the answer
 // arrives in time.
 const finalAnswerMargin = 30 * time.Millisecond
 
-// dispatch sends queued requests to endpoints with capacity: shortest prompt first, and now and then one that
-// has starved. Requests beyond their tenant's quota come last. Where nothing has changed that could have made
-// capacity, only those are tried that are new, promoted or expired.
+// dispatch sends queued requests to endpoints with capacity, in dispatch order except for at most one promoted request
+// that goes first. If capacity cannot have grown since the last dispatch, it tries only requests that are new,
+// promoted, expired or selected by recheckKey.
 func (r *Router) dispatch() {
 	q := &r.queue
 	promoted := q.promote(r.now)
@@ -20,25 +20,26 @@
 	r.selectRequests(all, promoted)
 	for i := 0; i < len(q.selected); i++ {
 		switch req := q.selected[i]; {
-		case !req.queued.waiting: // it was selected twice
+		case !req.queued.waiting: // it was selected twice and has left the queue
 		case r.expired(req):
 			r.finish(req, r.finalAnswer(req, q.position(req, promoted), r.expiredReason(req)))
 		case r.knownToBeFull(req):
 		case r.placeQueued(req):
 			q.markDispatched(req)
-			// Each send adds to what mixed endpoints are owed, so others may go there now.
+			// Each send raises the number of requests owed to mixed endpoints, so requests that were tried
+			// without success may be sent there now.
 			r.capacity.stale = r.capacity.stale || r.backends.roles[RoleMixed].listed > 0
-			if r.capacity.stale && !all { // try all requests behind this one too
+			if r.capacity.stale && !all { // also try all requests after this one
 				all = true
 				q.selected, i = append(q.selected[:0], q.queuedAfter(req, promoted)...), -1
 			}
 		}
 	}
-	clear(q.selected) // it must not keep requests alive
+	clear(q.selected) // lets the garbage collector free the requests
 }
 
-// selectRequests lists what this dispatch tries, in order: all requests, or those that need no change of
-// capacity.
+// selectRequests lists the requests that this dispatch tries, in order: all of them, or those that are to be tried even
+// though capacity has not changed.
 func (r *Router) selectRequests(all bool, promoted *request) {
 	q := &r.queue
 	q.selected = q.selected[:0]
@@ -56,6 +57,8 @@
 	}
 }
 
+// selectExpired adds the queued requests whose time is up. Their heap entries are removed, since the dispatch ends
+// these requests.
 func (r *Router) selectExpired() {
 	q := &r.queue
 	for class := range q.byDueTime {
@@ -70,14 +73,14 @@
 	}
 }
 
-// expired reports that a queued request can't be answered in time any more, or must not be tried. It is given
-// up early, while a retry may still help its client.
+// expired reports whether a queued request must not be tried any more: because it can't be answered by dueAt, has used
+// all its attempts, or was shed. It is then given up at once, early enough for the client to retry elsewhere.
 func (r *Router) expired(req *request) bool {
 	return r.now+max(finalAnswerMargin, r.latency.minServiceTime(req.Class)) >= req.queued.dueAt ||
 		len(req.attempts) >= r.config.MaxAttempts || req.shed
 }
 
-// expiredReason says why a queued request that has expired is given up.
+// expiredReason returns the reason why an expired request is given up.
 func (r *Router) expiredReason(req *request) Reason {
 	switch {
 	case r.admission.shuttingDown:
--- a/routing/loadshed_test.go
+++ b/routing/loadshed_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// observeInTime lets an answer come in time after a span, and returns the shed fraction then.
+// observeInTime observes an answer in time at the end of a span, and returns the shed fraction after it.
 func observeInTime(h *harness, span time.Duration) float64 {
 	shedder := &h.router.admission.shedder
 	h.now += span
@@ -14,45 +14,45 @@
 	return shedder.shedFraction
 }
 
-// TestLoadIsShedWhileAnswersAreLate: while first tokens come after their objective a part of new requests is rejected
-// at once, with a wait advised, and it ends when they come in time again.
+// TestLoadIsShedWhileAnswersAreLate checks that a part of new requests is rejected on arrival, with an advised wait,
+// while first tokens miss their latency objective, and that shedding ends when they meet it again.
 func TestLoadIsShedWhileAnswersAreLate(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
 	id := RequestID(0)
-	play := func(requests int, firstToken time.Duration) (shed int) {
+	countShed := func(requests int, firstToken time.Duration) (shed int) {
 		for range requests {
 			id++
 			req := h.request(id, idempotentClass, 500)
 			req.Session, req.Prefix = 1, 1
 			if rejects := actionsOf[Reject](h.advance(300*ms, req)); len(rejects) > 0 {
 				if rejects[0].RetryAfter <= 0 {
-					t.Fatal("rejected with no wait advised")
+					t.Fatal("rejected without an advised wait")
 				}
 				shed++
 				continue
 			}
 			if actions := h.prefilled(id, 1, 20*ms); len(actionsOf[Send](actions)) == 0 {
-				t.Fatalf("prefilled and not decoded: %+v", actions)
+				t.Fatalf("no decode was sent after the prefill: %+v", actions)
 			}
 			h.firstToken(id, 1, 2, firstToken)
 			h.end(Served, id, 1, 2, ms)
 		}
 		return shed
 	}
-	if n := play(40, 50*ms); n > 0 {
-		t.Fatalf("%d shed though all are in time", n)
+	if n := countShed(40, 50*ms); n > 0 {
+		t.Fatalf("%d requests shed although all answers are in time", n)
 	}
-	if n := play(40, 1500*ms); n < 8 || n > 38 {
-		t.Fatalf("%d of 40 shed while all are late", n)
+	if n := countShed(40, 1500*ms); n < 8 || n > 38 {
+		t.Fatalf("%d of 40 requests shed while all answers are late, want 8 to 38", n)
 	}
-	play(60, 50*ms)
-	if n := play(20, 50*ms); n > 0 {
-		t.Fatalf("%d still shed after answers came in time again", n)
+	countShed(60, 50*ms)
+	if n := countShed(20, 50*ms); n > 0 {
+		t.Fatalf("%d requests shed after answers were in time again", n)
 	}
 }
 
-// TestRejectionsCountAsLate: endpoints that reject everything at once are overload too; requests that end with no
-// answer long before their objective must raise the shed fraction, not lower it.
+// TestRejectionsCountAsLate checks that endpoints which reject everything at once raise the shed fraction. Their
+// requests end long before their latency objective, which must not count as answers in time.
 func TestRejectionsCountAsLate(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), prefillEndpoint(3), decodeEndpoint(2))
 	lateAttempts := 0
@@ -72,17 +72,18 @@
 		}
 	}
 	if fraction := h.router.admission.shedder.shedFraction; fraction < 0.3 || lateAttempts > 60 {
-		t.Fatalf("shed fraction %.2f, %d attempts of the last 20 requests", fraction, lateAttempts)
+		t.Fatalf("shed fraction %.2f and %d attempts of the last 20 requests, want at least 0.30 and at most 60",
+			fraction, lateAttempts)
 	}
 }
 
-// shedOf lets requests come while a fraction is shed, and returns how many are shed of two sorts: those that change
-// makes of sort 0 and of sort 1, in turn.
-func shedOf(t *testing.T, weightByWork bool, fraction float64, change func(req *Request, sort int)) [2]int {
+// countShedBySort sends 4,000 requests, half of each of two sorts, while a fraction is shed, and returns how many of
+// each sort are shed. change makes a request one of a sort, 0 or 1.
+func countShedBySort(t *testing.T, weightByWork bool, fraction float64, change func(req *Request, sort int)) [2]int {
 	t.Helper()
 	config := testConfig()
 	config.WeightByWork, config.OverQuotaWeight = weightByWork, 0.1
-	config.Classes[1].Idempotency = Idempotent // with twice the priority weight
+	config.Classes[1].Idempotency = Idempotent // class 1 has twice the priority weight of class 0
 	config.Tenants = []Tenant{{QuotaPerS: 1}, {}}
 	h := newHarness(t, config, prefillEndpoint(1), decodeEndpoint(2))
 	var shed [2]int
@@ -98,9 +99,9 @@
 	return shed
 }
 
-// TestRequestsOfLittleValueAreShedFirst: while a part is shed, heavy requests of little weight and those over quota are
-// shed more, by no more than maxShedBias times, and none is shed while nothing is late.
-func TestRequestsOfLittleValueAreShedFirst(t *testing.T) {
+// TestLowValueRequestsAreShedMore checks that requests with much work for their weight and requests over quota are
+// shed more than others, but by no more than maxShedBias, and that none is shed at a shed fraction of 0.
+func TestLowValueRequestsAreShedMore(t *testing.T) {
 	long := func(req *Request, sort int) { req.PromptTokens += 2400 * float64(sort) }
 	highPriority := func(req *Request, sort int) { req.Class = sort }
 	overQuota := func(req *Request, sort int) { req.Tenant = 1 - sort }
@@ -119,7 +120,7 @@
 	const fraction = 0.12
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			shed := shedOf(t, tc.weightByWork, fraction, tc.change)
+			shed := countShedBySort(t, tc.weightByWork, fraction, tc.change)
 			less, more := shed[0], shed[1]
 			if tc.more == 0 {
 				less, more = more, less
@@ -127,18 +128,18 @@
 			switch {
 			case tc.more < 0 && (less > 2*more || more > 2*less), tc.more >= 0 && 2*more < 3*less,
 				less == 0 || more == 0 || float64(more) > 2000*fraction*maxShedBias*1.2:
-				t.Errorf("shed %v of 2000 each", shed)
+				t.Errorf("%v requests shed, of 2000 of each sort", shed)
 			}
-			if shed := shedOf(t, tc.weightByWork, 0, tc.change); shed != [2]int{} {
-				t.Errorf("shed %v with nothing late", shed)
+			if shed := countShedBySort(t, tc.weightByWork, 0, tc.change); shed != [2]int{} {
+				t.Errorf("%v requests shed at a shed fraction of 0", shed)
 			}
 		})
 	}
 }
 
-// TestSheddingEndsSoon: from the largest shed fraction, answers in time end the shedding within 3.5 s, whether a
-// replica has an answer in three seconds or two hundred a second.
-func TestSheddingEndsSoon(t *testing.T) {
+// TestTimelyAnswersEndShedding checks that answers in time end shedding within 3.5 s from the largest shed fraction,
+// for rates between one answer in three seconds and two hundred a second.
+func TestTimelyAnswersEndShedding(t *testing.T) {
 	for _, rate := range []float64{1 / 3., 2, 10, 200} {
 		t.Run(fmt.Sprintf("%.2f answers a second", rate), func(t *testing.T) {
 			gap := time.Duration(float64(time.Second) / rate)
@@ -150,14 +151,15 @@
 				observeInTime(h, gap)
 			}
 			if took > 3500*ms+gap {
-				t.Errorf("shedding ends after %v", took)
+				t.Errorf("shedding ended after %v, want at most 3.5 s and one answer more", took)
 			}
 		})
 	}
 }
 
-// TestSheddingHoldsWhileEndpointsReject: answers in time don't lower the shed fraction within rejectionHold of an
-// endpoint's rejection, and do so afterwards; a missing state says nothing of queues.
+// TestSheddingHoldsWhileEndpointsReject checks that answers in time do not lower the shed fraction until
+// rejectionHold after an endpoint's rejection. A rejection because of a missing read state tells nothing about queues
+// and has no such effect.
 func TestSheddingHoldsWhileEndpointsReject(t *testing.T) {
 	for _, stateMissing := range []bool{false, true} {
 		t.Run(fmt.Sprintf("state missing %v", stateMissing), func(t *testing.T) {
@@ -172,19 +174,19 @@
 			})
 			h.router.admission.shedder.shedFraction = 0.5
 			if fraction := observeInTime(h, 200*ms); (fraction == 0.5) == stateMissing {
-				t.Errorf("shed fraction %.2f of 0.5 after an answer in time", fraction)
+				t.Errorf("shed fraction %.2f after an answer in time, was 0.5", fraction)
 			}
 			h.now += rejectionHold
 			if fraction := observeInTime(h, 200*ms); fraction >= 0.5 {
-				t.Errorf("still %.2f after %v", fraction, rejectionHold)
+				t.Errorf("shed fraction still %.2f after %v", fraction, rejectionHold)
 			}
 		})
 	}
 }
 
-// TestSheddingIsDrawnForEachRequest: where a half is shed, no set of sessions, prefixes or tenants is, and none is
-// spared: a client that comes again meets another draw, at the same replica too.
-func TestSheddingIsDrawnForEachRequest(t *testing.T) {
+// TestSheddingIsIndependentPerRequest checks that, at a shed fraction of one half, few sessions have all of their
+// requests shed or none of them. A client that retries must not be rejected every time, even at the same replica.
+func TestSheddingIsIndependentPerRequest(t *testing.T) {
 	const sessions, turns = 400, 6
 	config := testConfig()
 	config.WeightByWork = true
@@ -192,7 +194,7 @@
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			h := &harness{router: newTestRouter(t, config, seed), now: time.Minute}
 			h.step(EndpointList{Scope: ListFull, Endpoints: endpoints(10, 20)})
-			all, none := 0, 0 // sessions of which all turns are shed, and none
+			allShed, noneShed := 0, 0 // sessions with all requests shed, and with none shed
 			for session := range sessions {
 				shed := 0
 				for turn := range turns {
@@ -206,12 +208,12 @@
 						h.step(Outcome{Request: req.ID, Attempt: i, Endpoint: send.Endpoint, Result: Canceled})
 					}
 				}
-				all += boolToInt(shed == turns)
-				none += boolToInt(shed == 0)
+				allShed += boolToInt(shed == turns)
+				noneShed += boolToInt(shed == 0)
 			}
-			// Chance alone gives 1 in 64 of each.
-			if most := sessions / 20; all > most || none > most {
-				t.Errorf("of %d sessions %d had all %d turns shed, %d none", sessions, all, turns, none)
+			// Independent draws give 1 in 64 of each.
+			if maxSessions := sessions / 20; allShed > maxSessions || noneShed > maxSessions {
+				t.Errorf("of %d sessions, %d had all %d requests shed and %d had none shed", sessions, allShed, turns, noneShed)
 			}
 		})
 	}
--- a/routing/longprompts_test.go
+++ b/routing/longprompts_test.go
@@ -21,8 +21,8 @@
 	requests  []longPromptsRequest         // by request id, from 1
 	answered  map[RequestID]bool
 
-	observe        func(time.Duration, Event) // if set, called with the time and event of each step
-	stopsAbandoned bool                       // endpoints stop a prefill whose attempt has timed out
+	observe               func(time.Duration, Event) // if set, called with the time and event of each step
+	stopsTimedOutPrefills bool                       // endpoints stop a prefill whose attempt has timed out
 }
 
 type longPromptsRequest struct {
@@ -37,12 +37,12 @@
 }
 
 const (
-	longPromptsPrefills    = 10
-	longPromptsPrefillRate = 10000.0         // tokens a second of an endpoint
-	longPromptsMaxBacklog  = 2 * time.Second // an endpoint rejects what would wait longer
-	longPromptsMean        = 1100.0          // tokens of a prompt
-	longPromptsSigma       = 1.2             // of its logarithm
-	longPromptsSpan        = 40 * time.Second
+	longPromptsPrefillEndpoints = 10
+	longPromptsPrefillRate      = 10000.0         // tokens a second of an endpoint
+	longPromptsMaxBacklog       = 2 * time.Second // an endpoint rejects what would wait longer
+	longPromptsMeanLength       = 1100.0          // tokens of a prompt
+	longPromptsSigma            = 1.2             // of its logarithm
+	longPromptsDuration         = 40 * time.Second
 )
 
 func newLongPromptsRun(t *testing.T, replicas int, weightByWork bool) *longPromptsRun {
@@ -60,25 +60,25 @@
 	}
 	for i := range replicas {
 		h := &harness{router: newTestRouter(t, config, uint64(100+i)), now: run.now}
-		h.step(EndpointList{Scope: ListFull, Endpoints: endpoints(longPromptsPrefills, 20)})
+		h.step(EndpointList{Scope: ListFull, Endpoints: endpoints(longPromptsPrefillEndpoints, 20)})
 		run.harnesses = append(run.harnesses, h)
 	}
 	return run
 }
 
-func (run *longPromptsRun) plan(after time.Duration, replica int, event Event) {
+func (run *longPromptsRun) schedule(after time.Duration, replica int, event Event) {
 	run.queue.plan(run.now+after, replicaEvent{event, replica})
 }
 
 // play lets requests come at load times what the prefill endpoints can do.
 func (run *longPromptsRun) play(load float64) {
-	rate := load * longPromptsPrefills * longPromptsPrefillRate / longPromptsMean
-	for at := 0.0; at < longPromptsSpan.Seconds(); at += run.rnd.ExpFloat64() / rate {
+	rate := load * longPromptsPrefillEndpoints * longPromptsPrefillRate / longPromptsMeanLength
+	for at := 0.0; at < longPromptsDuration.Seconds(); at += run.rnd.ExpFloat64() / rate {
 		id, replica := RequestID(len(run.requests)), run.rnd.Intn(len(run.harnesses))
 		logarithm := longPromptsSigma*run.rnd.NormFloat64() - longPromptsSigma*longPromptsSigma/2
-		promptTokens := longPromptsMean * math.Exp(logarithm)
+		promptTokens := longPromptsMeanLength * math.Exp(logarithm)
 		run.requests = append(run.requests, longPromptsRequest{promptTokens: promptTokens})
-		run.plan(time.Duration(at*float64(time.Second)), replica, Request{
+		run.schedule(time.Duration(at*float64(time.Second)), replica, Request{
 			ID: id, Session: uint64(id), PromptTokens: promptTokens, MaxOutputTokens: 100,
 		})
 	}
@@ -97,8 +97,8 @@
 	switch e := event.(type) {
 	case Request:
 		class := run.config.Classes[0]
-		perToken := time.Duration(2 * e.PromptTokens / 1000 * float64(class.LatencyObjectivePer1000))
-		e.Deadline = run.now + class.Deadline + perToken
+		forPromptLength := time.Duration(2 * e.PromptTokens / 1000 * float64(class.LatencyObjectivePer1000))
+		e.Deadline = run.now + class.Deadline + forPromptLength
 		event = e
 	case FirstToken:
 		run.answered[e.Request] = true
@@ -110,8 +110,8 @@
 		case Send:
 			run.send(replica, a)
 		case SetTimer:
-			if run.now < time.Minute+2*longPromptsSpan {
-				run.plan(a.After, replica, Timer{a.Tag})
+			if run.now < time.Minute+2*longPromptsDuration {
+				run.schedule(a.After, replica, Timer{a.Tag})
 			}
 		}
 	}
@@ -123,17 +123,17 @@
 	outcome := Outcome{Request: a.Request, Attempt: req.attempts, Endpoint: a.Endpoint}
 	req.attempts++
 	if a.Endpoint >= firstDecodeID {
-		run.plan(50*ms, replica, FirstToken{
+		run.schedule(50*ms, replica, FirstToken{
 			Request: a.Request, Attempt: outcome.Attempt, Endpoint: a.Endpoint, Elapsed: 50 * ms,
 		})
 		outcome.Result, outcome.RequestDone, outcome.Elapsed = Served, true, time.Second
-		run.plan(time.Second, replica, outcome)
+		run.schedule(time.Second, replica, outcome)
 		return
 	}
 	begin := max(run.freeAt[a.Endpoint], run.now)
 	if begin-run.now > longPromptsMaxBacklog {
 		outcome.Result, outcome.Elapsed = Rejected, ms
-		run.plan(ms, replica, outcome)
+		run.schedule(ms, replica, outcome)
 		return
 	}
 	prefill := time.Duration(req.promptTokens / longPromptsPrefillRate * float64(time.Second))
@@ -141,15 +141,15 @@
 	outcome.Result, outcome.Elapsed = PrefillDone, run.freeAt[a.Endpoint]-run.now
 	if a.Timeout > 0 && a.Timeout < outcome.Elapsed {
 		outcome.Result, outcome.Elapsed = TimedOut, a.Timeout
-		if run.stopsAbandoned {
+		if run.stopsTimedOutPrefills {
 			run.freeAt[a.Endpoint] = max(begin, run.now+a.Timeout)
 		}
 	}
-	run.plan(outcome.Elapsed, replica, outcome)
+	run.schedule(outcome.Elapsed, replica, outcome)
 }
 
-// answeredParts are the answered parts of all requests, of the longest tenth and of the next fifth.
-func (run *longPromptsRun) answeredParts() (all, longest, next float64) {
+// answeredFractions are the answered parts of all requests, of the longest tenth and of the next fifth.
+func (run *longPromptsRun) answeredFractions() (all, longest, next float64) {
 	ids := make([]RequestID, 0, len(run.requests))
 	for id := 1; id < len(run.requests); id++ {
 		ids = append(ids, RequestID(id))
@@ -157,7 +157,7 @@
 	slices.SortFunc(ids, func(a, b RequestID) int {
 		return int(run.requests[b].promptTokens - run.requests[a].promptTokens)
 	})
-	part := func(ids []RequestID) float64 {
+	fraction := func(ids []RequestID) float64 {
 		answered := 0
 		for _, id := range ids {
 			answered += boolToInt(run.answered[id])
@@ -165,19 +165,19 @@
 		return float64(answered) / float64(len(ids))
 	}
 	tenth := len(ids) / 10
-	return part(ids), part(ids[:tenth]), part(ids[tenth : 3*tenth])
+	return fraction(ids), fraction(ids[:tenth]), fraction(ids[tenth : 3*tenth])
 }
 
-// TestLongPromptsAreNotShutOut: shortest first must not serve short prompts alone. Of the longest tenth and of the next
+// TestLongPromptsAreNotStarved: shortest first must not serve short prompts alone. Of the longest tenth and of the next
 // fifth at least two thirds of the part that all get are answered where there is capacity for all, and at least half of
 // it above that.
-func TestLongPromptsAreNotShutOut(t *testing.T) {
+func TestLongPromptsAreNotStarved(t *testing.T) {
 	for _, load := range []float64{0.5, 0.8, 1, 1.3} {
-		least := 0.5
+		minFraction := 0.5
 		if load < 0.9 {
-			least = 2.0 / 3
+			minFraction = 2.0 / 3
 		}
-		checkLongPrompts(t, load, least)
+		checkLongPrompts(t, load, minFraction)
 	}
 }
 
@@ -185,7 +185,7 @@
 func TestLongPromptsAtTwiceTheLoad(t *testing.T) { checkLongPrompts(t, 2, 0.5) }
 
 // checkLongPrompts checks that long prompts get at least a part of what all get, at few and at many replicas.
-func checkLongPrompts(t *testing.T, load, least float64) {
+func checkLongPrompts(t *testing.T, load, minFraction float64) {
 	t.Helper()
 	for _, replicas := range []int{3, 30, 300} {
 		for _, byWork := range []bool{false, true} {
@@ -193,10 +193,10 @@
 				t.Parallel()
 				run := newLongPromptsRun(t, replicas, byWork)
 				run.play(load)
-				all, longest, next := run.answeredParts()
+				all, longest, next := run.answeredFractions()
 				t.Logf("answered: all %.2f, longest tenth %.2f, next fifth %.2f", all, longest, next)
-				if longest < least*all || next < least*all {
-					t.Errorf("long prompts get less than %.2f of what all get", least)
+				if longest < minFraction*all || next < minFraction*all {
+					t.Errorf("long prompts get less than %.2f of what all get", minFraction)
 				}
 			})
 		}
--- a/routing/manyreplicas_test.go
+++ b/routing/manyreplicas_test.go
@@ -17,19 +17,19 @@
 // (2,429 of 6,548 prefills of 300 replicas timed out); shedding that rested where most answers were late (2,518 were
 // rejected by full queues); and long prompts, that take ten times the work, admitted as readily as short ones.
 func TestManyReplicasUnderLoad(t *testing.T) {
-	for _, stopsAbandoned := range []bool{false, true} {
+	for _, stopsTimedOutPrefills := range []bool{false, true} {
 		for _, load := range []float64{0.8, 1, 1.3, 2, 3} {
-			few := playManyReplicas(t, 3, load, stopsAbandoned)
+			few := simulateManyReplicas(t, 3, load, stopsTimedOutPrefills)
 			for _, replicas := range []int{3, 30, 300} {
-				name := fmt.Sprintf("%d replicas, load %.1f, abandoned prefills stop %t", replicas, load, stopsAbandoned)
+				name := fmt.Sprintf("%d replicas, load %.1f, abandoned prefills stop %t", replicas, load, stopsTimedOutPrefills)
 				t.Run(name, func(t *testing.T) {
-					result := playManyReplicas(t, replicas, load, stopsAbandoned)
+					result := simulateManyReplicas(t, replicas, load, stopsTimedOutPrefills)
 					t.Logf("worth %.2f, random placement %.2f, attempts: %d prefilled, %d rejected, %d timed out",
-						result.worth, result.randomWorth,
+						result.meanValue, result.randomMeanValue,
 						result.attempts[PrefillDone], result.attempts[Rejected], result.attempts[TimedOut])
-					if result.worth < result.randomWorth || result.worth < few.worth/2 {
+					if result.meanValue < result.randomMeanValue || result.meanValue < few.meanValue/2 {
 						t.Errorf("worth %.2f; random placement gets %.2f, three replicas %.2f",
-							result.worth, result.randomWorth, few.worth)
+							result.meanValue, result.randomMeanValue, few.meanValue)
 					}
 				})
 			}
@@ -39,14 +39,14 @@
 
 // manyReplicasResult is what a run came to; worth is a mean over all requests.
 type manyReplicasResult struct {
-	worth, randomWorth float64
-	attempts           map[Result]int
+	meanValue, randomMeanValue float64
+	attempts                   map[Result]int
 }
 
-func playManyReplicas(t *testing.T, replicas int, load float64, stopsAbandoned bool) manyReplicasResult {
+func simulateManyReplicas(t *testing.T, replicas int, load float64, stopsTimedOutPrefills bool) manyReplicasResult {
 	t.Helper()
 	run := newLongPromptsRun(t, replicas, true)
-	run.stopsAbandoned = stopsAbandoned
+	run.stopsTimedOutPrefills = stopsTimedOutPrefills
 	arrivedAt, firstTokenAt := map[RequestID]time.Duration{}, map[RequestID]time.Duration{}
 	result := manyReplicasResult{attempts: map[Result]int{}}
 	run.observe = func(at time.Duration, event Event) {
@@ -62,19 +62,19 @@
 	run.play(load)
 	all := float64(len(run.requests) - 1)
 	for id, at := range firstTokenAt {
-		result.worth += run.worth(id, at-arrivedAt[id]) / all
+		result.meanValue += run.answerValue(id, at-arrivedAt[id]) / all
 	}
 	for id, took := range run.placeAtRandom(replicas, arrivedAt) {
-		result.randomWorth += run.worth(id, took) / all
+		result.randomMeanValue += run.answerValue(id, took) / all
 	}
 	return result
 }
 
-// worth is what an answer is worth whose first token took so long.
-func (run *longPromptsRun) worth(id RequestID, took time.Duration) float64 {
+// answerValue is what an answer is worth whose first token took so long.
+func (run *longPromptsRun) answerValue(id RequestID, firstToken time.Duration) float64 {
 	class := run.config.Classes[0]
-	perToken := time.Duration(run.requests[id].promptTokens / 1000 * float64(class.LatencyObjectivePer1000))
-	if took <= class.LatencyObjective+perToken {
+	forPromptLength := time.Duration(run.requests[id].promptTokens / 1000 * float64(class.LatencyObjectivePer1000))
+	if firstToken <= class.LatencyObjective+forPromptLength {
 		return 1
 	}
 	return class.LateWeight
@@ -86,17 +86,17 @@
 	replicas int, arrivedAt map[RequestID]time.Duration,
 ) map[RequestID]time.Duration {
 	rnd := rand.New(rand.NewSource(int64(replicas) + 5))
-	took := map[RequestID]time.Duration{}
-	var freeAt [longPromptsPrefills]time.Duration
+	firstTokens := map[RequestID]time.Duration{}
+	var freeAt [longPromptsPrefillEndpoints]time.Duration
 	for id := RequestID(1); int(id) < len(run.requests); id++ {
-		at, endpoint := arrivedAt[id], rnd.Intn(longPromptsPrefills)
+		at, endpoint := arrivedAt[id], rnd.Intn(longPromptsPrefillEndpoints)
 		begin := max(freeAt[endpoint], at)
 		if begin-at > longPromptsMaxBacklog {
 			continue
 		}
 		prefill := time.Duration(run.requests[id].promptTokens / longPromptsPrefillRate * float64(time.Second))
 		freeAt[endpoint] = begin + prefill
-		took[id] = freeAt[endpoint] + 50*ms - at
+		firstTokens[id] = freeAt[endpoint] + 50*ms - at
 	}
-	return took
+	return firstTokens
 }
--- a/routing/placement_test.go
+++ b/routing/placement_test.go
@@ -19,7 +19,7 @@
 		decodes[i].Cell = boolToInt(i >= 2)
 	}
 	g := newReplicaGroup(t, testConfig(), 200, listed)
-	g.play(1600, 20*time.Second, func() uint64 { return uint64(g.rnd.Intn(400)) })
+	g.run(1600, 20*time.Second, func() uint64 { return uint64(g.rnd.Intn(400)) })
 	for _, e := range decodes {
 		if n := g.sends[e.ID]; n < 100 || n > 300 {
 			t.Errorf("decode endpoint %d of cell %d got %d of 1600 requests, 200 would be even", e.ID, e.Cell, n)
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -8,37 +8,39 @@
 )
 
 const (
-	// starvationAge is the age from which a queued request may be promoted ...
+	// starvationAge is the time in the queue after which a request may be promoted, which means dispatched out of
+	// order.
 	starvationAge = 2 * time.Second
-	// ... but at most every so many dispatches: else a backlog that starved all at once would put its long
-	// prompts ahead of the short ones.
+	// dispatchesPerPromotion bounds promotions to one in this many dispatches. Otherwise, after a stall that made
+	// the whole backlog starve, all long prompts would be dispatched before the short ones.
 	dispatchesPerPromotion = 4
 )
 
-// requestQueue holds the requests that wait for capacity and have no read state anywhere.
+// requestQueue holds the requests that wait for capacity and have no read state at any endpoint.
 type requestQueue struct {
 	waiting        []*request // in dispatch order
-	recheck        []*request // of these, what the next dispatch tries though capacity has not changed
-	selected       []*request // of these, what the current dispatch tries; the slice is reused
+	recheck        []*request // waiting requests that the next dispatch tries even if capacity has not changed
+	selected       []*request // requests that the current dispatch tries; the slice is reused
 	byArrival      arrivalHeap
 	byDueTime      []dueHeap // by class
 	sincePromotion int       // dispatches since the last promotion
 	shares         lengthShares
 }
 
-// queueEntry is what the queue needs to know of a request.
+// queueEntry is the part of a request that the queue uses.
 type queueEntry struct {
 	waiting   bool
-	overQuota bool          // beyond its tenant's quota
-	promoted  bool          // it has starved: the backlog bound no longer counts its own tokens
-	dueAt     time.Duration // when its latency objective or its deadline ends, whichever is first
+	overQuota bool          // exceeds its tenant's quota
+	promoted  bool          // dispatched out of order; its own tokens do not count toward maxBacklog
+	dueAt     time.Duration // end of its latency objective or its deadline, whichever is first
 }
 
 func newRequestQueue(classes int) requestQueue {
 	return requestQueue{byDueTime: make([]dueHeap, classes)}
 }
 
-// compareDispatch is the dispatch order: shortest prompt first, what is beyond its tenant's quota last.
+// compareDispatch defines the dispatch order: shortest prompt first, and requests that exceed their tenant's quota
+// after all others.
 func compareDispatch(a, b *request) int {
 	switch {
 	case a.queued.overQuota != b.queued.overQuota:
@@ -49,7 +51,7 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// add queues a request, to be tried in this step.
+// add queues a request and selects it for the next dispatch.
 func (q *requestQueue) add(req *request) {
 	i, _ := slices.BinarySearchFunc(q.waiting, req, compareDispatch)
 	q.waiting = slices.Insert(q.waiting, i, req)
@@ -60,7 +62,7 @@
 	heap.Push(&q.byDueTime[req.Class], req)
 }
 
-// remove takes a request out of the queue, if it is in it. Its heap entries stay until they come to the top.
+// remove removes a request from the queue, if it is queued. Its heap entries stay until they reach the top.
 func (q *requestQueue) remove(req *request) {
 	if !req.queued.waiting {
 		return
@@ -70,7 +72,7 @@
 	req.queued.waiting = false
 }
 
-// position is how many queued requests come before req in a dispatch that tries promoted first.
+// position returns how many queued requests come before req in a dispatch that tries promoted first.
 func (q *requestQueue) position(req, promoted *request) int {
 	if req == promoted {
 		return 0
@@ -82,7 +84,7 @@
 	return i
 }
 
-// queuedAfter returns the queued requests that come after req in such a dispatch.
+// queuedAfter returns the queued requests that come after req in a dispatch that tries promoted first.
 func (q *requestQueue) queuedAfter(req, promoted *request) []*request {
 	if req == promoted {
 		return q.waiting
@@ -90,7 +92,7 @@
 	return q.waiting[q.position(req, nil):]
 }
 
-// recheckKey lets the next dispatch try the requests of an affinity key.
+// recheckKey selects all queued requests with an affinity key for the next dispatch.
 func (q *requestQueue) recheckKey(key uint64) {
 	for _, req := range q.waiting {
 		if req.affinityKey() == key {
@@ -100,8 +102,9 @@
 	}
 }
 
-// promote returns the request to be dispatched next out of order, if one may be and it is not first anyway:
-// one of a length that gets too little, else the one that has waited longest, if it has starved.
+// promote returns the request that is dispatched first although it is not first in dispatch order; nil if there is
+// none or if promotion is not due. A request of an underserved length band goes before the one that has waited
+// longest, which must have reached starvationAge.
 func (q *requestQueue) promote(now time.Duration) *request {
 	if q.sincePromotion < dispatchesPerPromotion-1 || len(q.waiting) == 0 {
 		return nil
@@ -120,8 +123,8 @@
 	return req
 }
 
-// underserved returns the shortest queued request of a band of prompt lengths that gets too little, of the
-// longest band first; nil if there is none. Requests beyond their tenant's quota have no part in it.
+// underserved returns the shortest queued request of an underserved length band; nil if there is none. bandLongest goes
+// before bandLong. Requests that exceed their tenant's quota are not considered.
 func (q *requestQueue) underserved() *request {
 	for _, band := range [...]lengthBand{bandLongest, bandLong} {
 		lengths := q.shares.lengths.inBand(band)
@@ -141,7 +144,7 @@
 	return nil
 }
 
-// markDispatched takes out a request that was sent.
+// markDispatched removes a request that was sent from the queue and counts its dispatch.
 func (q *requestQueue) markDispatched(req *request) {
 	q.remove(req)
 	if len(req.attempts) == 1 {
@@ -152,7 +155,7 @@
 	}
 }
 
-// oldest is the queued request that arrived first; nil if none is queued.
+// oldest returns the queued request that arrived first; nil if the queue is empty.
 func (q *requestQueue) oldest() *request {
 	for q.byArrival.Len() > 0 {
 		if req := q.byArrival.top(); req.queued.waiting {
@@ -163,7 +166,7 @@
 	return nil
 }
 
-// nextDue is the queued request of a class whose limit comes first; nil if none is queued.
+// nextDue returns the queued request of a class with the earliest dueAt; nil if none is queued.
 func (q *requestQueue) nextDue(class int) *request {
 	dueTimes := &q.byDueTime[class]
 	for dueTimes.Len() > 0 {
@@ -175,8 +178,8 @@
 	return nil
 }
 
-// requestHeap is the part that the heaps of requests below share. An entry of a request that waits no longer
-// stays until it comes to the top, and a request that is queued again has two.
+// requestHeap is the common part of the heaps below. The entry of a request that left the queue stays until it reaches
+// the top, and a request that is queued again has two entries.
 type requestHeap []*request
 
 func (h *requestHeap) Len() int      { return len(*h) }
@@ -192,7 +195,7 @@
 	return req
 }
 
-// arrivalHeap is ordered by arrival, then by dispatch order.
+// arrivalHeap is ordered by arrival time, then by dispatch order.
 type arrivalHeap struct{ requestHeap }
 
 func (h *arrivalHeap) Less(i, j int) bool {
@@ -200,7 +203,7 @@
 	return a.arrivedAt < b.arrivedAt || a.arrivedAt == b.arrivedAt && compareDispatch(a, b) < 0
 }
 
-// dueHeap is ordered by limit, then by dispatch order.
+// dueHeap is ordered by dueAt, then by dispatch order.
 type dueHeap struct{ requestHeap }
 
 func (h *dueHeap) Less(i, j int) bool {
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -9,19 +9,19 @@
 func TestQueueDispatchesShortestPromptFirst(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2))
 	if n := h.fillPrefills(idempotentClass, 500); n == 0 || n > maxPrefills {
-		t.Fatalf("%d prefills in flight, want some and no more than %d", n, maxPrefills)
+		t.Fatalf("%d prefills in flight, want 1 to %d", n, maxPrefills)
 	}
 	h.step(
 		h.request(1, idempotentClass, 400), h.request(2, idempotentClass, 90), h.request(3, idempotentClass, 300),
 	)
 	sends := actionsOf[Send](h.prefilled(1000, 1, 50*ms))
 	if len(sends) < 2 || sends[0].Request != 1000 || sends[1].Request != 2 {
-		t.Fatalf("sends %+v, want the decode, then the shortest prompt", sends)
+		t.Fatalf("sends %+v, want the decode and then the shortest prompt", sends)
 	}
 }
 
-// TestQueuePromotionIsBounded: after a stall all have starved; at most one in dispatchesPerPromotion dispatches may be
-// a promotion.
+// TestQueuePromotionIsBounded checks that at most one in dispatchesPerPromotion dispatches is a promotion, even after
+// a stall in which the whole backlog starved.
 func TestQueuePromotionIsBounded(t *testing.T) {
 	config := testConfig()
 	config.Classes[0].LatencyObjective = 20 * time.Second
@@ -54,11 +54,11 @@
 	h := newHarness(t, testConfig())
 	h.step(h.request(1, notIdempotentClass, 500))
 	if r := onlyAction[Reject](t, h.advance(1100*ms)); r.RetryAfter <= 0 {
-		t.Fatal("no wait advised")
+		t.Fatal("rejected without an advised wait")
 	}
 }
 
-func TestQueuePutsRequestsOverQuotaLast(t *testing.T) {
+func TestQueueDispatchesRequestsOverQuotaLast(t *testing.T) {
 	config := testConfig()
 	config.Tenants = []Tenant{{QuotaPerS: 1}, {QuotaPerS: 100}}
 	h := newHarness(t, config, prefillEndpoint(1), decodeEndpoint(2))
@@ -68,13 +68,13 @@
 	h.step(overQuota, within)
 	sends := actionsOf[Send](h.prefilled(1000, 1, 50*ms))
 	if len(sends) < 2 || sends[1].Request != 2 {
-		t.Fatalf("want the decode, then the tenant within its quota: %+v", sends)
+		t.Fatalf("sends %+v, want the decode and then the tenant within its quota", sends)
 	}
 }
 
-// TestQuotaOfSmallTenantAllowsABurst: with 300 replicas a tenant's rate at one replica is far below one; its requests
-// are within its quota all the same, until it sends more.
-func TestQuotaOfSmallTenantAllowsABurst(t *testing.T) {
+// TestSmallQuotaAllowsBurst checks that the first requests of a small tenant are within its quota even though, with
+// 300 replicas, its rate at one replica is far below one request per second.
+func TestSmallQuotaAllowsBurst(t *testing.T) {
 	config := testConfig()
 	config.Replicas, config.Tenants = 300, []Tenant{{QuotaPerS: 3}}
 	h := newHarness(t, config, prefillEndpoint(1), decodeEndpoint(2))
--- a/routing/recorded_test.go
+++ b/routing/recorded_test.go
@@ -34,18 +34,18 @@
 
 // Fixed parts of every recorded run.
 const (
-	recordedDecodes     = 6
-	recordedStart       = time.Hour
-	recordedFailingFrom = recordedStart + time.Second
-	recordedFailingTo   = recordedStart + 4*time.Second
+	recordedDecodeEndpoints = 6
+	recordedStart           = time.Hour
+	recordedFailingFrom     = recordedStart + time.Second
+	recordedFailingTo       = recordedStart + 4*time.Second
 )
 
 // recordedRuns have a state TTL that a slow decode exceeds, and one that nothing exceeds.
 func recordedRuns() []recordedRun {
-	return append(recordedRunsWith(500*ms, ""), recordedRunsWith(100*time.Second, "long release, ")...)
+	return append(recordedRunsWithTTL(500*ms, ""), recordedRunsWithTTL(100*time.Second, "long release, ")...)
 }
 
-func recordedRunsWith(stateTTL time.Duration, namePrefix string) []recordedRun {
+func recordedRunsWithTTL(stateTTL time.Duration, namePrefix string) []recordedRun {
 	base := recordedRun{
 		stateTTL: stateTTL, memory: 60000, objective: 3 * time.Second, rate: 400, prefixes: 12, steps: 2500,
 		replicas: 1, prefills: 6,
@@ -82,17 +82,17 @@
 // recording is a recorded run as it is played.
 type recording struct {
 	recordedRun
-	rnd      *rand.Rand
-	router   *Router
-	now      time.Duration
-	listed   []Endpoint
-	kinds    map[EndpointID]int
-	queue    eventQueue
-	inFlight map[RequestID][]bool // by attempt
-	done     map[RequestID]bool
-	digest   hash.Hash
-	actions  int
-	mostHeld int // requests queued at once
+	rnd       *rand.Rand
+	router    *Router
+	now       time.Duration
+	listed    []Endpoint
+	kinds     map[EndpointID]int
+	queue     eventQueue
+	inFlight  map[RequestID][]bool // by attempt
+	done      map[RequestID]bool
+	digest    hash.Hash
+	actions   int
+	maxQueued int // requests queued at once
 }
 
 func newRecording(t *testing.T, run recordedRun) *recording {
@@ -114,11 +114,11 @@
 		done:        map[RequestID]bool{},
 		digest:      sha256.New(),
 	}
-	for i := range run.prefills + recordedDecodes + run.mixed {
+	for i := range run.prefills + recordedDecodeEndpoints + run.mixed {
 		kind := 1
 		if i < run.prefills {
 			kind = 0
-		} else if i >= run.prefills+recordedDecodes {
+		} else if i >= run.prefills+recordedDecodeEndpoints {
 			kind = 2
 		}
 		e := Endpoint{ID: EndpointID(10 + 3*i), Kind: kind, Zone: i % 2, Cell: i % 3, State: EndpointReady}
@@ -128,7 +128,9 @@
 	return rec
 }
 
-func (rec *recording) plan(after time.Duration, event Event) { rec.queue.plan(rec.now+after, event) }
+func (rec *recording) schedule(after time.Duration, event Event) {
+	rec.queue.plan(rec.now+after, event)
+}
 
 // play returns the run's line of the recorded file.
 func (rec *recording) play() string {
@@ -140,7 +142,7 @@
 		rec.step(append(events, rec.listChanges(i)...)...)
 	}
 	return fmt.Sprintf("%s: %x, %d actions, %d held at most",
-		rec.name, rec.digest.Sum(nil)[:12], rec.actions, rec.mostHeld)
+		rec.name, rec.digest.Sum(nil)[:12], rec.actions, rec.maxQueued)
 }
 
 // deliverDue steps the router at each time at which events are due.
@@ -189,23 +191,23 @@
 	for _, a := range rec.router.Step(rec.now, events) {
 		rec.actions++
 		_, _ = fmt.Fprintf(rec.digest, "%d %s\n", rec.now, encodeAction(a)) // a hash returns no error
-		rec.carryOut(a)
+		rec.perform(a)
 	}
-	rec.mostHeld = max(rec.mostHeld, len(rec.router.queue.waiting))
+	rec.maxQueued = max(rec.maxQueued, len(rec.router.queue.waiting))
 }
 
-func (rec *recording) carryOut(a Action) {
+func (rec *recording) perform(a Action) {
 	switch a := a.(type) {
 	case Send:
 		rec.send(a)
 	case Cancel:
-		rec.plan(2*ms, Outcome{Request: a.Request, Attempt: a.Attempt, Result: Canceled, Elapsed: 2 * ms})
+		rec.schedule(2*ms, Outcome{Request: a.Request, Attempt: a.Attempt, Result: Canceled, Elapsed: 2 * ms})
 	case Reject:
 		rec.done[a.Request] = true
 	case Fail:
 		rec.done[a.Request] = true
 	case SetTimer:
-		rec.plan(a.After, Timer{a.Tag})
+		rec.schedule(a.After, Timer{a.Tag})
 	}
 }
 
@@ -232,11 +234,11 @@
 	}
 	outcome.Elapsed = took
 	if outcome.Result == Served {
-		rec.plan(took/4, FirstToken{
+		rec.schedule(took/4, FirstToken{
 			Request: a.Request, Attempt: attempt, Endpoint: a.Endpoint, Elapsed: took / 4,
 		})
 	}
-	rec.plan(took, outcome)
+	rec.schedule(took, outcome)
 }
 
 // fails reports that an endpoint fails all attempts now.
@@ -265,7 +267,7 @@
 		req.PrefixTokens = promptTokens / 2
 	}
 	if rec.rnd.Intn(30) == 0 {
-		rec.plan(time.Duration(rec.rnd.Intn(2000))*ms, ClientDisconnected{id})
+		rec.schedule(time.Duration(rec.rnd.Intn(2000))*ms, ClientDisconnected{id})
 	}
 	return req
 }
@@ -285,15 +287,15 @@
 		e.State = EndpointDraining
 		events = append(events, change(e))
 		e.State = EndpointReady
-		rec.plan(2*time.Second, change(e))
+		rec.schedule(2*time.Second, change(e))
 	}
 	return events
 }
 
-// TestRecordedOrders compares the actions of the recorded runs with those of the code that recorded them. Their
+// TestRecordedActions compares the actions of the recorded runs with those of the code that recorded them. Their
 // encoding holds no name of a type or field, so a digest that differs is a decision that differs: a change that is not
 // meant to change decisions must never write the file anew. One that does mean to uses -update.
-func TestRecordedOrders(t *testing.T) {
+func TestRecordedActions(t *testing.T) {
 	const file = "testdata/orders.txt"
 	if *update {
 		var b strings.Builder
--- a/routing/replicagroup_test.go
+++ b/routing/replicagroup_test.go
@@ -36,19 +36,19 @@
 	return g
 }
 
-// play sends requests, spread over a time and over random replicas; each prefill and each answer ends well at once.
-func (g *replicaGroup) play(requests int, d time.Duration, prefix func() uint64) {
+// run sends requests, spread over a time and over random replicas; each prefill and each answer ends well at once.
+func (g *replicaGroup) run(requests int, d time.Duration, prefix func() uint64) {
 	for i := range requests {
 		h := g.harnesses[g.rnd.Intn(len(g.harnesses))]
 		h.now = max(h.now, time.Minute+time.Duration(i)*d/time.Duration(requests))
 		g.nextID++
 		req := h.request(g.nextID, idempotentClass, 1500)
 		req.Prefix = prefix()
-		g.playRequest(h, req)
+		g.runRequest(h, req)
 	}
 }
 
-func (g *replicaGroup) playRequest(h *harness, req Request) {
+func (g *replicaGroup) runRequest(h *harness, req Request) {
 	actions := h.step(req)
 	for attempt := 0; ; attempt++ {
 		sends := actionsOf[Send](actions)
@@ -78,12 +78,12 @@
 	}
 }
 
-// playFrom plays requests over a time, from a time on.
-func (g *replicaGroup) playFrom(requests int, from, d time.Duration, prefix func() uint64) {
+// runFrom plays requests over a time, from a time on.
+func (g *replicaGroup) runFrom(requests int, from, d time.Duration, prefix func() uint64) {
 	g.setTime(time.Minute + from)
 	for i := range requests {
 		g.advanceTo(time.Minute + from + time.Duration(i)*d/time.Duration(requests))
-		g.play(1, 0, prefix)
+		g.run(1, 0, prefix)
 	}
 }
 
@@ -99,8 +99,8 @@
 	}
 }
 
-// list gives all replicas the endpoint list at a time.
-func (g *replicaGroup) list(now time.Duration, listed []Endpoint) {
+// updateEndpoints gives all replicas the endpoint list at a time.
+func (g *replicaGroup) updateEndpoints(now time.Duration, listed []Endpoint) {
 	g.setTime(now)
 	for _, h := range g.harnesses {
 		h.step(EndpointList{Scope: ListFull, Endpoints: listed})
--- a/routing/request.go
+++ b/routing/request.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// request is one request from its arrival until its last attempt has an outcome.
+// request is the state of a request from its arrival until its last attempt has an outcome.
 type request struct {
 	Request
 	class     *Class
@@ -17,39 +17,39 @@
 	choices   affinityChoices
 	state     heldState
 	execution possibleExecution
-	streaming bool // its first token has come
-	congested bool // a prefill of it took long behind other prompts
-	shed      bool // rejected on arrival
-	ended     bool // no answer is owed any more
+	streaming bool // its first token has arrived
+	congested bool // a prefill of it exceeded targetPrefillRatio or timed out
+	shed      bool // to be rejected by load shedding or shutdown
+	ended     bool // no answer is owed: it has one, or its client is gone
 }
 
-// attempt is one send of a request.
+// attempt is one send of a request to an endpoint.
 type attempt struct {
 	backend       *backend
 	sentAt        time.Duration
 	cost          attemptCost
-	decode        bool // generates output, so it has an effect; else it only prefills
+	decode        bool // generates output and so may have an effect; otherwise it only prefills
 	inFlight      bool
-	awaitingReply bool // nothing was heard of it yet
+	awaitingReply bool // the endpoint has not replied yet
 	canceled      bool
 }
 
-// attemptCost is what an attempt takes of its endpoint, in tokens.
+// attemptCost is the load that an attempt adds to its endpoint, in tokens.
 type attemptCost struct {
-	memory   float64 // reserved
-	uncached float64 // of the prompt, while it waits to be prefilled
-	queued   float64 // this replica's uncached tokens at the endpoint when it was sent, its own included
+	memory   float64 // reserved memory
+	uncached float64 // uncached prompt tokens that wait to be prefilled; 0 after that
+	queued   float64 // this replica's uncached tokens at the endpoint at the send, including its own
 }
 
-// possibleExecution is the first attempt of a request that may have run without an answer.
+// possibleExecution is the first attempt of a request that may have run although no answer arrived.
 type possibleExecution struct {
 	possible bool
 	backend  *backend
 	sentAt   time.Duration
 }
 
-// sendWindow is how long a request that is idempotent with a key, and of which an attempt may have run, may
-// still be sent; 0 where nothing bounds that.
+// sendWindow returns how long a request may still be sent: until the dedup window of an attempt that may have run
+// ends, if the request is idempotent with a key. 0 means no bound.
 func (req *request) sendWindow(now time.Duration) time.Duration {
 	if !req.execution.possible || req.class.Idempotency != IdempotentWithKey {
 		return 0
@@ -57,20 +57,21 @@
 	return req.execution.sentAt + req.class.DedupWindow - now
 }
 
-// objectiveAt is when the first token is wanted.
+// objectiveAt returns the end of the latency objective, the time by which the first token is wanted.
 func (req *request) objectiveAt() time.Duration {
-	perToken := time.Duration(req.PromptTokens / 1000 * float64(req.class.LatencyObjectivePer1000))
-	return req.arrivedAt + req.class.LatencyObjective + perToken
+	forPromptLength := time.Duration(req.PromptTokens / 1000 * float64(req.class.LatencyObjectivePer1000))
+	return req.arrivedAt + req.class.LatencyObjective + forPromptLength
 }
 
-// affinityKey decides which endpoints are preferred: the prefix that requests share, else the session.
+// affinityKey returns the key by which endpoints are preferred: the shared prefix, or the session if there is none.
 func (req *request) affinityKey() uint64 { return cmp.Or(req.Prefix, req.Session) }
 
+// triedOn reports whether an attempt of the request was sent to an endpoint.
 func (req *request) triedOn(b *backend) bool {
 	return slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.backend == b })
 }
 
-// decodeInFlight reports that an attempt which generates output is in flight.
+// decodeInFlight reports whether a decode is in flight.
 func (req *request) decodeInFlight() bool {
 	return slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.inFlight && a.decode })
 }
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// minRetryAfter is the least advised wait before a client's retry.
+	// minRetryAfter is the shortest advised wait before a client retries.
 	minRetryAfter = 200 * time.Millisecond
-	// retryAfterPerRequest is the advised wait for each queued request ahead.
+	// retryAfterPerRequest is the advised wait for each queued request ahead of the client's retry.
 	retryAfterPerRequest = 10 * time.Millisecond
 )
 
-// retryOrGiveUp decides after a failed attempt: another, or the final answer at once.
+// retryOrGiveUp starts a further attempt after a failed one, or sends the final answer.
 func (r *Router) retryOrGiveUp(req *request, a *attempt, event Outcome) {
-	// Without its state a request is prefilled again, if attempts are left for that and the decode.
+	// A request whose read state is missing is prefilled again, unless the decode endpoint can prefill it and too
+	// few attempts are left for both a prefill and a decode.
 	mustDecode := r.config.DecodeCanPrefill && len(req.attempts)+2 > r.config.MaxAttempts
 	stateKept := a.decode && req.state.backend != nil && (!event.StateMissing || mustDecode)
 	if r.stateExpired(req) && !event.Result.NeverExecuted() && event.Result != EngineError {
-		stateKept = false // the decode endpoint was silent all the while, and the state was released
+		stateKept = false // no decode endpoint replied in time, and the state was released
 	}
 	reason := r.giveUpReason(req)
 	if reason == ReasonNone && !r.mayRetry(req, stateKept) {
@@ -26,7 +27,7 @@
 		r.finish(req, r.finalAnswer(req, len(r.queue.waiting), reason))
 	case stateKept:
 		if event.Result == Rejected || event.Result == EngineError {
-			r.renewState(req) // the decode arrived, and the state waited for it
+			r.renewState(req) // the decode reached the endpoint, which restarts the time of the state
 		}
 		r.placeDecode(req)
 	default:
@@ -38,8 +39,8 @@
 	}
 }
 
-// mayRetry reports that a request may have a further attempt, considering that one may have run. One that is
-// idempotent with a key is not prefilled again: that would take too much of its dedup window.
+// mayRetry reports whether a request may have a further attempt, given that an earlier one may have run. A request that
+// is idempotent with a key may only be decoded again: a second prefill would use up too much of its dedup window.
 func (r *Router) mayRetry(req *request, stateKept bool) bool {
 	switch {
 	case !req.execution.possible:
@@ -50,7 +51,7 @@
 	return req.class.Idempotency == Idempotent
 }
 
-// giveUpReason says why no further attempt of a request can be of use; ReasonNone: one can.
+// giveUpReason returns why a further attempt of a request is useless; ReasonNone if it is not.
 func (r *Router) giveUpReason(req *request) Reason {
 	switch {
 	case r.now >= req.Deadline:
@@ -63,10 +64,10 @@
 	return ReasonNone
 }
 
-// finalAnswer is the answer to a request that is given up: a rejection where a retry is harmless, else a
-// failure. A client's own retry of a request that is not idempotent can't be told from one after a lost
-// answer, and is failed on arrival; so a rejection of one asks the client not to retry by itself. ahead is
-// how many queued requests a retry would find.
+// finalAnswer returns the answer to a request that is given up: Reject if the client may safely retry, else Fail. A
+// client library's automatic retry of a request that is not idempotent looks the same whether it follows a rejection
+// or a lost answer, so it fails on arrival. For that reason a rejection of such a request asks the client not to retry
+// automatically. queuedAhead is the number of queued requests that a retry would find ahead of it.
 func (r *Router) finalAnswer(req *request, queuedAhead int, reason Reason) Action {
 	if !safeToRetry(req) {
 		return Fail{Request: req.ID, Reason: reason}
@@ -80,7 +81,7 @@
 	}
 }
 
-// safeToRetry reports that a client may retry through any replica and at any endpoint.
+// safeToRetry reports whether a client may retry a request through any replica and at any endpoint.
 func safeToRetry(req *request) bool {
 	if !req.execution.possible && !req.decodeInFlight() {
 		return true
@@ -95,9 +96,10 @@
 	}
 }
 
-// observeEnd takes the end of a request without a first token into load shedding. One given up counts as
-// late, however soon: else a wave of rejections would look like answers in time. One that congested prefill
-// endpoints made late counts there, and one given up in the queue has taken no capacity.
+// observeEnd passes the end of a request without a first token to the load shedder. A request that is given up counts
+// as late even if it ends early; otherwise a burst of rejections would look like answers in time. Requests delayed by
+// congested prefill endpoints are left to the congestion controller, and requests given up in the queue without an
+// attempt used no capacity.
 func (r *Router) observeEnd(req *request, givenUp bool) {
 	queuedOnly := givenUp && len(req.attempts) == 0
 	if !req.streaming && !req.shed && !req.congested && !queuedOnly {
@@ -105,8 +107,8 @@
 	}
 }
 
-// finish is the one place where a request ends. It answers, cancels what is in flight and releases what is
-// held. A nil answer means that none is owed.
+// finish ends a request; every request ends here. It emits the final answer, unless answer is nil because none is owed,
+// cancels attempts in flight and releases the read state.
 func (r *Router) finish(req *request, answer Action) {
 	req.ended = true
 	r.observeEnd(req, answer != nil)
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -79,11 +79,11 @@
 				listed, config, starting := endpoints(prefills, decodes), testConfig(), tc.starting
 				g := newReplicaGroup(t, config, replicas, listed)
 				prefix := func() uint64 { return uint64(g.rnd.Intn(200)) }
-				g.play(2400, start, prefix)
+				g.run(2400, start, prefix)
 				if starting == nil {
 					prefix = func() uint64 { return 7 }
 					g.sends = map[EndpointID]int{}
-					g.play(100, 0, prefix)
+					g.run(100, 0, prefix)
 					preferred := g.busiest(listed[:prefills])
 					starting = func(i int) bool { return i == preferred }
 				}
@@ -95,8 +95,8 @@
 						started++
 					}
 				}
-				g.list(time.Minute+start, listed)
-				g.playFrom(240, start, config.OverloadAfter*2, prefix)
+				g.updateEndpoints(time.Minute+start, listed)
+				g.runFrom(240, start, config.OverloadAfter*2, prefix)
 				total := 0
 				for i, e := range listed {
 					if !starting(i) {
@@ -182,7 +182,7 @@
 				}
 				run.group = newReplicaGroup(t, run.config, replicas, run.listed)
 				run.skewTraffic(replicas)
-				run.group.play(20*runPerWindow, runStart, run.prefix)
+				run.group.run(20*runPerWindow, runStart, run.prefix)
 				run.start(t, replicas)
 				total := 0
 				for window := range 6 {
@@ -247,7 +247,7 @@
 	if window > 1 {
 		requests = runPerWindow * 3 / 2
 	}
-	g.playFrom(requests, runStart+time.Duration(window)*runWindow, runWindow, run.prefix)
+	g.runFrom(requests, runStart+time.Duration(window)*runWindow, runWindow, run.prefix)
 	elapsed := float64(window) * runWindow.Seconds() // since the start, at the window's start
 	present := run.config.SlowStartFrom + (1-run.config.SlowStartFrom)*elapsed/run.config.SlowStartFor.Seconds()
 	for i, e := range run.listed {
