--- a/routing/longprompts_test.go
+++ b/routing/longprompts_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// longPromptsRun is a fleet in simulated time in which prefills are short and prompts differ much in length: prefill
-// endpoints take prompts in turn at a fixed pace, decode endpoints have capacity for all.
+// longPromptsRun simulates a fleet in virtual time with prompts of very different lengths. Each prefill endpoint
+// prefills one prompt after the other at a fixed rate; decode endpoints have capacity for all requests.
 type longPromptsRun struct {
 	rnd       *rand.Rand
 	config    Config
 	harnesses []*harness
 	queue     eventQueue
 	now       time.Duration
-	freeAt    map[EndpointID]time.Duration // when a prefill endpoint has done all that it took
-	requests  []longPromptsRequest         // by request id, from 1
+	freeAt    map[EndpointID]time.Duration // when a prefill endpoint will have finished its backlog
+	requests  []longPromptsRequest         // by request id, which start at 1
 	answered  map[RequestID]bool
 
-	observe               func(time.Duration, Event) // if set, called with the time and event of each step
-	stopsTimedOutPrefills bool                       // endpoints stop a prefill whose attempt has timed out
+	observe              func(time.Duration, Event) // if set, called before each step
+	stopTimedOutPrefills bool                       // endpoints stop a prefill when its attempt times out
 }
 
 type longPromptsRequest struct {
@@ -30,7 +30,7 @@
 	attempts     int
 }
 
-// replicaEvent is an event of one replica.
+// replicaEvent is an event for one replica.
 type replicaEvent struct {
 	Event
 	replica int
@@ -38,10 +38,10 @@
 
 const (
 	longPromptsPrefillEndpoints = 10
-	longPromptsPrefillRate      = 10000.0         // tokens a second of an endpoint
-	longPromptsMaxBacklog       = 2 * time.Second // an endpoint rejects what would wait longer
-	longPromptsMeanLength       = 1100.0          // tokens of a prompt
-	longPromptsSigma            = 1.2             // of its logarithm
+	longPromptsPrefillRate      = 10000.0         // tokens per second of an endpoint
+	longPromptsMaxBacklog       = 2 * time.Second // an endpoint rejects prefills that would wait longer
+	longPromptsMeanLength       = 1100.0          // mean prompt length in tokens
+	longPromptsSigma            = 1.2             // standard deviation of the logarithm of the length
 	longPromptsDuration         = 40 * time.Second
 )
 
@@ -66,12 +66,13 @@
 	return run
 }
 
+// schedule adds an event for a replica after a delay.
 func (run *longPromptsRun) schedule(after time.Duration, replica int, event Event) {
 	run.queue.plan(run.now+after, replicaEvent{event, replica})
 }
 
-// play lets requests come at load times what the prefill endpoints can do.
-func (run *longPromptsRun) play(load float64) {
+// simulate generates arrivals at a load relative to the capacity of the prefill endpoints and processes all events.
+func (run *longPromptsRun) simulate(load float64) {
 	rate := load * longPromptsPrefillEndpoints * longPromptsPrefillRate / longPromptsMeanLength
 	for at := 0.0; at < longPromptsDuration.Seconds(); at += run.rnd.ExpFloat64() / rate {
 		id, replica := RequestID(len(run.requests)), run.rnd.Intn(len(run.harnesses))
@@ -93,6 +94,7 @@
 	}
 }
 
+// step passes an event to a replica at the current time and performs the actions it returns.
 func (run *longPromptsRun) step(replica int, event Event) {
 	switch e := event.(type) {
 	case Request:
@@ -117,7 +119,7 @@
 	}
 }
 
-// send has a prompt prefilled in its turn, or decoded at once.
+// send schedules the events of an attempt: a prefill takes its turn at the endpoint, a decode starts at once.
 func (run *longPromptsRun) send(replica int, a Send) {
 	req := &run.requests[a.Request]
 	outcome := Outcome{Request: a.Request, Attempt: req.attempts, Endpoint: a.Endpoint}
@@ -141,15 +143,15 @@
 	outcome.Result, outcome.Elapsed = PrefillDone, run.freeAt[a.Endpoint]-run.now
 	if a.Timeout > 0 && a.Timeout < outcome.Elapsed {
 		outcome.Result, outcome.Elapsed = TimedOut, a.Timeout
-		if run.stopsTimedOutPrefills {
+		if run.stopTimedOutPrefills {
 			run.freeAt[a.Endpoint] = max(begin, run.now+a.Timeout)
 		}
 	}
 	run.schedule(outcome.Elapsed, replica, outcome)
 }
 
-// answeredFractions are the answered parts of all requests, of the longest tenth and of the next fifth.
-func (run *longPromptsRun) answeredFractions() (all, longest, next float64) {
+// answeredFractions returns the answered fractions of all requests, of the longest tenth and of the next fifth.
+func (run *longPromptsRun) answeredFractions() (all, longestTenth, nextFifth float64) {
 	ids := make([]RequestID, 0, len(run.requests))
 	for id := 1; id < len(run.requests); id++ {
 		ids = append(ids, RequestID(id))
@@ -157,7 +159,7 @@
 	slices.SortFunc(ids, func(a, b RequestID) int {
 		return int(run.requests[b].promptTokens - run.requests[a].promptTokens)
 	})
-	fraction := func(ids []RequestID) float64 {
+	fractionOf := func(ids []RequestID) float64 {
 		answered := 0
 		for _, id := range ids {
 			answered += boolToInt(run.answered[id])
@@ -165,12 +167,12 @@
 		return float64(answered) / float64(len(ids))
 	}
 	tenth := len(ids) / 10
-	return fraction(ids), fraction(ids[:tenth]), fraction(ids[tenth : 3*tenth])
+	return fractionOf(ids), fractionOf(ids[:tenth]), fractionOf(ids[tenth : 3*tenth])
 }
 
-// TestLongPromptsAreNotStarved: shortest first must not serve short prompts alone. Of the longest tenth and of the next
-// fifth at least two thirds of the part that all get are answered where there is capacity for all, and at least half of
-// it above that.
+// TestLongPromptsAreNotStarved checks that shortest-first dispatch does not starve long prompts. Of the longest tenth
+// and of the next fifth, the answered fraction must be at least two thirds of that of all requests where the capacity
+// suffices for all, and at least half of it at higher loads.
 func TestLongPromptsAreNotStarved(t *testing.T) {
 	for _, load := range []float64{0.5, 0.8, 1, 1.3} {
 		minFraction := 0.5
@@ -181,10 +183,11 @@
 	}
 }
 
-// TestLongPromptsAtTwiceTheLoad is the same where half of the work can be done at all.
+// TestLongPromptsAtTwiceTheLoad does the same check at a load of twice the capacity.
 func TestLongPromptsAtTwiceTheLoad(t *testing.T) { checkLongPrompts(t, 2, 0.5) }
 
-// checkLongPrompts checks that long prompts get at least a part of what all get, at few and at many replicas.
+// checkLongPrompts checks the answered fractions of long prompts against that of all requests, with few and with many
+// replicas.
 func checkLongPrompts(t *testing.T, load, minFraction float64) {
 	t.Helper()
 	for _, replicas := range []int{3, 30, 300} {
@@ -192,11 +195,11 @@
 			t.Run(fmt.Sprintf("%d replicas, load %.1f, weight by work %t", replicas, load, byWork), func(t *testing.T) {
 				t.Parallel()
 				run := newLongPromptsRun(t, replicas, byWork)
-				run.play(load)
-				all, longest, next := run.answeredFractions()
-				t.Logf("answered: all %.2f, longest tenth %.2f, next fifth %.2f", all, longest, next)
-				if longest < minFraction*all || next < minFraction*all {
-					t.Errorf("long prompts get less than %.2f of what all get", minFraction)
+				run.simulate(load)
+				all, longestTenth, nextFifth := run.answeredFractions()
+				t.Logf("answered fractions: all %.2f, longest tenth %.2f, next fifth %.2f", all, longestTenth, nextFifth)
+				if longestTenth < minFraction*all || nextFifth < minFraction*all {
+					t.Errorf("long prompts have less than %.2f of the answered fraction of all prompts", minFraction)
 				}
 			})
 		}
--- a/routing/manyreplicas_test.go
+++ b/routing/manyreplicas_test.go
@@ -7,29 +7,31 @@
 	"time"
 )
 
-// TestManyReplicasUnderLoad plays the same traffic on the same prefill endpoints, shared by few replicas and by many,
-// at loads from 0.8 to 3 times what the endpoints can do. A request is worth 1 in time and 0.3 late. It holds the worth
-// against placement at random on the same arrivals, with no time-out, retry or shedding, and against half of what three
-// replicas get. It plays endpoints that finish a prefill whose caller has given up, and endpoints that stop it.
+// TestManyReplicasUnderLoad sends the same traffic to the same prefill endpoints through few replicas and through
+// many, at 0.8 to 3 times the capacity of the endpoints. An answer has the value 1 in time and 0.3 late. The mean
+// value must be at least that of random placement of the same arrivals without time-outs, retries and shedding, and
+// at least half of what three replicas get. Endpoints either finish a prefill whose attempt has timed out, or stop
+// it.
 //
-// At twice the load three replicas got 0.78, 30 got 0.21 and 300 got 0.15, random placement 0.17. Three causes, told
-// apart by the attempts' results: time-outs by the prompt's own tokens, though others' prompts are what it waits for
-// (2,429 of 6,548 prefills of 300 replicas timed out); shedding that rested where most answers were late (2,518 were
-// rejected by full queues); and long prompts, that take ten times the work, admitted as readily as short ones.
+// The test guards against a collapse with many replicas. At twice the capacity, three replicas got 0.78, 30 got 0.21,
+// 300 got 0.15 and random placement 0.17. The results of the attempts showed three causes. Prefill time-outs depended
+// on the prompt's own tokens although it waited for the prompts of other replicas (2,429 of 6,548 prefills of 300
+// replicas timed out). Load shedding did not act although most answers were late (full queues rejected 2,518
+// attempts). Long prompts were admitted as readily as short ones although they take ten times the work.
 func TestManyReplicasUnderLoad(t *testing.T) {
 	for _, stopsTimedOutPrefills := range []bool{false, true} {
 		for _, load := range []float64{0.8, 1, 1.3, 2, 3} {
-			few := simulateManyReplicas(t, 3, load, stopsTimedOutPrefills)
+			threeReplicas := simulateManyReplicas(t, 3, load, stopsTimedOutPrefills)
 			for _, replicas := range []int{3, 30, 300} {
 				name := fmt.Sprintf("%d replicas, load %.1f, abandoned prefills stop %t", replicas, load, stopsTimedOutPrefills)
 				t.Run(name, func(t *testing.T) {
 					result := simulateManyReplicas(t, replicas, load, stopsTimedOutPrefills)
-					t.Logf("worth %.2f, random placement %.2f, attempts: %d prefilled, %d rejected, %d timed out",
+					t.Logf("mean value %.2f, random placement %.2f, attempts: %d prefilled, %d rejected, %d timed out",
 						result.meanValue, result.randomMeanValue,
 						result.attempts[PrefillDone], result.attempts[Rejected], result.attempts[TimedOut])
-					if result.meanValue < result.randomMeanValue || result.meanValue < few.meanValue/2 {
-						t.Errorf("worth %.2f; random placement gets %.2f, three replicas %.2f",
-							result.meanValue, result.randomMeanValue, few.meanValue)
+					if result.meanValue < result.randomMeanValue || result.meanValue < threeReplicas.meanValue/2 {
+						t.Errorf("mean value %.2f; random placement gets %.2f, three replicas %.2f",
+							result.meanValue, result.randomMeanValue, threeReplicas.meanValue)
 					}
 				})
 			}
@@ -37,16 +39,19 @@
 	}
 }
 
-// manyReplicasResult is what a run came to; worth is a mean over all requests.
+// manyReplicasResult is the result of a simulation: mean values over all requests, and the numbers of attempts by
+// result.
 type manyReplicasResult struct {
 	meanValue, randomMeanValue float64
 	attempts                   map[Result]int
 }
 
+// simulateManyReplicas runs a simulation at a load relative to the capacity, and random placement of the same
+// arrivals.
 func simulateManyReplicas(t *testing.T, replicas int, load float64, stopsTimedOutPrefills bool) manyReplicasResult {
 	t.Helper()
 	run := newLongPromptsRun(t, replicas, true)
-	run.stopsTimedOutPrefills = stopsTimedOutPrefills
+	run.stopTimedOutPrefills = stopsTimedOutPrefills
 	arrivedAt, firstTokenAt := map[RequestID]time.Duration{}, map[RequestID]time.Duration{}
 	result := manyReplicasResult{attempts: map[Result]int{}}
 	run.observe = func(at time.Duration, event Event) {
@@ -59,7 +64,7 @@
 			result.attempts[e.Result]++
 		}
 	}
-	run.play(load)
+	run.simulate(load)
 	all := float64(len(run.requests) - 1)
 	for id, at := range firstTokenAt {
 		result.meanValue += run.answerValue(id, at-arrivedAt[id]) / all
@@ -70,7 +75,7 @@
 	return result
 }
 
-// answerValue is what an answer is worth whose first token took so long.
+// answerValue returns the value of an answer with a time to the first token.
 func (run *longPromptsRun) answerValue(id RequestID, firstToken time.Duration) float64 {
 	class := run.config.Classes[0]
 	forPromptLength := time.Duration(run.requests[id].promptTokens / 1000 * float64(class.LatencyObjectivePer1000))
@@ -80,8 +85,8 @@
 	return class.LateWeight
 }
 
-// placeAtRandom sends each request to a prefill endpoint drawn at random, once. It returns the times to the first
-// tokens of those that the endpoints take.
+// placeAtRandom sends each request once to a random prefill endpoint. It returns the times to the first token of the
+// requests that are not rejected.
 func (run *longPromptsRun) placeAtRandom(
 	replicas int, arrivedAt map[RequestID]time.Duration,
 ) map[RequestID]time.Duration {
--- a/routing/recorded_test.go
+++ b/routing/recorded_test.go
@@ -12,27 +12,28 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the recorded digests anew from the code as it is")
+var update = flag.Bool("update", false, "record the digests of the current code")
 
-// recordedRun drives one Router far over what its endpoints can do, so that much is queued, and digests its actions.
-// The endpoints are simple: a time for each attempt, and some failures.
+// recordedRun is the configuration of a run that drives one Router at a load far above its capacity, so that many
+// requests are queued, and records a digest of its actions. Endpoints take a random time for each attempt and fail
+// some.
 type recordedRun struct {
-	name      string
-	seed      int64
-	mixed     int
-	restarts  bool // endpoints restart now and then
-	failing   bool // a prefill and a decode endpoint fail for a while
-	memory    float64
-	objective time.Duration
-	rate      float64 // requests a second
-	prefixes  int     // shared prefixes; 0 = none
-	steps     int
-	replicas  int
-	prefills  int
-	stateTTL  time.Duration
+	name             string
+	seed             int64
+	mixedEndpoints   int
+	endpointsRestart bool // random endpoints restart
+	endpointsFail    bool // one prefill and one decode endpoint fail for 3 s
+	endpointMemory   float64
+	objective        time.Duration
+	rate             float64 // requests per second
+	prefixes         int     // number of shared prefixes; 0 = none
+	steps            int
+	replicas         int
+	prefillEndpoints int
+	stateTTL         time.Duration
 }
 
-// Fixed parts of every recorded run.
+// Settings common to all recorded runs.
 const (
 	recordedDecodeEndpoints = 6
 	recordedStart           = time.Hour
@@ -40,15 +41,16 @@
 	recordedFailingTo       = recordedStart + 4*time.Second
 )
 
-// recordedRuns have a state TTL that a slow decode exceeds, and one that nothing exceeds.
+// recordedRuns returns all runs with a state TTL that slow decodes exceed, and all with one that none exceeds.
 func recordedRuns() []recordedRun {
 	return append(recordedRunsWithTTL(500*ms, ""), recordedRunsWithTTL(100*time.Second, "long release, ")...)
 }
 
+// recordedRunsWithTTL returns two runs, with different seeds, of each configuration.
 func recordedRunsWithTTL(stateTTL time.Duration, namePrefix string) []recordedRun {
 	base := recordedRun{
-		stateTTL: stateTTL, memory: 60000, objective: 3 * time.Second, rate: 400, prefixes: 12, steps: 2500,
-		replicas: 1, prefills: 6,
+		stateTTL: stateTTL, endpointMemory: 60000, objective: 3 * time.Second, rate: 400, prefixes: 12, steps: 2500,
+		replicas: 1, prefillEndpoints: 6,
 	}
 	var runs []recordedRun
 	add := func(name string, change func(*recordedRun)) {
@@ -59,27 +61,29 @@
 			runs = append(runs, run)
 		}
 	}
-	// The names stand in testdata/orders.txt.
+	// The names appear in testdata/orders.txt.
 	add("plain", func(*recordedRun) {})
 	add("long waits", func(run *recordedRun) { run.objective = 20 * time.Second })
-	add("mixed", func(run *recordedRun) { run.mixed = 3 })
-	add("only mixed", func(run *recordedRun) { run.mixed, run.prefills = 6, 0 })
-	add("cold", func(run *recordedRun) { run.restarts = true })
-	add("bad", func(run *recordedRun) { run.failing, run.objective = true, 10*time.Second })
-	add("bad, cold, mixed", func(run *recordedRun) { run.failing, run.restarts, run.mixed = true, true, 2 })
-	add("short of memory", func(run *recordedRun) { run.memory, run.objective = 9000, 10*time.Second })
-	add("memory unknown", func(run *recordedRun) { run.memory = 0 })
+	add("mixed", func(run *recordedRun) { run.mixedEndpoints = 3 })
+	add("only mixed", func(run *recordedRun) { run.mixedEndpoints, run.prefillEndpoints = 6, 0 })
+	add("cold", func(run *recordedRun) { run.endpointsRestart = true })
+	add("bad", func(run *recordedRun) { run.endpointsFail, run.objective = true, 10*time.Second })
+	add("bad, cold, mixed", func(run *recordedRun) {
+		run.endpointsFail, run.endpointsRestart, run.mixedEndpoints = true, true, 2
+	})
+	add("short of memory", func(run *recordedRun) { run.endpointMemory, run.objective = 9000, 10*time.Second })
+	add("memory unknown", func(run *recordedRun) { run.endpointMemory = 0 })
 	add("one hot prefix", func(run *recordedRun) {
-		run.prefixes, run.prefills, run.objective = 1, 12, 8*time.Second
+		run.prefixes, run.prefillEndpoints, run.objective = 1, 12, 8*time.Second
 	})
 	add("no prefix", func(run *recordedRun) { run.prefixes = 0 })
 	add("many fronts", func(run *recordedRun) {
-		run.replicas, run.rate, run.prefills, run.restarts = 40, 40, 20, true
+		run.replicas, run.rate, run.prefillEndpoints, run.endpointsRestart = 40, 40, 20, true
 	})
 	return runs
 }
 
-// recording is a recorded run as it is played.
+// recording is the state of a recorded run while it executes.
 type recording struct {
 	recordedRun
 	rnd       *rand.Rand
@@ -92,14 +96,14 @@
 	done      map[RequestID]bool
 	digest    hash.Hash
 	actions   int
-	maxQueued int // requests queued at once
+	maxQueued int // most requests queued at once
 }
 
 func newRecording(t *testing.T, run recordedRun) *recording {
 	t.Helper()
 	config := testConfig()
 	config.Replicas, config.StateTTL = run.replicas, run.stateTTL
-	config.Kinds = []Kind{{RolePrefill, 200000}, {RoleDecode, run.memory}, {RoleMixed, run.memory}}
+	config.Kinds = []Kind{{RolePrefill, 200000}, {RoleDecode, run.endpointMemory}, {RoleMixed, run.endpointMemory}}
 	config.Tenants = []Tenant{{QuotaPerS: run.rate / 2 * float64(run.replicas)}, {QuotaPerS: 5}}
 	for i := range config.Classes {
 		config.Classes[i].LatencyObjective, config.Classes[i].LateWeight = run.objective, 0.9
@@ -114,11 +118,11 @@
 		done:        map[RequestID]bool{},
 		digest:      sha256.New(),
 	}
-	for i := range run.prefills + recordedDecodeEndpoints + run.mixed {
+	for i := range run.prefillEndpoints + recordedDecodeEndpoints + run.mixedEndpoints {
 		kind := 1
-		if i < run.prefills {
+		if i < run.prefillEndpoints {
 			kind = 0
-		} else if i >= run.prefills+recordedDecodeEndpoints {
+		} else if i >= run.prefillEndpoints+recordedDecodeEndpoints {
 			kind = 2
 		}
 		e := Endpoint{ID: EndpointID(10 + 3*i), Kind: kind, Zone: i % 2, Cell: i % 3, State: EndpointReady}
@@ -128,31 +132,32 @@
 	return rec
 }
 
+// schedule adds an event after a delay.
 func (rec *recording) schedule(after time.Duration, event Event) {
 	rec.queue.plan(rec.now+after, event)
 }
 
-// play returns the run's line of the recorded file.
-func (rec *recording) play() string {
+// execute returns the line of the run in the file of recorded digests.
+func (rec *recording) execute() string {
 	rec.step(EndpointList{Scope: ListFull, Endpoints: rec.listed})
 	for i := range rec.steps {
 		rec.now += time.Duration(rec.rnd.ExpFloat64() / rec.rate * float64(time.Second))
 		rec.deliverDue()
-		events := []Event{rec.arrival(RequestID(i + 1))}
-		rec.step(append(events, rec.listChanges(i)...)...)
+		events := []Event{rec.drawArrival(RequestID(i + 1))}
+		rec.step(append(events, rec.drawListChanges(i)...)...)
 	}
 	return fmt.Sprintf("%s: %x, %d actions, %d held at most",
 		rec.name, rec.digest.Sum(nil)[:12], rec.actions, rec.maxQueued)
 }
 
-// deliverDue steps the router at each time at which events are due.
+// deliverDue steps the router once for each time at which events are due.
 func (rec *recording) deliverDue() {
 	arrivalAt := rec.now
 	for rec.queue.due(arrivalAt) {
 		rec.now = rec.queue.events[0].at
 		var events []Event
 		for rec.queue.due(rec.now) {
-			if event := rec.deliver(rec.queue.next().event); event != nil {
+			if event := rec.complete(rec.queue.next().event); event != nil {
 				events = append(events, event)
 			}
 		}
@@ -163,8 +168,8 @@
 	rec.now = arrivalAt
 }
 
-// deliver completes an event that is due; nil if others came before it.
-func (rec *recording) deliver(event Event) Event {
+// complete fills in an event that is due; nil if it no longer applies because of earlier events.
+func (rec *recording) complete(event Event) Event {
 	switch event := event.(type) {
 	case Outcome:
 		if !rec.inFlight[event.Request][event.Attempt] {
@@ -187,6 +192,7 @@
 	return event
 }
 
+// step steps the router, adds its actions to the digest and performs them.
 func (rec *recording) step(events ...Event) {
 	for _, a := range rec.router.Step(rec.now, events) {
 		rec.actions++
@@ -196,6 +202,7 @@
 	rec.maxQueued = max(rec.maxQueued, len(rec.router.queue.waiting))
 }
 
+// perform schedules the events that follow from an action.
 func (rec *recording) perform(a Action) {
 	switch a := a.(type) {
 	case Send:
@@ -211,7 +218,7 @@
 	}
 }
 
-// send draws how an attempt ends.
+// send draws the outcome of an attempt and schedules its events.
 func (rec *recording) send(a Send) {
 	attempt := len(rec.inFlight[a.Request])
 	rec.inFlight[a.Request] = append(rec.inFlight[a.Request], true)
@@ -223,7 +230,7 @@
 		took *= 4
 	}
 	switch draw := rec.rnd.Intn(60); {
-	case rec.fails(a.Endpoint) || draw == 0:
+	case rec.failsNow(a.Endpoint) || draw == 0:
 		outcome.Result, took = EngineError, took/10
 	case draw == 1:
 		outcome.Result, took = Rejected, took/10
@@ -241,14 +248,14 @@
 	rec.schedule(took, outcome)
 }
 
-// fails reports that an endpoint fails all attempts now.
-func (rec *recording) fails(id EndpointID) bool {
-	return rec.failing && rec.now > recordedFailingFrom && rec.now < recordedFailingTo &&
-		(id == 10 || id == EndpointID(10+3*rec.prefills))
+// failsNow reports whether an endpoint currently fails all attempts.
+func (rec *recording) failsNow(id EndpointID) bool {
+	return rec.endpointsFail && rec.now > recordedFailingFrom && rec.now < recordedFailingTo &&
+		(id == 10 || id == EndpointID(10+3*rec.prefillEndpoints))
 }
 
-// arrival draws a request; its client may disconnect later.
-func (rec *recording) arrival(id RequestID) Event {
+// drawArrival draws a request, and for some requests a later disconnect of the client.
+func (rec *recording) drawArrival(id RequestID) Event {
 	promptTokens := 200 + rec.rnd.ExpFloat64()*900
 	if rec.rnd.Intn(50) == 0 {
 		promptTokens *= 8
@@ -272,17 +279,17 @@
 	return req
 }
 
-// listChanges draws changes of the endpoint list that come with an arrival.
-func (rec *recording) listChanges(arrival int) (events []Event) {
+// drawListChanges draws the changes of the endpoint list that accompany an arrival.
+func (rec *recording) drawListChanges(arrival int) (events []Event) {
 	change := func(e Endpoint) EndpointList {
 		return EndpointList{Scope: ListChanges, Endpoints: []Endpoint{e}}
 	}
-	if rec.restarts && arrival%700 == 699 {
+	if rec.endpointsRestart && arrival%700 == 699 {
 		e := rec.listed[rec.rnd.Intn(len(rec.listed))]
 		e.StartedAt = rec.now
 		events = append(events, change(e))
 	}
-	if arrival%900 == 800 { // one drains, and is ready again later
+	if arrival%900 == 800 { // an endpoint drains, and is ready again 2 s later
 		e := rec.listed[rec.rnd.Intn(len(rec.listed))]
 		e.State = EndpointDraining
 		events = append(events, change(e))
@@ -292,15 +299,15 @@
 	return events
 }
 
-// TestRecordedActions compares the actions of the recorded runs with those of the code that recorded them. Their
-// encoding holds no name of a type or field, so a digest that differs is a decision that differs: a change that is not
-// meant to change decisions must never write the file anew. One that does mean to uses -update.
+// TestRecordedActions compares digests of the actions of the recorded runs with recorded digests. The encoding of an
+// action holds no type or field names, so a different digest means different decisions. Record the digests anew with
+// -update only for a change that is meant to change decisions.
 func TestRecordedActions(t *testing.T) {
 	const file = "testdata/orders.txt"
 	if *update {
 		var b strings.Builder
 		for _, run := range recordedRuns() {
-			b.WriteString(newRecording(t, run).play() + "\n")
+			b.WriteString(newRecording(t, run).execute() + "\n")
 		}
 		if err := os.WriteFile(file, []byte(b.String()), 0o644); err != nil {
 			t.Fatal(err)
@@ -314,7 +321,7 @@
 	for i, run := range recordedRuns() {
 		t.Run(run.name, func(t *testing.T) {
 			t.Parallel()
-			if got := newRecording(t, run).play(); got != want[i] {
+			if got := newRecording(t, run).execute(); got != want[i] {
 				t.Errorf("got  %s\nwant %s", got, want[i])
 			}
 		})
--- a/routing/replicagroup_test.go
+++ b/routing/replicagroup_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// replicaGroup runs many Routers over the same endpoints and counts what all of them send to each.
+// replicaGroup runs many Routers with the same endpoints and counts the sends of all of them to each endpoint.
 type replicaGroup struct {
-	rnd       *rand.Rand
-	harnesses []*harness
-	sends     map[EndpointID]int
-	nextID    RequestID
-	roles     map[EndpointID]Role
-	failing   map[EndpointID]bool // these fail or reject every other attempt, so that retries follow
-	retries   int                 // attempts beyond a prefill and a decode
+	rnd              *rand.Rand
+	harnesses        []*harness
+	sends            map[EndpointID]int
+	nextID           RequestID
+	roles            map[EndpointID]Role
+	failingEndpoints map[EndpointID]bool // endpoints that fail or reject half of their attempts, chosen at random
+	retries          int                 // failed attempts, which cause retries
 }
 
 func newReplicaGroup(t *testing.T, config Config, replicas int, listed []Endpoint) *replicaGroup {
@@ -36,7 +36,8 @@
 	return g
 }
 
-// run sends requests, spread over a time and over random replicas; each prefill and each answer ends well at once.
+// run sends requests to random replicas, spread evenly over a duration from the start of the test. Prefills and
+// decodes succeed at once, except at failing endpoints.
 func (g *replicaGroup) run(requests int, d time.Duration, prefix func() uint64) {
 	for i := range requests {
 		h := g.harnesses[g.rnd.Intn(len(g.harnesses))]
@@ -48,6 +49,7 @@
 	}
 }
 
+// runRequest sends a request to a replica and reports outcomes until it is answered or not sent again.
 func (g *replicaGroup) runRequest(h *harness, req Request) {
 	actions := h.step(req)
 	for attempt := 0; ; attempt++ {
@@ -59,7 +61,7 @@
 		endpoint := sends[0].Endpoint
 		g.sends[endpoint]++
 		outcome := Outcome{Request: req.ID, Attempt: attempt, Endpoint: endpoint}
-		if g.failing[endpoint] && g.rnd.Intn(2) == 0 {
+		if g.failingEndpoints[endpoint] && g.rnd.Intn(2) == 0 {
 			g.retries++
 			outcome.Result = []Result{EngineError, Rejected, ConnectionReset}[g.rnd.Intn(3)]
 			outcome.Elapsed = 10 * ms
@@ -78,7 +80,7 @@
 	}
 }
 
-// runFrom plays requests over a time, from a time on.
+// runFrom sends requests to random replicas, spread evenly over a duration from an offset after the start.
 func (g *replicaGroup) runFrom(requests int, from, d time.Duration, prefix func() uint64) {
 	g.setTime(time.Minute + from)
 	for i := range requests {
@@ -87,19 +89,21 @@
 	}
 }
 
+// setTime sets the time of all replicas.
 func (g *replicaGroup) setTime(now time.Duration) {
 	for _, h := range g.harnesses {
 		h.now = now
 	}
 }
 
+// advanceTo moves the time of the replicas that are behind it to a time.
 func (g *replicaGroup) advanceTo(now time.Duration) {
 	for _, h := range g.harnesses {
 		h.now = max(h.now, now)
 	}
 }
 
-// updateEndpoints gives all replicas the endpoint list at a time.
+// updateEndpoints gives all replicas a full endpoint list at a time.
 func (g *replicaGroup) updateEndpoints(now time.Duration, listed []Endpoint) {
 	g.setTime(now)
 	for _, h := range g.harnesses {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -231,9 +231,9 @@
 		h.step(EndpointList{Scope: ListFull, Endpoints: run.listed})
 	}
 	if run.failing {
-		run.group.failing = map[EndpointID]bool{}
+		run.group.failingEndpoints = map[EndpointID]bool{}
 		for i := range run.listed {
-			run.group.failing[run.listed[i].ID] = i%8 == 7 && !run.starting(i)
+			run.group.failingEndpoints[run.listed[i].ID] = i%8 == 7 && !run.starting(i)
 		}
 	}
 }
