--- a/routing/queue.go
+++ b/routing/queue.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// starvationAge is the time in the queue after which a request may be promoted, which means dispatched out of
-	// order.
+	// starvationAge is the time since arrival after which a queued request may be promoted, which means dispatched
+	// out of order.
 	starvationAge = 2 * time.Second
 	// dispatchesPerPromotion bounds promotions to one in this many dispatches. Otherwise, after a stall that made
 	// the whole backlog starve, all long prompts would be dispatched before the short ones.
@@ -103,8 +103,8 @@
 }
 
 // promote returns the request that is dispatched first although it is not first in dispatch order; nil if there is
-// none or if promotion is not due. A request of an underserved length band goes before the one that has waited
-// longest, which must have reached starvationAge.
+// none or if promotion is not due. A request of an underserved length band goes before the one that
+// arrived first, which must have reached starvationAge.
 func (q *requestQueue) promote(now time.Duration) *request {
 	if q.sincePromotion < dispatchesPerPromotion-1 || len(q.waiting) == 0 {
 		return nil
