--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -113,7 +113,7 @@
 	for key, oldCount := range a.spread {
 		n := a.preferredCount(key, a.usablePrefills)
 		if a.spread[key] = n; n != oldCount {
-			r.queue.retryKey(key)
+			r.queue.recheckKey(key)
 		}
 		if n == 1 {
 			delete(a.spread, key)
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// minPrefillTimeout and minFirstTokenTimeout bound time-outs from below, so that a few fast attempts
-	// don't make them too short.
+	// minPrefillTimeout and minFirstTokenTimeout are lower bounds of time-outs, so that a few fast attempts don't
+	// make them too short.
 	minPrefillTimeout    = 800 * time.Millisecond
 	minFirstTokenTimeout = 1500 * time.Millisecond
-	// timeoutFactor is the time-out of an attempt as a multiple of its usual time ...
+	// timeoutFactor is the time-out of an attempt as a multiple of its expected time.
 	timeoutFactor = 8.0
-	// ... and earlyTimeoutFactor the least such multiple where another attempt can then still be in time.
-	earlyTimeoutFactor = 4.0
-	// recoverySlack is added to the usual time, in seconds, within which a trial has to go well.
-	recoverySlack = 0.5
-	// deadlineBlame is how long an attempt must have been in flight for a time-out at its deadline to count
-	// against the endpoint.
-	deadlineBlame = time.Second
-	// rejectedPause is how long an endpoint that rejected an attempt has no capacity.
-	rejectedPause = 150 * time.Millisecond
+	// minEarlyTimeoutFactor is the least time-out, as a multiple of the expected time, to which it is shortened so
+	// that another attempt can still meet the latency objective.
+	minEarlyTimeoutFactor = 4.0
+	// trialSlack is added, in seconds, to the time in which an attempt must succeed to end an ejection.
+	trialSlack = 0.5
+	// minTimeToBlameEndpoint is the time in flight from which an attempt that ends at its request's deadline counts
+	// as a failure of the endpoint.
+	minTimeToBlameEndpoint = time.Second
+	// rejectionPause is how long an endpoint is taken to have no capacity after it rejected an attempt.
+	rejectionPause = 150 * time.Millisecond
 )
 
-// send starts an attempt and books what it takes.
+// send starts an attempt and adds its cost to the load of the endpoint.
 func (r *Router) send(req *request, b *backend, decode bool) {
 	a := attempt{backend: b, sentAt: r.now, decode: decode, inFlight: true, awaitingReply: true}
 	a.cost.memory = req.memoryTokens()
@@ -30,7 +31,7 @@
 	r.decayStats(b)
 	b.silence.addAttempt(req, r.now)
 	b.load.attempts++
-	if b.health.ejected { // it has its trial
+	if b.health.ejected { // this attempt is its trial
 		r.orderChanged()
 	}
 	b.load.memory += a.cost.memory
@@ -55,37 +56,37 @@
 	})
 }
 
-// timeout bounds an attempt that another could still replace; 0 lets it run until the deadline. It is shorter
-// where another attempt can then still meet the objective: a guard against requests lost at a healthy
-// endpoint.
+// timeout returns the time-out of an attempt; 0 lets it run until the deadline, if no other attempt may replace it. The
+// time-out is shortened where another attempt can then still meet the latency objective, so that a request lost at a
+// healthy endpoint is still answered in time. During overload it ends at the latency objective.
 func (r *Router) timeout(req *request, a *attempt) time.Duration {
-	usual := a.cost.queued * max(r.latency.prefillPace, a.backend.pace.perToken)
-	least, attemptsToFinish := minPrefillTimeout, 2
+	expected := a.cost.queued * max(r.latency.prefillPace, a.backend.pace.perToken)
+	minTimeout, attemptsToFinish := minPrefillTimeout, 2
 	if a.decode {
-		usual += r.latency.firstToken
-		least, attemptsToFinish = minFirstTokenTimeout, 1
+		expected += r.latency.firstToken
+		minTimeout, attemptsToFinish = minFirstTokenTimeout, 1
 	} else {
-		// What waits for other replicas takes the same time for a short prompt as for a long one.
-		usual = max(usual, r.latency.prefillTime)
+		// The backlog of other replicas at the endpoint delays a short prompt as long as a long one.
+		expected = max(expected, r.latency.prefillTime)
 	}
 	untilObjective := req.objectiveAt() - r.now
-	if r.admission.shedder.fraction > overloadShedFraction {
-		return max(untilObjective, minAnswerTime)
+	if r.admission.shedder.shedFraction > overloadShedFraction {
+		return max(untilObjective, finalAnswerMargin)
 	}
 	attemptsLeft := r.config.MaxAttempts - len(req.attempts)
 	if attemptsLeft < attemptsToFinish || a.decode && req.class.Idempotency != Idempotent {
 		return 0
 	}
-	limit := max(least, seconds(timeoutFactor*usual))
-	inTime := untilObjective - seconds(2*(usual+r.latency.firstToken))
-	if inTime > seconds(earlyTimeoutFactor*usual) {
-		limit = min(limit, inTime)
+	timeout := max(minTimeout, seconds(timeoutFactor*expected))
+	earlyTimeout := untilObjective - seconds(2*(expected+r.latency.firstToken))
+	if earlyTimeout > seconds(minEarlyTimeoutFactor*expected) {
+		timeout = min(timeout, earlyTimeout)
 	}
-	return limit
+	return timeout
 }
 
-// attemptOf returns the attempt that an event names; nil if there is none.
-func (r *Router) attemptOf(id RequestID, index int) (*request, *attempt) {
+// findAttempt returns the attempt that an event refers to; nil if there is none.
+func (r *Router) findAttempt(id RequestID, index int) (*request, *attempt) {
 	req := r.requests[id]
 	if req == nil || index < 0 || index >= len(req.attempts) {
 		return nil, nil
@@ -93,8 +94,9 @@
 	return req, &req.attempts[index]
 }
 
-func (r *Router) firstToken(event FirstToken) {
-	req, a := r.attemptOf(event.Request, event.Attempt)
+// handleFirstToken marks a request as streaming and passes its time to the first token to the statistics.
+func (r *Router) handleFirstToken(event FirstToken) {
+	req, a := r.findAttempt(event.Request, event.Attempt)
 	if req == nil {
 		return
 	}
@@ -114,12 +116,12 @@
 		r.mixed.observe(a, r.latency.usualFirstToken(a.cost.queued), event.Elapsed)
 	}
 	r.markAnswered(a, true)
-	r.observeSuccess(b, req, elapsed < timeoutFactor*r.latency.firstToken+recoverySlack)
+	r.observeSuccess(b, req, elapsed < timeoutFactor*r.latency.firstToken+trialSlack)
 }
 
-// outcome ends an attempt: books out what it took, learns from it, and decides what comes next.
-func (r *Router) outcome(event Outcome) {
-	req, a := r.attemptOf(event.Request, event.Attempt)
+// handleOutcome ends an attempt, updates the statistics by its result and decides how its request continues.
+func (r *Router) handleOutcome(event Outcome) {
+	req, a := r.findAttempt(event.Request, event.Attempt)
 	if req == nil || !a.inFlight {
 		return
 	}
@@ -127,7 +129,7 @@
 	switch {
 	case req.ended:
 		if event.Result == PrefillDone || a.decode && req.state.prefillSent && !req.streaming && !a.canceled {
-			r.emit(ReleaseState{req.ID}) // nobody will fetch it
+			r.emit(ReleaseState{req.ID}) // no decode will fetch the state
 		}
 	case event.RequestDone || event.Result == Served:
 		r.finish(req, nil)
@@ -143,7 +145,7 @@
 	}
 }
 
-// endAttempt books an attempt out and learns from its outcome.
+// endAttempt removes an attempt from the load of its endpoint and updates the statistics by its result.
 func (r *Router) endAttempt(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.decayStats(b)
@@ -155,14 +157,14 @@
 	req.inFlight--
 	b.load.attempts--
 	b.load.memory = max(b.load.memory-a.cost.memory, 0)
-	r.markAnswered(a, event.Result.fromEndpoint())
+	r.markAnswered(a, event.Result.endsSilence())
 	r.observeResult(req, a, event)
 	if a.decode && event.Result.mayHaveExecuted() && !req.execution.possible {
 		req.execution = possibleExecution{possible: true, backend: b, sentAt: a.sentAt}
 	}
 }
 
-// observeResult takes an attempt's result into the statistics of its endpoint.
+// observeResult updates the statistics of the endpoint by the result of an attempt.
 func (r *Router) observeResult(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	if !a.decode {
@@ -170,25 +172,27 @@
 	}
 	switch event.Result {
 	case PrefillDone:
-		r.prefillDone(req, a, event)
+		r.observePrefillDone(req, a, event)
 	case Served:
 		b.pace.completed++
-	case EngineError, ConnectionReset, RequestIncomplete: // one connection may break at a healthy endpoint
+	case EngineError, ConnectionReset, RequestIncomplete:
+		// A broken connection has no extra weight, since a single one may break at a healthy endpoint.
 		r.observeFailure(b, req, outcomeWeight)
 	case TimedOut:
-		r.attemptTimedOut(req, a, event)
+		r.observeTimeout(req, a, event)
 	case ConnectFailed:
 		r.observeFailure(b, req, connectFailureFactor*outcomeWeight)
 	case Rejected:
 		if !event.StateMissing {
-			b.load.pausedUntil, r.admission.shedder.rejectedAt = r.now+rejectedPause, r.now
+			b.load.pausedUntil, r.admission.shedder.rejectedAt = r.now+rejectionPause, r.now
 			r.observeRejection(b, req, true)
 		}
-	case Canceled, NotSent: // the endpoint had no part in it
+	case Canceled, NotSent: // not caused by the endpoint
 	}
 }
 
-func (r *Router) prefillDone(req *request, a *attempt, event Outcome) {
+// observePrefillDone updates the statistics by a prefill that succeeded.
+func (r *Router) observePrefillDone(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.observePrefill(a, event.Elapsed)
 	updateAverage(&r.latency.prefillTime, event.Elapsed.Seconds(), prefillTimeWeight)
@@ -196,15 +200,17 @@
 	updateAverage(&r.latency.uncachedTokens[req.Class], uncached, uncachedTokensWeight)
 	b.pace.completed++
 	b.cache.store(req)
-	limit := timeoutFactor*a.cost.queued*r.latency.prefillPace + recoverySlack
+	limit := timeoutFactor*a.cost.queued*r.latency.prefillPace + trialSlack
 	r.observeSuccess(b, req, event.Elapsed.Seconds() < limit)
 }
 
-func (r *Router) attemptTimedOut(req *request, a *attempt, event Outcome) {
+// observeTimeout updates the statistics by an attempt that timed out. It is no failure of the endpoint if the request's
+// deadline came soon after the send.
+func (r *Router) observeTimeout(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.mixed.observe(a, r.latency.usualFirstToken(a.cost.queued), event.Elapsed)
 	updateAverage(&b.pace.slowness, timeoutFactor, slownessWeight)
-	if r.now < req.Deadline || a.sentAt+deadlineBlame < r.now {
+	if r.now < req.Deadline || a.sentAt+minTimeToBlameEndpoint < r.now {
 		r.observeFailure(b, req, outcomeWeight)
 	} else {
 		r.observeSuccess(b, req, false)
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -8,37 +8,39 @@
 )
 
 const (
-	// starvationAge is the age from which a queued request may be promoted ...
+	// starvationAge is the time since arrival after which a queued request may be promoted, which means dispatched
+	// out of order.
 	starvationAge = 2 * time.Second
-	// ... but at most every so many dispatches: else a backlog that starved all at once would put its long
-	// prompts ahead of the short ones.
+	// dispatchesPerPromotion bounds promotions to one in this many dispatches. Otherwise, after a stall that made
+	// the whole backlog starve, all long prompts would be dispatched before the short ones.
 	dispatchesPerPromotion = 4
 )
 
-// requestQueue holds the requests that wait for capacity and have no read state anywhere.
+// requestQueue holds the requests that wait for capacity and have no read state at any endpoint.
 type requestQueue struct {
 	waiting        []*request // in dispatch order
-	retry          []*request // of these, what the next dispatch tries though capacity has not changed
-	selected       []*request // of these, what the current dispatch tries; the slice is reused
+	recheck        []*request // waiting requests that the next dispatch tries even if capacity has not changed
+	selected       []*request // requests that the current dispatch tries; the slice is reused
 	byArrival      arrivalHeap
-	byLimit        []limitHeap // by class
-	sincePromotion int         // dispatches since the last promotion
+	byDueTime      []dueHeap // by class
+	sincePromotion int       // dispatches since the last promotion
 	shares         lengthShares
 }
 
-// queueEntry is what the queue needs to know of a request.
+// queueEntry is the part of a request that the queue uses.
 type queueEntry struct {
 	waiting   bool
-	overQuota bool          // beyond its tenant's quota
-	promoted  bool          // it has starved: the backlog bound no longer counts its own tokens
-	limit     time.Duration // when its latency objective or its deadline ends, whichever is first
+	overQuota bool          // exceeds its tenant's quota
+	promoted  bool          // dispatched out of order; its own tokens do not count toward maxBacklog
+	dueAt     time.Duration // end of its latency objective or its deadline, whichever is first
 }
 
 func newRequestQueue(classes int) requestQueue {
-	return requestQueue{byLimit: make([]limitHeap, classes)}
+	return requestQueue{byDueTime: make([]dueHeap, classes)}
 }
 
-// compareDispatch is the dispatch order: shortest prompt first, what is beyond its tenant's quota last.
+// compareDispatch defines the dispatch order: shortest prompt first, and requests that exceed their tenant's quota
+// after all others.
 func compareDispatch(a, b *request) int {
 	switch {
 	case a.queued.overQuota != b.queued.overQuota:
@@ -49,18 +51,18 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// add queues a request, to be tried in this step.
+// add queues a request and selects it for the next dispatch.
 func (q *requestQueue) add(req *request) {
 	i, _ := slices.BinarySearchFunc(q.waiting, req, compareDispatch)
 	q.waiting = slices.Insert(q.waiting, i, req)
-	q.retry = append(q.retry, req)
+	q.recheck = append(q.recheck, req)
 	req.queued.waiting = true
 	req.choices.full, req.choices.fullVersion = nil, 0
 	heap.Push(&q.byArrival, req)
-	heap.Push(&q.byLimit[req.Class], req)
+	heap.Push(&q.byDueTime[req.Class], req)
 }
 
-// remove takes a request out of the queue, if it is in it. Its heap entries stay until they come to the top.
+// remove removes a request from the queue, if it is queued. Its heap entries stay until they reach the top.
 func (q *requestQueue) remove(req *request) {
 	if !req.queued.waiting {
 		return
@@ -70,7 +72,7 @@
 	req.queued.waiting = false
 }
 
-// position is how many queued requests come before req in a dispatch that tries promoted first.
+// position returns how many queued requests come before req in a dispatch that tries promoted first.
 func (q *requestQueue) position(req, promoted *request) int {
 	if req == promoted {
 		return 0
@@ -82,26 +84,27 @@
 	return i
 }
 
-// after returns the queued requests that come after req in such a dispatch.
-func (q *requestQueue) after(req, promoted *request) []*request {
+// queuedAfter returns the queued requests that come after req in a dispatch that tries promoted first.
+func (q *requestQueue) queuedAfter(req, promoted *request) []*request {
 	if req == promoted {
 		return q.waiting
 	}
 	return q.waiting[q.position(req, nil):]
 }
 
-// retryKey lets the next dispatch try the requests of an affinity key.
-func (q *requestQueue) retryKey(key uint64) {
+// recheckKey selects all queued requests with an affinity key for the next dispatch.
+func (q *requestQueue) recheckKey(key uint64) {
 	for _, req := range q.waiting {
 		if req.affinityKey() == key {
 			req.choices.fullVersion = 0
-			q.retry = append(q.retry, req)
+			q.recheck = append(q.recheck, req)
 		}
 	}
 }
 
-// promote returns the request to be dispatched next out of order, if one may be and it is not first anyway:
-// one of a length that gets too little, else the one that has waited longest, if it has starved.
+// promote returns the request that is dispatched first although it is not first in dispatch order; nil if there is
+// none or if promotion is not due. A request of an underserved length band goes before the one that
+// arrived first, which must have reached starvationAge.
 func (q *requestQueue) promote(now time.Duration) *request {
 	if q.sincePromotion < dispatchesPerPromotion-1 || len(q.waiting) == 0 {
 		return nil
@@ -115,16 +118,16 @@
 	}
 	if !req.queued.promoted {
 		req.queued.promoted = true
-		q.retry = append(q.retry, req)
+		q.recheck = append(q.recheck, req)
 	}
 	return req
 }
 
-// underserved returns the shortest queued request of a band of prompt lengths that gets too little, of the
-// longest band first; nil if there is none. Requests beyond their tenant's quota have no part in it.
+// underserved returns the shortest queued request of an underserved length band; nil if there is none. bandLongest goes
+// before bandLong. Requests that exceed their tenant's quota are not considered.
 func (q *requestQueue) underserved() *request {
 	for _, band := range [...]lengthBand{bandLongest, bandLong} {
-		lengths := q.shares.lengths.ofBand(band)
+		lengths := q.shares.lengths.inBand(band)
 		if len(lengths) == 0 || !q.shares.underserved(band) {
 			continue
 		}
@@ -134,28 +137,28 @@
 			}
 			return cmp.Compare(req.PromptTokens, tokens)
 		})
-		if i < len(q.waiting) && q.shares.takes(q.waiting[i], band) {
+		if i < len(q.waiting) && q.shares.mayPromote(q.waiting[i], band) {
 			return q.waiting[i]
 		}
 	}
 	return nil
 }
 
-// dispatched takes out a request that was sent.
-func (q *requestQueue) dispatched(req *request) {
+// markDispatched removes a request that was sent from the queue and counts its dispatch.
+func (q *requestQueue) markDispatched(req *request) {
 	q.remove(req)
 	if len(req.attempts) == 1 {
-		q.shares.dispatched(req)
+		q.shares.countDispatch(req)
 	}
 	if q.sincePromotion++; req.queued.promoted {
 		q.sincePromotion = 0
 	}
 }
 
-// oldest is the queued request that arrived first; nil if none is queued.
+// oldest returns the queued request that arrived first; nil if the queue is empty.
 func (q *requestQueue) oldest() *request {
 	for q.byArrival.Len() > 0 {
-		if req := q.byArrival.first(); req.queued.waiting {
+		if req := q.byArrival.top(); req.queued.waiting {
 			return req
 		}
 		heap.Pop(&q.byArrival)
@@ -163,26 +166,26 @@
 	return nil
 }
 
-// nextLimit is the queued request of a class whose limit comes first; nil if none is queued.
-func (q *requestQueue) nextLimit(class int) *request {
-	limits := &q.byLimit[class]
-	for limits.Len() > 0 {
-		if req := limits.first(); req.queued.waiting {
+// nextDue returns the queued request of a class with the earliest dueAt; nil if none is queued.
+func (q *requestQueue) nextDue(class int) *request {
+	dueTimes := &q.byDueTime[class]
+	for dueTimes.Len() > 0 {
+		if req := dueTimes.top(); req.queued.waiting {
 			return req
 		}
-		heap.Pop(limits)
+		heap.Pop(dueTimes)
 	}
 	return nil
 }
 
-// requestHeap is the part that the heaps of requests below share. An entry of a request that waits no longer
-// stays until it comes to the top, and a request that is queued again has two.
+// requestHeap is the common part of the heaps below. The entry of a request that left the queue stays until it reaches
+// the top, and a request that is queued again has two entries.
 type requestHeap []*request
 
-func (h *requestHeap) Len() int        { return len(*h) }
-func (h *requestHeap) Swap(i, j int)   { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
-func (h *requestHeap) Push(x any)      { *h = append(*h, x.(*request)) }
-func (h *requestHeap) first() *request { return (*h)[0] }
+func (h *requestHeap) Len() int      { return len(*h) }
+func (h *requestHeap) Swap(i, j int) { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
+func (h *requestHeap) Push(x any)    { *h = append(*h, x.(*request)) }
+func (h *requestHeap) top() *request { return (*h)[0] }
 
 func (h *requestHeap) Pop() any {
 	last := len(*h) - 1
@@ -192,7 +195,7 @@
 	return req
 }
 
-// arrivalHeap is ordered by arrival, then by dispatch order.
+// arrivalHeap is ordered by arrival time, then by dispatch order.
 type arrivalHeap struct{ requestHeap }
 
 func (h *arrivalHeap) Less(i, j int) bool {
@@ -200,10 +203,10 @@
 	return a.arrivedAt < b.arrivedAt || a.arrivedAt == b.arrivedAt && compareDispatch(a, b) < 0
 }
 
-// limitHeap is ordered by limit, then by dispatch order.
-type limitHeap struct{ requestHeap }
+// dueHeap is ordered by dueAt, then by dispatch order.
+type dueHeap struct{ requestHeap }
 
-func (h *limitHeap) Less(i, j int) bool {
+func (h *dueHeap) Less(i, j int) bool {
 	a, b := h.requestHeap[i], h.requestHeap[j]
-	return a.queued.limit < b.queued.limit || a.queued.limit == b.queued.limit && compareDispatch(a, b) < 0
+	return a.queued.dueAt < b.queued.dueAt || a.queued.dueAt == b.queued.dueAt && compareDispatch(a, b) < 0
 }
--- a/routing/replicagroup_test.go
+++ b/routing/replicagroup_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// replicaGroup runs many Routers over the same endpoints and counts what all of them send to each.
+// replicaGroup runs many Routers with the same endpoints and counts the sends of all of them to each endpoint.
 type replicaGroup struct {
-	rnd       *rand.Rand
-	harnesses []*harness
-	sends     map[EndpointID]int
-	nextID    RequestID
-	roles     map[EndpointID]Role
-	failing   map[EndpointID]bool // these fail or reject every other attempt, so that retries follow
-	retries   int                 // attempts beyond a prefill and a decode
+	rnd              *rand.Rand
+	harnesses        []*harness
+	sends            map[EndpointID]int
+	nextID           RequestID
+	roles            map[EndpointID]Role
+	failingEndpoints map[EndpointID]bool // endpoints that fail or reject half of their attempts, chosen at random
+	retries          int                 // failed attempts, which cause retries
 }
 
 func newReplicaGroup(t *testing.T, config Config, replicas int, listed []Endpoint) *replicaGroup {
@@ -36,19 +36,21 @@
 	return g
 }
 
-// play sends requests, spread over a time and over random replicas; each prefill and each answer ends well at once.
-func (g *replicaGroup) play(requests int, d time.Duration, prefix func() uint64) {
+// run sends requests to random replicas, spread evenly over a duration from the start of the test. Prefills and
+// decodes succeed at once, except at failing endpoints.
+func (g *replicaGroup) run(requests int, d time.Duration, prefix func() uint64) {
 	for i := range requests {
 		h := g.harnesses[g.rnd.Intn(len(g.harnesses))]
 		h.now = max(h.now, time.Minute+time.Duration(i)*d/time.Duration(requests))
 		g.nextID++
 		req := h.request(g.nextID, idempotentClass, 1500)
 		req.Prefix = prefix()
-		g.playRequest(h, req)
+		g.runRequest(h, req)
 	}
 }
 
-func (g *replicaGroup) playRequest(h *harness, req Request) {
+// runRequest sends a request to a replica and reports outcomes until it is answered or not sent again.
+func (g *replicaGroup) runRequest(h *harness, req Request) {
 	actions := h.step(req)
 	for attempt := 0; ; attempt++ {
 		sends := actionsOf[Send](actions)
@@ -59,7 +61,7 @@
 		endpoint := sends[0].Endpoint
 		g.sends[endpoint]++
 		outcome := Outcome{Request: req.ID, Attempt: attempt, Endpoint: endpoint}
-		if g.failing[endpoint] && g.rnd.Intn(2) == 0 {
+		if g.failingEndpoints[endpoint] && g.rnd.Intn(2) == 0 {
 			g.retries++
 			outcome.Result = []Result{EngineError, Rejected, ConnectionReset}[g.rnd.Intn(3)]
 			outcome.Elapsed = 10 * ms
@@ -78,29 +80,31 @@
 	}
 }
 
-// playFrom plays requests over a time, from a time on.
-func (g *replicaGroup) playFrom(requests int, from, d time.Duration, prefix func() uint64) {
+// runFrom sends requests to random replicas, spread evenly over a duration from an offset after the start.
+func (g *replicaGroup) runFrom(requests int, from, d time.Duration, prefix func() uint64) {
 	g.setTime(time.Minute + from)
 	for i := range requests {
 		g.advanceTo(time.Minute + from + time.Duration(i)*d/time.Duration(requests))
-		g.play(1, 0, prefix)
+		g.run(1, 0, prefix)
 	}
 }
 
+// setTime sets the time of all replicas.
 func (g *replicaGroup) setTime(now time.Duration) {
 	for _, h := range g.harnesses {
 		h.now = now
 	}
 }
 
+// advanceTo moves the time of the replicas that are behind it to a time.
 func (g *replicaGroup) advanceTo(now time.Duration) {
 	for _, h := range g.harnesses {
 		h.now = max(h.now, now)
 	}
 }
 
-// list gives all replicas the endpoint list at a time.
-func (g *replicaGroup) list(now time.Duration, listed []Endpoint) {
+// updateEndpoints gives all replicas a full endpoint list at a time.
+func (g *replicaGroup) updateEndpoints(now time.Duration, listed []Endpoint) {
 	g.setTime(now)
 	for _, h := range g.harnesses {
 		h.step(EndpointList{Scope: ListFull, Endpoints: listed})
