--- a/internal/endpointslice/bytes_test.go
+++ b/internal/endpointslice/bytes_test.go
@@ -23,14 +23,14 @@
 	`"targetRef":{"name":"pod-0","uid":"u0"}},{"addresses":["10.0.0.2"],"conditions":{"terminating":true}}],` +
 	`"ports":[{"name":"other","port":1},{"name":"http","port":8000}]}`
 
-// recordingServer answers one request a connection and records the heads of all requests. The last one gets no reply,
-// and its connection stays open: the watcher has to end while it waits, not by a failure.
+// recordingServer answers one request per connection and records the heads of all requests. The last request gets no
+// reply and its connection stays open, so that the watcher is stopped while it waits for a reply.
 type recordingServer struct {
 	listener net.Listener
 	replies  []string
-	requests strings.Builder // to be read when done is closed
-	lastConn net.Conn        // likewise; nil = not all requests came
-	done     chan struct{}   // closed after one request more than there are replies
+	requests strings.Builder // may be read once done is closed
+	lastConn net.Conn        // likewise; nil = fewer requests were received
+	done     chan struct{}   // closed when the server ends, usually after the request that gets no reply
 }
 
 func newRecordingServer(t *testing.T, replies ...string) *recordingServer {
@@ -44,7 +44,7 @@
 		s.close()
 		<-s.done
 		if s.lastConn != nil {
-			_ = s.lastConn.Close() // the watcher may have closed it
+			_ = s.lastConn.Close() // the watcher may already have closed it
 		}
 	})
 	go func() {
@@ -58,11 +58,12 @@
 	return s
 }
 
-func (s *recordingServer) close() { _ = s.listener.Close() } // it may be closed already
+func (s *recordingServer) close() { _ = s.listener.Close() } // may already be closed
 
 func (s *recordingServer) address() string { return s.listener.Addr().String() }
 
-// serveOne records one request and sends reply n, if there is one.
+// serveOne records one request and sends reply n, if there is one. It reports whether the next connection is to be
+// accepted.
 func (s *recordingServer) serveOne(n int) bool {
 	conn, err := s.listener.Accept()
 	if err != nil {
@@ -72,7 +73,7 @@
 	if last {
 		s.lastConn = conn
 	} else {
-		defer func() { _ = conn.Close() }() // the watcher may have closed it
+		defer func() { _ = conn.Close() }() // the watcher may already have closed it
 	}
 	head, reader := "", bufio.NewReader(conn)
 	for !strings.HasSuffix(head, "\r\n\r\n") {
@@ -90,9 +91,9 @@
 	return err == nil
 }
 
-// TestEndpointSliceRequestBytes records what a watcher writes: a list of two pages, watches, and a new list after 410;
-// and what it delivers of the replies. The golden files were recorded before the code was renamed and are not updated
-// meanwhile.
+// TestEndpointSliceRequestBytes compares the requests of a watcher with recorded ones: a list of two pages, watches,
+// and a new list after status 410. It also compares the updates that the watcher delivers. Refactoring must not change
+// the golden files.
 func TestEndpointSliceRequestBytes(t *testing.T) {
 	server := newRecordingServer(t,
 		`{"metadata":{"continue":"page 2/+&"},"items":[`+fmt.Sprintf(sliceJSON, 7)+`]}`,
@@ -119,7 +120,7 @@
 		Client:       &http.Client{Transport: &http.Transport{}},
 		UserAgent:    "brackenbend/test",
 		Log:          func(string, error) {},
-		OnUpdate:     func(u endpointslice.Update) { updates.WriteString(updateText(u)) },
+		OnUpdate:     func(u endpointslice.Update) { updates.WriteString(formatUpdate(u)) },
 		MinBackoff:   time.Millisecond,
 		MaxBackoff:   time.Millisecond,
 		WatchTimeout: time.Minute,
@@ -133,7 +134,7 @@
 	select {
 	case <-server.done:
 	case <-time.After(eventuallyTimeout):
-		t.Errorf("not all requests came within %v", eventuallyTimeout)
+		t.Errorf("not all requests arrived within %v", eventuallyTimeout)
 		server.close()
 		<-server.done
 	}
@@ -143,23 +144,23 @@
 	golden.Check(t, "updates.txt", updates.String())
 }
 
-func updateText(u endpointslice.Update) string {
+func formatUpdate(u endpointslice.Update) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "scope %d\n", u.Scope)
 	for _, e := range u.Endpoints {
-		since := "-"
+		started := "-"
 		if !e.Started.IsZero() {
-			since = e.Started.UTC().Format(time.RFC3339Nano)
+			started = e.Started.UTC().Format(time.RFC3339Nano)
 		}
 		fmt.Fprintf(&s, "  name=%q address=%q kind=%q zone=%q cell=%q uid=%q state=%d started=%s\n",
-			e.Name, e.Address, e.Kind, e.Zone, e.Cell, e.UID, e.State, since)
+			e.Name, e.Address, e.Kind, e.Zone, e.Cell, e.UID, e.State, started)
 	}
 	return s.String()
 }
 
-// TestCacheFileBytes: the file that was written before the code was renamed is read completely, and written again byte
-// for byte.
-func TestCacheFileBytes(t *testing.T) {
+// TestCacheFileFormat checks that the cache file is written byte for byte as recorded in testdata, and that a recorded
+// file is read completely.
+func TestCacheFileFormat(t *testing.T) {
 	list := []endpointslice.Endpoint{
 		{
 			Name: "a", Address: "10.0.0.1:8000", Kind: "decode", Zone: "z1", Cell: "c1", UID: "u1",
@@ -178,11 +179,11 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "list.json", string(text))
-	back, err := endpointslice.ReadCache(filepath.Join("testdata", "list.json"))
+	read, err := endpointslice.ReadCache(filepath.Join("testdata", "list.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, want := updateText(endpointslice.Update{Endpoints: back}), updateText(endpointslice.Update{Endpoints: list})
+	got, want := formatUpdate(endpointslice.Update{Endpoints: read}), formatUpdate(endpointslice.Update{Endpoints: list})
 	if got != want {
 		t.Errorf("read\n%s\nwant\n%s", got, want)
 	}
--- a/internal/endpointslice/cache.go
+++ b/internal/endpointslice/cache.go
@@ -9,7 +9,7 @@
 	"brackenbend/internal/atomicfile"
 )
 
-// cacheVersion is the version of the form of cache files.
+// cacheVersion is the version of the cache file format.
 const cacheVersion = 1
 
 type cacheFile struct {
@@ -17,12 +17,13 @@
 	Endpoints []Endpoint `json:"engines"`
 }
 
-// ReadCache reads a list that WriteCache stored. An empty path or a missing file gives none.
+// ReadCache reads a list that WriteCache stored. It returns no endpoints if the path is empty or the file does not
+// exist.
 func ReadCache(path string) ([]Endpoint, error) {
 	if path == "" {
 		return nil, nil
 	}
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -30,45 +31,46 @@
 		return nil, err
 	}
 	var cached cacheFile
-	if err := json.Unmarshal(text, &cached); err != nil {
+	if err := json.Unmarshal(data, &cached); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if cached.Version != cacheVersion {
-		return nil, fmt.Errorf("%s: version %d is unknown", path, cached.Version)
+		return nil, fmt.Errorf("%s: unsupported version %d of the cache file", path, cached.Version)
 	}
 	return cached.Endpoints, nil
 }
 
-// WriteCache stores a list atomically: a crash at any moment leaves the old or the new one.
+// WriteCache replaces the cache file atomically: after a crash, it holds either the old or the new list.
 func WriteCache(path string, list []Endpoint) error {
-	text, err := json.Marshal(cacheFile{cacheVersion, list})
+	data, err := json.Marshal(cacheFile{cacheVersion, list})
 	if err != nil {
 		return err
 	}
-	return atomicfile.Replace(path, text)
+	return atomicfile.Replace(path, data)
 }
 
-// cacheWriter writes lists to the cache file in a goroutine of its own, so that a slow disk delays no update.
+// cacheWriter writes lists to the cache file in its own goroutine, so that a slow disk does not delay updates.
 type cacheWriter struct {
-	pending chan []Endpoint // the newest list that is not written yet
+	pending chan []Endpoint // holds the newest list that is not yet written
 	done    chan struct{}   // closed when the goroutine has ended
 }
 
-// startCacheWriter starts the goroutine. A failed write is logged and costs only the next start its list.
+// startCacheWriter starts a cacheWriter. A failed write is only logged: the list in memory stays valid, but the next
+// start finds an outdated cache.
 func startCacheWriter(path string, log func(msg string, err error)) *cacheWriter {
 	w := &cacheWriter{pending: make(chan []Endpoint, 1), done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
 		for list := range w.pending {
 			if err := WriteCache(path, list); err != nil {
-				log("cannot write the endpoint list cache", err)
+				log("cannot write the endpoint list to the cache file", err)
 			}
 		}
 	}()
 	return w
 }
 
-// write hands over a list; it replaces one that still waits. It must not be called concurrently.
+// write queues a list and replaces one that is still queued. It must not be called concurrently.
 func (w *cacheWriter) write(list []Endpoint) {
 	select {
 	case <-w.pending:
@@ -77,7 +79,7 @@
 	w.pending <- list
 }
 
-// close writes what waits and ends the goroutine.
+// close writes the queued list, if any, and waits for the goroutine to end.
 func (w *cacheWriter) close() {
 	close(w.pending)
 	<-w.done
--- a/internal/endpointslice/client.go
+++ b/internal/endpointslice/client.go
@@ -16,13 +16,13 @@
 	"time"
 )
 
-// Bounds on what the API server may send.
+// Limits on the data read from the API server.
 const (
-	maxEventBytes = 8 << 20 // one watch event
-	maxPageBytes  = 64 << 20
-	maxErrorBytes = 300 // of an error reply, for the log
+	maxEventBytes = 8 << 20  // of one watch event
+	maxPageBytes  = 64 << 20 // of one page of a list
+	maxErrorBytes = 300      // of the body of an error response that is logged
 
-	pageSize = 500 // slices in one page of a list
+	pageSize = 500 // slices per page of a list
 )
 
 // slicePage is one page of a list.
@@ -34,7 +34,7 @@
 	Items []*EndpointSlice `json:"items"`
 }
 
-// list fetches all pages of the list and its resource version.
+// list fetches all pages of the list and returns the slices and the resource version of the list.
 func (w *Watcher) list(ctx context.Context) ([]*EndpointSlice, string, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.WatchTimeout)
 	defer cancel()
@@ -55,7 +55,7 @@
 			continue
 		}
 		if page.Metadata.ResourceVersion == "" {
-			return nil, "", errors.New("endpointslice: list without a resourceVersion")
+			return nil, "", errors.New("endpointslice: list response without a resourceVersion")
 		}
 		return all, page.Metadata.ResourceVersion, nil
 	}
@@ -73,17 +73,18 @@
 	defer closeBody(resp)
 	var page slicePage
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxPageBytes)).Decode(&page); err != nil {
-		return nil, fmt.Errorf("endpointslice: list: %w", err)
+		return nil, fmt.Errorf("endpointslice: decode list response: %w", err)
 	}
 	return &page, nil
 }
 
-// watch applies events until the watch ends. nil: the server ended it, which it may at any time.
+// watch applies events until the watch ends. A nil error means that the server closed the watch, which it may do at any
+// time.
 func (w *Watcher) watch(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(w.WatchTimeout, func() { cancel(errWatchSilent) })
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(w.WatchTimeout, func() { cancel(errWatchTimeout) })
+	defer idleTimer.Stop()
 	resp, err := w.get(ctx, url.Values{
 		"watch": {"1"}, "resourceVersion": {w.resourceVersion}, "allowWatchBookmarks": {"true"},
 	})
@@ -94,7 +95,7 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
-		silence.Reset(w.WatchTimeout)
+		idleTimer.Reset(w.WatchTimeout)
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
 		}
@@ -112,7 +113,7 @@
 	return lines.Err()
 }
 
-// get requests the slices; any reply but 200 is an error.
+// get requests the slices. Any status other than 200 is returned as an error.
 func (w *Watcher) get(ctx context.Context, query url.Values) (*http.Response, error) {
 	if w.Selector != "" {
 		query.Set("labelSelector", w.Selector)
@@ -128,7 +129,7 @@
 	if w.TokenFile != "" {
 		token, err := os.ReadFile(w.TokenFile)
 		if err != nil {
-			return nil, fmt.Errorf("endpointslice: token-file: %w", err)
+			return nil, fmt.Errorf("endpointslice: read token-file: %w", err)
 		}
 		req.Header.Set("Authorization", "Bearer "+strings.TrimSpace(string(token)))
 	}
@@ -143,20 +144,21 @@
 	if resp.StatusCode == http.StatusGone {
 		return nil, errExpired
 	}
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // for the log; what came before a break is enough
-	return nil, fmt.Errorf("endpointslice: answered %d: %s", resp.StatusCode, bytes.TrimSpace(text))
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // a truncated body is enough for the log
+	return nil, fmt.Errorf("endpointslice: API server returned status %d: %s", resp.StatusCode, bytes.TrimSpace(body))
 }
 
-// closeBody ends a response that is not needed any more; nothing depends on how its connection ends.
+// closeBody closes the body of a response that is no longer needed. The error is ignored, since the data was read or
+// abandoned.
 func closeBody(resp *http.Response) { _ = resp.Body.Close() }
 
-// watchEvent is one event of a watch; of a bookmark only the resource version counts.
+// watchEvent is one event of a watch. For a bookmark, only the resource version of slice is set.
 type watchEvent struct {
 	eventType string
 	slice     *EndpointSlice
 }
 
-// parseEvent reads one line of a watch. An event that reports an error is returned as one.
+// parseEvent parses one line of a watch response. It returns an ERROR event as an error.
 func parseEvent(line []byte) (*watchEvent, error) {
 	var event struct {
 		Type   string          `json:"type"`
@@ -170,7 +172,7 @@
 		return nil, parseStatus(event.Object)
 	case eventAdded, eventModified, eventDeleted, eventBookmark:
 	default:
-		return nil, fmt.Errorf("endpointslice: watch event of unknown type %.40q", event.Type)
+		return nil, fmt.Errorf("endpointslice: unknown type %.40q of a watch event", event.Type)
 	}
 	var slice EndpointSlice
 	if err := json.Unmarshal(event.Object, &slice); err != nil {
@@ -182,7 +184,7 @@
 	return &watchEvent{event.Type, &slice}, nil
 }
 
-// parseStatus makes an error of the object of an error event.
+// parseStatus converts the Status object of an ERROR event to an error.
 func parseStatus(object []byte) error {
 	var status struct {
 		Code    int    `json:"code"`
@@ -191,5 +193,5 @@
 	if json.Unmarshal(object, &status) == nil && status.Code == http.StatusGone {
 		return errExpired
 	}
-	return fmt.Errorf("endpointslice: watch: %d %s", status.Code, status.Message)
+	return fmt.Errorf("endpointslice: watch failed with status %d: %s", status.Code, status.Message)
 }
--- a/internal/endpointslice/slice.go
+++ b/internal/endpointslice/slice.go
@@ -11,7 +11,7 @@
 	"brackenbend/routing"
 )
 
-// The part of discovery.k8s.io/v1 that is used.
+// The fields of discovery.k8s.io/v1 that are used.
 type (
 	objectMeta struct {
 		Name            string            `json:"name"`
@@ -36,38 +36,39 @@
 			UID  string `json:"uid"`
 		} `json:"targetRef,omitempty"`
 	}
-	// Conditions of an endpoint; nil means unknown, which the API says to read as ready and not terminating.
+	// Conditions of an endpoint. A nil condition is unknown; the API specifies that it be read as ready and not
+	// terminating.
 	Conditions struct {
 		Ready       *bool `json:"ready,omitempty"`
 		Serving     *bool `json:"serving,omitempty"`
 		Terminating *bool `json:"terminating,omitempty"`
 	}
-	// Port of all endpoints of a slice.
+	// Port is a port that all endpoints of a slice serve.
 	Port struct {
 		Name *string `json:"name,omitempty"`
 		Port *int32  `json:"port,omitempty"`
 	}
 )
 
-// AnnotationStarted names an optional annotation of a slice: a JSON object from endpoint name to the RFC 3339 time at
-// which its process started. Without it an engine counts as just started when its uid is first seen ready after the
-// first list.
+// AnnotationStarted is an optional annotation of a slice: a JSON object that maps endpoint names to the RFC 3339 start
+// times of their processes. For an endpoint without an entry, the process counts as started at the time when its uid
+// was first seen ready after the first list.
 const AnnotationStarted = "brackenbend.dev/started"
 
 const (
-	portName = "http" // of the port that is used where a slice has several
+	portName = "http" // of the port to use if a slice has several
 	maxPort  = 1<<16 - 1
 )
 
-// validate rejects slices that can't be kept by name and version.
+// validate rejects slices without the name and the version under which they are stored.
 func (s *EndpointSlice) validate() error {
 	if s.Metadata.Name == "" || s.Metadata.ResourceVersion == "" {
-		return errors.New("endpointslice: a slice without name or resourceVersion")
+		return errors.New("endpointslice: slice without a name or a resourceVersion")
 	}
 	return nil
 }
 
-// port is the port named http, else the first one; 0 = none.
+// port returns the port named http, or else the first one; 0 means that the slice has no port.
 func (s *EndpointSlice) port() int {
 	port := 0
 	for _, p := range s.Ports {
@@ -78,16 +79,16 @@
 	return port
 }
 
-// startTimes is the annotation AnnotationStarted; empty where it is absent.
+// startTimes parses the annotation AnnotationStarted. It returns an empty map if the annotation is absent.
 func (s *EndpointSlice) startTimes() map[string]time.Time {
 	startTimes := map[string]time.Time{}
 	if text := s.Metadata.Annotations[AnnotationStarted]; text != "" {
-		_ = json.Unmarshal([]byte(text), &startTimes) // malformed: what could be read of it counts
+		_ = json.Unmarshal([]byte(text), &startTimes) // keeps the entries that precede a malformed one
 	}
 	return startTimes
 }
 
-// endpoint converts one endpoint of the slice; ok is false where it has no usable address.
+// endpoint converts one endpoint of the slice. ok is false if it has no usable address.
 func (s *EndpointSlice) endpoint(se *SliceEndpoint, port int) (endpoint Endpoint, ok bool) {
 	if len(se.Addresses) == 0 || port <= 0 || port > maxPort {
 		return Endpoint{}, false
--- a/internal/endpointslice/store.go
+++ b/internal/endpointslice/store.go
@@ -19,21 +19,21 @@
 	eventError    = "ERROR"
 )
 
-// minDeletedVersions is how many names of deleted slices are remembered at least, so that late events about them are
-// recognized by name: some tens of kilobytes, and rare enough to be pruned.
+// minDeletedVersions is the least number of deleted slices whose versions are stored, so that late events about them
+// are recognized. They take some tens of kilobytes, and pruning remains rare.
 const minDeletedVersions = 1024
 
-// startTimeTolerance is by how much the annotated start time of one process may vary without counting as a restart.
+// startTimeTolerance is how much the annotated start time of one process may vary without indicating a restart.
 const startTimeTolerance = time.Second
 
-// store holds the slices as last listed and watched, and the endpoints derived from them.
+// store holds the slices as last listed or watched, and the endpoints derived from them.
 type store struct {
 	kindLabel, cellLabel string
 	slices               map[string]*EndpointSlice
-	versions             map[string]string // newest version seen of each name, also of names deleted of late
-	deletedVersion       string            // newest version of the names that were deleted and then forgotten; "" = none
+	versions             map[string]string // newest seen version by slice name, also of deleted slices
+	maxPrunedVersion     string            // newest version that was pruned; "" = none
 	endpoints            map[string]Endpoint
-	listed               bool // the first list was stored
+	listed               bool // whether a complete list was stored
 	now                  func() time.Time
 }
 
@@ -48,21 +48,21 @@
 	}
 }
 
-// isNewer reports whether version b may follow version a. Versions that are decimal numbers are compared as such,
-// since the API guarantees their order; others are taken to be newer.
+// isNewer reports whether version b may be newer than version a. Decimal versions are compared as numbers, since the
+// API guarantees their order. If either version is not decimal, b counts as newer.
 func isNewer(a, b string) bool {
 	x, errX := strconv.ParseUint(a, 10, 64)
 	y, errY := strconv.ParseUint(b, 10, 64)
 	return errX != nil || errY != nil || y > x
 }
 
-// apply stores one watch event and returns the endpoints that changed. Events older than what is stored of their slice
-// are ignored: a resumed watch may report a slice that was removed meanwhile.
+// apply stores one watch event and returns the endpoints that changed. It ignores events that are older than the stored
+// version of their slice, since a resumed watch may report a slice that has been removed in the meantime.
 func (s *store) apply(eventType string, slice *EndpointSlice) []Endpoint {
 	meta := &slice.Metadata
 	last, known := s.versions[meta.Name]
 	if !known {
-		last = s.deletedVersion
+		last = s.maxPrunedVersion
 	}
 	if last != "" && !isNewer(last, meta.ResourceVersion) {
 		return nil
@@ -77,8 +77,9 @@
 	return s.rebuild()
 }
 
-// pruneVersions forgets the names of deleted slices once they are many. Late events about one of them lie at or below
-// deletedVersion and are still ignored; a name that is used again lies above it, since versions only grow.
+// pruneVersions removes the versions of deleted slices once there are many. A late event about such a slice has a
+// version of at most maxPrunedVersion and is still ignored. If a slice of the same name is created again, its version
+// is higher, since versions only grow.
 func (s *store) pruneVersions() {
 	if len(s.versions) <= 2*len(s.slices)+minDeletedVersions {
 		return
@@ -87,16 +88,16 @@
 		if s.slices[name] != nil {
 			continue
 		}
-		if s.deletedVersion == "" || isNewer(s.deletedVersion, version) {
-			s.deletedVersion = version
+		if s.maxPrunedVersion == "" || isNewer(s.maxPrunedVersion, version) {
+			s.maxPrunedVersion = version
 		}
 		delete(s.versions, name)
 	}
 }
 
-// replace stores a complete list and returns all endpoints in the order of their names.
+// replace stores a complete list and returns all endpoints, sorted by name.
 func (s *store) replace(list []*EndpointSlice) []Endpoint {
-	s.slices, s.versions, s.deletedVersion = map[string]*EndpointSlice{}, map[string]string{}, ""
+	s.slices, s.versions, s.maxPrunedVersion = map[string]*EndpointSlice{}, map[string]string{}, ""
 	for _, slice := range list {
 		s.slices[slice.Metadata.Name] = slice
 		s.versions[slice.Metadata.Name] = slice.Metadata.ResourceVersion
@@ -106,14 +107,14 @@
 	return slices.SortedFunc(maps.Values(s.endpoints), compareNames)
 }
 
-// restore takes cached endpoints, so that a process that started before the last run ended keeps its start time.
+// restore loads the cached endpoints, so that the start times of processes that are still running are kept.
 func (s *store) restore(list []Endpoint) {
 	for _, endpoint := range list {
 		s.endpoints[endpoint.Name] = endpoint
 	}
 }
 
-// live returns the endpoints that are not gone, in no order.
+// live returns the endpoints whose state is not EndpointGone, in no particular order.
 func (s *store) live() []Endpoint {
 	list := make([]Endpoint, 0, len(s.endpoints))
 	for _, endpoint := range s.endpoints {
@@ -126,7 +127,8 @@
 
 func compareNames(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) }
 
-// rebuild derives the endpoints from all slices and returns those that differ from before, removed ones as gone.
+// rebuild derives the endpoints from all slices and returns those that changed. A removed endpoint is returned with the
+// state EndpointGone.
 func (s *store) rebuild() []Endpoint {
 	previous := s.endpoints
 	s.endpoints = map[string]Endpoint{}
@@ -159,7 +161,7 @@
 		endpoint.Kind = slice.Metadata.Labels[s.kindLabel]
 		endpoint.Cell = slice.Metadata.Labels[s.cellLabel]
 		endpoint.Started = s.startTime(&endpoint, startTimes, previous)
-		// An endpoint may stand in two slices while it moves between them: a drain in either of them counts.
+		// An endpoint may be listed in two slices while it moves between them. It is draining if either of them says so.
 		if other, ok := s.endpoints[endpoint.Name]; ok && other.State != routing.EndpointReady {
 			endpoint.State = other.State
 		}
@@ -167,13 +169,14 @@
 	}
 }
 
-// startTime is when an endpoint's process started: as annotated, else as before, else now; zero = long ago.
+// startTime returns when the process of an endpoint started: the annotated time if there is one, else the time that is
+// already known, else the present time. Zero means long ago.
 func (s *store) startTime(endpoint *Endpoint, annotated map[string]time.Time, previous map[string]Endpoint) time.Time {
 	now := s.now()
 	old, known := previous[endpoint.Name]
 	sameProcess := known && old.UID == endpoint.UID
 	if started, ok := annotated[endpoint.Name]; ok {
-		if started.After(now) { // the other clock is ahead
+		if started.After(now) { // the clock that the annotation is from is ahead
 			started = now
 		}
 		if sameProcess && !old.Started.IsZero() && started.Sub(old.Started).Abs() < startTimeTolerance {
--- a/internal/endpointslice/store_test.go
+++ b/internal/endpointslice/store_test.go
@@ -7,7 +7,7 @@
 	"brackenbend/routing"
 )
 
-// storeHarness applies events about slices of one endpoint each.
+// storeHarness applies events about slices that have one endpoint each.
 type storeHarness struct {
 	t *testing.T
 	*store
@@ -24,9 +24,9 @@
 	return h.apply(eventType, slice)
 }
 
-// TestStoreForgetsDeletedNames: thousands of slices come and go; what is remembered of them is bounded, and an old
-// event of one that was forgotten is still ignored.
-func TestStoreForgetsDeletedNames(t *testing.T) {
+// TestStorePrunesVersionsOfDeletedSlices adds and deletes thousands of slices. The number of stored versions must stay
+// bounded, and a late event about a pruned slice must still be ignored.
+func TestStorePrunesVersionsOfDeletedSlices(t *testing.T) {
 	h := &storeHarness{t, newStore("", "")}
 	h.event(eventAdded, "stays", 1)
 	for i := range 20000 {
@@ -34,16 +34,16 @@
 		h.event(eventAdded, name, 2*i+2)
 		h.event(eventDeleted, name, 2*i+3)
 		if n := len(h.versions); n > minDeletedVersions+2*2+1 {
-			t.Fatalf("%d names are remembered", n)
+			t.Fatalf("the versions of %d names are stored", n)
 		}
 	}
 	if got := h.event(eventAdded, "pod-0", 2); got != nil {
-		t.Errorf("an old event of a forgotten name was applied: %v", got)
+		t.Errorf("a late event about a pruned slice was applied: %v", got)
 	}
 	if got := h.event(eventAdded, "pod-0", 50000); len(got) != 1 || got[0].State != routing.EndpointReady {
-		t.Errorf("a name that is used again was not added: %v", got)
+		t.Errorf("a new slice with the name of a deleted one was not added: %v", got)
 	}
 	if got := h.event(eventDeleted, "stays", 50001); len(got) != 1 || got[0].State != routing.EndpointGone {
-		t.Errorf("the removed endpoint: %v", got)
+		t.Errorf("changes after the slice was deleted: %v", got)
 	}
 }
--- a/internal/endpointslice/watch.go
+++ b/internal/endpointslice/watch.go
@@ -10,7 +10,7 @@
 	"brackenbend/routing"
 )
 
-// Watcher lists and watches EndpointSlices. Its exported fields are set before Run.
+// Watcher lists and watches EndpointSlices. Its exported fields must be set before Run is called.
 type Watcher struct {
 	URL       string // of the API server
 	Namespace string
@@ -18,30 +18,33 @@
 	KindLabel string
 	CellLabel string
 	TokenFile string // bearer token, may be empty
-	CacheFile string // file of the last list, may be empty
+	CacheFile string // path of the cache file, may be empty
 	Client    *http.Client
 	UserAgent string
 	OnUpdate  func(Update) // called from Run's goroutine only
 	Log       func(msg string, err error)
 
-	// MinBackoff and MaxBackoff bound the pause after a failed call. It doubles from the one to the other and is drawn
-	// evenly from its upper half, so that replicas cut off together do not come back together.
+	// MinBackoff and MaxBackoff bound the backoff after a failed request, which doubles from one to the other. The delay
+	// is drawn uniformly from the upper half of the backoff, so that replicas that lost the API server at the same time do
+	// not reconnect at the same time.
 	MinBackoff, MaxBackoff time.Duration
-	// WatchTimeout ends a watch on which not even a bookmark came; the API sends one about every minute.
+	// WatchTimeout ends a watch that delivered neither an event nor a bookmark for so long, and bounds the time of a list.
+	// The API server sends a bookmark about every minute.
 	WatchTimeout time.Duration
 
 	store           *store
-	resourceVersion string       // from which the next watch goes on; "" = list first
-	cache           *cacheWriter // nil = the list is not cached
+	resourceVersion string       // at which the next watch starts; "" = list first
+	cache           *cacheWriter // nil = no caching
 }
 
-// errExpired means that the API server no longer keeps the history since our resource version: list anew.
-var errExpired = errors.New("endpointslice: the version asked for is no longer kept")
+// errExpired means that the API server has discarded the history since the requested resource version, so that a new
+// list is needed.
+var errExpired = errors.New("endpointslice: requested resource version is too old")
 
-// errWatchSilent ends a watch after WatchTimeout.
-var errWatchSilent = errors.New("endpointslice: the watch fell silent")
+// errWatchTimeout is the cause with which a watch is canceled after WatchTimeout.
+var errWatchTimeout = errors.New("endpointslice: watch timed out: neither an event nor a bookmark arrived")
 
-// Run lists and watches until ctx ends. It begins with the cached list.
+// Run lists and watches until ctx ends. It first delivers the cached list.
 func (w *Watcher) Run(ctx context.Context) {
 	w.store = newStore(w.KindLabel, w.CellLabel)
 	w.loadCache()
@@ -51,12 +54,12 @@
 	}
 	backoff := w.MinBackoff
 	for ctx.Err() == nil {
-		began := time.Now()
+		start := time.Now()
 		err := w.listAndWatch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil || time.Since(began) > w.MaxBackoff { // it worked for a while
+		if err == nil || time.Since(start) > w.MaxBackoff { // requests succeeded for a while
 			backoff = w.MinBackoff
 		}
 		if err == nil {
@@ -71,11 +74,11 @@
 	}
 }
 
-// loadCache delivers the cached list.
+// loadCache delivers the cached list, if there is one.
 func (w *Watcher) loadCache() {
 	list, err := ReadCache(w.CacheFile)
 	if err != nil {
-		w.Log("cannot use the cached endpoint list", err)
+		w.Log("cannot read the endpoint list from the cache file", err)
 		return
 	}
 	if len(list) == 0 {
@@ -88,14 +91,15 @@
 func (w *Watcher) handleFailure(err error) {
 	if errors.Is(err, errExpired) {
 		w.resourceVersion = ""
-		w.Log("resource version expired, listing endpoints again", err)
+		w.Log("resource version expired; listing endpoints again", err)
 		return
 	}
-	w.Log("endpoint watch failed, keeping the last list", err)
+	w.Log("endpoint watch failed; keeping the last endpoint list", err)
 	w.OnUpdate(Update{Scope: routing.ListFailed})
 }
 
-// listAndWatch lists if there is no version to go on from, then watches. nil: the server ended the watch in good order.
+// listAndWatch watches from the last resource version, after a new list if there is none. A nil error means that the
+// server closed the watch without reporting an error.
 func (w *Watcher) listAndWatch(ctx context.Context) error {
 	if w.resourceVersion == "" {
 		list, version, err := w.list(ctx)
@@ -109,7 +113,7 @@
 	return w.watch(ctx)
 }
 
-// applyEvent stores a watch event and delivers what changed.
+// applyEvent stores a watch event and delivers the changed endpoints.
 func (w *Watcher) applyEvent(event *watchEvent) error {
 	if isNewer(w.resourceVersion, event.slice.Metadata.ResourceVersion) {
 		w.resourceVersion = event.slice.Metadata.ResourceVersion
--- a/internal/endpointslice/watch_test.go
+++ b/internal/endpointslice/watch_test.go
@@ -15,13 +15,13 @@
 	"brackenbend/routing"
 )
 
-// eventuallyTimeout bounds the wait for a list; long, since the machine may be busy.
+// eventuallyTimeout bounds the wait for an update. It is long because the machine may be busy.
 const eventuallyTimeout = 20 * time.Second
 
 type endpoints map[string]endpointslice.Endpoint
 
-// recorder keeps what a Watcher delivers.
-type recorder struct {
+// updateRecorder records the updates of a Watcher.
+type updateRecorder struct {
 	t         *testing.T
 	mu        sync.Mutex
 	scopes    []routing.ListScope
@@ -29,10 +29,10 @@
 	stop      func()
 }
 
-// startWatcher runs a watcher until the test ends or stop is called.
-func startWatcher(t *testing.T, url, cacheFile string) *recorder {
+// startWatcher runs a watcher until the test ends or the recorder's stop is called.
+func startWatcher(t *testing.T, url, cacheFile string) *updateRecorder {
 	t.Helper()
-	r := &recorder{t: t, endpoints: endpoints{}}
+	r := &updateRecorder{t: t, endpoints: endpoints{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	w := &endpointslice.Watcher{
@@ -61,7 +61,7 @@
 	return r
 }
 
-func (r *recorder) update(u endpointslice.Update) {
+func (r *updateRecorder) update(u endpointslice.Update) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.scopes = append(r.scopes, u.Scope)
@@ -73,8 +73,8 @@
 	}
 }
 
-// eventually waits until condition holds.
-func (r *recorder) eventually(what string, condition func(endpoints, []routing.ListScope) bool) {
+// eventually waits until condition holds for the endpoints and the scopes of the updates so far.
+func (r *updateRecorder) eventually(what string, condition func(endpoints, []routing.ListScope) bool) {
 	r.t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); ; time.Sleep(2 * time.Millisecond) {
 		r.mu.Lock()
@@ -86,13 +86,13 @@
 		if time.Now().After(end) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.t.Fatalf("not in %v: %s; %+v %v", eventuallyTimeout, what, r.endpoints, r.scopes)
+			r.t.Fatalf("not within %v: %s; endpoints %+v, scopes %v", eventuallyTimeout, what, r.endpoints, r.scopes)
 		}
 	}
 }
 
-// eventuallyState waits until the named endpoint has a state.
-func (r *recorder) eventuallyState(what, name string, want routing.EndpointState) {
+// eventuallyState waits until the named endpoint has the wanted state.
+func (r *updateRecorder) eventuallyState(what, name string, want routing.EndpointState) {
 	r.t.Helper()
 	r.eventually(what, func(m endpoints, _ []routing.ListScope) bool {
 		e, ok := m[name]
@@ -127,7 +127,7 @@
 	draining.Draining = true
 	s.Set(draining)
 	r.eventuallyState("draining", "a", routing.EndpointDraining)
-	s.Set(entry("a", "2")) // another process under the same address: it has just started
+	s.Set(entry("a", "2")) // another process at the same address, which has just started
 	r.eventually("restarted", func(m endpoints, _ []routing.ListScope) bool {
 		e := m["a"]
 		return e.State == routing.EndpointReady && e.UID == "2" && time.Since(e.Started) < 20*time.Second
@@ -138,7 +138,8 @@
 	r.eventuallyState("added", "b", routing.EndpointReady)
 }
 
-// TestWatcherIgnoresStaleEventOfRemovedSlice: an old event of a removed slice comes after its removal.
+// TestWatcherIgnoresStaleEventOfRemovedSlice checks that an old event about a slice that arrives after the removal of
+// the slice does not add it again.
 func TestWatcherIgnoresStaleEventOfRemovedSlice(t *testing.T) {
 	s := startAPIServer(t)
 	r := startWatcher(t, s.URL(), "")
@@ -149,8 +150,8 @@
 	r.eventuallyState("removed", "a", routing.EndpointGone)
 	s.SendStaleEvent("a")
 	s.Set(entry("marker", "1"))
-	r.eventuallyState("what came after it", "marker", routing.EndpointReady)
-	r.eventuallyState("it stays gone", "a", routing.EndpointGone)
+	r.eventuallyState("event after the stale one applied", "marker", routing.EndpointReady)
+	r.eventuallyState("still removed", "a", routing.EndpointGone)
 }
 
 func TestWatcherKeepsListAndResumesAfterOutage(t *testing.T) {
@@ -160,13 +161,13 @@
 	r := startWatcher(t, s.URL(), cacheFile)
 	r.eventuallyState("listed", "a", routing.EndpointReady)
 	s.SetUnreachable(true)
-	r.eventually("the failure is delivered", func(_ endpoints, scopes []routing.ListScope) bool {
+	r.eventually("failure delivered", func(_ endpoints, scopes []routing.ListScope) bool {
 		return slices.Contains(scopes, routing.ListFailed)
 	})
-	r.eventuallyState("the list stays", "a", routing.EndpointReady)
+	r.eventuallyState("list kept during the outage", "a", routing.EndpointReady)
 	s.Set(entry("b", "1"))
 	s.SetUnreachable(false)
-	r.eventuallyState("changes during the outage", "b", routing.EndpointReady)
+	r.eventuallyState("change during the outage applied", "b", routing.EndpointReady)
 	r.mu.Lock()
 	lists := 0
 	for _, scope := range r.scopes {
@@ -176,26 +177,26 @@
 	}
 	r.mu.Unlock()
 	if lists != 1 {
-		t.Errorf("%d lists; the watch was to be resumed", lists)
+		t.Errorf("%d complete lists, want 1: the watch must be resumed", lists)
 	}
 	s.SetUnreachable(true)
-	s.Compact() // what it missed is forgotten: 410, and a new list
+	s.Compact() // discards the history that the watch needs: status 410, then a new list
 	s.SetUnreachable(false)
 	r.eventually("listed again", func(_ endpoints, scopes []routing.ListScope) bool {
 		return scopes[len(scopes)-1] == routing.ListFull && len(scopes) > 3
 	})
 	r.stop()
 	if list, err := endpointslice.ReadCache(cacheFile); err != nil || len(list) != 2 {
-		t.Fatalf("cached: %v %v", list, err)
+		t.Fatalf("cached list %v, error %v", list, err)
 	}
-	s.SetUnreachable(true) // the next start has no API server
+	s.SetUnreachable(true) // the API server is down at the next start
 	restarted := startWatcher(t, s.URL(), cacheFile)
-	restarted.eventually("the cached list", func(m endpoints, scopes []routing.ListScope) bool {
+	restarted.eventually("cached list delivered", func(m endpoints, scopes []routing.ListScope) bool {
 		return len(m) == 2 && scopes[0] == routing.ListCached
 	})
 }
 
-func TestReadCacheRejectsTornFiles(t *testing.T) {
+func TestReadCacheRejectsTruncatedFiles(t *testing.T) {
 	cacheFile := filepath.Join(t.TempDir(), "list.json")
 	list := []endpointslice.Endpoint{{Name: "a", Address: "127.0.0.1:1", Kind: "k", State: routing.EndpointReady}}
 	if err := endpointslice.WriteCache(cacheFile, list); err != nil {
@@ -210,11 +211,11 @@
 			t.Fatal(err)
 		}
 		if list, err := endpointslice.ReadCache(cacheFile); err == nil {
-			t.Fatalf("cut after %d bytes: %v", n, list)
+			t.Fatalf("a file truncated to %d bytes was read as %v", n, list)
 		}
 	}
 	if list, err := endpointslice.ReadCache(filepath.Join(t.TempDir(), "none")); err != nil || list != nil {
-		t.Fatalf("no file: %v %v", list, err)
+		t.Fatalf("missing file: list %v, error %v", list, err)
 	}
 }
 
@@ -225,5 +226,5 @@
 		s.Set(entry(name, "1"))
 	}
 	r := startWatcher(t, s.URL(), "")
-	r.eventually("all pages", func(m endpoints, _ []routing.ListScope) bool { return len(m) == 1203 })
+	r.eventually("all pages listed", func(m endpoints, _ []routing.ListScope) bool { return len(m) == 1203 })
 }
