--- a/internal/node/client_departure_test.go
+++ b/internal/node/client_departure_test.go
@@ -10,44 +10,45 @@
 	"time"
 )
 
-// departures records when clients closed their connections, and what reached engines for them after that.
-type departures struct {
-	mu       sync.Mutex
-	departed map[string]time.Time // by request id
-	late     int                  // attempts that reached an engine after their client had closed
-	longest  time.Duration
-	served   int
+// disconnects records when clients closed their connections, and the attempts that reached engines after that.
+type disconnects struct {
+	mu           sync.Mutex
+	times        map[string]time.Time // when each client closed, by request id
+	lateAttempts int                  // attempts that reached an engine after their client had closed its connection
+	longestDelay time.Duration
+	served       int
 }
 
-func (d *departures) depart(id string) {
+func (d *disconnects) recordDisconnect(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.departed[id] = time.Now()
+	d.times[id] = time.Now()
 }
 
-func (d *departures) attempt(id string) {
+func (d *disconnects) recordAttempt(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if departed, ok := d.departed[id]; ok {
-		d.late++
-		d.longest = max(d.longest, time.Since(departed))
+	if disconnected, ok := d.times[id]; ok {
+		d.lateAttempts++
+		d.longestDelay = max(d.longestDelay, time.Since(disconnected))
 	}
 }
 
-// slowly records an attempt, and handles it after a random delay.
-func (d *departures) slowly(handle engineHandler) engineHandler {
+// withRandomDelay returns a handler that records the attempt and waits for a random time before it calls handle.
+func (d *disconnects) withRandomDelay(handle engineHandler) engineHandler {
 	return func(e *fakeEngine, w http.ResponseWriter, r *http.Request) {
-		d.attempt(r.Header.Get("Req-Id"))
+		d.recordAttempt(r.Header.Get("Req-Id"))
 		time.Sleep(rand.N(8 * time.Millisecond))
 		handle(e, w, r)
 	}
 }
 
-// visit sends one request and closes the connection after the response (stays) or some time before or after it.
-func (d *departures) visit(t *testing.T, n *Node, id, class string, stays bool) {
+// runClient sends one request and then closes the connection: after the response if waits is set, otherwise after a
+// random time, whether or not a response has arrived.
+func (d *disconnects) runClient(t *testing.T, n *Node, id, class string, waits bool) {
 	c := dialNode(t, n)
 	c.send(t, chatRequest(id, class, "prompt_len=20", "prompt_len=1500"))
-	if stays {
+	if waits {
 		resp, body, complete := c.receive(t)
 		if resp.StatusCode == http.StatusOK && complete && body == completeStream {
 			d.mu.Lock()
@@ -58,24 +59,25 @@
 		time.Sleep(rand.N(15 * time.Millisecond))
 	}
 	closeConn(c)
-	d.depart(id)
+	d.recordDisconnect(id)
 }
 
-// TestNoAttemptStartsForDepartedClients: thousands of clients close at all stages, queued, in prefill, parked, in
-// decode, while others stay, on one processor. No attempt reaches an engine more than 0.1 s after its client's close.
-func TestNoAttemptStartsForDepartedClients(t *testing.T) {
+// TestNoAttemptStartsAfterClientDisconnects runs thousands of clients on one processor. Most of them disconnect at a
+// random stage of their request (queued, in prefill, between prefill and decode, in decode); the others wait for the
+// response. No attempt may reach an engine more than 0.1 s after its client disconnected.
+func TestNoAttemptStartsAfterClientDisconnects(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const clients, rounds, maxDelay = 16, 190, 100 * time.Millisecond
-	d := &departures{departed: map[string]time.Time{}}
+	d := &disconnects{times: map[string]time.Time{}}
 	engines := []*fakeEngine{
-		newPrefillEngine(t, d.slowly(replyPrefill)), newDecodeEngine(t, d.slowly(replyDecode)),
+		newPrefillEngine(t, d.withRandomDelay(replyPrefill)), newDecodeEngine(t, d.withRandomDelay(replyDecode)),
 	}
 	for _, e := range engines {
-		go func() { // nobody waits for a call here
-			for range e.called {
+		go func() { // this test does not wait for requests
+			for range e.requestSeen {
 			}
 		}()
-		defer close(e.called)
+		defer close(e.requestSeen)
 	}
 	n, _ := startNode(t, nodeSetup{sockets: 512}, engines...)
 	var running sync.WaitGroup
@@ -83,7 +85,7 @@
 		running.Go(func() {
 			for round := range rounds {
 				class := []string{"enquiry", "order"}[round%2]
-				d.visit(t, n, fmt.Sprintf("c%d-%d", client, round), class, client%4 == 0)
+				d.runClient(t, n, fmt.Sprintf("c%d-%d", client, round), class, client%4 == 0)
 			}
 		})
 	}
@@ -91,12 +93,13 @@
 	n.Stop()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t.Logf("%d departures: %d attempts reached an engine after the close, the latest %v after it; "+
-		"%d of %d that stayed were served", clients*rounds*3/4, d.late, d.longest, d.served, clients*rounds/4)
-	if d.longest > maxDelay {
-		t.Errorf("an attempt reached an engine %v after its client had closed", d.longest)
+	t.Logf("%d clients disconnected early: %d attempts reached an engine after that, the latest %v after it; "+
+		"%d of %d clients that waited were served",
+		clients*rounds*3/4, d.lateAttempts, d.longestDelay, d.served, clients*rounds/4)
+	if d.longestDelay > maxDelay {
+		t.Errorf("an attempt reached an engine %v after its client had disconnected", d.longestDelay)
 	}
 	if d.served == 0 {
-		t.Error("none of those that stayed was served")
+		t.Error("none of the clients that waited was served")
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -21,35 +21,36 @@
 	Cores      float64
 	Memory     int64           // bytes; 0 = not set
 	Sockets    int             // 0 = not set
-	CachedList *discovery.List // to start with; nil = none
+	CachedList *discovery.List // endpoint list to start with; nil = none
 	Site       simprotocol.Site
 }
 
-// Environment variables that replace fields which the configuration file leaves out.
+// Environment variables that supply fields which the configuration file omits.
 const (
 	envName      = "LB_NAME"
 	envListen    = "LB_LISTEN"
 	envDiscovery = "LB_DISCOVERY"
 )
 
-// maxConfigBytes bounds the configuration file; a list of all engines that discovery may give fits.
+// maxConfigBytes is the largest size of a configuration file. It leaves room for the longest endpoint list that is
+// accepted from discovery.
 const maxConfigBytes = 16 << 20
 
-// ErrConfig marks errors of the configuration.
+// ErrConfig is wrapped by all errors in the configuration.
 var ErrConfig = errors.New("configuration")
 
-// FieldError is a problem of one field of the configuration file.
+// FieldError is an error in one field of the configuration file.
 type FieldError struct {
-	Field string // by its name in the file, after that of the object that holds it, as in "limits: sockets"
+	Field string // name in the file, prefixed by the name of its object, as in "limits: sockets"
 	Err   error
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns the problem.
+// Unwrap returns the underlying error.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// configFile is the form of the configuration file.
+// configFile is the JSON structure of the configuration file.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -66,8 +67,8 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Load reads a configuration file. The environment variables LB_NAME, LB_LISTEN and LB_DISCOVERY replace what it leaves
-// out. All errors are ErrConfig.
+// Load reads a configuration file. The environment variables LB_NAME, LB_LISTEN and LB_DISCOVERY supply fields that the
+// file omits. All errors wrap ErrConfig.
 func Load(file string, env func(string) string) (*Config, error) {
 	config, err := load(file, env)
 	if err != nil {
@@ -82,7 +83,7 @@
 		return nil, err
 	}
 	if info.Size() > maxConfigBytes {
-		return nil, fmt.Errorf("%d bytes, %d at most", info.Size(), maxConfigBytes)
+		return nil, fmt.Errorf("file has %d bytes; at most %d are allowed", info.Size(), maxConfigBytes)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// parseSeed reads a seed in hexadecimal; 0 where none is given.
+// parseSeed parses a seed in hexadecimal. It returns 0 if none is given.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -163,7 +164,7 @@
 	return strconv.ParseUint(text, 16, 64)
 }
 
-// parseCachedList reads the list to start with; nil where none is given.
+// parseCachedList parses the endpoint list to start with. It returns nil if none is given.
 func parseCachedList(text json.RawMessage) (*discovery.List, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return nil, nil
--- a/internal/node/config_golden_test.go
+++ b/internal/node/config_golden_test.go
@@ -10,7 +10,8 @@
 	"brackenbend/internal/golden"
 )
 
-// TestConfigParsing: recorded files, and what came of them before the code was renamed; not updated meanwhile.
+// TestConfigParsing compares the parsed form of recorded configuration files with a golden file. Refactoring must not
+// change it.
 func TestConfigParsing(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"LB_NAME": "env-name", "LB_LISTEN": "0.0.0.0:1", "LB_DISCOVERY": "[::1]:2"}[name]
@@ -27,7 +28,7 @@
 	golden.Check(t, "configs.txt", got.String())
 }
 
-// nodeConfigText writes a node's configuration by the keys of the file.
+// nodeConfigText formats a node's configuration under the keys of the file.
 func nodeConfigText(c *Config) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "  name = %q\n  listen = %q\n  discovery = %q\n  seed = %x\n", c.Name, c.Listen, c.Discovery, c.Seed)
@@ -53,7 +54,7 @@
 	return s.String()
 }
 
-// TestConfigErrors: the texts for files that are rejected.
+// TestConfigErrors compares the errors for invalid configuration files with a golden file.
 func TestConfigErrors(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "config-full.json"))
 	if err != nil {
@@ -79,14 +80,14 @@
 		{`"Classes"`, `"NoClasses"`},
 	} {
 		if !strings.Contains(string(text), edit.old) {
-			t.Fatalf("the file lacks %s", edit.old)
+			t.Fatalf("config-full.json lacks %s", edit.old)
 		}
 		_, err := parse([]byte(strings.Replace(string(text), edit.old, edit.replacement, 1)), noEnv)
 		fmt.Fprintf(&got, "%s -> %s\n  %v\n", edit.old, edit.replacement, err)
 	}
 	_, err = parse([]byte(`{"settings":{}}`), noEnv)
 	if err == nil || err.Error() != "listen: missing port in address" {
-		t.Errorf("neither listen nor discovery: %v", err)
+		t.Errorf("file without listen and discovery: error %v", err)
 	}
 	_, err = Load(filepath.Join("testdata", "none.json"), noEnv)
 	fmt.Fprintf(&got, "no file\n  %v\n", err)
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// validConfig is a configuration file as a tree.
+// validConfig returns a valid configuration file as decoded JSON.
 func validConfig(t *testing.T) map[string]any {
 	t.Helper()
 	text := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2",` +
@@ -30,13 +30,13 @@
 	}{
 		{"", "", func(map[string]any) {}},
 		{"listen", "listen", func(m map[string]any) { delete(m, "listen") }},
-		{"discovery", "discovery", func(m map[string]any) { m["discovery"] = "nowhere" }},
+		{"discovery", "discovery", func(m map[string]any) { m["discovery"] = "no port" }},
 		{"settings", "settings", func(m map[string]any) { delete(m, "settings") }},
 		{"Classes", "", func(m map[string]any) { m["settings"].(map[string]any)["Classes"] = nil }},
 		{"limits: sockets", "limits: sockets", func(m map[string]any) { m["limits"] = map[string]any{"sockets": 3} }},
 		{"limits: negative", "limits", func(m map[string]any) { m["limits"] = map[string]any{"memory_mb": -3} }},
 		{"known", "known", func(m map[string]any) { m["known"] = map[string]any{"revision": 1} }},
-		{"seed", "seed", func(m map[string]any) { m["seed"] = "no hex" }},
+		{"seed", "seed", func(m map[string]any) { m["seed"] = "not hexadecimal" }},
 		{"cannot unmarshal", "", func(m map[string]any) { m["name"] = 7 }},
 	} {
 		t.Run(tc.want, func(t *testing.T) {
--- a/internal/node/discovery/conn.go
+++ b/internal/node/discovery/conn.go
@@ -44,7 +44,7 @@
 	results chan attemptResult
 	pending int // number of attempts without a result
 	started int
-	cancels [MaxConcurrentListRequests]context.CancelFunc
+	cancels [MaxListRequests]context.CancelFunc
 }
 
 // requestList requests the complete list and returns the connection on which a reply begins. It repeats the request on
@@ -70,9 +70,9 @@
 	}
 }
 
-// start starts an attempt. If MaxConcurrentListRequests attempts are in flight, it cancels the oldest one.
+// start starts an attempt. If MaxListRequests attempts are in flight, it cancels the oldest one.
 func (a *listAttempts) start(ctx context.Context) {
-	slot := &a.cancels[a.started%MaxConcurrentListRequests]
+	slot := &a.cancels[a.started%MaxListRequests]
 	a.started++
 	if *slot != nil {
 		(*slot)()
--- a/internal/node/discovery/discovery.go
+++ b/internal/node/discovery/discovery.go
@@ -3,8 +3,8 @@
 // of engines and stores nothing on disk; the gateway stores the list.
 //
 // list.go holds the list and its conversion, watch.go the list-and-watch loop, conn.go the connections and requests.
-// The goroutine of Watcher.Run owns the state and calls OnUpdate. It starts up to MaxConcurrentListRequests goroutines,
-// one for each attempt to get the list, and waits for them to end.
+// The goroutine of Watcher.Run owns the state and calls OnUpdate. It starts up to MaxListRequests goroutines, one for
+// each attempt to get the list, and waits for them to end.
 package discovery
 
 import (
@@ -38,10 +38,10 @@
 	cancelRequests context.CancelFunc // cancels the requests to the current address; nil = no requests yet
 }
 
-// MaxConcurrentListRequests is how many requests for the complete list may be in flight at once. Each is sent when the
-// previous one has got no reply within FirstByteTimeout. Slow replies can thus still be used, and a lost request causes
-// no long delay.
-const MaxConcurrentListRequests = 3
+// MaxListRequests is how many requests for the complete list may be in flight at once. Each is sent when the previous
+// one has got no reply within FirstByteTimeout. Slow replies can thus still be used, and a lost request causes no long
+// delay.
+const MaxListRequests = 3
 
 // MaxStaleness returns the longest time for which a change may go unnoticed while the discovery agent is reachable. In
 // the worst case, a watch hangs: it gets no reply, or its reply stalls after the first byte. Then one connection
@@ -49,7 +49,7 @@
 func (w *Watcher) MaxStaleness() time.Duration {
 	silentWatch := max(w.WatchTimeout+w.FirstByteTimeout, w.ResponseTimeout)
 	failedConnect := w.ConnectTimeout + w.MaxBackoff
-	slowList := w.ConnectTimeout + MaxConcurrentListRequests*w.FirstByteTimeout + w.ResponseTimeout
+	slowList := w.ConnectTimeout + MaxListRequests*w.FirstByteTimeout + w.ResponseTimeout
 	return silentWatch + failedConnect + slowList
 }
 
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// SIGKILL follows SIGTERM by the longest deadline of all classes, at most maxKillDeadline, and killGrace.
+// The platform sends SIGKILL some time after SIGTERM: the longest deadline of all classes, at most maxKillDeadline,
+// plus killGrace.
 const (
 	killGrace       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
-	// drainMargin is how long before a limit open requests are ended, so that their final answers arrive.
+	// drainMargin is how long before the platform's time limit open requests are ended, so that their final answers still
+	// arrive.
 	drainMargin = 150 * time.Millisecond
-	// maxAcceptWindow bounds how long a draining node accepts: the platform sends new connections for 0.4 s after
-	// SIGTERM, and what came by then must be answered.
+	// maxAcceptWindow is the longest time for which a draining node accepts connections. The platform routes new
+	// connections to it for 0.4 s after SIGTERM, and a request that arrives in this time must be answered.
 	maxAcceptWindow = 600 * time.Millisecond
 )
 
-// longestDeadline is the longest deadline of all classes, as the platform counts it.
+// longestDeadline returns the longest deadline of all classes, capped as the platform does.
 func (c *Config) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.Site.Routing.Classes {
@@ -22,12 +24,12 @@
 	return min(longest, maxKillDeadline)
 }
 
-// killDelay is the time from SIGTERM to SIGKILL.
+// killDelay returns the time between SIGTERM and SIGKILL.
 func (c *Config) killDelay() time.Duration { return c.longestDeadline() + killGrace }
 
-// acceptWhileDraining is how long after SIGTERM new connections and requests are accepted; nothing is accepted that
-// would be ended by the drain timeout. Where clients resume broken streams, the connections that they keep using are
-// served for most of the longest deadline: the other nodes may be restarting, too.
+// acceptWhileDraining returns how long after SIGTERM new connections and requests are accepted. It ends early enough
+// that the drain timeout does not cut off what was accepted last. If clients resume broken streams, requests on
+// existing connections are served for most of the longest deadline, because the other nodes may be restarting as well.
 func (c *Config) acceptWhileDraining() time.Duration {
 	window := min(maxAcceptWindow, c.killDelay()/2)
 	if !c.Site.Routing.ResumeStreams {
@@ -36,9 +38,9 @@
 	return max(window, c.longestDeadline()*2/3)
 }
 
-// drainTimeout is how long after SIGTERM open requests are ended: shortly before SIGKILL. Where clients resume broken
-// streams, they need another node that accepts new connections, and the platform restarts the next one when the longest
-// deadline has passed: so streams are ended shortly before that.
+// drainTimeout returns how long after SIGTERM open requests are ended, which is shortly before SIGKILL. If clients
+// resume broken streams, they need another node that accepts new connections, and the platform restarts the next node
+// once the longest deadline has passed. Streams are then ended shortly before that time.
 func (c *Config) drainTimeout() time.Duration {
 	if !c.Site.Routing.ResumeStreams {
 		return c.killDelay() - drainMargin
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -8,8 +8,9 @@
 	"brackenbend/routing"
 )
 
-// TestDrainWindows: clients that resume broken streams must find another node, so streams are ended before the platform
-// restarts the next one; others have their streams until SIGKILL is near.
+// TestDrainWindows checks how long a draining node accepts requests and when it ends those that are open. If clients
+// resume broken streams, they must find another node, so streams are ended before the platform restarts the next one.
+// Otherwise streams continue until shortly before SIGKILL.
 func TestDrainWindows(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	for _, tc := range []struct {
@@ -30,7 +31,7 @@
 			c.Site.Routing.ResumeStreams = tc.resumeStreams
 			c.Site.Routing.Classes = []routing.Class{{Deadline: 100 * ms}, {Deadline: tc.longestDeadline}}
 			if got := c.acceptWhileDraining(); got != tc.acceptWindow {
-				t.Errorf("accepts for %v, want %v", got, tc.acceptWindow)
+				t.Errorf("accepts requests for %v, want %v", got, tc.acceptWindow)
 			}
 			if got := c.drainTimeout(); got != tc.drainTimeout {
 				t.Errorf("ends requests after %v, want %v", got, tc.drainTimeout)
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -21,23 +21,23 @@
 	"brackenbend/internal/http1"
 )
 
-// engineHandler answers a prefill or a decode.
+// engineHandler handles a prefill or a decode.
 type engineHandler func(e *fakeEngine, w http.ResponseWriter, r *http.Request)
 
-// fakeEngine is an engine of the platform that behaves as a test wants it.
+// fakeEngine is an engine of the platform whose replies are set by the test.
 type fakeEngine struct {
 	*httptest.Server
-	id, flavor string
-	mu         sync.Mutex
-	calls      []string      // method and request id, in order
-	called     chan struct{} // one for each call
-	handle     engineHandler
-	onRelease  func(r *http.Request) // runs before a release is answered; nil = nothing does
+	id, flavor  string
+	mu          sync.Mutex
+	requests    []string      // method and request id, in order
+	requestSeen chan struct{} // receives one value per request
+	handle      engineHandler
+	onRelease   func(r *http.Request) // called before a release is answered; may be nil
 }
 
 func newFakeEngine(t *testing.T, id, flavor string, handle engineHandler) *fakeEngine {
 	t.Helper()
-	e := &fakeEngine{id: id, flavor: flavor, handle: handle, called: make(chan struct{}, 1000)}
+	e := &fakeEngine{id: id, flavor: flavor, handle: handle, requestSeen: make(chan struct{}, 1000)}
 	e.Server = httptest.NewServer(http.HandlerFunc(e.serveHTTP))
 	t.Cleanup(e.Close)
 	return e
@@ -54,7 +54,7 @@
 }
 
 func (e *fakeEngine) serveHTTP(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // one that breaks differs, too
+	body, _ := io.ReadAll(r.Body) // a truncated body is reported as another body below
 	release := r.Method == http.MethodDelete
 	id := r.Header.Get("Req-Id")
 	if release {
@@ -63,9 +63,9 @@
 		id += " with another body"
 	}
 	e.mu.Lock()
-	e.calls = append(e.calls, r.Method+" "+id)
+	e.requests = append(e.requests, r.Method+" "+id)
 	e.mu.Unlock()
-	e.called <- struct{}{}
+	e.requestSeen <- struct{}{}
 	if !release {
 		e.handle(e, w, r)
 		return
@@ -76,26 +76,26 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// received returns all calls so far.
+// received returns all requests so far.
 func (e *fakeEngine) received() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.calls)
+	return slices.Clone(e.requests)
 }
 
-// waitFor waits for a call.
-func (e *fakeEngine) waitFor(call string) {
-	for !slices.Contains(e.received(), call) {
-		<-e.called
+// waitForRequest waits until the engine has received a request.
+func (e *fakeEngine) waitForRequest(request string) {
+	for !slices.Contains(e.received(), request) {
+		<-e.requestSeen
 	}
 }
 
-// write writes a part of a reply. A failure shows in what the client gets.
+// write writes a part of a reply. The error is ignored: after a failed write, the client receives an incomplete reply.
 func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 func flush(w http.ResponseWriter) { w.(http.Flusher).Flush() }
 
-// replyPrefill answers a prefill.
+// replyPrefill answers a prefill successfully.
 func replyPrefill(_ *fakeEngine, w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusAccepted)
 	write(w, `{"cached_tokens":7}`)
@@ -111,7 +111,7 @@
 	"data: [DONE]\n\n",
 }
 
-// completeStream is a complete stream.
+// completeStream is the text of a complete stream.
 var completeStream = strings.Join(streamEvents, "")
 
 // replyDecode answers a decode with a complete stream.
@@ -123,7 +123,7 @@
 	}
 }
 
-// replyRaw answers with these bytes and leaves the connection open until the node closes it.
+// replyRaw answers with the given bytes and leaves the connection open until the node closes it.
 func replyRaw(reply string) engineHandler {
 	return func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -136,10 +136,10 @@
 	}
 }
 
-// waitForCancel answers nothing until the node cancels the call.
+// waitForCancel sends no reply and waits until the node cancels the request.
 func waitForCancel(_ *fakeEngine, _ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// replyPrefillAfter answers a prefill once released is closed.
+// replyPrefillAfter answers a prefill after released is closed.
 func replyPrefillAfter(released <-chan struct{}) engineHandler {
 	return func(e *fakeEngine, w http.ResponseWriter, r *http.Request) {
 		<-released
@@ -147,34 +147,35 @@
 	}
 }
 
-// chunk frames text as one chunk.
+// chunk encodes text as one chunk of a chunked body.
 func chunk(text string) string { return string(http1.AppendChunk(nil, []byte(text))) }
 
-// member is an engine as discovery lists it.
+// member returns the entry of an engine in a discovery list.
 func member(e *fakeEngine, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":%q,"cell":1,"phase":%q,`+
 		`"size":1.0,"up_since_ms":0}`, e.id, e.Listener.Addr().String(), e.flavor, phase)
 }
 
-// memberList is a reply of discovery.
+// memberList returns a reply of the discovery agent.
 func memberList(revision int, complete bool, members ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-// fakeDiscovery answers requests for the list at once, and holds watches until a test sends an update.
+// fakeDiscovery is a discovery agent that answers requests for the list at once and holds watches until the test sends
+// an update.
 type fakeDiscovery struct {
 	*httptest.Server
-	updates chan string
-	lists   chan struct{} // one for each request for the list
+	updates      chan string
+	listRequests chan struct{} // receives one value per request for the list
 }
 
 func newFakeDiscovery(t *testing.T, list string) *fakeDiscovery {
 	t.Helper()
-	d := &fakeDiscovery{updates: make(chan string), lists: make(chan struct{}, 100)}
+	d := &fakeDiscovery{updates: make(chan string), listRequests: make(chan struct{}, 100)}
 	quit := make(chan struct{})
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
-			d.lists <- struct{}{}
+			d.listRequests <- struct{}{}
 			write(w, list)
 			return
 		}
@@ -194,7 +195,7 @@
 
 func (d *fakeDiscovery) address() string { return d.Listener.Addr().String() }
 
-const settings = `{"Balancers":2,
+const settingsTemplate = `{"Balancers":2,
 "Caps":{"AttemptsCap":4,"Cancel":true,"ConnIdle":30000000,"DialTimeout":250000,"MaxOpen":20000,
 	"MaxRetryAfter":1000000,"RetryAfter":true,"SecondCopies":true},
 "Classes":[
@@ -208,17 +209,17 @@
 "Report":{"Fields":["load_share","depth"],"How":"inline"},
 "Tenants":[{"Name":"acme","QuotaPerS":1000,"Share":1}],"WorthBy":"work"}`
 
-// settingsWith is the settings with this deadline for all classes.
+// settingsWith returns the settings with the given deadline for all classes.
 func settingsWith(deadline time.Duration) string {
-	return strings.ReplaceAll(settings, "DEADLINE", fmt.Sprint(deadline.Microseconds()))
+	return strings.ReplaceAll(settingsTemplate, "DEADLINE", fmt.Sprint(deadline.Microseconds()))
 }
 
-// nodeSetup is what differs between the configurations of tests.
+// nodeSetup holds the values in which the configurations of tests differ.
 type nodeSetup struct {
 	known, discovery string
 	sockets          int
-	deadline         time.Duration // of all classes, from which the drain windows follow; 0 = 1 s
-	replace          []string      // pairs of texts that are replaced in the settings
+	deadline         time.Duration // of all classes; it determines the drain windows; 0 = 1 s
+	replace          []string      // pairs of an old and a new text, replaced in the settings
 }
 
 // writeConfig writes a configuration file.
@@ -240,8 +241,8 @@
 // noEnv is an environment without variables.
 func noEnv(string) string { return "" }
 
-// startNode starts a node and returns it with its configuration file. Engines, where given, are its cached list.
-// Without an address discovery accepts connections and says nothing.
+// startNode starts a node and returns it with the path of its configuration file. The engines, if any, form its cached
+// list. Without an address of a discovery agent, the node uses one that accepts connections and never replies.
 func startNode(t *testing.T, s nodeSetup, engines ...*fakeEngine) (*Node, string) {
 	t.Helper()
 	if len(engines) > 0 {
@@ -272,7 +273,7 @@
 	return n, file
 }
 
-// isReady makes one health check.
+// isReady performs one health check.
 func isReady(t *testing.T, n *Node) bool {
 	t.Helper()
 	resp, err := http.Get("http://" + n.Addr() + "/healthz")
@@ -285,7 +286,8 @@
 
 const chatBody = `{"model":"chat","stream":true,"max_tokens":8}`
 
-// chatRequest is a request as clients send it; pairs of texts are replaced in its head.
+// chatRequest returns a request as clients send it. replace holds pairs of an old and a new text that are replaced in
+// its head.
 func chatRequest(id, class string, replace ...string) string {
 	head := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nReq-Id: %s\r\nReq-Kind: %s\r\n"+
 		"Req-Owner: acme\r\nReq-Key: 7f\r\nReq-Deadline-Ms: 4800\r\nReq-Extra: prompt_len=20,max_out=8\r\n"+
@@ -316,7 +318,7 @@
 	}
 }
 
-// receive reads one response; complete reports whether its body came to its end.
+// receive reads one response. complete reports whether its body is complete.
 func (c *clientConn) receive(t *testing.T) (resp *http.Response, body string, complete bool) {
 	t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
@@ -327,7 +329,7 @@
 	return resp, string(text), err == nil
 }
 
-// expectStream reads one response, which must be a complete stream.
+// expectStream reads one response, which must be a complete stream. request names the request in the failure message.
 func (c *clientConn) expectStream(t *testing.T, request string) {
 	t.Helper()
 	resp, body, complete := c.receive(t)
@@ -336,5 +338,5 @@
 	}
 }
 
-// closeConn closes a connection or the like. It may be closed already, or broken by the test.
+// closeConn closes a connection or listener. It may already be closed, or broken by the test.
 func closeConn(c io.Closer) { _ = c.Close() }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -9,32 +9,32 @@
 	"brackenbend/internal/gctuning"
 )
 
-// minSockets is the fewest descriptors that a node can work with.
+// minSockets is the lowest number of file descriptors with which a node can run.
 const minSockets = 48
 
 const (
-	// reservedSockets are for the listener, discovery, the runtime, standard streams, and some to spare.
+	// reservedSockets are kept for the listener, discovery, the runtime and the standard streams, with a margin.
 	reservedSockets = 16
-	// defaultSockets is the limit of descriptors where none is configured.
+	// defaultSockets is the limit on file descriptors if none is configured.
 	defaultSockets = 4096
-	// defaultMemory is the limit of memory in bytes where none is configured.
+	// defaultMemory is the limit on memory in bytes if none is configured.
 	defaultMemory = 512 << 20
 )
 
-// ResourceLimits is how the descriptors, memory and cores of a node are divided.
+// ResourceLimits is the division of a node's file descriptors, memory and cores.
 type ResourceLimits struct {
 	MaxClientConns       int
 	MaxEngineConns       int // to all engines
 	MaxConnsPerEngine    int
 	MaxOpenRequests      int
-	MaxBufferedBodyBytes int64  // request bodies held at once
-	SoftHeapLimit        int64  // bytes; the runtime's memory limit
-	HeapFloor            uint64 // bytes; the heap may grow to it without a collection
+	MaxBufferedBodyBytes int64  // total size of the buffered request bodies
+	SoftHeapLimit        int64  // bytes; memory limit of the Go runtime
+	HeapFloor            uint64 // bytes; no garbage collection below this heap size
 	Procs                int    // GOMAXPROCS
 }
 
-// ResourceLimits divides what the node may use. Clients and engines get half of the descriptors each: every request
-// holds one connection to its client, and may need one to an engine.
+// ResourceLimits divides the configured resources. Clients and engines get half of the file descriptors each, because
+// every request holds one connection to its client and may need one to an engine.
 func (c *Config) ResourceLimits() ResourceLimits {
 	sockets, memory := c.Sockets, c.Memory
 	if sockets == 0 {
@@ -56,14 +56,14 @@
 		MaxConnsPerEngine:    engineConns,
 		MaxOpenRequests:      openRequests,
 		MaxBufferedBodyBytes: memory / 6,
-		SoftHeapLimit:        memory * 6 / 10, // the rest is for what the runtime does not count
+		SoftHeapLimit:        memory * 6 / 10, // the rest is for memory that the runtime does not count
 		HeapFloor:            uint64(memory / 5),
 		Procs:                max(int(math.Ceil(c.Cores)), 1),
 	}
 }
 
-// apply sets the runtime's limits; restore sets them as they were. A heap floor is set only where GOGC is not: whoever
-// sets it wants it to hold.
+// apply sets the limits of the Go runtime. restore sets the previous ones. The heap floor is not set if the environment
+// contains GOGC, so that a GOGC value set by the operator takes effect.
 func (l ResourceLimits) apply() (restore func()) {
 	procs := runtime.GOMAXPROCS(l.Procs)
 	memoryLimit := debug.SetMemoryLimit(l.SoftHeapLimit)
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -17,21 +17,21 @@
 	megabyte := strings.Repeat("x", 1<<20)
 	for _, tc := range []struct {
 		name, text string
-		mayReset   bool // a close is enough, and may come as a reset
+		mayReset   bool // a close without a response is allowed, also as a reset
 	}{
-		{"noise", "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", false},
-		{"endless head", "GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("a", 20<<10), false},
+		{"not HTTP", "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", false},
+		{"head too long", "GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("a", 20<<10), false},
 		{"negative length", chatRequest("b1", "order", length, "Content-Length: -5"), false},
 		{"huge length", chatRequest("b1", "order", length, "Content-Length: 62914560"), false},
-		{"length no number", chatRequest("b1", "order", length, "Content-Length: ten"), false},
-		{"both lengths", chatRequest("b1", "order", length, length+"\r\n"+chunked), false},
+		{"length not a number", chatRequest("b1", "order", length, "Content-Length: ten"), false},
+		{"length and chunked", chatRequest("b1", "order", length, length+"\r\n"+chunked), false},
 		{"two lengths", chatRequest("b1", "order", length, length+"\r\n"+length), false},
-		{"bad chunk", chatRequest("b1", "order", length, chunked), false},
+		{"invalid chunk", chatRequest("b1", "order", length, chunked), false},
 		{"unknown class", chatRequest("b1", "nothing"), false},
-		{"deadline in words", chatRequest("b1", "order", "4800", "soon"), false},
+		{"deadline not a number", chatRequest("b1", "order", "4800", "soon"), false},
 		{"no id", chatRequest("", "order"), false},
 		{"not JSON", chatRequest("b1", "order", length, "Content-Length: 3"), false},
-		{"two at once", chatRequest("b1", "order") + chatRequest("b2", "order"), false},
+		{"pipelined requests", chatRequest("b1", "order") + chatRequest("b2", "order"), false},
 		{"a body of 1 MB", chatRequest("b1", "order", length, "Content-Length: 1048576") + megabyte, true},
 		{
 			"a chunk of 1 MB",
@@ -43,7 +43,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := dialNode(t, n)
-			go write(c, tc.text) // the node need not read all of it
+			go write(c, tc.text) // the node may stop reading before the end
 			resp, err := http.ReadResponse(c.reader, nil)
 			if err != nil {
 				if !tc.mayReset {
@@ -65,24 +65,24 @@
 	}
 	c := dialNode(t, n)
 	c.send(t, chatRequest("aa01", "order"))
-	c.expectStream(t, "after all that")
+	c.expectStream(t, "valid request after the malformed ones")
 	want := []string{"POST aa01"}
 	if !slices.Equal(prefill.received(), want) || !slices.Equal(decode.received(), want) {
-		t.Errorf("prefill engine got %q, decode engine %q", prefill.received(), decode.received())
+		t.Errorf("the prefill engine got %q, the decode engine %q", prefill.received(), decode.received())
 	}
 }
 
 const chunkedStreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// TestMalformedStreamEndsConnection: a stream that breaks after its first event ends the client's connection without
-// the last chunk.
+// TestMalformedStreamEndsConnection checks that a stream that breaks after its first event ends the client's connection
+// without the last chunk, so that the client does not take it for complete.
 func TestMalformedStreamEndsConnection(t *testing.T) {
 	for _, tc := range []struct{ name, rest string }{
-		{"a size that is no number", "zz\r\nabc\r\n"},
-		{"a chunk longer than its size", "5\r\n" + streamEvents[1] + "\r\n"},
-		{"a chunk of 3 GB", "c0000000\r\n" + strings.Repeat("x", 100<<10)},
+		{"chunk size not a number", "zz\r\nabc\r\n"},
+		{"chunk longer than its size", "5\r\n" + streamEvents[1] + "\r\n"},
+		{"chunk of 3 GB", "c0000000\r\n" + strings.Repeat("x", 100<<10)},
 		{"3 GB of events", "c0000000\r\n" + strings.Repeat(streamEvents[1], 300<<10/len(streamEvents[1]))},
-		{"the last chunk without [DONE]", "0\r\n\r\n"},
+		{"last chunk without [DONE]", "0\r\n\r\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			decode := newDecodeEngine(t, replyRaw(chunkedStreamHead+chunk(streamEvents[0])+tc.rest))
@@ -94,7 +94,7 @@
 				t.Errorf("status %d, complete %v: %.100q", resp.StatusCode, complete, body)
 			}
 			if _, err := c.reader.ReadByte(); err == nil {
-				t.Error("the connection goes on")
+				t.Error("the connection was not closed")
 			}
 			if got := decode.received(); !slices.Equal(got, []string{"POST aa01"}) {
 				t.Errorf("the decode engine got %q", got)
@@ -103,15 +103,15 @@
 	}
 }
 
-// TestMalformedReplyHead: a reply whose beginning can't be read may come from a request that ran: one that is not
-// idempotent fails and is not rejected, an idempotent one is retried.
+// TestMalformedReplyHead checks the handling of a reply whose beginning cannot be parsed. The request may have run: if
+// it is not idempotent, it must fail rather than be rejected; if it is idempotent, it is retried.
 func TestMalformedReplyHead(t *testing.T) {
 	for _, tc := range []struct{ name, reply string }{
-		{"noise", "\x00\x01\x02noise\r\n\r\n"},
-		{"noise without an end", strings.Repeat("\x07", 500)},
-		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("a", 40<<10)},
-		{"a head without an end", "HTTP/1.1 200 OK\r\nX: a\r\n"},
-		{"a bad first chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n"},
+		{"not HTTP", "\x00\x01\x02noise\r\n\r\n"},
+		{"not HTTP, no line end", strings.Repeat("\x07", 500)},
+		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("a", 40<<10)},
+		{"head without an end", "HTTP/1.1 200 OK\r\nX: a\r\n"},
+		{"invalid first chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			prefill := newPrefillEngine(t, replyPrefill)
@@ -125,23 +125,23 @@
 			n, _ := startNode(t, nodeSetup{}, prefill, decode, decode2)
 			c := dialNode(t, n)
 			c.send(t, chatRequest("aa01", "enquiry"))
-			c.expectStream(t, "idempotent")
+			c.expectStream(t, "idempotent request")
 			attempts := func() int { return len(decode.received()) + len(decode2.received()) }
 			before := attempts()
 			malformedOnce = sync.Once{}
 			c.send(t, chatRequest("aa02", "order"))
 			resp, _, _ := c.receive(t)
 			if resp.StatusCode < 500 || resp.StatusCode == http.StatusServiceUnavailable || attempts() != before+1 {
-				t.Errorf("not idempotent: status %d, the decode engines got %q and %q",
+				t.Errorf("request that is not idempotent: status %d, the decode engines got %q and %q",
 					resp.StatusCode, decode.received(), decode2.received())
 			}
-			prefill.waitFor("DELETE aa02") // the decode engine may not have fetched it
+			prefill.waitForRequest("DELETE aa02") // the decode engine may not have fetched the read state
 		})
 	}
 }
 
-// TestStreamWithSurplusBytes: a complete stream that brings more than belongs to it is relayed, and its connection is
-// not used again.
+// TestStreamWithSurplusBytes checks that a complete stream with additional bytes before or after it is relayed, and
+// that its connection is not used again.
 func TestStreamWithSurplusBytes(t *testing.T) {
 	stream := "HTTP/1.1 200 OK\r\nSrv-Load: \x80 nonsense=\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, event := range streamEvents {
@@ -150,10 +150,10 @@
 	stream += "0\r\n\r\n"
 	for _, tc := range []struct{ name, reply string }{
 		{
-			"1xx in front",
+			"informational responses before the reply",
 			"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + stream,
 		},
-		{"a second reply behind", stream + stream},
+		{"a second reply after it", stream + stream},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyRaw(tc.reply)))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,9 @@
-// Package node is a replica on the platform: its configuration, its resource limits, and its life cycle from start to
-// SIGTERM. Package protocol reads and writes the platform's messages, package discovery watches its list of engines;
-// requests are the gateway's and decisions the router's.
+// Package node implements a replica on the platform: its configuration, its resource limits, and its life cycle from
+// start to SIGTERM. Package protocol parses and writes the platform's messages, and package discovery watches the
+// platform's list of engines. The gateway handles requests, and the router takes the decisions.
 //
-// A Node owns the process-wide limits of the runtime from Start to Stop, and two goroutines: one watches discovery, one
-// accepts clients. Both end with Stop.
+// A Node owns the process-wide limits of the runtime from Start to Stop, and two goroutines: one watches discovery, the
+// other accepts clients. Both end with Stop.
 package node
 
 import (
@@ -31,17 +31,18 @@
 
 	gateway      *gateway.Gateway
 	watcher      *discovery.Watcher
-	address      string // that it listens on
+	address      string // listen address
 	drainTimeout time.Duration
 	failed       chan error
 
 	stopOnce       sync.Once
 	stopWatcher    context.CancelFunc
-	watching       sync.WaitGroup
+	watcherGroup   sync.WaitGroup
 	restoreRuntime func()
 }
 
-// Start starts a node by the configuration in file. It serves from the cached list until discovery answers.
+// Start starts a node with the configuration in file. The node uses the cached endpoint list until the discovery agent
+// answers.
 func Start(file string, env func(string) string, log *zap.Logger) (*Node, error) {
 	config, err := Load(file, env)
 	if err != nil {
@@ -67,7 +68,7 @@
 	}
 	n.address = listener.Addr().String()
 	n.startWatcher(config)
-	go func() { // ends with the gateway's Shutdown
+	go func() { // ends when the gateway is shut down
 		if err := n.gateway.Serve(listener); err != nil {
 			n.failed <- err
 		}
@@ -77,13 +78,13 @@
 	return n, nil
 }
 
-// createGateway creates the gateway and gives it the cached list, also an empty one: a node that is not ready gets no
-// clients, and discovery may be down.
+// createGateway creates the gateway and gives it the cached list, even if that is empty: a node that has received no
+// list is not ready and gets no clients, and the discovery agent may be down.
 func (n *Node) createGateway(config *Config, limits ResourceLimits) error {
-	clients := &protocol.Clients{
-		Classes:  config.Site.Routing.Classes,
-		Tenants:  config.Site.Tenants,
-		NotReady: func() string { return n.gateway.NotReady() },
+	clients := &protocol.ClientProtocol{
+		Classes:        config.Site.Routing.Classes,
+		Tenants:        config.Site.Tenants,
+		NotReadyReason: func() string { return n.gateway.NotReady() },
 	}
 	var err error
 	n.gateway, err = gateway.New(config.gatewayOptions(limits, clients), n.log, telemetry.NewMetrics())
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// cachedUpdate converts the cached list; one that can't be used counts as empty.
+// cachedUpdate converts the cached list. An invalid list counts as empty.
 func (n *Node) cachedUpdate(list *discovery.List) endpointslice.Update {
 	empty := endpointslice.Update{Scope: routing.ListCached}
 	if list == nil {
@@ -102,7 +103,7 @@
 	}
 	update, err := list.Update()
 	if err != nil {
-		n.log.Warn("cannot use the cached endpoint list, starting without", zap.Error(err))
+		n.log.Warn("cached endpoint list is invalid; starting with an empty list", zap.Error(err))
 		return empty
 	}
 	update.Scope = routing.ListCached
@@ -113,32 +114,33 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stopWatcher = cancel
 	n.watcher = config.newWatcher(n.gateway.UpdateEndpoints, n.log)
-	n.watching.Go(func() { n.watcher.Run(ctx) })
+	n.watcherGroup.Go(func() { n.watcher.Run(ctx) })
 }
 
-// Failed delivers why the node can't go on.
+// Failed returns a channel that receives the error that prevents the node from continuing.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// Addr is the address that it listens on.
+// Addr returns the address on which the node listens.
 func (n *Node) Addr() string { return n.address }
 
-// Reload reads the configuration file again and applies the address of discovery. All else in it needs a restart; an
-// invalid file changes nothing.
+// Reload reads the configuration file again and applies the address of the discovery agent. All other changes need a
+// restart. An invalid file changes nothing.
 func (n *Node) Reload() {
 	config, err := Load(n.configFile, n.env)
 	if err != nil {
-		n.log.Error("configuration rejected", zap.Error(err))
+		n.log.Error("cannot reload configuration; keeping the current one", zap.Error(err))
 		return
 	}
 	n.watcher.SetAddress(config.Discovery)
 	n.log.Info("configuration reloaded", zap.String("discovery", config.Discovery))
 }
 
-// Stop drains the node: it answers open requests, and ends. Further calls wait for the first.
+// Stop drains the node: it completes open requests within the drain timeout, and then stops. Further calls wait for the
+// first to return.
 func (n *Node) Stop() {
 	n.stopOnce.Do(n.shutdown)
-	n.log.Info("ended")
-	_ = n.log.Sync() // fails on terminals, where there is nothing to sync
+	n.log.Info("node stopped")
+	_ = n.log.Sync() // fails on terminals, which need no sync
 }
 
 func (n *Node) shutdown() {
@@ -146,6 +148,6 @@
 	defer cancel()
 	n.gateway.Shutdown(ctx)
 	n.stopWatcher()
-	n.watching.Wait()
+	n.watcherGroup.Wait()
 	n.restoreRuntime()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestNodeServesUnchangedFromCachedList(t *testing.T) {
+func TestNodeForwardsUnchangedRequestsFromCachedList(t *testing.T) {
 	prefill, decode := newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyDecode)
 	n, _ := startNode(t, nodeSetup{}, prefill, decode)
 	c := dialNode(t, n)
@@ -25,7 +25,7 @@
 	}
 	want := []string{"POST aa01", "POST aa02"}
 	if !slices.Equal(prefill.received(), want) || !slices.Equal(decode.received(), want) {
-		t.Errorf("prefill engine got %q, decode engine %q", prefill.received(), decode.received())
+		t.Errorf("the prefill engine got %q, the decode engine %q", prefill.received(), decode.received())
 	}
 }
 
@@ -35,24 +35,24 @@
 	n, _ := startNode(t, nodeSetup{}, prefill, newDecodeEngine(t, replyDecode))
 	first, second := dialNode(t, n), dialNode(t, n)
 	first.send(t, chatRequest("aa01", "order"))
-	prefill.waitFor("POST aa01")
+	prefill.waitForRequest("POST aa01")
 	second.send(t, chatRequest("aa01", "enquiry"))
 	if resp, _, _ := second.receive(t); resp.StatusCode != http.StatusConflict {
-		t.Errorf("the second: %d", resp.StatusCode)
+		t.Errorf("second request with the same id: status %d, want 409", resp.StatusCode)
 	}
 	close(released)
 	first.expectStream(t, "the first")
 	second.send(t, chatRequest("aa01", "enquiry"))
 	if resp, _, complete := second.receive(t); resp.StatusCode != http.StatusOK || !complete {
-		t.Errorf("once it has ended: %d", resp.StatusCode)
+		t.Errorf("same id after the first request has ended: status %d", resp.StatusCode)
 	}
 }
 
-func TestReloadMovesToAnotherDiscovery(t *testing.T) {
+func TestReloadSwitchesDiscoveryAddress(t *testing.T) {
 	prefill, decode := newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyDecode)
 	old := newFakeDiscovery(t, memberList(1, true, member(prefill, "Ready")))
 	n, file := startNode(t, nodeSetup{discovery: old.address()})
-	<-old.lists
+	<-old.listRequests
 	next := newFakeDiscovery(t, memberList(5, true, member(prefill, "Ready"), member(decode, "Ready")))
 	if err := os.WriteFile(file, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
@@ -61,11 +61,11 @@
 	old.updates <- memberList(2, false)
 	nodeSetup{discovery: next.address()}.writeConfig(t, file)
 	n.Reload()
-	<-next.lists
+	<-next.listRequests
 	next.updates <- memberList(6, false, member(decode, "Terminating"))
 	decode2 := newFakeEngine(t, "w2", "decode", replyDecode)
 	next.updates <- memberList(7, false, member(decode2, "Ready"))
-	next.updates <- memberList(8, false) // the one before was applied
+	next.updates <- memberList(8, false) // answers a watch that was sent after the previous update was applied
 	c := dialNode(t, n)
 	c.send(t, chatRequest("aa01", "order"))
 	if resp, _, complete := c.receive(t); resp.StatusCode != http.StatusOK || !complete {
@@ -80,10 +80,10 @@
 	released := make(chan struct{})
 	prefill := newPrefillEngine(t, replyPrefillAfter(released))
 	n, _ := startNode(t, nodeSetup{deadline: time.Hour}, prefill, newDecodeEngine(t, replyDecode))
-	n.gateway.AcceptWhileDraining = 2 * time.Second // the clients below may be scheduled late
+	n.gateway.AcceptWhileDraining = 2 * time.Second // longer than the default, since the clients below may be delayed
 	open, idle := dialNode(t, n), dialNode(t, n)
 	open.send(t, chatRequest("aa01", "order"))
-	prefill.waitFor("POST aa01")
+	prefill.waitForRequest("POST aa01")
 	stopped := make(chan struct{})
 	go func() {
 		n.Stop()
@@ -92,11 +92,11 @@
 	for n.gateway.NotReady() != "draining" {
 		time.Sleep(time.Millisecond)
 	}
-	late := dialNode(t, n) // connections are accepted for a while
+	late := dialNode(t, n) // new connections are still accepted for some time
 	late.send(t, chatRequest("aa02", "order"))
 	idle.send(t, chatRequest("aa03", "order"))
-	prefill.waitFor("POST aa02")
-	prefill.waitFor("POST aa03")
+	prefill.waitForRequest("POST aa02")
+	prefill.waitForRequest("POST aa03")
 	close(released)
 	for id, c := range map[string]*clientConn{"aa01": open, "aa02": late, "aa03": idle} {
 		c.expectStream(t, id)
@@ -109,16 +109,16 @@
 	<-stopped
 }
 
-// TestStopEndsSlowRequests: what can't be answered before the platform's SIGKILL gets its final answer before that; a
-// stream is cut.
-func TestStopEndsSlowRequests(t *testing.T) {
+// TestStopEndsUnfinishedRequestsBeforeKill checks that a request that cannot be completed before the platform's SIGKILL
+// gets its final answer before that, and that a stream is broken off.
+func TestStopEndsUnfinishedRequestsBeforeKill(t *testing.T) {
 	prefill := newPrefillEngine(t, waitForCancel)
 	n, _ := startNode(t, nodeSetup{}, prefill, newDecodeEngine(t, replyDecode))
 	prefilling := dialNode(t, n)
 	prefilling.send(t, chatRequest("aa01", "order"))
-	prefill.waitFor("POST aa01")
+	prefill.waitForRequest("POST aa01")
 	n.Stop()
-	// a prefill has no effect, so that the request is rejected
+	// A prefill has no effect, so the request can be rejected.
 	if resp, _, complete := prefilling.receive(t); resp.StatusCode != http.StatusTooManyRequests || !complete {
 		t.Errorf("status %d", resp.StatusCode)
 	}
@@ -131,7 +131,7 @@
 	n, _ = startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), decode)
 	streaming := dialNode(t, n)
 	streaming.send(t, chatRequest("aa02", "order"))
-	decode.waitFor("POST aa02")
+	decode.waitForRequest("POST aa02")
 	n.Stop()
 	resp, body, complete := streaming.receive(t)
 	if resp.StatusCode != http.StatusOK || complete || body != streamEvents[0] {
@@ -139,27 +139,28 @@
 	}
 }
 
-// TestSilentConnectionsMakeRoom: connections without a request are closed for those with one, and before long anyway.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
+// TestIdleConnectionsAreClosedForNewRequests checks that connections without a request are closed in favor of one with
+// a request, and otherwise within a short time.
+func TestIdleConnectionsAreClosedForNewRequests(t *testing.T) {
 	n, _ := startNode(t, nodeSetup{sockets: 64}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyDecode))
-	var silent []*clientConn
+	var idle []*clientConn
 	for range 60 {
-		silent = append(silent, dialNode(t, n))
+		idle = append(idle, dialNode(t, n))
 	}
 	c := dialNode(t, n)
 	c.send(t, chatRequest("aa01", "order"))
 	if resp, _, complete := c.receive(t); resp.StatusCode != http.StatusOK || !complete {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	for _, c := range silent {
+	for _, c := range idle {
 		if _, err := c.reader.ReadByte(); err == nil {
-			t.Error("a silent connection was sent something")
+			t.Error("received data on a connection without a request")
 		}
 	}
 }
 
-// TestNodeIsReadyWithoutList: the cached list may be empty, absent or invalid while discovery is down. The node is
-// ready all the same, and what it can't serve yet is answered in time.
+// TestNodeIsReadyWithoutList starts a node while discovery is down and the cached list is empty, absent or invalid. The
+// node must be ready nevertheless, and requests that it cannot serve yet must be answered in time.
 func TestNodeIsReadyWithoutList(t *testing.T) {
 	for _, tc := range []struct{ name, known string }{
 		{"absent", "null"},
@@ -181,8 +182,9 @@
 	}
 }
 
-// TestFinalResponseIsNotReset: bytes that nobody asked for lie unread behind a request when its response ends the
-// connection. Closing over them would reset it, and with it what the system still holds back of the response.
+// TestFinalResponseIsNotReset checks that a client receives the whole final response even if bytes that follow its
+// request are still unread when the node closes the connection. Closing a socket with unread bytes resets the
+// connection, and the kernel then discards the part of the response that it has not yet delivered.
 func TestFinalResponseIsNotReset(t *testing.T) {
 	for _, outcome := range []string{"broken", "served"} {
 		t.Run(outcome, func(t *testing.T) {
@@ -203,7 +205,7 @@
 			c := dialNode(t, n)
 			c.send(t, chatRequest("aa01", "order", "Host: backend.local", "Host: backend.local\r\nConnection: close"))
 			<-started
-			if outcome == "served" { // the node relays the stream and reads nothing more
+			if outcome == "served" { // the node reads no more requests while it relays the stream
 				c.send(t, strings.Repeat("x", 8192))
 			}
 			close(released)
@@ -212,7 +214,7 @@
 				t.Errorf("status %d, complete %v: %q", resp.StatusCode, complete, body)
 			}
 			if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-				t.Errorf("the connection ended with %v", err)
+				t.Errorf("the connection ended with %v, want EOF", err)
 			}
 		})
 	}
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -11,7 +11,7 @@
 	"brackenbend/internal/node/protocol"
 )
 
-// Bounds on messages, as the platform's protocol page gives them.
+// Limits on messages, as the platform's protocol page specifies them.
 const (
 	maxMessageBytes = 256 << 10
 	maxEventBytes   = 64 << 10 // one event of a stream
@@ -19,28 +19,29 @@
 	maxHeaderFields = 100
 )
 
-// Timeouts towards clients, from the platform's protocol page with time to spare.
+// Timeouts for clients. They follow the platform's protocol page and leave a margin.
 const (
-	firstRequestTimeout = 2500 * time.Millisecond // a client that sends no request is owed a close within 3 s
-	minClientIdleTime   = 2 * time.Second         // an idle client's connection may be closed after so long
+	firstRequestTimeout = 2500 * time.Millisecond // a connection without a request must be closed within 3 s
+	minClientIdleTime   = 2 * time.Second         // after which an idle connection may be closed
 	maxClientIdleTime   = time.Minute
 	clientWriteTimeout  = 5 * time.Second
-	answerMargin        = 20 * time.Millisecond // final answers are sent so long before the client's time is up
+	answerMargin        = 20 * time.Millisecond // final answers are sent this long before the client's deadline
 )
 
-// Timeouts towards engines.
+// Timeouts for engines.
 const (
-	streamIdleTimeout        = 4 * time.Second        // a client may not wait 5 s after an engine's last event
-	replyHeaderTimeout       = 500 * time.Millisecond // a reply's head comes at once with its first event
-	defaultDialTimeout       = 250 * time.Millisecond // where the settings give none
+	streamIdleTimeout        = 4 * time.Second        // a client must not wait 5 s after an engine's last event
+	replyHeaderTimeout       = 500 * time.Millisecond // a reply's head and first event arrive together
+	defaultDialTimeout       = 250 * time.Millisecond // used if the settings contain none
 	defaultEngineIdleTimeout = 30 * time.Second       // likewise
-	// settleDelay is a few round trips within a zone: until then a connection that breaks did not run its request.
+	// settleDelay is a few round trips within a zone. The last byte of a request that must run only once is held back for
+	// this time: if the connection breaks before, the request was not run.
 	settleDelay = 3 * time.Millisecond
-	// reuseDelay: a second reply that nobody asked for may come some milliseconds late.
+	// reuseDelay allows for an unsolicited second reply, which may arrive some milliseconds after the first.
 	reuseDelay = 25 * time.Millisecond
 )
 
-// gatewayOptions are the options of the node's gateway.
+// gatewayOptions returns the options of the node's gateway.
 func (c *Config) gatewayOptions(limits ResourceLimits, clients gateway.ClientProtocol) gateway.Options {
 	site := &c.Site
 	retryAfter := gateway.NoRetryAfter
@@ -65,7 +66,7 @@
 	}
 }
 
-// gatewayLimits are the gateway's bounds on clients.
+// gatewayLimits returns the limits that the gateway enforces on clients.
 func (l ResourceLimits) gatewayLimits() config.Limits {
 	return config.Limits{
 		MaxOpenRequests:      l.MaxOpenRequests,
@@ -84,10 +85,10 @@
 	}
 }
 
-// engineClient is the client of the engines.
+// engineClient returns the HTTP client for engines.
 func (c *Config) engineClient(limits ResourceLimits) *engine.Client {
 	return &engine.Client{
-		Protocol:            protocol.Engines{},
+		Protocol:            protocol.EngineProtocol{},
 		LoadReportHeader:    protocol.HeaderLoadReport,
 		StateByRequestID:    true,
 		RequireLastChunk:    true,
@@ -97,7 +98,7 @@
 		DialTimeout:         positiveOr(c.Site.DialTimeout, defaultDialTimeout),
 		HeaderTimeout:       replyHeaderTimeout,
 		StreamIdleTimeout:   streamIdleTimeout,
-		IdleTimeout:         positiveOr(c.Site.ConnIdleTimeout, defaultEngineIdleTimeout) * 2 / 3, // before the engine closes
+		IdleTimeout:         positiveOr(c.Site.ConnIdleTimeout, defaultEngineIdleTimeout) * 2 / 3, // less than the engine's
 		MaxConns:            limits.MaxEngineConns,
 		MaxConnsPerEndpoint: limits.MaxConnsPerEngine,
 		MaxIdlePerEndpoint:  limits.MaxConnsPerEngine,
@@ -108,5 +109,5 @@
 	}
 }
 
-// positiveOr is d, or fallback where d is not positive.
+// positiveOr returns d if it is positive, and fallback otherwise.
 func positiveOr(d, fallback time.Duration) time.Duration { return cmp.Or(max(d, 0), fallback) }
--- a/internal/node/protocol/client.go
+++ b/internal/node/protocol/client.go
@@ -20,17 +20,18 @@
 	"brackenbend/routing"
 )
 
-// Clients is the client protocol of the platform. Its fields are set before its first use.
-type Clients struct {
-	Classes  []routing.Class
-	Tenants  []string
-	NotReady func() string // why the node should get no clients; "" when it should
+// ClientProtocol implements the platform's protocol between clients and a node. Its fields must be set before its first
+// use.
+type ClientProtocol struct {
+	Classes        []routing.Class
+	Tenants        []string
+	NotReadyReason func() string // why the node must get no clients; "" = it is ready
 }
 
-var _ gateway.ClientProtocol = (*Clients)(nil)
+var _ gateway.ClientProtocol = (*ClientProtocol)(nil)
 
 // RespondDirectly implements gateway.ClientProtocol.
-func (c *Clients) RespondDirectly(req *http1.Request) *gateway.Response {
+func (c *ClientProtocol) RespondDirectly(req *http1.Request) *gateway.Response {
 	switch path := req.Path(); {
 	case path == pathHealth && (req.Method == http.MethodGet || req.Method == http.MethodHead):
 		return c.health(req.Method)
@@ -45,9 +46,9 @@
 	return nil
 }
 
-// health is the response to a health check.
-func (c *Clients) health(method string) *gateway.Response {
-	if reason := c.NotReady(); reason != "" {
+// health returns the response to a health check.
+func (c *ClientProtocol) health(method string) *gateway.Response {
+	if reason := c.NotReadyReason(); reason != "" {
 		return errorResponse(&api.Error{Status: http.StatusServiceUnavailable, Type: "server_error", Message: reason})
 	}
 	if method == http.MethodHead {
@@ -56,8 +57,8 @@
 	return &gateway.Response{Status: http.StatusOK, Body: []byte("{\"status\":\"ready\"}\n")}
 }
 
-// ParseRequest implements gateway.ClientProtocol. It rejects all that an engine could not use.
-func (c *Clients) ParseRequest(req *http1.Request, body []byte) (*gateway.ParsedRequest, *api.Error) {
+// ParseRequest implements gateway.ClientProtocol. It rejects every request that an engine could not process.
+func (c *ClientProtocol) ParseRequest(req *http1.Request, body []byte) (*gateway.ParsedRequest, *api.Error) {
 	fields, apiErr := parseFields(req.Header)
 	if apiErr != nil {
 		return nil, apiErr
@@ -66,20 +67,20 @@
 		ClientID:       fields.get(headerRequestID),
 		Path:           req.Target,
 		IdempotencyKey: fields.get(engine.HeaderIdempotencyKey),
-		Prompt:         prompt(body),
+		Prompt:         rawPrompt(body),
 	}
 	if !validRequestID(parsed.ClientID) {
 		return nil, invalidRequest(http.StatusBadRequest,
 			"%s must be 1 to %d letters, digits, dots, dashes and underscores", headerRequestID, maxRequestIDBytes)
 	}
-	if apiErr := c.parseOwner(&parsed.Routing, fields); apiErr != nil {
+	if apiErr := c.parseClassAndTenant(&parsed.Routing, fields); apiErr != nil {
 		return nil, apiErr
 	}
 	if parsed.FirstTokenTimeout, apiErr = parseDeadline(fields.get(headerDeadline)); apiErr != nil {
 		return nil, apiErr
 	}
 	if session := fields.get(headerSession); session != "" {
-		parsed.Routing.Session = hash(session)
+		parsed.Routing.Session = routingKey(session)
 	}
 	if apiErr := parseRetry(&parsed.Routing, fields.get(headerRetry)); apiErr != nil {
 		return nil, apiErr
@@ -93,12 +94,12 @@
 	return parsed, nil
 }
 
-// requestFields holds the header fields that describe a request, by their names in lower case.
+// requestFields holds the header fields that describe a request, by lower-case name.
 type requestFields map[string]string
 
 func (f requestFields) get(name string) string { return f[strings.ToLower(name)] }
 
-// parseFields collects the fields that describe a request; each may be given once.
+// parseFields collects the header fields that describe a request. It rejects a field that is given twice.
 func parseFields(header http1.Header) (requestFields, *api.Error) {
 	fields := requestFields{}
 	for _, field := range header {
@@ -115,8 +116,8 @@
 	return fields, nil
 }
 
-// parseOwner sets the class and the tenant of a request.
-func (c *Clients) parseOwner(request *routing.Request, fields requestFields) *api.Error {
+// parseClassAndTenant sets the class and the tenant of a request.
+func (c *ClientProtocol) parseClassAndTenant(request *routing.Request, fields requestFields) *api.Error {
 	class, tenant := fields.get(headerClass), fields.get(headerTenant)
 	request.Class = slices.IndexFunc(c.Classes, func(k routing.Class) bool { return k.Name == class })
 	if request.Class < 0 {
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// parseDeadline reads the time that the client waits for the first token, in milliseconds.
+// parseDeadline parses the time, in milliseconds, that the client waits for the first token.
 func parseDeadline(value string) (time.Duration, *api.Error) {
 	milliseconds, err := strconv.ParseUint(value, 10, 32)
 	deadline := time.Duration(milliseconds) * time.Millisecond
@@ -140,7 +141,7 @@
 	return deadline, nil
 }
 
-// parseRetry reads how the client marks a request that it repeats.
+// parseRetry parses the field that marks a retried request or a resumed stream.
 func parseRetry(request *routing.Request, value string) *api.Error {
 	switch value {
 	case "", retryNone:
@@ -154,8 +155,8 @@
 	return nil
 }
 
-// parseHints reads what the client says of the request's size, as in "prefix=5c0f,prompt_len=5120,...". Unknown names
-// are ignored.
+// parseHints parses the hints on the size of a request, such as "prefix=5c0f,prompt_len=5120,...". It ignores unknown
+// names.
 func parseHints(request *routing.Request, value string) *api.Error {
 	seen := map[string]bool{}
 	for hint := range strings.SplitSeq(value, ",") {
@@ -183,7 +184,7 @@
 	switch name {
 	case "prefix":
 		if text != "" {
-			request.Prefix = hash(text)
+			request.Prefix = routingKey(text)
 		}
 		return nil
 	case "prompt_len":
@@ -204,20 +205,21 @@
 	return nil
 }
 
-// hash maps a session or a prefix to its routing key; 0 means none and is never returned.
-func hash(s string) uint64 { return max(xxhash.Sum64String(s), 1) }
+// routingKey hashes the name of a session or a prefix to its routing key. It never returns 0, which stands for no
+// session or prefix.
+func routingKey(s string) uint64 { return max(xxhash.Sum64String(s), 1) }
 
-// validRequestID reports whether an id can stand in a path and a header field without escaping.
+// validRequestID reports whether an id can be used in a path and a header field without escaping.
 func validRequestID(id string) bool {
 	for i := range len(id) {
-		if !plainIDByte(id[i]) {
+		if !isIDByte(id[i]) {
 			return false
 		}
 	}
 	return id != "" && len(id) <= maxRequestIDBytes
 }
 
-func plainIDByte(c byte) bool {
+func isIDByte(c byte) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return true
@@ -225,11 +227,11 @@
 	return c == '-' || c == '_' || c == '.'
 }
 
-// prompt is a request body that goes to prefill and decode endpoints unchanged.
-type prompt []byte
+// rawPrompt is a request body that is sent to prefill and decode endpoints unchanged.
+type rawPrompt []byte
 
-func (p prompt) PrefillBody() []byte                     { return p }
-func (p prompt) DecodeBody(json.RawMessage, bool) []byte { return p }
+func (p rawPrompt) PrefillBody() []byte                     { return p }
+func (p rawPrompt) DecodeBody(json.RawMessage, bool) []byte { return p }
 
 func invalidRequest(status int, format string, args ...any) *api.Error {
 	return &api.Error{Status: status, Type: "invalid_request_error", Message: fmt.Sprintf(format, args...)}
--- a/internal/node/protocol/client_test.go
+++ b/internal/node/protocol/client_test.go
@@ -11,13 +11,13 @@
 	"brackenbend/routing"
 )
 
-var clients = &Clients{
-	Classes:  []routing.Class{{Name: "enquiry"}, {Name: "order", Idempotency: routing.NotIdempotent}},
-	Tenants:  []string{"a", "b"},
-	NotReady: func() string { return "" },
+var clientProtocol = &ClientProtocol{
+	Classes:        []routing.Class{{Name: "enquiry"}, {Name: "order", Idempotency: routing.NotIdempotent}},
+	Tenants:        []string{"a", "b"},
+	NotReadyReason: func() string { return "" },
 }
 
-// readRequest parses a request head whose lines end in LF.
+// readRequest parses a request head. It converts the line endings of head from LF to CRLF.
 func readRequest(t testing.TB, head string) *http1.Request {
 	t.Helper()
 	text := strings.ReplaceAll(head, "\n", "\r\n") + "\r\n\r\n"
@@ -44,12 +44,12 @@
 )
 
 func TestParseRequestReadsEveryField(t *testing.T) {
-	got, apiErr := clients.ParseRequest(readRequest(t, validHead), []byte(validBody))
+	got, apiErr := clientProtocol.ParseRequest(readRequest(t, validHead), []byte(validBody))
 	if apiErr != nil {
 		t.Fatal(apiErr)
 	}
 	want := routing.Request{
-		Class: 1, Tenant: 1, Session: hash("7f3a9c21e0b4d655"), Prefix: hash("5c0f6e1a2b3d4c59"),
+		Class: 1, Tenant: 1, Session: routingKey("7f3a9c21e0b4d655"), Prefix: routingKey("5c0f6e1a2b3d4c59"),
 		PromptTokens: 5120, PrefixTokens: 2048, MaxOutputTokens: 800, Retry: true,
 	}
 	if got.Routing != want {
@@ -66,54 +66,54 @@
 
 func TestParseRequestReadsResumedStream(t *testing.T) {
 	head := strings.Replace(validHead, "Req-Retry: 1", "Req-Retry: again", 1)
-	got, apiErr := clients.ParseRequest(readRequest(t, head), []byte(validBody))
+	got, apiErr := clientProtocol.ParseRequest(readRequest(t, head), []byte(validBody))
 	if apiErr != nil || got.Routing.Retry || !got.Routing.ResumedStream || got.Routing.PossibleDuplicate {
 		t.Errorf("parsed %+v, %v", got, apiErr)
 	}
 }
 
-func TestParseRequestRejectsWhatEnginesCouldNotUse(t *testing.T) {
+func TestParseRequestRejectsInvalidFields(t *testing.T) {
 	for _, tc := range []struct{ name, old, replacement string }{
 		{"no id", "Req-Id: 9b1f03aa5c7e2d41\n", ""},
 		{"id with a slash", "9b1f03aa5c7e2d41", "../state"},
-		{"endless id", "9b1f03aa5c7e2d41", strings.Repeat("9", 200)},
+		{"id too long", "9b1f03aa5c7e2d41", strings.Repeat("9", 200)},
 		{"two ids", "Req-Id:", "Req-Id: 1\nReq-Id:"},
 		{"two idempotency keys", "Idempotency-Key:", "idempotency-key: 1\nIdempotency-Key:"},
 		{"unknown class", "order", "ordre"},
 		{"no class", "Req-Kind: order\n", ""},
 		{"unknown tenant", "Owner: b", "Owner: c"},
 		{"no tenant", "Req-Owner: b\n", ""},
-		{"deadline in words", "4800", "soon"},
+		{"deadline not a number", "4800", "soon"},
 		{"deadline negative", "4800", "-4800"},
 		{"deadline zero", "4800", "0"},
-		{"deadline a fraction", "4800", "4800.5"},
+		{"deadline fractional", "4800", "4800.5"},
 		{"deadline huge", "4800", "99999999999999999999"},
 		{"no deadline", "Req-Deadline-Ms: 4800\n", ""},
-		{"length in words", "prompt_len=5120", "prompt_len=many"},
+		{"length non-numeric", "prompt_len=5120", "prompt_len=many"},
 		{"length negative", "prompt_len=5120", "prompt_len=-1"},
-		{"length not a number", "prompt_len=5120", "prompt_len=NaN"},
+		{"length NaN", "prompt_len=5120", "prompt_len=NaN"},
 		{"length infinite", "prompt_len=5120", "prompt_len=Inf"},
 		{"length twice", "prompt_len=5120", "prompt_len=5120,prompt_len=1"},
 		{"no length", "prompt_len=5120,", ""},
-		{"no output bound", ",max_out=800", ""},
-		{"unknown retry mark", "Req-Retry: 1", "Req-Retry: maybe"},
+		{"no output length", ",max_out=800", ""},
+		{"unknown retry value", "Req-Retry: 1", "Req-Retry: maybe"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if !strings.Contains(validHead, tc.old) {
-				t.Fatal("the case changes nothing")
+				t.Fatal("the valid head lacks the text to replace")
 			}
 			head := strings.Replace(validHead, tc.old, tc.replacement, 1)
-			got, apiErr := clients.ParseRequest(readRequest(t, head), []byte(validBody))
+			got, apiErr := clientProtocol.ParseRequest(readRequest(t, head), []byte(validBody))
 			if apiErr == nil || apiErr.Status != http.StatusBadRequest {
-				t.Errorf("parsed as %+v, error %v", got, apiErr)
+				t.Errorf("request accepted as %+v, error %v", got, apiErr)
 			}
 		})
 	}
 }
 
-func TestParseRequestRejectsBodiesThatAreNoObject(t *testing.T) {
+func TestParseRequestRejectsNonObjectBodies(t *testing.T) {
 	for _, body := range []string{"", "x", "[]", `"a"`, `{"a":`, "\x00"} {
-		_, apiErr := clients.ParseRequest(readRequest(t, validHead), []byte(body))
+		_, apiErr := clientProtocol.ParseRequest(readRequest(t, validHead), []byte(body))
 		if apiErr == nil || apiErr.Status != http.StatusBadRequest {
 			t.Errorf("body %q: error %v", body, apiErr)
 		}
@@ -135,7 +135,7 @@
 				req.Header[i].Value = hints
 			}
 		}
-		got, apiErr := clients.ParseRequest(req, []byte(validBody))
+		got, apiErr := clientProtocol.ParseRequest(req, []byte(validBody))
 		if apiErr != nil {
 			return
 		}
@@ -144,7 +144,7 @@
 		}
 		request := got.Routing
 		for _, tokens := range []float64{request.PromptTokens, request.MaxOutputTokens, request.PrefixTokens} {
-			if !(tokens >= 0 && tokens <= maxTokens) { // not the inverse: NaN must fail
+			if !(tokens >= 0 && tokens <= maxTokens) { // negated as a whole, so that NaN fails
 				t.Errorf("tokens out of bounds: %+v", got)
 			}
 		}
@@ -153,10 +153,10 @@
 
 func TestRespondDirectly(t *testing.T) {
 	notReady := ""
-	c := &Clients{NotReady: func() string { return notReady }}
+	c := &ClientProtocol{NotReadyReason: func() string { return notReady }}
 	for _, tc := range []struct {
 		requestLine string
-		want        int // 0: it goes on to ParseRequest
+		want        int // 0 = no direct response: ParseRequest follows
 	}{
 		{"POST /v1/chat/completions HTTP/1.1", 0},
 		{"GET /v1/chat/completions HTTP/1.1", http.StatusMethodNotAllowed},
@@ -175,9 +175,9 @@
 			}
 		})
 	}
-	notReady = "no list"
+	notReady = "no endpoint list"
 	resp := c.RespondDirectly(readRequest(t, "GET /healthz HTTP/1.1\nHost: x"))
 	if resp.Status != http.StatusServiceUnavailable {
-		t.Errorf("not ready: %d", resp.Status)
+		t.Errorf("health check of a node that is not ready: status %d, want 503", resp.Status)
 	}
 }
--- a/internal/node/protocol/engine.go
+++ b/internal/node/protocol/engine.go
@@ -13,16 +13,17 @@
 	"brackenbend/routing"
 )
 
-// releaseMessageSize is the usual size of a release in bytes, so that it is allocated once.
+// releaseMessageSize is the usual size of a release request in bytes, for which memory is allocated in advance.
 const releaseMessageSize = 96
 
-// Engines is the engine protocol of the platform. It holds no state.
-type Engines struct{}
+// EngineProtocol implements the platform's protocol between a node and engines. It holds no state.
+type EngineProtocol struct{}
 
-var _ engine.Protocol = Engines{}
+var _ engine.Protocol = EngineProtocol{}
 
-// AppendHead implements engine.Protocol. The deadline it sends is the time for which the node will wait.
-func (Engines) AppendHead(b []byte, endpoint *engine.Endpoint, call *engine.Call) []byte {
+// AppendHead implements engine.Protocol. The deadline field holds the time that is left until the call's deadline, when
+// the node stops waiting.
+func (EngineProtocol) AppendHead(b []byte, endpoint *engine.Endpoint, call *engine.Call) []byte {
 	b = append(b, "POST "...)
 	b = append(b, call.Path...)
 	b = append(b, " HTTP/1.1\r\n"...)
@@ -30,7 +31,7 @@
 	b = http1.AppendField(b, "Content-Type", "application/json")
 	b = http1.AppendField(b, "Content-Length", strconv.Itoa(len(call.Body)))
 	b = http1.AppendField(b, headerRequestID, call.ID)
-	if call.IdempotencyKey != "" { // engines recognize repeats of a request by it
+	if call.IdempotencyKey != "" { // engines use it to recognize retries
 		b = http1.AppendField(b, engine.HeaderIdempotencyKey, call.IdempotencyKey)
 	}
 	milliseconds := max(time.Until(call.Deadline).Milliseconds(), 1)
@@ -38,11 +39,11 @@
 }
 
 // ParseReply implements engine.Protocol.
-func (Engines) ParseReply(prefill bool, resp *http1.Response, body []byte, _ error) engine.Outcome {
+func (EngineProtocol) ParseReply(prefill bool, resp *http1.Response, body []byte, _ error) engine.Outcome {
 	if prefill && resp.Status == http.StatusAccepted {
 		return engine.Outcome{Result: routing.PrefillDone, CachedTokens: parseCachedTokens(body)}
 	}
-	out := engine.Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: answered %d", resp.Status)}
+	out := engine.Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine returned status %d", resp.Status)}
 	if resp.Header.Get(headerDeclined) != declinedTrue {
 		return out
 	}
@@ -55,7 +56,8 @@
 	return out
 }
 
-// parseCachedTokens reads how many tokens a prefill found cached; 0 where the reply gives no usable number.
+// parseCachedTokens parses how many tokens of the prompt were cached before a prefill. It returns 0 if the reply has no
+// valid number.
 func parseCachedTokens(body []byte) float64 {
 	tokens := gjson.GetBytes(body, "cached_tokens")
 	if !gjson.ValidBytes(body) || tokens.Type != gjson.Number || tokens.Num < 0 || tokens.Num > maxTokens {
@@ -65,7 +67,7 @@
 }
 
 // ReleaseMessage implements engine.Protocol.
-func (Engines) ReleaseMessage(endpoint *engine.Endpoint, id string) []byte {
+func (EngineProtocol) ReleaseMessage(endpoint *engine.Endpoint, id string) []byte {
 	b := append(make([]byte, 0, releaseMessageSize), "DELETE "+pathStatePrefix...)
 	b = append(b, id...)
 	b = append(b, " HTTP/1.1\r\n"...)
@@ -73,4 +75,4 @@
 }
 
 // ReleaseAccepted implements engine.Protocol.
-func (Engines) ReleaseAccepted(status int) bool { return status/100 == 2 }
+func (EngineProtocol) ReleaseAccepted(status int) bool { return status/100 == 2 }
--- a/internal/node/protocol/engine_test.go
+++ b/internal/node/protocol/engine_test.go
@@ -11,7 +11,8 @@
 	"brackenbend/routing"
 )
 
-// TestParseReply holds the platform's table of complete replies, row for row; broken ones are the engine package's.
+// TestParseReply checks the outcome of each reply in the platform's table of complete replies. Broken replies are
+// tested in package engine.
 func TestParseReply(t *testing.T) {
 	for _, tc := range []struct {
 		prefill      bool
@@ -46,7 +47,7 @@
 			if tc.declined != "" {
 				resp.Header = http1.Header{{Name: "srv-declined", Value: tc.declined}}
 			}
-			got := Engines{}.ParseReply(tc.prefill, resp, []byte(tc.body), nil)
+			got := EngineProtocol{}.ParseReply(tc.prefill, resp, []byte(tc.body), nil)
 			if got.Result != tc.want || got.StateMissing != tc.stateMissing || got.CachedTokens != tc.cachedTokens {
 				t.Errorf("outcome %+v", got)
 			}
@@ -59,7 +60,7 @@
 
 func TestAppendHead(t *testing.T) {
 	endpoint := &engine.Endpoint{Address: "10.0.0.1:8000"}
-	head := string(Engines{}.AppendHead(nil, endpoint, &engine.Call{
+	head := string(EngineProtocol{}.AppendHead(nil, endpoint, &engine.Call{
 		Path: "/v1/chat/completions?x=1", ID: "abc", Body: []byte(validBody), Deadline: time.Now().Add(time.Hour),
 	}))
 	for _, want := range []string{
@@ -69,15 +70,15 @@
 			t.Errorf("%q lacks %q", head, want)
 		}
 	}
-	withKey := string(Engines{}.AppendHead(nil, endpoint, &engine.Call{ID: "abc", IdempotencyKey: "fad03ed3-01"}))
+	withKey := string(EngineProtocol{}.AppendHead(nil, endpoint, &engine.Call{ID: "abc", IdempotencyKey: "fad03ed3-01"}))
 	if !strings.Contains(withKey, "\r\nIdempotency-Key: fad03ed3-01\r\n") || strings.Contains(head, "Idempotency-Key") {
-		t.Errorf("with a key %q, without one %q", withKey, head)
+		t.Errorf("head with an idempotency key %q, without one %q", withKey, head)
 	}
 }
 
 func TestReleaseMessage(t *testing.T) {
 	const want = "DELETE /state/abc HTTP/1.1\r\nHost: 10.0.0.1:8000\r\n\r\n"
-	if got := string(Engines{}.ReleaseMessage(&engine.Endpoint{Address: "10.0.0.1:8000"}, "abc")); got != want {
-		t.Errorf("release %q", got)
+	if got := string(EngineProtocol{}.ReleaseMessage(&engine.Endpoint{Address: "10.0.0.1:8000"}, "abc")); got != want {
+		t.Errorf("release request %q", got)
 	}
 }
--- a/internal/node/protocol/wire_test.go
+++ b/internal/node/protocol/wire_test.go
@@ -17,21 +17,21 @@
 	"brackenbend/routing"
 )
 
-// visible makes each line end of a message readable, so that CR and LF are compared too.
-func visible(s string) string {
+// showLineEndings escapes the line endings of a message, so that the comparison includes CR and LF.
+func showLineEndings(s string) string {
 	s = strings.ReplaceAll(s, "\r", `\r`)
 	return strings.ReplaceAll(s, "\n", "\\n\n") + "\n"
 }
 
-// captureRequest runs send against a peer that answers one request with reply; it returns the bytes that the peer got.
-// The peer's address is replaced, and the remaining deadline, which is 59 s and some milliseconds.
+// captureRequest calls send with an endpoint that answers one request with reply, and returns the bytes that the
+// endpoint received. It replaces the endpoint's address, and the remaining deadline of 59 s and some milliseconds.
 func captureRequest(t *testing.T, reply string, send func(endpoint *engine.Endpoint)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // nothing is to be done about a failure
+	defer func() { _ = listener.Close() }() // an error does not affect the test
 	received := make(chan string, 1)
 	go func() { received <- serveOne(listener, reply) }()
 	endpoint := &engine.Endpoint{ID: 1, Name: "e", Address: listener.Addr().String()}
@@ -41,14 +41,14 @@
 	return regexp.MustCompile(`Req-Deadline-Ms: [3-5]\d{4}\r`).ReplaceAllString(text, "Req-Deadline-Ms: MS\r")
 }
 
-// serveOne answers one request on one connection and returns all bytes that came on it.
+// serveOne answers one request on one connection and returns all bytes that it received.
 func serveOne(listener net.Listener, reply string) string {
 	var raw bytes.Buffer
 	conn, err := listener.Accept()
 	if err != nil {
 		return ""
 	}
-	defer func() { _ = conn.Close() }() // the client has closed it
+	defer func() { _ = conn.Close() }() // the client has already closed it
 	br := bufio.NewReader(io.TeeReader(conn, &raw))
 	req, err := http1.ReadRequest(br, smallLimits)
 	if err != nil {
@@ -56,8 +56,8 @@
 	}
 	var body http1.Body
 	body.Reset(br, &req.Message, smallLimits)
-	_, _ = http1.ReadAll(&body, 1<<20) // what came stands in raw
-	_, _ = io.WriteString(conn, reply) // a failure shows as the client's outcome
+	_, _ = http1.ReadAll(&body, 1<<20) // raw holds what was received
+	_, _ = io.WriteString(conn, reply) // after a failed write, the client's outcome is wrong
 	_, _ = io.Copy(io.Discard, br)     // until the client closes
 	return raw.String()
 }
@@ -72,15 +72,15 @@
 var decodeReply = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 	string(http1.AppendChunk(nil, []byte("data: {\"a\":1}\n\ndata: [DONE]\n\n"))) + "0\r\n\r\n"
 
-// discard is a client that takes all events.
-type discard struct{}
+// discardEvents is a client that accepts all events.
+type discardEvents struct{}
 
-func (discard) Begin() bool               { return true }
-func (discard) Events([]byte, bool) error { return nil }
+func (discardEvents) Begin() bool               { return true }
+func (discardEvents) Events([]byte, bool) error { return nil }
 
 func newEngineClient() *engine.Client {
 	return &engine.Client{
-		Protocol:            Engines{},
+		Protocol:            EngineProtocol{},
 		LoadReportHeader:    HeaderLoadReport,
 		StateByRequestID:    true,
 		RequireLastChunk:    true,
@@ -98,7 +98,8 @@
 	}
 }
 
-// TestEngineRequestBytes holds every byte of prefills, decodes and releases as an engine's socket gets them.
+// TestEngineRequestBytes compares every byte of prefills, decodes and releases that reaches the socket of an engine
+// with golden files.
 func TestEngineRequestBytes(t *testing.T) {
 	for _, tc := range []struct {
 		golden         string
@@ -117,20 +118,20 @@
 					SingleUseConn: tc.singleUseConn, Body: body, Deadline: time.Now().Add(time.Minute),
 				}
 			}
-			golden.Check(t, tc.golden, exchangeAll(t, newEngineClient(), call))
+			golden.Check(t, tc.golden, captureAllRequests(t, newEngineClient(), call))
 		})
 	}
 }
 
-// exchangeAll returns the bytes of a prefill and a decode of two bodies each, and of a release.
-func exchangeAll(t *testing.T, client *engine.Client, call func(body []byte) engine.Call) string {
+// captureAllRequests returns the bytes of a prefill and a decode of two bodies each, and of a release.
+func captureAllRequests(t *testing.T, client *engine.Client, call func(body []byte) engine.Call) string {
 	t.Helper()
 	var all strings.Builder
 	for _, text := range []string{
 		`{"model":"chat","stream":true}`,
 		`{ "stream":false, "model":"chat","kv_transfer_params":{"a":1} }`,
 	} {
-		body := prompt(text)
+		body := rawPrompt(text)
 		prefill := captureRequest(t, prefillReply, func(endpoint *engine.Endpoint) {
 			out := client.Prefill(&engine.Attempt{}, endpoint, call(body.PrefillBody()))
 			if out.Result != routing.PrefillDone {
@@ -139,12 +140,12 @@
 		})
 		decode := captureRequest(t, decodeReply, func(endpoint *engine.Endpoint) {
 			decodeCall := call(body.DecodeBody([]byte(`{"b":2}`), true))
-			out := client.Decode(&engine.Attempt{}, endpoint, decodeCall, discard{})
+			out := client.Decode(&engine.Attempt{}, endpoint, decodeCall, discardEvents{})
 			if out.Result != routing.Served {
 				t.Errorf("result %d, %v", out.Result, out.Err)
 			}
 		})
-		fmt.Fprintf(&all, "== read\n%s== write\n%s", visible(prefill), visible(decode))
+		fmt.Fprintf(&all, "== read\n%s== write\n%s", showLineEndings(prefill), showLineEndings(decode))
 	}
 	release := captureRequest(t, releaseReply, func(endpoint *engine.Endpoint) {
 		deadline := time.Now().Add(time.Minute)
@@ -152,32 +153,33 @@
 			t.Error(err)
 		}
 	})
-	fmt.Fprintf(&all, "== release\n%s", visible(release))
+	fmt.Fprintf(&all, "== release\n%s", showLineEndings(release))
 	return all.String()
 }
 
-// TestRequestHeadBytes holds a head whose deadline has passed: it has no random part at all.
-func TestRequestHeadBytes(t *testing.T) {
+// TestRequestHeadBytesAfterDeadline compares a whole head. The deadline has passed, so that the remaining time is
+// always sent as 1 ms.
+func TestRequestHeadBytesAfterDeadline(t *testing.T) {
 	endpoint := &engine.Endpoint{Address: "10.0.0.1:8000"}
 	const want = "POST /v1/x HTTP/1.1\r\nHost: 10.0.0.1:8000\r\nContent-Type: application/json\r\n" +
 		"Content-Length: 2\r\nReq-Id: abc\r\nIdempotency-Key: k\r\nReq-Deadline-Ms: 1\r\n"
 	call := &engine.Call{Path: "/v1/x", ID: "abc", IdempotencyKey: "k", Body: []byte("{}")}
-	if got := string(Engines{}.AppendHead(nil, endpoint, call)); got != want {
+	if got := string(EngineProtocol{}.AppendHead(nil, endpoint, call)); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
 
 func TestReleaseAccepted(t *testing.T) {
 	for status, want := range map[int]bool{199: false, 200: true, 204: true, 299: true, 300: false, 404: false} {
-		if got := (Engines{}).ReleaseAccepted(status); got != want {
+		if got := (EngineProtocol{}).ReleaseAccepted(status); got != want {
 			t.Errorf("status %d: accepted %v, want %v", status, got, want)
 		}
 	}
 }
 
-// TestNotReadyBody holds the response to a health check of a node that should get no clients.
+// TestNotReadyBody compares the response to a health check of a node that is not ready.
 func TestNotReadyBody(t *testing.T) {
-	c := &Clients{NotReady: func() string { return "draining" }}
+	c := &ClientProtocol{NotReadyReason: func() string { return "draining" }}
 	const want = `{"error":{"message":"draining","type":"server_error","param":null,"code":null}}`
 	for _, method := range []string{"GET", "HEAD"} {
 		resp := c.RespondDirectly(readRequest(t, method+" /healthz HTTP/1.1\nHost: x"))
--- a/internal/node/state_release_test.go
+++ b/internal/node/state_release_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// decodeUntilCancel closes started with its first call, and waits for the node to cancel it.
+// decodeUntilCancel closes started when it is called, and waits until the node cancels the request.
 func decodeUntilCancel(started chan struct{}) engineHandler {
 	return func(e *fakeEngine, w http.ResponseWriter, r *http.Request) {
 		close(started)
@@ -17,7 +17,7 @@
 	}
 }
 
-// disconnectDuringDecode sends a request of an idempotent class and closes its connection once its decode has started.
+// disconnectDuringDecode sends a request of an idempotent class and closes its connection after the decode has started.
 func disconnectDuringDecode(t *testing.T, n *Node, started <-chan struct{}) {
 	t.Helper()
 	c := dialNode(t, n)
@@ -26,9 +26,9 @@
 	closeConn(c)
 }
 
-// TestStateIsReleasedAtAnotherEngine: the prefill engine can't be reached any more when the client disconnects; the
-// read state is released at another engine.
-func TestStateIsReleasedAtAnotherEngine(t *testing.T) {
+// TestStateIsReleasedThroughAnotherEngine checks that a read state is released through another engine if the prefill
+// engine is unreachable when the client disconnects.
+func TestStateIsReleasedThroughAnotherEngine(t *testing.T) {
 	prefill := newPrefillEngine(t, replyPrefill)
 	started := make(chan struct{})
 	decode := newDecodeEngine(t, func(e *fakeEngine, w http.ResponseWriter, r *http.Request) {
@@ -38,19 +38,19 @@
 	})
 	n, _ := startNode(t, nodeSetup{}, prefill, decode)
 	disconnectDuringDecode(t, n, started)
-	decode.waitFor("DELETE aa01")
+	decode.waitForRequest("DELETE aa01")
 }
 
-// barrier lets calls through once enough of them are open at one time.
+// barrier blocks requests until a certain number of them are open at the same time.
 type barrier struct {
 	mu       sync.Mutex
 	open     int
 	want     int
-	full     chan struct{} // closed once so many are open
-	canceled chan struct{} // one for each that ended before
+	full     chan struct{} // closed when want requests are open
+	canceled chan struct{} // receives one value per request that was canceled before that
 }
 
-// enter waits for the others, or for the end of the call.
+// enter waits until the barrier is full or the request is canceled.
 func (b *barrier) enter(r *http.Request) {
 	b.mu.Lock()
 	if b.open++; b.open == b.want {
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestReleaseIsNotDelayedByLostEngines: the engine that holds a state and two others do not answer a release. The next
-// one is called while the calls to them are still open, not after each one's timeout.
-func TestReleaseIsNotDelayedByLostEngines(t *testing.T) {
+// TestReleaseIsNotDelayedByUnresponsiveEngines checks that releases are sent to further engines in parallel, not after
+// the timeout of each, if the engine that holds the state and two others do not answer.
+func TestReleaseIsNotDelayedByUnresponsiveEngines(t *testing.T) {
 	b := &barrier{want: 4, full: make(chan struct{}), canceled: make(chan struct{}, 100)}
 	started := make(chan struct{})
 	engines := []*fakeEngine{newPrefillEngine(t, replyPrefill)}
@@ -84,12 +84,12 @@
 	select {
 	case <-b.full:
 	case <-b.canceled:
-		t.Error("a call was canceled before all were made")
+		t.Error("a release was canceled before releases were sent to all engines")
 	}
 }
 
-// TestFailedReleaseIsRetried: no engine accepts a release for some time, well beyond one round of calls. It is retried
-// until one does.
+// TestFailedReleaseIsRetried lets all engines fail releases for longer than one round of attempts. The release must be
+// retried until an engine accepts it.
 func TestFailedReleaseIsRetried(t *testing.T) {
 	var mu sync.Mutex
 	failures, accepted, started := 20, make(chan struct{}), make(chan struct{})
@@ -115,20 +115,20 @@
 	}
 }
 
-// TestReleaseThatOvertakesCanceledDecodeIsRepeated: the client disconnects, and the release reaches its engine before
-// the decode engine has seen that its connection was closed. The state, for which a decode seems to wait, stays. The
-// release is sent once more.
-func TestReleaseThatOvertakesCanceledDecodeIsRepeated(t *testing.T) {
-	started, overtaken, released := make(chan struct{}), make(chan struct{}), make(chan struct{})
+// TestReleaseArrivingBeforeDecodeEndsIsRepeated covers a client that disconnects during a decode. The release arrives
+// before the decode engine has noticed that its connection was closed, and is ignored because a decode seems to need
+// the state. The release must be sent once more.
+func TestReleaseArrivingBeforeDecodeEndsIsRepeated(t *testing.T) {
+	started, firstRelease, secondRelease := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	decode := newDecodeEngine(t, func(e *fakeEngine, w http.ResponseWriter, r *http.Request) {
 		decodeUntilCancel(started)(e, w, r)
-		<-overtaken // it notices only now
+		<-firstRelease // only now notices the canceled decode
 	})
 	prefill := newPrefillEngine(t, replyPrefill)
-	first, second := sync.OnceFunc(func() { close(overtaken) }), sync.OnceFunc(func() { close(released) })
+	first, second := sync.OnceFunc(func() { close(firstRelease) }), sync.OnceFunc(func() { close(secondRelease) })
 	prefill.onRelease = func(*http.Request) {
 		select {
-		case <-overtaken:
+		case <-firstRelease:
 			second()
 		default:
 			first()
@@ -136,18 +136,18 @@
 	}
 	n, _ := startNode(t, nodeSetup{}, prefill, decode)
 	disconnectDuringDecode(t, n, started)
-	<-overtaken
+	<-firstRelease
 	select {
-	case <-released:
-	case <-time.After(1300 * time.Millisecond): // the state's TTL and 0.3 s
-		t.Error("no release came after the decode's end was noticed")
+	case <-secondRelease:
+	case <-time.After(1300 * time.Millisecond): // the state TTL plus 0.3 s
+		t.Error("no release arrived after the engine noticed the end of the decode")
 	}
 }
 
-// TestDoubtfulPrefillIsReleasedBeforeRequestWaits: a connection breaks under a prefill that may have ended well, and no
-// prefill engine is left for a retry. The request waits, but what it may hold does not; it is served once an engine is
-// back.
-func TestDoubtfulPrefillIsReleasedBeforeRequestWaits(t *testing.T) {
+// TestPrefillOfUnknownOutcomeIsReleasedBeforeRequestWaits breaks the connection of a prefill that may have succeeded,
+// while no other prefill engine is available for a retry. The read state that the prefill may have left must be
+// released before the request waits. The request is served once an engine is available again.
+func TestPrefillOfUnknownOutcomeIsReleasedBeforeRequestWaits(t *testing.T) {
 	prefill, decode := newPrefillEngine(t, nil), newDecodeEngine(t, replyDecode)
 	d := newFakeDiscovery(t, memberList(1, true, member(prefill, "Ready"), member(decode, "Ready")))
 	attempts := 0
@@ -157,7 +157,7 @@
 			return
 		}
 		d.updates <- memberList(2, false, member(prefill, "Terminating"))
-		d.updates <- memberList(3, false) // the node has applied the one before
+		d.updates <- memberList(3, false) // answers a watch that was sent after the previous update was applied
 		panic(http.ErrAbortHandler)
 	}
 	n, _ := startNode(t, nodeSetup{
@@ -166,7 +166,7 @@
 	d.updates <- memberList(1, false)
 	c := dialNode(t, n)
 	c.send(t, chatRequest("aa01", "order"))
-	prefill.waitFor("DELETE aa01")
+	prefill.waitForRequest("DELETE aa01")
 	d.updates <- memberList(4, false, member(prefill, "Ready"))
 	if resp, body, complete := c.receive(t); resp.StatusCode != http.StatusOK || !complete {
 		t.Errorf("%d %q", resp.StatusCode, body)
@@ -176,9 +176,10 @@
 	}
 }
 
-// TestDoubtfulPrefillIsReleasedBeforeRetry: a connection breaks under a prefill that may have ended well, and the
-// request is retried at once. The retry may never arrive, so what the first attempt left is released before it is sent.
-func TestDoubtfulPrefillIsReleasedBeforeRetry(t *testing.T) {
+// TestPrefillOfUnknownOutcomeIsReleasedBeforeRetry breaks the connection of a prefill that may have succeeded, and the
+// request is retried at once. The retry may never arrive, so the read state that the first attempt may have left must
+// be released before the retry is sent.
+func TestPrefillOfUnknownOutcomeIsReleasedBeforeRetry(t *testing.T) {
 	attempts := 0
 	prefill := newPrefillEngine(t, func(e *fakeEngine, w http.ResponseWriter, r *http.Request) {
 		if attempts++; attempts == 1 {
@@ -197,8 +198,8 @@
 	}
 }
 
-// TestRestartedEngineGetsNewConnection: a process comes back under the same id and address; idle connections to the old
-// one are not used, though nothing shows that they are dead.
+// TestRestartedEngineGetsNewConnection checks that idle connections to an engine are not used any more after its
+// process was restarted with the same id and address, even though the connections do not appear to be broken.
 func TestRestartedEngineGetsNewConnection(t *testing.T) {
 	prefill, decode := newPrefillEngine(t, nil), newDecodeEngine(t, replyDecode)
 	var mu sync.Mutex
@@ -217,15 +218,15 @@
 		if i == 2 {
 			restarted := strings.Replace(member(prefill, "Ready"), `"up_since_ms":0`, `"up_since_ms":1700000000123`, 1)
 			d.updates <- memberList(2, false, restarted)
-			d.updates <- memberList(2, false) // the node has applied the one before
+			d.updates <- memberList(2, false) // answers a watch that was sent after the previous update was applied
 		}
-		time.Sleep(2 * reuseDelay) // a connection may be used again then
+		time.Sleep(2 * reuseDelay) // after which an idle connection may be used again
 		c.send(t, chatRequest(id, "enquiry"))
 		if resp, _, complete := c.receive(t); resp.StatusCode != http.StatusOK || !complete {
 			t.Errorf("%s: %d", id, resp.StatusCode)
 		}
 	}
 	if len(peers) != 2 {
-		t.Errorf("called on %d connections, want one before the restart and one after it", len(peers))
+		t.Errorf("the engine was called on %d connections, want one before the restart and one after it", len(peers))
 	}
 }
--- a/internal/node/stream_delay_test.go
+++ b/internal/node/stream_delay_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// streamDelays measures how long after its writing an event reaches its client. Engines write the time since start as
-// the content of each event.
+// streamDelays measures the time from the writing of an event by an engine to its arrival at the client. Engines write
+// the time since start as the content of each event.
 type streamDelays struct {
 	start time.Time
 
@@ -24,7 +24,8 @@
 	served  int // complete streams
 }
 
-// writeStream writes a stream of events at an interval; one event for clients whose id begins with "short".
+// writeStream returns a handler that writes a stream of events at an interval, or of one event for clients whose id
+// begins with "short".
 func (d *streamDelays) writeStream(events int, interval time.Duration) engineHandler {
 	return func(_ *fakeEngine, w http.ResponseWriter, r *http.Request) {
 		n := events
@@ -42,7 +43,7 @@
 	}
 }
 
-// readStream reads a stream and records its events' delays.
+// readStream reads a stream and records the delays of its events.
 func (d *streamDelays) readStream(body io.Reader) {
 	buf, pending := make([]byte, 4096), ""
 	var err error
@@ -59,7 +60,7 @@
 	}
 }
 
-// record records the events in text and returns what follows the last complete one.
+// record records the complete events in text and returns the rest.
 func (d *streamDelays) record(text string, now time.Duration) (rest string) {
 	for {
 		event, rest, complete := strings.Cut(text, "\n\n")
@@ -80,8 +81,8 @@
 	}
 }
 
-// connectAndCollect runs collections, with clients that come and go, until stop is closed.
-func connectAndCollect(t *testing.T, n *Node, stop <-chan struct{}) {
+// runClientsAndGC runs garbage collections and short client connections alternately until stop is closed.
+func runClientsAndGC(t *testing.T, n *Node, stop <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -96,21 +97,22 @@
 	}
 }
 
-// TestEventsAreRelayedInTime: hundreds of streams on one processor, with collections running, clients that come and go
-// beside them and some that read nothing. Every event reaches its client within 0.3 s of its engine's writing.
+// TestEventsAreRelayedInTime relays hundreds of streams on one processor, during garbage collections and next to
+// clients that connect and disconnect or never read. Every event must reach its client within 0.3 s after its engine
+// wrote it.
 func TestEventsAreRelayedInTime(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const streams, events, interval, maxDelay = 200, 15, 200 * time.Millisecond, 300 * time.Millisecond
 	d := &streamDelays{start: time.Now()}
 	decode := newDecodeEngine(t, d.writeStream(events, interval))
 	prefill := newPrefillEngine(t, replyPrefill)
-	decode.called, prefill.called = make(chan struct{}, 10000), make(chan struct{}, 10000)
+	decode.requestSeen, prefill.requestSeen = make(chan struct{}, 10000), make(chan struct{}, 10000)
 	n, _ := startNode(t, nodeSetup{sockets: 1024}, prefill, decode)
 	stop := make(chan struct{})
 	var background, clients sync.WaitGroup
-	background.Go(func() { connectAndCollect(t, n, stop) })
-	for i := range 5 { // these read nothing
-		dialNode(t, n).send(t, chatRequest(fmt.Sprintf("still%d", i), "order"))
+	background.Go(func() { runClientsAndGC(t, n, stop) })
+	for i := range 5 { // clients that never read
+		dialNode(t, n).send(t, chatRequest(fmt.Sprintf("unread%d", i), "order"))
 	}
 	for i := range streams {
 		clients.Go(func() {
@@ -118,7 +120,7 @@
 			c.send(t, chatRequest(fmt.Sprintf("long%d", i), "order", "4800", "30000"))
 			resp, err := http.ReadResponse(c.reader, nil)
 			if err != nil || resp.StatusCode != http.StatusOK {
-				return // rejected, for example
+				return // for example if the request was rejected
 			}
 			d.readStream(resp.Body)
 		})
@@ -129,7 +131,7 @@
 	t.Logf("%d of %d streams served, %d events, the latest %v after it was written",
 		d.served, streams, d.events, d.longest)
 	if d.longest > maxDelay {
-		t.Errorf("an event came %v after it was written", d.longest)
+		t.Errorf("an event arrived %v after it was written", d.longest)
 	}
 	if d.served < streams/2 || d.events < d.served*events {
 		t.Errorf("%d of %d streams served, %d events", d.served, streams, d.events)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -9,36 +9,37 @@
 	"brackenbend/internal/node/discovery"
 )
 
-// Timeouts of the calls to discovery. Discovery is an agent on the node's machine, so connections and replies take
-// little time. Whatever happens to earlier calls, a change must be applied within maxStaleness of the time that
-// discovery had it and could be reached; what the other timeouts leave of that is for the watch (Watcher.MaxStaleness).
+// Timeouts of requests to the discovery agent. The agent runs on the node's machine, so connections and replies take
+// little time. However earlier requests fail, the node must apply a change within maxStaleness after the agent has it
+// and is reachable. The watch timeout is what the other timeouts leave of that time (Watcher.MaxStaleness).
 const (
 	maxStaleness             = 6 * time.Second
-	maxSchedulingDelay       = 500 * time.Millisecond // of the node itself, which has a part of a core
+	maxSchedulingDelay       = 500 * time.Millisecond // of the node itself, which may use only a fraction of a core
 	discoveryConnectTimeout  = 250 * time.Millisecond
 	discoveryResponseTimeout = time.Second
 	discoveryMaxBackoff      = 125 * time.Millisecond
 	maxFirstByteTimeout      = 250 * time.Millisecond
 
 	failedConnectTime = discoveryConnectTimeout + discoveryMaxBackoff
-	slowListTime      = discoveryConnectTimeout + discovery.MaxConcurrentListRequests*maxFirstByteTimeout + discoveryResponseTimeout
+	slowListTime      = discoveryConnectTimeout + discovery.MaxListRequests*maxFirstByteTimeout + discoveryResponseTimeout
 	watchTimeout      = maxStaleness - maxSchedulingDelay - maxFirstByteTimeout - failedConnectTime - slowListTime
 )
 
-// minFirstByteTimeout keeps the node from repeating requests before an agent on the same machine can answer.
+// minFirstByteTimeout leaves an agent on the same machine enough time to answer before a request is repeated.
 const minFirstByteTimeout = 50 * time.Millisecond
 
-// maxListBytes bounds a list of discovery.
+// maxListBytes is the largest size of a list from the discovery agent.
 const maxListBytes = 8 << 20
 
-// firstByteTimeout is how long discovery may be silent when it owes a reply, before the request is repeated. What the
-// agent has when it comes back counts at once, and it does not answer what it was asked before: so half of the time in
-// which sends to a draining endpoint have to stop.
+// firstByteTimeout returns how long to wait for an overdue reply before the request is repeated. The node must stop
+// sending to a draining endpoint within DrainGrace of the time that the agent reports it, even if the agent has just
+// come back and does not answer the requests that it received before. Half of DrainGrace is therefore left for the
+// wait.
 func (c *Config) firstByteTimeout() time.Duration {
 	return min(max(c.Site.Routing.DrainGrace/2, minFirstByteTimeout), maxFirstByteTimeout)
 }
 
-// newWatcher makes the watcher of discovery.
+// newWatcher returns a watcher of the discovery agent.
 func (c *Config) newWatcher(onUpdate func(endpointslice.Update), log *zap.Logger) *discovery.Watcher {
 	watcher := &discovery.Watcher{
 		OnUpdate:         onUpdate,
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -7,8 +7,9 @@
 	"brackenbend/internal/node/discovery"
 )
 
-// TestWatchTimeoutsKeepPlatformStaleness adds up the timeouts, each at its worst, and the node's own delay.
-func TestWatchTimeoutsKeepPlatformStaleness(t *testing.T) {
+// TestWatchTimeoutsKeepMaxStaleness checks the sum of the timeouts in the worst case, and the node's own delay, against
+// the platform's limit.
+func TestWatchTimeoutsKeepMaxStaleness(t *testing.T) {
 	w := discovery.Watcher{
 		WatchTimeout:     watchTimeout,
 		ConnectTimeout:   discoveryConnectTimeout,
@@ -17,14 +18,14 @@
 		MaxBackoff:       discoveryMaxBackoff,
 	}
 	if staleness := w.MaxStaleness() + maxSchedulingDelay; staleness > maxStaleness {
-		t.Errorf("a change may go unnoticed for %v, %v are allowed", staleness, maxStaleness)
+		t.Errorf("a change may go unnoticed for %v; at most %v are allowed", staleness, maxStaleness)
 	}
 	if watchTimeout < 2*time.Second {
-		t.Errorf("a watch waits %v: that is polling", watchTimeout)
+		t.Errorf("watchTimeout is %v, want at least 2s: shorter watches amount to polling", watchTimeout)
 	}
-	const maxAfterReload = 4 * time.Second // of a list of another discovery, after SIGHUP
+	const maxAfterReload = 4 * time.Second // until the list of another discovery agent is applied after SIGHUP
 	staleness := w.MaxStaleness() - watchTimeout - maxFirstByteTimeout + maxSchedulingDelay
 	if staleness > maxAfterReload {
-		t.Errorf("after a reload the list may take %v", staleness)
+		t.Errorf("after a reload, the list may take %v", staleness)
 	}
 }
--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -13,20 +13,21 @@
 	"brackenbend/internal/golden"
 )
 
-// recordTimeout bounds an exchange that is compared with what was recorded.
+// recordTimeout bounds an exchange that is compared with a golden file.
 const recordTimeout = 20 * time.Second
 
-// retryAfterFields matches the fields that give a measured wait.
+// retryAfterFields matches the header fields with the measured wait before a retry.
 var retryAfterFields = regexp.MustCompile(`Retry-After: [0-9]+\.[0-9]{3}\r\nretry-after-ms: [0-9]+\r`)
 
-// visible makes each line end of a message readable, so that CR and LF are compared too, and replaces a measured wait.
-func visible(s string) string {
+// showLineEndings escapes the line endings of a message, so that the comparison includes CR and LF, and replaces the
+// measured wait before a retry.
+func showLineEndings(s string) string {
 	s = retryAfterFields.ReplaceAllString(s, "Retry-After: S.MMM\r\nretry-after-ms: MS\r")
 	s = strings.ReplaceAll(s, "\r", `\r`)
 	return strings.ReplaceAll(s, "\n", "\\n\n") + "\n"
 }
 
-// exchange sends text on a connection of its own and returns all that comes back until the node ends it.
+// exchange sends text on a new connection and returns all bytes that are received until the node closes it.
 func exchange(t *testing.T, n *Node, text string) string {
 	t.Helper()
 	c := dialNode(t, n)
@@ -42,20 +43,20 @@
 
 const closeHeader = "Connection: close\r\n\r\n"
 
-// closingRequest is a chat request that asks for its connection to be closed.
+// closingRequest returns a chat request that asks for its connection to be closed.
 func closingRequest(id, class string, replace ...string) string {
 	return strings.Replace(chatRequest(id, class, replace...), "\r\n\r\n", "\r\n"+closeHeader, 1)
 }
 
-// bodylessRequest is a request without a body that asks for its connection to be closed.
+// bodylessRequest returns a request without a body that asks for its connection to be closed.
 func bodylessRequest(method, path string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: a\r\n" + closeHeader
 }
 
-// truncateBody takes all but the first three bytes of a chat request's body away.
+// truncateBody cuts the body of a chat request to its first three bytes.
 func truncateBody(request string) string { return request[:len(request)-len(chatBody)+3] }
 
-// TestClientResponseBytes holds what clients of a node get, byte for byte.
+// TestClientResponseBytes compares the responses to clients byte for byte with golden files.
 func TestClientResponseBytes(t *testing.T) {
 	complete := replyRaw(chunkedStreamHead + chunk(completeStream) + "0\r\n\r\n")
 	broken := replyRaw(chunkedStreamHead + chunk(streamEvents[0]) + "0\r\n\r\n")
@@ -107,12 +108,12 @@
 		n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, group.handle))
 		for _, name := range slices.Sorted(maps.Keys(group.requests)) {
 			file := "client-" + group.name + "-" + name + ".golden"
-			golden.Check(t, file, visible(exchange(t, n, group.requests[name])))
+			golden.Check(t, file, showLineEndings(exchange(t, n, group.requests[name])))
 		}
 	}
 }
 
-// TestKeepAliveBytes holds two streams one after another on one connection.
+// TestKeepAliveBytes compares two consecutive streams on one connection with a golden file.
 func TestKeepAliveBytes(t *testing.T) {
 	complete := replyRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(completeStream) + "0\r\n\r\n")
 	n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, complete))
@@ -129,22 +130,24 @@
 			received, all = received+line, all+line
 		}
 	}
-	golden.Check(t, "client-keep-alive.golden", visible(all))
+	golden.Check(t, "client-keep-alive.golden", showLineEndings(all))
 }
 
-// TestHealthBytesWithoutEngines holds the health response of a node that starts without a list: it is ready.
+// TestHealthBytesWithoutEngines compares the health response of a node that starts without an endpoint list with a
+// golden file. The node is ready.
 func TestHealthBytesWithoutEngines(t *testing.T) {
 	n, _ := startNode(t, nodeSetup{})
 	for _, method := range []string{"GET", "HEAD"} {
 		received := exchange(t, n, bodylessRequest(method, "/healthz"))
-		golden.Check(t, "health-without-engines-"+strings.ToLower(method)+".golden", visible(received))
+		golden.Check(t, "health-without-engines-"+strings.ToLower(method)+".golden", showLineEndings(received))
 	}
 }
 
-// TestRejectionBytes: without a decode engine all is rejected. The wait is the router's, and replaced.
+// TestRejectionBytes compares the rejections by a node without a decode engine with golden files. The wait before a
+// retry is chosen by the router and replaced by a placeholder.
 func TestRejectionBytes(t *testing.T) {
 	n, _ := startNode(t, nodeSetup{deadline: time.Second}, newPrefillEngine(t, replyPrefill))
 	for _, class := range []string{"enquiry", "order"} {
-		golden.Check(t, "refusal-"+class+".golden", visible(exchange(t, n, closingRequest("a1", class))))
+		golden.Check(t, "refusal-"+class+".golden", showLineEndings(exchange(t, n, closingRequest("a1", class))))
 	}
 }
