--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	c := dialNode(t, n)
 	defer closeConn(c)
-	_ = c.SetDeadline(time.Now().Add(recordTimeout)) // without it a failing test only ends later
+	_ = c.SetDeadline(time.Now().Add(recordTimeout)) // if this fails, a failing test only takes longer
 	c.send(t, text)
 	received, err := io.ReadAll(c.reader)
 	if err != nil {
@@ -118,7 +118,7 @@
 	complete := replyRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(completeStream) + "0\r\n\r\n")
 	n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, complete))
 	c := dialNode(t, n)
-	_ = c.SetDeadline(time.Now().Add(recordTimeout)) // without it a failing test only ends later
+	_ = c.SetDeadline(time.Now().Add(recordTimeout)) // if this fails, a failing test only takes longer
 	all := ""
 	for _, id := range []string{"a1", "a2"} {
 		c.send(t, chatRequest(id, "order"))
