--- a/internal/simulation/fleet/apiserver.go
+++ b/internal/simulation/fleet/apiserver.go
@@ -12,58 +12,59 @@
 	"brackenbend/routing"
 )
 
-// apiServer sends the endpoint list to the replicas, and is the only actor that applies the scenario's faults to
-// engines and replicas.
+// apiServer simulates the Kubernetes API server: it sends the endpoint list to the replicas and stores the planner's
+// assignments. It is also the only actor that injects the scenario's faults into engines, replicas and planners.
 type apiServer struct {
 	actorBase
 	recorder
-	fleet    *fleet
-	faultRnd *rand.Rand // draws of the scenario's faults, as on sockets
-	linkRnd  *rand.Rand
-	engines  []listedEngine
-	watches  []watch // by replica
-	late     time.Duration
-	cut      bool // from everybody
+	fleet       *fleet
+	faultRnd    *rand.Rand // draws what a fault affects, as in a scenario on sockets
+	linkRnd     *rand.Rand // draws link delays and the backoffs of replicas
+	engines     []listedEngine
+	watches     []watch       // indexed by replica
+	updateDelay time.Duration // added to every update by the fault register-late
+	partitioned bool          // no replica or planner can reach the API server
 
 	assignments   roles.Assignments
-	kinds         map[roles.Role]int // where engines change role
+	kinds         map[roles.Role]int // index of the engine kind that serves a role; nil = no engine changes role
 	plannerMemory plannerMemory
 }
 
-// listedEngine is what the API server knows of an engine.
+// listedEngine is the API server's entry for an engine.
 type listedEngine struct {
 	up, unlisted, draining bool
-	started                time.Duration // 0 = long ago
-	faults                 int           // that strike it
-	harmful                bool          // the health oracle notifies replicas of it
-	flaps                  int           // counts starts and ends of flapping; the engine flaps while it is odd
+	started                time.Duration // latest start of the process; 0 = before the scenario
+	activeFaults           int           // faults in effect on this engine
+	unhealthy              bool          // the health oracle lists the engine as draining
+	flapGeneration         int           // incremented when flapping starts or ends; odd while it lasts
 }
 
-// watch is the stream of updates to one replica: an update that is late delays those after it.
+// watch is the ordered stream of updates to one replica: a delayed update also delays the updates after it.
 type watch struct {
-	down      bool          // the replica was stopped by a fault
-	lastSent  time.Duration // when the latest update was written
-	lastHeard time.Duration // when it arrives
+	down        bool          // the replica is stopped by a fault
+	lastSent    time.Duration // time at which the latest update is sent
+	lastArrival time.Duration // time at which the latest update arrives
 }
 
-// Messages of the API server to others.
+// Messages sent by the API server.
 type (
-	// listUpdate is a list: of one engine (routing.ListChanges), or of all.
+	// listUpdate holds one changed endpoint (routing.ListChanges) or all endpoints (routing.ListFull).
 	listUpdate struct {
 		scope     routing.ListScope
 		endpoints []endpoint
 	}
+	// endpoint is an engine's entry in the endpoint list.
 	endpoint struct {
 		engine  int
 		kind    int
 		state   routing.EndpointState
 		started time.Duration
 	}
-	// processSignal stops a process, or starts it again.
-	processSignal struct{ what string }
+	// processSignal stops the process of a replica or planner, or starts it again.
+	processSignal struct{ signal string }
 )
 
-// The signals. Those that stop a replica are named as their faults.
+// Values of processSignal. The signals that stop a replica have the names of their faults in scenarios.
 const (
 	signalKill        = "front-kill"
 	signalShutdown    = "front-stop"
@@ -73,19 +74,20 @@
 
 // Messages to the API server.
 type (
-	// engineStopped and engineStarted are of an engine's process that stopped by itself or started.
+	// engineStopped and engineStarted report that an engine's process stopped by itself or started.
 	engineStopped struct{ engine int }
 	engineStarted struct {
 		engine int
 		at     time.Duration
 	}
-	// listRequest is a replica that asks for the whole list.
+	// listRequest asks for the full endpoint list on behalf of a replica.
 	listRequest struct{ replica int }
-	// scheduledTask is a task of the API server's own.
+	// scheduledTask is a function that the API server has scheduled for itself.
 	scheduledTask struct{ do func() }
 )
 
-// faultStream is the stream of the draws of faults; their seed is the scenario's, as on sockets.
+// faultStream is the random stream for faults. It is seeded by the scenario, so that a fault affects the same engines
+// as in the same scenario on sockets.
 const faultStream = 1
 
 func newAPIServer(f *fleet) *apiServer {
@@ -95,8 +97,8 @@
 	}
 }
 
-// begin sends the first lists and schedules the faults.
-func (s *apiServer) begin() {
+// start sends the initial endpoint lists and schedules the faults.
+func (s *apiServer) start() {
 	s.engines, s.watches = make([]listedEngine, len(s.fleet.engines)), make([]watch, len(s.fleet.replicas))
 	for i, e := range s.fleet.engines {
 		s.engines[i].up = true
@@ -109,12 +111,12 @@
 	slices.SortStableFunc(faults, func(a, b scenario.Fault) int { return cmp.Compare(a.At, b.At) })
 	for i := range faults {
 		fault := &faults[i]
-		trial := scenario.NormalConditions()
-		if trial.Change(fault) != nil { // applied by the clients
+		conditions := scenario.NormalConditions()
+		if conditions.Change(fault) != nil { // the fault changes client behavior and is applied by the clients actor
 			continue
 		}
 		s.runTask(fault.At, func() {
-			if undo := s.apply(fault); undo != nil {
+			if undo := s.applyFault(fault); undo != nil {
 				s.runTask(fault.For, undo)
 			}
 		})
@@ -144,10 +146,11 @@
 	}
 }
 
-// endpoint returns an engine as the list has it: its state here, adapted by its assignment.
+// endpoint returns an engine's entry in the endpoint list: the state of its process and faults, combined with its role
+// assignment.
 func (s *apiServer) endpoint(i int) endpoint {
 	e := s.fleet.engines[i]
-	listed := endpoint{i, s.fleet.settings.KindIndex(e.kind.Name), s.state(i), s.engines[i].started}
+	listed := endpoint{i, s.fleet.settings.KindIndex(e.kind.Name), s.endpointState(i), s.engines[i].started}
 	if assigned, ok := s.assignments.Entries[e.name]; ok {
 		listed.kind = s.kinds[assigned.Role]
 		if listed.state == routing.EndpointReady && !assigned.Serving {
@@ -160,19 +163,19 @@
 	return listed
 }
 
-func (s *apiServer) state(i int) routing.EndpointState {
+func (s *apiServer) endpointState(i int) routing.EndpointState {
 	switch e := &s.engines[i]; {
 	case e.unlisted || !e.up:
 		return routing.EndpointGone
-	case e.draining || e.harmful:
+	case e.draining || e.unhealthy:
 		return routing.EndpointDraining
 	}
 	return routing.EndpointReady
 }
 
-// sendChange notifies every replica of one engine.
+// sendChange sends every replica the current entry of one engine.
 func (s *apiServer) sendChange(engine int) {
-	if s.cut {
+	if s.partitioned {
 		return
 	}
 	update := listUpdate{routing.ListChanges, []endpoint{s.endpoint(engine)}}
@@ -183,9 +186,9 @@
 	}
 }
 
-// sendFullList sends a replica the whole list.
+// sendFullList sends a replica the full endpoint list.
 func (s *apiServer) sendFullList(replica int) {
-	if s.cut || s.watches[replica].down {
+	if s.partitioned || s.watches[replica].down {
 		return
 	}
 	update := listUpdate{scope: routing.ListFull}
@@ -197,15 +200,16 @@
 
 func (s *apiServer) sendUpdate(replica int, update listUpdate) {
 	r, w := s.fleet.replicas[replica], &s.watches[replica]
-	w.lastSent = max(w.lastSent, s.now()+s.late)
-	w.lastHeard = max(w.lastSent+s.fleet.hop(s.linkRnd), w.lastHeard)
-	for _, listed := range update.endpoints { // drains count from when they are heard, readiness from when it is sent
+	w.lastSent = max(w.lastSent, s.now()+s.updateDelay)
+	w.lastArrival = max(w.lastSent+s.fleet.linkDelay(s.linkRnd), w.lastArrival)
+	for _, listed := range update.endpoints {
+		// The audit counts a drain from the arrival of the update, and readiness from when the update is sent.
 		name := s.fleet.engines[listed.engine].name
 		if listed.state == routing.EndpointReady {
 			s.record(w.lastSent, audit.Event{Kind: audit.NotifiedReady, Replica: r.name, Engine: name})
 		} else {
-			s.record(w.lastHeard, audit.Event{Kind: audit.NotifiedGone, Replica: r.name, Engine: name})
+			s.record(w.lastArrival, audit.Event{Kind: audit.NotifiedGone, Replica: r.name, Engine: name})
 		}
 	}
-	s.send(r.id, w.lastHeard-s.now(), update)
+	s.send(r.id, w.lastArrival-s.now(), update)
 }
--- a/internal/simulation/fleet/apiserver_faults.go
+++ b/internal/simulation/fleet/apiserver_faults.go
@@ -6,30 +6,30 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// pick draws the engines that a fault strikes, as a scenario on sockets does.
-func (s *apiServer) pick(f *scenario.Fault) []int {
+// pickEngines draws the engines that a fault affects, in the same way as a scenario on sockets.
+func (s *apiServer) pickEngines(f *scenario.Fault) []int {
 	var candidates []int
 	for i, e := range s.fleet.engines {
 		listed := &s.engines[i]
-		if (f.Kind == "" || e.kind.Name == f.Kind) && listed.up && listed.faults == 0 && !listed.draining {
+		if (f.Kind == "" || e.kind.Name == f.Kind) && listed.up && listed.activeFaults == 0 && !listed.draining {
 			candidates = append(candidates, i)
 		}
 	}
 	return scenario.Draw(f, s.faultRnd, candidates)
 }
 
-// apply begins a fault and returns what ends it.
-func (s *apiServer) apply(f *scenario.Fault) (undo func()) {
+// applyFault starts a fault. undo ends it; nil means that the fault has no end.
+func (s *apiServer) applyFault(f *scenario.Fault) (undo func()) {
 	switch f.What {
 	case "front-kill", "front-stop":
 		return s.stopReplicas(f)
 	case "register-cut":
-		s.cut = true
+		s.partitioned = true
 		return func() { s.reconnect(f.For) }
 	case "register-late":
-		s.late = f.Late
-		return func() { s.late = 0 }
-	case "register-compact": // watches end, and replicas ask for the whole list
+		s.updateDelay = f.Late
+		return func() { s.updateDelay = 0 }
+	case "register-compact": // the watches end, and each replica fetches the full list again
 		for i := range s.fleet.replicas {
 			s.sendFullList(i)
 		}
@@ -38,7 +38,7 @@
 		s.signalPlanners(signalStopPlanner)
 		return func() { s.signalPlanners(signalStart) }
 	case "role-force":
-		for _, i := range s.pick(f) {
+		for _, i := range s.pickEngines(f) {
 			s.forceRole(s.fleet.engines[i].name)
 		}
 		return nil
@@ -46,13 +46,14 @@
 	return s.applyToEngines(f)
 }
 
+// applyToEngines starts a fault on the engines that it draws.
 func (s *apiServer) applyToEngines(f *scenario.Fault) (undo func()) {
-	picked := s.pick(f)
-	notifies := s.notifiesHarm(f, len(picked))
+	picked := s.pickEngines(f)
+	unhealthy := s.marksUnhealthy(f, len(picked))
 	for _, i := range picked {
-		s.engines[i].faults++
-		if notifies {
-			s.engines[i].harmful = true
+		s.engines[i].activeFaults++
+		if unhealthy {
+			s.engines[i].unhealthy = true
 			s.sendChange(i)
 		}
 		s.applyToEngine(i, f, true)
@@ -60,83 +61,85 @@
 	return func() {
 		for _, i := range picked {
 			s.applyToEngine(i, f, false)
-			s.engines[i].faults--
-			if notifies {
-				s.engines[i].harmful = false
+			s.engines[i].activeFaults--
+			if unhealthy {
+				s.engines[i].unhealthy = false
 				s.sendChange(i)
 			}
 		}
 	}
 }
 
-// maxWatchBackoff is the longest time that a replica waits before it asks for the list again.
+// maxWatchBackoff is the longest backoff of a replica before it lists the endpoints again.
 const maxWatchBackoff = 5 * time.Second
 
-// reconnect ends a cut of some length: each replica asks for the list when its backoff is over.
-func (s *apiServer) reconnect(length time.Duration) {
-	s.cut = false
+// reconnect ends a partition. Each replica receives the full list after a random backoff, which is at most as long as
+// the outage and maxWatchBackoff.
+func (s *apiServer) reconnect(outage time.Duration) {
+	s.partitioned = false
 	for i := range s.fleet.replicas {
-		backoff := min(length, maxWatchBackoff)
+		backoff := min(outage, maxWatchBackoff)
 		s.runTask(time.Duration(s.linkRnd.Float64()*float64(backoff)), func() { s.sendFullList(i) })
 	}
 }
 
-// applyToEngine begins or ends a fault of one engine.
-func (s *apiServer) applyToEngine(i int, f *scenario.Fault, on bool) {
+// applyToEngine starts or ends a fault on one engine.
+func (s *apiServer) applyToEngine(i int, f *scenario.Fault, active bool) {
 	listed := &s.engines[i]
 	switch f.What {
 	case "drain":
-		listed.draining = on
+		listed.draining = active
 		s.sendChange(i)
 		return
-	case "remove", "register-stale": // the outdated event after a removal is ignored by replicas
-		listed.unlisted = on
+	case "remove", "register-stale": // replicas ignore the outdated event that follows a removal
+		listed.unlisted = active
 		s.sendChange(i)
 		return
 	case "register-flap":
-		listed.flaps++
-		s.flap(i, listed.flaps)
+		listed.flapGeneration++
+		s.flap(i, listed.flapGeneration)
 		return
-	case "reports-frozen", "reports-none": // no replica decides by load reports
+	case "reports-frozen", "reports-none": // no replica uses load reports for its decisions
 		return
 	case "crash":
-		if on { // the API server learns of a process's end as soon as others do
+		if active { // the API server detects the end of a process without delay
 			listed.up = false
 			s.sendChange(i)
 		}
 	}
-	fault := engineFault{f.What, on, f.Part, f.Factor, f.Class}
-	s.send(s.fleet.engines[i].id, s.fleet.hop(s.linkRnd), fault)
+	fault := engineFault{f.What, active, f.Part, f.Factor, f.Class}
+	s.send(s.fleet.engines[i].id, s.fleet.linkDelay(s.linkRnd), fault)
 }
 
-// flap takes an engine off the list or puts it back, and again while the count of its flaps is the given one.
-func (s *apiServer) flap(i, flaps int) {
+// flap toggles whether an engine is listed, and repeats this every scenario.FlapInterval until the engine's flap
+// generation changes. An even generation lists the engine again and stops.
+func (s *apiServer) flap(i, generation int) {
 	listed := &s.engines[i]
 	switch {
-	case listed.flaps != flaps:
+	case listed.flapGeneration != generation:
 		return
-	case flaps%2 == 0:
+	case generation%2 == 0:
 		listed.unlisted = false
 	default:
 		listed.unlisted = !listed.unlisted
-		s.runTask(scenario.FlapInterval, func() { s.flap(i, flaps) })
+		s.runTask(scenario.FlapInterval, func() { s.flap(i, generation) })
 	}
 	s.sendChange(i)
 }
 
-// stopReplicas kills some replicas, or shuts them down.
+// stopReplicas kills as many replicas as the fault says, or shuts them down; undo starts them again.
 func (s *apiServer) stopReplicas(f *scenario.Fault) (undo func()) {
 	var picked []int
 	for _, i := range s.faultRnd.Perm(len(s.fleet.replicas)) {
 		if !s.watches[i].down && len(picked) < max(f.Count, 1) {
 			picked = append(picked, i)
 			s.watches[i].down = true
-			s.send(s.fleet.replicas[i].id, s.fleet.hop(s.linkRnd), processSignal{f.What})
+			s.send(s.fleet.replicas[i].id, s.fleet.linkDelay(s.linkRnd), processSignal{f.What})
 		}
 	}
 	return func() {
 		for _, i := range picked {
-			s.send(s.fleet.replicas[i].id, s.fleet.hop(s.linkRnd), processSignal{signalStart})
+			s.send(s.fleet.replicas[i].id, s.fleet.linkDelay(s.linkRnd), processSignal{signalStart})
 			s.watches[i].down = false
 		}
 	}
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -14,89 +14,89 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// clients is the actor of all clients of the scenario.
+// clients is the actor that simulates all clients of the scenario.
 type clients struct {
 	actorBase
 	recorder
-	fleet       *fleet
-	rnd         *rand.Rand
-	arrivals    *scenario.Arrivals
-	conditions  scenario.Conditions
-	score       *scenario.Score
-	attempts    map[uint64]*clientAttempt // that are open, by number
-	lastAttempt uint64
-	open        int           // sessions
-	lastEnd     time.Duration // when the last session ended
+	fleet        *fleet
+	rnd          *rand.Rand
+	arrivals     *scenario.Arrivals
+	conditions   scenario.Conditions
+	score        *scenario.Score
+	attempts     map[uint64]*clientAttempt // in flight, by attempt number
+	lastAttempt  uint64
+	openSessions int           // sessions that have not ended
+	lastEnd      time.Duration // time at which a session last ended
 }
 
-// clientRequest is the present request of a session.
+// clientRequest is the current request of a session.
 type clientRequest struct {
 	session *scenario.Session
 	key     string
-	sent    time.Duration // its first attempt
+	sent    time.Duration // time of its first attempt
 }
 
-// clientAttempt is one sent request.
+// clientAttempt is one attempt of a request: the client sends it to one replica.
 type clientAttempt struct {
-	number     uint64
-	request    *clientRequest
-	id         string // in the record
-	replica    int
-	sent       time.Duration
-	firstToken time.Duration // 0 = none yet
-	out        int           // tokens of the answer
-	hangsUp    bool          // the client disconnects early
+	number           uint64
+	request          *clientRequest
+	id               string // identifies the attempt in audit events: session.turn/attempt
+	replica          int
+	sent             time.Duration
+	firstToken       time.Duration // 0 = none yet
+	outputTokens     int           // length of the answer
+	disconnectsEarly bool          // the client disconnects before its deadline
 }
 
-// Messages between clients and replicas. Messages are not changed once they are sent.
+// Messages between clients and replicas. They are immutable after they are sent.
 type (
-	// incomingRequest is a request on its way to a replica.
+	// incomingRequest is a request sent by a client to a replica.
 	incomingRequest struct {
-		attempt uint64
-		traits  api.Classification
-		stream  bool
-		wait    time.Duration
-		work    requestWork
+		attempt        uint64
+		classification api.Classification
+		stream         bool
+		timeout        time.Duration
+		work           requestWork
 	}
-	// requestWork is what an engine is sent of a request.
+	// requestWork is the part of a request that a replica forwards to an engine.
 	requestWork struct {
-		prompt, prefixLen float64
-		prefix, session   string
-		out               int
-		class             string
-		idempotency       audit.Class
-		intent, attempt   string // of the record
+		promptTokens, prefixTokens float64
+		prefix, session            string
+		outputTokens               int
+		class                      string
+		idempotency                audit.Class
+		intent, attempt            string // identify the client's request and its attempt in audit events
 	}
-	// clientLeft notifies a replica that the client disconnected.
-	clientLeft struct{ attempt uint64 }
-	// streamBegan notifies a client of the first token.
-	streamBegan struct{ attempt uint64 }
-	// answer is the final answer.
+	// clientDisconnected notifies a replica that the client closed its connection.
+	clientDisconnected struct{ attempt uint64 }
+	// streamStarted notifies a client that the first token of its stream was sent.
+	streamStarted struct{ attempt uint64 }
+	// answer is the final answer to a client's attempt, or the end of its connection without one.
 	answer struct {
 		attempt     uint64
-		kind        string
-		wait        time.Duration
+		result      string
+		retryAfter  time.Duration
 		noAutoRetry bool
 	}
 )
 
-// Kinds of answers and of ends without one, as scenario.Session takes them.
+// Results of a client's attempt, with the values that scenario.Session.AfterAttempt expects.
 const (
-	kindServed      = "served"
-	kindRejected    = "refused"
-	kindDraining    = "turned"
-	kindFailed      = "failed"
-	kindBroken      = "broken"
-	kindCut         = "cut"
-	kindUnconnected = "unconnected"
-	kindHungUp      = "hung up"
-	kindNone        = "none" // the client waited in vain
+	resultServed         = "served"
+	resultRejected       = "refused"
+	resultDraining       = "turned" // rejected by a replica that is shutting down
+	resultFailed         = "failed"
+	resultBroken         = "broken"      // the stream ended before the answer was complete
+	resultConnectionLost = "cut"         // the replica was killed
+	resultNotConnected   = "unconnected" // the replica accepts no connections
+	resultDisconnected   = "hung up"     // the client disconnected
+	resultTimeout        = "none"        // no answer before the client's timeout
 )
 
-// Messages of clients to themselves.
+// Messages that the clients actor schedules for itself.
 type (
 	sessionArrival struct{}
-	// nextAttempt is the next attempt of a request, or the first of the next turn.
+	// nextAttempt is the next attempt of a request, or the first attempt of the session's next turn.
 	nextAttempt      struct{ request *clientRequest }
 	clientTimeout    struct{ attempt uint64 }
 	conditionsChange struct {
@@ -115,8 +115,8 @@
 	}
 }
 
-// begin schedules the faults that concern clients, and the first session.
-func (c *clients) begin() {
+// start schedules the faults that change client behavior, and the first session.
+func (c *clients) start() {
 	for _, change := range c.fleet.scenario.ConditionChanges() {
 		c.schedule(change.At, conditionsChange{change.Do})
 	}
@@ -126,12 +126,12 @@
 func (c *clients) receive(message any) {
 	switch m := message.(type) {
 	case sessionArrival:
-		c.arrive()
+		c.startSession()
 	case nextAttempt:
 		c.sendAttempt(m.request)
 	case conditionsChange:
 		m.apply(&c.conditions)
-	case streamBegan:
+	case streamStarted:
 		if a := c.attempts[m.attempt]; a != nil && a.firstToken == 0 {
 			a.firstToken = c.now()
 		}
@@ -142,19 +142,21 @@
 	}
 }
 
-func (c *clients) arrive() {
+// startSession sends the first request of a new session and schedules the next session. No session starts after the
+// length of the scenario.
+func (c *clients) startSession() {
 	if c.now() > c.fleet.scenario.Length {
 		return
 	}
 	session := c.arrivals.Next(&c.conditions)
 	c.schedule(c.arrivals.Gap(&c.conditions), sessionArrival{})
-	c.open++
+	c.openSessions++
 	c.sendAttempt(&clientRequest{session: session, key: session.Key, sent: c.now()})
 }
 
 const (
-	bytesPerToken = 4 // of prompts, as the replicas' settings state it
-	maxAnswer     = 3 // times the mean of the class
+	bytesPerToken   = 4 // of prompts, as in the replicas' settings
+	maxAnswerFactor = 3 // limit on the length of an answer, as a multiple of the mean of the class
 )
 
 func (c *clients) sendAttempt(r *clientRequest) {
@@ -166,17 +168,17 @@
 	}
 	a.id = fmt.Sprintf("%d.%d", session.ID, session.Turn) + "/" + strconv.Itoa(session.Attempts)
 	message := newIncomingRequest(a, class)
-	a.out = message.work.out
+	a.outputTokens = message.work.outputTokens
 	c.attempts[a.number] = a
-	c.send(c.fleet.replicas[a.replica].id, connectHops*c.fleet.hop(c.rnd), message)
+	c.send(c.fleet.replicas[a.replica].id, connectHops*c.fleet.linkDelay(c.rnd), message)
 	timeout := class.Deadline
 	if session.HangUp > 0 {
-		a.hangsUp, timeout = true, session.HangUp
+		a.disconnectsEarly, timeout = true, session.HangUp
 	}
 	c.schedule(timeout, clientTimeout{a.number})
 }
 
-// intent identifies the request that an attempt belongs to.
+// intent returns the ID of the request that an attempt belongs to; all attempts of the request share it.
 func (a *clientAttempt) intent() string {
 	intent, _, _ := strings.Cut(a.id, "/")
 	return intent
@@ -184,38 +186,39 @@
 
 func newIncomingRequest(a *clientAttempt, class *scenario.Class) incomingRequest {
 	session, key, intent := a.request.session, a.request.key, a.intent()
-	all, prefix := session.PromptBytes()
-	limit := int(class.AnswerTokens) * maxAnswer
+	promptBytes, prefixBytes := session.PromptBytes()
+	limit := int(class.AnswerTokens) * maxAnswerFactor
 	work := requestWork{
-		prompt:      max(float64(all)/bytesPerToken, 1),
-		prefixLen:   float64(prefix) / bytesPerToken,
-		session:     key,
-		out:         min(session.Answer, limit),
-		class:       class.Name,
-		idempotency: audit.Class(class.Idempotency),
-		intent:      intent,
-		attempt:     a.id,
+		promptTokens: max(float64(promptBytes)/bytesPerToken, 1),
+		prefixTokens: float64(prefixBytes) / bytesPerToken,
+		session:      key,
+		outputTokens: min(session.Answer, limit),
+		class:        class.Name,
+		idempotency:  audit.Class(class.Idempotency),
+		intent:       intent,
+		attempt:      a.id,
 	}
-	traits := api.Classification{
+	classification := api.Classification{
 		Class:           session.Class,
 		Tenant:          max(session.Tenant, 0),
 		Session:         xxhash.Sum64String(key),
-		PromptTokens:    float64((all + bytesPerToken - 1) / bytesPerToken),
-		PrefixTokens:    float64(prefix) / bytesPerToken,
+		PromptTokens:    float64((promptBytes + bytesPerToken - 1) / bytesPerToken),
+		PrefixTokens:    float64(prefixBytes) / bytesPerToken,
 		MaxOutputTokens: float64(limit),
 		Retry:           session.MarksRetries && session.Retries > 0,
 	}
-	if prefix > 0 {
-		work.prefix = fmt.Sprintf("%d.%d.%d", session.Prefix.Seed[0], session.Prefix.Seed[1], prefix)
-		traits.Prefix = xxhash.Sum64String(work.prefix)
+	if prefixBytes > 0 {
+		work.prefix = fmt.Sprintf("%d.%d.%d", session.Prefix.Seed[0], session.Prefix.Seed[1], prefixBytes)
+		classification.Prefix = xxhash.Sum64String(work.prefix)
 	}
 	if work.idempotency == audit.IdempotentWithKey {
-		traits.IdempotencyKey = intent
+		classification.IdempotencyKey = intent
 	}
-	return incomingRequest{a.number, traits, session.Stream, class.Deadline, work}
+	return incomingRequest{a.number, classification, session.Stream, class.Deadline, work}
 }
 
-// recordSent records an attempt that reached a replica; one that found no replica was never sent.
+// recordSent records an attempt that reached a replica. The callers skip attempts that could not connect, which were
+// never sent.
 func (c *clients) recordSent(a *clientAttempt) {
 	class := &c.fleet.scenario.Classes[a.request.session.Class]
 	c.record(a.sent, audit.Event{
@@ -224,18 +227,19 @@
 	})
 }
 
-// onTimeout ends the time that a client waits.
+// onTimeout ends an attempt at the client's timeout, or at the time at which the client disconnects early. A stream
+// that has started is not ended by the timeout.
 func (c *clients) onTimeout(number uint64) {
 	a := c.attempts[number]
 	switch {
 	case a == nil:
-	case a.hangsUp:
+	case a.disconnectsEarly:
 		c.record(c.now(), audit.Event{Kind: audit.ClientLeft, Attempt: a.id})
-		c.send(c.fleet.replicas[a.replica].id, c.fleet.hop(c.rnd), clientLeft{number})
-		c.end(a, answer{attempt: number, kind: kindHungUp})
+		c.send(c.fleet.replicas[a.replica].id, c.fleet.linkDelay(c.rnd), clientDisconnected{number})
+		c.endAttempt(a, answer{attempt: number, result: resultDisconnected})
 	case a.firstToken == 0 || !a.request.session.Stream:
-		c.send(c.fleet.replicas[a.replica].id, c.fleet.hop(c.rnd), clientLeft{number})
-		c.end(a, answer{attempt: number, kind: kindNone})
+		c.send(c.fleet.replicas[a.replica].id, c.fleet.linkDelay(c.rnd), clientDisconnected{number})
+		c.endAttempt(a, answer{attempt: number, result: resultTimeout})
 	}
 }
 
@@ -244,36 +248,36 @@
 	if a == nil {
 		return
 	}
-	if session := a.request.session; session.Slow && session.Stream && m.kind == kindServed {
-		if until := a.firstToken + time.Duration(a.out)*scenario.SlowReadDelay; until > c.now() {
+	if session := a.request.session; session.Slow && session.Stream && m.result == resultServed {
+		if until := a.firstToken + time.Duration(a.outputTokens)*scenario.SlowReadDelay; until > c.now() {
 			c.schedule(until-c.now(), m)
 			return
 		}
 	}
-	switch m.kind {
-	case kindUnconnected:
+	switch m.result {
+	case resultNotConnected:
 		replica := c.fleet.replicas[a.replica].name
 		c.record(c.now(), audit.Event{Kind: audit.Unsent, Attempt: a.id, Replica: replica})
-	case kindCut:
+	case resultConnectionLost:
 		c.record(c.now(), audit.Event{Kind: audit.ConnectionCut, Attempt: a.id})
 	default:
-		c.record(c.now(), audit.Event{Kind: audit.Answer, Attempt: a.id, Result: m.kind})
+		c.record(c.now(), audit.Event{Kind: audit.Answer, Attempt: a.id, Result: m.result})
 	}
-	if m.kind == kindServed && a.firstToken == 0 { // not streamed
+	if m.result == resultServed && a.firstToken == 0 { // not streamed
 		a.firstToken = c.now()
 	}
-	c.end(a, m)
+	c.endAttempt(a, m)
 }
 
-// end closes an attempt, and retries, goes on to the next turn or ends the session.
-func (c *clients) end(a *clientAttempt, m answer) {
+// endAttempt ends an attempt. Then the session retries the request, continues with its next turn or ends.
+func (c *clients) endAttempt(a *clientAttempt, m answer) {
 	delete(c.attempts, a.number)
-	if m.kind != kindUnconnected {
+	if m.result != resultNotConnected {
 		c.recordSent(a)
 	}
 	r := a.request
-	again, pause := r.session.AfterAttempt(m.kind, m.noAutoRetry, m.wait, c.now()-r.sent)
-	if again {
+	retry, pause := r.session.AfterAttempt(m.result, m.noAutoRetry, m.retryAfter, c.now()-r.sent)
+	if retry {
 		c.schedule(pause, nextAttempt{r})
 		return
 	}
@@ -281,10 +285,10 @@
 	if a.firstToken > 0 {
 		firstToken = a.firstToken - r.sent
 	}
-	c.score.Add(r.session, r.sent, m.kind, firstToken)
-	more, pause := r.session.NextTurn(m.kind, c.now() > c.fleet.scenario.Length, &c.conditions)
-	if !more {
-		c.open--
+	c.score.Add(r.session, r.sent, m.result, firstToken)
+	hasNextTurn, pause := r.session.NextTurn(m.result, c.now() > c.fleet.scenario.Length, &c.conditions)
+	if !hasNextTurn {
+		c.openSessions--
 		c.lastEnd = c.now()
 		return
 	}
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -14,7 +14,8 @@
 	"brackenbend/routing"
 )
 
-// engine is one engine: the model of the fake engines behind links in place of sockets, with the same faults.
+// engine is the actor of one engine. It runs the same model as the fake engines (enginemodel.Engine) and supports the
+// same faults, but receives its requests as messages instead of over sockets.
 type engine struct {
 	actorBase
 	recorder
@@ -22,62 +23,63 @@
 	rnd    *rand.Rand
 	index  int
 	name   string
-	kind   *scenario.Kind // at the start of the scenario
+	kind   *scenario.Kind // as configured; the engine's role may change later
 	cell   int
 	params enginemodel.Params
 
-	model      *enginemodel.Engine
-	up         bool
-	refuses    bool // connections
-	faults     map[string]engineFault
-	jobs       map[string]*job
-	held       map[string]bool          // states, by attempt
-	released   map[string]time.Duration // by attempt, when its release arrived
-	nextWakeup time.Duration            // that is scheduled; 0 = none is
+	model              *enginemodel.Engine
+	up                 bool
+	refusesConnections bool
+	faults             map[string]engineFault
+	jobs               map[string]*job
+	heldStates         map[string]bool          // attempts whose read state the model holds; used to record its release
+	releasedAt         map[string]time.Duration // when the release of an attempt's state arrived
+	nextWakeup         time.Duration            // time of the scheduled modelWakeup; 0 = none
 
-	prefills, decodes int // that arrived
+	prefills, decodes int // attempts that arrived
 	fetchedTokens     float64
-	pending           pendingWork // by oracles
+	pending           pendingWork // sent by oracles and not yet delivered
 
 	role roleState
 }
 
-// job is one attempt at this engine.
+// job is an attempt that this engine is processing.
 type job struct {
 	enginemodel.Job
-	request        engineRequest
-	begun, fetched bool
-	hasToken       bool // the first is out
-	disconnected   bool
-	resetAt        int // token at which its stream is reset; 0 = never
+	request             engineRequest
+	started, stateReady bool
+	hasFirstToken       bool // the model has generated the first token
+	disconnected        bool
+	resetAtToken        int // number of the token at which the connection is reset; 0 = never
 }
 
 // Messages between replicas and engines.
 type (
-	// attemptRef identifies an attempt at its replica.
+	// attemptRef identifies an attempt to its replica; generation is that of the replica's process.
 	attemptRef struct {
-		run     int
-		request routing.RequestID
-		attempt int
+		generation int
+		request    routing.RequestID
+		attempt    int
 	}
-	// engineRequest is an attempt; it is not changed once it is sent.
+	// engineRequest sends an attempt to an engine. It is immutable after it is sent.
 	engineRequest struct {
 		attemptRef
 		replica     int32
 		id          string
-		replicaName string // for the record
+		replicaName string // for audit events
 		decode      bool
 		state       stateLocation
 		work        requestWork
 	}
-	// stateLocation is where a read state is kept.
+	// stateLocation identifies a read state by the engine that holds it and the prefill attempt that created it.
 	stateLocation struct {
-		engine  int // -1 = nowhere
+		engine  int // -1 = there is no state
 		attempt string
 	}
 	connectionClosed struct{ attempt string }
 	stateRelease     struct{ attempt string }
-	attemptResult    struct {
+	// attemptResult is the result of an attempt; stateMissing: the decode's read state was not available.
+	attemptResult struct {
 		result       routing.Result
 		stateMissing bool
 		cachedTokens float64
@@ -89,15 +91,15 @@
 	firstToken struct{ attemptRef }
 )
 
-// noState is the location of a state that is nowhere.
+// noState is the location of a request that has no read state.
 var noState = stateLocation{engine: -1}
 
-// Messages of engines to each other, and to themselves.
+// Messages between engines, and those that an engine schedules for itself.
 type (
 	stateFetch struct {
-		state  string
-		engine int32 // that asks for it
-		job    string
+		state     string
+		requester int32 // actor ID of the engine that fetches the state
+		job       string
 	}
 	stateFetched struct {
 		job string
@@ -106,7 +108,7 @@
 	modelWakeup struct{}
 )
 
-// cells is the number of cells that a kind's engines are spread over.
+// cells is the number of cells over which the engines of each kind are distributed.
 const cells = 2
 
 func newEngine(f *fleet, k *scenario.Kind, n int) *engine {
@@ -115,15 +117,15 @@
 		index: len(f.engines), name: fmt.Sprintf("%s-%d", k.Name, n+1), kind: k, cell: 1 + n%cells,
 		params: f.scenario.EngineParams(k), up: true, faults: map[string]engineFault{},
 	}
-	e.reset(0, false)
+	e.resetModel(0, false)
 	return e
 }
 
-// reset gives the engine an empty model, as a new process has.
-func (e *engine) reset(now time.Duration, slowStart bool) {
+// resetModel replaces the model by an empty one, as after the start of a process.
+func (e *engine) resetModel(now time.Duration, slowStart bool) {
 	e.model = enginemodel.New(e.params, now, slowStart)
 	e.model.SetSlow(e.slowFactor())
-	e.jobs, e.held, e.released = map[string]*job{}, map[string]bool{}, map[string]time.Duration{}
+	e.jobs, e.heldStates, e.releasedAt = map[string]*job{}, map[string]bool{}, map[string]time.Duration{}
 }
 
 func (e *engine) slowFactor() float64 { return cmp.Or(e.faults["slow"].factor, 1) }
@@ -139,7 +141,7 @@
 	case stateFetch:
 		e.model.Advance(e.now())
 		_, ok := e.model.Take(e.now(), m.state)
-		e.send(m.engine, e.fleet.hop(e.rnd), stateFetched{m.job, ok && e.up})
+		e.send(m.requester, e.fleet.linkDelay(e.rnd), stateFetched{m.job, ok && e.up})
 	case stateFetched:
 		e.onStateFetched(m)
 	case engineFault:
@@ -157,21 +159,22 @@
 			e.model.Advance(e.now())
 		}
 	}
-	e.settle()
+	e.syncWithModel()
 }
 
-// settle follows what the message changed in the model, and schedules the next wakeup.
-func (e *engine) settle() {
-	for id := range e.held {
+// syncWithModel handles the changes that a message caused in the model: read states that are gone, an overload, and a
+// completed drain. It also schedules the model's next wakeup.
+func (e *engine) syncWithModel() {
+	for id := range e.heldStates {
 		if !e.model.Holds(id) {
-			delete(e.held, id)
+			delete(e.heldStates, id)
 			e.record(e.now(), audit.Event{Kind: audit.StateReleased, Engine: e.name, Request: id})
 		}
 	}
 	if e.model.Down() && e.up {
 		e.record(e.now(), audit.Event{Kind: audit.Overloaded, Engine: e.name})
 		e.stop()
-		e.send(e.fleet.apiServer.id, e.fleet.hop(e.rnd), engineStopped{e.index})
+		e.send(e.fleet.apiServer.id, e.fleet.linkDelay(e.rnd), engineStopped{e.index})
 	}
 	e.switchIfDrained()
 	if at, ok := e.model.Next(); ok && e.up && (e.nextWakeup == 0 || at < e.nextWakeup) {
@@ -181,11 +184,11 @@
 }
 
 func (e *engine) reply(m *engineRequest, result attemptResult) {
-	e.send(m.replica, e.fleet.hop(e.rnd), attemptEnded{m.attemptRef, result})
+	e.send(m.replica, e.fleet.linkDelay(e.rnd), attemptEnded{m.attemptRef, result})
 }
 
-// end closes a job's connection with a result.
-func (e *engine) end(j *job, result attemptResult) {
+// endJob removes a job and sends its result to the replica, unless the replica has closed the connection.
+func (e *engine) endJob(j *job, result attemptResult) {
 	if e.jobs[j.ID] != j {
 		return
 	}
@@ -196,10 +199,12 @@
 	}
 }
 
-func (e *engine) endWith(j *job, result routing.Result) { e.end(j, attemptResult{result: result}) }
+func (e *engine) endJobWith(j *job, result routing.Result) {
+	e.endJob(j, attemptResult{result: result})
+}
 
 func (e *engine) onRequest(m engineRequest) {
-	if !e.up || e.refuses {
+	if !e.up || e.refusesConnections {
 		e.reply(&m, attemptResult{result: routing.ConnectFailed})
 		return
 	}
@@ -220,77 +225,78 @@
 	if e.failsOnArrival(j) {
 		return
 	}
-	if e.strikes("reset-mid-stream") && m.decode {
-		j.resetAt, j.Quiet = 1+e.rnd.IntN(maxResetToken), false
+	if e.faultApplies("reset-mid-stream") && m.decode {
+		j.resetAtToken, j.Quiet = 1+e.rnd.IntN(maxResetToken), false
 	}
-	j.Begun = func() { e.onBegun(j) }
+	j.Begun = func() { e.onStarted(j) }
 	j.Token = func(n int) { e.onToken(j, n) }
 	j.Done = func(cached float64) { e.onDone(j, cached) }
-	j.Lost = func() { e.endWith(j, routing.ConnectionReset) }
+	j.Lost = func() { e.endJobWith(j, routing.ConnectionReset) }
 	if !e.model.Submit(e.now(), &j.Job) {
-		e.endWith(j, routing.Rejected)
+		e.endJobWith(j, routing.Rejected)
 	}
 }
 
 func newJob(m engineRequest) *job {
 	j := &job{request: m, Job: enginemodel.Job{
-		ID: m.id, Prompt: m.work.prompt, Prefix: m.work.prefix, PrefixLen: m.work.prefixLen, Session: m.work.session,
-		Out: m.work.out, ReadOnly: !m.decode, Quiet: true,
+		ID: m.id, Prompt: m.work.promptTokens, Prefix: m.work.prefix, PrefixLen: m.work.prefixTokens, Session: m.work.session,
+		Out: m.work.outputTokens, ReadOnly: !m.decode, Quiet: true,
 	}}
 	if m.decode && m.state.engine >= 0 {
 		j.FetchState = max(j.Prompt, 1)
 	}
-	j.fetched = j.FetchState == 0
+	j.stateReady = j.FetchState == 0
 	return j
 }
 
-// onBegun lets a decode fetch its state.
-func (e *engine) onBegun(j *job) {
-	j.begun = true
-	if !j.fetched {
+// onStarted is called when the model starts a job. A decode then fetches its read state.
+func (e *engine) onStarted(j *job) {
+	j.started = true
+	if !j.stateReady {
 		source := e.fleet.engines[j.request.state.engine]
-		e.send(source.id, connectHops*e.fleet.hop(e.rnd), stateFetch{j.request.state.attempt, e.id, j.ID})
+		e.send(source.id, connectHops*e.fleet.linkDelay(e.rnd), stateFetch{j.request.state.attempt, e.id, j.ID})
 	}
 }
 
 func (e *engine) onStateFetched(m stateFetched) {
 	j := e.jobs[m.job]
 	switch {
-	case j == nil || j.fetched:
+	case j == nil || j.stateReady:
 	case !m.ok:
 		e.model.Cancel(e.now(), &j.Job)
-		e.end(j, attemptResult{result: routing.Rejected, stateMissing: true})
+		e.endJob(j, attemptResult{result: routing.Rejected, stateMissing: true})
 	default:
-		j.fetched = true
+		j.stateReady = true
 		e.fetchedTokens += j.Prompt
-		if j.hasToken {
-			e.execute(j)
+		if j.hasFirstToken {
+			e.emitFirstToken(j)
 		}
 	}
 }
 
 func (e *engine) onToken(j *job, n int) {
 	if n == 1 {
-		j.hasToken = true
-		if j.fetched {
-			e.execute(j)
+		j.hasFirstToken = true
+		if j.stateReady {
+			e.emitFirstToken(j)
 		}
 	}
-	if j.resetAt == n && e.jobs[j.ID] == j && j.fetched {
-		e.endWith(j, routing.ConnectionReset)
+	if j.resetAtToken == n && e.jobs[j.ID] == j && j.stateReady {
+		e.endJobWith(j, routing.ConnectionReset)
 		e.cancelLater(j)
 	}
 }
 
-// cancelLater cancels a job from within one of the model's calls.
+// cancelLater schedules the cancellation of a job that has ended, because the model must not be changed during one of
+// its callbacks. The job stays registered without a connection until then.
 func (e *engine) cancelLater(j *job) {
 	e.schedule(0, connectionClosed{j.ID})
 	e.jobs[j.ID] = j
 	j.disconnected = true
 }
 
-// execute is the first token: the request takes effect.
-func (e *engine) execute(j *job) {
+// emitFirstToken records that the request took effect, and sends its first token to the replica.
+func (e *engine) emitFirstToken(j *job) {
 	work := &j.request.work
 	e.record(e.now(), audit.Event{
 		Kind: audit.Executed, Engine: e.name, Request: j.ID, Attempt: work.attempt, Intent: work.intent,
@@ -299,24 +305,24 @@
 	if j.disconnected || e.failsAfterEffect(j) {
 		return
 	}
-	e.send(j.request.replica, e.fleet.hop(e.rnd), firstToken{j.request.attemptRef})
+	e.send(j.request.replica, e.fleet.linkDelay(e.rnd), firstToken{j.request.attemptRef})
 }
 
 func (e *engine) onDone(j *job, cached float64) {
 	if !j.ReadOnly {
-		if !j.fetched { // the model decoded faster than the state arrived: the state decides
-			j.fetched = true
-			e.execute(j)
+		if !j.stateReady { // the model finished before the fetched state arrived: count the effect now
+			j.stateReady = true
+			e.emitFirstToken(j)
 		}
-		e.end(j, attemptResult{result: routing.Served, cachedTokens: cached})
+		e.endJob(j, attemptResult{result: routing.Served, cachedTokens: cached})
 		return
 	}
-	e.held[j.ID] = true
+	e.heldStates[j.ID] = true
 	e.record(e.now(), audit.Event{Kind: audit.StateHeld, Engine: e.name, Request: j.ID})
-	if _, unwanted := e.released[j.ID]; unwanted {
+	if _, released := e.releasedAt[j.ID]; released {
 		e.model.Drop(j.ID)
 	}
-	e.end(j, attemptResult{result: routing.PrefillDone, cachedTokens: cached})
+	e.endJob(j, attemptResult{result: routing.PrefillDone, cachedTokens: cached})
 }
 
 func (e *engine) onConnectionClosed(id string) {
@@ -332,39 +338,40 @@
 		e.record(e.now(), audit.Event{Kind: audit.Ended, Engine: e.name, Request: id})
 	}
 	j.disconnected = true
-	if e.fleet.scenario.Service.CanCancel || !j.begun {
+	if e.fleet.scenario.Service.CanCancel || !j.started {
 		delete(e.jobs, id)
 		e.model.Cancel(e.now(), &j.Job)
 	}
 }
 
-// onRelease drops a read state, now or when its prefill ends.
+// onRelease drops a read state. The ID is kept for the state TTL, so that a state is also dropped if its prefill ends
+// after the release arrived.
 func (e *engine) onRelease(id string) {
-	for other, at := range e.released {
+	for other, at := range e.releasedAt {
 		if e.now()-at > e.params.StateTTL {
-			delete(e.released, other)
+			delete(e.releasedAt, other)
 		}
 	}
-	e.released[id] = e.now()
+	e.releasedAt[id] = e.now()
 	e.model.Take(e.now(), id)
 }
 
-// stop ends the process.
+// stop ends the engine's process.
 func (e *engine) stop() {
 	e.up = false
-	e.role.switches++
-	e.lose()
+	e.role.lastSwitch++
+	e.dropAllWork()
 }
 
-// lose resets every connection and empties the engine.
-func (e *engine) lose() {
+// dropAllWork resets all connections and drops the model's work, read states and prefix cache.
+func (e *engine) dropAllWork() {
 	for _, id := range slices.Sorted(maps.Keys(e.jobs)) {
-		if j := e.jobs[id]; j != nil && !j.begun { // queued or stalled: the model may not know of it
-			e.endWith(j, routing.ConnectionReset)
+		if j := e.jobs[id]; j != nil && !j.started { // a job that is queued or stalled may be unknown to the model
+			e.endJobWith(j, routing.ConnectionReset)
 		}
 	}
 	e.model.Reset()
 	for _, id := range slices.Sorted(maps.Keys(e.jobs)) {
-		e.endWith(e.jobs[id], routing.ConnectionReset)
+		e.endJobWith(e.jobs[id], routing.ConnectionReset)
 	}
 }
--- a/internal/simulation/fleet/engine_faults.go
+++ b/internal/simulation/fleet/engine_faults.go
@@ -10,22 +10,23 @@
 // maxResetToken is the last token at which the fault reset-mid-stream resets a stream.
 const maxResetToken = 5
 
-// engineFault begins or ends a fault of an engine.
+// engineFault starts or ends a fault on an engine.
 type engineFault struct {
-	what   string
-	on     bool
-	part   float64
-	factor float64
-	class  string
+	name     string
+	active   bool
+	fraction float64
+	factor   float64
+	class    string
 }
 
-// strikes draws whether a fault strikes a request.
-func (e *engine) strikes(what string) bool {
-	fault, ok := e.faults[what]
-	return ok && e.rnd.Float64() < cmp.Or(fault.part, 1)
+// faultApplies draws whether a fault affects a request: with the fault's fraction as the probability, 1 by default.
+func (e *engine) faultApplies(name string) bool {
+	fault, ok := e.faults[name]
+	return ok && e.rnd.Float64() < cmp.Or(fault.fraction, 1)
 }
 
-// failsOnArrival ends a job, or lets it hang, where a fault or the engine's role demands it.
+// failsOnArrival ends a job if a fault affects it or the engine's role can't serve it. It reports whether the job must
+// not be submitted to the model; a stalled job stays open without an answer.
 func (e *engine) failsOnArrival(j *job) bool {
 	_, stalls := e.faults["stall"]
 	classFault, failsClass := e.faults["fail-class"]
@@ -33,44 +34,44 @@
 	needsPrefill := !decode || j.FetchState == 0
 	switch {
 	case stalls:
-	case failsClass && classFault.class == j.request.work.class, e.strikes("fail-fast"):
-		e.endWith(j, routing.EngineError)
-	case e.strikes("reset-after-request"):
-		e.endWith(j, routing.ConnectionReset)
+	case failsClass && classFault.class == j.request.work.class, e.faultApplies("fail-fast"):
+		e.endJobWith(j, routing.EngineError)
+	case e.faultApplies("reset-after-request"):
+		e.endJobWith(j, routing.ConnectionReset)
 	case needsPrefill && !e.params.CanPrefill, decode && !e.params.CanDecode:
 		missing := decode && j.FetchState == 0 && e.params.CanDecode
-		e.end(j, attemptResult{result: routing.Rejected, stateMissing: missing})
+		e.endJob(j, attemptResult{result: routing.Rejected, stateMissing: missing})
 	default:
 		return false
 	}
 	return true
 }
 
-// effectFaults are those that strike once a request took effect. Their parts are of the same requests: a request is
-// struck by one of them at most.
-var effectFaults = []string{"reset-after-effect", "fail-after-effect", "stall-after-effect"}
+// afterEffectFaults are the faults that affect a request after it has taken effect. One random draw decides between
+// them: their fractions select disjoint sets of requests, so at most one of them affects a request.
+var afterEffectFaults = []string{"reset-after-effect", "fail-after-effect", "stall-after-effect"}
 
-// failsAfterEffect ends a job, or lets it hang, where one of the effectFaults strikes it.
+// failsAfterEffect reports whether one of the afterEffectFaults affects a job. The job ends with an error, or hangs.
 func (e *engine) failsAfterEffect(j *job) bool {
-	var u float64
-	for _, what := range effectFaults {
-		fault, ok := e.faults[what]
+	var draw float64
+	for _, name := range afterEffectFaults {
+		fault, ok := e.faults[name]
 		if !ok {
 			continue
 		}
-		if u == 0 {
-			u = e.rnd.Float64()
+		if draw == 0 {
+			draw = e.rnd.Float64()
 		}
-		if part := cmp.Or(fault.part, 1); u >= part {
-			u -= part
+		if fraction := cmp.Or(fault.fraction, 1); draw >= fraction {
+			draw -= fraction
 			continue
 		}
-		switch what {
+		switch name {
 		case "reset-after-effect":
-			e.endWith(j, routing.ConnectionReset)
+			e.endJobWith(j, routing.ConnectionReset)
 			e.cancelLater(j)
 		case "fail-after-effect":
-			e.endWith(j, routing.EngineError)
+			e.endJobWith(j, routing.EngineError)
 			e.cancelLater(j)
 		}
 		return true
@@ -82,32 +83,32 @@
 	if e.up {
 		e.model.Advance(e.now())
 	}
-	switch m.what {
+	switch m.name {
 	case "crash":
-		if m.on {
+		if m.active {
 			e.crash()
 		} else {
 			e.restart()
 		}
 	case "forget":
-		if m.on {
+		if m.active {
 			e.model.Forget()
 		}
 	case "silent-restart":
-		if m.on {
-			e.lose()
+		if m.active {
+			e.dropAllWork()
 		}
 	case "liar":
-		e.role.misreports = m.on
+		e.role.misreports = m.active
 	case "refuse-connects":
-		e.refuses = m.on
+		e.refusesConnections = m.active
 	default:
-		if m.on {
-			e.faults[m.what] = m
+		if m.active {
+			e.faults[m.name] = m
 		} else {
-			delete(e.faults, m.what)
+			delete(e.faults, m.name)
 		}
-		if m.what == "slow" {
+		if m.name == "slow" {
 			e.model.SetSlow(e.slowFactor())
 		}
 	}
@@ -126,9 +127,10 @@
 		return
 	}
 	e.up = true
-	e.role.state, e.role.switching = e.role.state.FinishDraining(), false // the crash emptied it
-	e.useRole(e.role.state.Role)
-	e.reset(e.now(), true)
+	// The crash ended all work, so a pending drain is complete.
+	e.role.state, e.role.switching = e.role.state.FinishDraining(), false
+	e.setRoleParams(e.role.state.Role)
+	e.resetModel(e.now(), true)
 	e.record(e.now(), audit.Event{Kind: audit.EngineStarted, Engine: e.name})
-	e.send(e.fleet.apiServer.id, e.fleet.hop(e.rnd), engineStarted{e.index, e.now()})
+	e.send(e.fleet.apiServer.id, e.fleet.linkDelay(e.rnd), engineStarted{e.index, e.now()})
 }
--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -9,19 +9,20 @@
 	"brackenbend/roles"
 )
 
-// Engines that change role: the planner, the assignments and the engine's state are those of package roles, the
-// planner's view is that of package planner; here they communicate by messages.
+// Engines that change role use the planner, assignments and engine state machine of package roles, and the planner's
+// view of package planner. In the simulation they communicate by messages.
 
-// roleState is the part of an engine that changes role.
+// roleState is the state of an engine whose role can change.
 type roleState struct {
-	params     map[roles.Role]enginemodel.Params // by role; nil = the engine keeps its role
-	state      roles.EngineState
-	switching  bool
-	switches   int  // those of an earlier number, or of an earlier process, are ignored
-	misreports bool // by a fault, it keeps its parameters when it claims to change
+	params    map[roles.Role]enginemodel.Params // by role; nil = the role is fixed
+	state     roles.EngineState
+	switching bool
+	// lastSwitch numbers the switches. A stop of the process increments it too, so that a pending roleSwitched is ignored.
+	lastSwitch int
+	misreports bool // fault liar: the engine reports a new role but keeps its parameters
 }
 
-// Messages between planners, engines and the engine itself.
+// Messages between planners and engines. An engine schedules roleSwitched for itself.
 type (
 	statusRequest struct{ from int32 }
 	statusReply   struct {
@@ -30,15 +31,15 @@
 	}
 	roleCommand  struct{ command roles.Command }
 	roleSwitched struct {
-		number int
-		added  bool // only a stage was added
+		number     int
+		stageAdded bool // the engine keeps its stage and serves a second one
 	}
 )
 
-// defaultSwitchTime is how long an empty engine takes to change role.
+// defaultSwitchTime is how long a drained engine takes to change its role.
 const defaultSwitchTime = time.Second
 
-// allowRoleChanges lets the engines of the kinds that change role do so, and assigns them their first roles.
+// allowRoleChanges sets up the engines of the kinds that can change role, and assigns their initial roles.
 func (f *fleet) allowRoleChanges() {
 	params, names := f.scenario.ChangingRoles()
 	if names == nil {
@@ -55,27 +56,28 @@
 		}
 		role := e.kind.ServedRole()
 		e.role.params, e.role.state = params, roles.EngineState{Role: role, Target: role}
-		e.useRole(role)
-		e.reset(0, false)
+		e.setRoleParams(role)
+		e.resetModel(0, false)
 		f.apiServer.assignments.Entries[e.name] = roles.Assignment{
 			Role: role, Target: role, Serving: true, CanPrefill: true, CanDecode: true,
 		}
 	}
 }
 
-// useRole takes the parameters of a role.
-func (e *engine) useRole(role roles.Role) {
+// setRoleParams sets the engine's parameters to those of a role, if the engine can serve it.
+func (e *engine) setRoleParams(role roles.Role) {
 	if params, ok := e.role.params[role]; ok {
 		e.params = params
 	}
 }
 
-// addsStage reports whether the engine is only to serve one stage more, which it need not drain for.
+// addsStage reports whether the engine is commanded to serve a second stage in addition to its own, which needs no
+// drain.
 func (e *engine) addsStage() bool {
 	return e.role.state.Target == roles.Both && e.role.state.Role != roles.Both
 }
 
-// isDraining reports whether the engine takes no new work because it is changing role.
+// isDraining reports whether the engine rejects new work because it is changing its role.
 func (e *engine) isDraining() bool {
 	if e.role.params == nil {
 		return false
@@ -83,7 +85,7 @@
 	return !e.role.state.Serves(e.role.state.Role) || e.role.switching && !e.addsStage()
 }
 
-// switchIfDrained begins the switch once no work of the old role is left.
+// switchIfDrained starts the switch to the commanded role once no work of the old role is left.
 func (e *engine) switchIfDrained() {
 	busy := e.model.Working() > 0 || e.model.States() > 0
 	if e.role.params == nil || !e.up || e.role.switching || e.role.state.StatusReport().Serving {
@@ -93,9 +95,9 @@
 		return
 	}
 	e.role.switching = true
-	e.role.switches++
+	e.role.lastSwitch++
 	delay := cmp.Or(e.fleet.scenario.Planner.SwitchTime, defaultSwitchTime)
-	e.schedule(delay, roleSwitched{e.role.switches, e.addsStage()})
+	e.schedule(delay, roleSwitched{e.role.lastSwitch, e.addsStage()})
 }
 
 func (e *engine) onRoleCommand(m roleCommand) {
@@ -105,18 +107,18 @@
 }
 
 func (e *engine) onRoleSwitched(m roleSwitched) {
-	if m.number != e.role.switches || !e.up {
+	if m.number != e.role.lastSwitch || !e.up {
 		return
 	}
 	e.model.Advance(e.now())
 	e.role.switching = false
-	if m.added != e.addsStage() { // another command came meanwhile
+	if m.stageAdded != e.addsStage() { // another command arrived during the switch
 		return
 	}
 	before := e.params
 	e.role.state = e.role.state.FinishDraining()
-	e.useRole(e.role.state.Role)
-	if m.added {
+	e.setRoleParams(e.role.state.Role)
+	if m.stageAdded {
 		e.model.Become(e.now(), e.params)
 		return
 	}
@@ -140,5 +142,5 @@
 		Write: planner.Stage{Done: work.WriteDone, Waiting: work.WriteWaiting, Lost: work.WriteLost, Count: work.Writes},
 	}
 	status.Serving = status.Serving && !e.role.switching
-	e.send(to, connectHops*e.fleet.hop(e.rnd), statusReply{e.name, status})
+	e.send(to, connectHops*e.fleet.linkDelay(e.rnd), statusReply{e.name, status})
 }
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -1,14 +1,16 @@
-// Package fleet plays a scenario in simulated time. The decisions of replicas are those of the same routing.Router
-// with the same settings and classification as the program's, engines are the model that the fake engines run
-// (package enginemodel), clients draw as those of a scenario on sockets do, and the five rules are checked by the
-// same package audit. Engines change role by package roles with the view of package planner. It opens no sockets and
-// reads no clock.
+// Package fleet runs a scenario in simulated time. It opens no sockets and reads no clock. It shares its components
+// with the scenarios on sockets: replicas use routing.Router with the program's settings and request classification,
+// engines use the model of the fake engines (package enginemodel), clients draw their sessions from package scenario,
+// and package audit checks the five rules. Engines change role with package roles and the view of package planner.
 //
-// It differs from sockets in these points: links take the same time whatever they carry, and the work of a replica
-// takes none beside it; a client that reads slowly delays nobody but itself; load reports, by which no replica
-// decides, and outdated events of the endpoint list, which replicas ignore, are not sent; planners see what was
-// answered half an interval before, and a replica that was cut off from the API server reconnects after an evenly
-// distributed time up to that of its longest backoff.
+// A simulated scenario differs from one on sockets as follows:
+//   - The latency of a link does not depend on the size of the message, and replicas use no processing time.
+//   - A client that reads slowly delays only itself.
+//   - Load reports are not sent, because no replica uses them for its decisions. Outdated events of the endpoint list
+//     are not sent either, because replicas ignore them.
+//   - A planner uses the replies to a poll half an interval after it sent the poll.
+//   - After a partition from the API server, a replica reconnects after a time that is uniformly distributed up to its
+//     longest backoff.
 package fleet
 
 import (
@@ -23,25 +25,26 @@
 	"brackenbend/routing"
 )
 
-// Decider makes a replica's decisions: routing.Router, or for comparisons something simpler.
+// Decider makes the routing decisions of a replica. It is routing.Router, or a simpler baseline for comparison.
 type Decider interface {
 	Step(now time.Duration, events []routing.Event) []routing.Action
 }
 
-// Options say how a scenario is played.
+// Options configure a run.
 type Options struct {
-	Seed   uint64        // of everything but the clients' draws, which are the scenario's
-	Link   time.Duration // latency from one actor to another; 0 = 250 us
-	Jitter time.Duration // mean of what is added to it at random; 0 = 50 us
-	Shards int           // parts that run in parallel; the result is the same; 0 = 1
-	Audit  bool          // check the rules, which keeps a record of all events
-	// Traffic is played in place of the scenario's drawn sessions, where it is given.
+	Seed   uint64        // of the draws that the scenario's own seed does not determine, such as latencies
+	Link   time.Duration // minimum latency from one actor to another; 0 = 250 us
+	Jitter time.Duration // mean of the exponentially distributed addition to Link; 0 = 50 us
+	Shards int           // number of goroutines that run actors; the result does not depend on it; 0 = 1
+	Audit  bool          // record all events and check the rules on them
+	// Traffic is replayed instead of the scenario's generated sessions; nil = use those.
 	Traffic []scenario.RecordedRequest
-	// Oracles give replicas knowledge that they can't have.
+	// Oracles give replicas knowledge that real replicas can't have.
 	Oracles Oracles
-	// Settings are the replicas', in place of those that the scenario makes; kinds and classes must have the same names.
+	// Settings replace the replica settings that the scenario generates; nil = use those. Their classes, kinds and
+	// tenants must have the scenario's names, in the same order.
 	Settings *config.Settings
-	// Decider makes a replica's decider; nil = routing.New.
+	// Decider creates the Decider of a replica; nil = routing.New.
 	Decider func(s routing.Config, seed uint64) (Decider, error)
 }
 
@@ -50,7 +53,7 @@
 	defaultJitter = 50 * time.Microsecond
 )
 
-// withDefaults fills in what the zero value means.
+// withDefaults replaces zero values by their defaults.
 func (o Options) withDefaults() Options {
 	o.Link, o.Jitter = cmp.Or(o.Link, defaultLink), cmp.Or(o.Jitter, defaultJitter)
 	o.Shards = max(o.Shards, 1)
@@ -60,7 +63,7 @@
 	return o
 }
 
-// Run plays a scenario.
+// Run simulates a scenario.
 func Run(s *scenario.Scenario, o Options) (*Result, error) {
 	f, err := newFleet(s, o.withDefaults())
 	if err != nil {
@@ -74,13 +77,13 @@
 	if err := f.addPlanners(); err != nil {
 		return nil, err
 	}
-	f.apiServer.begin()
-	f.clients.begin()
+	f.apiServer.start()
+	f.clients.start()
 	f.scheduler.run(f.isOver)
 	return f.result(), nil
 }
 
-// fleet holds the actors of one run and what they have in common, which is not changed during the run.
+// fleet holds the actors of one run and the data that they share, which is immutable during the run.
 type fleet struct {
 	scenario  *scenario.Scenario
 	options   Options
@@ -111,12 +114,12 @@
 	if err := o.Oracles.check(o.Shards); err != nil {
 		return nil, err
 	}
-	o.Oracles.adapt(&f.config)
+	o.Oracles.adaptConfig(&f.config)
 	f.addActors()
 	return f, nil
 }
 
-// addActors creates all actors but the planners. Their order decides that of simultaneous events.
+// addActors creates all actors except the planners. Simultaneous events are delivered in the order of the actors.
 func (f *fleet) addActors() {
 	f.clients = newClients(f)
 	f.scheduler.add(f.clients)
@@ -153,32 +156,32 @@
 }
 
 const (
-	// settleSlack is for messages under way when the states of the last session must have been released.
-	settleSlack = 300 * time.Millisecond
-	// maxOvertime bounds how long a run goes on after the scenario's length, for what is still open.
-	maxOvertime = time.Minute
+	// finalReleaseSlack is added to the state TTL at the end of a run, for messages that are still in flight.
+	finalReleaseSlack = 300 * time.Millisecond
+	// maxExtraTime limits how long a run waits for open sessions after the scenario's length.
+	maxExtraTime = time.Minute
 )
 
-// isOver ends a run once all sessions have ended and their states must have been released.
+// isOver reports whether the run is complete: all sessions have ended and the TTL of their read states is over.
 func (f *fleet) isOver(now time.Duration) bool {
-	length, settle := f.scenario.Length, f.scenario.Service.StateTTL+settleSlack
-	if now > length+maxOvertime {
+	length, settle := f.scenario.Length, f.scenario.Service.StateTTL+finalReleaseSlack
+	if now > length+maxExtraTime {
 		return true
 	}
-	return now > length+settle && f.clients.open == 0 && now > f.clients.lastEnd+settle
+	return now > length+settle && f.clients.openSessions == 0 && now > f.clients.lastEnd+settle
 }
 
-// A NamesError is returned where other settings do not have the names of the scenario's.
+// NamesError reports that Options.Settings don't have the scenario's names.
 type NamesError struct {
 	What          string // classes, kinds of engine or tenants
 	Got, Scenario []string
 }
 
 func (e *NamesError) Error() string {
-	return fmt.Sprintf("fleet: the settings' %s are %v, the scenario's are %v, in this order", e.What, e.Got, e.Scenario)
+	return fmt.Sprintf("fleet: settings have %s %v, but the scenario requires %v in this order", e.What, e.Got, e.Scenario)
 }
 
-// checkNames returns a *NamesError where other settings don't fit a scenario.
+// checkNames returns a *NamesError if the names in other settings differ from those in the scenario's own.
 func checkNames(own, other *config.Settings) error {
 	names := func(s *config.Settings) [3][]string {
 		var names [3][]string
@@ -202,7 +205,8 @@
 	return nil
 }
 
-// The streams of the actors' random generators; those of engines, replicas and planners count up from the first.
+// Streams of the actors' random generators. Engines, replicas and planners use consecutive streams from the first one
+// of their type.
 const (
 	clientStream       = 1
 	apiServerStream    = 2
@@ -211,15 +215,15 @@
 	firstPlannerStream = 1 << 30
 )
 
-// newRand returns the random generator of one actor.
+// newRand returns the random generator for a stream; each actor has a stream of its own.
 func (f *fleet) newRand(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(f.options.Seed, stream))
 }
 
-// hop draws the latency of one link.
-func (f *fleet) hop(rnd *rand.Rand) time.Duration {
+// linkDelay draws the latency of a message over one link.
+func (f *fleet) linkDelay(rnd *rand.Rand) time.Duration {
 	return f.options.Link + time.Duration(rnd.ExpFloat64()*float64(f.options.Jitter))
 }
 
-// connectHops is how many links a new connection with its first message takes.
+// connectHops is the number of link delays until the first message on a new connection arrives.
 const connectHops = 3
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 	return sc
 }
 
-func play(t *testing.T, sc *scenario.Scenario, o Options) *Result {
+func runScenario(t *testing.T, sc *scenario.Scenario, o Options) *Result {
 	t.Helper()
 	r, err := Run(sc, o)
 	if err != nil {
@@ -29,51 +29,51 @@
 	return r
 }
 
-// The scenario that replicas also play on sockets, checked by the same audit.
-func TestDefaultScenarioKeepsRules(t *testing.T) {
-	r := play(t, defaultScenario(t), Options{Seed: 1, Audit: true})
+// The default scenario must pass the audit that also checks it on sockets, and its score must count every request once.
+func TestDefaultScenarioHasNoViolations(t *testing.T) {
+	r := runScenario(t, defaultScenario(t), Options{Seed: 1, Audit: true})
 	for _, v := range r.Rules {
 		if v.Checks == 0 || len(v.Violations) > 0 {
 			t.Errorf("%s: %d checks, %.300v", v.Rule, v.Checks, v.Violations)
 		}
 	}
 	if s := r.Score.Service(); s < 0.8 || s > 0.99 {
-		t.Errorf("service %.3f", s)
+		t.Errorf("service is %.3f, want between 0.8 and 0.99", s)
 	}
 	classes, tenants := r.Score.Rows()
-	asked := 0
+	extraRequests := 0
 	for _, c := range classes {
-		asked += c.Requests
+		extraRequests += c.Requests
 		if c.Served+c.Refused+c.Failed+c.Broken+c.Left+c.Lost != c.Requests {
-			t.Errorf("%+v does not add up", c)
+			t.Errorf("the results of a class do not add up to its requests: %+v", c)
 		}
 	}
 	for _, c := range tenants {
-		asked -= c.Requests
+		extraRequests -= c.Requests
 	}
-	if asked != 0 || r.Attempts["read"] < 2000 || r.Attempts["write"] < 2000 {
-		t.Errorf("classes have %d more requests than tenants; %v", asked, r.Attempts)
+	if extraRequests != 0 || r.Attempts["read"] < 2000 || r.Attempts["write"] < 2000 {
+		t.Errorf("classes have %d more requests than tenants; attempts by stage: %v", extraRequests, r.Attempts)
 	}
 }
 
-// One seed gives one result, whatever the number of shards.
+// The result must depend on the seed and not on the number of shards.
 func TestResultIsIndependentOfShards(t *testing.T) {
 	sc := defaultScenario(t)
 	if err := sc.Scale(15 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	one := play(t, sc, Options{Seed: 5, Audit: true})
+	one := runScenario(t, sc, Options{Seed: 5, Audit: true})
 	for _, shards := range []int{1, 3, 8} {
-		if again := play(t, sc, Options{Seed: 5, Audit: true, Shards: shards}); !reflect.DeepEqual(one, again) {
-			t.Errorf("%d shards: service %v, with one %v", shards, again.Score.Service(), one.Score.Service())
+		if again := runScenario(t, sc, Options{Seed: 5, Audit: true, Shards: shards}); !reflect.DeepEqual(one, again) {
+			t.Errorf("%d shards give another result: service %v, want %v", shards, again.Score.Service(), one.Score.Service())
 		}
 	}
-	if other := play(t, sc, Options{Seed: 6, Audit: true}); reflect.DeepEqual(one.Rules, other.Rules) {
-		t.Error("another seed changes nothing")
+	if other := runScenario(t, sc, Options{Seed: 6, Audit: true}); reflect.DeepEqual(one.Rules, other.Rules) {
+		t.Error("another seed gives the same rule results")
 	}
 }
 
-// leakingDecider decides as the router does and never releases a state.
+// leakingDecider makes the router's decisions but never releases a read state.
 type leakingDecider struct{ Decider }
 
 func (d leakingDecider) Step(now time.Duration, events []routing.Event) (actions []routing.Action) {
@@ -85,19 +85,21 @@
 	return actions
 }
 
-// The record is enough for the audit to find a violation.
+// The simulation must record enough events for the audit to detect read states that are never released.
 func TestAuditFindsLeakedStates(t *testing.T) {
 	sc := defaultScenario(t)
-	r := play(t, sc, Options{Seed: 1, Audit: true, Decider: func(s routing.Config, seed uint64) (Decider, error) {
+	r := runScenario(t, sc, Options{Seed: 1, Audit: true, Decider: func(s routing.Config, seed uint64) (Decider, error) {
 		r, err := routing.New(s, seed)
 		return leakingDecider{r}, err
 	}})
 	if v := r.Rules[4]; len(v.Violations) == 0 {
-		t.Errorf("states that are never released are not found: %+v", v)
+		t.Errorf("the audit did not detect that states are never released: %+v", v)
 	}
 }
 
-func TestFewEngines(t *testing.T) {
+// A small fleet serves nearly everything without faults. Without prefill endpoints its requests are rejected or fail in
+// time, and after a restart of all replicas the clients reconnect.
+func TestSmallFleetWithoutPrefillEndpointsOrReplicas(t *testing.T) {
 	parse := func(faults string) *scenario.Scenario {
 		sc, err := scenario.Parse("x.xml", []byte(strings.Replace(`<day length="5s" rate="20/s" fronts="2" seed="3">
   <service max-attempts="3" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="1s"
@@ -112,11 +114,11 @@
 		}
 		return sc
 	}
-	if r := play(t, parse(""), Options{Audit: true}); r.Score.Service() < 0.999 || r.TransferredTokens == 0 {
+	if r := runScenario(t, parse(""), Options{Audit: true}); r.Score.Service() < 0.999 || r.TransferredTokens == 0 {
 		t.Errorf("no fault: service %v, %v tokens transferred", r.Score.Service(), r.TransferredTokens)
 	}
-	// Without a prefill endpoint all requests are rejected or fail, in time, until the endpoints are back at the end.
-	r := play(t, parse(`<happen at="0s" what="crash" kind="r" count="2" for="5s"/>`), Options{Audit: true})
+	// All prefill endpoints are down until the end: all requests are rejected or fail, in time.
+	r := runScenario(t, parse(`<happen at="0s" what="crash" kind="r" count="2" for="5s"/>`), Options{Audit: true})
 	for i, s := range r.Score.Timeline[:2] {
 		if s.Asked == 0 || s.Worth > 0 {
 			t.Errorf("without prefill endpoints: second %d: %+v", i, s)
@@ -127,16 +129,17 @@
 			t.Errorf("%s: %v", v.Rule, v.Violations)
 		}
 	}
-	// All replicas are killed for a while: their clients reconnect.
-	r = play(t, parse(`<happen at="1s" what="front-kill" count="2" for="500ms"/>`), Options{Audit: true})
+	// All replicas are killed and started again: their clients reconnect.
+	r = runScenario(t, parse(`<happen at="1s" what="front-kill" count="2" for="500ms"/>`), Options{Audit: true})
 	classes, _ := r.Score.Rows()
 	if c := classes[0]; c.Service < 0.8 || len(r.Rules[0].Violations)+len(r.Rules[1].Violations) > 0 {
-		t.Errorf("%+v %v", c, r.Rules[:2])
+		t.Errorf("restart of all replicas: %+v, rules %v", c, r.Rules[:2])
 	}
 }
 
-// Long prompts are followed by long answers, and engines change role by package roles. Though all replicas are killed
-// meanwhile, planners stopped and engines forced, every command is carried out.
+// The load shifts from long prompts to long answers, and engines change their roles. Every command must be completed by
+// the end, even if all replicas are killed, planners stop and engines are forced into a role. The roles must not depend
+// on the number of shards.
 func TestEnginesChangeRole(t *testing.T) {
 	for file, maxPrefill := range map[string]int{"roles-shift": 7, "roles-restart": 8, "roles-two": 1} {
 		t.Run(file, func(t *testing.T) {
@@ -144,7 +147,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := play(t, sc, Options{Seed: 1, Audit: true})
+			r := runScenario(t, sc, Options{Seed: 1, Audit: true})
 			for _, v := range r.Rules {
 				if len(v.Violations) > 0 {
 					t.Errorf("%s: %.300v", v.Rule, v.Violations)
@@ -153,22 +156,22 @@
 			last := r.Roles[len(r.Roles)-1]
 			if last.Commands == 0 || last.Changing > 0 || last.Prefill > maxPrefill ||
 				last.Prefill+last.Decode > sc.Engines() {
-				t.Errorf("at the end %+v", last)
+				t.Errorf("the last sample shows pending changes or too many engines: %+v", last)
 			}
-			if again := play(t, sc, Options{Seed: 1, Audit: true, Shards: 3}); !reflect.DeepEqual(r.Roles, again.Roles) {
-				t.Error("shards change the roles")
+			if again := runScenario(t, sc, Options{Seed: 1, Audit: true, Shards: 3}); !reflect.DeepEqual(r.Roles, again.Roles) {
+				t.Error("the roles depend on the number of shards")
 			}
 		})
 	}
 }
 
-// An engine that flaps goes off the endpoint list and comes back, and is on it when the fault ends.
+// A flapping engine must alternate between unlisted and listed, and must be listed after the fault.
 func TestFlappingEngineIsListedAgain(t *testing.T) {
 	flap := smallScenario(t, `<happen at="2s" what="register-flap" kind="decode" count="2" for="4s"/>`)
-	r := play(t, flap, Options{Seed: 1, Audit: true})
-	normal := play(t, smallScenario(t, ""), Options{Seed: 1, Audit: true})
+	r := runScenario(t, flap, Options{Seed: 1, Audit: true})
+	normal := runScenario(t, smallScenario(t, ""), Options{Seed: 1, Audit: true})
 	if checks := r.Rules[2].Checks; checks <= 0 || len(r.Rules[2].Violations) > 0 {
-		t.Errorf("third rule: %+v", r.Rules[2])
+		t.Errorf("rule 3: %+v", r.Rules[2])
 	}
 	if math.Abs(r.Score.Service()-normal.Score.Service()) > 0.05 || r.Events == normal.Events {
 		t.Errorf("service %.3f with flapping, %.3f without", r.Score.Service(), normal.Score.Service())
@@ -179,26 +182,26 @@
 	f.engines = []*engine{{kind: &flap.Kinds[0]}}
 	shard := f.scheduler.shards[0]
 	unlisted := []bool{}
-	server.engines[0].flaps = 1
-	server.cut = true // no replica is notified
+	server.engines[0].flapGeneration = 1
+	server.partitioned = true // no replica is notified
 	server.flap(0, 1)
 	for range 4 {
 		unlisted = append(unlisted, server.engines[0].unlisted)
 		shard.run(shard.now + scenario.FlapInterval + 1)
 	}
-	server.engines[0].flaps++
+	server.engines[0].flapGeneration++
 	server.flap(0, 2)
 	shard.run(time.Minute)
 	if !reflect.DeepEqual(unlisted, []bool{true, false, true, false}) || server.engines[0].unlisted {
-		t.Errorf("off the list %v, then %v", unlisted, server.engines[0].unlisted)
+		t.Errorf("unlisted was %v while flapping, %v after it", unlisted, server.engines[0].unlisted)
 	}
 }
 
-// The next turn of a slow client's session comes later, and no other client is delayed.
+// A slow client's answer must end only after the client has read it, and must not delay other clients.
 func TestSlowClientsDelayOnlyThemselves(t *testing.T) {
 	fault := `<happen at="0s" what="slow-readers" part="1" for="12s"/>`
-	slow := play(t, smallScenario(t, fault), Options{Seed: 1, Audit: true})
-	normal := play(t, smallScenario(t, ""), Options{Seed: 1, Audit: true})
+	slow := runScenario(t, smallScenario(t, fault), Options{Seed: 1, Audit: true})
+	normal := runScenario(t, smallScenario(t, ""), Options{Seed: 1, Audit: true})
 	if math.Abs(slow.Score.Service()-normal.Score.Service()) > 1e-9 {
 		t.Errorf("service %.4f with slow clients, %.4f without", slow.Score.Service(), normal.Score.Service())
 	}
@@ -214,14 +217,14 @@
 	f.scheduler.add(c)
 	session := sc.Arrivals().Next(&scenario.Conditions{Surge: 1})
 	session.Slow, session.Stream = true, true
-	c.open = 1
-	c.attempts[1] = &clientAttempt{number: 1, request: &clientRequest{session: session}, out: 40, firstToken: 1}
-	c.onAnswer(answer{attempt: 1, kind: kindServed})
+	c.openSessions = 1
+	c.attempts[1] = &clientAttempt{number: 1, request: &clientRequest{session: session}, outputTokens: 40, firstToken: 1}
+	c.onAnswer(answer{attempt: 1, result: resultServed})
 	if len(c.attempts) != 1 {
-		t.Fatal("its answer had ended before it was read")
+		t.Fatal("the attempt ended before the slow client had read its answer")
 	}
 	f.scheduler.shards[0].run(40*scenario.SlowReadDelay + 2)
 	if len(c.attempts) != 0 {
-		t.Fatal("its answer never ended")
+		t.Fatal("the attempt did not end after the slow client had read its answer")
 	}
 }
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -9,39 +9,42 @@
 	"brackenbend/routing"
 )
 
-// Oracles give replicas knowledge that no replica can have, each of them one thing, so that the cost of not having it
-// can be measured. They act between the router's decision and its execution: the router itself is unchanged, and does
-// not learn that another engine was taken. They read the state of other actors, so a run with one has one shard.
+// Oracles give replicas knowledge that real replicas can't have. Each field adds one piece of knowledge, so that a
+// comparison measures the cost of not having it. Oracles that pick an engine act after the router's decision: the
+// router is unchanged and is not notified that the attempt went to another engine. Oracles read the state of other
+// actors, so a run with oracles must have one shard.
 type Oracles struct {
-	// KnowPrefillLoad sends a prefill to the healthy, warm endpoint where it would end first, whatever other replicas
-	// have there.
+	// KnowPrefillLoad sends a prefill to the healthy, warm endpoint where it would finish first, given the work of all
+	// replicas there.
 	KnowPrefillLoad bool
-	// KnowDecodeLoad sends a decode to the healthy, warm endpoint with the fewest streams of all replicas.
+	// KnowDecodeLoad sends a decode to the healthy, warm endpoint with the fewest streams, counting all replicas.
 	KnowDecodeLoad bool
-	// KnowHealth notifies replicas at once of engines that do harm.
+	// KnowHealth lists engines that a fault makes unhealthy as draining, as soon as the fault starts.
 	KnowHealth bool
-	// KnowSlowStart lets replicas know together what an engine in slow start can take, in place of their own slow start.
+	// KnowSlowStart limits the work that all replicas together send to an engine in slow start by what the engine can
+	// take, instead of the slow start of each router.
 	KnowSlowStart bool
-	// NoLoadShedding rejects nothing on arrival, and cancels nothing that is late.
+	// NoLoadShedding gives late answers the full weight, so that routers reject no request on arrival and cancel none
+	// that is late.
 	NoLoadShedding bool
-	// NoTimeouts gives an attempt at a healthy engine all the time that its client waits.
+	// NoTimeouts lets an attempt at a healthy engine run until the request's deadline, without the router's timeout.
 	NoTimeouts bool
 }
 
-func (o Oracles) any() bool { return o != Oracles{} }
+func (o Oracles) enabled() bool { return o != Oracles{} }
 
-// ErrOracleShards is returned for a run with oracles on several shards.
-var ErrOracleShards = errors.New("fleet: oracles read the state of other actors; play the scenario on one shard")
+// ErrOracleShards is returned if oracles are enabled in a run with several shards.
+var ErrOracleShards = errors.New("fleet: oracles read the state of other actors; run the scenario with one shard")
 
 func (o Oracles) check(shards int) error {
-	if o.any() && shards > 1 {
+	if o.enabled() && shards > 1 {
 		return ErrOracleShards
 	}
 	return nil
 }
 
-// adapt changes the router's configuration where an oracle replaces one of its functions.
-func (o Oracles) adapt(c *routing.Config) {
+// adaptConfig disables the router's functions that an oracle replaces.
+func (o Oracles) adaptConfig(c *routing.Config) {
 	if o.KnowSlowStart {
 		c.SlowStartFor = 0
 	}
@@ -52,13 +55,14 @@
 	}
 }
 
-// pendingWork is work that replicas have sent by an oracle and that has not arrived.
+// pendingWork is the work that oracles have sent to an engine and that has not arrived. Oracles add it to the load of
+// the engine, so that they don't all pick the same engine.
 type pendingWork struct {
 	seconds float64
 	streams int
 }
 
-// sendArrived is when a request that an oracle sent to an engine has surely arrived.
+// sendArrived removes a request from an engine's pendingWork, at a time by which the request has arrived.
 type sendArrived struct{ seconds float64 }
 
 func (p *pendingWork) add(seconds float64) {
@@ -71,24 +75,26 @@
 	p.streams--
 }
 
-// oracleOverload is the part of what overloads an engine in slow start that an oracle lets it have.
-const oracleOverload = 0.5
+// oracleOverloadFraction limits what an oracle sends to an engine in slow start, as a fraction of the work that would
+// overload the engine.
+const oracleOverloadFraction = 0.5
 
-// pickByOracle returns the engine that an oracle picks in place of the router's; picked where none knows better.
+// pickByOracle returns the engine with the lowest cost if an oracle applies to the request. Otherwise it returns the
+// router's pick.
 func (r *replica) pickByOracle(request *inflightRequest, picked int) int {
 	role := r.fleet.config.Kinds[r.endpoints.known[picked].kind].Role
-	if !r.hasOracle(request, picked, role) {
+	if !r.oracleApplies(request, picked, role) {
 		return picked
 	}
 	j := oracleJob(request, role)
-	best, least := picked, 0.0
+	best, lowestCost := picked, 0.0
 	for i, listed := range r.endpoints.known {
-		if !r.mayPick(i, listed, role, j) {
+		if !r.oracleMayPick(i, listed, role, j) {
 			continue
 		}
 		cost := r.fleet.engines[i].oracleCost(j, role)
-		if least == 0 || cost < least || cost == least && i == picked {
-			best, least = i, cost
+		if lowestCost == 0 || cost < lowestCost || cost == lowestCost && i == picked {
+			best, lowestCost = i, cost
 		}
 	}
 	e := r.fleet.engines[best]
@@ -98,17 +104,17 @@
 	return best
 }
 
-// hasOracle reports whether an oracle concerns a request that the router sends to an engine.
-func (r *replica) hasOracle(request *inflightRequest, picked int, role routing.Role) bool {
+// oracleApplies reports whether an oracle may replace the router's pick for a request.
+func (r *replica) oracleApplies(request *inflightRequest, picked int, role routing.Role) bool {
 	o, e := r.fleet.options.Oracles, r.fleet.engines[picked]
-	if !o.any() { // several shards are allowed: the engine's state must not be read from here
+	if !o.enabled() { // with several shards, this goroutine must not read the engine's state
 		return false
 	}
 	slowStart := e.model.Present() < 1
 	switch {
 	case role == routing.RoleMixed, !e.healthy():
 		return false
-	case role == routing.RoleDecode && r.mayHaveEffect(request) && r.wasDecoded(request):
+	case role == routing.RoleDecode && r.mayHaveEffect(request) && r.sentToDecode(request):
 		return false
 	case slowStart:
 		return o.KnowSlowStart
@@ -120,12 +126,12 @@
 	return true
 }
 
-// oracleJob returns the work of a request's next attempt.
+// oracleJob returns the job that a request's next attempt would be at an engine.
 func oracleJob(request *inflightRequest, role routing.Role) *enginemodel.Job {
 	work := &request.message.work
 	j := &enginemodel.Job{
-		Prompt: work.prompt, Prefix: work.prefix, PrefixLen: work.prefixLen, Session: work.session, Out: work.out,
-		ReadOnly: role == routing.RolePrefill,
+		Prompt: work.promptTokens, Prefix: work.prefix, PrefixLen: work.prefixTokens, Session: work.session,
+		Out: work.outputTokens, ReadOnly: role == routing.RolePrefill,
 	}
 	if role == routing.RoleDecode && request.state.engine >= 0 {
 		j.FetchState = max(j.Prompt, 1)
@@ -133,8 +139,8 @@
 	return j
 }
 
-// mayPick reports whether an oracle may send a job to an engine.
-func (r *replica) mayPick(engine int, listed endpoint, role routing.Role, j *enginemodel.Job) bool {
+// oracleMayPick reports whether an oracle may send a job to an engine.
+func (r *replica) oracleMayPick(engine int, listed endpoint, role routing.Role, j *enginemodel.Job) bool {
 	if listed.state != routing.EndpointReady || r.fleet.config.Kinds[listed.kind].Role != role {
 		return false
 	}
@@ -142,10 +148,11 @@
 	if !e.healthy() || e.model.Present() < 1 && !r.fleet.options.Oracles.KnowSlowStart {
 		return false
 	}
-	return !e.model.Near(j, oracleOverload)
+	return !e.model.Near(j, oracleOverloadFraction)
 }
 
-// oracleCost returns what an oracle compares engines by: the time until a prefill ends, or the streams beside a decode.
+// oracleCost returns the cost by which an oracle compares engines: the time until a prefill would end, or the number of
+// streams with a decode. Both are relative to the engine's present capacity.
 func (e *engine) oracleCost(j *enginemodel.Job, role routing.Role) float64 {
 	if role == routing.RolePrefill {
 		return (e.model.Ahead(j) + e.pending.seconds) / e.model.Present()
@@ -153,19 +160,22 @@
 	return float64(e.model.Working()+e.pending.streams+1) / e.model.Present()
 }
 
-// healthy reports whether nothing is wrong with the engine.
-func (e *engine) healthy() bool { return e.up && !e.refuses && len(e.faults) == 0 && !e.isDraining() }
+// healthy reports whether the engine is up, accepts work and is affected by no fault.
+func (e *engine) healthy() bool {
+	return e.up && !e.refusesConnections && len(e.faults) == 0 && !e.isDraining()
+}
 
-// wasDecoded reports whether an attempt of a request went to a decode endpoint.
-func (r *replica) wasDecoded(request *inflightRequest) bool {
+// sentToDecode reports whether an attempt of a request was sent to a decode endpoint.
+func (r *replica) sentToDecode(request *inflightRequest) bool {
 	return slices.ContainsFunc(request.attempts, func(a *attempt) bool {
 		return r.fleet.config.Kinds[r.endpoints.known[a.engine].kind].Role == routing.RoleDecode
 	})
 }
 
-// notifiesHarm reports whether the health oracle takes the engines of a fault off the list: where they do harm, and
-// enough others of their kind are left.
-func (s *apiServer) notifiesHarm(f *scenario.Fault, struck int) bool {
+// marksUnhealthy reports whether the health oracle lists the engines that a fault affects as draining. At least half of
+// the healthy engines of their kind must be left. Faults are ignored that the endpoint list shows anyway, such as a
+// crash, and those after which an engine still serves requests, such as a cleared cache.
+func (s *apiServer) marksUnhealthy(f *scenario.Fault, affected int) bool {
 	if !s.fleet.options.Oracles.KnowHealth {
 		return false
 	}
@@ -175,9 +185,9 @@
 	}
 	left := 0
 	for i, e := range s.fleet.engines {
-		if listed := &s.engines[i]; (f.Kind == "" || e.kind.Name == f.Kind) && listed.up && !listed.harmful {
+		if listed := &s.engines[i]; (f.Kind == "" || e.kind.Name == f.Kind) && listed.up && !listed.unhealthy {
 			left++
 		}
 	}
-	return left >= 2*struck
+	return left >= 2*affected
 }
--- a/internal/simulation/fleet/oracle_test.go
+++ b/internal/simulation/fleet/oracle_test.go
@@ -7,7 +7,7 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// smallXML has 12 replicas and 11 engines; its shared prefixes crowd some prefill endpoints.
+// smallXML has 12 replicas and 11 engines. Its shared prefixes concentrate the load on some prefill endpoints.
 const smallXML = `<day length="12s" rate="150/s" fronts="12" seed="3">
   <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s"
     overload-factor="4" tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
@@ -29,7 +29,7 @@
 	return sc
 }
 
-// Each oracle helps in a scenario that lacks what it knows, and no rule is violated by it.
+// Each oracle must raise the service in a scenario where its knowledge matters, and must not violate a rule.
 func TestOraclesRaiseService(t *testing.T) {
 	tests := []struct {
 		name, faults string
@@ -55,8 +55,8 @@
 			without, with := 0.0, 0.0 // means over three replications
 			for seed := range 3 {
 				sc.Seed++
-				without += play(t, sc, Options{Seed: uint64(seed)}).Score.Service() / 3
-				r := play(t, sc, Options{Seed: uint64(seed), Audit: true, Oracles: tc.oracles})
+				without += runScenario(t, sc, Options{Seed: uint64(seed)}).Score.Service() / 3
+				r := runScenario(t, sc, Options{Seed: uint64(seed), Audit: true, Oracles: tc.oracles})
 				with += r.Score.Service() / 3
 				for i, v := range r.Rules {
 					if len(v.Violations) > 0 {
@@ -64,26 +64,28 @@
 					}
 				}
 			}
-			t.Logf("%.3f without, %.3f with", without, with)
+			t.Logf("service %.3f without the oracle, %.3f with it", without, with)
 			if with < without+tc.minGain {
-				t.Errorf("%.3f without, %.3f with", without, with)
+				t.Errorf("too small a gain: service %.3f without the oracle, %.3f with it", without, with)
 			}
 		})
 	}
 }
 
+// Oracles read the state of other actors, which would be a data race between shards.
 func TestOraclesNeedOneShard(t *testing.T) {
 	_, err := Run(smallScenario(t, ""), Options{Shards: 2, Oracles: Oracles{KnowPrefillLoad: true}})
 	if !errors.Is(err, ErrOracleShards) {
-		t.Fatalf("two shards: %v", err)
+		t.Fatalf("oracles with two shards: got error %v", err)
 	}
 }
 
-// Where more than half of a kind does harm, none is taken off the list.
-func TestHealthOracleLeavesEnough(t *testing.T) {
+// If a fault affects more than half of the engines of a kind, the health oracle must leave all of them listed.
+func TestHealthOracleNeedsEnoughHealthyEngines(t *testing.T) {
 	sc := smallScenario(t, `<happen at="2s" what="slow" kind="decode" count="4" factor="3" for="6s"/>`)
-	with, without := play(t, sc, Options{Seed: 1, Oracles: Oracles{KnowHealth: true}}), play(t, sc, Options{Seed: 1})
+	with, without := runScenario(t, sc, Options{Seed: 1, Oracles: Oracles{KnowHealth: true}}),
+		runScenario(t, sc, Options{Seed: 1})
 	if with.Score.Service() != without.Score.Service() || with.Events != without.Events {
-		t.Errorf("%.4f with, %.4f without", with.Score.Service(), without.Score.Service())
+		t.Errorf("the run changed: service %.4f with the oracle, %.4f without", with.Score.Service(), without.Score.Service())
 	}
 }
--- a/internal/simulation/fleet/planner.go
+++ b/internal/simulation/fleet/planner.go
@@ -12,12 +12,12 @@
 	"brackenbend/roles"
 )
 
-// RoleSample is how the engines that change role were assigned at a step of the planner.
+// RoleSample is the state of the role assignments at one step of a planner.
 type RoleSample struct {
 	At                          time.Duration
-	Prefill, Decode, Changing   int     // engines
-	PrefillDemand, DecodeDemand float64 // work requested, in engines
-	Commands                    uint64  // so far
+	Prefill, Decode, Changing   int     // numbers of engines
+	PrefillDemand, DecodeDemand float64 // requested work, in units of one engine's capacity
+	Commands                    uint64  // issued since the start of the run
 }
 
 // Messages between planners, replicas and the API server.
@@ -25,7 +25,7 @@
 	lostWorkRequest struct{ from int32 }
 	lostWorkReply   struct {
 		replica string
-		lost    [2]float64
+		lost    [2]float64 // replica.lostByStage
 	}
 	viewRequest struct{ from int32 }
 	viewReply   struct {
@@ -40,7 +40,7 @@
 		assignments roles.Assignments
 		ok          bool
 	}
-	// plannerMemory is what a planner learned, and when it saved it.
+	// plannerMemory is the learned state that a planner saves, so that it survives a restart; ok = one was saved.
 	plannerMemory struct {
 		at     time.Duration
 		memory roles.Memory
@@ -48,14 +48,15 @@
 	}
 )
 
-// Messages of a planner to itself; run is that of the process which sent it.
+// Messages that a planner schedules for itself; generation is that of the process that scheduled them.
 type (
-	plannerPoll struct{ run int }
-	plannerStep struct{ run int }
+	plannerPoll struct{ generation int }
+	plannerStep struct{ generation int }
 )
 
+// onViewRequest sends a planner the assignments, the listed engines and the saved memory.
 func (s *apiServer) onViewRequest(m viewRequest) {
-	if s.cut {
+	if s.partitioned {
 		return
 	}
 	view := planner.View{Assignments: s.assignments, Listings: map[string]planner.Listing{}}
@@ -64,22 +65,23 @@
 			view.Listings[e.name] = planner.Listing{Locality: fmt.Sprint(e.cell), Up: listed.up && !listed.draining}
 		}
 	}
-	s.send(m.from, s.fleet.hop(s.linkRnd), viewReply{view, s.plannerMemory})
+	s.send(m.from, s.fleet.linkDelay(s.linkRnd), viewReply{view, s.plannerMemory})
 }
 
+// onAssignmentsWrite stores a planner's assignments, unless they are based on an outdated version.
 func (s *apiServer) onAssignmentsWrite(m assignmentsWrite) {
-	if s.cut {
+	if s.partitioned {
 		return
 	}
 	stored, err := s.assignments.Write(m.assignments)
 	if err == nil {
-		s.store(stored)
+		s.storeAssignments(stored)
 	}
-	s.send(m.from, s.fleet.hop(s.linkRnd), assignmentsWritten{stored, err == nil})
+	s.send(m.from, s.fleet.linkDelay(s.linkRnd), assignmentsWritten{stored, err == nil})
 }
 
-// store replaces the assignments, and notifies the replicas of what that changes.
-func (s *apiServer) store(assignments roles.Assignments) {
+// storeAssignments replaces the assignments and sends the replicas every engine whose entry changed.
+func (s *apiServer) storeAssignments(assignments roles.Assignments) {
 	before := s.assignments
 	s.assignments = assignments
 	for i, e := range s.fleet.engines {
@@ -89,42 +91,42 @@
 	}
 }
 
-// forceRole is an operator who forces an engine into the other role, whatever a planner decides.
+// forceRole simulates an operator who forces an engine into the other role, regardless of the planner's decisions.
 func (s *apiServer) forceRole(engine string) {
-	if assignments, err := s.assignments.SwitchStage(engine, "forced by the day"); err == nil {
+	if assignments, err := s.assignments.SwitchStage(engine, "forced by the scenario"); err == nil {
 		assignments.Version++
-		s.store(assignments)
+		s.storeAssignments(assignments)
 	}
 }
 
-func (s *apiServer) signalPlanners(what string) {
+func (s *apiServer) signalPlanners(signal string) {
 	for _, p := range s.fleet.planners {
-		s.send(p.id, s.fleet.hop(s.linkRnd), processSignal{what})
+		s.send(p.id, s.fleet.linkDelay(s.linkRnd), processSignal{signal})
 	}
 }
 
-// plannerProcess is the process of one planner.
+// plannerProcess is the actor of one planner.
 type plannerProcess struct {
 	actorBase
 	fleet *fleet
 	rnd   *rand.Rand
 
-	process  processState
-	planner  *roles.Planner
-	lostWork planner.LostWork
-	places   map[string]int
-	savedAt  time.Duration // when its memory was saved
-	recalled bool          // the memory of the process before
-	samples  []RoleSample
+	process        processState
+	planner        *roles.Planner
+	lostWork       planner.LostWork
+	cells          map[string]int // numbers assigned to localities
+	savedAt        time.Duration  // time of the latest saveMemory, or the start of the process
+	memoryRestored bool           // whether restoreMemory was done in this process
+	samples        []RoleSample
 
-	// Answers of the present interval.
-	statuses map[string]planner.Status
-	lost     map[string][2]float64
-	view     *viewReply
+	// Replies to the latest poll.
+	statuses     map[string]planner.Status
+	lostRequests map[string][2]float64
+	view         *viewReply
 }
 
 const (
-	// memoryInterval is how often a planner saves what it learned at the API server, as the real process does.
+	// memoryInterval is how often a planner saves its memory at the API server, as the real process does.
 	memoryInterval         = 30 * time.Second
 	defaultPlannerInterval = time.Second
 )
@@ -134,10 +136,10 @@
 	if p.planner, err = roles.New(p.fleet.scenario.Planner.Settings()); err != nil {
 		return err
 	}
-	p.process.run++
-	p.process.up, p.recalled, p.savedAt = true, false, p.now()
-	p.places, p.lostWork = map[string]int{}, planner.NewLostWork()
-	p.schedule(time.Duration(p.rnd.Float64()*float64(p.interval())), plannerPoll{p.process.run})
+	p.process.generation++
+	p.process.up, p.memoryRestored, p.savedAt = true, false, p.now()
+	p.cells, p.lostWork = map[string]int{}, planner.NewLostWork()
+	p.schedule(time.Duration(p.rnd.Float64()*float64(p.interval())), plannerPoll{p.process.generation})
 	return nil
 }
 
@@ -148,9 +150,9 @@
 func (p *plannerProcess) receive(message any) {
 	switch m := message.(type) {
 	case processSignal:
-		p.onSignal(m.what)
+		p.onSignal(m.signal)
 	case plannerPoll:
-		if p.process.up && m.run == p.process.run {
+		if p.process.up && m.generation == p.process.generation {
 			p.poll()
 		}
 	case viewReply:
@@ -160,11 +162,11 @@
 			p.statuses[m.engine] = m.status
 		}
 	case lostWorkReply:
-		if p.lost != nil {
-			p.lost[m.replica] = m.lost
+		if p.lostRequests != nil {
+			p.lostRequests[m.replica] = m.lost
 		}
 	case plannerStep:
-		if p.process.up && m.run == p.process.run && p.view != nil {
+		if p.process.up && m.generation == p.process.generation && p.view != nil {
 			p.step()
 		}
 	case assignmentsWritten:
@@ -174,35 +176,36 @@
 	}
 }
 
-func (p *plannerProcess) onSignal(what string) {
+func (p *plannerProcess) onSignal(signal string) {
 	switch {
-	case what == signalStopPlanner:
+	case signal == signalStopPlanner:
 		p.process.up = false
 	case !p.process.up:
-		if err := p.start(); err != nil { // the same settings were accepted before
+		if err := p.start(); err != nil { // can't happen: the same settings were accepted at the first start
 			panic(err)
 		}
 	}
 }
 
-// poll asks all others for their state; what is answered within half an interval is used.
+// poll requests the state of the API server, the engines and the replicas. The step half an interval later uses the
+// replies that have arrived.
 func (p *plannerProcess) poll() {
-	p.statuses, p.lost, p.view = map[string]planner.Status{}, map[string][2]float64{}, nil
-	p.send(p.fleet.apiServer.id, p.fleet.hop(p.rnd), viewRequest{p.id})
+	p.statuses, p.lostRequests, p.view = map[string]planner.Status{}, map[string][2]float64{}, nil
+	p.send(p.fleet.apiServer.id, p.fleet.linkDelay(p.rnd), viewRequest{p.id})
 	for _, e := range p.fleet.engines {
-		p.send(e.id, connectHops*p.fleet.hop(p.rnd), statusRequest{p.id})
+		p.send(e.id, connectHops*p.fleet.linkDelay(p.rnd), statusRequest{p.id})
 	}
 	for _, r := range p.fleet.replicas {
-		p.send(r.id, connectHops*p.fleet.hop(p.rnd), lostWorkRequest{p.id})
+		p.send(r.id, connectHops*p.fleet.linkDelay(p.rnd), lostWorkRequest{p.id})
 	}
-	p.schedule(p.interval()/2, plannerStep{p.process.run})
-	p.schedule(p.interval(), plannerPoll{p.process.run})
+	p.schedule(p.interval()/2, plannerStep{p.process.generation})
+	p.schedule(p.interval(), plannerPoll{p.process.generation})
 }
 
-// step applies what was answered, plans and writes the assignments.
+// step applies the engines' statuses, plans, and writes the assignments if they changed.
 func (p *plannerProcess) step() {
 	now := epoch + p.now()
-	p.recall(now)
+	p.restoreMemory(now)
 	assignments, changed := p.view.view.Assignments, false
 	for _, id := range assignments.Names() {
 		if status, ok := p.statuses[id]; ok {
@@ -211,53 +214,54 @@
 			changed = changed || applied
 		}
 	}
-	replicas := p.reports(now)
-	plan := p.planner.Step(now, planner.Engines(p.view.view, p.statuses, p.places, now, now, now), replicas)
-	assignments, done, _ := assignments.ApplyPlan(plan) // what is not applied is planned again
+	replicas := p.lostWorkReports(now)
+	plan := p.planner.Step(now, planner.Engines(p.view.view, p.statuses, p.cells, now, now, now), replicas)
+	// Changes that can't be applied are planned again at the next step.
+	assignments, done, _ := assignments.ApplyPlan(plan)
 	if changed || len(done.Reverts)+len(done.Changes) > 0 {
-		p.send(p.fleet.apiServer.id, p.fleet.hop(p.rnd), assignmentsWrite{p.id, assignments})
+		p.send(p.fleet.apiServer.id, p.fleet.linkDelay(p.rnd), assignmentsWrite{p.id, assignments})
 	} else {
 		p.sendCommands(assignments)
 	}
-	p.sample(plan, assignments)
-	p.save()
+	p.recordSample(plan, assignments)
+	p.saveMemory()
 }
 
-// recall takes over the memory of the process before, once.
-func (p *plannerProcess) recall(now time.Duration) {
-	if p.recalled {
+// restoreMemory restores the memory that an earlier process saved. It has an effect once per process.
+func (p *plannerProcess) restoreMemory(now time.Duration) {
+	if p.memoryRestored {
 		return
 	}
-	p.recalled = true
+	p.memoryRestored = true
 	if m := p.view.memory; m.ok {
 		_ = p.planner.Restore(m.memory, p.now()-m.at, now) // an invalid memory is ignored, as by the real process
 	}
 }
 
-// save saves the memory at the API server, each memoryInterval.
-func (p *plannerProcess) save() {
+// saveMemory saves the memory at the API server once per memoryInterval.
+func (p *plannerProcess) saveMemory() {
 	if p.now()-p.savedAt < memoryInterval {
 		return
 	}
 	p.savedAt = p.now()
 	if memory, ok := p.planner.Memory(); ok {
-		p.send(p.fleet.apiServer.id, p.fleet.hop(p.rnd), plannerMemory{p.now(), memory, true})
+		p.send(p.fleet.apiServer.id, p.fleet.linkDelay(p.rnd), plannerMemory{p.now(), memory, true})
 	}
 }
 
-// reports returns what the replicas lacked capacity for.
-func (p *plannerProcess) reports(now time.Duration) []roles.Replica {
+// lostWorkReports converts the requests that the replicas lost for lack of capacity to reports for the planner.
+func (p *plannerProcess) lostWorkReports(now time.Duration) []roles.Replica {
 	read, write := planner.MeanCosts(p.statuses)
 	var replicas []roles.Replica
-	for _, name := range slices.Sorted(maps.Keys(p.lost)) {
-		counts := planner.LostCounts{Prefill: p.lost[name][0], Decode: p.lost[name][1]}
+	for _, name := range slices.Sorted(maps.Keys(p.lostRequests)) {
+		counts := planner.LostCounts{Prefill: p.lostRequests[name][0], Decode: p.lostRequests[name][1]}
 		report := *p.lostWork.Add(name, counts, now, read, write)
 		replicas = append(replicas, roles.Replica{ID: name, Report: &report})
 	}
 	return replicas
 }
 
-// sendCommands repeats every command that is pending.
+// sendCommands sends every pending command to its engine. It is repeated until the engine confirms the command.
 func (p *plannerProcess) sendCommands(assignments roles.Assignments) {
 	commands := map[string]roles.Command{}
 	for _, command := range assignments.PendingCommands() {
@@ -265,12 +269,12 @@
 	}
 	for _, e := range p.fleet.engines {
 		if command, ok := commands[e.name]; ok {
-			p.send(e.id, connectHops*p.fleet.hop(p.rnd), roleCommand{command})
+			p.send(e.id, connectHops*p.fleet.linkDelay(p.rnd), roleCommand{command})
 		}
 	}
 }
 
-func (p *plannerProcess) sample(plan roles.Plan, assignments roles.Assignments) {
+func (p *plannerProcess) recordSample(plan roles.Plan, assignments roles.Assignments) {
 	serving, changing := assignments.CountServing()
 	p.samples = append(p.samples, RoleSample{
 		At: p.now(), PrefillDemand: plan.Reading, DecodeDemand: plan.Writing, Commands: assignments.Orders,
--- a/internal/simulation/fleet/replica.go
+++ b/internal/simulation/fleet/replica.go
@@ -11,21 +11,21 @@
 	"brackenbend/routing"
 )
 
-// epoch is the router's time at the start of the scenario, so that engines may have started before.
+// epoch is the router's time at the start of the scenario. It is positive so that an engine's start can lie before it.
 const epoch = 24 * time.Hour
 
 const (
-	// acceptWhileDraining is how long a replica that shuts down still accepts connections, to reject their requests; as
-	// in package gateway.
+	// acceptWhileDraining is how long a draining replica still accepts connections in order to reject their requests. It
+	// equals the time in package gateway.
 	acceptWhileDraining = 50 * time.Millisecond
-	drainTimeout        = 10 * time.Second       // as in the settings that scenarios write
+	drainTimeout        = 10 * time.Second       // as in the settings that package scenario generates
 	startupTime         = 100 * time.Millisecond // from the start of a replica's process until it listens
-	restartPoll         = 100 * time.Millisecond // while a replica that is to start again still drains
-	// listHops is how many links a new connection to the API server with its first list takes.
+	restartPollInterval = 100 * time.Millisecond // between checks whether a replica has drained and can start again
+	// listHops is the number of link delays until a list request on a new connection to the API server is answered.
 	listHops = 4
 )
 
-// replica is one replica: a decider, and what the gateway does around it.
+// replica is the actor of one gateway replica. It consists of a Decider and a model of the gateway around it.
 type replica struct {
 	actorBase
 	recorder
@@ -34,60 +34,61 @@
 	index int
 	name  string
 
-	process   processState
-	decider   Decider
-	endpoints endpointTable
-	requests  requestTable
-	outcomes  map[attemptOutcome]int
-	lost      [2]float64 // requests that the stage had no capacity for, since the process began
+	process     processState
+	decider     Decider
+	endpoints   endpointTable
+	requests    requestTable
+	outcomes    map[attemptOutcome]int
+	lostByStage [2]float64 // requests rejected or failed before their first token since the start: prefill, decode
 }
 
-// processState is the life cycle of a process that may be started again. Messages of an earlier run are ignored.
+// processState is the lifecycle of a process that can be restarted. Each start begins a new generation; scheduled
+// messages and replies to requests of an earlier generation are ignored.
 type processState struct {
-	run        int
+	generation int
 	up         bool
 	draining   bool
 	drainStart time.Duration
 }
 
-// endpointTable is what a replica knows of the engines.
+// endpointTable holds a replica's latest list entry for each engine.
 type endpointTable struct {
-	ids    []routing.EndpointID // by engine
-	engine map[routing.EndpointID]int
-	known  []endpoint // by engine: as last notified; nil = nothing was yet
+	ids      []routing.EndpointID // indexed by engine
+	engineOf map[routing.EndpointID]int
+	known    []endpoint // indexed by engine; nil = no list was received yet
 }
 
 func newEndpointTable(engines []*engine) endpointTable {
-	t := endpointTable{engine: map[routing.EndpointID]int{}}
+	t := endpointTable{engineOf: map[routing.EndpointID]int{}}
 	for i, e := range engines {
-		id := endpointslice.EndpointID(e.name, func(id routing.EndpointID) bool { _, taken := t.engine[id]; return taken })
-		t.ids, t.engine[id] = append(t.ids, id), i
+		id := endpointslice.EndpointID(e.name, func(id routing.EndpointID) bool { _, taken := t.engineOf[id]; return taken })
+		t.ids, t.engineOf[id] = append(t.ids, id), i
 	}
 	return t
 }
 
-// Messages of a replica to itself; run is that of the process which sent it.
+// Messages that a replica schedules for itself; generation is that of the process that scheduled them.
 type (
 	routerTimer struct {
-		run int
-		tag uint64
+		generation int
+		tag        uint64
 	}
 	attemptTimeout struct {
-		run     int
-		request routing.RequestID
-		attempt int
+		generation int
+		request    routing.RequestID
+		attempt    int
 	}
-	// answerDue ends the time in which a request must be answered.
+	// answerDue fails a request that has no answer by its deadline.
 	answerDue struct {
-		run     int
-		request routing.RequestID
-		whole   bool // an answer that is not streamed to the client is due; else a first token is enough
+		generation int
+		request    routing.RequestID
+		whole      bool // the complete answer is due, not only the first token
 	}
 	processStarted struct{}
-	// processTask is work that a process scheduled.
+	// processTask is a function that a process has scheduled.
 	processTask struct {
-		run int
-		do  func()
+		generation int
+		do         func()
 	}
 )
 
@@ -98,18 +99,18 @@
 	}
 }
 
-// start begins a process.
+// start starts a new generation of the replica's process.
 func (r *replica) start() error {
-	seed := uint64(r.fleet.scenario.Seed)*seedsEach + uint64(r.index) + 1
+	seed := uint64(r.fleet.scenario.Seed)*seedStride + uint64(r.index) + 1
 	var err error
 	if r.decider, err = r.fleet.options.Decider(r.fleet.config, seed); err != nil {
 		return err
 	}
-	r.process.run++
+	r.process.generation++
 	r.process.up, r.process.draining = true, false
-	r.requests, r.lost = newRequestTable(), [2]float64{}
+	r.requests, r.lostByStage = newRequestTable(), [2]float64{}
 	r.record(r.now(), audit.Event{Kind: audit.ReplicaStarted, Replica: r.name})
-	if r.endpoints.known != nil { // the list that is cached on disk
+	if r.endpoints.known != nil { // simulates the list cached on disk, which survives a restart
 		r.onList(listUpdate{routing.ListCached, slices.Clone(r.endpoints.known)})
 	}
 	return nil
@@ -123,22 +124,22 @@
 	switch m := message.(type) {
 	case incomingRequest:
 		r.onRequest(m)
-	case clientLeft:
+	case clientDisconnected:
 		if request := r.requests.byAttempt[m.attempt]; request != nil {
-			r.onClientLeft(request)
+			r.onClientDisconnected(request)
 		}
 	case listUpdate:
 		r.onList(m)
 	case attemptEnded:
-		if m.run == r.process.run {
+		if m.generation == r.process.generation {
 			r.onAttemptEnded(m)
 		}
 	case firstToken:
-		if m.run == r.process.run {
+		if m.generation == r.process.generation {
 			r.onFirstToken(m)
 		}
 	case routerTimer:
-		if m.run == r.process.run {
+		if m.generation == r.process.generation {
 			r.step(routing.Timer{Tag: m.tag})
 		}
 	case attemptTimeout:
@@ -146,13 +147,13 @@
 	case answerDue:
 		r.onAnswerDue(m)
 	case processTask:
-		if m.run == r.process.run {
+		if m.generation == r.process.generation {
 			m.do()
 		}
 	case processSignal:
-		r.onSignal(m.what)
+		r.onSignal(m.signal)
 	case lostWorkRequest:
-		r.send(m.from, r.fleet.hop(r.rnd), lostWorkReply{r.name, r.lost})
+		r.send(m.from, r.fleet.linkDelay(r.rnd), lostWorkReply{r.name, r.lostByStage})
 	}
 	if r.process.draining && len(r.requests.byID) == 0 {
 		r.stop()
@@ -162,32 +163,32 @@
 func (r *replica) receiveWhileDown(message any) {
 	switch m := message.(type) {
 	case incomingRequest:
-		r.sendAnswer(m.attempt, kindUnconnected, 0, false)
+		r.sendAnswer(m.attempt, resultNotConnected, 0, false)
 	case processSignal:
-		if m.what == signalStart {
+		if m.signal == signalStart {
 			r.schedule(startupTime, processStarted{})
 		}
 	case processStarted:
-		if err := r.start(); err != nil { // the same settings were accepted before
+		if err := r.start(); err != nil { // can't happen: the same settings were accepted at the first start
 			panic(err)
 		}
-		r.send(r.fleet.apiServer.id, listHops*r.fleet.hop(r.rnd), listRequest{r.index})
+		r.send(r.fleet.apiServer.id, listHops*r.fleet.linkDelay(r.rnd), listRequest{r.index})
 	}
 }
 
-// runTask schedules work of the present process.
+// runTask schedules a function, which is dropped if the process has ended by then.
 func (r *replica) runTask(after time.Duration, do func()) {
-	r.schedule(after, processTask{r.process.run, do})
+	r.schedule(after, processTask{r.process.generation, do})
 }
 
-func (r *replica) onSignal(what string) {
-	switch what {
+func (r *replica) onSignal(signal string) {
+	switch signal {
 	case signalKill:
 		r.record(r.now(), audit.Event{Kind: audit.ReplicaKilled, Replica: r.name})
 		for _, id := range slices.Sorted(maps.Keys(r.requests.byID)) {
 			request := r.requests.byID[id]
-			if request.answer != answerGiven {
-				r.sendAnswer(request.message.attempt, kindCut, 0, false)
+			if request.answer != answerSent {
+				r.sendAnswer(request.message.attempt, resultConnectionLost, 0, false)
 			}
 			r.cancelAll(request)
 		}
@@ -195,19 +196,19 @@
 	case signalShutdown:
 		r.process.draining, r.process.drainStart = true, r.now()
 		r.runTask(drainTimeout, r.endDrain)
-	case signalStart: // it still drains: it starts once it is down
+	case signalStart: // the process is up: if it is draining, check again later whether it can be started
 		if r.process.draining {
-			r.runTask(restartPoll, func() { r.onSignal(signalStart) })
+			r.runTask(restartPollInterval, func() { r.onSignal(signalStart) })
 		}
 	}
 }
 
-// endDrain fails what is still open.
+// endDrain fails the requests that are still open when the drain times out, and stops the process.
 func (r *replica) endDrain() {
 	for _, id := range slices.Sorted(maps.Keys(r.requests.byID)) {
 		request := r.requests.byID[id]
-		if request.answer != answerGiven {
-			r.finish(request, kindFailed, 0, r.mayHaveEffect(request))
+		if request.answer != answerSent {
+			r.finish(request, resultFailed, 0, r.mayHaveEffect(request))
 		}
 		r.cancelAll(request)
 	}
@@ -219,8 +220,8 @@
 	r.requests.byID, r.requests.byAttempt = nil, nil
 }
 
-// onList applies an update of the endpoint list. Endpoints that drain or are gone are closed before the router learns
-// of them.
+// onList applies an update of the endpoint list. It updates the table before the router handles the update, so that no
+// attempt is sent to an endpoint that is listed as draining or gone.
 func (r *replica) onList(update listUpdate) {
 	if r.endpoints.known == nil {
 		r.endpoints.known = make([]endpoint, len(r.fleet.engines))
@@ -240,30 +241,30 @@
 	r.step(ev)
 }
 
-// step gives the router an event and carries out its actions.
+// step passes an event to the router and performs the resulting actions.
 func (r *replica) step(ev routing.Event) {
 	for _, action := range r.decider.Step(r.now()+epoch, []routing.Event{ev}) {
-		r.act(action)
+		r.perform(action)
 	}
-	// Not before all actions are carried out: a release may follow the answer.
+	// Answered requests are removed after all actions, because a release may follow the answer.
 	for _, request := range r.requests.answered {
-		r.forgetIfDone(request)
+		r.removeIfDone(request)
 	}
 	r.requests.answered = r.requests.answered[:0]
 }
 
-func (r *replica) act(action routing.Action) {
+func (r *replica) perform(action routing.Action) {
 	switch a := action.(type) {
 	case routing.Send:
 		r.sendAttempt(a)
 	case routing.Reject:
 		if request := r.requests.byID[a.Request]; request != nil {
-			r.finish(request, kindRejected, a.RetryAfter, a.NoAutoRetry)
+			r.finish(request, resultRejected, a.RetryAfter, a.NoAutoRetry)
 			r.requests.answered = append(r.requests.answered, request)
 		}
 	case routing.Fail:
 		if request := r.requests.byID[a.Request]; request != nil {
-			r.finish(request, kindFailed, 0, a.PossibleDuplicate || r.mayHaveEffect(request))
+			r.finish(request, resultFailed, 0, a.PossibleDuplicate || r.mayHaveEffect(request))
 			r.requests.answered = append(r.requests.answered, request)
 		}
 	case routing.Cancel:
@@ -277,6 +278,6 @@
 			}
 		}
 	case routing.SetTimer:
-		r.schedule(a.After, routerTimer{r.process.run, a.Tag})
+		r.schedule(a.After, routerTimer{r.process.generation, a.Tag})
 	}
 }
--- a/internal/simulation/fleet/replica_attempts.go
+++ b/internal/simulation/fleet/replica_attempts.go
@@ -9,24 +9,24 @@
 
 // attempt is one attempt of a request at an engine.
 type attempt struct {
-	engine   int
-	picked   int // by the router; differs from engine only by an oracle
-	decode   bool
-	id       string
-	began    time.Duration
-	ended    bool
-	canceled bool
-	unsent   bool // it surely never ran
-	released bool // its state is to be released
-}
-
-// attemptOutcome is how an attempt ended.
+	engine           int
+	routerPick       int // the router's choice; an oracle may replace it by another engine
+	decode           bool
+	id               string
+	startedAt        time.Duration
+	ended            bool
+	canceled         bool
+	neverExecuted    bool // the engine certainly did not execute it
+	releaseRequested bool // its read state must be released when the attempt ends
+}
+
+// attemptOutcome is the stage and the result of an attempt.
 type attemptOutcome struct {
 	decode bool
 	result routing.Result
 }
 
-var resultNames = map[routing.Result]string{
+var attemptResultNames = map[routing.Result]string{
 	routing.Served:            "served",
 	routing.EngineError:       "failed",
 	routing.Rejected:          "turned away",
@@ -41,48 +41,48 @@
 
 func (o attemptOutcome) String() string {
 	if o.decode {
-		return stageDecode + " " + resultNames[o.result]
+		return stageDecode + " " + attemptResultNames[o.result]
 	}
-	return stagePrefill + " " + resultNames[o.result]
+	return stagePrefill + " " + attemptResultNames[o.result]
 }
 
-// attemptID is unique over all replicas and their runs.
+// attemptID returns an ID that is unique among all replicas and the generations of their processes.
 func (r *replica) attemptID(request *inflightRequest) string {
-	return "f" + strconv.Itoa(r.index+1) + "r" + strconv.Itoa(r.process.run) + "-" +
+	return "f" + strconv.Itoa(r.index+1) + "r" + strconv.Itoa(r.process.generation) + "-" +
 		strconv.FormatUint(uint64(request.id), 16) + "-" + strconv.Itoa(len(request.attempts))
 }
 
-// sendAttempt starts an attempt.
+// sendAttempt sends an attempt to the engine that the router or an oracle picked, and schedules its timeout.
 func (r *replica) sendAttempt(action routing.Send) {
-	request, picked := r.requests.byID[action.Request], r.endpoints.engine[action.Endpoint]
+	request, picked := r.requests.byID[action.Request], r.endpoints.engineOf[action.Endpoint]
 	target := r.pickByOracle(request, picked)
 	listed := r.endpoints.known[target]
 	n := len(request.attempts)
 	a := &attempt{
-		engine: target, picked: picked, decode: r.fleet.config.Kinds[listed.kind].Role != routing.RolePrefill,
-		began: r.now(), id: r.attemptID(request),
+		engine: target, routerPick: picked, decode: r.fleet.config.Kinds[listed.kind].Role != routing.RolePrefill,
+		startedAt: r.now(), id: r.attemptID(request),
 	}
 	request.attempts = append(request.attempts, a)
-	request.open++
-	if listed.state != routing.EndpointReady { // it was notified to drain between the decision and the first byte
-		a.unsent = true
+	request.openAttempts++
+	if listed.state != routing.EndpointReady { // the endpoint began to drain after the router's decision
+		a.neverExecuted = true
 		r.runTask(0, func() { r.endAttempt(request, n, attemptResult{result: routing.NotSent}) })
 		return
 	}
 	e := r.fleet.engines[target]
 	r.send(e.id, r.sendDelay(request, a), r.newEngineRequest(request, n))
-	end := request.due
+	end := request.deadline
 	if action.Timeout > 0 && (!r.fleet.options.Oracles.NoTimeouts || !e.healthy()) {
 		end = min(end, r.now()+action.Timeout)
 	}
-	r.schedule(end-r.now(), attemptTimeout{r.process.run, request.id, n})
+	r.schedule(end-r.now(), attemptTimeout{r.process.generation, request.id, n})
 }
 
-// newEngineRequest returns the message of an attempt.
+// newEngineRequest returns the message for an attempt. A new prefill invalidates the request's read state.
 func (r *replica) newEngineRequest(request *inflightRequest, n int) engineRequest {
 	a := request.attempts[n]
 	m := engineRequest{
-		attemptRef: attemptRef{r.process.run, request.id, n}, replica: r.id, id: a.id, replicaName: r.name,
+		attemptRef: attemptRef{r.process.generation, request.id, n}, replica: r.id, id: a.id, replicaName: r.name,
 		decode: a.decode, state: noState, work: request.message.work,
 	}
 	if a.decode {
@@ -93,38 +93,39 @@
 	return m
 }
 
-// sendDelay draws how long a request takes to its engine. A decode that is not idempotent has a new connection.
+// sendDelay draws the latency of a request to its engine. A decode that is not idempotent uses a new connection, whose
+// setup adds the latency of two links.
 func (r *replica) sendDelay(request *inflightRequest, a *attempt) time.Duration {
-	delay := r.fleet.hop(r.rnd)
-	class := r.fleet.config.Classes[request.message.traits.Class]
+	delay := r.fleet.linkDelay(r.rnd)
+	class := r.fleet.config.Classes[request.message.classification.Class]
 	if a.decode && class.Idempotency == routing.NotIdempotent {
 		delay += 2 * r.fleet.options.Link
 	}
 	return delay
 }
 
-// onAttemptTimeout ends an attempt without a first token, or a prefill that is not done.
+// onAttemptTimeout ends an attempt that has not ended, unless it is streaming the answer.
 func (r *replica) onAttemptTimeout(m attemptTimeout) {
 	request := r.requests.byID[m.request]
-	if m.run != r.process.run || request == nil || request.attempts[m.attempt].ended {
+	if m.generation != r.process.generation || request == nil || request.attempts[m.attempt].ended {
 		return
 	}
-	if request.answer == answerStreaming && request.streaming == m.attempt {
+	if request.answer == answerStreaming && request.streamingAttempt == m.attempt {
 		return
 	}
 	r.closeConnection(request, m.attempt)
 	r.endAttempt(request, m.attempt, attemptResult{result: routing.TimedOut})
 }
 
-// closeConnection closes that of an attempt to its engine.
+// closeConnection closes the connection of an attempt to its engine.
 func (r *replica) closeConnection(request *inflightRequest, n int) {
 	a := request.attempts[n]
-	r.send(r.fleet.engines[a.engine].id, r.fleet.hop(r.rnd), connectionClosed{a.id})
+	r.send(r.fleet.engines[a.engine].id, r.fleet.linkDelay(r.rnd), connectionClosed{a.id})
 }
 
 func (r *replica) cancel(request *inflightRequest, n int) {
 	a := request.attempts[n]
-	if !a.ended && !a.unsent {
+	if !a.ended && !a.neverExecuted {
 		a.canceled = true
 		r.closeConnection(request, n)
 		r.runTask(0, func() { r.endAttempt(request, n, attemptResult{result: routing.Canceled}) })
@@ -137,20 +138,20 @@
 	}
 }
 
-// releaseWhenEnded releases the state of a prefill, at once or when the attempt has ended.
+// releaseWhenEnded releases the read state of a prefill: immediately if the attempt has ended, else at its end.
 func (r *replica) releaseWhenEnded(a *attempt) {
-	if a.decode || a.released {
+	if a.decode || a.releaseRequested {
 		return
 	}
-	a.released = true
+	a.releaseRequested = true
 	if a.ended {
 		r.release(a)
 	}
 }
 
 func (r *replica) release(a *attempt) {
-	if !a.unsent {
-		r.send(r.fleet.engines[a.engine].id, r.fleet.hop(r.rnd), stateRelease{a.id})
+	if !a.neverExecuted {
+		r.send(r.fleet.engines[a.engine].id, r.fleet.linkDelay(r.rnd), stateRelease{a.id})
 	}
 }
 
@@ -159,18 +160,18 @@
 	if request == nil || request.attempts[m.attempt].ended {
 		return
 	}
-	if request.answer != answerOpen { // another answer was given
+	if request.answer != answerPending { // another attempt is streaming, or the request has its final answer
 		r.closeConnection(request, m.attempt)
 		r.endAttempt(request, m.attempt, attemptResult{result: routing.Canceled})
 		return
 	}
-	request.answer, request.streaming = answerStreaming, m.attempt
+	request.answer, request.streamingAttempt = answerStreaming, m.attempt
 	a := request.attempts[m.attempt]
 	if request.message.stream {
-		r.send(r.fleet.clients.id, r.fleet.hop(r.rnd), streamBegan{request.message.attempt})
+		r.send(r.fleet.clients.id, r.fleet.linkDelay(r.rnd), streamStarted{request.message.attempt})
 	}
 	r.step(routing.FirstToken{
-		Request: request.id, Attempt: m.attempt, Endpoint: r.endpoints.ids[a.picked], Elapsed: r.now() - a.began,
+		Request: request.id, Attempt: m.attempt, Endpoint: r.endpoints.ids[a.routerPick], Elapsed: r.now() - a.startedAt,
 	})
 }
 
@@ -180,7 +181,7 @@
 	}
 }
 
-// endAttempt records the result of an attempt and gives it to the router.
+// endAttempt records the result of an attempt and passes it to the router.
 func (r *replica) endAttempt(request *inflightRequest, n int, m attemptResult) {
 	a := request.attempts[n]
 	if a.ended {
@@ -188,35 +189,35 @@
 	}
 	a.ended = true
 	r.outcomes[attemptOutcome{a.decode, m.result}]++
-	a.unsent = a.unsent || m.result.NeverExecuted()
-	request.open--
-	isAnswer := request.answer == answerStreaming && request.streaming == n
+	a.neverExecuted = a.neverExecuted || m.result.NeverExecuted()
+	request.openAttempts--
+	isAnswer := request.answer == answerStreaming && request.streamingAttempt == n
 	if isAnswer {
 		r.endStream(request, m.result)
 	}
 	if m.result == routing.PrefillDone {
 		request.state, request.prefilled = stateLocation{a.engine, a.id}, true
 	}
-	// Nobody else knows of a state that a prefill may have left without being done.
-	if !a.decode && (a.released || m.result != routing.PrefillDone) {
-		a.released = true
+	// A prefill that did not complete may have left a read state that the router has no location for: release it here.
+	if !a.decode && (a.releaseRequested || m.result != routing.PrefillDone) {
+		a.releaseRequested = true
 		r.release(a)
 	}
 	r.step(routing.Outcome{
-		Request: request.id, Attempt: n, Endpoint: r.endpoints.ids[a.picked], Elapsed: r.now() - a.began,
+		Request: request.id, Attempt: n, Endpoint: r.endpoints.ids[a.routerPick], Elapsed: r.now() - a.startedAt,
 		RequestDone: isAnswer, Result: m.result, StateMissing: m.stateMissing, CachedTokens: m.cachedTokens,
 	})
-	r.forgetIfDone(request)
+	r.removeIfDone(request)
 }
 
-// endStream gives the client the end of an answer that had begun.
+// endStream sends the client the final answer when the attempt that is streaming ends.
 func (r *replica) endStream(request *inflightRequest, result routing.Result) {
 	switch {
 	case result == routing.Served:
-		r.finish(request, kindServed, 0, false)
+		r.finish(request, resultServed, 0, false)
 	case request.message.stream:
-		r.finish(request, kindBroken, 0, false)
+		r.finish(request, resultBroken, 0, false)
 	default:
-		r.finish(request, kindFailed, 0, r.mayHaveEffect(request))
+		r.finish(request, resultFailed, 0, r.mayHaveEffect(request))
 	}
 }
--- a/internal/simulation/fleet/replica_requests.go
+++ b/internal/simulation/fleet/replica_requests.go
@@ -9,68 +9,70 @@
 	"brackenbend/routing"
 )
 
-// seedsEach separates the replicas' seeds of neighboring scenario seeds, as the settings that scenarios write do.
-const seedsEach = 1000
+// seedStride is the distance between the routers' seeds for consecutive scenario seeds, as in the settings that package
+// scenario generates.
+const seedStride = 1000
 
 func replicaName(index int) string { return fmt.Sprint("front-", index+1) }
 
-// requestTable holds the requests of a replica's process.
+// requestTable holds the requests in flight in a replica's process.
 type requestTable struct {
 	lastID    routing.RequestID
 	byID      map[routing.RequestID]*inflightRequest
-	byAttempt map[uint64]*inflightRequest // by the client's attempt
-	answered  []*inflightRequest          // in the present step
+	byAttempt map[uint64]*inflightRequest // by the number of the client's attempt
+	answered  []*inflightRequest          // in the current step; checked for removal at its end
 }
 
 func newRequestTable() requestTable {
 	return requestTable{byID: map[routing.RequestID]*inflightRequest{}, byAttempt: map[uint64]*inflightRequest{}}
 }
 
-// inflightRequest is a request until its last attempt has ended.
+// inflightRequest is a request that has no final answer or still has an open attempt.
 type inflightRequest struct {
-	id        routing.RequestID
-	message   incomingRequest
-	due       time.Duration // when it must be answered, in simulated time
-	answer    answerState
-	streaming int // the attempt that streams
-	attempts  []*attempt
-	open      int           // attempts
-	state     stateLocation // of the latest prefill
-	prefilled bool          // at least once
+	id               routing.RequestID
+	message          incomingRequest
+	deadline         time.Duration // by which it must be answered, in simulated time
+	answer           answerState
+	streamingAttempt int // index of the attempt that streams the answer
+	attempts         []*attempt
+	openAttempts     int           // number of attempts that have not ended
+	state            stateLocation // read state of the latest prefill
+	prefilled        bool          // at least one prefill completed
 }
 
-// answerState is how far the answer of a request is.
+// answerState is the progress of a request's answer.
 type answerState uint8
 
 const (
-	answerOpen answerState = iota
+	answerPending answerState = iota
 	answerStreaming
-	answerGiven
+	answerSent
 )
 
-// sendAnswer sends a client the final answer.
-func (r *replica) sendAnswer(attempt uint64, kind string, wait time.Duration, noAutoRetry bool) {
-	r.send(r.fleet.clients.id, r.fleet.hop(r.rnd), answer{attempt, kind, wait, noAutoRetry})
+// sendAnswer sends the result of an attempt to the client.
+func (r *replica) sendAnswer(attempt uint64, result string, retryAfter time.Duration, noAutoRetry bool) {
+	r.send(r.fleet.clients.id, r.fleet.linkDelay(r.rnd), answer{attempt, result, retryAfter, noAutoRetry})
 }
 
-// mayHaveEffect reports whether running the request twice could do harm.
+// mayHaveEffect reports whether a second execution of the request could have an effect, because its class is not
+// idempotent.
 func (r *replica) mayHaveEffect(request *inflightRequest) bool {
-	return r.fleet.config.Classes[request.message.traits.Class].Idempotency != routing.Idempotent
+	return r.fleet.config.Classes[request.message.classification.Class].Idempotency != routing.Idempotent
 }
 
-// finish gives a request its final answer, unless it has one.
-func (r *replica) finish(request *inflightRequest, kind string, wait time.Duration, noAutoRetry bool) {
-	if request.answer == answerGiven {
+// finish sends the final answer of a request, unless it was sent before.
+func (r *replica) finish(request *inflightRequest, result string, retryAfter time.Duration, noAutoRetry bool) {
+	if request.answer == answerSent {
 		return
 	}
-	if request.answer == answerOpen && (kind == kindRejected || kind == kindFailed) {
-		r.lost[request.stage()]++
+	if request.answer == answerPending && (result == resultRejected || result == resultFailed) {
+		r.lostByStage[request.stage()]++
 	}
-	request.answer = answerGiven
-	r.sendAnswer(request.message.attempt, kind, wait, noAutoRetry)
+	request.answer = answerSent
+	r.sendAnswer(request.message.attempt, result, retryAfter, noAutoRetry)
 }
 
-// stage returns the index in replica.lost of the stage that a request without a first token has not passed.
+// stage returns the index in replica.lostByStage of the stage that a request without a first token is in.
 func (request *inflightRequest) stage() int {
 	if request.prefilled {
 		return 1
@@ -81,57 +83,57 @@
 func (r *replica) onRequest(m incomingRequest) {
 	if r.process.draining {
 		if r.now()-r.process.drainStart > acceptWhileDraining {
-			r.sendAnswer(m.attempt, kindUnconnected, 0, false)
+			r.sendAnswer(m.attempt, resultNotConnected, 0, false)
 		} else {
-			r.sendAnswer(m.attempt, kindDraining, time.Second, false)
+			r.sendAnswer(m.attempt, resultDraining, time.Second, false)
 		}
 		return
 	}
 	r.requests.lastID++
 	request := &inflightRequest{id: r.requests.lastID, message: m, state: noState}
 	margin := r.fleet.settings.Replica.AnswerMargin
-	wait := api.EffectiveTimeout(r.fleet.config.Classes[m.traits.Class].Deadline, m.wait)
-	request.due = r.now() + api.WithMargin(wait, margin)
+	wait := api.EffectiveTimeout(r.fleet.config.Classes[m.classification.Class].Deadline, m.timeout)
+	request.deadline = r.now() + api.WithMargin(wait, margin)
 	r.requests.byID[request.id], r.requests.byAttempt[m.attempt] = request, request
-	r.schedule(request.due+margin/2-r.now(), answerDue{r.process.run, request.id, false})
+	r.schedule(request.deadline+margin/2-r.now(), answerDue{r.process.generation, request.id, false})
 	if !m.stream {
-		r.schedule(api.WithMargin(m.wait, margin), answerDue{r.process.run, request.id, true})
+		r.schedule(api.WithMargin(m.timeout, margin), answerDue{r.process.generation, request.id, true})
 	}
-	r.step(m.traits.RoutingRequest(request.id, request.due+epoch))
-	r.forgetIfDone(request)
+	r.step(m.classification.RoutingRequest(request.id, request.deadline+epoch))
+	r.removeIfDone(request)
 }
 
 func (r *replica) onAnswerDue(m answerDue) {
 	request := r.requests.byID[m.request]
-	if m.run != r.process.run || request == nil {
+	if m.generation != r.process.generation || request == nil {
 		return
 	}
-	if request.answer == answerOpen || request.answer == answerStreaming && m.whole {
-		r.finish(request, kindFailed, 0, r.mayHaveEffect(request))
-		r.onClientLeft(request)
+	if request.answer == answerPending || request.answer == answerStreaming && m.whole {
+		r.finish(request, resultFailed, 0, r.mayHaveEffect(request))
+		r.onClientDisconnected(request)
 	}
 }
 
-// onClientLeft closes a request whose client disconnected, or whose time was up.
-func (r *replica) onClientLeft(request *inflightRequest) {
+// onClientDisconnected closes a request whose client disconnected or whose deadline passed.
+func (r *replica) onClientDisconnected(request *inflightRequest) {
 	if request.answer == answerStreaming {
 		r.cancelAll(request)
 	}
-	request.answer = answerGiven
+	request.answer = answerSent
 	r.step(routing.ClientDisconnected{Request: request.id})
-	r.forgetIfDone(request)
+	r.removeIfDone(request)
 }
 
-// forgetIfDone forgets a request that has its answer and no open attempt.
-func (r *replica) forgetIfDone(request *inflightRequest) {
-	if request.answer == answerGiven && request.open == 0 && r.requests.byID != nil {
+// removeIfDone removes a request that has its final answer and no open attempt.
+func (r *replica) removeIfDone(request *inflightRequest) {
+	if request.answer == answerSent && request.openAttempts == 0 && r.requests.byID != nil {
 		delete(r.requests.byID, request.id)
 		delete(r.requests.byAttempt, request.message.attempt)
 	}
 }
 
-// hasOpenDecode reports whether a decode is open that was not canceled: it may still wait for the state, which its
-// prefill endpoint can't see, so no release is sent.
+// hasOpenDecode reports whether a decode is in flight and not canceled. Such a decode may still have to fetch the read
+// state, which the prefill endpoint can't see, so the state must not be released.
 func (request *inflightRequest) hasOpenDecode() bool {
 	return slices.ContainsFunc(request.attempts, func(a *attempt) bool { return a.decode && !a.ended && !a.canceled })
 }
--- a/internal/simulation/fleet/result.go
+++ b/internal/simulation/fleet/result.go
@@ -13,15 +13,15 @@
 // Result is the outcome of a run.
 type Result struct {
 	Score             *scenario.Score
-	Rules             []audit.RuleResult // where they were checked
-	Attempts          map[string]int     // prefills ("read") and decodes ("write") that reached engines
-	Outcomes          map[string]int     // of attempts by stage and result, as "read timed out"
-	Events            int64              // delivered
-	TransferredTokens float64            // state tokens that decode endpoints fetched
-	Roles             []RoleSample       // where engines change role: each step of the first planner
+	Rules             []audit.RuleResult // nil unless Options.Audit is set
+	Attempts          map[string]int     // numbers of prefills ("read") and decodes ("write") that reached engines
+	Outcomes          map[string]int     // numbers of attempts by stage and result, such as "read timed out"
+	Events            int64              // number of messages that actors received
+	TransferredTokens float64            // tokens of read states that decode endpoints fetched
+	Roles             []RoleSample       // at each step of the first planner; nil without a planner
 }
 
-// Names of the stages in results.
+// Names of the stages in Result.
 const (
 	stagePrefill = "read"
 	stageDecode  = "write"
@@ -49,15 +49,15 @@
 		r.Events += s.events
 	}
 	if f.options.Audit {
-		r.Rules = f.audit()
+		r.Rules = f.checkRules()
 	}
 	return r
 }
 
-// recordSlack is by how much the audit's limits are exceeded by the links between what it times.
-const recordSlack = 10 * time.Millisecond
+// auditSlack is added to the audit's time limits, for the link delays between the events that the audit compares.
+const auditSlack = 10 * time.Millisecond
 
-func (f *fleet) audit() []audit.RuleResult {
+func (f *fleet) checkRules() []audit.RuleResult {
 	var events []audit.Event
 	events = append(append(events, f.clients.log...), f.apiServer.log...)
 	for _, e := range f.engines {
@@ -67,22 +67,23 @@
 		events = append(events, r.log...)
 	}
 	slices.SortStableFunc(events, func(a, b audit.Event) int { return cmp.Compare(a.At, b.At) })
-	f.deduplicate(events)
+	f.markDeduplicated(events)
 	service := f.scenario.Service
-	limits := audit.Limits{DrainGrace: service.DrainGrace, StateTTL: service.StateTTL, Slack: recordSlack}
+	limits := audit.Limits{DrainGrace: service.DrainGrace, StateTTL: service.StateTTL, Slack: auditSlack}
 	return audit.Check(events, limits)
 }
 
-// minDedupWindow is the least time for which engines remember idempotency keys.
+// minDedupWindow is the minimum time for which engines store idempotency keys.
 const minDedupWindow = time.Minute
 
-// deduplicate does what engines do by idempotency keys: the first execution within the window takes effect.
-func (f *fleet) deduplicate(events []audit.Event) {
+// markDeduplicated simulates deduplication by idempotency key: of the executions of a request within the dedup window,
+// only the first takes effect.
+func (f *fleet) markDeduplicated(events []audit.Event) {
 	window := minDedupWindow
 	for _, c := range f.scenario.Classes {
 		window = max(window, c.DedupWindow)
 	}
-	executed := map[string]time.Duration{} // by intent
+	executed := map[string]time.Duration{} // time of the latest execution with effect, by intent
 	for i := range events {
 		e := &events[i]
 		if e.Kind != audit.Executed || e.Class != audit.IdempotentWithKey {
@@ -96,7 +97,7 @@
 	}
 }
 
-// recorder is an actor's part of the record that is audited.
+// recorder collects an actor's audit events.
 type recorder struct {
 	enabled bool
 	log     []audit.Event
--- a/internal/simulation/fleet/scheduler.go
+++ b/internal/simulation/fleet/scheduler.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// actor is one replica, one engine, one planner, the API server, or all clients. Actors share no state and
-// communicate by messages, each of which takes at least the time of one link. So whatever happens within one link's
-// time after the earliest event can't influence another actor within that time, and shards of actors may run in
-// parallel. An actor receives its messages in the order of time, sender and number, whatever the shards: one seed
-// gives one result, on one processor or on many.
+// actor is one replica, one engine, one planner, the API server, or all clients. Actors share no state and communicate
+// by messages, each of which takes at least the minimum latency of a link, the lookahead. An event can therefore affect
+// another actor only after the lookahead, and shards of actors can run in parallel for that time. An actor receives its
+// messages ordered by time, sender and sequence number, regardless of the number of shards, so the result depends only
+// on the seed.
 type actor interface {
 	receive(message any)
 	base() *actorBase
 }
 
-// actorBase is what every actor embeds.
+// actorBase is embedded by every actor.
 type actorBase struct {
 	id    int32
-	seq   uint32 // of the messages it sent
+	seq   uint32 // number of the latest message that the actor sent
 	shard *shard
 }
 
@@ -27,7 +27,7 @@
 // now returns the simulated time.
 func (b *actorBase) now() time.Duration { return b.shard.now }
 
-// send delivers a message to another actor, after the time of a link or longer.
+// send delivers a message to another actor after a delay, which is raised to the lookahead if it is shorter.
 func (b *actorBase) send(to int32, after time.Duration, message any) {
 	b.seq++
 	scheduler := b.shard.scheduler
@@ -65,14 +65,14 @@
 	return e.seq < o.seq
 }
 
-// shard is some of the actors with an event queue of their own. In a round it is used by one goroutine.
+// shard is a subset of the actors with its own event queue. During a round, only one goroutine uses it.
 type shard struct {
 	scheduler *scheduler
 	index     int
 	now       time.Duration
-	queue     []event   // a binary heap; container/heap would box each event
-	outbox    [][]event // by shard: what is handed over after the round
-	events    int64     // delivered so far
+	queue     []event   // binary heap; container/heap would allocate for each event, because it stores interfaces
+	outbox    [][]event // events for other shards, indexed by shard; delivered after the round
+	events    int64     // number of events delivered
 }
 
 func (s *shard) push(ev event) {
@@ -123,9 +123,9 @@
 	}
 }
 
-// scheduler runs actors in simulated time, in rounds of one lookahead.
+// scheduler runs the actors in simulated time. In each round, all shards deliver their events of one lookahead.
 type scheduler struct {
-	lookahead time.Duration // the least time that a message takes
+	lookahead time.Duration // minimum delay of a message between actors
 	actors    []actor
 	shards    []*shard
 }
@@ -148,8 +148,8 @@
 	s.actors = append(s.actors, a)
 }
 
-// run delivers events until isOver, which is asked between rounds, or until no event is left. Each shard but the first
-// has a goroutine of its own, which ends before run returns.
+// run delivers events until none is left or isOver returns true; it is called before each round. Each shard except the
+// first runs in its own goroutine, which ends before run returns.
 func (s *scheduler) run(isOver func(now time.Duration) bool) {
 	limits := make([]chan time.Duration, len(s.shards))
 	var round, workers sync.WaitGroup
@@ -193,7 +193,7 @@
 	return next, found
 }
 
-// exchange hands over the messages between shards.
+// exchange moves the events in the outboxes to the queues of their shards.
 func (s *scheduler) exchange() {
 	for _, shard := range s.shards {
 		for to, events := range shard.outbox {
--- a/internal/simulation/fleet/scheduler_test.go
+++ b/internal/simulation/fleet/scheduler_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// echoActor passes each number on to two others.
+// echoActor increments each number that it receives and sends it to two other actors. It counts the messages that are
+// received out of order.
 type echoActor struct {
 	actorBase
 	received   []string
@@ -27,7 +28,7 @@
 	}
 }
 
-// Messages are delivered by time, then sender, then number, and never sooner than after the lookahead.
+// Actors must receive messages ordered by time, and the same messages with one shard as with four.
 func TestSchedulerDeliversInOrder(t *testing.T) {
 	var withOneShard string
 	for _, shards := range []int{1, 4} {
@@ -44,13 +45,13 @@
 		s.run(func(now time.Duration) bool { return now > time.Second })
 		for _, a := range actors {
 			if len(a.received) < 100 || a.outOfOrder > 0 {
-				t.Errorf("%d shards: actor %d got %d, %d out of order", shards, a.id, len(a.received), a.outOfOrder)
+				t.Errorf("%d shards: actor %d received %d messages, %d out of order", shards, a.id, len(a.received), a.outOfOrder)
 			}
 		}
 		if shards == 1 {
 			withOneShard = fmt.Sprint(actors[3].received)
 		} else if got := fmt.Sprint(actors[3].received); got != withOneShard {
-			t.Error("shards change what an actor receives")
+			t.Error("the messages that an actor receives depend on the number of shards")
 		}
 	}
 }
