--- a/internal/simulation/fleet/replica.go
+++ b/internal/simulation/fleet/replica.go
@@ -43,7 +43,7 @@
 }
 
 // processState is the lifecycle of a process that can be restarted. Each start begins a new generation; scheduled
-// messages and replies to requests of an earlier generation are ignored.
+// messages and attempt results of an earlier generation are ignored.
 type processState struct {
 	generation int
 	up         bool
