--- a/internal/load/errors.go
+++ b/internal/load/errors.go
@@ -2,14 +2,14 @@
 
 import "errors"
 
-// ErrPlan marks errors of the plan itself: nothing was sent.
-var ErrPlan = errors.New("the plan can't be carried out")
+// ErrPlan matches, by errors.Is, every error of Run that is due to an invalid plan. No request was sent then.
+var ErrPlan = errors.New("load: invalid plan")
 
-// planError is a fault of a plan, with the text of what is wrong.
+// planError wraps the error of a plan's check so that it also matches ErrPlan.
 type planError struct{ error }
 
-// Is reports that every plan error is an ErrPlan.
+// Is implements the interface that errors.Is looks for.
 func (planError) Is(target error) bool { return target == ErrPlan }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the error of the check.
 func (e planError) Unwrap() error { return e.error }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,9 +1,10 @@
-// Package load sends a scenario's clients (internal/simulation/scenario) to running replicas and measures what they
-// see. Arrivals are open: each session begins at its time, however slow the responses are, and latencies count from the
-// time at which a request should have been sent, so a replica that stalls can't hide it by holding the senders up
-// (coordinated omission). It checks no rules and starts no servers.
+// Package load is an open-loop load generator: it sends the requests of a scenario's clients
+// (internal/simulation/scenario) to running replicas and measures latencies and outcomes as the clients see them. Each
+// session starts at its scheduled time, however slow the responses are, and latencies count from the time at which a
+// request should have been sent. A replica that stalls thus can't hide its delay by holding up the senders (coordinated
+// omission). The package does not start servers or check invariants.
 //
-// Run owns the measurements. Each session has a goroutine of its own and takes the run's mutex to add to them.
+// Run owns the measurements. Each session runs in its own goroutine, which locks the run's mutex to record results.
 package load
 
 import (
@@ -15,24 +16,25 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// moodInterval is how often changes of the clients' behavior are applied and progress is reported.
-const moodInterval = 200 * time.Millisecond
+// conditionsInterval is how often due changes of the clients' behavior are applied and progress is reported.
+const conditionsInterval = 200 * time.Millisecond
 
-// run is the state of one run. mood, score, classes and outcomes are under mu.
+// run is the state of one load run.
 type run struct {
-	plan   *Plan
-	began  time.Time
-	open   atomic.Int64 // sessions
-	tokens atomic.Int64
+	plan         *Plan
+	startedAt    time.Time
+	openSessions atomic.Int64
+	tokens       atomic.Int64 // received in all responses
 
-	mu       sync.Mutex
-	mood     scenario.Conditions
-	score    *scenario.Score
-	classes  []Class
-	outcomes map[string]int
+	mu         sync.Mutex // guards the fields below
+	conditions scenario.Conditions
+	score      *scenario.Score
+	classes    []Class
+	outcomes   map[string]int
 }
 
-// Run sends until the plan's time is over and every session has ended. Once ctx ends, no session begins or goes on.
+// Run starts sessions until the plan's length has elapsed, then waits for all of them to end. Once ctx is canceled, no
+// session starts and none sends another request.
 func Run(ctx context.Context, plan Plan) (*Report, error) {
 	if plan.MaxOpen == 0 {
 		plan.MaxOpen = defaultMaxOpen
@@ -41,25 +43,25 @@
 		return nil, planError{err}
 	}
 	r := newRun(&plan)
-	moodCtx, stopMoods := context.WithCancel(ctx)
-	defer stopMoods()
-	var moods sync.WaitGroup
-	moods.Go(func() { r.changeMoods(moodCtx) })
+	changesCtx, stopChanges := context.WithCancel(ctx)
+	defer stopChanges()
+	var changes sync.WaitGroup
+	changes.Go(func() { r.applyConditionChanges(changesCtx) })
 	report := &Report{Length: plan.Length}
 	r.runSessions(ctx, report)
-	stopMoods()
-	moods.Wait()
-	r.fill(report)
+	stopChanges()
+	changes.Wait()
+	r.fillReport(report)
 	return report, nil
 }
 
 func newRun(plan *Plan) *run {
 	r := &run{
-		plan:     plan,
-		began:    time.Now(),
-		mood:     scenario.NormalConditions(),
-		score:    plan.Scenario.Score(),
-		outcomes: map[string]int{},
+		plan:       plan,
+		startedAt:  time.Now(),
+		conditions: scenario.NormalConditions(),
+		score:      plan.Scenario.Score(),
+		outcomes:   map[string]int{},
 	}
 	for range plan.Scenario.Classes {
 		r.classes = append(r.classes, newClass())
@@ -67,31 +69,31 @@
 	return r
 }
 
-// runSessions begins each session at its time and waits until all have ended.
+// runSessions starts each session at its scheduled time and waits until all have ended.
 func (r *run) runSessions(ctx context.Context, report *Report) {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
 	arrivals := r.plan.Scenario.Arrivals()
-	for at := r.began; ; {
-		at = at.Add(arrivals.Gap(r.currentMood()))
-		if at.Sub(r.began) > r.plan.Length || !waitUntil(ctx, at) {
+	for at := r.startedAt; ; {
+		at = at.Add(arrivals.Gap(r.currentConditions()))
+		if at.Sub(r.startedAt) > r.plan.Length || !waitUntil(ctx, at) {
 			return
 		}
-		report.SenderDelay = max(report.SenderDelay, time.Since(at))
-		session := arrivals.Next(r.currentMood())
-		if r.open.Load() >= int64(r.plan.MaxOpen) {
-			report.NotBegun++
+		report.MaxSenderDelay = max(report.MaxSenderDelay, time.Since(at))
+		session := arrivals.Next(r.currentConditions())
+		if r.openSessions.Load() >= int64(r.plan.MaxOpen) {
+			report.NotStarted++
 			continue
 		}
-		r.open.Add(1)
+		r.openSessions.Add(1)
 		sessions.Go(func() {
-			defer r.open.Add(-1)
+			defer r.openSessions.Add(-1)
 			r.runSession(ctx, session, at)
 		})
 	}
 }
 
-// waitUntil waits until at; false when ctx ended before.
+// waitUntil waits until at. It returns false if ctx is canceled first.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -103,21 +105,22 @@
 	}
 }
 
-// changeMoods applies the scenario's changes of the clients' behavior at their times, and reports progress.
-func (r *run) changeMoods(ctx context.Context) {
+// applyConditionChanges applies the scenario's changes of the clients' behavior when they are due and reports progress,
+// until ctx is canceled.
+func (r *run) applyConditionChanges(ctx context.Context) {
 	changes := r.plan.Scenario.ConditionChanges()
-	ticker := time.NewTicker(moodInterval)
+	ticker := time.NewTicker(conditionsInterval)
 	defer ticker.Stop()
 	for {
-		for len(changes) > 0 && time.Since(r.began) >= changes[0].At {
+		for len(changes) > 0 && time.Since(r.startedAt) >= changes[0].At {
 			r.mu.Lock()
-			changes[0].Do(&r.mood)
+			changes[0].Do(&r.conditions)
 			r.mu.Unlock()
 			changes = changes[1:]
 		}
 		if r.plan.Progress != nil {
-			done := time.Since(r.began).Seconds() / r.plan.Length.Seconds()
-			r.plan.Progress(min(done, 1), int(r.open.Load()))
+			done := time.Since(r.startedAt).Seconds() / r.plan.Length.Seconds()
+			r.plan.Progress(min(done, 1), int(r.openSessions.Load()))
 		}
 		select {
 		case <-ctx.Done():
@@ -127,16 +130,17 @@
 	}
 }
 
-func (r *run) currentMood() *scenario.Conditions {
+// currentConditions returns a copy of the conditions, so that callers need not hold the mutex.
+func (r *run) currentConditions() *scenario.Conditions {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	mood := r.mood
-	return &mood
+	conditions := r.conditions
+	return &conditions
 }
 
-// fill completes the report once all sessions have ended.
-func (r *run) fill(report *Report) {
-	report.Elapsed = time.Since(r.began)
+// fillReport copies the measurements into the report. All sessions must have ended.
+func (r *run) fillReport(report *Report) {
+	report.Elapsed = time.Since(r.startedAt)
 	rows, tenants := r.score.Rows()
 	for i, row := range rows {
 		r.classes[i].Row = row
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// newScenario has a class whose responses are streamed and one whose are not.
+// newScenario returns a scenario with a class of streamed responses and a class of responses that are not streamed.
 func newScenario(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("x.xml", []byte(`<day length="1s" rate="60/s" fronts="1" seed="3">
@@ -41,11 +41,11 @@
 	delay time.Duration
 
 	mu       sync.Mutex
-	attempts map[string]int // by the request's effect
+	attempts map[string]int // number of attempts of each request, by its metadata.effect
 }
 
-// countAttempt is the number of the attempts of a request, this one included.
-func (s *rejectingServer) countAttempt(effect string) int {
+// nextAttempt counts an attempt of a request and returns its number, from 1.
+func (s *rejectingServer) nextAttempt(effect string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.attempts[effect]++
@@ -62,7 +62,7 @@
 		http.Error(w, "no", http.StatusBadRequest)
 		return
 	}
-	if s.countAttempt(body.Metadata["effect"]) == 1 {
+	if s.nextAttempt(body.Metadata["effect"]) == 1 {
 		w.Header().Set("Retry-After", "1")
 		w.Header().Set("retry-after-ms", "20")
 		http.Error(w, `{}`, http.StatusTooManyRequests)
@@ -77,15 +77,15 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	for range 3 {
 		respond(w, "data: {}\n\n")
-		_ = http.NewResponseController(w).Flush() // a client that is gone shows in the report
+		_ = http.NewResponseController(w).Flush() // a disconnected client is visible in the report
 	}
 	respond(w, "data: [DONE]\n\n")
 }
 
-// respond writes text. A client that is gone shows in the report.
+// respond writes text. It ignores the error, as a disconnected client is visible in the report.
 func respond(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// startServer serves on a loopback address, which it returns.
+// startServer starts a server and returns its loopback address.
 func startServer(t *testing.T, handler http.Handler) (address string) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -93,7 +93,7 @@
 	return server.Listener.Addr().String()
 }
 
-func TestRunMeasuresRetriesAndTokens(t *testing.T) {
+func TestRunCountsRetriesAndTokenGaps(t *testing.T) {
 	server := &rejectingServer{attempts: map[string]int{}, delay: 60 * time.Millisecond}
 	progress := 0.0
 	report, err := Run(t.Context(), Plan{
@@ -111,7 +111,7 @@
 		t.Errorf("service %v, progress %v", report.Service, progress)
 	}
 	for _, c := range report.Classes {
-		// the rejection and its wait are part of what the client waits for its first token
+		// the time to the first token includes the rejected attempt and the pause of 20 ms after it
 		if q := quantiles(c.FirstToken); q.Count != int64(c.Requests) || q.P50 < 80 || c.Tries != 2*c.Requests {
 			t.Errorf("%s: %+v, %d attempts", c.Name, q, c.Tries)
 		}
@@ -120,28 +120,28 @@
 	if gaps != int64(2*report.Classes[0].Requests) || report.Tokens < gaps {
 		t.Errorf("%d gaps, %d tokens", gaps, report.Tokens)
 	}
-	checkForms(t, report)
+	checkReportFormats(t, report)
 }
 
-// checkForms checks that a report can be written in all its forms.
-func checkForms(t *testing.T, report *Report) {
+// checkReportFormats checks the text, HTML and JSON formats of a report.
+func checkReportFormats(t *testing.T, report *Report) {
 	t.Helper()
-	var text, html, figures bytes.Buffer
-	if report.WriteText(&text) != nil || report.WriteHTML(&html) != nil || report.WriteJSON(&figures) != nil {
-		t.Error("a report can't be written")
+	var text, html, jsonText bytes.Buffer
+	if report.WriteText(&text) != nil || report.WriteHTML(&html) != nil || report.WriteJSON(&jsonText) != nil {
+		t.Error("writing a report failed")
 	}
 	if !strings.Contains(text.String(), "quick, first token") {
 		t.Errorf("text: %s", text.String())
 	}
-	if strings.Count(html.String(), "<svg") != 2 || !json.Valid(figures.Bytes()) {
-		t.Errorf("HTML: %s, JSON: %s", html.String(), figures.String())
+	if strings.Count(html.String(), "<svg") != 2 || !json.Valid(jsonText.Bytes()) {
+		t.Errorf("HTML: %s, JSON: %s", html.String(), jsonText.String())
 	}
 }
 
-// TestRunShowsStalledServer: arrivals go on while a server stalls, and a request that waits for its turn counts its
-// waiting.
-func TestRunShowsStalledServer(t *testing.T) {
-	var mu sync.Mutex // one request at a time
+// TestRunCountsQueueingDelay guards against coordinated omission: sessions must keep starting while the server is
+// overloaded, and latencies must include the time that a request waits in the server's queue.
+func TestRunCountsQueueingDelay(t *testing.T) {
+	var mu sync.Mutex // the server serves one request at a time
 	address := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		mu.Lock()
@@ -157,11 +157,11 @@
 		t.Fatal(err)
 	}
 	if q := quantiles(report.Classes[0].FirstToken); q.Max < 300 {
-		t.Errorf("a server with a second's work queued, and the longest wait is %v ms", q.Max)
+		t.Errorf("longest time to the first token is %v ms at twice the server's capacity, want at least 300", q.Max)
 	}
 	plan.MaxOpen = 3
 	limited, err := Run(t.Context(), plan)
-	if err != nil || limited.NotBegun == 0 {
+	if err != nil || limited.NotStarted == 0 {
 		t.Errorf("%+v %v", limited, err)
 	}
 }
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestRunEndsWithContext(t *testing.T) {
+func TestRunStopsWhenContextIsCanceled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	plan := Plan{Scenario: newScenario(t), Length: time.Hour, Replicas: []string{"127.0.0.1:1"}}
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -9,34 +9,37 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// Bounds of a run.
+// Bounds on a plan's length and its number of open sessions.
 const (
 	minLength      = time.Second
 	maxLength      = time.Hour
 	defaultMaxOpen = 2000
-	highestMaxOpen = 20000
+	maxMaxOpen     = 20000
 )
 
-// Plan says what is sent, and where.
+// Plan configures a run.
 type Plan struct {
 	Scenario    *scenario.Scenario
-	Replicas    []string // host:port; each attempt goes to one of them, drawn at random
+	Replicas    []string // host:port; each attempt goes to one of them at random
 	Model       string
-	Length      time.Duration // how long sessions begin
-	MaxOpen     int           // sessions at once; more are counted as not begun; 0 = 2000
-	AllowRemote bool          // else only loopback addresses are taken
-	Progress    func(done float64, open int)
+	Length      time.Duration // time in which new sessions start
+	MaxOpen     int           // concurrent sessions; more are dropped and counted in Report.NotStarted; 0 = 2000
+	AllowRemote bool          // allow replicas at addresses other than loopback
+
+	// Progress, if not nil, is called several times a second with the elapsed fraction of Length and the number of open
+	// sessions.
+	Progress func(done float64, open int)
 }
 
-// check reports what keeps a plan from being run.
+// check returns an error if the plan is invalid.
 func (p *Plan) check() error {
 	switch {
 	case len(p.Replicas) == 0:
-		return errors.New("load: no front is named; write host:port")
+		return errors.New("load: no replica address; give at least one as host:port")
 	case p.Length < minLength || p.Length > maxLength:
-		return fmt.Errorf("load: a length of %v; from 1s to %v", p.Length, maxLength)
-	case p.MaxOpen < 1 || p.MaxOpen > highestMaxOpen:
-		return fmt.Errorf("load: %d requests at once; from 1 to %d", p.MaxOpen, highestMaxOpen)
+		return fmt.Errorf("load: length %v is out of range; use 1s to %v", p.Length, maxLength)
+	case p.MaxOpen < 1 || p.MaxOpen > maxMaxOpen:
+		return fmt.Errorf("load: limit of %d open sessions is out of range; use 1 to %d", p.MaxOpen, maxMaxOpen)
 	}
 	for _, replica := range p.Replicas {
 		if err := p.checkReplica(replica); err != nil {
@@ -49,14 +52,13 @@
 func (p *Plan) checkReplica(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return fmt.Errorf("load: front %q: %w; write host:port", address, err)
+		return fmt.Errorf("load: replica %q: %w; write host:port", address, err)
 	}
 	if p.AllowRemote || host == "localhost" {
 		return nil
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("load: front %q is not a loopback address; if the load is meant for it, say so (--anywhere)",
-			address)
+		return fmt.Errorf("load: replica %q is not a loopback address; use --anywhere to allow it", address)
 	}
 	return nil
 }
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -9,21 +9,21 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// Range and precision of recorded times.
+// Range and precision of the histograms.
 const (
 	maxRecordedTime   = 5 * time.Minute
 	significantDigits = 2
 )
 
-// maxGapsPerAttempt bounds the memory of one attempt's measurements.
+// maxGapsPerAttempt bounds the memory of one attempt's measurements. Gaps after it are not recorded.
 const maxGapsPerAttempt = 10000
 
-// Class is what clients of one class saw. Times are in microseconds.
+// Class holds the results of one class as its clients saw them. The histograms are in microseconds.
 type Class struct {
 	scenario.Row
-	FirstToken *hdrhistogram.Histogram `json:"-"` // from when the request should have been sent
-	TokenGap   *hdrhistogram.Histogram `json:"-"` // between tokens
-	Complete   *hdrhistogram.Histogram `json:"-"` // to the end of responses that were served
+	FirstToken *hdrhistogram.Histogram `json:"-"` // time to the first token, from when the request should have been sent
+	TokenGap   *hdrhistogram.Histogram `json:"-"` // time between two tokens of a response
+	Complete   *hdrhistogram.Histogram `json:"-"` // time to the end of a served response, from the same moment
 }
 
 func newClass() Class {
@@ -34,9 +34,9 @@
 	return hdrhistogram.New(1, maxRecordedTime.Microseconds(), significantDigits)
 }
 
-// recordTime records a time, moved into the histogram's range.
+// recordTime records a duration, clamped to the histogram's range.
 func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), h.HighestTrackableValue())) // fails only out of range
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), h.HighestTrackableValue())) // fails only for values out of range
 }
 
 // gapRecorder measures the gaps between the tokens of one attempt.
@@ -45,8 +45,8 @@
 	gaps []time.Duration
 }
 
-// token is called as each token comes.
-func (g *gapRecorder) token() {
+// onToken is called when a token arrives.
+func (g *gapRecorder) onToken() {
 	now := time.Now()
 	if !g.last.IsZero() && len(g.gaps) < maxGapsPerAttempt {
 		g.gaps = append(g.gaps, now.Sub(g.last))
@@ -54,18 +54,19 @@
 	g.last = now
 }
 
-// attempt is what was measured of one attempt.
-type attempt struct {
+// attemptResult holds the outcome and the latencies of one attempt.
+type attemptResult struct {
 	session     *scenario.Session
 	result      *client.Result
 	gaps        []time.Duration
 	final       bool          // the client does not retry
 	requestedAt time.Time     // when the request should have been sent
-	elapsed     time.Duration // since then
+	elapsed     time.Duration // from requestedAt to the end of the attempt
 }
 
-// record adds an attempt to the run's measurements.
-func (r *run) record(a attempt) {
+// record adds an attempt to the run's measurements. Tokens, gaps and outcomes count for every attempt, the latencies of
+// a request and its score only for its final one.
+func (r *run) record(a attemptResult) {
 	r.tokens.Add(int64(a.result.Tokens))
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,5 +84,5 @@
 	if a.result.Kind == "served" {
 		recordTime(class.Complete, a.elapsed)
 	}
-	r.score.Add(a.session, a.requestedAt.Sub(r.began), a.result.Kind, a.result.FirstToken)
+	r.score.Add(a.session, a.requestedAt.Sub(r.startedAt), a.result.Kind, a.result.FirstToken)
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -15,24 +15,24 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// notableSenderDelay is the delay of the sender from which the text report warns of it.
-const notableSenderDelay = 50 * time.Millisecond
+// senderDelayWarning is the sender's delay above which the text report prints a warning.
+const senderDelayWarning = 50 * time.Millisecond
 
 // Report is the result of a run.
 type Report struct {
-	Length      time.Duration
-	Elapsed     time.Duration
-	Classes     []Class
-	Tenants     []scenario.Row
-	Service     float64
-	Timeline    []scenario.Second
-	Outcomes    map[string]int // ends of attempts: served, refused, failed ...
-	Tokens      int64
-	NotBegun    int           // sessions past the limit of those at once
-	SenderDelay time.Duration // the latest that a session began after its time: of the sender itself
+	Length         time.Duration
+	Elapsed        time.Duration
+	Classes        []Class
+	Tenants        []scenario.Row
+	Service        float64
+	Timeline       []scenario.Second
+	Outcomes       map[string]int // number of attempts by outcome: served, refused, failed ...
+	Tokens         int64
+	NotStarted     int           // sessions dropped because Plan.MaxOpen sessions were open
+	MaxSenderDelay time.Duration // longest delay between the scheduled and the actual start of a session
 }
 
-// Quantiles of a time, in milliseconds.
+// Quantiles summarizes a histogram. Times are in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -49,7 +49,7 @@
 
 func milliseconds(microseconds int64) float64 { return float64(microseconds) / 1000 }
 
-// namedHistogram is one of the times that a class is measured by.
+// namedHistogram is a latency histogram of a class with its name in reports.
 type namedHistogram struct {
 	name      string
 	histogram *hdrhistogram.Histogram
@@ -59,7 +59,7 @@
 	return []namedHistogram{{"first token", c.FirstToken}, {"between tokens", c.TokenGap}, {"whole answer", c.Complete}}
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as plain text.
 func (r *Report) WriteText(out io.Writer) error {
 	if _, err := io.WriteString(out, r.summary()); err != nil {
 		return err
@@ -77,17 +77,17 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "service %.4f over %v; %d tokens, %.0f a second\n",
 		r.Service, r.Length, r.Tokens, float64(r.Tokens)/r.Elapsed.Seconds())
-	if r.NotBegun > 0 {
-		fmt.Fprintf(&b, "%d sessions did not begin: too many requests were open at once (--most)\n", r.NotBegun)
+	if r.NotStarted > 0 {
+		fmt.Fprintf(&b, "%d sessions were dropped: the limit of open sessions was reached (--most)\n", r.NotStarted)
 	}
-	if r.SenderDelay > notableSenderDelay {
-		fmt.Fprintf(&b, "the sender itself was up to %v late: figures near that are its own\n",
-			r.SenderDelay.Round(time.Millisecond))
+	if r.MaxSenderDelay > senderDelayWarning {
+		fmt.Fprintf(&b, "the load generator started sessions up to %v late; latencies of that order are unreliable\n",
+			r.MaxSenderDelay.Round(time.Millisecond))
 	}
 	return b.String()
 }
 
-// classTable has a row with tab-separated cells for each class.
+// classTable returns a table of outcomes with tab-separated cells and a row for each class.
 func (r *Report) classTable() string {
 	var b strings.Builder
 	b.WriteString("\nCLASS\tREQUESTS\tSERVICE\tSERVED\tLATE\tREFUSED\tFAILED\tBROKEN\tLEFT\tLOST\tTRIES\n")
@@ -98,7 +98,7 @@
 	return b.String()
 }
 
-// timeTable has a row with tab-separated cells for each time of each class.
+// timeTable returns a table of quantiles with tab-separated cells and a row for each latency of each class.
 func (r *Report) timeTable() string {
 	var b strings.Builder
 	b.WriteString("\nMILLISECONDS\tCOUNT\tP50\tP90\tP99\tP99.9\tMAX\n")
@@ -122,7 +122,7 @@
 	return b.String()
 }
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(out io.Writer) error {
 	type class struct {
 		Class
@@ -138,7 +138,7 @@
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(map[string]any{
 		"seconds": r.Length.Seconds(), "service": r.Service, "classes": classes, "tenants": r.Tenants,
-		"ends": r.Outcomes, "tokens": r.Tokens, "not_begun": r.NotBegun,
-		"sender_late_ms": milliseconds(r.SenderDelay.Microseconds()), "course": r.Timeline,
+		"ends": r.Outcomes, "tokens": r.Tokens, "not_begun": r.NotStarted,
+		"sender_late_ms": milliseconds(r.MaxSenderDelay.Microseconds()), "course": r.Timeline,
 	})
 }
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -10,10 +10,11 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// maxTokensFactor is how much longer than the drawn answer a request allows its answer to be.
+// maxTokensFactor is the token limit of a request as a multiple of the mean answer length of its class. It leaves room
+// for answers that are longer than the mean.
 const maxTokensFactor = 3
 
-// runSession runs one conversation, whose first request should be sent at a time.
+// runSession sends the requests of one session. at is the time at which the first should be sent.
 func (r *run) runSession(ctx context.Context, session *scenario.Session, at time.Time) {
 	request := r.newRequest(session)
 	for {
@@ -22,8 +23,8 @@
 		}
 		request.AnswerTokens = session.Answer
 		kind := r.send(ctx, session, request, at)
-		over := time.Since(r.began) > r.plan.Length
-		more, pause := session.NextTurn(kind, over, r.currentMood())
+		lengthElapsed := time.Since(r.startedAt) > r.plan.Length
+		more, pause := session.NextTurn(kind, lengthElapsed, r.currentConditions())
 		at = time.Now().Add(pause)
 		if !more || !waitUntil(ctx, at) {
 			return
@@ -31,7 +32,7 @@
 	}
 }
 
-// newRequest is what all requests of a session share.
+// newRequest returns an attempt with the fields that all requests of a session share.
 func (r *run) newRequest(session *scenario.Session) client.Attempt {
 	class := &r.plan.Scenario.Classes[session.Class]
 	request := client.Attempt{
@@ -45,12 +46,12 @@
 	return request
 }
 
-// send sends one request with its client's retries and returns how the last attempt ended.
+// send sends one request, retries it as its client would, and returns the outcome of the last attempt.
 func (r *run) send(ctx context.Context, session *scenario.Session, request client.Attempt, at time.Time) string {
 	request.Intent = fmt.Sprintf("%d.%d", session.ID, session.Turn)
 	request.DisconnectAfter, request.MarksRetries = session.HangUp, session.MarksRetries
 	if request.Class == audit.IdempotentWithKey {
-		request.Key = fmt.Sprintf("load-%d-%s", r.began.UnixNano(), request.Intent)
+		request.Key = fmt.Sprintf("load-%d-%s", r.startedAt.UnixNano(), request.Intent)
 	}
 	if session.Slow {
 		request.ReadDelay = scenario.SlowReadDelay
@@ -59,15 +60,15 @@
 		replica := r.plan.Replicas[session.PickReplica(len(r.plan.Replicas))]
 		request.ID, request.Retries = fmt.Sprintf("%s/%d", request.Intent, session.Attempts), session.Retries
 		var gaps gapRecorder
-		request.OnToken = gaps.token
-		delay := time.Since(at) // of this attempt; earlier ones and their pauses are part of what the client waits
+		request.OnToken = gaps.onToken
+		delay := time.Since(at) // includes earlier attempts and their pauses, which the client waits for too
 		result := client.Send(&request, replica, replica, nil)
 		if result.FirstToken > 0 {
 			result.FirstToken += delay
 		}
 		elapsed := time.Since(at)
 		retry, pause := session.AfterAttempt(result.Kind, result.NoAutoRetry, result.RetryAfter, elapsed)
-		r.record(attempt{
+		r.record(attemptResult{
 			session: session, result: &result, gaps: gaps.gaps, final: !retry, requestedAt: at, elapsed: elapsed,
 		})
 		if !retry || !waitUntil(ctx, time.Now().Add(pause)) {
