--- a/internal/api/body.go
+++ b/internal/api/body.go
@@ -8,15 +8,16 @@
 	"github.com/tidwall/gjson"
 )
 
-// keepStateForDecode asks a vLLM engine to keep the KV cache state for another engine to fetch (vLLM, disaggregated
-// prefill, NIXL connector).
+// keepStateForDecode is the value of kv_transfer_params that asks a vLLM engine to keep the KV cache state until
+// another engine fetches it (disaggregated prefill with the NIXL connector).
 const keepStateForDecode = `{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
 	`"remote_block_ids":null,"remote_host":null,"remote_port":null}`
 
-// setting is a field that replaces the client's.
-type setting struct{ name, value string }
+// fieldOverride is a field of a body for an engine that replaces the client's field of that name. The value is JSON.
+type fieldOverride struct{ name, value string }
 
-// PrefillBody is the body for a prefill: one token at most, not streamed, its state kept for another engine.
+// PrefillBody returns the body for a prefill. The response is limited to one token and not streamed, and the engine
+// keeps the read state for the decode engine.
 func (r *Request) PrefillBody() []byte {
 	limit := fieldMaxTokens
 	if _, ok := r.get(limit); !ok {
@@ -24,60 +25,62 @@
 			limit = fieldMaxCompletionTokens
 		}
 	}
-	settings := []setting{{limit, "1"}, {fieldStream, "false"}, {fieldKVTransferParams, keepStateForDecode}}
-	return r.bodyWith(settings, fieldMaxTokens, fieldMaxCompletionTokens, fieldStreamOptions, fieldMinTokens)
+	overrides := []fieldOverride{{limit, "1"}, {fieldStream, "false"}, {fieldKVTransferParams, keepStateForDecode}}
+	return r.bodyWith(overrides, fieldMaxTokens, fieldMaxCompletionTokens, fieldStreamOptions, fieldMinTokens)
 }
 
-// DecodeBody is the body for a decode, always streamed. kv is from the prefill's reply, nil for a request that runs
-// whole at one engine. usage asks for the token counts at the end, which an answer that is not streamed must have.
+// DecodeBody returns the body for a decode, which is always streamed. kv holds the transfer parameters of the prefill's
+// reply; it is nil for a request that one engine runs as a whole. usage requests the token counts at the end of the
+// stream, which a response that the client wants unstreamed must contain.
 func (r *Request) DecodeBody(kv json.RawMessage, usage bool) []byte {
-	settings := append(make([]setting, 0, 3), setting{fieldStream, "true"})
+	overrides := append(make([]fieldOverride, 0, 3), fieldOverride{fieldStream, "true"})
 	if usage {
-		settings = append(settings, setting{fieldStreamOptions, `{"include_usage":true}`})
+		overrides = append(overrides, fieldOverride{fieldStreamOptions, `{"include_usage":true}`})
 	}
 	if kv != nil {
-		settings = append(settings, setting{fieldKVTransferParams, string(kv)})
+		overrides = append(overrides, fieldOverride{fieldKVTransferParams, string(kv)})
 	}
-	return r.bodyWith(settings, fieldKVTransferParams)
+	return r.bodyWith(overrides, fieldKVTransferParams)
 }
 
-// bodyWith is the body with some fields set and some dropped. All others are copied byte by byte, in their order.
-func (r *Request) bodyWith(settings []setting, drop ...string) []byte {
+// bodyWith returns the client's body with the overrides set and the fields in drop removed. All other fields are copied
+// byte for byte, in their order.
+func (r *Request) bodyWith(overrides []fieldOverride, drop ...string) []byte {
 	size := len("{}")
 	for _, f := range r.fields {
 		size += len(f.key) + len(f.value) + len(":,")
 	}
-	for _, s := range settings {
+	for _, s := range overrides {
 		size += len(s.name) + len(s.value) + len(`"":,`)
 	}
 	b := append(make([]byte, 0, size), '{')
 	for _, f := range r.fields {
-		isSet := slices.ContainsFunc(settings, func(s setting) bool { return s.name == f.name })
+		isSet := slices.ContainsFunc(overrides, func(s fieldOverride) bool { return s.name == f.name })
 		if isSet || slices.Contains(drop, f.name) {
 			continue
 		}
 		b = append(append(append(append(b, f.key...), ':'), f.value...), ',')
 	}
-	for _, s := range settings {
+	for _, s := range overrides {
 		b = append(append(append(b, '"'), s.name...), '"', ':')
 		b = append(append(b, s.value...), ',')
 	}
-	b[len(b)-1] = '}' // in place of the last comma; at least one field is set
+	b[len(b)-1] = '}' // replaces the last comma; there is at least one override
 	return b
 }
 
-// PrefillReply is what routing needs of an engine's reply to a prefill.
+// PrefillReply holds the fields of an engine's reply to a prefill that routing needs.
 type PrefillReply struct {
 	KVTransferParams json.RawMessage // kv_transfer_params, nil if there are none
 	CachedTokens     float64         // prompt tokens found in the engine's prefix cache; 0 if unknown
 }
 
-// ErrInvalidReply is the error of a reply to a prefill that is not JSON, or nests too deep.
-var ErrInvalidReply = errors.New("api: the reader's answer is not JSON")
+// ErrInvalidReply is returned for a reply to a prefill that is not valid JSON or is nested too deeply.
+var ErrInvalidReply = errors.New("api: the engine's reply to the prefill is not valid JSON")
 
 // ParsePrefillReply parses an engine's reply to a PrefillBody.
 func ParsePrefillReply(body []byte) (PrefillReply, error) {
-	if nestsTooDeep(body) || !gjson.ValidBytes(body) {
+	if exceedsMaxDepth(body) || !gjson.ValidBytes(body) {
 		return PrefillReply{}, ErrInvalidReply
 	}
 	var reply PrefillReply
@@ -88,10 +91,10 @@
 	return reply, nil
 }
 
-// maxCachedTokens bounds a count that can be right.
+// maxCachedTokens is an upper bound on plausible counts; larger ones are ignored.
 const maxCachedTokens = 1e9
 
-// CachedTokens is how many prompt tokens the usage of a reply, or of an event, reports as found in the prefix cache; 0
+// CachedTokens returns the number of prompt tokens found in the prefix cache, from the usage in a reply or an event; 0
 // if unknown.
 func CachedTokens(text []byte) float64 {
 	n := gjson.GetBytes(text, "usage.prompt_tokens_details.cached_tokens")
--- a/internal/api/classify.go
+++ b/internal/api/classify.go
@@ -11,68 +11,69 @@
 	"brackenbend/routing"
 )
 
-// Source is the part of a request that a rule or a key reads.
+// Source is the part of a request that a rule or an affinity key reads.
 type Source uint8
 
-// The sources. Not every one fits every use; the settings' checker rejects those that do not.
+// The sources. Package config rejects a source in a rule or a key that does not support it.
 const (
 	FromPath           Source = iota // the request's path
 	FromModel                        // the model
 	FromHeader                       // a header field
 	FromAPIKey                       // the SHA-256, in hex, of the bearer token
 	FromUser                         // the user field of the body
-	FromSystemMessages               // leading system and developer messages
-	FromFirstMessage                 // everything up to the first user message
-	FromOpening                      // the first bytes of the text
+	FromSystemMessages               // the leading system and developer messages
+	FromFirstMessage                 // all messages up to and including the first user message
+	FromOpening                      // the first bytes of the prompt
 )
 
-// Match is a condition on a request.
+// Match is a condition on the value that a source has in a request. Either Equals or Prefix is set.
 type Match struct {
-	From   Source
-	Name   string // of a header field
-	Equals string // the value, or
-	Prefix string // how it begins
+	Source Source
+	Name   string // of the header field, for FromHeader
+	Equals string
+	Prefix string
 }
 
-// Rule assigns the class or tenant of an index to the requests that match.
+// Rule assigns a class or a tenant, by its index, to the requests that match.
 type Rule struct {
 	Match Match
 	Index int
 }
 
-// Key distinguishes sessions or shared prefixes: the first source that has a value counts.
-type Key struct {
-	From  Source
-	Name  string // of a header field
-	Bytes int    // for FromOpening
+// AffinityKey selects the part of a request that identifies its session or its shared prefix.
+type AffinityKey struct {
+	Source Source
+	Name   string // of the header field, for FromHeader
+	Bytes  int    // length of the prefix, for FromOpening
 }
 
-// Model is a model served under a name.
+// Model is a model that clients can request by its name.
 type Model struct {
 	Name          string
 	BytesPerToken float64
-	MaxOutput     int // tokens, for requests that give no limit
+	MaxOutput     int // output tokens assumed for requests without a limit
 }
 
-// Classifier reads class, tenant, session, prefix and lengths from requests. It is not changed once in use.
+// Classifier determines the class, tenant, session, prefix and lengths of requests. Of its rules the first that matches
+// applies, and of its keys the first that has a value. It must not be modified once in use.
 type Classifier struct {
 	Classes, Tenants            []Rule
-	DefaultClass, DefaultTenant int // -1 = the request is invalid
-	Sessions, Prefixes          []Key
+	DefaultClass, DefaultTenant int // for requests that no rule matches; -1 = reject them
+	Sessions, Prefixes          []AffinityKey
 	Models                      []Model
 }
 
-// Classification is what routing needs to know of a request.
+// Classification holds the properties of a request that routing needs.
 type Classification struct {
 	Class, Tenant                 int
 	Session, Prefix               uint64 // hashes; 0 = none
 	PromptTokens                  float64
 	PrefixTokens, MaxOutputTokens float64
 	IdempotencyKey                string
-	Retry                         bool // the client's SDK retries by itself
+	Retry                         bool // an automatic retry by the client's SDK
 }
 
-// RoutingRequest is the request for the router; deadline is on the router's clock.
+// RoutingRequest converts the classification to a request for the router. deadline is on the router's clock.
 func (c *Classification) RoutingRequest(id routing.RequestID, deadline time.Duration) routing.Request {
 	return routing.Request{
 		ID: id, Class: c.Class, Tenant: c.Tenant, Session: c.Session, Prefix: c.Prefix,
@@ -81,7 +82,7 @@
 	}
 }
 
-// Classify classifies a request. The error says which part of it fits no rule.
+// Classify classifies a request. It returns an error if the model is unknown or no rule assigns a class or a tenant.
 func (c *Classifier) Classify(r *Request, h http1.Header) (Classification, *Error) {
 	var result Classification
 	model := c.model(r.Model)
@@ -89,10 +90,10 @@
 		return result, modelNotFound(r.Model)
 	}
 	apiKey := hashedAPIKey(h)
-	if result.Class = pickRule(c.Classes, c.DefaultClass, r, h, apiKey); result.Class < 0 {
+	if result.Class = matchRule(c.Classes, c.DefaultClass, r, h, apiKey); result.Class < 0 {
 		return result, invalid("", "no rule gives this request a class")
 	}
-	if result.Tenant = pickRule(c.Tenants, c.DefaultTenant, r, h, apiKey); result.Tenant < 0 {
+	if result.Tenant = matchRule(c.Tenants, c.DefaultTenant, r, h, apiKey); result.Tenant < 0 {
 		return result, &Error{
 			Status: http.StatusUnauthorized, Type: TypeInvalidRequest, Code: codeInvalidAPIKey,
 			Message: "no rule gives this request a tenant",
@@ -103,15 +104,15 @@
 	if r.MaxTokens == 0 {
 		result.MaxOutputTokens = float64(model.MaxOutput)
 	}
-	result.Session, _ = pickKey(c.Sessions, r, h)
+	result.Session, _ = affinityHash(c.Sessions, r, h)
 	var size int
-	result.Prefix, size = pickKey(c.Prefixes, r, h)
+	result.Prefix, size = affinityHash(c.Prefixes, r, h)
 	result.PrefixTokens = min(float64(size)/model.BytesPerToken, result.PromptTokens)
 	result.IdempotencyKey, result.Retry = h.Get("Idempotency-Key"), IsRetry(h)
 	return result, nil
 }
 
-// model returns the last model of that name, or nil.
+// model returns the last model with the given name, or nil.
 func (c *Classifier) model(name string) (model *Model) {
 	for i := range c.Models {
 		if c.Models[i].Name == name {
@@ -121,12 +122,12 @@
 	return model
 }
 
-// pickRule returns the index of the first rule that matches, or the default.
-func pickRule(rules []Rule, defaultIndex int, r *Request, h http1.Header, apiKey string) int {
+// matchRule returns the Index of the first rule that matches, or defaultIndex.
+func matchRule(rules []Rule, defaultIndex int, r *Request, h http1.Header, apiKey string) int {
 	for _, rule := range rules {
 		m := &rule.Match
 		v := ""
-		switch m.From {
+		switch m.Source {
 		case FromPath:
 			v = r.Path
 		case FromModel:
@@ -137,7 +138,7 @@
 			v = apiKey
 		case FromUser:
 			v = r.User
-		case FromSystemMessages, FromFirstMessage, FromOpening: // sources of keys only
+		case FromSystemMessages, FromFirstMessage, FromOpening: // valid in keys only
 		}
 		if m.Equals != "" && v == m.Equals || m.Prefix != "" && strings.HasPrefix(v, m.Prefix) {
 			return rule.Index
@@ -146,11 +147,12 @@
 	return defaultIndex
 }
 
-// pickKey returns the hash of the first source that has a value, with the number of bytes of the prompt that it covers.
-func pickKey(keys []Key, r *Request, h http1.Header) (hash uint64, size int) {
+// affinityHash returns the hash of the first key that has a value, with the number of bytes of the prompt that it
+// covers. It returns 0, 0 if none has one.
+func affinityHash(keys []AffinityKey, r *Request, h http1.Header) (hash uint64, size int) {
 	for _, key := range keys {
 		hash, size = 0, 0
-		switch key.From {
+		switch key.Source {
 		case FromHeader:
 			hash = hashText(h.Get(key.Name))
 		case FromUser:
@@ -161,7 +163,7 @@
 			hash = r.FirstTurnHash()
 		case FromOpening:
 			hash, size = r.Prefix(key.Bytes)
-		case FromPath, FromModel, FromAPIKey: // sources of rules only
+		case FromPath, FromModel, FromAPIKey: // valid in rules only
 		}
 		if hash != 0 {
 			return hash, size
@@ -170,7 +172,7 @@
 	return 0, 0
 }
 
-// hashText is a hash that is 0 for no text only.
+// hashText returns a hash that is 0 only for the empty string.
 func hashText(s string) uint64 {
 	if s == "" {
 		return 0
@@ -178,7 +180,7 @@
 	return max(xxhash.Sum64String(s), 1)
 }
 
-// ModelList is the answer to GET /v1/models, or for one model with its name.
+// ModelList returns the response body of GET /v1/models or, if name is not empty, of GET /v1/models/{name}.
 func (c *Classifier) ModelList(name string) ([]byte, *Error) {
 	type object struct {
 		ID      string `json:"id"`
--- a/internal/api/error.go
+++ b/internal/api/error.go
@@ -6,14 +6,14 @@
 	"net/http"
 )
 
-// Types of errors, as OpenAI's API names them.
+// Types of errors in the OpenAI API.
 const (
 	TypeInvalidRequest = "invalid_request_error"
 	TypeRateLimit      = "rate_limit_error"
 	TypeServer         = "server_error"
 )
 
-// Codes of the errors of this package.
+// Codes of errors in the OpenAI API.
 const (
 	codeModelNotFound = "model_not_found"
 	codeInvalidAPIKey = "invalid_api_key"
@@ -22,15 +22,15 @@
 // Error is an error of the API, with the HTTP status of its response.
 type Error struct {
 	Status  int
-	Type    string // one of the types above
+	Type    string // TypeInvalidRequest, TypeRateLimit or TypeServer
 	Code    string // may be empty
-	Param   string // the invalid field; may be empty
+	Param   string // path of the invalid field in the body; may be empty
 	Message string
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("api: %d %s: %s", e.Status, e.Type, e.Message) }
 
-// JSON is the error object of the API.
+// JSON returns the response body: an error object of the API.
 func (e *Error) JSON() []byte {
 	type object struct {
 		Message string  `json:"message"`
@@ -50,7 +50,7 @@
 	return &s
 }
 
-// mustMarshal encodes values that hold nothing but strings and numbers, which can't fail.
+// mustMarshal encodes values that contain only strings and numbers, for which encoding can't fail.
 func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return b
 }
 
-// invalid is the error for a request whose field param is invalid.
+// invalid returns the error for a request whose field param is invalid.
 func invalid(param, format string, a ...any) *Error {
 	return &Error{
 		Status: http.StatusBadRequest, Type: TypeInvalidRequest, Param: param, Message: fmt.Sprintf(format, a...),
--- a/internal/api/header.go
+++ b/internal/api/header.go
@@ -10,18 +10,19 @@
 	"brackenbend/internal/http1"
 )
 
-// IsRetry reports that a client's SDK retries a request by itself: the OpenAI SDKs number their attempts at one call in
-// X-Stainless-Retry-Count, from 0. A value that is no number counts as a retry, since missing one does harm.
+// IsRetry reports whether a request is an automatic retry by the client's SDK: the OpenAI SDKs number the attempts of a
+// call in X-Stainless-Retry-Count, from 0. A value that is not a number counts as a retry, because a retry that is not
+// recognized could run a request twice.
 func IsRetry(h http1.Header) bool {
 	v := strings.TrimSpace(h.Get("X-Stainless-Retry-Count"))
 	return strings.Trim(v, "0") != ""
 }
 
-// maxTimeoutSeconds is the longest timeout that is believed.
+// maxTimeoutSeconds is the longest client timeout that is accepted; longer ones are ignored.
 const maxTimeoutSeconds = 86400
 
-// ClientTimeout is how long the client waits, by the timeout fields of the OpenAI SDKs, which are in seconds; 0 if
-// unknown.
+// ClientTimeout returns how long the client waits: the shortest of the timeouts that the OpenAI SDKs send as header
+// fields, in seconds; 0 if unknown.
 func ClientTimeout(h http1.Header) time.Duration {
 	shortest := time.Duration(0)
 	for _, name := range []string{"X-Stainless-Timeout", "X-Stainless-Read-Timeout"} {
@@ -36,19 +37,21 @@
 	return shortest
 }
 
-// EffectiveTimeout is how long a client waits: its class's deadline, or the client's timeout if that is sooner (0 =
-// unknown).
-func EffectiveTimeout(class, client time.Duration) time.Duration {
+// ShorterTimeout returns how long a client waits: the deadline of its class, or the client's own timeout if that is
+// shorter. A client timeout of 0 means unknown.
+func ShorterTimeout(class, client time.Duration) time.Duration {
 	if client > 0 && client < class {
 		return client
 	}
 	return class
 }
 
-// WithMargin is how long a gateway may take for an answer that must arrive within wait.
-func WithMargin(wait, margin time.Duration) time.Duration { return max(wait-margin, wait/2) }
+// SubtractMargin returns the time in which a gateway must answer so that the answer arrives within wait: the margin is
+// for the way to the client. At least half of wait remains.
+func SubtractMargin(wait, margin time.Duration) time.Duration { return max(wait-margin, wait/2) }
 
-// hashedAPIKey is the SHA-256, in hex, of the bearer token, so that settings need not hold secrets.
+// hashedAPIKey returns the SHA-256, in hex, of the bearer token, or "" without one. Settings contain only such hashes,
+// so that they need not hold secrets.
 func hashedAPIKey(h http1.Header) string {
 	scheme, token, _ := strings.Cut(h.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") || token == "" {
--- a/internal/api/prefix.go
+++ b/internal/api/prefix.go
@@ -6,7 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// EstimateTokens estimates the prompt's length from its bytes.
+// EstimateTokens returns the length of the prompt in tokens, estimated from its bytes unless the prompt is given as
+// tokens.
 func (r *Request) EstimateTokens(bytesPerToken float64) float64 {
 	if r.PromptTokens > 0 {
 		return float64(r.PromptTokens)
@@ -18,15 +19,16 @@
 	return math.Ceil(float64(n) / bytesPerToken)
 }
 
-// newHash begins a hash of the model's name: prefix caches are shared within one model only. Writing to it can't fail.
+// newHash returns a hash to which the model's name is already written, as prefix caches are shared only within one
+// model. Writing to it can't fail.
 func (r *Request) newHash() *xxhash.Digest {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(r.Model)
 	return digest
 }
 
-// SystemPrefix is the hash and the size in bytes of the leading system and developer messages, which sessions share;
-// 0, 0 if there are none. A completion's prompt has no such part.
+// SystemPrefix returns the hash and the size in bytes of the leading system and developer messages, which sessions can
+// share; 0, 0 if there are none, as in a text completion.
 func (r *Request) SystemPrefix() (hash uint64, size int) {
 	digest := r.newHash()
 	for _, m := range r.Messages {
@@ -42,7 +44,8 @@
 	return digest.Sum64(), size
 }
 
-// FirstTurnHash is the hash of everything up to the first user message, which all turns of a conversation share.
+// FirstTurnHash returns the hash of all messages up to and including the first user message, which all turns of a
+// conversation share; 0 if there is no user message.
 func (r *Request) FirstTurnHash() uint64 {
 	digest := r.newHash()
 	for _, m := range r.Messages {
@@ -54,8 +57,8 @@
 	return 0
 }
 
-// Prefix is the hash of the first n bytes of the whole text, with the number of bytes that it covers; 0, 0 if the text
-// is shorter.
+// Prefix returns the hash of the first n bytes of the prompt or of the messages with their roles, and n; 0, 0 if they
+// are shorter.
 func (r *Request) Prefix(n int) (hash uint64, size int) {
 	digest := r.newHash()
 	left := n
--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -1,8 +1,8 @@
-// Package api reads requests of the OpenAI-compatible API, rewrites their bodies for the two stages at engines, and
-// writes the API's answers and error objects. It also classifies requests for routing.
+// Package api implements the OpenAI-compatible API: it parses requests, rewrites their bodies for prefill and decode,
+// and encodes responses and error objects. It also classifies requests for routing.
 //
-// It holds no sockets and starts no goroutines. A Request and a Collector belong to one goroutine at a time; a
-// Classifier is read-only.
+// It opens no connections and starts no goroutines. A Request or a Collector must be used by one goroutine at a time; a
+// Classifier can be used by several, as it is read-only.
 package api
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// The paths served.
+// Paths of the API.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
@@ -38,16 +38,16 @@
 	fieldKVTransferParams    = "kv_transfer_params"
 )
 
-// routedFields are the fields by which requests are routed. A request that has one of them twice is invalid: the engine
-// might use the other one.
+// routedFields are the fields that routing reads. A request that contains one of them twice is rejected, because the
+// engine could use the other value.
 var routedFields = []string{
 	fieldModel, fieldStream, fieldUser, fieldMaxTokens, fieldMaxCompletionTokens, fieldMessages, fieldPrompt,
 }
 
-// Message is one message of a chat, as far as routing reads it.
+// Message holds the parts of a chat message that routing reads.
 type Message struct {
 	Role string
-	Text string // all its text parts
+	Text string // its text parts, joined
 }
 
 // Request is a completion request.
@@ -58,20 +58,20 @@
 	Stream       bool
 	MaxTokens    int // 0 = no limit given
 	User         string
-	Messages     []Message // of a chat
-	Prompt       string    // of a completion
-	PromptTokens int       // if the prompt is token numbers
+	Messages     []Message // of a chat completion
+	Prompt       string    // of a text completion
+	PromptTokens int       // number of tokens if the prompt is an array of token IDs, else 0
 
 	fields []field
 }
 
-// field is one member of the body: its name, and name and value as they were sent.
+// field is a member of the body's JSON object: its decoded name, and the raw JSON of its name and value.
 type field struct{ name, key, value string }
 
-// fieldsCapacity is enough for most requests.
+// fieldsCapacity is the initial capacity of Request.fields, enough for most requests.
 const fieldsCapacity = 12
 
-// Parse parses the request body of one of the two completion paths.
+// Parse parses the body of a request to PathChat or PathCompletions.
 func Parse(path string, body []byte) (*Request, *Error) {
 	r := &Request{Path: path, Chat: path == PathChat}
 	if e := r.parseFields(body); e != nil {
@@ -97,12 +97,12 @@
 
 // parseFields splits the body into its fields.
 func (r *Request) parseFields(body []byte) *Error {
-	if nestsTooDeep(body) {
+	if exceedsMaxDepth(body) {
 		return invalid("", "the body nests deeper than %d levels", maxDepth)
 	}
 	if !gjson.ValidBytes(body) {
 		var v any
-		if err := json.Unmarshal(body, &v); err != nil { // its message says where
+		if err := json.Unmarshal(body, &v); err != nil { // its error has the position
 			return invalid("", "the body is not a JSON object: %v", err)
 		}
 		return invalid("", "the body is not a JSON object")
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// get returns the value of a field as it was sent.
+// get returns the raw JSON value of a field.
 func (r *Request) get(name string) (value string, ok bool) {
 	for i := range r.fields {
 		if r.fields[i].name == name {
@@ -136,7 +136,7 @@
 	return "", false
 }
 
-// parseString reads a field that is a string or null.
+// parseString reads an optional field that is a string or null.
 func (r *Request) parseString(name string, into *string) *Error {
 	raw, ok := r.get(name)
 	if !ok {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// parseMaxTokens reads both names of the limit; the newer one has precedence.
+// parseMaxTokens reads the output limit, which has two names in the API; the newer one has precedence.
 func (r *Request) parseMaxTokens() *Error {
 	for _, name := range []string{fieldMaxTokens, fieldMaxCompletionTokens} {
 		v, ok := r.get(name)
@@ -229,13 +229,14 @@
 	return nil
 }
 
-// Why a message's content is invalid, as a part of the error's message.
+// Errors of contentText. Their texts are part of the error message for the client.
 var (
 	errContentType = errors.New("neither a string nor an array of parts")
 	errContentPart = errors.New("a part must be an object, its text a string")
 )
 
-// contentText reads a string, null, or an array of parts, and returns the text of all parts that have one.
+// contentText returns the text of a message's content, which is a string, null, or an array of parts. Of an array it
+// joins the texts of all parts that have one.
 func contentText(content gjson.Result) (string, error) {
 	if content.Type == gjson.String || content.Type == gjson.Null {
 		return content.Str, nil
@@ -257,8 +258,8 @@
 	return b.String(), err
 }
 
-// parsePrompt reads a string, an array of one string, or an array of token numbers. Batches are invalid: each of their
-// prompts would need a prefill and an answer of its own.
+// parsePrompt reads a prompt, which is a string, an array of one string, or an array of token IDs. It rejects an array
+// of several prompts, each of which would need its own prefill and response.
 func (r *Request) parsePrompt() *Error {
 	raw, ok := r.get(fieldPrompt)
 	if !ok {
@@ -301,11 +302,11 @@
 	return invalid(fieldPrompt, "prompt must be a string, an array of one string, or an array of token numbers")
 }
 
-// maxDepth bounds how deep a body may nest, as in encoding/json: parsers recurse.
+// maxDepth is the nesting limit of bodies, the same as in encoding/json. It bounds the recursion of the JSON parsers.
 const maxDepth = 10000
 
-// nestsTooDeep reports that b nests deeper than maxDepth.
-func nestsTooDeep(b []byte) bool {
+// exceedsMaxDepth reports whether the JSON text b is nested deeper than maxDepth.
+func exceedsMaxDepth(b []byte) bool {
 	depth, inString := 0, false
 	for i := 0; i < len(b); i++ {
 		c := b[i]
@@ -332,7 +333,7 @@
 	return false
 }
 
-// maxQuoted is how many bytes of a client's text an error message repeats.
+// maxQuoted is the number of bytes of a client's text that an error message quotes.
 const maxQuoted = 60
 
 func quote(s string) string {
--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package atomicfile writes files so that a crash at any moment leaves the old content or the new one, never a part.
-// It keeps no state.
+// Package atomicfile replaces files atomically: after a crash, a file has its old or its new content, never a part of
+// it.
 package atomicfile
 
 import (
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// Replace writes text to a temporary file beside path, syncs it and renames it over path. Temporary files that an
-// earlier crash left behind are ignored.
+// Replace writes text to a temporary file in the directory of path, syncs it and renames it to path. It does not remove
+// temporary files that an earlier crash left behind.
 func Replace(path string, text []byte) error {
 	temp, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
@@ -19,12 +19,12 @@
 		err = os.Rename(temp.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(temp.Name()) // err is the one to report; what stays is ignored
+		_ = os.Remove(temp.Name()) // best effort: err is the error to return
 	}
 	return err
 }
 
-// writeSynced writes text to f, syncs it to the disk and closes f.
+// writeSynced writes text to f, syncs f to disk and closes it.
 func writeSynced(f *os.File, text []byte) error {
 	_, err := f.Write(text)
 	if err == nil {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// check reports contradictions that no single attribute shows.
+// check reports contradictions between attributes or elements, each of which is valid by itself.
 func (s *Settings) check(report Reporter) {
 	checkUnique(report, "class", s.Classes, func(c Class) (Pos, string) { return c.Pos, c.Name })
 	checkUnique(report, "tenant", s.Tenants, func(t Tenant) (Pos, string) { return t.Pos, t.Name })
@@ -65,12 +65,12 @@
 	}
 }
 
-func (k *Key) check(report Reporter) {
-	if (k.From == "header") != (k.Name != "") {
-		report(k.Pos, "give name with from=\"header\", and only there", "from=%q with name=%q", k.From, k.Name)
+func (k *AffinityKey) check(report Reporter) {
+	if (k.Source == "header") != (k.Name != "") {
+		report(k.Pos, "give name with from=\"header\", and only there", "from=%q with name=%q", k.Source, k.Name)
 	}
-	if (k.From == "opening") != (k.Bytes > 0) {
-		report(k.Pos, "give bytes with from=\"opening\", and only there", "from=%q with bytes=%d", k.From, k.Bytes)
+	if (k.Source == "opening") != (k.Bytes > 0) {
+		report(k.Pos, "give bytes with from=\"opening\", and only there", "from=%q with bytes=%d", k.Source, k.Bytes)
 	}
 }
 
@@ -112,14 +112,14 @@
 }
 
 func (s *Settings) checkRule(report Reporter, r Rule) {
-	if (r.Equals == "") == (r.Begins == "") {
+	if (r.Equals == "") == (r.Prefix == "") {
 		report(r.Pos, "give one of equals and begins", "<rule> has both or neither of equals and begins")
 	}
 	if (r.Class == "") == (r.Tenant == "") {
 		report(r.Pos, "give one of class and tenant", "<rule> has both or neither of class and tenant")
 	}
-	if (r.When == "header") != (r.Name != "") {
-		report(r.Pos, "give name with when=\"header\", and only there", "<rule when=%q> with name=%q", r.When, r.Name)
+	if (r.Source == "header") != (r.Name != "") {
+		report(r.Pos, "give name with when=\"header\", and only there", "<rule when=%q> with name=%q", r.Source, r.Name)
 	}
 	if r.Class != "" && s.classIndex(r.Class) < 0 {
 		report(r.Pos, "name a <class>", "<rule>: %q is no class", r.Class)
@@ -131,7 +131,7 @@
 
 func (s *Settings) checkServers(report Reporter) {
 	if s.APIServer == nil && len(s.Servers) == 0 {
-		report(s.Pos, "add <server .../> lines or a <register .../>", "no engine can be known")
+		report(s.Pos, "add <server .../> lines or a <register .../>", "there is no list of engines")
 	}
 	if s.APIServer != nil && len(s.Servers) > 0 {
 		report(s.APIServer.Pos, "keep one of them", "both a <register> and a static list of <server>")
@@ -147,27 +147,27 @@
 			report(
 				s.APIServer.Pos,
 				"write it like http://127.0.0.1:7000",
-				"<register> url=%q is no http or https URL",
-				clip(s.APIServer.URL),
+				"<register> url=%q is not an http or https URL",
+				truncate(s.APIServer.URL),
 			)
 		}
 	}
 }
 
-// checkAddress reports what is neither empty nor a host and port.
+// checkAddress reports an address that is neither empty nor of the form host:port.
 func checkAddress(report Reporter, p Pos, name, v string) {
 	if _, port, err := net.SplitHostPort(v); v != "" && (err != nil || port == "") {
-		report(p, "write it like 127.0.0.1:8080", "%s=%q is no host and port", name, clip(v))
+		report(p, "write it like 127.0.0.1:8080", "%s=%q is no host and port", name, truncate(v))
 	}
 }
 
-// checkUnique reports names that are given twice.
-func checkUnique[T any](report Reporter, what string, list []T, of func(T) (Pos, string)) {
+// checkUnique reports elements of list whose name an earlier one has. elementName is for the message.
+func checkUnique[T any](report Reporter, elementName string, list []T, posAndName func(T) (Pos, string)) {
 	seen := map[string]int{}
 	for _, e := range list {
-		p, name := of(e)
+		p, name := posAndName(e)
 		if line, ok := seen[name]; ok && name != "" {
-			report(p, fmt.Sprintf("rename one; the other is on line %d", line), "<%s name=%q> stands twice", what, name)
+			report(p, fmt.Sprintf("rename one; the other is on line %d", line), "<%s name=%q> stands twice", elementName, name)
 		}
 		seen[name] = p.Line
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
-// Package config reads the settings of a gateway: XML, checked against what the program takes, with every problem named
-// by file, line, column and fix. It decides nothing about requests: what is left out becomes the router's documented
-// default, or a bound written in defaults.go.
+// Package config reads and validates the XML settings file of a gateway. It reports every problem with its file, line
+// and column and a suggested fix. Settings that the file omits get the defaults in defaults.go, or stay zero, which
+// selects the router's default.
 //
-// Settings are plain values without goroutines; who loads them owns them.
+// Settings are plain values, which the caller of Load or Parse owns. The package starts no goroutines.
 package config
 
 import (
@@ -12,7 +12,7 @@
 	"slices"
 )
 
-// Load reads and checks a file.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -21,10 +21,11 @@
 	return Parse(path, text)
 }
 
-// rootElement is the root of a settings file.
+// rootElement is the name of the root element of a settings file.
 const rootElement = "brackenbend"
 
-// Parse reads settings; file is for messages. The error is Problems.
+// Parse reads and validates the text of a settings file; file is its name in error messages. The error is of type
+// Problems.
 func Parse(file string, text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := Decode(file, text, rootElement, s, s.check); err != nil {
@@ -34,11 +35,12 @@
 	return s, nil
 }
 
-// Reporter takes a problem that a check found.
-type Reporter func(at Pos, fix, what string, args ...any)
+// Reporter records a problem that a check found: its position, a suggested fix, and a message in the format of
+// fmt.Sprintf.
+type Reporter func(at Pos, fix, message string, args ...any)
 
-// Decode fills into, a pointer to a struct with cfg tags, from a file whose root element is root. check looks
-// for what no single attribute shows. The error is Problems, in the file's order.
+// Decode fills into, a pointer to a struct with cfg tags, from the text of a file whose root element is root. It calls
+// check for the rules that involve more than one attribute. The error is of type Problems, ordered by position.
 func Decode(file string, text []byte, root string, into any, check func(Reporter)) error {
 	d := &decoder{file: file}
 	if e := parseElements(text, d.problem); e != nil {
--- a/internal/config/convert.go
+++ b/internal/config/convert.go
@@ -8,7 +8,7 @@
 	"brackenbend/routing"
 )
 
-// The words of a settings file and what they mean to the packages below.
+// The values of enumerated attributes in a settings file, with the constants that they select.
 var (
 	idempotencies = map[string]routing.Idempotency{
 		"safe":   routing.Idempotent,
@@ -21,19 +21,19 @@
 		"zone": routing.DedupZone,
 		"cell": routing.DedupCell,
 	}
-	roleOfWord = map[string]routing.Role{
+	rolesByName = map[string]routing.Role{
 		"reader": routing.RolePrefill,
 		"writer": routing.RoleDecode,
 		"mixed":  routing.RoleMixed,
 	}
-	sourceOfWord = map[string]api.Source{
+	sourcesByName = map[string]api.Source{
 		"path": api.FromPath, "model": api.FromModel, "header": api.FromHeader,
 		"api-key-sha256": api.FromAPIKey, "user": api.FromUser, "system-messages": api.FromSystemMessages,
 		"first-message": api.FromFirstMessage, "opening": api.FromOpening,
 	}
 )
 
-// RoutingConfig is the part of the settings that the router is made from.
+// RoutingConfig converts the settings to the router's configuration.
 func (s *Settings) RoutingConfig() routing.Config {
 	v := s.Service
 	c := routing.Config{
@@ -72,12 +72,13 @@
 		c.Tenants = append(c.Tenants, routing.Tenant{QuotaPerS: float64(t.Quota), Share: t.Share})
 	}
 	for _, k := range s.Kinds {
-		c.Kinds = append(c.Kinds, routing.Kind{Role: roleOfWord[k.Role], Memory: float64(k.Memory)})
+		c.Kinds = append(c.Kinds, routing.Kind{Role: rolesByName[k.Role], Memory: float64(k.Memory)})
 	}
 	return c
 }
 
-// Classifier returns how class, tenant, session, prefix and lengths are read off requests.
+// Classifier converts the settings to the classifier of requests, which determines their class, tenant, session, prefix
+// and lengths.
 func (s *Settings) Classifier() *api.Classifier {
 	c := &api.Classifier{
 		DefaultClass:  s.classIndex(s.Service.DefaultClass),
@@ -90,7 +91,7 @@
 		c.DefaultTenant = 0
 	}
 	for _, r := range s.Rules {
-		m := api.Match{From: sourceOfWord[r.When], Name: r.Name, Equals: r.Equals, Prefix: r.Begins}
+		m := api.Match{Source: sourcesByName[r.Source], Name: r.Name, Equals: r.Equals, Prefix: r.Prefix}
 		if r.Class != "" {
 			c.Classes = append(c.Classes, api.Rule{Match: m, Index: s.classIndex(r.Class)})
 		}
@@ -98,16 +99,16 @@
 			c.Tenants = append(c.Tenants, api.Rule{Match: m, Index: s.tenantIndex(r.Tenant)})
 		}
 	}
-	c.Sessions, c.Prefixes = apiKeys(s.Sessions), apiKeys(s.Prefixes)
+	c.Sessions, c.Prefixes = affinityKeys(s.Sessions), affinityKeys(s.Prefixes)
 	for _, m := range s.Models {
 		c.Models = append(c.Models, api.Model{Name: m.Name, BytesPerToken: m.BytesPerToken, MaxOutput: int(m.MaxOutput)})
 	}
 	return c
 }
 
-func apiKeys(keys []Key) (out []api.Key) {
+func affinityKeys(keys []AffinityKey) (out []api.AffinityKey) {
 	for _, k := range keys {
-		out = append(out, api.Key{From: sourceOfWord[k.From], Name: k.Name, Bytes: int(k.Bytes)})
+		out = append(out, api.AffinityKey{Source: sourcesByName[k.Source], Name: k.Name, Bytes: int(k.Bytes)})
 	}
 	return out
 }
@@ -120,7 +121,7 @@
 	return slices.IndexFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// KindIndex finds a kind by its name, -1 where there is none.
+// KindIndex returns the index of the kind with a name, or -1.
 func (s *Settings) KindIndex(name string) int {
 	return slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == name })
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// decoder fills structs from elements and collects problems rather than stop at the first.
+// decoder fills structs from elements. It collects all problems instead of stopping at the first.
 //
-// A field of a struct is an attribute if its type is a scalar, an element if it is a pointer to a struct or a slice of
-// structs. Its name in the file is the tag `cfg`, which may go on with ",required" and, for strings, ",enum=a|b". A
-// field of type Pos without a tag takes the element's place.
+// A field of a struct is an attribute if its type is a scalar, and an element if its type is a pointer to a struct or a
+// slice of structs. The tag `cfg` holds its name in the file, optionally followed by ",required" and, for strings,
+// ",enum=a|b". A field of type Pos without a tag is set to the position of the element.
 type decoder struct {
 	file     string
 	problems Problems
@@ -30,7 +30,7 @@
 	enum     []string
 }
 
-// parseTag parses the tag of a field; ok is false where it has none.
+// parseTag parses the `cfg` tag of a field; ok is false if it has none.
 func parseTag(f reflect.StructField) (t fieldTag, ok bool) {
 	tag, ok := f.Tag.Lookup("cfg")
 	parts := strings.Split(tag, ",")
@@ -50,12 +50,12 @@
 	return t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice
 }
 
-// structFields are the fields of a struct by their names in a file.
+// structFields holds the indices of the fields of a struct, by their names in a file.
 type structFields struct {
-	attributes, elements map[string]int // index of the field
+	attributes, elements map[string]int
 }
 
-func fieldsOf(t reflect.Type) structFields {
+func indexFields(t reflect.Type) structFields {
 	fields := structFields{attributes: map[string]int{}, elements: map[string]int{}}
 	for i := range t.NumField() {
 		tag, ok := parseTag(t.Field(i))
@@ -70,20 +70,20 @@
 	return fields
 }
 
-// fill sets the fields of v from an element.
+// fill sets the fields of the struct v from an element.
 func (d *decoder) fill(e *element, v reflect.Value) {
 	for i := range v.NumField() {
 		if v.Type().Field(i).Type == reflect.TypeFor[Pos]() {
 			v.Field(i).Set(reflect.ValueOf(e.Pos))
 		}
 	}
-	fields := fieldsOf(v.Type())
+	fields := indexFields(v.Type())
 	attributes := d.fillAttributes(e, v, fields.attributes)
 	elements := d.fillElements(e, v, fields.elements)
 	d.checkRequired(e, v.Type(), attributes, elements)
 }
 
-// fillAttributes sets the scalar fields and returns which were given.
+// fillAttributes sets the scalar fields and returns the names of the attributes present.
 func (d *decoder) fillAttributes(e *element, v reflect.Value, fields map[string]int) (given map[string]bool) {
 	given = map[string]bool{}
 	for _, attr := range e.attrs {
@@ -106,13 +106,13 @@
 	return given
 }
 
-// fillElements sets the fields that are elements and returns which were given.
+// fillElements sets the fields that are elements and returns the names of the child elements present.
 func (d *decoder) fillElements(e *element, v reflect.Value, fields map[string]int) (given map[string]bool) {
 	given = map[string]bool{}
 	for _, child := range e.children {
 		i, known := fields[child.name]
 		if !known {
-			fix := "remove it; <" + e.name + "> takes no elements"
+			fix := "remove it; <" + e.name + "> has no child elements"
 			if len(fields) > 0 {
 				fix = "use one of: " + joinNames(fields)
 			}
@@ -136,7 +136,7 @@
 	return given
 }
 
-// checkRequired reports what an element lacks.
+// checkRequired reports the required attributes and child elements that an element lacks.
 func (d *decoder) checkRequired(e *element, t reflect.Type, attributes, elements map[string]bool) {
 	for i := range t.NumField() {
 		tag, ok := parseTag(t.Field(i))
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Defaults of what a settings file leaves out. Times and sizes are bounds on what one client or engine can hold up.
+// Defaults of settings that a file omits. The limits bound the time and memory that one client or engine can take up.
 const (
-	defaultDrainTimeout         = 30 * time.Second       // for what is in flight after SIGTERM
+	defaultDrainTimeout         = 30 * time.Second       // for requests in flight after SIGTERM
 	defaultAnswerMargin         = 100 * time.Millisecond // before the client's deadline
 	defaultMaxOpenRequests      = 20000
 	defaultMaxConnections       = 20000
 	defaultMaxHeaderBytes       = 32 << 10
 	defaultMaxHeaderFields      = 100
 	defaultMaxBodyBytes         = 4 << 20
-	defaultMaxBufferedBodyBytes = 256 << 20 // of all requests together
-	defaultMaxCollectedBytes    = 4 << 20   // of an answer that is not streamed
+	defaultMaxBufferedBodyBytes = 256 << 20 // of all requests in flight
+	defaultMaxCollectedBytes    = 4 << 20   // of a response that is not streamed
 	defaultMaxEventBytes        = 256 << 10 // of one event of a stream
 	defaultHeaderTimeout        = 10 * time.Second
 	defaultBodyTimeout          = 30 * time.Second
@@ -28,7 +28,7 @@
 	defaultDialTimeout       = time.Second
 	defaultMaxConnsPerEngine = 1024
 	defaultMaxIdlePerEngine  = 32
-	defaultEngineIdleTimeout = 15 * time.Second // shorter than common servers keep idle connections
+	defaultEngineIdleTimeout = 15 * time.Second // shorter than the keep-alive timeouts of common servers
 
 	defaultKindLabel = "brackenbend.dev/kind"
 	defaultCellLabel = "brackenbend.dev/cell"
@@ -89,7 +89,7 @@
 	setDefault(&e.IdleTimeout, defaultEngineIdleTimeout)
 }
 
-// setDefault gives v a value where it has none.
+// setDefault sets v to value if it is zero.
 func setDefault[T comparable](v *T, value T) {
 	var zero T
 	if *v == zero {
--- a/internal/config/element.go
+++ b/internal/config/element.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Bounds on a settings file.
+// Limits of a settings file.
 const (
-	maxDepth = 16      // of nested elements
+	maxDepth = 16      // levels of nested elements
 	maxSize  = 8 << 20 // bytes
 )
 
-// element is an element of a file with its place.
+// element is an XML element with its position in the file.
 type element struct {
 	Pos
 	name     string
@@ -22,17 +22,18 @@
 	children []*element
 }
 
-// elementParser builds the tree of elements and reports what can't stand in it.
+// elementParser builds the tree of elements. It reports text between elements and elements that are nested too deep.
 type elementParser struct {
-	report Reporter
-	open   []*element // from the root to the element that is read
-	root   *element
+	report       Reporter
+	openElements []*element // path from the root to the current element
+	root         *element
 }
 
-// parseElements reads the root element of a file. It returns nil where none can be made; the reason is reported.
+// parseElements returns the root element of a file with its children. It reports problems, and returns nil if the file
+// is not well-formed XML, has no element, or is over the limits.
 func parseElements(text []byte, report Reporter) *element {
 	if len(text) > maxSize {
-		report(Pos{1, 1}, "split it or remove what is not needed", "the file has %d bytes, %d at most are read",
+		report(Pos{1, 1}, "remove unused elements", "the file has %d bytes; the limit is %d",
 			len(text), maxSize)
 		return nil
 	}
@@ -49,42 +50,42 @@
 			report(Pos{line, column}, "correct the XML there", "%v", err)
 			return nil
 		}
-		if !p.token(token, Pos{line, column}) {
+		if !p.handleToken(token, Pos{line, column}) {
 			return nil
 		}
 	}
 	if p.root == nil {
-		report(Pos{1, 1}, "begin with <brackenbend>", "no element in the file")
+		report(Pos{1, 1}, "begin with <brackenbend>", "the file has no root element")
 	}
 	return p.root
 }
 
-// token takes one token; false ends the parse.
-func (p *elementParser) token(token xml.Token, at Pos) bool {
+// handleToken adds a token to the tree. It returns false if the parser must stop.
+func (p *elementParser) handleToken(token xml.Token, at Pos) bool {
 	switch token := token.(type) {
 	case xml.StartElement:
-		return p.start(&element{Pos: at, name: token.Name.Local, attrs: token.Copy().Attr})
+		return p.startElement(&element{Pos: at, name: token.Name.Local, attrs: token.Copy().Attr})
 	case xml.EndElement:
-		p.open = p.open[:len(p.open)-1]
+		p.openElements = p.openElements[:len(p.openElements)-1]
 	case xml.CharData:
 		if text := strings.TrimSpace(string(token)); text != "" {
-			p.report(at, "remove it, or make it a comment", "text %q where only elements may stand", clip(text))
+			p.report(at, "remove it, or make it a comment", "text %q where only elements may stand", truncate(text))
 		}
 	}
 	return true
 }
 
-func (p *elementParser) start(e *element) bool {
-	if len(p.open) == maxDepth {
-		p.report(e.Pos, "see the schema for what may stand where", "elements are nested over %d deep", maxDepth)
+func (p *elementParser) startElement(e *element) bool {
+	if len(p.openElements) == maxDepth {
+		p.report(e.Pos, "see the schema for the allowed nesting", "elements are nested more than %d levels deep", maxDepth)
 		return false
 	}
-	if len(p.open) > 0 {
-		parent := p.open[len(p.open)-1]
+	if len(p.openElements) > 0 {
+		parent := p.openElements[len(p.openElements)-1]
 		parent.children = append(parent.children, e)
 	} else {
 		p.root = e
 	}
-	p.open = append(p.open, e)
+	p.openElements = append(p.openElements, e)
 	return true
 }
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// Problem is one thing wrong with a settings file: where, what, and how to fix it.
+// Problem is an error in a settings file, with its position and a suggested fix.
 type Problem struct {
 	File         string
 	Line, Column int
-	What, Fix    string
+	Message, Fix string
 }
 
 // Error implements error.
 func (p Problem) Error() string {
-	return fmt.Sprintf("%s:%d:%d: %s; %s", p.File, p.Line, p.Column, p.What, p.Fix)
+	return fmt.Sprintf("%s:%d:%d: %s; %s", p.File, p.Line, p.Column, p.Message, p.Fix)
 }
 
-// Problems are all that a check found, in the file's order.
+// Problems are all problems of a file, ordered by position.
 type Problems []Problem
 
-// Error implements error: one problem a line.
+// Error implements error. The text has a line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -29,16 +29,16 @@
 	return strings.Join(lines, "\n")
 }
 
-// Pos is where an element stands.
+// Pos is the position of an element in its file. Both numbers start at 1.
 type Pos struct{ Line, Column int }
 
-// maxClipped is how many bytes of a wrong value are repeated in a problem.
-const maxClipped = 40
+// maxQuotedValue is the number of bytes of an invalid value that a problem's message quotes.
+const maxQuotedValue = 40
 
-// clip shortens a value for a problem's text.
-func clip(s string) string {
-	if len(s) > maxClipped {
-		return s[:maxClipped] + "..."
+// truncate shortens a value to maxQuotedValue bytes.
+func truncate(s string) string {
+	if len(s) > maxQuotedValue {
+		return s[:maxQuotedValue] + "..."
 	}
 	return s
 }
--- a/internal/config/scalar.go
+++ b/internal/config/scalar.go
@@ -15,13 +15,13 @@
 // Tokens is a number of tokens.
 type Tokens float64
 
-// Rate is a number a second.
+// Rate is a number per second.
 type Rate float64
 
-// maxNumber bounds every number of a file.
+// maxNumber is the largest number that a file may hold.
 const maxNumber = 1e15
 
-// exampleValue is a value that an attribute takes, for the fix of a problem.
+// exampleValue returns a valid value for an attribute, which the fix of a problem suggests.
 func exampleValue(t reflect.Type, tag fieldTag) string {
 	switch {
 	case t == reflect.TypeFor[time.Duration]():
@@ -42,13 +42,14 @@
 	return "1"
 }
 
-// sizeUnits are the units of sizes; B stands last, since the others end with it.
+// sizeUnits are the units of sizes. B is the last, as setSize uses the first suffix that matches and the others end
+// with B too.
 var sizeUnits = []struct {
 	suffix string
 	bytes  int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// scalarParser parses the value of one attribute and reports what is wrong with it.
+// scalarParser parses the value of one attribute and reports problems with it.
 type scalarParser struct {
 	decoder *decoder
 	element *element
@@ -81,9 +82,9 @@
 	}
 }
 
-// problem reports what is wrong with the value.
+// problem reports that the value is invalid.
 func (p *scalarParser) problem(fix, what string) {
-	p.decoder.problem(p.element.Pos, fix, "<%s> %s=%q: %s", p.element.name, p.tag.name, clip(p.text), what)
+	p.decoder.problem(p.element.Pos, fix, "<%s> %s=%q: %s", p.element.name, p.tag.name, truncate(p.text), what)
 }
 
 // number parses a number of at least 0.
@@ -167,7 +168,7 @@
 		return
 	}
 	if p.tag.required && p.text == "" {
-		p.problem("give it a value", "it is empty")
+		p.problem("give it a value", "the value is empty")
 	}
 	v.SetString(p.text)
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Schema is the XML Schema (XSD 1.0) of the settings, made from the same structs that the checker fills.
+// Schema returns the XML Schema (XSD 1.0) of the settings file. It is generated from the same structs that Parse fills.
 func Schema() []byte { return SchemaOf("brackenbend", reflect.TypeFor[Settings]()) }
 
-// scalarTypes are the simple types of attributes: their names in a schema and the patterns of their values.
+// scalarTypes are the simple types that a schema defines for attributes, each with the pattern of its values.
 var scalarTypes = []struct{ name, pattern string }{
 	{"duration", `0|([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+`},
 	{"size", `[0-9]+(\.[0-9]+)?(B|KiB|MiB|GiB)`},
@@ -18,7 +18,8 @@
 	{"rate", `[0-9]+(\.[0-9]+)?/s`},
 }
 
-// SchemaOf makes the schema of a struct with cfg tags.
+// SchemaOf returns the schema of a file whose root element has the given name and is decoded into a struct of type t,
+// which has cfg tags.
 func SchemaOf(root string, t reflect.Type) []byte {
 	var b bytes.Buffer
 	b.WriteString(`<?xml version="1.0" encoding="UTF-8"?>
@@ -29,13 +30,13 @@
 		fmt.Fprintf(&b, `  <xs:simpleType name="%s"><xs:restriction base="xs:string">`, s.name)
 		fmt.Fprintf(&b, `<xs:pattern value="%s"/></xs:restriction></xs:simpleType>`+"\n", s.pattern)
 	}
-	schemaElement(&b, root, t, "  ")
+	writeSchemaElement(&b, root, t, "  ")
 	b.WriteString("</xs:schema>\n")
 	return b.Bytes()
 }
 
-// schemaElement writes the element of a struct, indented by indent.
-func schemaElement(b *bytes.Buffer, name string, t reflect.Type, indent string) {
+// writeSchemaElement writes the definition of an element that is decoded into a struct of type t.
+func writeSchemaElement(b *bytes.Buffer, name string, t reflect.Type, indent string) {
 	fmt.Fprintf(b, "%s<xs:element name=%q>\n%s  <xs:complexType>\n", indent, name, indent)
 	var elems, attrs []reflect.StructField
 	for i := range t.NumField() {
@@ -49,25 +50,25 @@
 		fmt.Fprintf(b, "%s    <xs:choice minOccurs=\"0\" maxOccurs=\"unbounded\">\n", indent)
 		for _, f := range elems {
 			tag, _ := parseTag(f)
-			schemaElement(b, tag.name, f.Type.Elem(), indent+"      ")
+			writeSchemaElement(b, tag.name, f.Type.Elem(), indent+"      ")
 		}
 		fmt.Fprintf(b, "%s    </xs:choice>\n", indent)
 	}
 	for _, f := range attrs {
-		schemaAttribute(b, f, indent+"    ")
+		writeSchemaAttribute(b, f, indent+"    ")
 	}
 	fmt.Fprintf(b, "%s  </xs:complexType>\n%s</xs:element>\n", indent, indent)
 }
 
-// schemaAttribute writes the attribute of a scalar field.
-func schemaAttribute(b *bytes.Buffer, f reflect.StructField, indent string) {
+// writeSchemaAttribute writes the definition of the attribute that is decoded into a scalar field.
+func writeSchemaAttribute(b *bytes.Buffer, f reflect.StructField, indent string) {
 	tag, _ := parseTag(f)
 	use := ""
 	if tag.required {
 		use = ` use="required"`
 	}
 	if len(tag.enum) == 0 {
-		fmt.Fprintf(b, "%s<xs:attribute name=%q type=%q%s/>\n", indent, tag.name, schemaType(f.Type), use)
+		fmt.Fprintf(b, "%s<xs:attribute name=%q type=%q%s/>\n", indent, tag.name, schemaTypeName(f.Type), use)
 		return
 	}
 	fmt.Fprintf(b, "%s<xs:attribute name=%q%s><xs:simpleType><xs:restriction base=\"xs:string\">", indent, tag.name, use)
@@ -77,7 +78,7 @@
 	fmt.Fprintf(b, "</xs:restriction></xs:simpleType></xs:attribute>\n")
 }
 
-func schemaType(t reflect.Type) string {
+func schemaTypeName(t reflect.Type) string {
 	switch t {
 	case reflect.TypeFor[time.Duration]():
 		return "duration"
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -5,34 +5,35 @@
 // Settings are the settings of one replica.
 type Settings struct {
 	Pos
-	Replica   *Replica   `cfg:"front,required"`
-	Limits    *Limits    `cfg:"limits"`
-	Log       *Log       `cfg:"log"`
-	Service   *Service   `cfg:"service,required"`
-	Classes   []Class    `cfg:"class,required"`
-	Tenants   []Tenant   `cfg:"tenant"`
-	Kinds     []Kind     `cfg:"kind,required"`
-	Models    []Model    `cfg:"model,required"`
-	Rules     []Rule     `cfg:"rule"`
-	Sessions  []Key      `cfg:"session"`
-	Prefixes  []Key      `cfg:"prefix"`
-	Engines   *Engines   `cfg:"engines"`
-	Servers   []Server   `cfg:"server"`
-	APIServer *APIServer `cfg:"register"`
+	Replica   *Replica      `cfg:"front,required"`
+	Limits    *Limits       `cfg:"limits"`
+	Log       *Log          `cfg:"log"`
+	Service   *Service      `cfg:"service,required"`
+	Classes   []Class       `cfg:"class,required"`
+	Tenants   []Tenant      `cfg:"tenant"`
+	Kinds     []Kind        `cfg:"kind,required"`
+	Models    []Model       `cfg:"model,required"`
+	Rules     []Rule        `cfg:"rule"`
+	Sessions  []AffinityKey `cfg:"session"`
+	Prefixes  []AffinityKey `cfg:"prefix"`
+	Engines   *Engines      `cfg:"engines"`
+	Servers   []Server      `cfg:"server"`
+	APIServer *APIServer    `cfg:"register"`
 }
 
-// Replica says where this replica listens and how it ends.
+// Replica configures this replica's listeners and its shutdown.
 type Replica struct {
 	Pos
 	Name         string        `cfg:"name"`
 	Listen       string        `cfg:"listen,required"` // host:port for clients
-	Admin        string        `cfg:"admin"`           // host:port for health and metrics; none = no such listener
-	Seed         int           `cfg:"seed"`            // of the router's draws; 0 = drawn at start
-	DrainTimeout time.Duration `cfg:"drain"`           // answers in flight may take so long after SIGTERM; 0 = 30 s
-	AnswerMargin time.Duration `cfg:"answer-margin"`   // final answers are due so long before the deadline; 0 = 100 ms
+	Admin        string        `cfg:"admin"`           // host:port for health and metrics; empty = no such listener
+	Seed         int           `cfg:"seed"`            // of the router's random numbers; 0 = chosen at random at startup
+	DrainTimeout time.Duration `cfg:"drain"`           // time for requests in flight to complete after SIGTERM; 0 = 30 s
+	AnswerMargin time.Duration `cfg:"answer-margin"`   // final answers are due this long before the deadline; 0 = 100 ms
 }
 
-// Limits bound what clients may take. Zero means the value in defaults.go.
+// Limits bound the resources that clients can use and the time that they can take. Zero selects the value in
+// defaults.go.
 type Limits struct {
 	Pos
 	MaxOpenRequests      int           `cfg:"open-requests"`
@@ -40,25 +41,25 @@
 	MaxHeaderBytes       Size          `cfg:"head"`
 	MaxHeaderFields      int           `cfg:"header-fields"`
 	MaxBodyBytes         Size          `cfg:"body"`
-	MaxCollectedBytes    Size          `cfg:"whole-answer"`  // events of an answer that is not streamed
+	MaxCollectedBytes    Size          `cfg:"whole-answer"`  // events of a response that is not streamed
 	MaxEventBytes        Size          `cfg:"event"`         // one event of a stream
-	HeaderTimeout        time.Duration `cfg:"head-time"`     // from a request's first byte to its head's end
-	BodyTimeout          time.Duration `cfg:"body-time"`     // for the whole body
-	IdleTimeout          time.Duration `cfg:"idle-time"`     // between requests of a connection
-	WriteTimeout         time.Duration `cfg:"stall-time"`    // a client that takes nothing for so long has gone
-	StreamIdleTimeout    time.Duration `cfg:"stream-idle"`   // longest silence of an engine within a stream
-	MaxBufferedBodyBytes Size          `cfg:"bodies-memory"` // all request bodies held at once
+	HeaderTimeout        time.Duration `cfg:"head-time"`     // from a request's first byte to the end of its header
+	BodyTimeout          time.Duration `cfg:"body-time"`     // to read a whole body
+	IdleTimeout          time.Duration `cfg:"idle-time"`     // between the requests of a connection
+	WriteTimeout         time.Duration `cfg:"stall-time"`    // a client that reads nothing for this long is disconnected
+	StreamIdleTimeout    time.Duration `cfg:"stream-idle"`   // longest pause between the bytes of an engine's stream
+	MaxBufferedBodyBytes Size          `cfg:"bodies-memory"` // of all request bodies in memory
 }
 
-// Log says what is logged and how.
+// Log configures the logger.
 type Log struct {
 	Pos
 	Format         string `cfg:"format,enum=json|console"`
 	Level          string `cfg:"level,enum=debug|info|warn|error"`
-	LinesPerSecond int    `cfg:"lines-per-second"` // of one kind of line; more are counted, not written; 0 = 100
+	LinesPerSecond int    `cfg:"lines-per-second"` // with the same message and level; further ones are sampled; 0 = 100
 }
 
-// Service holds what the router is told of the service as a whole.
+// Service configures routing for the service as a whole. routing.Config documents the fields.
 type Service struct {
 	Pos
 	Replicas         int           `cfg:"fronts,required"`
@@ -71,14 +72,14 @@
 	OverloadFactor   float64       `cfg:"overload-factor"`
 	OverloadAfter    time.Duration `cfg:"tip-after"`
 	DecodeCanPrefill bool          `cfg:"writers-read"`
-	CanCancel        bool          `cfg:"cancel"`                     // engines stop the work of a connection that closes
-	OverQuotaWeight  float64       `cfg:"over-share-worth"`           // part of the usual worth
-	WeightBy         string        `cfg:"worth-by,enum=request|work"` // none = request
+	CanCancel        bool          `cfg:"cancel"`                     // engines abort a request when its connection closes
+	OverQuotaWeight  float64       `cfg:"over-share-worth"`           // of a request over quota, as a part of the usual
+	WeightBy         string        `cfg:"worth-by,enum=request|work"` // empty = request
 	DefaultClass     string        `cfg:"default-class"`
 	DefaultTenant    string        `cfg:"default-tenant"`
 }
 
-// Class is a class of requests.
+// Class is a class of requests. routing.Class documents the fields.
 type Class struct {
 	Pos
 	Name                    string        `cfg:"name,required"`
@@ -93,7 +94,7 @@
 	DedupWindow             time.Duration `cfg:"window"`
 }
 
-// Tenant is a customer with its share.
+// Tenant is a customer of the service, with its quota of requests and its share of the capacity.
 type Tenant struct {
 	Pos
 	Name  string  `cfg:"name,required"`
@@ -101,7 +102,7 @@
 	Share float64 `cfg:"share"`
 }
 
-// Kind is a kind of engine.
+// Kind is a kind of engine: the role that its engines have and the size of their KV cache.
 type Kind struct {
 	Pos
 	Name   string `cfg:"name,required"`
@@ -109,7 +110,7 @@
 	Memory Tokens `cfg:"memory"`
 }
 
-// Model is a model served.
+// Model is a model that the service offers.
 type Model struct {
 	Pos
 	Name          string  `cfg:"name,required"`
@@ -117,34 +118,35 @@
 	MaxOutput     Tokens  `cfg:"max-output,required"`
 }
 
-// Rule gives a class or a tenant to the requests that match it; the first that matches counts.
+// Rule assigns a class or a tenant to the requests that match it. The first rule that matches applies.
 type Rule struct {
 	Pos
-	When   string `cfg:"when,required,enum=path|model|header|api-key-sha256|user"`
+	Source string `cfg:"when,required,enum=path|model|header|api-key-sha256|user"`
 	Name   string `cfg:"name"` // of the header
 	Equals string `cfg:"equals"`
-	Begins string `cfg:"begins"`
+	Prefix string `cfg:"begins"`
 	Class  string `cfg:"class"`
 	Tenant string `cfg:"tenant"`
 }
 
-// Key says what a session or a shared prefix is told apart by; the first that gives something counts.
-type Key struct {
+// AffinityKey selects the part of a request that identifies its session or its shared prefix. The first key that has a
+// value for a request applies.
+type AffinityKey struct {
 	Pos
-	From  string `cfg:"from,required,enum=header|user|system-messages|first-message|opening"`
-	Name  string `cfg:"name"`
-	Bytes Size   `cfg:"bytes"`
+	Source string `cfg:"from,required,enum=header|user|system-messages|first-message|opening"`
+	Name   string `cfg:"name"`
+	Bytes  Size   `cfg:"bytes"`
 }
 
-// Engines says how engines are spoken to.
+// Engines configures the connections to engines.
 type Engines struct {
 	Pos
 	Protocol          string        `cfg:"dialect,enum=vllm|extended"`
 	DialTimeout       time.Duration `cfg:"dial-time"`
-	MaxConnsPerEngine int           `cfg:"connections"`      // at once, an engine
-	MaxIdlePerEngine  int           `cfg:"idle-connections"` // kept, an engine
+	MaxConnsPerEngine int           `cfg:"connections"`      // open, per engine
+	MaxIdlePerEngine  int           `cfg:"idle-connections"` // idle, per engine
 	IdleTimeout       time.Duration `cfg:"idle-time"`
-	LoadReportFields  string        `cfg:"load-report"` // names of ORCA figures, with spaces between
+	LoadReportFields  string        `cfg:"load-report"` // names of ORCA load report fields, separated by spaces
 }
 
 // Server is an engine of the static endpoint list.
@@ -157,15 +159,15 @@
 	Cell    string `cfg:"cell"`
 }
 
-// APIServer is where the endpoint list is watched.
+// APIServer configures the watch of the endpoint list at a Kubernetes API server.
 type APIServer struct {
 	Pos
-	URL       string `cfg:"url,required"` // of the API server, without a path
+	URL       string `cfg:"url,required"` // without a path
 	Namespace string `cfg:"namespace,required"`
 	Selector  string `cfg:"label-selector"`
-	KindLabel string `cfg:"kind-label"` // label of a slice that names its engines' kind; none = brackenbend.dev/kind
-	CellLabel string `cfg:"cell-label"` // and their cell; none = brackenbend.dev/cell
-	TokenFile string `cfg:"token-file"` // bearer token, read anew for every call
-	CAFile    string `cfg:"ca-file"`    // for https
-	CacheFile string `cfg:"cache"`      // file that keeps the last list
+	KindLabel string `cfg:"kind-label"` // EndpointSlice label with its engines' kind; empty = brackenbend.dev/kind
+	CellLabel string `cfg:"cell-label"` // EndpointSlice label with its engines' cell; empty = brackenbend.dev/cell
+	TokenFile string `cfg:"token-file"` // bearer token; the file is read for every call
+	CAFile    string `cfg:"ca-file"`    // root certificates for https
+	CacheFile string `cfg:"cache"`      // file that stores the last endpoint list
 }
--- a/internal/gateway/conn_read.go
+++ b/internal/gateway/conn_read.go
@@ -110,7 +110,7 @@
 	default:
 		return
 	}
-	c.gateway.metrics.RejectedConnections.WithLabelValues("malformed").Inc()
+	c.gateway.metrics.EarlyRejections.WithLabelValues("malformed").Inc()
 	response := errorResponse(&api.Error{
 		Status: malformed.Status, Type: api.TypeInvalidRequest, Code: codeMalformed, Message: malformed.Reason,
 	})
--- a/internal/gateway/conn_request.go
+++ b/internal/gateway/conn_request.go
@@ -32,13 +32,13 @@
 
 // reject answers an invalid request and counts it under reason.
 func (c *clientConn) reject(req *http1.Request, body *http1.Body, reason string, e *api.Error) bool {
-	c.gateway.metrics.RejectedConnections.WithLabelValues(reason).Inc()
+	c.gateway.metrics.EarlyRejections.WithLabelValues(reason).Inc()
 	return c.respond(req, body, errorResponse(e))
 }
 
 // shed rejects a request that exceeds a limit, before its body is read.
 func (c *clientConn) shed(req *http1.Request, body *http1.Body, reason, message string) bool {
-	c.gateway.metrics.RejectedConnections.WithLabelValues(reason).Inc()
+	c.gateway.metrics.EarlyRejections.WithLabelValues(reason).Inc()
 	return c.respond(req, body, shedResponse(message))
 }
 
@@ -119,7 +119,7 @@
 		return c.reject(req, body, "invalid", e)
 	}
 	if g.Pipelining == RejectPipelining && c.reader.Buffered() > 0 { // the client may have given up the one before
-		g.metrics.RejectedConnections.WithLabelValues("pipelined").Inc()
+		g.metrics.EarlyRejections.WithLabelValues("pipelined").Inc()
 		_ = c.writeResponse(errorResponse(errPipelined), false) // the connection ends either way
 		return false
 	}
@@ -166,9 +166,9 @@
 	if hook := g.hooks.Wait; hook != nil {
 		timeout = hook(timeout)
 	}
-	request.deadline = now.Add(api.WithMargin(timeout, g.AnswerMargin))
+	request.deadline = now.Add(api.SubtractMargin(timeout, g.AnswerMargin))
 	if parsed.AnswerTimeout > 0 {
-		request.answerDeadline = now.Add(api.WithMargin(parsed.AnswerTimeout, g.AnswerMargin))
+		request.answerDeadline = now.Add(api.SubtractMargin(parsed.AnswerTimeout, g.AnswerMargin))
 	}
 	return request, nil
 }
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -23,7 +23,7 @@
 func (l *eventLoop) stateHeld(request *inflightRequest, endpoint string) {
 	l.endState(request, stateMissing) // that of an earlier prefill, which this one has replaced
 	request.release.held = readState{endpoint, time.Now()}
-	l.gateway.metrics.StatesHeld.Inc()
+	l.gateway.metrics.HeldStates.Inc()
 }
 
 // endState records how the time of the state that request holds ended, if it holds one.
@@ -37,6 +37,6 @@
 	if held.since.IsZero() {
 		return
 	}
-	l.gateway.metrics.StatesHeld.Dec()
+	l.gateway.metrics.HeldStates.Dec()
 	l.gateway.metrics.StateHeldSeconds.WithLabelValues(end).Observe(time.Since(held.since).Seconds())
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -62,7 +62,7 @@
 	g.mu.Lock()
 	if len(g.conns) >= g.Limits.MaxConnections && !g.evictIdleConn() {
 		g.mu.Unlock()
-		g.metrics.RejectedConnections.WithLabelValues("connections").Inc()
+		g.metrics.EarlyRejections.WithLabelValues("connections").Inc()
 		_ = conn.Close() // nothing was read from it or written to it
 		return
 	}
--- a/internal/gateway/openai.go
+++ b/internal/gateway/openai.go
@@ -80,7 +80,7 @@
 	timeout := api.ClientTimeout(req.Header)
 	parsed := &ParsedRequest{
 		Routing: traits.RoutingRequest(0, 0), Prompt: request, Path: request.Path, IdempotencyKey: traits.IdempotencyKey,
-		FirstTokenTimeout: api.EffectiveTimeout(class.Deadline, timeout),
+		FirstTokenTimeout: api.ShorterTimeout(class.Deadline, timeout),
 	}
 	if !request.Stream {
 		parsed.Collector = api.NewCollector(request.Chat, int(o.limits.MaxCollectedBytes))
--- a/internal/gctuning/gctuning.go
+++ b/internal/gctuning/gctuning.go
@@ -1,10 +1,11 @@
-// Package gctuning sets how often garbage is collected. It owns the process's GC percentage and nothing else.
+// Package gctuning makes garbage collections rarer in processes with a small heap. It sets the GC percentage, which no
+// other package may set.
 //
-// Go collects when the heap has doubled. A replica whose live heap is a few megabytes then collects dozens of times a
-// second under load, each time marking the same little; a floor under the heap's goal makes that rare, for memory
-// that is bounded by the floor.
+// By default, Go collects when the heap has doubled. A replica with a live heap of a few megabytes then collects dozens
+// of times a second under load, and each collection marks the same few objects. A minimum for the heap goal makes
+// collections rare; the additional memory that this takes is bounded by the minimum.
 //
-// The percentage is set again after each collection, on the goroutine that the runtime runs finalizers on.
+// The package sets the percentage again after each collection, in the goroutine in which the runtime runs finalizers.
 package gctuning
 
 import (
@@ -15,14 +16,15 @@
 	"sync/atomic"
 )
 
-// defaultPercent is Go's default: a collection ends when the heap has doubled.
+// defaultPercent is Go's default GC percentage, at which the heap may double between collections.
 const defaultPercent = 100
 
-// minHeapGoal is the runtime's least goal at defaultPercent, in bytes (runtime, gcController.heapMinimum).
+// minHeapGoal is the runtime's smallest heap goal at defaultPercent, in bytes (runtime, gcController.heapMinimum).
 const minHeapGoal = 4 << 20
 
-// SetHeapFloor lets the heap grow to n bytes before it is collected, and to twice its live size where that is more, as
-// Go does by default. Call the returned function to undo it. A process may have one floor at a time.
+// SetHeapFloor sets a minimum of n bytes for the heap goal, the size at which the heap is collected. Where twice the
+// live heap is more, that is the goal, as by default. The returned function restores the previous GC percentage. Only
+// one floor may be set at a time.
 func SetHeapFloor(n uint64) (undo func()) {
 	f := &heapFloor{bytes: n}
 	before := debug.SetGCPercent(defaultPercent)
@@ -34,17 +36,17 @@
 	}
 }
 
-// heapFloor is the heap size below which nothing is collected.
+// heapFloor is the heap size below which no collection starts.
 type heapFloor struct {
 	bytes  uint64
 	undone atomic.Bool
 }
 
-// sentinel is unreachable as soon as it is made, so its finalizer runs after the next collection. It is not empty, as
-// objects without a size have no finalizers.
+// sentinel is an object that is unreachable once it is created, so its finalizer runs after the next collection. Its
+// size is not 0, because the runtime may not run finalizers of objects of size 0.
 type sentinel struct{ _ [16]byte }
 
-// resetAfterCollection sets the percentage again after each collection, since it depends on the live heap.
+// resetAfterCollection sets the percentage again after each collection, as it depends on the size of the live heap.
 func (f *heapFloor) resetAfterCollection() {
 	runtime.SetFinalizer(&sentinel{}, func(*sentinel) {
 		if f.undone.Load() {
@@ -55,7 +57,7 @@
 	})
 }
 
-// setPercent chooses the percentage by which the next goal is the floor.
+// setPercent sets the percentage at which the next heap goal is the floor.
 func (f *heapFloor) setPercent() {
 	samples := []metrics.Sample{
 		{Name: "/gc/heap/live:bytes"}, {Name: "/gc/scan/stack:bytes"}, {Name: "/gc/scan/globals:bytes"},
@@ -65,9 +67,9 @@
 	debug.SetGCPercent(percentFor(f.bytes, live, stacks+globals))
 }
 
-// percentFor is the GC percentage whose goal is the floor. The runtime's goal is the live heap, and the percentage of
-// the live heap, stacks and globals together (runtime/debug, SetGCPercent), but at least minHeapGoal times the
-// percentage.
+// percentFor returns the GC percentage at which the heap goal is the floor, but at least defaultPercent. The runtime's
+// goal is live + (live + roots) * percentage / 100, where roots are the stacks and globals (runtime/debug,
+// SetGCPercent), but at least minHeapGoal * percentage / 100.
 func percentFor(floor, live, roots uint64) int {
 	if floor <= 2*live {
 		return defaultPercent
--- a/internal/simulation/fleet/replica_requests.go
+++ b/internal/simulation/fleet/replica_requests.go
@@ -90,12 +90,12 @@
 	r.requests.lastID++
 	request := &inflightRequest{id: r.requests.lastID, message: m, state: noState}
 	margin := r.fleet.settings.Replica.AnswerMargin
-	wait := api.EffectiveTimeout(r.fleet.config.Classes[m.traits.Class].Deadline, m.wait)
-	request.due = r.now() + api.WithMargin(wait, margin)
+	wait := api.ShorterTimeout(r.fleet.config.Classes[m.traits.Class].Deadline, m.wait)
+	request.due = r.now() + api.SubtractMargin(wait, margin)
 	r.requests.byID[request.id], r.requests.byAttempt[m.attempt] = request, request
 	r.schedule(request.due+margin/2-r.now(), answerDue{r.process.run, request.id, false})
 	if !m.stream {
-		r.schedule(api.WithMargin(m.wait, margin), answerDue{r.process.run, request.id, true})
+		r.schedule(api.SubtractMargin(m.wait, margin), answerDue{r.process.run, request.id, true})
 	}
 	r.step(m.traits.RoutingRequest(request.id, request.due+epoch))
 	r.forgetIfDone(request)
--- a/internal/telemetry/admin.go
+++ b/internal/telemetry/admin.go
@@ -10,16 +10,16 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// adminHeaderTimeout bounds how long a client of the management address may take for a request's header.
+// adminHeaderTimeout is the time in which a client of the management address must send a request's header.
 const adminHeaderTimeout = 5 * time.Second
 
-// Serve answers /healthz, /readyz and /metrics on l until it is closed. ready returns why the gateway is not ready, ""
-// when it is.
+// Serve serves /healthz, /readyz and /metrics on l until it is closed. ready returns the reason why the gateway is not
+// ready, or "" if it is.
 func (m *Metrics) Serve(l net.Listener, ready func() string) error {
-	return ServeAdmin(l, m.reg, ready)
+	return ServeAdmin(l, m.registry, ready)
 }
 
-// ServeAdmin does the same for any metrics.
+// ServeAdmin is Serve for metrics that are not those of a gateway.
 func ServeAdmin(l net.Listener, metrics prometheus.Gatherer, ready func() string) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { writeLine(w, "alive") })
@@ -35,5 +35,5 @@
 	return server.Serve(l)
 }
 
-// writeLine answers with one line. A client that has gone needs no answer, so the error is dropped.
+// writeLine writes a response of one line. It ignores the error, which only a disconnected client causes.
 func writeLine(w io.Writer, line string) { _, _ = io.WriteString(w, line+"\n") }
--- a/internal/telemetry/logger.go
+++ b/internal/telemetry/logger.go
@@ -1,8 +1,8 @@
-// Package telemetry makes the gateway's logger and metrics and serves them on the management address. What is
-// measured is named here once; labels come from the settings (classes) or are fixed words, so their number is
-// bounded.
+// Package telemetry creates the gateway's logger and metrics, and serves the metrics and health checks on the
+// management address. The values of metric labels are names from the settings or constants, never client input, so the
+// number of time series is bounded.
 //
-// Loggers and metrics may be used from any goroutine.
+// Loggers and metrics are safe for concurrent use.
 package telemetry
 
 import (
@@ -15,14 +15,14 @@
 )
 
 const (
-	// samplingInterval is the time in which lines with the same message and level are counted together.
+	// samplingInterval is the interval in which lines with the same message and level are counted.
 	samplingInterval = time.Second
-	// samplingRest is how many of them one is written for, once the bound of the interval is reached.
-	samplingRest = 100
+	// samplingThereafter is N: after the limit of an interval is reached, every Nth line is written.
+	samplingThereafter = 100
 )
 
-// NewLogger writes to out. Of lines with the same message and level, perSecond are written each second and every
-// hundredth after that, so that a storm of failures does not become a storm of lines.
+// NewLogger returns a logger that writes to out. Of the lines with the same message and level it writes the first
+// perSecond of each second and then every hundredth, so that many failures in a short time do not flood the log.
 func NewLogger(out io.Writer, format, level string, perSecond int) (*zap.Logger, error) {
 	lvl, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -36,5 +36,5 @@
 		enc = zapcore.NewConsoleEncoder(cfg)
 	}
 	core := zapcore.NewCore(enc, zapcore.Lock(zapcore.AddSync(out)), lvl)
-	return zap.New(zapcore.NewSamplerWithOptions(core, samplingInterval, perSecond, samplingRest)), nil
+	return zap.New(zapcore.NewSamplerWithOptions(core, samplingInterval, perSecond, samplingThereafter)), nil
 }
