--- a/internal/simulation/fleet/replica_requests.go
+++ b/internal/simulation/fleet/replica_requests.go
@@ -92,12 +92,12 @@
 	r.requests.lastID++
 	request := &inflightRequest{id: r.requests.lastID, message: m, state: noState}
 	margin := r.fleet.settings.Replica.AnswerMargin
-	wait := api.EffectiveTimeout(r.fleet.config.Classes[m.classification.Class].Deadline, m.timeout)
-	request.deadline = r.now() + api.WithMargin(wait, margin)
+	wait := api.ShorterTimeout(r.fleet.config.Classes[m.classification.Class].Deadline, m.timeout)
+	request.deadline = r.now() + api.SubtractMargin(wait, margin)
 	r.requests.byID[request.id], r.requests.byAttempt[m.attempt] = request, request
 	r.schedule(request.deadline+margin/2-r.now(), answerDue{r.process.generation, request.id, false})
 	if !m.stream {
-		r.schedule(api.WithMargin(m.timeout, margin), answerDue{r.process.generation, request.id, true})
+		r.schedule(api.SubtractMargin(m.timeout, margin), answerDue{r.process.generation, request.id, true})
 	}
 	r.step(m.classification.RoutingRequest(request.id, request.deadline+epoch))
 	r.removeIfDone(request)
