--- a/cmd/simadapter/exchange_test.go
+++ b/cmd/simadapter/exchange_test.go
@@ -13,15 +13,16 @@
 	"brackenbend/internal/golden"
 )
 
-// recordedRequest is the record of a request; prompt is its prompt's tokens as a number of 32 bits.
-func recordedRequest(id byte, prompt string) string {
+// requestRecord returns the record of a request in hexadecimal. The prompt is its length in tokens, a 32-bit
+// float.
+func requestRecord(id byte, prompt string) string {
 	return fmt.Sprintf("02 000000%02x 00 00000000005b8d80 91f03b7c55d20a64 00000001 %s 00002ee0 44960000 43800000 0000 "+
 		"2b8e6401d9f37c10", id, prompt)
 }
 
-// TestRecordedExchange: bytes in, and the bytes that were answered before the code was renamed; not updated meanwhile.
-// Two instances, cached, full and failed lists, requests, a first token, outcomes, a client that disconnects, a timer,
-// a reservation and a stop.
+// TestRecordedExchange guards the simulator's protocol: the bytes that the adapter answers must stay the same while the
+// code is refactored, so the golden file is not to be updated. The input has two instances, cached, full and failed
+// endpoint lists, requests, a first token, outcomes, a client that disconnects, a timer, a reservation and a stop.
 func TestRecordedExchange(t *testing.T) {
 	testdata := filepath.Join("..", "..", "internal", "simprotocol", "testdata")
 	fullSettings, err := os.ReadFile(filepath.Join(testdata, "settings-full.json"))
@@ -38,8 +39,8 @@
 		{hex.EncodeToString(encodeStart(1, settings)), hex.EncodeToString(encodeStart(2, string(fullSettings)))},
 		{endpoints, instance1, "01 03 00000001 02", instance2, "01 01 00000001 02"},
 		{
-			instance1, recordedRequest(7, "44e10000"), recordedRequest(8, "43e10000"),
-			instance2, recordedRequest(9, "42e10000"),
+			instance1, requestRecord(7, "44e10000"), requestRecord(8, "43e10000"),
+			instance2, requestRecord(9, "42e10000"),
 		},
 		{
 			instance1, "04 00000007 0000 00000028 00004844 00 00000400 0066 02 3f000000 3f800000",
@@ -55,7 +56,7 @@
 			t.Fatal(err)
 		}
 		batch := encodeBatch(uint32(i+1), uint32(len(records)), body)
-		if i == 0 { // each start is two records
+		if i == 0 { // each start is two records, so this batch has four
 			binary.BigEndian.PutUint32(batch[4:], 4)
 		}
 		in.Write(batch)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter joins routers to the operators' simulator: batches come on standard input, replies go to standard
-// output. Each instance that the simulator names has a router of its own; routers share nothing. One goroutine runs.
+// Command simadapter connects routers to the operators' simulator: it reads batches from standard input and writes a
+// reply to each to standard output. Each instance that the simulator names has its own router, and routers share no
+// state. Everything runs in one goroutine.
 package main
 
 import (
@@ -13,7 +14,7 @@
 	"brackenbend/routing"
 )
 
-// inputBufferSize is the size of the buffer on standard input in bytes. It saves reads of small batches.
+// inputBufferSize is the size in bytes of the buffer on standard input, which saves system calls for small batches.
 const inputBufferSize = 1 << 16
 
 func main() {
@@ -51,15 +52,15 @@
 	}
 }
 
-// adapter holds the routers of the running instances.
+// adapter steps the routers of the running instances.
 type adapter struct {
 	routers map[uint16]*routing.Router
 }
 
-// instanceEvents holds the routing events of a batch.
+// instanceEvents are the routing events of a batch by instance.
 type instanceEvents struct {
 	byInstance map[uint16][]routing.Event
-	order      []uint16 // instances by their first event; one that was restarted in the batch may stand twice
+	order      []uint16 // instances by first event; those restarted in the batch may be in it twice
 }
 
 func (e *instanceEvents) add(instance uint16, event routing.Event) {
@@ -76,18 +77,19 @@
 	return events
 }
 
-// answer steps each instance named in the batch once, with its events in order.
+// answer steps the router of each instance that has events in the batch once, with these events in order, and adds the
+// actions to the reply.
 func (a *adapter) answer(batch *simprotocol.Batch, reply *simprotocol.Reply) error {
 	events, err := a.collect(batch)
 	if err != nil {
 		return err
 	}
 	for _, instance := range events.order {
-		instanceEvents := events.take(instance)
-		if len(instanceEvents) == 0 { // stopped, or answered already
+		stepEvents := events.take(instance)
+		if len(stepEvents) == 0 { // stopped, or answered already
 			continue
 		}
-		actions, err := step(a.routers[instance], batch, instanceEvents)
+		actions, err := step(a.routers[instance], batch, stepEvents)
 		if err != nil {
 			reply.Fault(instance, err.Error())
 			continue
@@ -99,8 +101,8 @@
 	return nil
 }
 
-// collect starts and stops instances and gathers the events of those that run. Events before a start or a stop in the
-// same batch are dropped.
+// collect starts and stops instances and returns the events of those that run. It drops events that precede a start or
+// a stop of their instance in the same batch.
 func (a *adapter) collect(batch *simprotocol.Batch) (*instanceEvents, error) {
 	events := &instanceEvents{byInstance: map[uint16][]routing.Event{}}
 	for _, item := range batch.Items {
@@ -123,7 +125,7 @@
 	return events, nil
 }
 
-// start gives an instance a router.
+// start gives an instance a new router.
 func (a *adapter) start(instance uint16, start simprotocol.Start) error {
 	config, err := simprotocol.ParseSettings(start.Info)
 	if err != nil {
@@ -137,7 +139,8 @@
 	return nil
 }
 
-// step makes an error of a router's panic, so that the other instances go on.
+// step returns the actions of a router's step. It turns a panic of the router into an error, so that the other
+// instances keep running.
 func step(
 	router *routing.Router, batch *simprotocol.Batch, events []routing.Event,
 ) (actions []routing.Action, err error) {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -14,7 +14,7 @@
 const settings = `{"Kinds":["r","w"],"FamilyInfo":{"KindRole":["read","write"]},` +
 	`"Classes":[{"Repeat":"free","Deadline":5000000,"Promise":1000000}]}`
 
-// encodeBatch frames ready-made records.
+// encodeBatch returns a batch with the given number of encoded records in its body.
 func encodeBatch(seq, records uint32, body []byte) []byte {
 	out := binary.BigEndian.AppendUint32(nil, uint32(20+len(body)))
 	out = binary.BigEndian.AppendUint32(out, records)
@@ -23,7 +23,7 @@
 	return append(out, body...)
 }
 
-// encodeStart encodes two records: what follows is for this instance, and its start with these settings.
+// encodeStart returns two records: one that selects an instance, and one that starts it with these settings.
 func encodeStart(instance byte, settings string) []byte {
 	out := []byte{12, 0, instance, 0, 0, 0, 0, 0, 0, 0, 0, 1}
 	out = binary.BigEndian.AppendUint32(out, uint32(len(settings)))
