--- a/cmd/brackenbend/check.go
+++ b/cmd/brackenbend/check.go
@@ -11,15 +11,15 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// formerScenarioSchema is the former name of the schema of scenario files.
+// formerScenarioSchema is the former name of the schema of scenario files, which still works.
 const formerScenarioSchema = "day"
 
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Check a settings file: every problem with line, column and fix",
+		Short:   "Check a settings file and list its problems, each with line, column and fix",
 		Example: "  brackenbend check front.xml",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			settings, err := config.Load(args[0])
 			if err != nil {
@@ -28,7 +28,7 @@
 			if err := settings.RoutingConfig().Validate(); err != nil {
 				return exitError{fmt.Errorf("%s: %w", args[0], err), exitConfig}
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: in order: %d classes, %d tenants, %d kinds of engine, %d models\n",
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: valid: %d classes, %d tenants, %d kinds of engine, %d models\n",
 				args[0], len(settings.Classes), len(settings.Tenants), len(settings.Kinds), len(settings.Models))
 			return err
 		},
@@ -38,7 +38,7 @@
 func schemaCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:       "schema [settings|scenario]",
-		Short:     "Print the XML Schema of settings or scenario files",
+		Short:     "Print the XML Schema of settings files (the default) or scenario files",
 		Example:   "  brackenbend schema > brackenbend.xsd\n  brackenbend schema scenario > scenario.xsd",
 		ValidArgs: []string{"settings", "scenario", formerScenarioSchema},
 		Args:      cobra.MatchAll(cobra.MaximumNArgs(1), cobra.OnlyValidArgs),
--- a/cmd/brackenbend/compare.go
+++ b/cmd/brackenbend/compare.go
@@ -23,7 +23,8 @@
 )
 
 const (
-	// routerSubject names the router with the scenario's settings as what decides; the second is its former name.
+	// routerSubject names the router with the scenario's settings as a subject of a comparison. formerRouterSubject is
+	// its former name, which still works.
 	routerSubject       = "routing"
 	formerRouterSubject = "choice"
 
@@ -31,33 +32,42 @@
 	otherVersionTimeout = 10 * time.Minute
 )
 
-// comparison compares two ways of running the replicas.
+// comparison compares two subjects, as the flags say.
 type comparison struct {
 	trafficFile, otherFile string
 	recordings             recordings
-	rules                  forecast.StoppingRule
+	stopping               forecast.StoppingRule
 	checkRules             bool
 	htmlFile, jsonFile     string
 }
 
 func compareCommand() *cobra.Command {
 	c := comparison{
-		rules:      forecast.StoppingRule{Level: 0.95, MinDifference: 0.002, BatchSize: 8, MaxReplications: 64},
+		stopping:   forecast.StoppingRule{Level: 0.95, MinDifference: 0.002, BatchSize: 8, MaxReplications: 64},
 		checkRules: true,
 	}
 	cmd := &cobra.Command{
 		Use:   "compare A B",
-		Short: "Compare two ways of running the replicas on the same traffic, in simulated time",
-		Long: `Play a scenario many times, each time with other clients, the same on both sides, until the answer
-is clear: which of the two serves better, that no difference counts, or that it can't be told. A and
-B are each "routing" (the router with the scenario's settings), a settings file of replicas
-(classes, kinds and tenants named as the scenario's are), another version of this program (its
-path), or, as a yardstick only, a simple way of deciding: random, fewest, two-choices. With --other
-the second plays another scenario file: other engines, other faults. Bars are of the mean difference
-over paired replications (studentised bootstrap), at --level over all looks together.`,
+		Short: "Compare two routers, or two settings, on the same traffic in simulated time",
+		Long: `Compare the service of A and B: the share of the requests, by priority weight, that is served. Both
+run the same scenario in simulated time, in pairs of replications. Each pair has different clients,
+the same for A and B. The command stops once one of the two serves better, once any difference is
+too small to count, or, undecided, at the maximum number of replications.
+
+A and B are each one of:
+  routing                       the router, with the settings that the scenario gives
+  path of a settings file       the router, with these settings; classes, kinds of engine and tenants
+                                need the names that they have in the scenario
+  path of a program             another version of brackenbend
+  random, fewest, two-choices   a simple routing policy, as a baseline
+
+With --other, B runs another scenario (other engines, other faults) with the same clients.
+
+The confidence interval of the mean difference is a studentised bootstrap over the pairs. Its level
+holds for all interim analyses together.`,
 		Example: "  brackenbend compare routing random --traffic scenarios/burst.xml\n" +
-			"  brackenbend compare now.xml next.xml --traffic scenarios/mass-restart.xml --html report.html",
-		Args: exactly(2),
+			"  brackenbend compare current.xml next.xml --traffic scenarios/mass-restart.xml --html report.html",
+		Args: exactArgs(2),
 		RunE: c.run,
 	}
 	c.addFlags(cmd.Flags())
@@ -65,34 +75,34 @@
 }
 
 func (c *comparison) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&c.trafficFile, "traffic", "", "scenario file whose clients, engines and faults both meet; "+
-		"none = the default scenario")
+	f.StringVar(&c.trafficFile, "traffic", "", "scenario `file` whose clients, engines and faults A and B run with; "+
+		"without it, the default scenario")
 	c.recordings.addFlags(f)
-	f.StringVar(&c.otherFile, "other", "", "scenario file that the second plays instead, with the same clients")
-	f.StringVar(&c.htmlFile, "html", "", "write a page with plots")
-	f.StringVar(&c.jsonFile, "json", "", "write all figures")
-	f.Float64Var(&c.rules.Level, "level", c.rules.Level, "of the bars")
+	f.StringVar(&c.otherFile, "other", "", "scenario `file` that B runs instead, with the same clients")
+	f.StringVar(&c.htmlFile, "html", "", "write the result as an HTML page with plots to this `file`")
+	f.StringVar(&c.jsonFile, "json", "", "write all figures as JSON to this `file`")
+	f.Float64Var(&c.stopping.Level, "level", c.stopping.Level, "confidence level, between 0 and 1")
 	f.Float64Var(
-		&c.rules.MinDifference,
+		&c.stopping.MinDifference,
 		"counts",
-		c.rules.MinDifference,
-		"a difference of service below it does not count",
+		c.stopping.MinDifference,
+		"smallest difference of service that counts",
 	)
-	f.IntVar(&c.rules.BatchSize, "batch", c.rules.BatchSize, "replications between two looks")
-	f.IntVar(&c.rules.MaxReplications, "most", c.rules.MaxReplications, "replications in all")
-	f.BoolVar(&c.checkRules, "rules", c.checkRules, "check the rules as well")
+	f.IntVar(&c.stopping.BatchSize, "batch", c.stopping.BatchSize, "pairs of replications between two interim analyses")
+	f.IntVar(&c.stopping.MaxReplications, "most", c.stopping.MaxReplications, "maximum number of pairs of replications")
+	f.BoolVar(&c.checkRules, "rules", c.checkRules, "also check the rules of \"brackenbend scenario\" in each replication")
 }
 
 func (c *comparison) run(cmd *cobra.Command, args []string) error {
-	rules := c.rules
-	if rules.BatchSize < 3 || rules.MaxReplications < rules.BatchSize || rules.MaxReplications > 10000 ||
-		!isFraction(rules.Level) ||
-		rules.MinDifference < 0 {
-		return usageErrorf("--batch: 3 at least; --most: from --batch to 10000; --level: between 0 and 1; " +
-			"--counts: 0 or more")
-	}
-	rules.Parallel = runtime.GOMAXPROCS(0)
-	first, err := c.side(args[0], c.trafficFile)
+	stopping := c.stopping
+	if stopping.BatchSize < 3 || stopping.MaxReplications < stopping.BatchSize || stopping.MaxReplications > 10000 ||
+		!isFraction(stopping.Level) ||
+		stopping.MinDifference < 0 {
+		return usageErrorf("--batch must be at least 3, --most from --batch to 10000, --level between 0 and 1, " +
+			"--counts at least 0")
+	}
+	stopping.Parallel = runtime.GOMAXPROCS(0)
+	first, err := c.newSubject(args[0], c.trafficFile)
 	if err != nil {
 		return err
 	}
@@ -100,14 +110,14 @@
 	if c.otherFile != "" {
 		secondFile = c.otherFile
 	}
-	second, err := c.side(args[1], secondFile)
+	second, err := c.newSubject(args[1], secondFile)
 	if err != nil {
 		return err
 	}
 	if c.otherFile != "" {
 		second.Name += " on " + filepath.Base(c.otherFile)
 	}
-	result, err := forecast.Compare(first, second, rules)
+	result, err := forecast.Compare(first, second, stopping)
 	if err != nil {
 		return err
 	}
@@ -120,8 +130,8 @@
 	return saveJSON(c.jsonFile, result)
 }
 
-// side is one of the two things to compare, on the scenario in file or the default one.
-func (c *comparison) side(subject, file string) (forecast.Subject, error) {
+// newSubject returns one of the two subjects, with the scenario in file, or the default scenario if file is empty.
+func (c *comparison) newSubject(subject, file string) (forecast.Subject, error) {
 	var files []string
 	if file != "" {
 		files = []string{file}
@@ -137,8 +147,8 @@
 	return parseSubject(subject, played, recorded, c.checkRules)
 }
 
-// parseSubject reads what decides on a side: the router as it is, a simple way of deciding, another version of this
-// program, or a settings file.
+// parseSubject returns the subject that an argument names: the router with the scenario's settings, a baseline policy,
+// another version of this program, or the router with a settings file.
 func parseSubject(subject string, played *scenario.Scenario, recorded []scenario.RecordedRequest, checkRules bool) (
 	forecast.Subject, error,
 ) {
@@ -151,9 +161,9 @@
 		}
 	case isExecutable(subject) && recorded != nil:
 		return forecast.Subject{}, usageErrorf(
-			"%s: another version can't be given recordings yet; compare it on a scenario", subject)
+			"%s: another version of the program can't run recordings; compare it without --trace", subject)
 	case isExecutable(subject):
-		play := playOtherVersion(subject, played, checkRules)
+		play := runOtherVersion(subject, played, checkRules)
 		return forecast.Subject{Name: filepath.Base(subject), Scenario: played, Play: play}, nil
 	default:
 		settings, err := config.Load(subject)
@@ -170,23 +180,23 @@
 	return forecast.Subject{Name: subject, Scenario: played, Make: withSeed}, nil
 }
 
-// isExecutable reports whether path is a program, as opposed to a settings file.
+// isExecutable reports whether path is a program rather than a settings file.
 func isExecutable(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.Mode().IsRegular() && info.Mode()&0o111 != 0
 }
 
-// playOtherVersion plays replications with another version's program, on a scenario file of its own. It calls the
-// program by its former command names, which every version understands.
-func playOtherVersion(binary string, played *scenario.Scenario, checkRules bool) func(*scenario.Scenario, uint64) (
+// runOtherVersion returns a function that runs a replication with the program of another version, which gets the
+// scenario as a file. The program is called by its former command names, which every version understands.
+func runOtherVersion(binary string, played *scenario.Scenario, checkRules bool) func(*scenario.Scenario, uint64) (
 	*forecast.Summary, error,
 ) {
-	return func(now *scenario.Scenario, seed uint64) (*forecast.Summary, error) {
+	return func(replication *scenario.Scenario, seed uint64) (*forecast.Summary, error) {
 		dir, err := os.MkdirTemp("", "brackenbend-compare-")
 		if err != nil {
 			return nil, err
 		}
-		defer removeTemporary(dir)
+		defer removeTempDir(dir)
 		_, text, err := played.WithFaults(played.Faults, "")
 		if err != nil {
 			return nil, err
@@ -198,8 +208,9 @@
 		ctx, stop := context.WithTimeout(context.Background(), otherVersionTimeout)
 		defer stop()
 		out, runErr := exec.CommandContext(ctx, binary, "lab", "day", file, "--seed", fmt.Sprint(seed),
-			"--clients", fmt.Sprint(now.Seed), fmt.Sprintf("--rules=%v", checkRules), "--json", summaryFile).CombinedOutput()
-		text, err = os.ReadFile(summaryFile) // it is also written where rules were violated; only the exit code shows that
+			"--clients", fmt.Sprint(replication.Seed), fmt.Sprintf("--rules=%v", checkRules),
+			"--json", summaryFile).CombinedOutput()
+		text, err = os.ReadFile(summaryFile) // written even if rules were violated, and the program failed
 		if err != nil {
 			return nil, fmt.Errorf("%s lab day: %w: %.500s", binary, runErr, out)
 		}
--- a/cmd/brackenbend/daemon.go
+++ b/cmd/brackenbend/daemon.go
@@ -20,13 +20,14 @@
 	"brackenbend/routing"
 )
 
-// Time-outs and backoff towards the API server.
+// Time-outs and backoff of requests to the API server.
 const (
 	apiServerDialTimeout   = 5 * time.Second
 	apiServerHeaderTimeout = 10 * time.Second
 	apiServerMinBackoff    = 100 * time.Millisecond
 	apiServerMaxBackoff    = 5 * time.Second
-	// apiServerWatchTimeout is the longest silence of a watch; bookmarks come about once a minute.
+	// apiServerWatchTimeout ends a watch on which nothing came for so long. The API server sends a bookmark about once a
+	// minute.
 	apiServerWatchTimeout = 90 * time.Second
 )
 
@@ -34,11 +35,11 @@
 type daemon struct {
 	gateway *gateway.Gateway
 	addr    string     // of the client listener
-	failed  chan error // why it can't go on; buffered for both listeners
-	stop    func()     // drains and ends; called once
+	failed  chan error // receives the error of a listener that failed; buffered for both listeners
+	stop    func()     // drains and shuts down; must be called only once
 }
 
-// startDaemon starts a gateway by its settings: listeners, metrics and the endpoint list.
+// startDaemon starts a gateway with its listeners, its metrics and its endpoint list.
 func startDaemon(settings *config.Settings, log *zap.Logger) (*daemon, error) {
 	metrics := telemetry.NewMetrics()
 	g, err := gateway.NewFromSettings(settings, log, metrics)
@@ -73,13 +74,13 @@
 		cancel()
 		<-watchEnded
 		if admin != nil {
-			_ = admin.Close() // it only served metrics
+			_ = admin.Close() // the listener only served health and metrics
 		}
 	}
 	return d, nil
 }
 
-// startAdmin serves health and metrics at address; it does nothing where that is empty.
+// startAdmin serves health and metrics at address. It does nothing if address is empty.
 func (d *daemon) startAdmin(address string, metrics *telemetry.Metrics) (net.Listener, error) {
 	if address == "" {
 		return nil, nil
@@ -97,7 +98,7 @@
 }
 
 // followEndpoints gives the gateway its endpoint list: once from the settings, or by watching the API server until ctx
-// ends. The returned channel is closed once nothing more is delivered.
+// ends. The returned channel is closed after the last update.
 func followEndpoints(
 	ctx context.Context, settings *config.Settings, g *gateway.Gateway, log *zap.Logger,
 ) (<-chan struct{}, error) {
@@ -118,7 +119,7 @@
 	return ended, nil
 }
 
-// staticEndpoints are the endpoints that the settings name.
+// staticEndpoints returns the endpoints that the settings list.
 func staticEndpoints(settings *config.Settings) []endpointslice.Endpoint {
 	var list []endpointslice.Endpoint
 	for _, s := range settings.Servers {
@@ -170,7 +171,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s holds no certificate", file)
+		return nil, fmt.Errorf("%s contains no PEM certificate", file)
 	}
 	return pool, nil
 }
--- a/cmd/brackenbend/deprecated.go
+++ b/cmd/brackenbend/deprecated.go
@@ -5,20 +5,22 @@
 	"io"
 )
 
-// deprecatedCommands are former names of commands. They still work, and say on standard error what to use instead.
+// deprecatedCommands maps former names of commands to current ones. Former names still work, with a warning on
+// standard error.
 var deprecatedCommands = map[string]string{
 	"day": "scenario",
 	"lab": "simulate",
 }
 
-// deprecatedSimulations are former names of sub-commands of simulate.
+// deprecatedSimulations maps former names of sub-commands of simulate to current ones.
 var deprecatedSimulations = map[string]string{
 	"day":    "scenario",
 	"hunt":   "fault-search",
 	"causes": "ablation",
 }
 
-// replaceDeprecated returns args with former names of commands replaced by the present ones, and warns of each on out.
+// replaceDeprecated returns args with former names of commands replaced by current ones. It writes a warning for each
+// to out.
 func replaceDeprecated(args []string, out io.Writer) []string {
 	args = append([]string(nil), args...)
 	if len(args) > 0 {
@@ -30,13 +32,13 @@
 	return args
 }
 
-// replaceName returns the present name of a command.
-func replaceName(name string, present map[string]string, out io.Writer) string {
-	now, old := present[name]
-	if !old {
+// replaceName returns the current name of a command, and writes a warning to out if name is a former one.
+func replaceName(name string, current map[string]string, out io.Writer) string {
+	newName, deprecated := current[name]
+	if !deprecated {
 		return name
 	}
-	// A warning that can't be written is no reason not to run the command.
-	_, _ = fmt.Fprintf(out, "brackenbend: the command name %q is deprecated, use %q\n", name, now)
-	return now
+	// The command runs even if the warning can't be written.
+	_, _ = fmt.Fprintf(out, "brackenbend: the command name %q is deprecated, use %q\n", name, newName)
+	return newName
 }
--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -22,10 +22,10 @@
 // roleSwitchTime is how long a drained fake engine takes to switch its role.
 const roleSwitchTime = time.Second
 
-// fakeEngineRoles are the roles that a fake engine may have, by the values of the --role flag.
+// fakeEngineRoles maps the values of the --role flag to roles.
 var fakeEngineRoles = map[string]roles.Role{"reader": roles.Prefill, "writer": roles.Decode, "mixed": roles.Both}
 
-// fakeEngineParams are typical parameters of a fake engine; role is a value of the --role flag.
+// fakeEngineParams returns typical parameters of a fake engine. The role is a value of the --role flag.
 func fakeEngineParams(role string) enginemodel.Params {
 	return enginemodel.Params{
 		CanPrefill:     true,
@@ -64,13 +64,25 @@
 	var e fakeEngine
 	cmd := &cobra.Command{
 		Use:   "engine",
-		Short: "Run a fake engine",
-		Long: `Run one fake engine until SIGINT or SIGTERM. It answers with made-up words at the pace of its model.
-Faults are set while it runs by POST /standin/faults with a JSON object: fail_fast, fail_class,
-stall, slow, reset_mid, reset_head, frozen, no_reports.`,
+		Short: "Run a fake engine, for tests and trials",
+		Long: `Run one fake engine until SIGINT or SIGTERM. It answers requests with made-up words, at the speed of
+a simulated engine. POST /standin/faults with a JSON object sets its faults, in place of those that
+were set before:
+
+  fail_fast    fraction of requests that fail at once
+  fail_class   class whose requests fail at once
+  stall        true: requests are accepted and never answered
+  slow         factor by which the engine is slower
+  reset_mid    fraction of streams whose connection is reset after a few tokens
+  reset_head   fraction of requests whose connection is reset once they are read
+  reset_run    fraction of requests that take effect and are reset before the first token
+  fail_run     fraction of requests that take effect and get an error
+  stall_run    fraction of requests that take effect and are never answered
+  frozen       true: load reports no longer change
+  no_reports   true: no load reports are sent`,
 		Example: `  brackenbend engine --listen 127.0.0.1:9001 --role reader
   curl -d '{"stall":true}' http://127.0.0.1:9001/standin/faults`,
-		Args: exactly(0),
+		Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error { return e.run(cmd.OutOrStdout()) },
 	}
 	e.addFlags(cmd.Flags())
@@ -78,18 +90,18 @@
 }
 
 func (e *fakeEngine) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&e.listen, "listen", "127.0.0.1:0", "loopback address")
-	f.StringVar(&e.role, "role", "mixed", "reader (prefill), writer (decode) or mixed")
-	f.StringVar(&e.name, "name", "engine-1", "its name")
-	f.BoolVar(&e.plain, "plain", false, "speak vLLM's convention only, not the extension")
-	f.BoolVar(&e.cold, "cold", false, "start cold")
-	f.BoolVar(&e.canChangeRoles, "shifts", false, "take commands to change role (POST "+planner.Path+")")
+	f.StringVar(&e.listen, "listen", "127.0.0.1:0", "loopback address to listen on; port 0 = any free port")
+	f.StringVar(&e.role, "role", "mixed", "role: reader (prefill), writer (decode) or mixed (both)")
+	f.StringVar(&e.name, "name", "engine-1", "name of the engine")
+	f.BoolVar(&e.plain, "plain", false, "support only vLLM's protocol, without the extensions")
+	f.BoolVar(&e.cold, "cold", false, "start cold: slower until the engine has warmed up")
+	f.BoolVar(&e.canChangeRoles, "shifts", false, "accept commands to change role (POST "+planner.Path+")")
 }
 
 func (e *fakeEngine) run(out io.Writer) error {
 	role, known := fakeEngineRoles[e.role]
 	if !known {
-		return usageErrorf("--role %q: reader, writer or mixed", e.role)
+		return usageErrorf("--role %q: must be reader, writer or mixed", e.role)
 	}
 	cfg := engine.Config{
 		Name: e.name, Kind: e.role, Params: fakeEngineParams(e.role), PlainVLLM: e.plain, CanCancel: true,
@@ -113,7 +125,7 @@
 	return nil
 }
 
-// fakeAPIServer serves a list of engines.
+// fakeAPIServer runs a fake API server.
 type fakeAPIServer struct {
 	listen, assignmentsFile string
 	kindOfRole              map[string]string // kinds whose engines may change role, by role
@@ -123,8 +135,9 @@
 	var s fakeAPIServer
 	cmd := &cobra.Command{
 		Use:   "register NAME=KIND@ADDRESS...",
-		Short: "Run a fake API server with the list of engines",
-		Long:  "Serve a list of engines as discovery.k8s.io/v1 EndpointSlices, for list and watch, until SIGINT or SIGTERM.",
+		Short: "Run a fake API server that lists engines, for tests and trials",
+		Long: `Run a fake Kubernetes API server until SIGINT or SIGTERM. It lists the engines that are named in the
+arguments, as discovery.k8s.io/v1 EndpointSlices, and answers list and watch requests for them.`,
 		Example: `  brackenbend register --listen 127.0.0.1:7000 \
     reader-1=prefill@127.0.0.1:9001 writer-1=decode@127.0.0.1:9002
   curl http://127.0.0.1:7000/apis/discovery.k8s.io/v1/namespaces/default/endpointslices`,
@@ -132,10 +145,10 @@
 		RunE: func(cmd *cobra.Command, args []string) error { return s.run(cmd.OutOrStdout(), args) },
 	}
 	f := cmd.Flags()
-	f.StringVar(&s.listen, "listen", "127.0.0.1:0", "loopback address")
+	f.StringVar(&s.listen, "listen", "127.0.0.1:0", "loopback address to listen on; port 0 = any free port")
 	f.StringToStringVar(&s.kindOfRole, "shift", nil,
-		"kinds whose engines may change role, as reader=prefill,writer=decode,both=mixed")
-	f.StringVar(&s.assignmentsFile, "book", "", "file that keeps the assignments of roles over restarts")
+		"kinds whose engines may change role, by role, such as reader=prefill,writer=decode,both=mixed")
+	f.StringVar(&s.assignmentsFile, "book", "", "`file` that keeps the role assignments across restarts")
 	return cmd
 }
 
@@ -168,24 +181,24 @@
 		}
 		server.Set(entry)
 	}
-	if _, err := fmt.Fprintln(out, "register on", server.URL()); err != nil {
+	if _, err := fmt.Fprintln(out, "API server on", server.URL()); err != nil {
 		return err
 	}
 	waitForSignal()
 	return nil
 }
 
-// parseEngineEntry reads NAME=KIND@ADDRESS.
+// parseEngineEntry parses NAME=KIND@ADDRESS.
 func parseEngineEntry(arg string) (apiserver.Entry, error) {
 	name, rest, hasKind := strings.Cut(arg, "=")
 	kind, address, hasAddress := strings.Cut(rest, "@")
 	if !hasKind || !hasAddress || !isWord(name) || !isWord(kind) || !isWord(address) {
-		return apiserver.Entry{}, usageErrorf("%q: write NAME=KIND@ADDRESS", arg)
+		return apiserver.Entry{}, usageErrorf("engine %q: must have the form NAME=KIND@ADDRESS", arg)
 	}
 	return apiserver.Entry{
 		Name: name, Kind: kind, Zone: "zone-1", Cell: "cell-1", Address: address, UID: name + "-1", Ready: true,
 	}, nil
 }
 
-// isWord reports whether s is not empty and has no white space.
+// isWord reports whether s is not empty and contains no white space.
 func isWord(s string) bool { return len(strings.Fields(s)) == 1 && strings.TrimSpace(s) == s }
--- a/cmd/brackenbend/files.go
+++ b/cmd/brackenbend/files.go
@@ -8,7 +8,7 @@
 	"os"
 )
 
-// writeFile makes the file and has write fill it. It does nothing where path is empty.
+// writeFile creates a file and calls write to fill it. It does nothing if path is empty.
 func writeFile(path string, write func(*os.File) error) error {
 	if path == "" {
 		return nil
@@ -20,7 +20,7 @@
 	return errors.Join(write(f), f.Close())
 }
 
-// saveJSON writes v to a file. It does nothing where path is empty.
+// saveJSON writes v to a file as JSON. It does nothing if path is empty.
 func saveJSON(path string, v any) error {
 	return writeFile(path, func(f *os.File) error {
 		enc := json.NewEncoder(f)
@@ -29,10 +29,10 @@
 	})
 }
 
-// removeTemporary removes a temporary folder; what can't be removed is left to the system.
-func removeTemporary(dir string) { _ = os.RemoveAll(dir) }
+// removeTempDir removes a temporary directory. Errors are ignored: cleaning up is left to the system then.
+func removeTempDir(dir string) { _ = os.RemoveAll(dir) }
 
-// printer writes formatted text and keeps the first error.
+// printer writes formatted text and keeps the first error. It writes nothing more after an error.
 type printer struct {
 	out io.Writer
 	err error
--- a/cmd/brackenbend/load.go
+++ b/cmd/brackenbend/load.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// maxLoadRate is the most requests a second that may be sent.
+	// maxLoadRate is the highest rate that --rate accepts, in requests a second.
 	maxLoadRate = 5000
-	// progressSteps is the resolution of the progress bar, drawn anew at most every progressInterval.
+	// progressSteps is the resolution of the progress bar. It is redrawn at most once in progressInterval.
 	progressSteps    = 1000
 	progressInterval = 100 * time.Millisecond
 )
 
-// loadRun sends the clients of a scenario at running replicas.
+// loadRun sends the load of a scenario's clients to running replicas.
 type loadRun struct {
 	plan               load.Plan
 	clientsFile        string
@@ -38,12 +38,16 @@
 	run := loadRun{plan: load.Plan{Length: 30 * time.Second, MaxOpen: 2000}}
 	cmd := &cobra.Command{
 		Use:   "load REPLICA...",
-		Short: "Send load at running replicas and measure what clients see",
-		Long: `Send the clients of a scenario file at replicas that run (host:port, each try to one by lot):
-sessions begin at their times however slow answers are, and times count from when a request should
-have been sent. Clients retry as published SDKs do. Prints what each class saw: service, ends, times
-to the first token, between tokens and to the end. Only loopback addresses are taken unless
---anywhere is given.`,
+		Short: "Send load to running replicas and measure what clients see",
+		Long: `Send the load of a scenario's clients to running replicas of the gateway, each given as host:port.
+Each attempt goes to a replica that is picked at random. Clients retry as published SDKs do.
+
+The load is open: a session begins at its time, however slow the answers are, and latencies count
+from the time when a request should have been sent. The report shows for each class the service (the
+share of the requests that is served), the outcomes, and the times to the first token, between
+tokens and to the end of the answer.
+
+Only loopback addresses are accepted unless --anywhere is given.`,
 		Example: "  brackenbend up &\n" +
 			"  brackenbend load 127.0.0.1:8080 --model stand-in --rate 20 --for 20s --html load.html",
 		Args: cobra.MinimumNArgs(1),
@@ -54,20 +58,20 @@
 }
 
 func (r *loadRun) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&r.clientsFile, "clients", "", "scenario file whose clients are sent; none = the default scenario's")
-	f.StringVar(&r.plan.Model, "model", "day", "model that is asked for")
-	f.Float64Var(&r.rate, "rate", 0, "requests a second; 0 = the scenario's")
-	f.DurationVar(&r.plan.Length, "for", r.plan.Length, "how long sessions begin, up to 1h")
+	f.StringVar(&r.clientsFile, "clients", "", "scenario `file` with the clients; without it, the default scenario")
+	f.StringVar(&r.plan.Model, "model", "day", "model that the requests name")
+	f.Float64Var(&r.rate, "rate", 0, "requests a second; 0 = the rate of the scenario")
+	f.DurationVar(&r.plan.Length, "for", r.plan.Length, "time during which sessions begin, up to 1h")
 	f.IntVar(
 		&r.plan.MaxOpen,
 		"most",
 		r.plan.MaxOpen,
-		"requests open at once; sessions past it do not begin and are counted",
+		"maximum number of open sessions; a session beyond it does not begin and is counted as such",
 	)
-	f.BoolVar(&r.plan.AllowRemote, "anywhere", false, "send to addresses that are not loopback")
-	f.StringVar(&r.htmlFile, "html", "", "write a page with plots")
-	f.StringVar(&r.jsonFile, "json", "", "write all figures")
-	f.BoolVarP(&r.quiet, "quiet", "q", false, "no progress bar")
+	f.BoolVar(&r.plan.AllowRemote, "anywhere", false, "also send to addresses other than loopback")
+	f.StringVar(&r.htmlFile, "html", "", "write the report as an HTML page with plots to this `file`")
+	f.StringVar(&r.jsonFile, "json", "", "write all figures as JSON to this `file`")
+	f.BoolVarP(&r.quiet, "quiet", "q", false, "show no progress bar")
 }
 
 func (r *loadRun) run(cmd *cobra.Command, args []string) error {
@@ -76,7 +80,7 @@
 	}
 	if !r.quiet {
 		bar := newProgressBar()
-		defer func() { _ = bar.Finish() }() // the bar is for a person at a terminal; the report does not need it
+		defer func() { _ = bar.Finish() }() // an error of the bar does not affect the report
 		r.plan.Progress = func(done float64, open int) {
 			bar.Describe(fmt.Sprintf("%d open", open))
 			_ = bar.Set(int(done * progressSteps))
@@ -100,7 +104,7 @@
 	return writeFile(r.jsonFile, func(f *os.File) error { return report.WriteJSON(f) })
 }
 
-// prepare completes the plan by the scenario and the replicas.
+// prepare adds the scenario and the replicas to the plan.
 func (r *loadRun) prepare(replicas []string) error {
 	var files []string
 	if r.clientsFile != "" {
@@ -111,7 +115,7 @@
 		return err
 	}
 	if r.rate < 0 || r.rate > maxLoadRate {
-		return usageErrorf("--rate: up to %d a second", maxLoadRate)
+		return usageErrorf("--rate must be from 0 to %d requests a second", maxLoadRate)
 	}
 	if r.rate > 0 {
 		clients.Rate = config.Rate(r.rate)
--- a/cmd/brackenbend/main.go
+++ b/cmd/brackenbend/main.go
@@ -1,7 +1,7 @@
 // Command brackenbend is a router for language-model serving with separate prefill and decode engines: the gateway, the
-// node of the platform, the planner of roles, and the scenarios and simulations that they are tested with.
+// node of the platform, the planner of engine roles, and the scenarios and simulations that they are tested with.
 //
-// Each command has a file of its own, which parses flags and leaves the work to a package.
+// Each command has its own file, which parses the flags and calls a package for the work.
 package main
 
 import (
@@ -15,13 +15,13 @@
 
 // Exit codes; docs/operate.md lists them.
 const (
-	exitFailure   = 1 // it ran and failed
-	exitUsage     = 2 // the command line is wrong
-	exitConfig    = 3 // a settings or scenario file is wrong
-	exitViolation = 4 // a scenario ran and a rule was violated
+	exitFailure   = 1 // the command failed
+	exitUsage     = 2 // the command line is invalid
+	exitConfig    = 3 // an input file, such as settings or a scenario, is invalid
+	exitViolation = 4 // a scenario ran, and a rule was violated
 )
 
-// exitError is an error with an exit code of its own.
+// exitError is an error that ends the program with its own exit code.
 type exitError struct {
 	error
 	code int
@@ -30,7 +30,8 @@
 // Unwrap returns the error without its exit code.
 func (e exitError) Unwrap() error { return e.error }
 
-// configError gives problems of a file their exit code.
+// configError adds exitConfig to an error that lists the problems of a settings or scenario file. It returns any other
+// error as it is.
 func configError(err error) error {
 	var problems config.Problems
 	if errors.As(err, &problems) {
@@ -41,7 +42,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run runs a command line and returns its exit code.
+// run executes a command line and returns its exit code.
 func run(args []string) int {
 	root := rootCommand()
 	root.SetArgs(replaceDeprecated(args, os.Stderr))
@@ -49,7 +50,7 @@
 	if err == nil {
 		return 0
 	}
-	p := printer{out: os.Stderr} // if standard error can't be written, the exit code still reports the failure
+	p := printer{out: os.Stderr} // the exit code reports the failure even if standard error can't be written
 	p.printf("%v\n", err)
 	var withCode exitError
 	if errors.As(err, &withCode) {
@@ -62,10 +63,10 @@
 	root := &cobra.Command{
 		Use:   "brackenbend",
 		Short: "A router for language-model serving with separate prefill and decode engines",
-		Example: `  brackenbend up                          # a gateway with embedded fakes, for a first try
+		Example: `  brackenbend up                          # try it out: a gateway with fake engines, in one process
   brackenbend check deploy/examples/front.xml
   brackenbend serve -c front.xml
-  brackenbend scenario                    # the scripted bad day, its rules audited`,
+  brackenbend scenario                    # run the default fault scenario and check the rules`,
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return exitError{err, exitUsage} })
@@ -87,8 +88,8 @@
 	return root
 }
 
-// exactly wants n arguments, with the usage exit code.
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs accepts exactly n arguments. Its error has the exit code exitUsage.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(cmd, args); err != nil {
 			return exitError{err, exitUsage}
--- a/cmd/brackenbend/node.go
+++ b/cmd/brackenbend/node.go
@@ -16,22 +16,24 @@
 func nodeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "node",
-		Short: "Run a node of the platform",
-		Long: `Run a node by the configuration file that LB_CONFIG names (docs/node.md). SIGTERM lets it answer
-what it holds and exit; SIGHUP reads the file again and moves to the discovery address in it.`,
+		Short: "Run a gateway as a node of the platform",
+		Long: `Run a gateway as a node of the platform. The environment variable LB_CONFIG names its configuration
+file, which docs/node.md describes. On SIGTERM the node answers the requests that it has accepted,
+then exits. On SIGHUP it reads the file again and follows the discovery service at the address in
+it.`,
 		Example: "  LB_CONFIG=/run/balancer/config.json brackenbend node",
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE:    func(*cobra.Command, []string) error { return runNode() },
 	}
 }
 
 func runNode() error {
-	// Signals are caught first of all: SIGHUP would end the process.
+	// Signals are caught before anything else, since SIGHUP ends a process that does not catch it.
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	file := os.Getenv("LB_CONFIG")
 	if file == "" {
-		return exitError{errors.New("node: LB_CONFIG names no configuration file"), exitUsage}
+		return exitError{errors.New("node: the environment variable LB_CONFIG must name a configuration file"), exitUsage}
 	}
 	log, err := telemetry.NewLogger(os.Stderr, "json", "info", 100)
 	if err != nil {
@@ -47,11 +49,12 @@
 	return handleSignals(n, signals, log)
 }
 
-// handleSignals runs n until a signal ends it or it fails. SIGHUP is followed while it drains, too: what it still sends
-// goes by the list of the new address. A second signal to end changes nothing.
+// handleSignals returns once n has drained, after SIGTERM, SIGINT or a failure of n, whose error it returns. A draining
+// node still sends attempts, so SIGHUP moves it to the new discovery address as well. A second SIGTERM or SIGINT is
+// ignored.
 func handleSignals(n *node.Node, signals <-chan os.Signal, log *zap.Logger) error {
 	var failure error
-	var drained chan struct{} // closed once n has drained; nil until it begins to
+	var drained chan struct{} // closed once n has drained; nil until the drain begins
 	drain := func() {
 		if drained != nil {
 			return
--- a/cmd/brackenbend/planner.go
+++ b/cmd/brackenbend/planner.go
@@ -20,10 +20,10 @@
 	"brackenbend/roles"
 )
 
-// apiServerCallTimeout bounds one call of the planner, or of a command, to the API server.
+// apiServerCallTimeout bounds one call to the API server, by the planner or by a roles command.
 const apiServerCallTimeout = 10 * time.Second
 
-// plannerRun runs a planner of roles.
+// plannerRun runs a planner of engine roles.
 type plannerRun struct {
 	url, logLevel, admin string
 	replicas             []string
@@ -35,13 +35,16 @@
 	var run plannerRun
 	cmd := &cobra.Command{
 		Use:   "planner --register URL",
-		Short: "Share engines out to prefill and decode, as the work asks",
-		Long: `Run a planner of engine roles until SIGTERM or SIGINT. It reads the assignments from the API server,
-asks the engines how they stand once a second, writes changes into the assignments and tells them to
-the engines. Several may run: a write from an old version is refused. With none running, roles stay
-as they are. docs/roles.md has the law and what each figure means.`,
+		Short: "Assign engines to prefill and decode according to demand",
+		Long: `Run a planner of engine roles until SIGTERM or SIGINT. In each round it reads the role assignments from
+the API server, polls the engines for their status, writes the changes that it decides to the
+assignments, and commands the engines to change role.
+
+Several planners may run at once: the API server refuses a write that is based on an outdated
+version of the assignments. While no planner runs, roles stay as they are. docs/roles.md describes
+how the planner decides, and its metrics.`,
 		Example: `  brackenbend planner --register http://127.0.0.1:9200 --min-stay 2m`,
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE:    func(*cobra.Command, []string) error { return run.run() },
 	}
 	run.addFlags(cmd.Flags())
@@ -51,17 +54,21 @@
 
 func (r *plannerRun) addFlags(f *pflag.FlagSet) {
 	f.StringVar(&r.url, "register", "", "URL of the API server")
-	f.StringSliceVar(&r.replicas, "front", nil, "admin address of a replica that is asked what it rejected; any number")
-	f.StringVar(&r.admin, "admin", "", "address for health and metrics; none = not served")
-	f.StringVar(&r.logLevel, "log-level", "info", "debug, info, warn or error")
-	f.DurationVar(&r.interval, "every", time.Second, "time between two looks")
-	f.DurationVar(&r.config.MinDwell, "min-stay", time.Minute, "no engine changes sooner after its last change")
-	f.Float64Var(&r.config.MaxConcurrent, "at-once", 0.1, "part of the engines that may change at once; one at least")
+	f.StringSliceVar(&r.replicas, "front", nil,
+		"admin address of a replica, which is polled for the requests that it rejected; repeatable")
+	f.StringVar(&r.admin, "admin", "", "address for health and metrics; without it, they are not served")
+	f.StringVar(&r.logLevel, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
+	f.DurationVar(&r.interval, "every", time.Second, "interval between planning rounds")
+	f.DurationVar(&r.config.MinDwell, "min-stay", time.Minute, "minimum time between two role changes of an engine")
+	f.Float64Var(&r.config.MaxConcurrent, "at-once", 0.1,
+		"fraction of the engines that may change role at once; at least one may")
 	f.DurationVar(&r.config.ChangeTime, "change-time", 10*time.Second,
-		"what a change takes by and large: drained, switched, half warm")
-	f.DurationVar(&r.config.WarmUp, "warm", 3*time.Second, "of it, what comes after the engine says that it changed")
-	f.DurationVar(&r.config.ChangeTimeout, "turn-time", 2*time.Minute, "a change that is not done by then is reverted")
-	f.DurationVar(&r.config.StaleAfter, "stale-after", 5*time.Second, "older figures count as none")
+		"typical time of a role change, from the start of the drain until the engine is half warm")
+	f.DurationVar(&r.config.WarmUp, "warm", 3*time.Second,
+		"part of --change-time that follows the engine's report that it has changed")
+	f.DurationVar(&r.config.ChangeTimeout, "turn-time", 2*time.Minute,
+		"time after which an unfinished role change is reverted")
+	f.DurationVar(&r.config.StaleAfter, "stale-after", 5*time.Second, "age from which a load report is ignored")
 }
 
 func (r *plannerRun) run() error {
@@ -78,7 +85,7 @@
 		if err != nil {
 			return fmt.Errorf("--admin: %w", err)
 		}
-		defer func() { _ = l.Close() }() // it only served metrics
+		defer func() { _ = l.Close() }() // the listener only served health and metrics
 		go serveAdmin(l, metrics, log)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -94,7 +101,7 @@
 func serveAdmin(l net.Listener, metrics *planner.Metrics, log *zap.Logger) {
 	ready := func() string { return "" }
 	if err := telemetry.ServeAdmin(l, metrics.Registry, ready); !errors.Is(err, net.ErrClosed) {
-		log.Error("admin ended", zap.Error(err))
+		log.Error("health and metrics listener failed", zap.Error(err))
 	}
 }
 
--- a/cmd/brackenbend/roles.go
+++ b/cmd/brackenbend/roles.go
@@ -12,14 +12,14 @@
 	"brackenbend/roles"
 )
 
-// change rewrites the assignment of the engine named first in args.
-type change func(table roles.Assignments, args []string) (roles.Assignments, error)
+// editFunc changes the assignment of the engine that args[0] names.
+type editFunc func(table roles.Assignments, args []string) (roles.Assignments, error)
 
 func rolesCommand() *cobra.Command {
 	var url string
 	cmd := &cobra.Command{
 		Use:   "roles",
-		Short: "See, pin and force the roles of engines",
+		Short: "Show and change the role assignments of engines",
 		Example: `  brackenbend roles show --register http://127.0.0.1:9200
   brackenbend roles pin decode-3 --register http://127.0.0.1:9200
   brackenbend roles force decode-3 reader --register http://127.0.0.1:9200`,
@@ -28,14 +28,14 @@
 	mustRequire(cmd.MarkPersistentFlagRequired("register"))
 	cmd.AddCommand(
 		showRolesCommand(&url),
-		changeCommand(&url, "pin ENGINE", "Keep an engine in its role", 1, setPinned(true)),
-		changeCommand(&url, "unpin ENGINE", "Let an engine change again", 1, setPinned(false)),
-		changeCommand(&url, "forbid ENGINE ROLE", "Never assign an engine to prefill (reader) or to decode (writer)", 2,
-			withRole(forbidRole)),
-		changeCommand(&url, "allow ENGINE ROLE", "Take back forbid", 2, withRole(allowRole)),
-		changeCommand(&url, "force ENGINE ROLE", "Assign an engine to a role now; pin it to keep it there", 2,
-			withRole(forceRole)),
-		changeCommand(&url, "call-off ENGINE", "Revert the pending change of an engine", 1, revertChange),
+		editCommand(&url, "pin ENGINE", "Keep an engine in its role: the planner does not change it", 1, setPinned(true)),
+		editCommand(&url, "unpin ENGINE", "Undo pin", 1, setPinned(false)),
+		editCommand(&url, "forbid ENGINE ROLE", "Forbid a role to an engine: reader (prefill) or writer (decode)", 2,
+			withRoleArgument(forbidRole)),
+		editCommand(&url, "allow ENGINE ROLE", "Undo forbid", 2, withRoleArgument(allowRole)),
+		editCommand(&url, "force ENGINE ROLE", "Assign an engine to a role now; use pin to keep it there", 2,
+			withRoleArgument(forceRole)),
+		editCommand(&url, "call-off ENGINE", "Revert the pending role change of an engine", 1, revertChange),
 	)
 	return cmd
 }
@@ -43,7 +43,7 @@
 func showRolesCommand(url *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show [ENGINE]",
-		Short: "Print the assignments",
+		Short: "Print the assignments of all engines, or of one",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			client := newPlannerClient(*url)
@@ -56,12 +56,12 @@
 	}
 }
 
-// changeCommand is a sub-command that rewrites one engine's assignment and prints it.
-func changeCommand(url *string, use, short string, args int, apply change) *cobra.Command {
+// editCommand returns a sub-command that changes the assignment of one engine and prints it.
+func editCommand(url *string, use, short string, args int, apply editFunc) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
 		Short: short,
-		Args:  exactly(args),
+		Args:  exactArgs(args),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			client := newPlannerClient(*url)
 			table, err := client.Update(cmd.Context(), func(table roles.Assignments) (roles.Assignments, error) {
@@ -75,14 +75,14 @@
 	}
 }
 
-func setPinned(pinned bool) change {
+func setPinned(pinned bool) editFunc {
 	return func(table roles.Assignments, args []string) (roles.Assignments, error) {
 		return table.Edit(args[0], func(a *roles.Assignment) { a.Pinned = pinned })
 	}
 }
 
-// withRole reads the role that is the second argument.
-func withRole(apply func(roles.Assignments, string, roles.Role) (roles.Assignments, error)) change {
+// withRoleArgument returns an editFunc that calls apply with the engine and the role that args name.
+func withRoleArgument(apply func(roles.Assignments, string, roles.Role) (roles.Assignments, error)) editFunc {
 	return func(table roles.Assignments, args []string) (roles.Assignments, error) {
 		role, err := roles.ParseRole(args[1])
 		if err != nil {
@@ -143,7 +143,7 @@
 	case a.Serving:
 		return "serves"
 	case a.Target == a.Role:
-		return "on its way back"
+		return "reverting"
 	}
 	return "to " + a.Target.String()
 }
--- a/cmd/brackenbend/scenario.go
+++ b/cmd/brackenbend/scenario.go
@@ -18,9 +18,9 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// scenarioRun plays one scenario against real replicas and writes what was asked for.
+// scenarioRun runs one scenario against real replicas and writes the files that its flags name.
 type scenarioRun struct {
-	seconds     float64 // the scenario's length; 0 = as its file says
+	seconds     float64 // length that the scenario is scaled to; 0 = its own
 	jsonFile    string
 	eventsFile  string
 	keepDir     string
@@ -33,11 +33,20 @@
 	var run scenarioRun
 	cmd := &cobra.Command{
 		Use:   "scenario [FILE]",
-		Short: "Play a scripted bad day against real replicas and audit the five rules",
-		Long: `Play a scenario: the API server and the engines are fakes in this process, replicas are processes of
-their own that are killed and restarted, clients speak over sockets. The rules are checked against
-what passed on the sockets. Without FILE it is the default scenario. The exit code is 4 when a rule
-is violated, or never checked.`,
+		Short: "Run a scenario of load and faults against real replicas and check five rules",
+		Long: `Run a scenario file, or the default scenario. The clients, the API server and the engines are fakes in
+this process. The replicas of the gateway are processes of their own, which the scenario may kill
+and restart. All of them communicate over loopback sockets, and five rules are checked against the
+events on the sockets:
+
+  1. Each request gets one final answer in time, and no bytes after it.
+  2. No request takes effect twice, and none that may have run is rejected.
+  3. No new request reaches an engine that drains.
+  4. No cold engine is overloaded.
+  5. Each read state is fetched by a decode, or released, within its TTL.
+
+The exit code is 4 if a rule was violated or never checked, or if the service was lower than the
+scenario expects.`,
 		Example: "  brackenbend scenario\n  brackenbend scenario --seconds 20 --json report.json\n" +
 			"  brackenbend scenario scenarios/mass-restart.xml",
 		Args: cobra.MaximumNArgs(1),
@@ -48,19 +57,19 @@
 }
 
 func (r *scenarioRun) addFlags(f *pflag.FlagSet) {
-	f.Float64Var(&r.seconds, "seconds", 0, "scale the scenario to last so long")
-	f.StringVar(&r.jsonFile, "json", "", "write the report to this file as JSON")
-	f.StringVar(&r.plotsDir, "plots", "", "folder for plots of service, and of roles, over time (SVG)")
+	f.Float64Var(&r.seconds, "seconds", 0, "scale the scenario to this length in seconds; 0 = its own length")
+	f.StringVar(&r.jsonFile, "json", "", "write the report as JSON to this `file`")
+	f.StringVar(&r.plotsDir, "plots", "", "write plots of the service, and of roles, over time as SVG to this `directory`")
 	f.StringVar(
 		&r.foreseeFile,
 		"foresee",
 		"",
-		"report of an earlier run of a scenario whose engines change role (--json): "+
-			"roles follow the cheapest changes for the work seen then",
+		"report `file` (--json) of an earlier run whose engines changed role: "+
+			"roles follow the cheapest schedule for the demand in it, in place of the planner",
 	)
-	f.StringVar(&r.eventsFile, "record", "", "write what passed on the sockets to this file, a JSON line an event")
-	f.StringVar(&r.keepDir, "keep", "", "folder that keeps the replicas' settings, lists and logs")
-	f.BoolVarP(&r.quiet, "quiet", "q", false, "do not print what happens while it happens")
+	f.StringVar(&r.eventsFile, "record", "", "write all events to this `file`, one JSON object a line")
+	f.StringVar(&r.keepDir, "keep", "", "keep the settings, endpoint lists and logs of the replicas in this `directory`")
+	f.BoolVarP(&r.quiet, "quiet", "q", false, "do not print events while the scenario runs")
 }
 
 func (r *scenarioRun) run(cmd *cobra.Command, args []string) error {
@@ -68,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	if err := scale(played, r.seconds); err != nil {
+	if err := scaleLength(played, r.seconds); err != nil {
 		return err
 	}
 	options, err := r.options(cmd.ErrOrStderr())
@@ -76,7 +85,7 @@
 		return err
 	}
 	if r.keepDir == "" {
-		defer removeTemporary(options.WorkDir)
+		defer removeTempDir(options.WorkDir)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -93,7 +102,7 @@
 	return nil
 }
 
-// options are those of the run; its folder is made, a temporary one where none is to be kept.
+// options returns the options of the run. It creates the working directory: a temporary one, unless --keep names one.
 func (r *scenarioRun) options(progress io.Writer) (o scenariorun.Options, err error) {
 	if o.Binary, err = os.Executable(); err != nil {
 		return o, err
@@ -114,7 +123,7 @@
 	return o, os.MkdirAll(o.WorkDir, 0o755)
 }
 
-// save writes the files that were asked for.
+// save writes the files that the flags name.
 func (r *scenarioRun) save(report *scenariorun.Report) error {
 	if r.plotsDir != "" {
 		if err := os.MkdirAll(r.plotsDir, 0o755); err != nil {
@@ -138,7 +147,7 @@
 	})
 }
 
-// loadScenario reads the scenario file named first in args, or the default scenario where there is none.
+// loadScenario loads the scenario file that args[0] names, or the default scenario if args is empty.
 func loadScenario(args []string) (*scenario.Scenario, error) {
 	if len(args) == 0 {
 		return scenario.Default()
@@ -150,8 +159,8 @@
 	return loaded, nil
 }
 
-// scale makes a scenario last so long; 0 leaves it as it is.
-func scale(s *scenario.Scenario, seconds float64) error {
+// scaleLength scales a scenario to a length in seconds. It does nothing if seconds is 0.
+func scaleLength(s *scenario.Scenario, seconds float64) error {
 	if seconds <= 0 {
 		return nil
 	}
@@ -161,7 +170,7 @@
 	return nil
 }
 
-// readForeseen reads the work over time from the report of a scenario.
+// readForeseen reads the demand over time from the report of an earlier run.
 func readForeseen(path string) ([]scenariorun.RoleSample, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -172,7 +181,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(report.Roles) == 0 {
-		return nil, fmt.Errorf("%s: its engines do not change role; make it with a scenario that has a planner, and --json",
+		return nil, fmt.Errorf("%s: no roles in this report; it has to be of a scenario with a planner",
 			path)
 	}
 	return report.Roles, nil
--- a/cmd/brackenbend/serve.go
+++ b/cmd/brackenbend/serve.go
@@ -14,27 +14,29 @@
 	"brackenbend/internal/telemetry"
 )
 
-// heapFloor is the heap size in bytes below which no garbage is collected (docs/gateway.md, Bounds).
+// heapFloor is the heap size in bytes below which the garbage collector does not run (docs/gateway.md, Bounds).
 const heapFloor = 64 << 20
 
 func serveCommand() *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
 		Use:   "serve -c FILE",
-		Short: "Run a gateway",
-		Long: `Run a gateway until SIGTERM or SIGINT, which lets it answer what it holds (within <front
-drain="..."/>) and exit. SIGHUP reads the settings again and takes models, rules, sessions and
-prefixes; a file with problems, or one that differs elsewhere, is reported and changes nothing.`,
+		Short: "Run a gateway with a settings file",
+		Long: `Run a gateway until SIGTERM or SIGINT. It then answers the requests that it has accepted, within the
+time of <front drain="..."/>, and exits.
+
+SIGHUP reloads the models, rules, sessions and prefixes from the settings file. If the file is
+invalid, or differs in another element, the error is logged and nothing changes.`,
 		Example: "  brackenbend serve -c front.xml",
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE:    func(*cobra.Command, []string) error { return serve(file) },
 	}
-	cmd.Flags().StringVarP(&file, "config", "c", "", "settings file")
+	cmd.Flags().StringVarP(&file, "config", "c", "", "settings `file`")
 	mustRequire(cmd.MarkFlagRequired("config"))
 	return cmd
 }
 
-// mustRequire panics where a command requires a flag that it does not define.
+// mustRequire panics if a flag could not be marked as required, because the command does not define it.
 func mustRequire(err error) {
 	if err != nil {
 		panic(err)
@@ -51,7 +53,7 @@
 		return err
 	}
 	log = log.With(zap.String("front", settings.Replica.Name))
-	if os.Getenv("GOGC") == "" { // whoever sets it means it
+	if os.Getenv("GOGC") == "" { // an operator's setting takes precedence
 		defer gctuning.SetHeapFloor(heapFloor)()
 	}
 	signals := make(chan os.Signal, 4)
@@ -72,22 +74,22 @@
 			}
 			log.Info("draining", zap.String("signal", sig.String()), zap.Duration("at most", settings.Replica.DrainTimeout))
 			running.stop()
-			log.Info("ended")
-			_ = log.Sync() // standard error can't be synced on every system, and nothing is left to be done
+			log.Info("gateway stopped")
+			_ = log.Sync() // standard error can't be synced on every system
 			return nil
 		}
 	}
 }
 
-// reload gives the gateway what it can take of the settings as they are now.
+// reload reads the settings file again and gives the gateway what it can change while it runs.
 func reload(g *gateway.Gateway, file string, log *zap.Logger) {
 	settings, err := config.Load(file)
 	if err == nil {
 		err = g.Reload(settings)
 	}
 	if err != nil {
-		log.Error("settings not taken", zap.String("file", file), zap.Error(err))
+		log.Error("settings not reloaded", zap.String("file", file), zap.Error(err))
 		return
 	}
-	log.Info("settings taken", zap.String("file", file))
+	log.Info("settings reloaded", zap.String("file", file))
 }
--- a/cmd/brackenbend/simulate.go
+++ b/cmd/brackenbend/simulate.go
@@ -15,7 +15,7 @@
 )
 
 func simulateCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "simulate", Short: "Experiments in simulated time"}
+	cmd := &cobra.Command{Use: "simulate", Short: "Run experiments in simulated time"}
 	cmd.AddCommand(
 		simulateRolesCommand(),
 		simulateScenarioCommand(),
@@ -29,15 +29,15 @@
 	return cmd
 }
 
-// usageErrorf is an error of the command line.
+// usageErrorf returns an error with the exit code of an invalid command line.
 func usageErrorf(format string, args ...any) error {
 	return exitError{fmt.Errorf(format, args...), exitUsage}
 }
 
-// isFraction reports whether v lies between 0 and 1, both excluded; it is false for what is no number.
+// isFraction reports whether v lies between 0 and 1, both excluded. It returns false for NaN.
 func isFraction(v float64) bool { return v > 0 && v < 1 }
 
-// rolesSimulation compares ways of assigning roles.
+// rolesSimulation compares policies that assign engines to roles.
 type rolesSimulation struct {
 	engines, seeds int
 	config         roles.Config
@@ -48,12 +48,13 @@
 	sim := rolesSimulation{engines: 16, seeds: 3}
 	cmd := &cobra.Command{
 		Use:   "roles",
-		Short: "Compare fixed roles, the planner of roles, and one that sees the future",
-		Long: `Play steady, shifting, swinging and broken traffic, request by request in simulated time, against
-the best fixed split (found by search), an even one, the planner, and one that knows the work
-beforehand. All meet the same requests.`,
+		Short: "Compare fixed roles, the role planner, and a planner that knows future demand",
+		Long: `Compare four policies that assign engines to prefill and decode: the best fixed split (found by
+search), an even fixed split, the role planner, and a planner that knows the demand beforehand. The
+traffic is simulated request by request, the same for all policies: steady demand, demand that
+shifts, oscillates or surges, and a mass restart of engines.`,
 		Example: "  brackenbend simulate roles --engines 74 --plots plots",
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE:    sim.run,
 	}
 	sim.addFlags(cmd.Flags())
@@ -61,17 +62,19 @@
 }
 
 func (s *rolesSimulation) addFlags(f *pflag.FlagSet) {
-	f.IntVar(&s.engines, "engines", s.engines, "size of the fleet")
-	f.IntVar(&s.seeds, "seeds", s.seeds, "replications of each scenario, with traffic of their own")
-	f.StringVar(&s.plotsDir, "plots", "", "folder for plots of roles and losses over time (SVG)")
-	f.DurationVar(&s.config.MinDwell, "min-stay", time.Minute, "no engine changes sooner after its last change")
-	f.Float64Var(&s.config.MaxConcurrent, "at-once", 0.1, "part of the engines that may change at once; one at least")
-	f.DurationVar(&s.config.ChangeTime, "change-time", 10*time.Second, "what a change takes by and large")
+	f.IntVar(&s.engines, "engines", s.engines, "number of engines in the fleet")
+	f.IntVar(&s.seeds, "seeds", s.seeds, "replications of each scenario, each with different traffic")
+	f.StringVar(&s.plotsDir, "plots", "", "write plots of roles and lost requests over time as SVG to this `directory`")
+	f.DurationVar(&s.config.MinDwell, "min-stay", time.Minute, "minimum time between two role changes of an engine")
+	f.Float64Var(&s.config.MaxConcurrent, "at-once", 0.1,
+		"fraction of the engines that may change role at once; at least one may")
+	f.DurationVar(&s.config.ChangeTime, "change-time", 10*time.Second,
+		"typical time of a role change, from the start of the drain until the engine is half warm")
 }
 
 func (s *rolesSimulation) run(cmd *cobra.Command, _ []string) error {
 	if s.engines < 2 || s.engines > 2000 || s.seeds < 1 || s.seeds > 100 {
-		return exitError{errors.New("--engines: 2 to 2000, --seeds: 1 to 100"), exitUsage}
+		return exitError{errors.New("--engines must be from 2 to 2000, --seeds from 1 to 100"), exitUsage}
 	}
 	if err := s.config.Validate(); err != nil {
 		return exitError{err, exitUsage}
--- a/cmd/brackenbend/simulate_ablation.go
+++ b/cmd/brackenbend/simulate_ablation.go
@@ -9,7 +9,7 @@
 	"brackenbend/internal/simulation/ablation"
 )
 
-// ablationSimulation measures each cause of what replicas lose by being many.
+// ablationSimulation measures each cause of the service that is lost by having many replicas.
 type ablationSimulation struct {
 	plan     ablation.Plan
 	jsonFile string
@@ -19,12 +19,15 @@
 	sim := ablationSimulation{plan: ablation.Plan{Runs: 6, Level: 0.95}}
 	cmd := &cobra.Command{
 		Use:   "ablation [FILE]",
-		Short: "Tell apart what replicas lose by being many",
-		Long: `Play a scenario at several numbers of replicas: as it is, with each oracle alone, with all, and with
-all but one. An oracle gives replicas one thing that they can't know: what all replicas have at
-prefill or decode engines, which engines do harm, what engines in slow start can take together; or
-takes one of their cares away: rejecting, and time-outs at engines that are sound. "without X" is
-what is won by the oracle against X alone, "only X" what X costs where nothing else is in the way.`,
+		Short: "Measure what causes the loss of service with many replicas",
+		Long: `Run a scenario with several numbers of replicas: as it is, with each oracle alone, with all oracles,
+and with all but one. Each oracle removes one cause of lost service. Some give the replicas knowledge
+that a replica can't have: the load of all replicas on the prefill or decode engines, which engines
+are faulty, or how much the engines in slow start can take in total. Others switch off a function of
+the replicas: load shedding, or time-outs at healthy engines.
+
+In the table, "without X" is the service gained when cause X alone is removed, and "only X" the
+service lost when X is the only cause that is left.`,
 		Example: "  brackenbend simulate ablation scenarios/simulation/size-74.xml --fronts 3,30,180",
 		Args:    cobra.MaximumNArgs(1),
 		RunE:    sim.run,
@@ -34,10 +37,10 @@
 }
 
 func (s *ablationSimulation) addFlags(f *pflag.FlagSet) {
-	f.IntSliceVar(&s.plan.Replicas, "fronts", []int{3, 30, 180}, "numbers of replicas")
-	f.IntVar(&s.plan.Runs, "runs", s.plan.Runs, "replications of each, with clients of their own")
-	f.Float64Var(&s.plan.Level, "level", s.plan.Level, "of the bars")
-	f.StringVar(&s.jsonFile, "json", "", "write all figures to this file")
+	f.IntSliceVar(&s.plan.Replicas, "fronts", []int{3, 30, 180}, "numbers of replicas to run with")
+	f.IntVar(&s.plan.Runs, "runs", s.plan.Runs, "replications of each variant, each with different clients")
+	f.Float64Var(&s.plan.Level, "level", s.plan.Level, "confidence level of the intervals, between 0 and 1")
+	f.StringVar(&s.jsonFile, "json", "", "write all figures as JSON to this `file`")
 }
 
 func (s *ablationSimulation) run(cmd *cobra.Command, args []string) error {
@@ -47,11 +50,11 @@
 	}
 	for _, replicas := range s.plan.Replicas {
 		if replicas < 1 || replicas > 10000 {
-			return usageErrorf("--fronts: 1 to 10000 each")
+			return usageErrorf("--fronts must be from 1 to 10000 each")
 		}
 	}
 	if s.plan.Runs < 3 || s.plan.Runs > 100 || !isFraction(s.plan.Level) {
-		return usageErrorf("--runs: 3 to 100; --level: between 0 and 1")
+		return usageErrorf("--runs must be from 3 to 100, --level between 0 and 1")
 	}
 	s.plan.Scenario, s.plan.Parallel = played, runtime.GOMAXPROCS(0)
 	sizes, err := ablation.Run(s.plan)
--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -13,7 +13,7 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// faultSearch looks for the faults under which a subject does worst.
+// faultSearch searches for the faults under which a subject serves worst.
 type faultSearch struct {
 	search  faultsearch.Search
 	against string
@@ -24,13 +24,18 @@
 	s := faultSearch{search: faultsearch.Search{MaxFaults: 4, Rounds: 12, Draws: 24}}
 	cmd := &cobra.Command{
 		Use:   "fault-search [SCENARIO] [SUBJECT]",
-		Short: "Look for the faults under which a setting does worst, or violates a rule",
-		Long: `Draw and change lists of faults for a scenario's fleet and clients (its own faults are put aside),
-play them in simulated time, keep the worst, and cut it down to what is needed. A violated rule
-counts before any loss. SUBJECT is "routing", a settings file, or a baseline, as for compare; with
---against another of them the loss is counted from what that reaches. What is found is written as a
-scenario file, which real replicas can play (brackenbend scenario FILE). The exit code is 4 when a
-rule was violated.`,
+		Short: "Search for the faults under which the router serves worst or violates a rule",
+		Long: `Search for the list of faults with which a scenario goes worst. In each round, lists of faults are
+drawn at random or made by changing the worst one so far, and run in simulated time with the fleet
+and the clients of the scenario, but without its own faults. At the end, faults that are not needed
+are removed from the worst list. A list with a violated rule is worse than any loss of service.
+
+SUBJECT is "routing" (the default), a settings file, or a baseline policy, as for compare. The loss
+is counted from full service or, with --against, from the service of another subject with the same
+faults.
+
+The scenario that is found can be run against real replicas: brackenbend scenario FILE. The exit
+code is 4 if a rule was violated.`,
 		Example: "  brackenbend simulate fault-search scenarios/crash.xml --against fewest -o worst.xml\n" +
 			"  brackenbend simulate fault-search scenarios/crash.xml next.xml --rounds 40",
 		Args: cobra.MaximumNArgs(2),
@@ -41,13 +46,14 @@
 }
 
 func (s *faultSearch) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&s.against, "against", "", "what the loss is counted from: routing, a settings file, or a baseline; "+
-		"none = full service")
-	f.StringVarP(&s.outFile, "out", "o", "", "scenario file to write")
-	f.IntVar(&s.search.MaxFaults, "troubles", s.search.MaxFaults, "faults at most, at once or one after the other")
-	f.IntVar(&s.search.Rounds, "rounds", s.search.Rounds, "of changing the worst")
-	f.IntVar(&s.search.Draws, "draws", s.search.Draws, "lists a round")
-	f.Uint64Var(&s.search.Seed, "seed", 1, "of the search")
+	f.StringVar(&s.against, "against", "",
+		"subject that the loss is counted from: routing, a settings file, or a baseline policy; "+
+			"without it, full service")
+	f.StringVarP(&s.outFile, "out", "o", "", "write the scenario that is found to this `file`")
+	f.IntVar(&s.search.MaxFaults, "troubles", s.search.MaxFaults, "maximum number of faults in a list")
+	f.IntVar(&s.search.Rounds, "rounds", s.search.Rounds, "rounds of the search")
+	f.IntVar(&s.search.Draws, "draws", s.search.Draws, "lists of faults in a round")
+	f.Uint64Var(&s.search.Seed, "seed", 1, "seed of the search")
 }
 
 func (s *faultSearch) run(cmd *cobra.Command, args []string) error {
@@ -69,14 +75,14 @@
 	if err != nil {
 		return err
 	}
-	note := fmt.Sprintf("found by a fault search: %s %.3f, against %.3f; %d breaches (simulated)", subject, found.Subject,
-		found.Yardstick, found.Violations)
+	note := fmt.Sprintf("found by a fault search: service of %s %.3f, to compare with %.3f; %d breaches (simulated)",
+		subject, found.Subject, found.Yardstick, found.Violations)
 	_, text, err := played.WithFaults(found.Faults, note)
 	if err != nil {
 		return err
 	}
 	p := printer{out: cmd.OutOrStdout()}
-	p.printf("%s, %d lists played\n", note, found.Played)
+	p.printf("%s, %d lists run\n", note, found.Played)
 	for i := range found.Faults {
 		p.printf("  %s\n", found.Faults[i].XML())
 	}
@@ -95,31 +101,31 @@
 }
 
 func (s *faultSearch) check() error {
-	within := func(v, least, most int) bool { return least <= v && v <= most }
-	if !within(s.search.MaxFaults, 1, 20) || !within(s.search.Rounds, 1, 10000) || !within(s.search.Draws, 4, 1000) {
-		return usageErrorf("--troubles: 1 to 20; --rounds: 1 to 10000; --draws: 4 to 1000")
+	inRange := func(v, low, high int) bool { return low <= v && v <= high }
+	if !inRange(s.search.MaxFaults, 1, 20) || !inRange(s.search.Rounds, 1, 10000) || !inRange(s.search.Draws, 4, 1000) {
+		return usageErrorf("--troubles must be from 1 to 20, --rounds from 1 to 10000, --draws from 4 to 1000")
 	}
 	return nil
 }
 
-// prepare gives the search its scenario, what it is to be tried on and what the loss is counted from.
+// prepare gives the search its scenario, its subject and the subject that the loss is counted from.
 func (s *faultSearch) prepare(played *scenario.Scenario, subject string) error {
-	side := func(name string) (forecast.Subject, error) { return parseSubject(name, played, nil, false) }
-	tried, err := side(subject)
+	parse := func(name string) (forecast.Subject, error) { return parseSubject(name, played, nil, false) }
+	target, err := parse(subject)
 	if err != nil {
 		return err
 	}
-	s.search.Scenario, s.search.Subject, s.search.Parallel = played, tried.Make, runtime.GOMAXPROCS(0)
+	s.search.Scenario, s.search.Subject, s.search.Parallel = played, target.Make, runtime.GOMAXPROCS(0)
 	if s.against != "" {
-		yardstick, err := side(s.against)
+		yardstick, err := parse(s.against)
 		if err != nil {
 			return err
 		}
 		s.search.Yardstick = yardstick.Make
 	}
 	s.search.OnRound = func(round int, best faultsearch.Result) {
-		p := printer{out: os.Stderr} // progress: that it can't be written does not end the search
-		p.printf("round %d: lost %.4f, %d breaches\n", round+1, best.Lost(), best.Violations)
+		p := printer{out: os.Stderr} // the search goes on even if its progress can't be written
+		p.printf("round %d: worst list loses %.4f, %d breaches\n", round+1, best.Lost(), best.Violations)
 	}
 	return nil
 }
--- a/cmd/brackenbend/simulate_forecast.go
+++ b/cmd/brackenbend/simulate_forecast.go
@@ -18,7 +18,7 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// forecastSimulation forecasts scenarios and, where asked, plays them on sockets to check the forecasts.
+// forecastSimulation forecasts the service of scenarios and, with --real, runs them on sockets to check the forecasts.
 type forecastSimulation struct {
 	runs     int
 	level    float64
@@ -32,11 +32,12 @@
 	sim := forecastSimulation{runs: 20, level: 0.95}
 	cmd := &cobra.Command{
 		Use:   "forecast SCENARIO...",
-		Short: "Say what scenarios will come to on sockets, with error bars",
-		Long: `Play each scenario many times in simulated time and give bars in which one run on sockets will lie.
-The bars hold the spread of replications, and how far the simulation was off on scenarios that were
-played for real (--floor, --part; --fit finds them). With --real each scenario is played on sockets
-as well, one after the other, after all forecasts.`,
+		Short: "Forecast the service of scenarios on sockets, with prediction intervals",
+		Long: `Run each scenario many times in simulated time and print the interval in which the service of one run
+on sockets (brackenbend scenario) is expected to lie. The interval accounts for the spread between
+replications and for the error of the simulation (--floor and --part), which --fit estimates.
+
+With --real, each scenario is also run on sockets, one after the other, after all forecasts.`,
 		Example: "  brackenbend simulate forecast scenarios/stall.xml\n" +
 			"  brackenbend simulate forecast --real --fit scenarios/crash.xml scenarios/slow.xml",
 		Args: cobra.MinimumNArgs(1),
@@ -48,17 +49,18 @@
 
 func (s *forecastSimulation) addFlags(f *pflag.FlagSet) {
 	f.IntVar(&s.runs, "runs", s.runs, "simulated replications of each scenario")
-	f.Float64Var(&s.level, "level", s.level, "probability with which a run on sockets lies within the bars")
-	f.Float64Var(&s.model.Floor, "floor", 0.002, "standard deviation by which the simulation is off on any scenario")
-	f.Float64Var(&s.model.Part, "part", 0.1, "and as a part of what the scenario loses")
-	f.BoolVar(&s.real, "real", false, "play the scenarios on sockets as well")
-	f.BoolVar(&s.fit, "fit", false, "with --real: find --floor and --part from these scenarios")
-	f.StringVar(&s.jsonFile, "json", "", "write forecasts and real runs to this file")
+	f.Float64Var(&s.level, "level", s.level, "probability with which a run on sockets lies within the interval")
+	f.Float64Var(&s.model.Floor, "floor", 0.002, "standard deviation of the simulation's error in any scenario")
+	f.Float64Var(&s.model.Part, "part", 0.1,
+		"further standard deviation, as a fraction of the service that the scenario loses")
+	f.BoolVar(&s.real, "real", false, "also run the scenarios on sockets")
+	f.BoolVar(&s.fit, "fit", false, "with --real: estimate --floor and --part from these scenarios")
+	f.StringVar(&s.jsonFile, "json", "", "with --real: write the forecasts and the runs on sockets as JSON to this `file`")
 }
 
 func (s *forecastSimulation) run(cmd *cobra.Command, args []string) error {
 	if s.runs < 3 || s.runs > 1000 || !isFraction(s.level) {
-		return usageErrorf("--runs: 3 to 1000; --level: between 0 and 1")
+		return usageErrorf("--runs must be from 3 to 1000, --level between 0 and 1")
 	}
 	scenarios, forecasts, err := s.predict(args)
 	if err != nil {
@@ -70,18 +72,18 @@
 	p.printf("%-20s %9s %7s %15s %9s %8s %8s\n", "SCENARIO", "SIMULATED", "SD", fmt.Sprintf("%.0f%% BARS", 100*s.level),
 		"WORST10S", "BREACHES", "SOCKETS")
 	var pairs []forecast.Pair
-	within := 0
+	inInterval := 0
 	for i, f := range forecasts {
 		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d", f.Scenario, f.Mean, f.SD, f.Low, f.High, f.Worst, f.Rules)
 		if s.real {
-			report, err := playOnSockets(ctx, scenarios[i])
+			report, err := runOnSockets(ctx, scenarios[i])
 			if err != nil {
 				return err
 			}
 			pairs = append(pairs, forecast.Pair{Forecast: f, Real: report.Service})
 			verdict := "missed"
 			if f.Holds(report.Service) {
-				within++
+				inInterval++
 				verdict = "held"
 			}
 			p.printf(" %8.4f %s, %d breaches", report.Service, verdict, report.Violations())
@@ -89,7 +91,7 @@
 		p.printf("\n")
 	}
 	if s.real {
-		p.printf("%d of %d lie within their bars\n", within, len(forecasts))
+		p.printf("%d of %d lie within their intervals\n", inInterval, len(forecasts))
 	}
 	if s.fit {
 		fitted := forecast.Fit(pairs)
@@ -101,7 +103,7 @@
 	return saveJSON(s.jsonFile, pairs)
 }
 
-// predict forecasts all scenarios before any is played on sockets.
+// predict loads and forecasts all scenarios.
 func (s *forecastSimulation) predict(files []string) (
 	scenarios []*scenario.Scenario, forecasts []*forecast.Forecast, err error,
 ) {
@@ -120,13 +122,13 @@
 	return scenarios, forecasts, nil
 }
 
-// playOnSockets plays a scenario against real replicas of this program.
-func playOnSockets(ctx context.Context, played *scenario.Scenario) (*scenariorun.Report, error) {
+// runOnSockets runs a scenario against replicas that are processes of this program.
+func runOnSockets(ctx context.Context, played *scenario.Scenario) (*scenariorun.Report, error) {
 	dir, err := os.MkdirTemp("", "brackenbend-scenario-")
 	if err != nil {
 		return nil, err
 	}
-	defer removeTemporary(dir)
+	defer removeTempDir(dir)
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
--- a/cmd/brackenbend/simulate_overload.go
+++ b/cmd/brackenbend/simulate_overload.go
@@ -10,10 +10,10 @@
 	"brackenbend/internal/simulation/overload"
 )
 
-// maxOverloadLength bounds the three parts of an overload simulation together.
+// maxOverloadLength bounds the simulated time before, during and after the overload together.
 const maxOverloadLength = 10 * time.Minute
 
-// overloadSimulation measures goodput against offered load.
+// overloadSimulation measures goodput against offered load, and the recovery from overload.
 type overloadSimulation struct {
 	plan     overload.Plan
 	replicas int
@@ -29,13 +29,17 @@
 	}
 	cmd := &cobra.Command{
 		Use:   "overload [FILE]",
-		Short: "Goodput against offered load, and how long service takes to come back",
-		Long: `Play a scenario's fleet and clients at its rate, then at so many times it, then at its rate again.
-Tells the worth served a second before and during the overload (its first fifth left out), the worst
-two seconds, and how long after its end three seconds in a row reach 95% of the service before. What
-goes wrong in the scenario file goes wrong here too, at its times. --loops plays it again with each
-loop that feeds a collapse cut: clients' retries, further attempts, rejecting, time-outs, crowded
-prefill engines. --way plays a simple way of deciding as a yardstick.`,
+		Short: "Measure goodput against offered load, and the recovery from overload",
+		Long: `Run a scenario's fleet and clients at the base load, then at a multiple of the scenario's rate, then at
+the base load again. The faults of the scenario happen at their times.
+
+The table shows the priority weight that is served a second, before the overload, during it (without
+its first fifth) and in its worst two seconds, and the time from its end until the service of three
+seconds in a row reaches 95% of the service before it.
+
+With --loops, the runs are repeated with each feedback loop that can prolong an overload cut: retries
+by clients, further attempts, load shedding, time-outs at healthy engines, and crowded prefill
+engines.`,
 		Example: "  brackenbend simulate overload scenarios/simulation/size-74.xml --fronts 180 --base 0.6 " +
 			"--loads 1,2,5,10\n" +
 			"  brackenbend simulate overload scenarios/simulation/size-74.xml --loads 5 --loops",
@@ -47,16 +51,18 @@
 }
 
 func (s *overloadSimulation) addFlags(f *pflag.FlagSet) {
-	f.Float64SliceVar(&s.plan.Loads, "loads", []float64{0.5, 1, 2, 5, 10, 20}, "offered loads, times the scenario's rate")
-	f.Float64Var(&s.plan.Base, "base", 1, "load before and after, times the scenario's rate")
-	f.IntVar(&s.replicas, "fronts", 0, "number of replicas in place of the scenario's")
-	f.DurationVar(&s.plan.Before, "before", s.plan.Before, "time at the scenario's rate")
-	f.DurationVar(&s.plan.For, "for", s.plan.For, "time of overload")
-	f.DurationVar(&s.plan.After, "after", s.plan.After, "time at the scenario's rate afterwards")
-	f.IntVar(&s.plan.Runs, "runs", s.plan.Runs, "replications of each")
-	f.BoolVar(&s.loops, "loops", false, "also with each loop cut")
-	f.StringVar(&s.subject, "way", s.subject, "what decides")
-	f.StringVar(&s.jsonFile, "json", "", "write all figures to this file")
+	f.Float64SliceVar(&s.plan.Loads, "loads", []float64{0.5, 1, 2, 5, 10, 20},
+		"offered loads during the overload, as multiples of the scenario's rate")
+	f.Float64Var(&s.plan.Base, "base", 1, "load before and after the overload, as a multiple of the scenario's rate")
+	f.IntVar(&s.replicas, "fronts", 0, "number of replicas; 0 = that of the scenario")
+	f.DurationVar(&s.plan.Before, "before", s.plan.Before, "time at the base load before the overload")
+	f.DurationVar(&s.plan.For, "for", s.plan.For, "time of the overload")
+	f.DurationVar(&s.plan.After, "after", s.plan.After, "time at the base load after the overload")
+	f.IntVar(&s.plan.Runs, "runs", s.plan.Runs, "replications of each load")
+	f.BoolVar(&s.loops, "loops", false, "also run with each feedback loop cut")
+	f.StringVar(&s.subject, "way", s.subject,
+		"routing, a settings file, or a baseline policy: random, fewest or two-choices")
+	f.StringVar(&s.jsonFile, "json", "", "write all figures as JSON to this `file`")
 }
 
 func (s *overloadSimulation) run(cmd *cobra.Command, args []string) error {
@@ -70,14 +76,14 @@
 	if s.replicas > 0 {
 		played.Replicas = s.replicas
 	}
-	side, err := parseSubject(s.subject, played, nil, false)
+	subject, err := parseSubject(s.subject, played, nil, false)
 	if err != nil {
 		return err
 	}
-	if side.Make == nil {
-		return usageErrorf("--way: routing, random, fewest, two-choices or a settings file")
+	if subject.Make == nil {
+		return usageErrorf("--way must be routing, random, fewest, two-choices or a settings file")
 	}
-	s.plan.Scenario, s.plan.Make, s.plan.Parallel = played, side.Make, runtime.GOMAXPROCS(0)
+	s.plan.Scenario, s.plan.Make, s.plan.Parallel = played, subject.Make, runtime.GOMAXPROCS(0)
 	if s.loops {
 		s.plan.FeedbackLoops = overload.FeedbackLoops
 	}
@@ -94,15 +100,15 @@
 func (s *overloadSimulation) check() error {
 	for _, load := range s.plan.Loads {
 		if !(load > 0 && load <= 100) {
-			return usageErrorf("--loads: above 0, up to 100 each")
+			return usageErrorf("--loads must be above 0 and at most 100 each")
 		}
 	}
 	baseInBounds := s.plan.Base > 0 && s.plan.Base <= 10
 	if s.plan.Runs < 1 || s.plan.Runs > 100 || !baseInBounds || s.replicas < 0 || s.replicas > 10000 {
-		return usageErrorf("--runs: 1 to 100; --base: above 0, up to 10; --fronts: up to 10000")
+		return usageErrorf("--runs must be from 1 to 100, --base above 0 and at most 10, --fronts from 0 to 10000")
 	}
 	if s.plan.Before+s.plan.For+s.plan.After > maxOverloadLength {
-		return usageErrorf("--before, --for and --after: 10 minutes at most together")
+		return usageErrorf("--before, --for and --after must be at most 10 minutes together")
 	}
 	return nil
 }
--- a/cmd/brackenbend/simulate_recording.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// maxTrafficScale is the most by which the traffic of a recording may be multiplied.
+	// maxTrafficScale is the largest factor by which the traffic of a recording may be multiplied.
 	maxTrafficScale = 100
-	// sameTimeWithin is how far recordings may begin apart and still be of one time.
-	sameTimeWithin = 24 * time.Hour
+	// maxConcurrentOffset is the time after the first recording's begin within which a recording must begin to be taken
+	// as one of the same period.
+	maxConcurrentOffset = 24 * time.Hour
 )
 
-// recordings name recorded traffic that is played in place of a scenario's drawn clients.
+// recordings are files of recorded traffic that replaces the clients of a scenario.
 type recordings struct {
-	files []string // FILE or FILE@TIMES
+	files []string // each FILE or FILE@TIMES
 }
 
-// scaledRecording is one recording and how many times its traffic is played.
+// scaledRecording is one recording and the factor by which its traffic is multiplied.
 type scaledRecording struct {
 	requests []scenario.RecordedRequest
 	scale    float64
@@ -36,11 +37,12 @@
 }
 
 func (r *recordings) addFlags(f *pflag.FlagSet) {
-	f.StringSliceVar(&r.files, "trace", nil, "recording that is played in place of the scenario's drawn clients, FILE or "+
-		"FILE@TIMES (3 = three times the traffic); several are blended")
+	f.StringSliceVar(&r.files, "trace", nil, "recording whose traffic replaces the scenario's clients: FILE, or "+
+		"FILE@TIMES for TIMES the traffic, such as monday.trace@3; several are merged")
 }
 
-// load reads the recordings, nil without any, and makes the scenario last as long as they do.
+// load reads the recordings and returns their requests, nil if there are no recordings. It extends the scenario to the
+// length of the recordings.
 func (r *recordings) load(played *scenario.Scenario) ([]scenario.RecordedRequest, error) {
 	if len(r.files) == 0 {
 		return nil, nil
@@ -73,7 +75,7 @@
 	if scaled {
 		r.scale, err = strconv.ParseFloat(times, 64)
 		if err != nil || !(r.scale > 0 && r.scale <= maxTrafficScale) {
-			return r, usageErrorf("--trace %s: write FILE@TIMES with a number up to %d", arg, maxTrafficScale)
+			return r, usageErrorf("--trace %s: TIMES must be a number above 0 and at most %d", arg, maxTrafficScale)
 		}
 	}
 	t, err := readTrace(file)
@@ -88,13 +90,14 @@
 	return r, nil
 }
 
-// alignBegins moves recordings of one time, as of several replicas, to where they stood beside each other; those that
-// began over a day after the first are played from their beginnings.
+// alignBegins shifts recordings of the same period, such as those of several replicas, so that their requests have the
+// same offsets to each other as when they were recorded. Recordings that began a day or more after the first are of
+// another period and are not shifted: they begin with the scenario.
 func alignBegins(lists [][]scenario.RecordedRequest, begins []time.Time) {
 	first := slices.MinFunc(begins, time.Time.Compare)
 	for i, list := range lists {
 		offset := begins[i].Sub(first)
-		if offset >= sameTimeWithin {
+		if offset >= maxConcurrentOffset {
 			continue
 		}
 		for k := range list {
@@ -103,7 +106,7 @@
 	}
 }
 
-// readTrace reads a recording and prints what its reader notes of it on standard error.
+// readTrace reads a recording and prints notes on its content, such as damage, to standard error.
 func readTrace(file string) (t *trace.Trace, err error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -127,15 +130,16 @@
 	var recordingFile string
 	cmd := &cobra.Command{
 		Use:   "record LOG...",
-		Short: "Make a recording of replicas' logs",
-		Long: `Read the request lines of replicas' logs (JSON, level info) and write a recording: when requests
-came, their class, tenant, session, shared prefix and lengths, and what became of them; no text.
-Logs of one replica go one after the other into parts of one recording, in the order given.`,
+		Short: "Make a recording from the logs of replicas",
+		Long: `Read the request lines of replicas' logs (in JSON, at level info) and write a recording, which other
+commands take as --trace. It has for each request its time, class, tenant, session, shared prefix,
+lengths and result, but no text. Several logs of one replica become parts of one recording, in the
+order given.`,
 		Example: "  brackenbend simulate record replica-1.log -o monday.trace",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if recordingFile == "" {
-				return usageErrorf("-o: the recording's file is needed")
+				return usageErrorf("-o is required: the file to write the recording to")
 			}
 			return writeFile(recordingFile, func(recording *os.File) error {
 				for _, log := range args {
@@ -147,11 +151,11 @@
 			})
 		},
 	}
-	cmd.Flags().StringVarP(&recordingFile, "out", "o", "", "file to write")
+	cmd.Flags().StringVarP(&recordingFile, "out", "o", "", "write the recording to this `file`")
 	return cmd
 }
 
-// recordLog adds the requests of one log to a recording and prints how many there were.
+// recordLog adds the requests of one log to a recording and prints their number.
 func recordLog(out io.Writer, recording *os.File, log string) error {
 	f, err := os.Open(log)
 	if err != nil {
@@ -171,11 +175,11 @@
 func simulateFitCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "fit RECORDING",
-		Short: "Find the synthetic clients that come nearest to a recording",
-		Long: "Print the rate and the attributes of <class> that a scenario file needs for clients like the recorded ones, " +
+		Short: "Fit the clients of a scenario to a recording",
+		Long: "Print the rate and the attributes of <class> that make a scenario's clients most like the recorded ones, " +
 			"and how well they fit.",
 		Example: "  brackenbend simulate fit monday.trace",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := readTrace(args[0])
 			if err != nil {
--- a/cmd/brackenbend/simulate_scenario.go
+++ b/cmd/brackenbend/simulate_scenario.go
@@ -18,10 +18,10 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// maxPrintedViolations is how many violations of one rule are printed.
+// maxPrintedViolations is the maximum number of violations that are printed for a rule.
 const maxPrintedViolations = 10
 
-// scenarioSimulation plays one scenario in simulated time.
+// scenarioSimulation runs one scenario in simulated time.
 type scenarioSimulation struct {
 	seconds     float64
 	seed        uint64
@@ -36,10 +36,11 @@
 	sim := scenarioSimulation{checkRules: true, shards: 1}
 	cmd := &cobra.Command{
 		Use:   "scenario [FILE]",
-		Short: "Play a scenario in simulated time",
-		Long: `Play a scenario file in simulated time: replicas decide by the router of the real gateway, engines
-are the model of the fakes, clients draw as on sockets, and the five rules are checked against all
-that passed. The same seed gives the same result. The exit code is 4 when a rule is violated.`,
+		Short: "Run a scenario in simulated time",
+		Long: `Run a scenario file, or the default scenario, in simulated time. The replicas use the router of the
+real gateway, the engines are the model behind the fake engines, and the clients are the same as in
+"brackenbend scenario", whose five rules are checked. The same seeds give the same result. The exit
+code is 4 if a rule was violated.`,
 		Example: "  brackenbend simulate scenario\n" +
 			"  brackenbend simulate scenario scenarios/mass-restart.xml --seed 7\n" +
 			"  brackenbend simulate scenario big.xml --rules=false --shards 4",
@@ -51,13 +52,14 @@
 }
 
 func (s *scenarioSimulation) addFlags(f *pflag.FlagSet) {
-	f.Float64Var(&s.seconds, "seconds", 0, "scale the scenario to last so long")
-	f.Uint64Var(&s.seed, "seed", 0, "of everything but the clients' draws, which are the scenario's")
+	f.Float64Var(&s.seconds, "seconds", 0, "scale the scenario to this length in seconds; 0 = its own length")
+	f.Uint64Var(&s.seed, "seed", 0, "seed of everything random but the clients")
 	s.recordings.addFlags(f)
-	f.IntVar(&s.clientsSeed, "clients", 0, "seed of the clients' draws in place of the scenario's")
-	f.StringVar(&s.jsonFile, "json", "", "write a summary to this file")
-	f.BoolVar(&s.checkRules, "rules", s.checkRules, "check the rules, which keeps all that passed in memory")
-	f.IntVar(&s.shards, "shards", s.shards, "parts of the fleet played side by side; the result is the same")
+	f.IntVar(&s.clientsSeed, "clients", 0, "seed of the clients; without it, that of the scenario")
+	f.StringVar(&s.jsonFile, "json", "", "write a summary as JSON to this `file`")
+	f.BoolVar(&s.checkRules, "rules", s.checkRules, "check the rules, which keeps all events in memory")
+	f.IntVar(&s.shards, "shards", s.shards,
+		"parts of the fleet that are simulated in parallel; does not change the result")
 }
 
 func (s *scenarioSimulation) run(cmd *cobra.Command, args []string) error {
@@ -65,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	if err := scale(played, s.seconds); err != nil {
+	if err := scaleLength(played, s.seconds); err != nil {
 		return err
 	}
 	if cmd.Flags().Changed("clients") {
@@ -76,7 +78,7 @@
 		return err
 	}
 	if s.shards < 1 || s.shards > 64 {
-		return usageErrorf("--shards: 1 to 64")
+		return usageErrorf("--shards must be from 1 to 64")
 	}
 	began := time.Now()
 	result, err := fleet.Run(played, fleet.Options{
@@ -108,7 +110,7 @@
 	return n
 }
 
-// printResult prints service by class and tenant, how attempts ended, and the rules.
+// printResult prints the service by class and tenant, the outcomes of attempts, and the rules.
 func printResult(out io.Writer, played *scenario.Scenario, result *fleet.Result) error {
 	p := printer{out: out}
 	p.printf("simulated: service %.3f, worst 10 s %.3f, over %v\n\n",
@@ -116,7 +118,7 @@
 	if p.err == nil {
 		p.err = printRows(out, result)
 	}
-	p.printf("\n%d reads and %d writes reached engines, %.0f state tokens moved\n",
+	p.printf("\n%d prefills and %d decodes reached engines, %.0f tokens of read state transferred\n",
 		result.Attempts["read"], result.Attempts["write"], result.TransferredTokens)
 	for _, what := range slices.Sorted(maps.Keys(result.Outcomes)) {
 		p.printf("  %d %s\n", result.Outcomes[what], what)
@@ -147,7 +149,7 @@
 	return w.Flush()
 }
 
-// printCost prints what the simulation itself took.
+// printCost prints the time and the memory that the simulation itself took.
 func printCost(out io.Writer, result *fleet.Result, took time.Duration) error {
 	requests := 0
 	classes, _ := result.Score.Rows()
--- a/cmd/brackenbend/up.go
+++ b/cmd/brackenbend/up.go
@@ -15,7 +15,8 @@
 	"brackenbend/internal/telemetry"
 )
 
-// upSettings are the settings of a first try: its own address, the management address and the API server's URL.
+// upSettings are the settings of the up command. Its blanks are the listen address, the admin address and the URL of
+// the API server.
 const upSettings = `<brackenbend>
   <front name="up" listen=%q admin=%q/>
   <log format="console"/>
@@ -34,19 +35,19 @@
 	var listen, admin string
 	cmd := &cobra.Command{
 		Use:   "up",
-		Short: "Run a gateway with embedded fakes, for a first try",
+		Short: "Run a gateway with fake engines, all in one process, to try it out",
 		Example: "  brackenbend up\n" +
 			"  curl -N http://127.0.0.1:8080/v1/chat/completions -d '{\"model\":\"stand-in\",\"stream\":true," +
 			"\"max_tokens\":20,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'",
-		Args: exactly(0),
+		Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error { return up(cmd, listen, admin) },
 	}
-	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:8080", "clients' address")
-	cmd.Flags().StringVar(&admin, "admin", "127.0.0.1:8090", "health and metrics")
+	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:8080", "address for clients")
+	cmd.Flags().StringVar(&admin, "admin", "127.0.0.1:8090", "address for health and metrics")
 	return cmd
 }
 
-// up runs everything in this process.
+// up runs the gateway, the fake engines and the fake API server in this process.
 func up(cmd *cobra.Command, listen, admin string) error {
 	apiServer, err := apiserver.Start("127.0.0.1:0", nil)
 	if err != nil {
@@ -54,7 +55,7 @@
 	}
 	defer apiServer.Close()
 	for i, role := range []string{"reader", "reader", "writer", "writer"} {
-		server, err := startUpEngine(role, fmt.Sprintf("%s-%d", role, i%2+1))
+		server, err := startEmbeddedEngine(role, fmt.Sprintf("%s-%d", role, i%2+1))
 		if err != nil {
 			return err
 		}
@@ -80,7 +81,7 @@
 	}
 	defer running.stop()
 	_, err = fmt.Fprintf(cmd.OutOrStdout(),
-		"front on http://%s (model \"stand-in\"), metrics on http://%s/metrics; end with Ctrl-C\n", running.addr, admin)
+		"gateway on http://%s (model \"stand-in\"), metrics on http://%s/metrics; stop with Ctrl-C\n", running.addr, admin)
 	if err != nil {
 		return err
 	}
@@ -94,8 +95,8 @@
 	}
 }
 
-// startUpEngine starts a fake engine.
-func startUpEngine(role, name string) (*engine.Server, error) {
+// startEmbeddedEngine starts a fake engine in this process.
+func startEmbeddedEngine(role, name string) (*engine.Server, error) {
 	return engine.Start(engine.Config{
 		Name: name, Kind: role, Zone: "zone-1", Cell: "cell-1", Params: fakeEngineParams(role), CanCancel: true,
 	}, "127.0.0.1:0", false)
