--- a/cmd/brackenbend/bench_test.go
+++ b/cmd/brackenbend/bench_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// The benchmarks compare the gateway with httputil.ReverseProxy and random choice, each a process of its own in front
-// of the same engines, which answer at once.
+// The benchmarks compare the gateway with reference proxies, which use httputil.ReverseProxy and pick engines at
+// random. Each runs in a process of its own, in front of the same engines, which answer at once.
 // Run: go test ./cmd/brackenbend -run xxx -bench Against -benchtime 1x
 
-// BenchmarkAgainstProxyLatency sends 150 requests a second, each to one of the four targets at random; tokens are 5 ms
-// apart.
+// BenchmarkAgainstProxyLatency sends 150 requests a second, each to one of the four targets at random, and reports by
+// how much each process delays the first token, compared with an engine alone. Tokens are 5 ms apart.
 func BenchmarkAgainstProxyLatency(b *testing.B) {
 	for range b.N {
 		load := &latencyLoad{
@@ -36,7 +36,7 @@
 	}
 }
 
-// latencyLoad is an open loop of requests with Poisson arrivals.
+// latencyLoad is an open load of requests with Poisson arrivals.
 type latencyLoad struct {
 	targets *benchTargets
 	idle    map[string]chan *benchClient // clients whose connections are free, by target
@@ -50,7 +50,7 @@
 	const (
 		perSecond = 150
 		requests  = perSecond * 30 // 30 s
-		warmUp    = 300            // the first requests, which are not measured
+		warmUp    = 300            // first requests, which are not measured
 	)
 	for target := range l.targets.addresses {
 		l.idle[target] = make(chan *benchClient, 200)
@@ -95,15 +95,16 @@
 	l.samples[target] = append(l.samples[target], timeToFirstToken)
 }
 
-// quantile is a quantile of the times to the first token at a target, in microseconds. It is called after run.
+// quantile returns a quantile of the times to the first token at a target, in microseconds. It must be called after
+// run.
 func (l *latencyLoad) quantile(target string, quantile float64) float64 {
 	samples := l.samples[target]
 	slices.Sort(samples)
 	return float64(samples[int(quantile*float64(len(samples)))].Microseconds())
 }
 
-// BenchmarkAgainstProxyThroughput runs a closed loop against each target in turns of a second and counts requests by
-// the CPU time of the target's process.
+// BenchmarkAgainstProxyThroughput runs a closed loop against each target in turn, a second at a time, and reports the
+// requests that are served for each second of CPU time of the target's process.
 func BenchmarkAgainstProxyThroughput(b *testing.B) {
 	for _, tokens := range []int{1, 200} {
 		b.Run(fmt.Sprintf("%d tokens", tokens), func(b *testing.B) {
@@ -126,18 +127,17 @@
 			cpu[target] += cpuSeconds(b, targets.commands[target]) - before
 		}
 	}
-	ofGateway := served[targetGateway] / cpu[targetGateway]
-	b.ReportMetric(ofGateway, targetGateway+"-requests/cpu-s")
-	b.ReportMetric(ofGateway*float64(tokens), targetGateway+"-tokens/cpu-s")
+	gatewayRate := served[targetGateway] / cpu[targetGateway]
+	b.ReportMetric(gatewayRate, targetGateway+"-requests/cpu-s")
+	b.ReportMetric(gatewayRate*float64(tokens), targetGateway+"-tokens/cpu-s")
 	for _, target := range processTargets[1:] {
-		ofProxy := served[target] / cpu[target]
-		b.ReportMetric(ofProxy, target+"-requests/cpu-s")
-		b.ReportMetric(ofGateway/ofProxy, "ratio-to-"+target)
+		proxyRate := served[target] / cpu[target]
+		b.ReportMetric(proxyRate, target+"-requests/cpu-s")
+		b.ReportMetric(gatewayRate/proxyRate, "ratio-to-"+target)
 	}
 }
 
-// closedLoop sends requests from 32 clients for a while, each client one after another, and returns how many were
-// served.
+// closedLoop has 32 clients send requests for a time, each client one after another, and returns how many were served.
 func closedLoop(b *testing.B, target, address string, length time.Duration) int64 {
 	b.Helper()
 	const clients = 32
@@ -168,7 +168,7 @@
 
 // BenchmarkOpenStreams measures the memory of the gateway's process for each open stream.
 func BenchmarkOpenStreams(b *testing.B) {
-	const streams = 9000 // two descriptors each here and there, and an ordinary user has 20,000
+	const streams = 9000 // each takes two file descriptors in each process; the usual limit is 20,000
 	for range b.N {
 		hold := make(chan struct{})
 		targets := startTargets(b, 1, 0, hold)
--- a/cmd/brackenbend/benchproxy_test.go
+++ b/cmd/brackenbend/benchproxy_test.go
@@ -12,17 +12,19 @@
 	"strings"
 )
 
-// proxyEnv holds the target name, the listen address and the engines of a reference proxy's process.
+// proxyEnv is the environment variable with the target name, the listen address and the engines of a reference proxy's
+// process.
 const proxyEnv = "BRACKENBEND_TEST_PROXY"
 
-// referenceProxy is httputil.ReverseProxy with random choice, which the benchmarks compare the gateway with.
+// referenceProxy forwards requests to randomly picked engines with httputil.ReverseProxy. The benchmarks compare the
+// gateway with it.
 type referenceProxy struct {
 	prefillURLs, decodeURLs []*url.URL
-	client                  *http.Client // of prefill requests; shares the transport of forward
+	client                  *http.Client // sends prefill requests; shares its transport with forward
 	forward                 *httputil.ReverseProxy
 }
 
-// proxyMain is the main function of a reference proxy's process; TestMain runs it where proxyEnv names the engines.
+// proxyMain is the main function of a reference proxy's process; TestMain runs it if proxyEnv is set.
 // Engines at even positions prefill and those at odd positions decode.
 func proxyMain(target, listen, engines string) int {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1000}
@@ -50,7 +52,7 @@
 
 func randomURL(urls []*url.URL) *url.URL { return urls[rand.IntN(len(urls))] }
 
-// serveTwoStages makes the two exchanges that the gateway makes: a prefill, then a decode.
+// serveTwoStages makes the same two exchanges as the gateway: a prefill, then a decode.
 func (p *referenceProxy) serveTwoStages(w http.ResponseWriter, r *http.Request) {
 	if err := p.prefill(r); err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
@@ -59,7 +61,7 @@
 	p.forward.ServeHTTP(w, r)
 }
 
-// prefill has the prompt of r prefilled and replaces the body of r by that of the decode request.
+// prefill sends the prefill request of r and replaces the body of r with that of the decode request.
 func (p *referenceProxy) prefill(r *http.Request) error {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// withFields adds fields to the end of a JSON object.
+// withFields returns a JSON object with fields added at its end.
 func withFields(object []byte, fields string) string {
 	return string(object[:len(object)-1]) + "," + fields + "}"
 }
--- a/cmd/brackenbend/benchtargets_test.go
+++ b/cmd/brackenbend/benchtargets_test.go
@@ -16,20 +16,21 @@
 	"time"
 )
 
-// Targets of benchmark requests. The names stand in the names of the reported metrics, which docs/results.md quotes.
+// Targets of benchmark requests. Their names are part of the names of the reported metrics, which docs/results.md
+// quotes.
 const (
 	targetGateway       = "front"
-	targetProxy         = "proxy"  // the reference proxy; one exchange a request, with a decode engine
-	targetTwoStageProxy = "proxy2" // the reference proxy with a prefill and a decode, as the gateway makes them
-	targetEngine        = "direct" // an engine without anything before it
+	targetProxy         = "proxy"  // the reference proxy, with one exchange a request, at a decode engine
+	targetTwoStageProxy = "proxy2" // the reference proxy, with a prefill and a decode for each request, as in the gateway
+	targetEngine        = "direct" // an engine that the client calls directly
 )
 
-// processTargets are the targets that are processes of their own.
+// processTargets are the targets that are compared, each a process of its own.
 var processTargets = []string{targetGateway, targetProxy, targetTwoStageProxy}
 
-// instantEngine starts an engine that answers at once: prefill requests with transfer parameters, others with a
-// stream of tokens, pause apart. Streams stay open until hold is closed, where it is not nil.
-func instantEngine(b *testing.B, tokens int, pause time.Duration, hold <-chan struct{}) (address string) {
+// startInstantEngine starts an engine that answers at once: prefill requests with transfer parameters, others with a
+// stream of tokens that are a pause apart. If hold is not nil, streams stay open until it is closed.
+func startInstantEngine(b *testing.B, tokens int, pause time.Duration, hold <-chan struct{}) (address string) {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,11 +69,11 @@
 	return l.Addr().String()
 }
 
-// benchTargets are the processes compared, all in front of the same engines.
+// benchTargets are the processes that are compared, all in front of the same engines.
 type benchTargets struct {
-	engines   []string // addresses; those at even positions prefill, the others decode
-	commands  map[string]*exec.Cmd
-	addresses map[string]string
+	engines   []string             // addresses; those at even positions prefill, the others decode
+	commands  map[string]*exec.Cmd // by target
+	addresses map[string]string    // by target
 }
 
 const benchSettings = `<brackenbend><front listen=%q/>
@@ -83,13 +84,13 @@
 		<model name="m" bytes-per-token="4" max-output="64tokens"/>
 		<engines connections="20000" idle-connections="1000"/>%s</brackenbend>`
 
-// startTargets starts the engines and the processes compared, and waits until all of them accept connections.
+// startTargets starts the engines and the processes that are compared, and waits until all of them accept connections.
 func startTargets(b *testing.B, tokens int, pause time.Duration, hold <-chan struct{}) *benchTargets {
 	b.Helper()
 	targets := &benchTargets{addresses: map[string]string{}, commands: map[string]*exec.Cmd{}}
 	endpoints := ""
 	for i := range 4 {
-		address := instantEngine(b, tokens, pause, hold)
+		address := startInstantEngine(b, tokens, pause, hold)
 		targets.engines = append(targets.engines, address)
 		kind := []string{"reader", "writer"}[i%2]
 		endpoints += fmt.Sprintf("<server name=\"e%d\" kind=%q address=%q/>", i, kind, address)
@@ -118,11 +119,11 @@
 	return targets
 }
 
-// start starts the process of one target and kills it at the benchmark's end.
+// start starts the process of one target, which is killed when the benchmark ends.
 func (t *benchTargets) start(b *testing.B, name, settingsFile string) {
 	b.Helper()
 	cmd := exec.Command(os.Args[0], "serve", "-c", settingsFile)
-	cmd.Env = append(os.Environ(), asMain...)
+	cmd.Env = append(os.Environ(), brackenbendEnv...)
 	if name != targetGateway {
 		cmd = exec.Command(os.Args[0])
 		proxy := strings.Join([]string{name, t.addresses[name], strings.Join(t.engines, ",")}, " ")
@@ -158,7 +159,7 @@
 const benchBody = `{"model":"m","stream":true,"messages":[{"role":"user","content":` +
 	`"when does my oil come, and how much is it this week?"}]}`
 
-// send sends one request and returns the time to the first token. With untilEnd set it reads the whole response.
+// send sends one request and returns the time to the first token. If untilEnd is set, it reads the whole response.
 func (c *benchClient) send(address string, untilEnd bool) (time.Duration, error) {
 	began := time.Now()
 	if c.conn == nil {
@@ -181,7 +182,7 @@
 		return 0, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("answered %d", resp.StatusCode)
+		return 0, fmt.Errorf("response status %d", resp.StatusCode)
 	}
 	if _, err := resp.Body.Read(make([]byte, 1)); err != nil {
 		return 0, err
@@ -194,8 +195,8 @@
 	return timeToFirstToken, err
 }
 
-// reportFailure fails the benchmark if a request failed that may not: the gateway and the engine may lose nothing.
-// A reference proxy now and then cuts a response; such a request does not count.
+// reportFailure fails the benchmark if a request to the gateway or to the engine failed. A reference proxy cuts off a
+// response now and then; such a request is not counted.
 func reportFailure(b *testing.B, target string, err error) {
 	b.Helper()
 	if target == targetGateway || target == targetEngine {
@@ -203,7 +204,7 @@
 	}
 }
 
-// processFile reads a file of a process below /proc; without it the benchmark is skipped.
+// processFile reads a file of a process in /proc. It skips the benchmark if there is no such file.
 func processFile(b *testing.B, cmd *exec.Cmd, name string) string {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", cmd.Process.Pid, name))
@@ -213,7 +214,7 @@
 	return string(text)
 }
 
-// cpuSeconds is the CPU time that a process has used, by user and system.
+// cpuSeconds returns the user and system CPU time that a process has used.
 func cpuSeconds(b *testing.B, cmd *exec.Cmd) float64 {
 	b.Helper()
 	const ticksPerSecond = 100
@@ -224,7 +225,7 @@
 	return (user + system) / ticksPerSecond
 }
 
-// residentKiB is the resident memory of a process.
+// residentKiB returns the resident memory of a process.
 func residentKiB(b *testing.B, cmd *exec.Cmd) float64 {
 	b.Helper()
 	const key = "VmRSS:"
--- a/cmd/brackenbend/blackholeproxy_test.go
+++ b/cmd/brackenbend/blackholeproxy_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// blackholeProxy passes bytes between a node and one engine, and can drop them: connections stay open and silent, as
-// those to a machine that the network no longer reaches.
+// blackholeProxy forwards bytes between a node and one engine, and can drop them: the connections then stay open and
+// silent, like connections to a machine that the network no longer reaches.
 type blackholeProxy struct {
 	net.Listener
 
 	mu              sync.Mutex
-	dropNew         bool                  // new connections are silent too
-	silentOnReply   bool                  // open connections become silent once the engine has replied on one
+	dropNew         bool                  // new connections are silent from the start
+	silentOnReply   bool                  // open connections become silent after the next reply of the engine
 	acceptedCount   int                   // connections that the node has made
 	silent          map[net.Conn]struct{} // connections from the node whose bytes are dropped
 	openConnections map[net.Conn]struct{} // connections from the node
 }
 
-// newBlackholeProxy starts a proxy before an engine; it ends with the test.
+// newBlackholeProxy starts a proxy in front of an engine. It is closed when the test ends.
 func newBlackholeProxy(t *testing.T, engineAddress string) *blackholeProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,8 @@
 	}
 }
 
-// forward copies from one side to the other, and drops what comes while the connection from the node is silent.
+// forward copies bytes from one connection to another, and drops them while client, the connection from the node, is
+// silent.
 func (p *blackholeProxy) forward(client, from, to net.Conn) {
 	defer func() {
 		from.Close()
@@ -85,15 +86,15 @@
 			return
 		}
 		if from != client {
-			p.replied()
+			p.onReply()
 		}
 	}
 }
 
-// dropOpen makes the connections that are open silent.
+// dropOpen makes all open connections silent.
 func (p *blackholeProxy) dropOpen() { p.drop(false) }
 
-// dropAll makes the connections that are open silent, and all new ones, too.
+// dropAll makes all open connections and all new ones silent.
 func (p *blackholeProxy) dropAll() { p.drop(true) }
 
 func (p *blackholeProxy) drop(dropNew bool) {
@@ -112,25 +113,24 @@
 	return silent
 }
 
-// dropOpenAfterReply makes the connections that are open silent as soon as the engine has replied once more on one of
-// them.
+// dropOpenAfterReply makes all open connections silent as soon as the engine has replied on one of them.
 func (p *blackholeProxy) dropOpenAfterReply() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.silentOnReply = true
 }
 
-func (p *blackholeProxy) replied() {
+func (p *blackholeProxy) onReply() {
 	p.mu.Lock()
-	silence := p.silentOnReply
+	dropNow := p.silentOnReply
 	p.silentOnReply = false
 	p.mu.Unlock()
-	if silence {
+	if dropNow {
 		p.dropOpen()
 	}
 }
 
-// accepted is how many connections the node has made.
+// accepted returns the number of connections that the node has made.
 func (p *blackholeProxy) accepted() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/brackenbend/fakeengine_test.go
+++ b/cmd/brackenbend/fakeengine_test.go
@@ -12,28 +12,28 @@
 	"time"
 )
 
-// engineEnv holds the name, the role and the delay of a fake engine's process.
+// engineEnv is the environment variable with the name, the role and the delay of a fake engine's process.
 const engineEnv = "BRACKENBEND_TEST_ENGINE"
 
-// Roles of engine processes; they are also the kinds of engines in fleetConfig.
+// Roles of engine processes. The kinds of engines in fleetConfig have the same names.
 const (
 	prefillEngine = "prefill"
 	decodeEngine  = "decode"
 )
 
-// engineEvent is what an engine's process reports of a call, one JSON object a line.
+// engineEvent is an event that an engine's process reports, one JSON object a line.
 type engineEvent struct {
 	Engine string
-	Kind   string // one of the events below
+	Kind   string // one of the constants below
 	ID     string // of the request
 	At     int64  // Unix time in nanoseconds; all processes are on one machine
 }
 
 const (
-	eventListening      = "listening"       // ID is the address
-	eventPrefilled      = "prefilled"       // a prefill engine has answered that the prompt is prefilled
-	eventDecodeReceived = "decode received" // the last byte of a decode request has reached a running engine
-	eventReleased       = "released"        // a release has reached a running engine
+	eventListening      = "listening"       // the process accepts connections; ID is its address
+	eventPrefilled      = "prefilled"       // a prefill is done and is answered
+	eventDecodeReceived = "decode received" // a running engine has read a decode request to its last byte
+	eventReleased       = "released"        // a running engine has received a release
 )
 
 // engineStream is the response to each decode request.
@@ -43,12 +43,12 @@
 // engineProcess is a fake engine of the platform that reports the requests that reach it on standard output.
 type engineProcess struct {
 	name, role string
-	delay      time.Duration // of a prefill, or of the first token of a decode
+	delay      time.Duration // before the answer to a prefill, or the first token of a decode
 
 	mu sync.Mutex // guards standard output
 }
 
-// fakeEngineMain is the main function of an engine's process; TestMain runs it by engineEnv.
+// fakeEngineMain is the main function of an engine's process; TestMain runs it if engineEnv is set.
 func fakeEngineMain(name, role, delayText string) int {
 	delay, err := time.ParseDuration(delayText)
 	if err != nil {
--- a/cmd/brackenbend/fleet_test.go
+++ b/cmd/brackenbend/fleet_test.go
@@ -15,25 +15,25 @@
 	"time"
 )
 
-// processFleet is a small fleet of real processes over loopback: a node, fake engines of the platform that report what
-// reaches them, and a blackhole proxy before each engine.
+// processFleet is a small fleet of processes that communicate over loopback: a node, and fake engines of the platform
+// that report the requests that reach them. A blackhole proxy in the test's process is in front of each engine.
 type processFleet struct {
 	prefillEngines, decodeEngines []*fleetEngine
 
 	address string // of the node
 	logFile string // of the node
 	events  chan engineEvent
-	seen    []engineEvent // received from events; used by the test's goroutine only
+	seen    []engineEvent // events received so far; used only by the test's goroutine
 }
 
-// fleetEngine is one engine's process with the proxy before it.
+// fleetEngine is an engine's process with the proxy in front of it.
 type fleetEngine struct {
 	name    string
 	process *os.Process
 	proxy   *blackholeProxy
 }
 
-// fleetPlan describes the fleet that a test wants.
+// fleetPlan describes the fleet that a test uses.
 type fleetPlan struct {
 	prefillEngines, decodeEngines int
 
@@ -81,12 +81,12 @@
 	return f
 }
 
-// engines are all engines of the fleet.
+// engines returns all engines of the fleet.
 func (f *processFleet) engines() []*fleetEngine {
 	return slices.Concat(f.prefillEngines, f.decodeEngines)
 }
 
-// fleetMembers are entries of the node's cached list.
+// fleetMembers returns the entries of engines in the node's cached endpoint list.
 func fleetMembers(kind string, engines []*fleetEngine) (members []string) {
 	for _, e := range engines {
 		members = append(members, fmt.Sprintf(fleetMember, e.name, e.proxy.Addr(), kind))
@@ -122,10 +122,10 @@
 	return &fleetEngine{name: name, process: cmd.Process, proxy: newBlackholeProxy(t, listening.ID)}
 }
 
-// startNode starts the node and waits until it serves. Its log is printed by a test that fails.
+// startNode starts the node and waits until it serves. If the test fails, the node's log is printed.
 func (f *processFleet) startNode(t *testing.T, config string) {
 	t.Helper()
-	_, _, stderr := startProcess(t, []string{"node"}, append(asMain, "LB_CONFIG="+config)...)
+	_, _, stderr := startProcess(t, []string{"node"}, append(brackenbendEnv, "LB_CONFIG="+config)...)
 	log, err := os.Create(f.logFile)
 	if err != nil {
 		t.Fatal(err)
@@ -149,11 +149,11 @@
 		}
 	})
 	if f.address == "" {
-		t.Fatal("the node does not serve")
+		t.Fatal("the node ended before it served")
 	}
 }
 
-// startProcess starts the test binary as another process, which is killed at the test's end.
+// startProcess starts the test binary as a child process, which is killed when the test ends.
 func startProcess(t *testing.T, args []string, env ...string) (cmd *exec.Cmd, stdout, stderr io.Reader) {
 	t.Helper()
 	executable, err := os.Executable()
@@ -180,8 +180,9 @@
 	return cmd, stdout, stderr
 }
 
-// stop suspends the process until it is killed: the system accepts what is sent to it, and nothing reads it.
-func (e *fleetEngine) stop(t *testing.T) {
+// suspend stops the process with SIGSTOP: the system still accepts connections and bytes for it, but nothing reads
+// them. It returns once the process is stopped.
+func (e *fleetEngine) suspend(t *testing.T) {
 	t.Helper()
 	if err := e.process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -191,7 +192,7 @@
 	}
 }
 
-// resume lets a stopped process run again.
+// resume lets a suspended process run again.
 func (e *fleetEngine) resume(t *testing.T) {
 	t.Helper()
 	if err := e.process.Signal(syscall.SIGCONT); err != nil {
--- a/cmd/brackenbend/fleetrequests_test.go
+++ b/cmd/brackenbend/fleetrequests_test.go
@@ -13,10 +13,11 @@
 	"time"
 )
 
-// reuseDelayPassed is longer than a connection to an engine rests after a response before it is used again.
+// reuseDelayPassed is longer than the gateway's reuse delay, after which a pooled connection to an engine is used
+// again.
 const reuseDelayPassed = 50 * time.Millisecond
 
-// send sends a request on a connection of its own.
+// send sends a request on a new connection.
 func (f *processFleet) send(t *testing.T, id, class string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", f.address)
@@ -52,16 +53,16 @@
 	return resp.StatusCode, string(text)
 }
 
-// requireServed reads the final answer to a request and ends the test if it is no success.
+// requireServed reads the final answer to a request and ends the test if its status is not 200.
 func requireServed(t *testing.T, id string, conn net.Conn) {
 	t.Helper()
 	if status, _ := readResponse(t, conn); status != http.StatusOK {
-		t.Fatalf("%s: %d", id, status)
+		t.Fatalf("%s: status %d", id, status)
 	}
 }
 
-// fillPools has requests served until one of them makes no new connection to an engine. Pooled connections are used
-// then, and where there is one prefill engine, or one decode engine, the next request uses a pooled connection to it.
+// fillPools sends requests until one is served on pooled connections, without a new connection to an engine. If
+// there is only one prefill engine, or only one decode engine, the next request uses a pooled connection to it.
 func (f *processFleet) fillPools(t *testing.T) {
 	t.Helper()
 	accepted := func() (n int) {
@@ -80,11 +81,11 @@
 			return
 		}
 	}
-	t.Fatal("no connection to an engine is used again")
+	t.Fatal("every request made a new connection to an engine")
 }
 
-// fillPoolsWith has n requests served at one time, which leaves n pooled connections to each of a sole prefill engine
-// and a sole decode engine.
+// fillPoolsWith sends n requests at once and waits until they are served. In a fleet of one prefill engine and one
+// decode engine, this leaves n pooled connections to each.
 func (f *processFleet) fillPoolsWith(t *testing.T, n int) {
 	t.Helper()
 	var conns []net.Conn
@@ -102,7 +103,7 @@
 	}
 }
 
-// await waits for an event of a request of one of the kinds; it returns false if none has come by then.
+// await waits for an event of a request that is of one of the kinds. It returns false if there is none by that time.
 func (f *processFleet) await(id string, by time.Time, kinds ...string) (engineEvent, bool) {
 	timer := time.NewTimer(time.Until(by))
 	defer timer.Stop()
@@ -119,7 +120,7 @@
 	}
 }
 
-// awaitLog waits for a line of the node's log with this message, about this request, that contains all of the texts.
+// awaitLog waits for a line of the node's log that has this message, names this request and contains all of the texts.
 func (f *processFleet) awaitLog(t *testing.T, message, id string, texts ...string) {
 	t.Helper()
 	texts = append(texts, `"msg":"`+message+`"`, `"`+id+`"`)
@@ -138,7 +139,7 @@
 	t.Errorf("no line of the node's log contains all of %q", texts)
 }
 
-// count is how many events of a kind a request has had. It first receives those that come within a short time.
+// count returns the number of events of a kind that a request has had, after a short wait for the last of them.
 func (f *processFleet) count(id, kind string) (n int) {
 	f.await("", time.Now().Add(50*time.Millisecond))
 	for _, event := range f.seen {
--- a/cmd/brackenbend/main_test.go
+++ b/cmd/brackenbend/main_test.go
@@ -10,17 +10,17 @@
 	"brackenbend/internal/gateway"
 )
 
-// Environment variables that make the test binary another program; see TestMain.
+// Environment variables by which the test binary runs as another program; see TestMain.
 const (
-	mainEnv     = "BRACKENBEND_TEST_MAIN"     // 1: brackenbend itself
-	mutationEnv = "BRACKENBEND_TEST_MUTATION" // with mainEnv: the name of the gateway's mutation
+	mainEnv     = "BRACKENBEND_TEST_MAIN"     // 1: run as brackenbend
+	mutationEnv = "BRACKENBEND_TEST_MUTATION" // with mainEnv: name of the mutation that the gateway has
 )
 
-// asMain is the environment in which the test binary runs as brackenbend.
-var asMain = []string{mainEnv + "=1"}
+// brackenbendEnv is added to the environment of the test binary to run it as brackenbend.
+var brackenbendEnv = []string{mainEnv + "=1"}
 
-// TestMain lets the test binary run as brackenbend itself, as a reference proxy and as a fake engine, so that tests
-// can use real processes.
+// TestMain runs the test binary as brackenbend, as a reference proxy or as a fake engine if the environment says so, so
+// that tests can start these programs as processes.
 func TestMain(m *testing.M) {
 	if os.Getenv(mainEnv) == "1" {
 		if name := os.Getenv(mutationEnv); name != "" {
@@ -37,7 +37,8 @@
 	os.Exit(m.Run())
 }
 
-// commandName is a command line with the base names of its files, which makes test names the same on all machines.
+// commandName returns a command line with its files reduced to their base names, so that test names do not depend on
+// the machine.
 func commandName(args []string) string {
 	var names []string
 	for _, arg := range args {
@@ -67,12 +68,12 @@
 		{[]string{"check"}, exitUsage},
 		{[]string{"serve", "--nonsense"}, exitUsage},
 		{[]string{"day", invalid}, exitConfig},
-		{[]string{"engine", "--role", "cook"}, exitUsage},
+		{[]string{"engine", "--role", "invalid"}, exitUsage},
 		{[]string{"lab", "day", stall, "--seconds", "5"}, 0},
 		{[]string{"lab", "day", invalid}, exitConfig},
 		{[]string{"lab", "forecast", stall, "--runs", "2"}, exitUsage},
 		{words("compare choice routing --batch 3 --most 3 --traffic", stall, "--html", outFile("x.html")), 0},
-		{words("compare choice", os.Args[0], "--batch 3 --most 3 --traffic", stall), 0}, // with this very program
+		{words("compare choice", os.Args[0], "--batch 3 --most 3 --traffic", stall), 0}, // the other version is this program
 		{[]string{"compare", "choice", invalid}, exitConfig},
 		{words("lab hunt", stall, "--rounds 1 --draws 4 --troubles 1 -o", outFile("x.xml")), 0},
 		{words("simulate fault-search", stall, "--rounds 1 --draws 4 --troubles 1 -o", outFile("y.xml")), 0},
@@ -83,7 +84,7 @@
 	} {
 		t.Run(commandName(c.args), func(t *testing.T) {
 			cmd := exec.Command(os.Args[0], c.args...)
-			cmd.Env = append(os.Environ(), asMain...)
+			cmd.Env = append(os.Environ(), brackenbendEnv...)
 			out, _ := cmd.CombinedOutput()
 			if got := cmd.ProcessState.ExitCode(); got != c.code {
 				t.Errorf("exit code %d, want %d: %s", got, c.code, out)
--- a/cmd/brackenbend/mutation_test.go
+++ b/cmd/brackenbend/mutation_test.go
@@ -18,21 +18,22 @@
 
 // Environment variables of TestMutatedGatewaysViolateRules.
 const (
-	mutationRunsEnv   = "BRACKENBEND_MUTATION_RUNS"   // default scenarios to play for each mutation
-	mutationLengthEnv = "BRACKENBEND_MUTATION_LENGTH" // of each of them, if not as the scenario says
+	mutationRunsEnv   = "BRACKENBEND_MUTATION_RUNS"   // number of default scenarios to run for each mutation
+	mutationLengthEnv = "BRACKENBEND_MUTATION_LENGTH" // length to which each of them is scaled; unset = its own
 )
 
-// mutation is a gateway with a fault that violates a rule.
+// mutation is a fault of the gateway that makes it violate a rule.
 type mutation struct {
-	rule  int // counts from 0
+	rule  int // index in the report's rules
 	hooks gateway.TestHooks
 }
 
-// mutations has one for each row of the outcome table that a rule depends on, and one for each duty of the rules. A
-// scenario that does not detect them proves nothing.
+// mutations has a fault for each row of the attempt outcome table that a rule depends on, and a fault for each
+// obligation of the rules. A scenario in which they are not detected proves nothing by passing.
 //
-// Rows that classify what never ran as what may have run cost service and violate no rule; internal/engine tests them.
-// The same holds for canceled attempts: the router cancels only those of requests that have their answer.
+// There are no mutations that report an attempt that never ran as one that may have run: they reduce the service but
+// violate no rule, and tests of internal/engine cover these rows. Neither are there mutations of canceled attempts,
+// since the router cancels only attempts of requests that already have their answer.
 var mutations = map[string]mutation{
 	"connection reset reported as connect failure": {
 		1, gateway.TestHooks{Outcome: replaceResult(routing.ConnectionReset, routing.ConnectFailed)},
@@ -63,7 +64,7 @@
 	"ignores slow start":         {3, gateway.TestHooks{Settings: func(c *routing.Config) { c.SlowStartFor = 0 }}},
 }
 
-// replaceResult reports one result of decode attempts as another.
+// replaceResult returns a hook that reports one result of decode attempts as another.
 func replaceResult(from, to routing.Result) func(bool, *engine.Outcome) {
 	return func(decode bool, outcome *engine.Outcome) {
 		if decode && outcome.Result == from {
@@ -72,7 +73,7 @@
 	}
 }
 
-// ignoreDrains makes endpoints that drain ready.
+// ignoreDrains lists draining endpoints as ready.
 func ignoreDrains(update *endpointslice.Update) {
 	update.Endpoints = slices.Clone(update.Endpoints)
 	for i := range update.Endpoints {
@@ -90,7 +91,8 @@
 	}
 }
 
-// rejectInsteadOfFail promises of failed requests that retrying them is harmless.
+// rejectInsteadOfFail rejects requests that should fail: the client is told that a retry can't repeat an effect,
+// although the request may have run.
 func rejectInsteadOfFail(action routing.Action) []routing.Action {
 	if fail, ok := action.(routing.Fail); ok && !fail.PossibleDuplicate {
 		return []routing.Action{routing.Reject{Request: fail.Request, RetryAfter: 200 * time.Millisecond}}
@@ -102,13 +104,13 @@
 
 func duplicateResponse(response []byte) []byte { return append(slices.Clone(response), response...) }
 
-// passed counts the values that have passed through all replaceEveryEighth functions.
-var passed atomic.Int64
+// replaceEveryEighthCalls counts the calls of all functions that replaceEveryEighth has returned.
+var replaceEveryEighthCalls atomic.Int64
 
-// replaceEveryEighth returns a function that replaces every eighth value by replacement.
+// replaceEveryEighth returns a function that returns replacement in place of every eighth value.
 func replaceEveryEighth[T any](replacement T) func(T) T {
 	return func(value T) T {
-		if passed.Add(1)%8 == 0 {
+		if replaceEveryEighthCalls.Add(1)%8 == 0 {
 			return replacement
 		}
 		return value
@@ -124,9 +126,10 @@
 	return []routing.Action{action}
 }
 
-// TestMutatedGatewaysViolateRules checks that the audit detects violations: an auditor that can't fail proves nothing.
-// It plays a few mutations in short scenarios. With BRACKENBEND_MUTATION_RUNS=N it plays N whole default scenarios for
-// each mutation and counts how many detect it, which takes a while (docs/results.md has the figures).
+// TestMutatedGatewaysViolateRules checks that the audit detects gateways that violate a rule, since a passed audit
+// means something only if it can fail. It runs a few mutations in short scenarios. With BRACKENBEND_MUTATION_RUNS=N it
+// runs N default scenarios for each mutation and counts those that detect it, which takes long (docs/results.md has the
+// figures).
 func TestMutatedGatewaysViolateRules(t *testing.T) {
 	if runs, _ := strconv.Atoi(os.Getenv(mutationRunsEnv)); runs > 0 {
 		for name, m := range mutations {
@@ -156,7 +159,8 @@
 	}
 }
 
-// testMutationInDefaultScenarios plays default scenarios with other seeds; nine in ten must detect the mutation.
+// testMutationInDefaultScenarios runs default scenarios with different seeds, of which nine in ten must detect the
+// mutation.
 func testMutationInDefaultScenarios(t *testing.T, name string, rule, runs int) {
 	t.Helper()
 	detected, violations := 0, 0
@@ -170,7 +174,7 @@
 		if override, err := time.ParseDuration(os.Getenv(mutationLengthEnv)); err == nil {
 			length = override
 		}
-		report := playScenario(t, s, length, mutationEnv+"="+name)
+		report := runScenario(t, s, length, mutationEnv+"="+name)
 		if n := len(report.Rules[rule].Violations); n > 0 {
 			detected++
 			violations += n
@@ -183,7 +187,7 @@
 	}
 }
 
-// shortScenario has the faults in the place of %s.
+// shortScenario is a scenario file with a blank for faults.
 const shortScenario = `<day length="6s" rate="40/s" fronts="2" seed="3">
   <service max-attempts="4" release-within="500ms" drain-grace="500ms" writers-read="true" cancel="true"
     client-retries="1"/>
@@ -203,7 +207,7 @@
 	if !ok {
 		t.Fatalf("no mutation %q", name)
 	}
-	report := playScenario(t, s, s.Length, mutationEnv+"="+name)
+	report := runScenario(t, s, s.Length, mutationEnv+"="+name)
 	if len(report.Rules[m.rule].Violations) == 0 {
 		t.Errorf("no violation of rule %d was detected", m.rule+1)
 	}
--- a/cmd/brackenbend/node_test.go
+++ b/cmd/brackenbend/node_test.go
@@ -25,7 +25,8 @@
 "Classes":[{"Deadline":60000000,"Importance":1,"Name":"ask","Promise":60000000,"Repeat":"free"}],
 "FamilyInfo":{"KindRole":["read","write"],"KvTokens":[200000,200000],"Release":1000000},"Kinds":["prefill","decode"]}}`
 
-// startSilentDiscovery starts a discovery service that never answers. Each connection to it is reported on connected.
+// startSilentDiscovery starts a discovery service that accepts connections, reports each on connected, and never
+// answers.
 func startSilentDiscovery(t *testing.T) (address string, connected chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +48,7 @@
 	return l.Addr().String(), connected
 }
 
-// blockedEngine is an engine that accepts requests and breaks their connections once it is unblocked.
+// blockedEngine is an engine that accepts requests and, once it is unblocked, aborts them without a response.
 type blockedEngine struct {
 	address  string
 	received chan struct{} // closed by the first request
@@ -74,7 +75,7 @@
 	return e
 }
 
-// sendToNode sends a request without reading the answer. The connection is closed at the test's end.
+// sendToNode sends a request and does not read the answer. The connection is closed when the test ends.
 func sendToNode(t *testing.T, address string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -93,9 +94,10 @@
 	)
 }
 
-// TestSignalsWhileANodeDrains: SIGHUP moves a draining node to the new discovery service, since it still sends; a
-// second SIGTERM changes nothing; and the node ends once its open requests are answered.
-func TestSignalsWhileANodeDrains(t *testing.T) {
+// TestDrainingNodeReloadsAndIgnoresSecondSIGTERM checks that SIGHUP moves a draining node to the new discovery service,
+// since the node still sends attempts, that a second SIGTERM has no effect, and that the node ends only when its open
+// requests are answered.
+func TestDrainingNodeReloadsAndIgnoresSecondSIGTERM(t *testing.T) {
 	oldDiscovery, _ := startSilentDiscovery(t)
 	newDiscovery, connected := startSilentDiscovery(t)
 	prefill := startBlockedEngine(t)
--- a/cmd/brackenbend/readstate_test.go
+++ b/cmd/brackenbend/readstate_test.go
@@ -9,18 +9,19 @@
 // stateTTLSlack is how long a read state may be kept beyond the state TTL of the settings.
 const stateTTLSlack = 300 * time.Millisecond
 
-// TestReadStatesBehindSilentWrites: a prefill has succeeded, and decode requests never arrive, although the
-// connections stand and accept every byte. A request that has not arrived does not stop the clock of the read state:
-// within the state TTL a decode request must reach a running engine, or the state must be released.
-func TestReadStatesBehindSilentWrites(t *testing.T) {
+// TestReadStateOfUndeliveredDecodeIsReleased guards against read states that are held longer than the state TTL. A
+// prefill has succeeded, but decode requests reach no running engine, although their connections are open and accept
+// every byte. Such a request does not extend the state TTL: within it, a decode request must reach a running engine, or
+// the read state must be released.
+func TestReadStateOfUndeliveredDecodeIsReleased(t *testing.T) {
 	const stateTTL = 500 * time.Millisecond
 	for name, c := range map[string]struct {
 		class                         string
 		prefillEngines, decodeEngines int
 		inject                        func(t *testing.T, f *processFleet)
 	}{
-		"decode engines are stopped, idempotent":     {idempotentClass, 2, 2, stopDecodeEngines},
-		"decode engines are stopped, not idempotent": {notIdempotentClass, 2, 2, stopDecodeEngines},
+		"decode engines are suspended, idempotent":     {idempotentClass, 2, 2, suspendDecodeEngines},
+		"decode engines are suspended, not idempotent": {notIdempotentClass, 2, 2, suspendDecodeEngines},
 		"all connections to decode engines are silent": {
 			idempotentClass, 2, 2, func(_ *testing.T, f *processFleet) {
 				for _, e := range f.decodeEngines {
@@ -28,11 +29,11 @@
 				}
 			},
 		},
-		"decode engines are stopped, pooled connections to the prefill engine fall silent": {
+		"decode engines are suspended, pooled connections to the prefill engine fall silent": {
 			idempotentClass, 1, 2, func(t *testing.T, f *processFleet) {
 				t.Helper()
 				f.fillPools(t)
-				stopDecodeEngines(t, f)
+				suspendDecodeEngines(t, f)
 				for _, e := range f.prefillEngines {
 					e.proxy.dropOpenAfterReply()
 				}
@@ -68,36 +69,36 @@
 	}
 }
 
-func stopDecodeEngines(t *testing.T, f *processFleet) {
+func suspendDecodeEngines(t *testing.T, f *processFleet) {
 	t.Helper()
 	for _, e := range f.decodeEngines {
-		e.stop(t)
+		e.suspend(t)
 	}
 }
 
-// checkStateTTL waits until a decode request for the read state of a prefill arrives, or the state is released, and
-// fails the test if that takes too long.
+// checkStateTTL waits until a decode request for the read state of a prefill arrives at an engine or the state is
+// released, and fails the test if that takes longer than the state TTL.
 func (f *processFleet) checkStateTTL(t *testing.T, prefilled engineEvent, stateTTL time.Duration) {
 	t.Helper()
-	const patience = 2 * time.Second // beyond the limit, to see when it ended
+	const extraWait = 2 * time.Second // beyond the limit, to report how late the state was released
 	limit := stateTTL + stateTTLSlack
-	by := time.Unix(0, prefilled.At).Add(limit + patience)
+	by := time.Unix(0, prefilled.At).Add(limit + extraWait)
 	end, ok := f.await(prefilled.ID, by, eventDecodeReceived, eventReleased)
 	switch kept := time.Duration(end.At - prefilled.At); {
 	case !ok:
-		t.Errorf("%s: the state at %s was neither fetched nor released within %v",
-			prefilled.ID, prefilled.Engine, limit+patience)
+		t.Errorf("%s: the read state at %s was neither requested by a decode nor released within %v",
+			prefilled.ID, prefilled.Engine, limit+extraWait)
 	case kept > limit:
-		t.Errorf("%s: the state at %s was kept for %v, then %s at %s",
+		t.Errorf("%s: the read state at %s was held for %v, then %s at %s",
 			prefilled.ID, prefilled.Engine, kept, end.Kind, end.Engine)
 	default:
-		t.Logf("%s: kept for %v, then %s at %s", prefilled.ID, kept, end.Kind, end.Engine)
+		t.Logf("%s: read state held for %v, then %s at %s", prefilled.ID, kept, end.Kind, end.Engine)
 	}
 }
 
-// TestSilentReusedConnections: a middlebox forgets all pooled connections without a reset. A request that was lost on
-// one of them is sent again on a new one, and is served.
-func TestSilentReusedConnections(t *testing.T) {
+// TestRequestLostOnPooledConnectionIsSentAgain covers a middlebox that drops the state of all pooled connections
+// without a reset. A request that is lost on one of them must be sent again on a new connection, and be served.
+func TestRequestLostOnPooledConnectionIsSentAgain(t *testing.T) {
 	t.Parallel()
 	const overlap = 200 * time.Millisecond
 	f := newFleet(t, fleetPlan{
@@ -114,8 +115,8 @@
 	f.awaitLog(t, "attempt failed", "lost", `"kept_connection":true`, `"answered":"0s"`)
 }
 
-// TestSlowDecodeKeepsItsReadState: a decode request has reached a running engine and waits there longer than the
-// state TTL. It is served by that attempt; nothing is prefilled or decoded again.
+// TestSlowDecodeKeepsItsReadState: a decode request has reached a running engine and waits there for longer than the
+// state TTL. The attempt must still be served, without a second prefill or decode.
 func TestSlowDecodeKeepsItsReadState(t *testing.T) {
 	t.Parallel()
 	const stateTTL = 300 * time.Millisecond
@@ -132,11 +133,12 @@
 	}
 }
 
-// TestStateBehindHungDecodeIsReleased: a decode engine takes a decode and hangs, and the client leaves. Releases spare
-// the read state as long as the engine counts as waiting for it: until it runs again and sees that the decode was
-// aborted. Then a release has to reach the prefill engine within the state TTL. All releases came within a fraction of
-// the state TTL of the client's end, and nobody came back; the state was held for good.
-func TestStateBehindHungDecodeIsReleased(t *testing.T) {
+// TestReadStateOfHungDecodeIsReleased guards against a read state that is held forever: a decode engine accepts a
+// decode and hangs, and the client disconnects. While the engine counts as waiting for the read state, releases do not
+// free it. That lasts until the engine runs again and sees that the decode was aborted; a release must then reach the
+// prefill engine within the state TTL. A gateway that sent all its releases within a fraction of the state TTL after
+// the client had disconnected, and none later, left the state held.
+func TestReadStateOfHungDecodeIsReleased(t *testing.T) {
 	t.Parallel()
 	const stateTTL = 500 * time.Millisecond
 	f := newFleet(t, fleetPlan{
@@ -144,12 +146,12 @@
 	})
 	client := f.send(t, "hung", idempotentClass)
 	if _, ok := f.await("hung", time.Now().Add(8*time.Second), eventDecodeReceived); !ok {
-		t.Fatal("no decode was received")
+		t.Fatal("the decode request did not reach the decode engine")
 	}
-	stopDecodeEngines(t, f)
+	suspendDecodeEngines(t, f)
 	client.Close()
-	f.awaitLog(t, "read state released", "hung", `"rounds_before":1`) // the last one, before
-	for {                                                             // releases of before
+	f.awaitLog(t, "read state released", "hung", `"rounds_before":1`) // the last release before the engine runs again
+	for {                                                             // receives the releases so far
 		if _, ok := f.await("hung", time.Now().Add(stateTTL), eventReleased); !ok {
 			break
 		}
--- a/cmd/brackenbend/replica_test.go
+++ b/cmd/brackenbend/replica_test.go
@@ -18,8 +18,8 @@
 	"brackenbend/internal/fake/loopback"
 )
 
-// startReplica starts a replica as a process of its own and waits until it accepts connections. Settings has ADDRESS
-// in the place of the address to listen on. The replica is killed at the test's end.
+// startReplica starts a replica as a child process and waits until it accepts connections. ADDRESS in the settings is
+// replaced by the address to listen on. The replica is killed when the test ends.
 func startReplica(t *testing.T, settings string) (cmd *exec.Cmd, address string) {
 	t.Helper()
 	address, err := loopback.Address()
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	cmd = exec.Command(os.Args[0], "serve", "-c", file)
-	cmd.Env = append(os.Environ(), asMain...)
+	cmd.Env = append(os.Environ(), brackenbendEnv...)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-// startFakeEngine starts a fake engine in this process and returns its address. It is closed at the test's end.
+// startFakeEngine starts a fake engine in this process and returns its address. It is closed when the test ends.
 func startFakeEngine(t *testing.T, config engine.Config) (address string) {
 	t.Helper()
 	fake, err := engine.Start(config, "127.0.0.1:0", false)
@@ -65,9 +65,9 @@
 			<kind name="reader" role="reader"/><kind name="writer" role="writer"/>
 			<model name="m" bytes-per-token="4" max-output="64tokens"/>%s</brackenbend>`
 
-// TestReplicaKilledDuringDecode: the first replica is killed while a decode engine has a request with an idempotency
-// key. The client retries at the second replica, and the request takes effect once.
-func TestReplicaKilledDuringDecode(t *testing.T) {
+// TestRetryAfterReplicaKillTakesEffectOnce kills a replica while a decode engine executes a request with an idempotency
+// key. The client retries at another replica, and the request must have taken effect once.
+func TestRetryAfterReplicaKillTakesEffectOnce(t *testing.T) {
 	record := audit.NewRecord()
 	group := &engine.DedupGroup{Window: time.Minute}
 	var endpoints string
@@ -92,7 +92,7 @@
 	}
 	_ = first.Process.Signal(syscall.SIGKILL)
 	if err := <-firstAttempt; err == nil {
-		t.Fatal("the killed replica answered in full")
+		t.Fatal("the killed replica sent a complete answer")
 	}
 	body, err := sendWithKey(secondAddress)
 	if err != nil || !strings.Contains(body, "[DONE]") {
@@ -113,7 +113,7 @@
 	return n
 }
 
-// sendWithKey sends a streamed request, always with the same idempotency key, and returns the body of the response.
+// sendWithKey sends a request for a stream, always with the same idempotency key, and returns the response body.
 func sendWithKey(address string) (body string, err error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(
 		`{"model":"m","stream":true,"max_tokens":60,"messages":[{"role":"user","content":"two tons"}],`+
@@ -132,15 +132,16 @@
 	return string(text), err
 }
 
-// TestTenThousandIdleConnections: they cost a replica memory only, and a request beside them is answered.
-func TestTenThousandIdleConnections(t *testing.T) {
+// TestReplicaServesBesideTenThousandIdleConnections checks that a replica accepts 10,000 idle connections and still
+// answers a request.
+func TestReplicaServesBesideTenThousandIdleConnections(t *testing.T) {
 	const (
 		connections = 10000
-		descriptors = connections + 500 // what the test itself needs besides
+		descriptors = connections + 500 // the test needs some for other purposes
 	)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur < descriptors {
-		t.Skipf("%d descriptors are allowed here: %v", limit.Cur, err)
+		t.Skipf("the limit of file descriptors is %d: %v", limit.Cur, err)
 	}
 	engineAddress := startFakeEngine(t, engine.Config{Name: "e", Kind: "any", Params: fakeEngineParams("mixed")})
 	_, address := startReplica(
--- a/cmd/brackenbend/scenario_test.go
+++ b/cmd/brackenbend/scenario_test.go
@@ -16,18 +16,19 @@
 	"brackenbend/internal/simulation/trace"
 )
 
-// testRate is the requests a second of scenarios: few, since other packages' tests run beside them.
+// testRate is the rate of scenarios in requests a second. It is low, since tests of other packages run at the same
+// time.
 const testRate = 20
 
-// playScenario plays a scenario, scaled to length, with replicas that are processes of their own. Env is added to
-// their environment.
-func playScenario(t *testing.T, s *scenario.Scenario, length time.Duration, env ...string) *scenariorun.Report {
+// runScenario runs a scenario, scaled to a length, with replicas that are child processes. Env is added to their
+// environment.
+func runScenario(t *testing.T, s *scenario.Scenario, length time.Duration, env ...string) *scenariorun.Report {
 	t.Helper()
-	return playScenarioIn(t, t.TempDir(), s, length, env...)
+	return runScenarioIn(t, t.TempDir(), s, length, env...)
 }
 
-// playScenarioIn is playScenario with a folder for the replicas' settings and logs.
-func playScenarioIn(
+// runScenarioIn is runScenario with a directory for the settings and logs of the replicas.
+func runScenarioIn(
 	t *testing.T, dir string, s *scenario.Scenario, length time.Duration, env ...string,
 ) *scenariorun.Report {
 	t.Helper()
@@ -41,7 +42,7 @@
 	report, err := scenariorun.Run(
 		context.Background(),
 		s,
-		scenariorun.Options{Binary: executable, Env: append(env, asMain...), WorkDir: dir},
+		scenariorun.Options{Binary: executable, Env: append(env, brackenbendEnv...), WorkDir: dir},
 	)
 	if err != nil {
 		t.Fatal(err)
@@ -54,8 +55,8 @@
 	return report
 }
 
-// TestDefaultScenarioKeepsRules also makes recordings of the replicas' logs. They hold each accepted request, but for
-// those of a replica that was killed.
+// TestDefaultScenarioKeepsRules also makes recordings from the replicas' logs. They have each accepted request, except
+// for those of a replica that was killed.
 func TestDefaultScenarioKeepsRules(t *testing.T) {
 	s, err := scenario.Default()
 	if err != nil {
@@ -63,7 +64,7 @@
 	}
 	s.Rate = testRate
 	dir := t.TempDir()
-	report := playScenarioIn(t, dir, s, 15*time.Second)
+	report := runScenarioIn(t, dir, s, 15*time.Second)
 	if report.Violations() > 0 {
 		t.Errorf("%d violations", report.Violations())
 	}
@@ -73,16 +74,16 @@
 		attempts += class.Tries
 	}
 	for _, name := range logs {
-		recorded += recordedRequests(t, s, name)
+		recorded += checkRecording(t, s, name)
 	}
 	if recorded < attempts*8/10 || recorded > attempts {
 		t.Errorf("%d requests recorded, clients sent %d", recorded, attempts)
 	}
 }
 
-// recordedRequests makes a recording of a replica's log, checks that it can be played with the scenario and returns
-// how many requests it holds.
-func recordedRequests(t *testing.T, s *scenario.Scenario, logFile string) int {
+// checkRecording makes a recording from a replica's log, checks that the scenario can run with it, and returns the
+// number of its requests.
+func checkRecording(t *testing.T, s *scenario.Scenario, logFile string) int {
 	t.Helper()
 	log, err := os.Open(logFile)
 	if err != nil {
@@ -124,15 +125,15 @@
 	return slices.Sorted(maps.Keys(engines))
 }
 
-// TestAllReplicasKilledWhileRolesChange plays a scenario in which all replicas are killed right after engines were
-// commanded to change, the second time with the API server unreachable.
-func TestAllReplicasKilledWhileRolesChange(t *testing.T) {
+// TestKillingAllReplicasDuringRoleChangesKeepsRules runs a scenario that kills all replicas right after engines were
+// commanded to change role, the second time while the API server is unreachable.
+func TestKillingAllReplicasDuringRoleChangesKeepsRules(t *testing.T) {
 	s, err := scenario.Load("../../scenarios/roles-restart.xml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Rate = testRate
-	report := playScenario(t, s, 15*time.Second)
+	report := runScenario(t, s, 15*time.Second)
 	if report.Violations() > 0 {
 		t.Errorf("%d violations", report.Violations())
 	}
@@ -147,11 +148,12 @@
 	}
 	last := report.Roles[len(report.Roles)-1]
 	if kills != 8 || last.Commands < 4 || changing == 0 {
-		t.Errorf("%d replicas killed, at most %d engines changing, at the end %+v", kills, changing, last)
+		t.Errorf("%d replicas killed, at most %d engines changing role at once, last sample %+v", kills, changing, last)
 	}
-	// An engine that drains keeps the read states of a killed replica until it drops them by itself, after the scenario.
+	// An engine that drains holds the read states of a killed replica until it drops them by itself, which is after the
+	// scenario's end. So an engine that holds some may still be changing.
 	if orphaned := enginesHoldingStates(report.Events); last.Changing > len(orphaned) {
-		t.Errorf("at the end %d engines are changing, of which %v hold read states", last.Changing, orphaned)
+		t.Errorf("at the end %d engines are changing role, but only %v hold read states", last.Changing, orphaned)
 	}
 	dir := t.TempDir()
 	if err := report.Plot(dir); err != nil {
