--- a/cmd/brackenbend/scenario.go
+++ b/cmd/brackenbend/scenario.go
@@ -181,7 +181,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(report.Roles) == 0 {
-		return nil, fmt.Errorf("%s: no roles in this report; it has to be of a scenario with a planner",
+		return nil, fmt.Errorf("%s: the report has no roles; write it with --json in a scenario that has a planner",
 			path)
 	}
 	return report.Roles, nil
