--- a/routing/admission.go
+++ b/routing/admission.go
@@ -1,7 +1,7 @@
 package routing
 
-// minQuotaBurst is the least burst in requests that is within a tenant's quota: a small tenant's quota, divided by
-// many replicas, is far below one request per second.
+// minQuotaBurst is the least burst in requests that is within a tenant's quota: a small tenant's quota,
+// divided by many replicas, is far below one request per second.
 const minQuotaBurst = 2.0
 
 // admission holds the state that decides which requests are admitted and which are within their quota.
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// minPrefillTimeout and minFirstTokenTimeout are lower bounds of time-outs, so that a few fast attempts don't
-	// make them too short.
+	// minPrefillTimeout and minFirstTokenTimeout are lower bounds of time-outs, so that a few fast attempts
+	// don't make them too short.
 	minPrefillTimeout    = 800 * time.Millisecond
 	minFirstTokenTimeout = 1500 * time.Millisecond
 	// timeoutFactor is the time-out of an attempt as a multiple of its expected time.
 	timeoutFactor = 8.0
-	// minEarlyTimeoutFactor is the least time-out, as a multiple of the expected time, to which it is shortened so
-	// that another attempt can still meet the latency objective.
+	// minEarlyTimeoutFactor is the least time-out, as a multiple of the expected time, to which it is
+	// shortened so that another attempt can still meet the latency objective.
 	minEarlyTimeoutFactor = 4.0
 	// trialSlack is added, in seconds, to the time in which an attempt must succeed to end an ejection.
 	trialSlack = 0.5
-	// minTimeToBlameEndpoint is the time in flight from which an attempt that ends at its request's deadline counts
-	// as a failure of the endpoint.
+	// minTimeToBlameEndpoint is the time in flight from which an attempt that ends at its request's deadline
+	// counts as a failure of the endpoint.
 	minTimeToBlameEndpoint = time.Second
 	// rejectionPause is how long an endpoint is taken to have no capacity after it rejected an attempt.
 	rejectionPause = 150 * time.Millisecond
@@ -56,9 +56,10 @@
 	})
 }
 
-// timeout returns the time-out of an attempt; 0 lets it run until the deadline, if no other attempt may replace it. The
-// time-out is shortened where another attempt can then still meet the latency objective, so that a request lost at a
-// healthy endpoint is still answered in time. During overload it ends at the latency objective.
+// timeout returns the time-out of an attempt; 0 lets it run until the deadline, if no other attempt may
+// replace it. The time-out is shortened where another attempt can then still meet the latency objective, so
+// that a request lost at a healthy endpoint is still answered in time. During overload it ends at the latency
+// objective.
 func (r *Router) timeout(req *request, a *attempt) time.Duration {
 	expected := a.cost.queued * max(r.latency.prefillPace, a.backend.pace.perToken)
 	minTimeout, attemptsToFinish := minPrefillTimeout, 2
@@ -204,8 +205,8 @@
 	r.observeSuccess(b, req, event.Elapsed.Seconds() < limit)
 }
 
-// observeTimeout updates the statistics by an attempt that timed out. It is no failure of the endpoint if the request's
-// deadline came soon after the send.
+// observeTimeout updates the statistics by an attempt that timed out. It is no failure of the endpoint if the
+// request's deadline came soon after the send.
 func (r *Router) observeTimeout(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.mixed.observe(a, r.latency.usualFirstToken(a.cost.queued), event.Elapsed)
--- a/routing/congestion.go
+++ b/routing/congestion.go
@@ -12,11 +12,11 @@
 	// rejectedPrefillRatio is the prefill ratio that a rejected prefill counts as: a rejection means that the
 	// endpoint's queue is full.
 	rejectedPrefillRatio = 4.0
-	// admissionDecreaseRate is the relative decrease of the admission level per second, for each unit by which
-	// the prefill ratio exceeds the target.
+	// admissionDecreaseRate is the relative decrease of the admission level per second, for each unit by
+	// which the prefill ratio exceeds the target.
 	admissionDecreaseRate = 0.3
-	// admissionIncreaseRate is the absolute increase of the admission level per second, for each unit by which
-	// the prefill ratio is below the target.
+	// admissionIncreaseRate is the absolute increase of the admission level per second, for each unit by
+	// which the prefill ratio is below the target.
 	admissionIncreaseRate = 0.1
 	// Recovery speeds up once no prefill has reached the target for fastRecoveryDelay. The first
 	// fastRecoveryPrefills prefills after that leave the increase as it is; each further one doubles it, at
@@ -39,13 +39,13 @@
 	congestionSeed = 3
 )
 
-// congestionController sets the fraction of new requests that is rejected on arrival because prefill endpoints
-// are congested, by additive increase and multiplicative decrease (AIMD) of the admission level.
+// congestionController sets the fraction of new requests that is rejected on arrival because prefill
+// endpoints are congested, by additive increase and multiplicative decrease (AIMD) of the admission level.
 //
 // Where many replicas share the prefill endpoints, a replica stays below its own limits at each endpoint and
 // queues nothing. It notices the load of the other replicas only by its own prefill times and by rejections.
-// All replicas see the same endpoint queues, and a multiplicative decrease lowers the higher admission levels by
-// more, so the levels of all replicas converge. With a multiplicative increase they would stay apart.
+// All replicas see the same endpoint queues, and a multiplicative decrease lowers the higher admission levels
+// by more, so the levels of all replicas converge. With a multiplicative increase they would stay apart.
 type congestionController struct {
 	shedFraction    float64       // 1 - admission level at observedAt; 0 = all requests are admitted
 	observedAt      time.Duration // end of the last prefill that was observed
@@ -79,8 +79,8 @@
 	return max(c.shedFraction-idleRecoveryRate*idle, 0)
 }
 
-// tokenBudget returns the length in tokens, including promptOverhead, up to which all prompts are admitted while a
-// fraction above 0 is shed.
+// tokenBudget returns the length in tokens, including promptOverhead, up to which all prompts are admitted
+// while a fraction above 0 is shed.
 func (c *congestionController) tokenBudget(shedFraction float64) float64 {
 	return (c.uncachedLengths.mean() + promptOverhead) * (1 - shedFraction) / shedFraction
 }
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// finalAnswerMargin is the time before a request's deadline at which its final answer is sent, so that the answer
-// arrives in time.
+// finalAnswerMargin is the time before a request's deadline at which its final answer is sent, so that the
+// answer arrives in time.
 const finalAnswerMargin = 30 * time.Millisecond
 
-// dispatch sends queued requests to endpoints with capacity, in dispatch order except for at most one promoted request
-// that goes first. If capacity cannot have grown since the last dispatch, it tries only requests that are new,
-// promoted, expired or selected by recheckKey.
+// dispatch sends queued requests to endpoints with capacity, in dispatch order except for at most one
+// promoted request that goes first. If capacity cannot have grown since the last dispatch, it tries only
+// requests that are new, promoted, expired or selected by recheckKey.
 func (r *Router) dispatch() {
 	q := &r.queue
 	promoted := q.promote(r.now)
@@ -38,8 +38,8 @@
 	clear(q.selected) // lets the garbage collector free the requests
 }
 
-// selectRequests lists the requests that this dispatch tries, in order: all of them, or those that are to be tried even
-// though capacity has not changed.
+// selectRequests lists the requests that this dispatch tries, in order: all of them, or those that are to be
+// tried even though capacity has not changed.
 func (r *Router) selectRequests(all bool, promoted *request) {
 	q := &r.queue
 	q.selected = q.selected[:0]
@@ -57,8 +57,8 @@
 	}
 }
 
-// selectExpired adds the queued requests whose time is up. Their heap entries are removed, since the dispatch ends
-// these requests.
+// selectExpired adds the queued requests whose time is up. Their heap entries are removed, since the dispatch
+// ends these requests.
 func (r *Router) selectExpired() {
 	q := &r.queue
 	for class := range q.byDueTime {
@@ -73,8 +73,9 @@
 	}
 }
 
-// expired reports whether a queued request must not be tried any more: because it can't be answered by dueAt, has used
-// all its attempts, or was shed. It is then given up at once, early enough for the client to retry elsewhere.
+// expired reports whether a queued request must not be tried any more: because it can't be answered by dueAt,
+// has used all its attempts, or was shed. It is then given up at once, early enough for the client to retry
+// elsewhere.
 func (r *Router) expired(req *request) bool {
 	return r.now+max(finalAnswerMargin, r.latency.minServiceTime(req.Class)) >= req.queued.dueAt ||
 		len(req.attempts) >= r.config.MaxAttempts || req.shed
--- a/routing/lengthshares.go
+++ b/routing/lengthshares.go
@@ -11,8 +11,8 @@
 
 // lengthShares counts arrived and dispatched requests by prompt length band, so that the queue can promote
 // requests of a band that is underserved. Promotion by age alone is not enough: under lasting overload,
-// dispatching the shortest prompt first leaves the longest prompts in the queue until their latency objective,
-// and they are given up before they reach the starvation age.
+// dispatching the shortest prompt first leaves the longest prompts in the queue until their latency
+// objective, and they are given up before they reach the starvation age.
 type lengthShares struct {
 	lengths promptLengths
 	counts  [bandLongest + 1]struct{ arrived, dispatched float64 }
@@ -45,8 +45,8 @@
 	return (own.dispatched+1)*arrived < minDispatchFraction*dispatched*own.arrived
 }
 
-// mayPromote reports whether a queued request belongs to a band and may be promoted as one of it. Requests beyond
-// their tenant's quota may not.
+// mayPromote reports whether a queued request belongs to a band and may be promoted as one of it. Requests
+// beyond their tenant's quota may not.
 func (s *lengthShares) mayPromote(req *request, band lengthBand) bool {
 	return !req.queued.overQuota && s.lengths.band(req.PromptTokens) == band
 }
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -22,13 +22,15 @@
 	return r == Rejected || r == ConnectFailed || r == NotSent || r == RequestIncomplete
 }
 
-// mayHaveExecuted reports whether a decode may have been executed, with its effect, although no answer arrived.
+// mayHaveExecuted reports whether a decode may have been executed, with its effect, although no answer
+// arrived.
 func (r Result) mayHaveExecuted() bool {
 	return r == EngineError || r == TimedOut || r == ConnectionReset || r == Canceled
 }
 
-// endsSilence reports whether the result restarts the time for which the endpoint has been silent. A broken connection
-// does, since it was established before, and so does an attempt that was not sent, since it had no reply to wait for.
+// endsSilence reports whether the result restarts the time for which the endpoint has been silent. A broken
+// connection does, since it was established before, and so does an attempt that was not sent, since it had no
+// reply to wait for.
 func (r Result) endsSilence() bool {
 	return r != TimedOut && r != Canceled && r != ConnectFailed
 }
--- a/routing/promptlengths.go
+++ b/routing/promptlengths.go
@@ -46,8 +46,8 @@
 	l.sorted = slices.Insert(l.sorted, i, tokens)
 }
 
-// bandBounds returns the indices in sorted at which bandLong and bandLongest begin. Prompts of equal length are in
-// the same band.
+// bandBounds returns the indices in sorted at which bandLong and bandLongest begin. Prompts of equal length
+// are in the same band.
 func (l *promptLengths) bandBounds() (long, longest int) {
 	n := len(l.sorted)
 	if n < minRecentPrompts {
@@ -94,8 +94,8 @@
 }
 
 const (
-	// minAdmissionFraction is the least mean admission probability of a band of long prompts, as a fraction of
-	// the mean over all prompts: one half, plus a margin for a changing distribution of lengths.
+	// minAdmissionFraction is the least mean admission probability of a band of long prompts, as a fraction
+	// of the mean over all prompts: one half, plus a margin for a changing distribution of lengths.
 	minAdmissionFraction = 0.55
 	// longAdmissionExponent sets how steeply the admission probability falls with length in a band whose mean
 	// was raised to that minimum.
@@ -104,11 +104,12 @@
 	admissionSearchSteps = 12
 )
 
-// admissionProbability returns the probability with which a prompt is admitted under a token budget. Prompts up to
-// the budget are always admitted. Longer prompts are admitted with a probability inversely proportional to their
-// length, so that the expected admitted tokens are the same for each length. If that leaves the mean probability of a
-// band of long prompts below minAdmissionFraction of the mean over all prompts, the band gets a larger budget of its
-// own. Its probabilities then fall more steeply with length, since its shorter prompts cost less work.
+// admissionProbability returns the probability with which a prompt is admitted under a token budget. Prompts
+// up to the budget are always admitted. Longer prompts are admitted with a probability inversely proportional
+// to their length, so that the expected admitted tokens are the same for each length. If that leaves the mean
+// probability of a band of long prompts below minAdmissionFraction of the mean over all prompts, the band
+// gets a larger budget of its own. Its probabilities then fall more steeply with length, since its shorter
+// prompts cost less work.
 func (l *promptLengths) admissionProbability(tokens, budget float64) float64 {
 	probability := budgetProbability(tokens, budget, 1)
 	band := l.band(tokens)
@@ -118,7 +119,8 @@
 	lengths := l.inBand(band)
 	fraction := float64(len(lengths)) / float64(len(l.sorted))
 	own := meanBudgetProbability(lengths, budget, 1)
-	// The mean over all prompts includes the band: solve mean = minAdmissionFraction * (others + fraction*mean).
+	// The mean over all prompts includes the band: solve mean = minAdmissionFraction * (others +
+	// fraction*mean).
 	others := meanBudgetProbability(l.sorted, budget, 1) - fraction*own
 	required := minAdmissionFraction * others / (1 - minAdmissionFraction*fraction)
 	if own >= required {
@@ -145,7 +147,8 @@
 	return sum / float64(len(lengths))
 }
 
-// budgetProbability returns the probability with which a budget admits a prompt, before any minimum for its band.
+// budgetProbability returns the probability with which a budget admits a prompt, before any minimum for its
+// band.
 func budgetProbability(tokens, budget, exponent float64) float64 {
 	return min(math.Pow(budget/(tokens+promptOverhead), exponent), 1)
 }
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// starvationAge is the time since arrival after which a queued request may be promoted, which means dispatched
-	// out of order.
+	// starvationAge is the time since arrival after which a queued request may be promoted, which means
+	// dispatched out of order.
 	starvationAge = 2 * time.Second
-	// dispatchesPerPromotion bounds promotions to one in this many dispatches. Otherwise, after a stall that made
-	// the whole backlog starve, all long prompts would be dispatched before the short ones.
+	// dispatchesPerPromotion bounds promotions to one in this many dispatches. Otherwise, after a stall that
+	// made the whole backlog starve, all long prompts would be dispatched before the short ones.
 	dispatchesPerPromotion = 4
 )
 
 // requestQueue holds the requests that wait for capacity and have no read state at any endpoint.
 type requestQueue struct {
 	waiting        []*request // in dispatch order
-	recheck        []*request // waiting requests that the next dispatch tries even if capacity has not changed
+	recheck        []*request // waiting requests that the next dispatch tries in any case
 	selected       []*request // requests that the current dispatch tries; the slice is reused
 	byArrival      arrivalHeap
 	byDueTime      []dueHeap // by class
@@ -39,8 +39,8 @@
 	return requestQueue{byDueTime: make([]dueHeap, classes)}
 }
 
-// compareDispatch defines the dispatch order: shortest prompt first, and requests that exceed their tenant's quota
-// after all others.
+// compareDispatch defines the dispatch order: shortest prompt first, and requests that exceed their tenant's
+// quota after all others.
 func compareDispatch(a, b *request) int {
 	switch {
 	case a.queued.overQuota != b.queued.overQuota:
@@ -102,8 +102,8 @@
 	}
 }
 
-// promote returns the request that is dispatched first although it is not first in dispatch order; nil if there is
-// none or if promotion is not due. A request of an underserved length band goes before the one that
+// promote returns the request that is dispatched first although it is not first in dispatch order; nil if
+// there is none or if promotion is not due. A request of an underserved length band goes before the one that
 // arrived first, which must have reached starvationAge.
 func (q *requestQueue) promote(now time.Duration) *request {
 	if q.sincePromotion < dispatchesPerPromotion-1 || len(q.waiting) == 0 {
@@ -123,8 +123,8 @@
 	return req
 }
 
-// underserved returns the shortest queued request of an underserved length band; nil if there is none. bandLongest goes
-// before bandLong. Requests that exceed their tenant's quota are not considered.
+// underserved returns the shortest queued request of an underserved length band; nil if there is none.
+// bandLongest goes before bandLong. Requests that exceed their tenant's quota are not considered.
 func (q *requestQueue) underserved() *request {
 	for _, band := range [...]lengthBand{bandLongest, bandLong} {
 		lengths := q.shares.lengths.inBand(band)
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// requestHeap is the common part of the heaps below. The entry of a request that left the queue stays until it reaches
-// the top, and a request that is queued again has two entries.
+// requestHeap is the common part of the heaps below. The entry of a request that left the queue stays until
+// it reaches the top, and a request that is queued again has two entries.
 type requestHeap []*request
 
 func (h *requestHeap) Len() int      { return len(*h) }
--- a/routing/request.go
+++ b/routing/request.go
@@ -48,8 +48,8 @@
 	sentAt   time.Duration
 }
 
-// sendWindow returns how long a request may still be sent: until the dedup window of an attempt that may have run
-// ends, if the request is idempotent with a key. 0 means no bound.
+// sendWindow returns how long a request may still be sent: until the dedup window of an attempt that may have
+// run ends, if the request is idempotent with a key. 0 means no bound.
 func (req *request) sendWindow(now time.Duration) time.Duration {
 	if !req.execution.possible || req.class.Idempotency != IdempotentWithKey {
 		return 0
@@ -63,7 +63,8 @@
 	return req.arrivedAt + req.class.LatencyObjective + forPromptLength
 }
 
-// affinityKey returns the key by which endpoints are preferred: the shared prefix, or the session if there is none.
+// affinityKey returns the key by which endpoints are preferred: the shared prefix, or the session if there is
+// none.
 func (req *request) affinityKey() uint64 { return cmp.Or(req.Prefix, req.Session) }
 
 // triedOn reports whether an attempt of the request was sent to an endpoint.
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -11,8 +11,8 @@
 
 // retryOrGiveUp starts a further attempt after a failed one, or sends the final answer.
 func (r *Router) retryOrGiveUp(req *request, a *attempt, event Outcome) {
-	// A request whose read state is missing is prefilled again, unless the decode endpoint can prefill it and too
-	// few attempts are left for both a prefill and a decode.
+	// A request whose read state is missing is prefilled again, unless the decode endpoint can prefill it and
+	// too few attempts are left for both a prefill and a decode.
 	mustDecode := r.config.DecodeCanPrefill && len(req.attempts)+2 > r.config.MaxAttempts
 	stateKept := a.decode && req.state.backend != nil && (!event.StateMissing || mustDecode)
 	if r.stateExpired(req) && !event.Result.NeverExecuted() && event.Result != EngineError {
@@ -39,8 +39,9 @@
 	}
 }
 
-// mayRetry reports whether a request may have a further attempt, given that an earlier one may have run. A request that
-// is idempotent with a key may only be decoded again: a second prefill would use up too much of its dedup window.
+// mayRetry reports whether a request may have a further attempt, given that an earlier one may have run. A
+// request that is idempotent with a key may only be decoded again: a second prefill would use up too much of
+// its dedup window.
 func (r *Router) mayRetry(req *request, stateKept bool) bool {
 	switch {
 	case !req.execution.possible:
@@ -64,10 +65,11 @@
 	return ReasonNone
 }
 
-// finalAnswer returns the answer to a request that is given up: Reject if the client may safely retry, else Fail. A
-// client library's automatic retry of a request that is not idempotent looks the same whether it follows a rejection
-// or a lost answer, so it fails on arrival. For that reason a rejection of such a request asks the client not to retry
-// automatically. queuedAhead is the number of queued requests that a retry would find ahead of it.
+// finalAnswer returns the answer to a request that is given up: Reject if the client may safely retry, else
+// Fail. A client library's automatic retry of a request that is not idempotent looks the same whether it
+// follows a rejection or a lost answer, so it fails on arrival. For that reason a rejection of such a request
+// asks the client not to retry automatically. queuedAhead is the number of queued requests that a retry would
+// find ahead of it.
 func (r *Router) finalAnswer(req *request, queuedAhead int, reason Reason) Action {
 	if !safeToRetry(req) {
 		return Fail{Request: req.ID, Reason: reason}
@@ -96,10 +98,10 @@
 	}
 }
 
-// observeEnd passes the end of a request without a first token to the load shedder. A request that is given up counts
-// as late even if it ends early; otherwise a burst of rejections would look like answers in time. Requests delayed by
-// congested prefill endpoints are left to the congestion controller, and requests given up in the queue without an
-// attempt used no capacity.
+// observeEnd passes the end of a request without a first token to the load shedder. A request that is given
+// up counts as late even if it ends early; otherwise a burst of rejections would look like answers in time.
+// Requests delayed by congested prefill endpoints are left to the congestion controller, and requests given
+// up in the queue without an attempt used no capacity.
 func (r *Router) observeEnd(req *request, givenUp bool) {
 	queuedOnly := givenUp && len(req.attempts) == 0
 	if !req.streaming && !req.shed && !req.congested && !queuedOnly {
@@ -107,8 +109,8 @@
 	}
 }
 
-// finish ends a request; every request ends here. It emits the final answer, unless answer is nil because none is owed,
-// cancels attempts in flight and releases the read state.
+// finish ends a request; every request ends here. It emits the final answer, unless answer is nil because
+// none is owed, cancels attempts in flight and releases the read state.
 func (r *Router) finish(req *request, answer Action) {
 	req.ended = true
 	r.observeEnd(req, answer != nil)
