--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -83,7 +83,7 @@
 	f.StringVar(&e.name, "name", "engine-1", "its name")
 	f.BoolVar(&e.plain, "plain", false, "speak vLLM's convention only, not the extension")
 	f.BoolVar(&e.cold, "cold", false, "start cold")
-	f.BoolVar(&e.canChangeRoles, "shifts", false, "take commands to change role (POST "+planner.Path+")")
+	f.BoolVar(&e.canChangeRoles, "shifts", false, "take commands to change role (POST "+planner.PathRole+")")
 }
 
 func (e *fakeEngine) run(out io.Writer) error {
--- a/cmd/brackenbend/roles.go
+++ b/cmd/brackenbend/roles.go
@@ -127,7 +127,7 @@
 		found++
 		a := table.Entries[id]
 		p.printf("%s\t%v\t%s\t%d\t%s\t%s\t%s\n",
-			id, a.Role, assignmentState(a), a.Order, assignmentAge(a), allowedStages(a), a.Reason)
+			id, a.Role, assignmentState(a), a.CommandNumber, assignmentAge(a), allowedStages(a), a.Reason)
 	}
 	if found < len(only) {
 		return fmt.Errorf("%w: %s", roles.ErrUnknownEngine, only[0])
--- a/internal/fake/apiserver/assignments.go
+++ b/internal/fake/apiserver/assignments.go
@@ -111,8 +111,8 @@
 	if !assignment.Serving {
 		e.Draining = true
 	}
-	reopenedAt := time.Unix(0, int64(assignment.ReopenedAt))
-	if assignment.ReopenedAt > 0 && reopenedAt.After(e.Started) {
+	reopenedAt := time.Unix(0, int64(assignment.ServingSince))
+	if assignment.ServingSince > 0 && reopenedAt.After(e.Started) {
 		e.Started = reopenedAt
 	}
 	return e
--- a/internal/fake/engine/handlers.go
+++ b/internal/fake/engine/handlers.go
@@ -26,8 +26,8 @@
 	mux.HandleFunc("POST /v1/completions", s.serveCompletion)
 	mux.HandleFunc("POST /v1/brackenbend/release", s.serveRelease)
 	mux.HandleFunc("POST "+stateFetchPath, s.serveStateFetch)
-	mux.HandleFunc("GET "+planner.Path, s.serveRole)
-	mux.HandleFunc("POST "+planner.Path, s.serveRole)
+	mux.HandleFunc("GET "+planner.PathRole, s.serveRole)
+	mux.HandleFunc("POST "+planner.PathRole, s.serveRole)
 	mux.HandleFunc("POST /standin/faults", s.serveFaults)
 	return mux
 }
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -141,10 +141,10 @@
 	status := planner.Status{
 		StatusReport: s.role.state.StatusReport(),
 		Outstanding:  s.model.Working() + s.model.States(),
-		Read: planner.Stage{
+		Prefill: planner.StageLoad{
 			Done: work.ReadDone, Waiting: work.ReadWaiting, Lost: work.ReadLost, Count: work.Reads,
 		},
-		Write: planner.Stage{
+		Decode: planner.StageLoad{
 			Done: work.WriteDone, Waiting: work.WriteWaiting, Lost: work.WriteLost, Count: work.Writes,
 		},
 	}
--- a/internal/planner/client.go
+++ b/internal/planner/client.go
@@ -81,16 +81,16 @@
 }
 
 // LoadMemory returns what a planner last saved. ok is false, without an error, if none has.
-func (c *Client) LoadMemory(ctx context.Context) (saved Saved, ok bool, err error) {
+func (c *Client) LoadMemory(ctx context.Context) (saved SavedMemory, ok bool, err error) {
 	err = c.do(ctx, http.MethodGet, c.url(PathMemory), nil, &saved)
 	if errors.Is(err, errNotFound) {
-		return Saved{}, false, nil
+		return SavedMemory{}, false, nil
 	}
 	return saved, err == nil, err
 }
 
 // SaveMemory saves a memory for later planners.
-func (c *Client) SaveMemory(ctx context.Context, saved Saved) error {
+func (c *Client) SaveMemory(ctx context.Context, saved SavedMemory) error {
 	var stored struct{}
 	return c.do(ctx, http.MethodPut, c.url(PathMemory), saved, &stored)
 }
--- a/internal/planner/engines.go
+++ b/internal/planner/engines.go
@@ -61,7 +61,7 @@
 		}
 	}
 	forEachLimited(r.MaxConcurrentPolls, len(up), func(i int) {
-		f(up[i], "http://"+view.Listings[up[i]].Address+Path)
+		f(up[i], "http://"+view.Listings[up[i]].Address+PathRole)
 	})
 }
 
--- a/internal/planner/memory.go
+++ b/internal/planner/memory.go
@@ -42,7 +42,7 @@
 	if !ok {
 		return
 	}
-	if err := r.APIServer.SaveMemory(ctx, Saved{At: time.Now(), Memory: memory}); err != nil {
+	if err := r.APIServer.SaveMemory(ctx, SavedMemory{At: time.Now(), Memory: memory}); err != nil {
 		r.Log.Info("planner memory not saved", zap.Error(err))
 	}
 }
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -14,25 +14,26 @@
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	engines          *prometheus.GaugeVec // by role and state
-	demand           *prometheus.GaugeVec // by stage, in engines
-	wantedReaders    prometheus.Gauge
-	lookback         prometheus.Gauge
-	changeTime       prometheus.Gauge
-	untrustedReports prometheus.Gauge
-	trusted          prometheus.Gauge
-	changes          *prometheus.CounterVec // by role
-	reverts          prometheus.Counter
-	rounds           *prometheus.CounterVec // by result
+	engines              *prometheus.GaugeVec // by role and state
+	demand               *prometheus.GaugeVec // by stage, in engines
+	wantedPrefillEngines prometheus.Gauge
+	lookback             prometheus.Gauge
+	changeTime           prometheus.Gauge
+	untrustedReports     prometheus.Gauge
+	trusted              prometheus.Gauge
+	changes              *prometheus.CounterVec // by role
+	reverts              prometheus.Counter
+	rounds               *prometheus.CounterVec // by result
 }
 
 // NewMetrics returns metrics in a registry of their own.
 func NewMetrics() *Metrics {
 	m := &Metrics{
-		Registry:      prometheus.NewRegistry(),
-		engines:       newGaugeVec("engines", "Engines in the book, by role and state (serves, changing).", "role", "state"),
-		demand:        newGaugeVec("asked_engines", "Work asked for, by stage, in engines.", "stage"),
-		wantedReaders: newGauge("wanted_readers", "Readers wanted."),
+		Registry: prometheus.NewRegistry(),
+		engines: newGaugeVec("engines",
+			"Engines in the book, by role and state (serves, changing).", "role", "state"),
+		demand:               newGaugeVec("asked_engines", "Work asked for, by stage, in engines.", "stage"),
+		wantedPrefillEngines: newGauge("wanted_readers", "Readers wanted."),
 		lookback: newGauge("memory_seconds",
 			"How long the expert that leads looks back; 0 while nothing is planned."),
 		changeTime: newGauge("change_seconds", "What a change takes, as seen."),
@@ -46,7 +47,7 @@
 		rounds: newCounterVec("looks_total", "Looks at the fleet, by result (done, failed).", "result"),
 	}
 	m.Registry.MustRegister(
-		m.engines, m.demand, m.wantedReaders, m.lookback, m.changeTime, m.untrustedReports, m.trusted,
+		m.engines, m.demand, m.wantedPrefillEngines, m.lookback, m.changeTime, m.untrustedReports, m.trusted,
 		m.changes, m.reverts, m.rounds,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
@@ -67,9 +68,9 @@
 
 // observe records a round that was planned.
 func (m *Metrics) observe(plan roles.Plan, table roles.Assignments) {
-	m.demand.WithLabelValues("reading").Set(plan.Reading)
-	m.demand.WithLabelValues("writing").Set(plan.Writing)
-	m.wantedReaders.Set(float64(plan.Readers))
+	m.demand.WithLabelValues("reading").Set(plan.PrefillDemand)
+	m.demand.WithLabelValues("writing").Set(plan.DecodeDemand)
+	m.wantedPrefillEngines.Set(float64(plan.WantedPrefillEngines))
 	m.lookback.Set(plan.Lookback.Seconds())
 	m.changeTime.Set(plan.ChangeTime.Seconds())
 	m.untrustedReports.Set(float64(plan.UntrustedReports))
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -267,7 +267,7 @@
 
 	f.startChange("e1", roles.Both)
 	e1 := f.engines["e1"]
-	resp := f.post("http://"+e1.Info().Address+planner.Path, "", `{"id":"e1","order":2,"to":"both"}`)
+	resp := f.post("http://"+e1.Info().Address+planner.PathRole, "", `{"id":"e1","order":2,"to":"both"}`)
 	if resp.StatusCode != http.StatusOK {
 		t.Fatalf("the command was answered %d", resp.StatusCode)
 	}
@@ -277,7 +277,8 @@
 	}
 	before := f.api.Assignments()
 	f.restartAPIServer(file)
-	if got := f.api.Assignments(); got.Orders != before.Orders || got.Entries["e1"] != before.Entries["e1"] {
+	if got := f.api.Assignments(); got.LastCommandNumber != before.LastCommandNumber ||
+		got.Entries["e1"] != before.Entries["e1"] {
 		t.Fatalf("the API server came back with %+v, it had %+v", got, before)
 	}
 	f.runPlanner(commandsOnly)
@@ -317,7 +318,7 @@
 	if _, err := f.client.View(t.Context()); err == nil {
 		t.Error("an API server that is cut off answers")
 	}
-	if f.engines["e0"].EngineState().Order != 0 {
+	if f.engines["e0"].EngineState().CommandNumber != 0 {
 		t.Error("an engine got a command without the table")
 	}
 	f.api.SetUnreachable(false)
@@ -325,7 +326,7 @@
 }
 
 // memorySavedAfter waits for a memory that a planner saved after a time.
-func (f *fleet) memorySavedAfter(after time.Time) (saved planner.Saved) {
+func (f *fleet) memorySavedAfter(after time.Time) (saved planner.SavedMemory) {
 	f.t.Helper()
 	f.eventually("a memory is saved", func(roles.Assignments) bool {
 		var ok bool
@@ -340,11 +341,13 @@
 }
 
 // oldestWork is the age of the oldest work that a memory holds.
-func oldestWork(saved planner.Saved) time.Duration { return saved.Memory.Experts[0].History[0].Age }
+func oldestWork(saved planner.SavedMemory) time.Duration {
+	return saved.Memory.Experts[0].History[0].Age
+}
 
-// TestMemoryOutlivesPlannerAndAPIServer: a second planner continues with the memory of the first, and one that finds
-// an implausible memory starts anew.
-func TestMemoryOutlivesPlannerAndAPIServer(t *testing.T) {
+// TestMemorySurvivesPlannerAndAPIServerRestarts: a second planner continues with the memory of the first, and one that
+// finds an implausible memory starts anew.
+func TestMemorySurvivesPlannerAndAPIServerRestarts(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "book.json")
 	f := newFleet(t, roles.Prefill, roles.Decode)
 	if err := f.api.PersistAssignments(file); err != nil {
@@ -366,7 +369,7 @@
 	}
 	kill()
 
-	implausible := planner.Saved{At: time.Now(), Memory: roles.Memory{Leader: 99}}
+	implausible := planner.SavedMemory{At: time.Now(), Memory: roles.Memory{Leader: 99}}
 	if err := f.client.SaveMemory(t.Context(), implausible); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/planner/protocol.go
+++ b/internal/planner/protocol.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// Path is where engines report their status (GET) and take commands (POST).
-	Path = "/v1/brackenbend/role"
+	// PathRole is where engines report their status (GET) and take commands (POST).
+	PathRole = "/v1/brackenbend/role"
 	// PathAssignments is where the API server keeps the assignment table (GET and PUT).
 	PathAssignments = "/v1/brackenbend/roles"
 	// PathMemory is where the API server keeps what planners have learned (GET and PUT; 404 before the first PUT), so
@@ -17,14 +17,14 @@
 	PathMemory = "/v1/brackenbend/roles/memory"
 )
 
-// Saved is a planner's memory as the API server keeps it.
-type Saved struct {
+// SavedMemory is a planner's memory as the API server keeps it.
+type SavedMemory struct {
 	At     time.Time    `json:"at"`
 	Memory roles.Memory `json:"memory"`
 }
 
-// Stage is roles.Stage as engines report it: totals in seconds of the whole engine, and of requests.
-type Stage struct {
+// StageLoad is roles.Stage as engines report it: totals in seconds of the whole engine, and of requests.
+type StageLoad struct {
 	Done    float64 `json:"done"`
 	Waiting float64 `json:"waiting"`
 	Lost    float64 `json:"lost"`
@@ -32,17 +32,17 @@
 }
 
 // load is the part that the planner decides by.
-func (s Stage) load() roles.Stage {
-	return roles.Stage{Done: s.Done, Waiting: s.Waiting, Lost: s.Lost}
+func (s StageLoad) load() roles.StageLoad {
+	return roles.StageLoad{Done: s.Done, Waiting: s.Waiting, Lost: s.Lost}
 }
 
 // Status is an engine's answer to a poll.
 type Status struct {
 	roles.StatusReport
 
-	Outstanding int   `json:"held"` // outstanding requests and read states
-	Read        Stage `json:"read"`
-	Write       Stage `json:"write"`
+	Outstanding int       `json:"held"` // outstanding requests and read states
+	Prefill     StageLoad `json:"read"`
+	Decode      StageLoad `json:"write"`
 }
 
 // Listing is one engine as the API server lists it, beside its assignment.
--- a/internal/planner/recorded_test.go
+++ b/internal/planner/recorded_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-const storedBook = `{"version":7,"orders":4,"entries":{` +
+const storedTable = `{"version":7,"orders":4,"entries":{` +
 	`"e0":{"role":"reader","to":"reader","open":true,"reads":true,"writes":true},` +
 	`"e1":{"role":"writer","order":4,"to":"reader","open":false,"changed":5,"began":6,` +
 	`"reads":true,"writes":true,"why":"w"},` +
@@ -155,11 +155,11 @@
 		`"e0":{"role":"reader","to":"reader","open":true`, `"e0":{"role":"reader","order":5,"to":"writer","open":false`,
 		`"e1":{"role":"writer","order":4,"to":"reader","open":false`,
 		`"e1":{"role":"reader","order":4,"to":"reader","open":true`,
-	).Replace(storedBook)
+	).Replace(storedTable)
 	view := fmt.Sprintf(`{"book":%s,"listings":{`+
 		`"e0":{"address":%q,"place":"z/c","up":true},"e1":{"address":%q,"up":true},`+
 		`"e2":{"address":%q,"up":true},"e3":{"address":"127.0.0.1:1","up":false}}}`,
-		storedBook, e0.address(), e1.address(), e2.address())
+		storedTable, e0.address(), e1.address(), e2.address())
 	api := newRecordingServer(t, map[string]string{
 		"GET /v1/brackenbend/roles": view, "PUT /v1/brackenbend/roles": stored,
 	})
@@ -181,13 +181,13 @@
 }
 
 // recordedMemory is the memory that saved.json holds.
-func recordedMemory() planner.Saved {
-	return planner.Saved{At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC), Memory: roles.Memory{
-		Leader: 1, ChangeCost: 2.5, LastSplit: [2]int{3, 4},
-		Cooldowns: []roles.CooldownMemory{{ID: "e0", Remaining: time.Second, Pause: time.Minute}},
+func recordedMemory() planner.SavedMemory {
+	return planner.SavedMemory{At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC), Memory: roles.Memory{
+		Leader: 1, ChangeSeconds: 2.5, LastSplit: [2]int{3, 4},
+		Cooldowns: []roles.CooldownMemory{{ID: "e0", Remaining: time.Second, Duration: time.Minute}},
 		Experts: []roles.ExpertMemory{{
-			Lookback: time.Minute, Loss: 0.25, Readers: 1, Writers: 2,
-			History: []roles.WorkMemory{{Age: 3, Reading: 0.5, Writing: 1e-9, Seconds: 1}},
+			Lookback: time.Minute, Loss: 0.25, PrefillEngines: 1, DecodeEngines: 2,
+			History: []roles.WorkMemory{{Age: 3, Prefill: 0.5, Decode: 1e-9, Seconds: 1}},
 		}},
 	}}
 }
@@ -205,8 +205,8 @@
 		t.Fatal(err)
 	}
 	api := newRecordingServer(t, map[string]string{
-		"GET /v1/brackenbend/roles":        `{"book":` + storedBook + `,"listings":{}}`,
-		"PUT /v1/brackenbend/roles":        storedBook,
+		"GET /v1/brackenbend/roles":        `{"book":` + storedTable + `,"listings":{}}`,
+		"PUT /v1/brackenbend/roles":        storedTable,
 		"GET /v1/brackenbend/roles/memory": string(stored),
 		"PUT /v1/brackenbend/roles/memory": "{}",
 	})
@@ -229,8 +229,8 @@
 func TestRecordedMetrics(t *testing.T) {
 	metrics := planner.NewMetrics()
 	api := newRecordingServer(t, map[string]string{
-		"GET /v1/brackenbend/roles": `{"book":` + storedBook + `,"listings":{}}`,
-		"PUT /v1/brackenbend/roles": storedBook,
+		"GET /v1/brackenbend/roles": `{"book":` + storedTable + `,"listings":{}}`,
+		"PUT /v1/brackenbend/roles": storedTable,
 	})
 	stop := start(t, &planner.Runner{
 		APIServer: planner.Client{URL: api.url(), HTTP: newHTTPClient(t)},
@@ -239,8 +239,8 @@
 		Metrics:   metrics,
 		Policy: &onePlan{roles.Plan{
 			Changes: []roles.Change{{ID: "e0", Target: roles.Decode}},
-			Reverts: []string{"e1"}, Trusted: true, Readers: 3, Reading: 1.5, Writing: 2.5, Lookback: time.Minute,
-			ChangeTime: 2 * time.Second, UntrustedReports: 4,
+			Reverts: []string{"e1"}, Trusted: true, WantedPrefillEngines: 3, PrefillDemand: 1.5, DecodeDemand: 2.5,
+			Lookback: time.Minute, ChangeTime: 2 * time.Second, UntrustedReports: 4,
 		}},
 	})
 	for key := ""; key != "PUT /v1/brackenbend/roles"; {
--- a/internal/planner/replicareports_test.go
+++ b/internal/planner/replicareports_test.go
@@ -27,9 +27,9 @@
 	return roles.Plan{}
 }
 
-// TestReplicaReportsAreNotOfTheFuture: the clock of a round was read before the replicas were polled, so their reports
+// TestReplicaReportsAreNotInTheFuture: the clock of a round was read before the replicas were polled, so their reports
 // lay some milliseconds in the round's future, and the planner takes no report of the future: lost work never counted.
-func TestReplicaReportsAreNotOfTheFuture(t *testing.T) {
+func TestReplicaReportsAreNotInTheFuture(t *testing.T) {
 	const pollTime = 20 * time.Millisecond
 	replica := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(pollTime) }))
 	defer replica.Close()
--- a/internal/planner/replicas.go
+++ b/internal/planner/replicas.go
@@ -21,49 +21,49 @@
 // LostCounts are a replica's totals of lost requests, by the stage that they were lost at.
 type LostCounts struct{ Prefill, Decode float64 }
 
-// LostWork turns replicas' counts of lost requests into work, by the mean cost of a request.
-type LostWork struct {
-	counts map[string]LostCounts // by replica, as last read
-	totals map[string]*roles.Report
+// LostWorkEstimator turns replicas' counts of lost requests into work, by the mean cost of a request.
+type LostWorkEstimator struct {
+	counts  map[string]LostCounts // by replica, as last read
+	reports map[string]*roles.Report
 }
 
-// NewLostWork returns a LostWork with no counts.
-func NewLostWork() LostWork {
-	return LostWork{counts: map[string]LostCounts{}, totals: map[string]*roles.Report{}}
+// NewLostWorkEstimator returns a LostWork with no counts.
+func NewLostWorkEstimator() LostWorkEstimator {
+	return LostWorkEstimator{counts: map[string]LostCounts{}, reports: map[string]*roles.Report{}}
 }
 
 // MeanCosts is what a request takes of each stage, in engine seconds, on the mean over the lifetimes of all engines
 // that answered.
-func MeanCosts(statuses map[string]Status) (prefill, decode float64) {
-	var read, write Stage
+func MeanCosts(statuses map[string]Status) (prefillCost, decodeCost float64) {
+	var prefill, decode StageLoad
 	for _, id := range slices.Sorted(maps.Keys(statuses)) { // sorted, so that rounding is the same every time
 		status := statuses[id]
-		read.Done, read.Count = read.Done+status.Read.Done, read.Count+status.Read.Count
-		write.Done, write.Count = write.Done+status.Write.Done, write.Count+status.Write.Count
+		prefill.Done, prefill.Count = prefill.Done+status.Prefill.Done, prefill.Count+status.Prefill.Count
+		decode.Done, decode.Count = decode.Done+status.Decode.Done, decode.Count+status.Decode.Count
 	}
-	return read.Done / max(read.Count, 1), write.Done / max(write.Count, 1)
+	return prefill.Done / max(prefill.Count, 1), decode.Done / max(decode.Count, 1)
 }
 
-// Add takes a replica's counts at now and the mean costs of a request, and returns the replica's report. A request
+// Update takes a replica's counts at now and the mean costs of a request, and returns the replica's report. A request
 // lost before its prefill would have had to be decoded too.
-func (l *LostWork) Add(
+func (l *LostWorkEstimator) Update(
 	replica string, counts LostCounts, now time.Duration, prefillCost, decodeCost float64,
 ) *roles.Report {
 	previous, known := l.counts[replica]
 	l.counts[replica] = counts
-	report := l.totals[replica]
+	report := l.reports[replica]
 	if report == nil {
 		report = &roles.Report{}
-		l.totals[replica] = report
+		l.reports[replica] = report
 	}
 	report.At = now
 	restarted := counts.Prefill < previous.Prefill || counts.Decode < previous.Decode
 	if !known || restarted {
 		return report
 	}
-	beforePrefill, beforeDecode := counts.Prefill-previous.Prefill, counts.Decode-previous.Decode
-	report.Read.Lost += beforePrefill * prefillCost
-	report.Write.Lost += (beforePrefill + beforeDecode) * decodeCost
+	lostPrefills, lostDecodes := counts.Prefill-previous.Prefill, counts.Decode-previous.Decode
+	report.Prefill.Lost += lostPrefills * prefillCost
+	report.Decode.Lost += (lostPrefills + lostDecodes) * decodeCost
 	return report
 }
 
@@ -86,7 +86,7 @@
 		if answers[i] == nil {
 			continue
 		}
-		report := *r.lost.Add(address, *answers[i], r.now(), prefillCost, decodeCost)
+		report := *r.lost.Update(address, *answers[i], r.now(), prefillCost, decodeCost)
 		replicas = append(replicas, roles.Replica{ID: address, Report: &report})
 	}
 	return replicas
--- a/internal/planner/replicas_test.go
+++ b/internal/planner/replicas_test.go
@@ -41,26 +41,26 @@
 		Interval:           10 * time.Second,
 		MaxConcurrentPolls: 2,
 		Log:                zap.NewNop(),
-		lost:               NewLostWork(),
+		lost:               NewLostWorkEstimator(),
 		startedAt:          time.Now(),
 		statuses: map[string]Status{
-			"prefill": {Read: Stage{Done: 10, Count: 100}},
-			"decode":  {Write: Stage{Done: 40, Count: 80}},
+			"prefill": {Prefill: StageLoad{Done: 10, Count: 100}},
+			"decode":  {Decode: StageLoad{Done: 40, Count: 80}},
 		},
 	}
 	first := r.pollReplicas(t.Context())
-	if len(first) != 1 || first[0].Report.Read.Lost != 0 {
+	if len(first) != 1 || first[0].Report.Prefill.Lost != 0 {
 		t.Fatalf("%+v", first)
 	}
 	metrics.LostRequests.WithLabelValues("read").Add(20)
 	metrics.LostRequests.WithLabelValues("write").Add(4)
 	second := r.pollReplicas(t.Context())
-	if len(second) != 1 || second[0].Report.Read.Lost != 2 || second[0].Report.Write.Lost != 12 {
+	if len(second) != 1 || second[0].Report.Prefill.Lost != 2 || second[0].Report.Decode.Lost != 12 {
 		t.Errorf("%+v", second[0].Report)
 	}
 	// A replica that restarts begins at zero, and its totals do not decrease.
-	restarted := r.lost.Add(r.Replicas[0], LostCounts{Prefill: 1}, 0, 1, 1)
-	if restarted.Read.Lost != 2 || restarted.Write.Lost != 12 {
+	restarted := r.lost.Update(r.Replicas[0], LostCounts{Prefill: 1}, 0, 1, 1)
+	if restarted.Prefill.Lost != 2 || restarted.Decode.Lost != 12 {
 		t.Errorf("%+v", restarted)
 	}
 }
--- a/internal/planner/runner.go
+++ b/internal/planner/runner.go
@@ -53,7 +53,7 @@
 	startedAt time.Time
 	cells     map[string]int    // numbers of localities, for roles.Engine.Cell
 	statuses  map[string]Status // of the engines that answered the last poll
-	lost      LostWork
+	lost      LostWorkEstimator
 	memory    memoryState
 }
 
@@ -97,7 +97,7 @@
 	if r.Metrics == nil {
 		r.Metrics = NewMetrics()
 	}
-	r.startedAt, r.cells, r.lost = time.Now(), map[string]int{}, NewLostWork()
+	r.startedAt, r.cells, r.lost = time.Now(), map[string]int{}, NewLostWorkEstimator()
 	return nil
 }
 
@@ -191,7 +191,7 @@
 		}
 		if status, ok := statuses[id]; ok && listing.Up {
 			e.Outstanding = status.Outstanding
-			e.Report = &roles.Report{At: polledAt, Read: status.Read.load(), Write: status.Write.load()}
+			e.Report = &roles.Report{At: polledAt, Prefill: status.Prefill.load(), Decode: status.Decode.load()}
 		}
 		engines = append(engines, e)
 	}
--- a/internal/scenariorun/planners.go
+++ b/internal/scenariorun/planners.go
@@ -135,9 +135,9 @@
 		DecodeEngines:  serving[roles.Decode],
 		MixedEngines:   serving[roles.Both],
 		Changing:       changing,
-		Commands:       assignments.Orders,
-		PrefillDemand:  plan.Reading,
-		DecodeDemand:   plan.Writing,
+		Commands:       assignments.LastCommandNumber,
+		PrefillDemand:  plan.PrefillDemand,
+		DecodeDemand:   plan.DecodeDemand,
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/simulation/fleet/apiserver.go
+++ b/internal/simulation/fleet/apiserver.go
@@ -153,8 +153,8 @@
 		if listed.state == routing.EndpointReady && !assigned.Serving {
 			listed.state = routing.EndpointDraining
 		}
-		if assigned.ReopenedAt > 0 {
-			listed.started = max(listed.started, assigned.ReopenedAt-epoch)
+		if assigned.ServingSince > 0 {
+			listed.started = max(listed.started, assigned.ServingSince-epoch)
 		}
 	}
 	return listed
--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -136,8 +136,10 @@
 	work := e.model.Work()
 	status := planner.Status{
 		StatusReport: e.role.state.StatusReport(), Outstanding: e.model.Working() + e.model.States(),
-		Read:  planner.Stage{Done: work.ReadDone, Waiting: work.ReadWaiting, Lost: work.ReadLost, Count: work.Reads},
-		Write: planner.Stage{Done: work.WriteDone, Waiting: work.WriteWaiting, Lost: work.WriteLost, Count: work.Writes},
+		Prefill: planner.StageLoad{Done: work.ReadDone, Waiting: work.ReadWaiting, Lost: work.ReadLost, Count: work.Reads},
+		Decode: planner.StageLoad{
+			Done: work.WriteDone, Waiting: work.WriteWaiting, Lost: work.WriteLost, Count: work.Writes,
+		},
 	}
 	status.Serving = status.Serving && !e.role.switching
 	e.send(to, connectHops*e.fleet.hop(e.rnd), statusReply{e.name, status})
--- a/internal/simulation/fleet/planner.go
+++ b/internal/simulation/fleet/planner.go
@@ -111,7 +111,7 @@
 
 	process  processState
 	planner  *roles.Planner
-	lostWork planner.LostWork
+	lostWork planner.LostWorkEstimator
 	places   map[string]int
 	savedAt  time.Duration // when its memory was saved
 	recalled bool          // the memory of the process before
@@ -136,7 +136,7 @@
 	}
 	p.process.run++
 	p.process.up, p.recalled, p.savedAt = true, false, p.now()
-	p.places, p.lostWork = map[string]int{}, planner.NewLostWork()
+	p.places, p.lostWork = map[string]int{}, planner.NewLostWorkEstimator()
 	p.schedule(time.Duration(p.rnd.Float64()*float64(p.interval())), plannerPoll{p.process.run})
 	return nil
 }
@@ -251,7 +251,7 @@
 	var replicas []roles.Replica
 	for _, name := range slices.Sorted(maps.Keys(p.lost)) {
 		counts := planner.LostCounts{Prefill: p.lost[name][0], Decode: p.lost[name][1]}
-		report := *p.lostWork.Add(name, counts, now, read, write)
+		report := *p.lostWork.Update(name, counts, now, read, write)
 		replicas = append(replicas, roles.Replica{ID: name, Report: &report})
 	}
 	return replicas
@@ -273,7 +273,8 @@
 func (p *plannerProcess) sample(plan roles.Plan, assignments roles.Assignments) {
 	serving, changing := assignments.CountServing()
 	p.samples = append(p.samples, RoleSample{
-		At: p.now(), PrefillDemand: plan.Reading, DecodeDemand: plan.Writing, Commands: assignments.Orders,
-		Prefill: serving[roles.Prefill], Decode: serving[roles.Decode], Changing: changing,
+		At: p.now(), PrefillDemand: plan.PrefillDemand, DecodeDemand: plan.DecodeDemand,
+		Commands: assignments.LastCommandNumber,
+		Prefill:  serving[roles.Prefill], Decode: serving[roles.Decode], Changing: changing,
 	})
 }
--- a/internal/simulation/rolesim/planning.go
+++ b/internal/simulation/rolesim/planning.go
@@ -62,11 +62,13 @@
 	engines := make([]roles.Engine, 0, len(x.engines))
 	for _, e := range x.engines {
 		x.updateTotals(e)
-		report := roles.Report{At: now, Read: roles.Stage{Done: e.prefillDone}, Write: roles.Stage{Done: e.decodeDone}}
+		report := roles.Report{
+			At: now, Prefill: roles.StageLoad{Done: e.prefillDone}, Decode: roles.StageLoad{Done: e.decodeDone},
+		}
 		if e.isPrefill() {
-			report.Read.Waiting = prefillWait
+			report.Prefill.Waiting = prefillWait
 		} else if e.state == up {
-			report.Write.Waiting = decodeWait
+			report.Decode.Waiting = decodeWait
 		}
 		e.reports = append(e.reports, report)
 		engines = append(engines, x.view(e))
@@ -98,7 +100,7 @@
 		return nil
 	}
 	report := &roles.Report{
-		At: now, Read: roles.Stage{Lost: x.result.LostPrefill}, Write: roles.Stage{Lost: x.result.LostDecode},
+		At: now, Prefill: roles.StageLoad{Lost: x.result.LostPrefill}, Decode: roles.StageLoad{Lost: x.result.LostDecode},
 	}
 	return []roles.Replica{{ID: "f", Report: report}}
 }
--- a/roles/assignments.go
+++ b/roles/assignments.go
@@ -10,56 +10,56 @@
 
 // Assignment is the entry of one engine in the assignment table.
 type Assignment struct {
-	// Role is the role that the engine is listed in, and Target the one that its newest command asks for. They are
+	// Role is the role that the engine is listed in, and Target the role that its newest command asks for. They are
 	// equal once the command is confirmed.
 	Role Role `json:"role"`
-	// Order is the number of the newest command; it only grows.
-	Order  uint64 `json:"order,omitempty"`
-	Target Role   `json:"to"`
-	// Serving means that the engine is listed as ready. A command ends it until it is confirmed, unless it only adds a
-	// stage.
+	// CommandNumber is the number of the newest command to the engine. It only grows.
+	CommandNumber uint64 `json:"order,omitempty"`
+	Target        Role   `json:"to"`
+	// Serving means that the engine is listed as ready. A command clears it until the command is confirmed, unless the
+	// command only adds a stage.
 	Serving bool `json:"open"`
-	// ChangedAt is when a change was last confirmed or reverted, by the writer's wall clock.
+	// ChangedAt is when a command, also one that reverts a change, was last confirmed, by the writing planner's wall
+	// clock.
 	ChangedAt time.Duration `json:"changed,omitempty"`
-	// ReopenedAt is when the engine last served again after it did not: its slow start begins then.
-	ReopenedAt time.Duration `json:"began,omitempty"`
-	// Pinned means that an operator keeps the engine in its role.
+	// ServingSince is when the engine last became ready after a command. Its slow start begins then.
+	ServingSince time.Duration `json:"began,omitempty"`
+	// Pinned means that an operator has fixed the engine's role.
 	Pinned     bool `json:"pinned,omitempty"`
 	CanPrefill bool `json:"reads,omitempty"`
 	CanDecode  bool `json:"writes,omitempty"`
-	// Reason is the newest command's reason.
+	// Reason says, for operators, why the newest command was given.
 	Reason string `json:"why,omitempty"`
 }
 
-// pending reports whether the newest command is not confirmed yet.
+// pending reports whether the newest command still waits for its confirmation.
 func (e Assignment) pending() bool { return !e.Serving || e.Target != e.Role }
 
-// allows reports whether the engine may be commanded to a role.
+// allows reports whether the engine may be given a role.
 func (e Assignment) allows(role Role) bool {
 	return !e.Pinned && (e.CanPrefill || !role.Prefills()) && (e.CanDecode || !role.Decodes())
 }
 
-// Assignments is the table of all engines' roles, stored by the API server. Treat it as a value: its methods return a
-// changed copy.
+// Assignments is the assignment table: the roles of all engines, stored by the API server. Its methods return a changed
+// copy and leave the receiver as it is.
 type Assignments struct {
-	Version uint64                `json:"version"`
-	Orders  uint64                `json:"orders"` // commands so far; their numbers are never used twice
-	Entries map[string]Assignment `json:"entries"`
+	Version           uint64                `json:"version"`
+	LastCommandNumber uint64                `json:"orders"` // of any command; numbers are never used twice
+	Entries           map[string]Assignment `json:"entries"`
 }
 
-// The reasons for which a change of the table is refused. The text of ErrConflict is transmitted by the API server
-// and must not change.
+// Errors of changes to the table. The API server transmits the text of ErrConflict, which must not change.
 var (
 	ErrConflict       = errors.New("roles: the book has been written since it was read; read it again")
-	ErrUnknownEngine  = errors.New("roles: no such engine in the assignments")
-	ErrChangePending  = errors.New("roles: a command to this engine is not confirmed yet")
-	ErrRoleNotAllowed = errors.New("roles: the engine can't take that role, or is pinned")
-	ErrLastOfStage    = errors.New("roles: the stage would be left without an engine")
-	ErrSameRole       = errors.New("roles: it has that role")
+	ErrUnknownEngine  = errors.New("roles: engine is not in the assignment table")
+	ErrChangePending  = errors.New("roles: an earlier command to the engine is not confirmed yet")
+	ErrRoleNotAllowed = errors.New("roles: engine is pinned or may not take the role")
+	ErrLastOfStage    = errors.New("roles: change would leave a stage without an engine")
+	ErrSameRole       = errors.New("roles: engine has the role already")
 )
 
-// Write is the API server's part: a is the stored table, and next a table made from the version that it names. It
-// returns next with the following version, or ErrConflict if the stored version is another.
+// Write is how the API server replaces the stored table a by next, which was made from the version that it names. Write
+// returns next with the version incremented, or ErrConflict if a has another version.
 func (a Assignments) Write(next Assignments) (Assignments, error) {
 	if next.Version != a.Version {
 		return a, fmt.Errorf("%w (from version %d, now %d)", ErrConflict, next.Version, a.Version)
@@ -68,10 +68,10 @@
 	return next, nil
 }
 
-// Names are the engines of the table, sorted.
+// Names returns the names of the engines in the table, sorted.
 func (a Assignments) Names() []string { return slices.Sorted(maps.Keys(a.Entries)) }
 
-// CountServing counts the engines that serve, by role, and those that do not serve because they are changing.
+// CountServing counts the engines that are serving, by role, and those that are not because they are changing.
 func (a Assignments) CountServing() (serving [3]int, changing int) {
 	for _, e := range a.Entries {
 		if e.Serving {
@@ -83,8 +83,8 @@
 	return serving, changing
 }
 
-// Edit changes what operators set of an engine's entry: Pinned, CanPrefill and CanDecode. A pending command goes on;
-// revert it or start another.
+// Edit changes the fields of an engine's entry that operators set: Pinned, CanPrefill and CanDecode. A pending command
+// stays in force until it is confirmed or reverted.
 func (a Assignments) Edit(id string, edit func(*Assignment)) (Assignments, error) {
 	e, ok := a.Entries[id]
 	if !ok {
@@ -93,20 +93,20 @@
 	edited := e
 	edit(&edited)
 	e.Pinned, e.CanPrefill, e.CanDecode = edited.Pinned, edited.CanPrefill, edited.CanDecode
-	return a.with(id, e), nil
+	return a.withEntry(id, e), nil
 }
 
-// with returns a copy in which one entry is replaced.
-func (a Assignments) with(id string, e Assignment) Assignments {
+// withEntry returns a copy of the table in which one entry is replaced.
+func (a Assignments) withEntry(id string, e Assignment) Assignments {
 	a.Entries = maps.Clone(a.Entries)
 	a.Entries[id] = e
 	return a
 }
 
-// stageCoverage says which stages have an engine whose target includes them.
+// stageCoverage holds which stages have at least one engine whose target role includes them.
 type stageCoverage struct{ prefill, decode bool }
 
-// loses reports whether a stage that c covers is not covered by next.
+// loses reports whether next leaves a stage uncovered that c covers.
 func (c stageCoverage) loses(next stageCoverage) bool {
 	return c.prefill && !next.prefill || c.decode && !next.decode
 }
--- a/roles/assignments_test.go
+++ b/roles/assignments_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// flexibleAssignment is an engine that serves in a role and may be given any other.
+// flexibleAssignment returns the entry of an engine that serves a role and may be given any other.
 func flexibleAssignment(role Role) Assignment {
 	return Assignment{Role: role, Target: role, Serving: true, CanPrefill: true, CanDecode: true}
 }
 
-// mixedTable has an engine of each kind: flexible, pinned, and able to do one stage only.
+// mixedTable returns a table with a flexible engine, a pinned one, and two that can serve one stage only.
 func mixedTable() Assignments {
 	pinned := flexibleAssignment(Prefill)
 	pinned.Pinned = true
@@ -23,10 +23,10 @@
 	}}
 }
 
-// startFlexible starts a change of the engine "flexible".
+// startFlexible starts a change of the engine "flexible" in mixedTable.
 func startFlexible(t *testing.T, table Assignments, to Role) Assignments {
 	t.Helper()
-	next, err := table.Start("flexible", to, "why")
+	next, err := table.Start("flexible", to, "test")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,10 +53,10 @@
 	}
 	pending := startFlexible(t, table, Decode)
 	if _, err := pending.Start("flexible", Both, ""); !errors.Is(err, ErrChangePending) {
-		t.Errorf("a second command: %v, want %v", err, ErrChangePending)
+		t.Errorf("second command to a changing engine: %v, want %v", err, ErrChangePending)
 	}
 	if _, err := table.Revert("flexible", ""); !errors.Is(err, ErrSameRole) {
-		t.Errorf("a revert of nothing: %v, want %v", err, ErrSameRole)
+		t.Errorf("revert without a pending change: %v, want %v", err, ErrSameRole)
 	}
 }
 
@@ -64,11 +64,11 @@
 	table := mixedTable()
 	startFlexible(t, table, Decode)
 	if got := table.Entries["flexible"].Target; got != Prefill {
-		t.Errorf("the table that was read has target %v now", got)
+		t.Errorf("Start changed the target in its receiver to %v", got)
 	}
 }
 
-// TestAddingAStageKeepsServing: an engine that becomes Both goes on serving its old role meanwhile.
+// TestAddingAStageKeepsServing checks that an engine that changes to Both goes on serving its old role meanwhile.
 func TestAddingAStageKeepsServing(t *testing.T) {
 	next := startFlexible(t, mixedTable(), Both)
 	if e := next.Entries["flexible"]; !e.Serving || e.Role != Prefill || len(next.PendingCommands()) != 1 {
@@ -81,17 +81,18 @@
 	}
 }
 
-// TestRevertIsConfirmedByItsOwnReportOnly: a report of the reverted command changes nothing.
+// TestRevertIsConfirmedByItsOwnReportOnly checks that a late report of the reverted command changes nothing.
 func TestRevertIsConfirmedByItsOwnReportOnly(t *testing.T) {
 	pending := startFlexible(t, mixedTable(), Decode)
 	reverted, err := pending.Revert("flexible", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, changed := reverted.ApplyStatus("flexible", StatusReport{Order: 1, Role: Decode, Serving: true}, 0); changed {
-		t.Error("the report of a reverted command confirmed it")
+	if _, changed := reverted.ApplyStatus("flexible",
+		StatusReport{CommandNumber: 1, Role: Decode, Serving: true}, 0); changed {
+		t.Error("a report of the reverted command changed the table")
 	}
-	report := StatusReport{Order: 2, Role: Prefill, Serving: true}
+	report := StatusReport{CommandNumber: 2, Role: Prefill, Serving: true}
 	confirmed, changed := reverted.ApplyStatus("flexible", report, time.Second)
 	e := confirmed.Entries["flexible"]
 	if !changed || !e.Serving || e.Role != Prefill || e.ChangedAt != time.Second {
@@ -99,8 +100,9 @@
 	}
 }
 
-// TestApplyPlanAppliesWhatIsAllowed: changes are applied one by one; a refused one is returned and changes nothing.
-func TestApplyPlanAppliesWhatIsAllowed(t *testing.T) {
+// TestApplyPlanAppliesAllowedChanges checks that changes are applied one by one, and that a refused change is returned
+// with its error and leaves the table as it is.
+func TestApplyPlanAppliesAllowedChanges(t *testing.T) {
 	table := Assignments{Entries: map[string]Assignment{
 		"a": flexibleAssignment(Prefill), "b": flexibleAssignment(Prefill), "c": flexibleAssignment(Decode),
 	}}
@@ -118,12 +120,12 @@
 	}
 	serving, changing := next.CountServing()
 	if changing != 2 || serving != [3]int{1, 0, 0} || len(table.PendingCommands()) != 0 {
-		t.Errorf("%v serving, %d changing, %d commands in the old table", serving, changing, len(table.PendingCommands()))
+		t.Errorf("%v serving, %d changing, %d commands in the receiver", serving, changing, len(table.PendingCommands()))
 	}
 	if n, err := next.SwitchStage("b", "test"); err != nil || n.Entries["b"].Target != Decode {
 		t.Errorf("%+v %v", n.Entries["b"], err)
 	}
 	if _, err := table.SwitchStage("c", "test"); !errors.Is(err, ErrLastOfStage) {
-		t.Errorf("the last decode engine was switched: %v", err)
+		t.Errorf("switching the last decode engine: %v", err)
 	}
 }
--- a/roles/changes.go
+++ b/roles/changes.go
@@ -6,29 +6,30 @@
 )
 
 const (
-	// changeTimeWeight is the weight of the newest change's time in the moving average.
+	// changeTimeWeight is the weight of the newest change in the moving average of the duration of changes.
 	changeTimeWeight = 0.2
 
-	// idleGracePeriod is how long after its change an engine may do nothing of its new stage, if MinDwell is not
-	// longer: time for the new role to be listed and for requests to arrive.
+	// idleGracePeriod is how long after its change an engine may be idle in its new stage, unless MinDwell is longer. The
+	// new role has to be listed and requests have to arrive.
 	idleGracePeriod = 20 * time.Second
-	// idleCheckPeriods is how long an engine is checked, in grace periods after its change. What is idle later has
-	// other causes than a change that did not happen.
+	// idleCheckPeriods is how long an engine is checked after its change, in grace periods. An engine that becomes idle
+	// later has another reason than a change that had no effect.
 	idleCheckPeriods = 3
-	// idleShare is the share of its peers' mean demand below which an engine counts as idle.
-	idleShare = 0.05
-	// minPeerDemand is the mean demand, in engines, from which peers are busy enough to compare with.
+	// idleFraction is the fraction of its peers' mean demand below which an engine counts as idle.
+	idleFraction = 0.05
+	// minPeerDemand is the mean demand, in engines, above which an engine's peers are busy enough to compare it with.
 	minPeerDemand = 0.15
 )
 
-// pendingChange is a change under way, as the planner last saw it.
+// pendingChange is a change that the engine has not confirmed, as the planner last saw it.
 type pendingChange struct {
 	target   Role
 	since    time.Duration
 	reverted bool // commanded back to the old role
 }
 
-// planChanges turns the wanted number of prefill engines into changes of engines, within the configured rate.
+// planChanges plans changes towards the wanted number of prefill engines, within the limit of concurrent changes.
+// Overdue changes, empty stages, ineffective changes and engines that do both come first.
 func (p *Planner) planChanges(f *fleet, plan *Plan) {
 	p.revertOverdue(f, plan)
 	if p.coverEmptyStage(f, plan) {
@@ -36,13 +37,13 @@
 	}
 	maxConcurrent := p.maxConcurrent(f)
 	if f.changing < maxConcurrent {
-		p.returnIdle(f, plan)
+		p.undoIneffectiveChange(f, plan)
 	}
 	p.specialize(f, plan)
 	if len(plan.Changes) > 0 || !f.trusted {
 		return
 	}
-	from, to, count := Decode, Prefill, plan.Readers-f.readers
+	from, to, count := Decode, Prefill, plan.WantedPrefillEngines-f.prefillEngines
 	if count < 0 {
 		from, to, count = Prefill, Decode, -count
 	}
@@ -74,7 +75,8 @@
 	e.Target = e.Role
 }
 
-// trackChange follows an engine's pending change until it has ended, and learns the time that it took.
+// trackChange updates the record of an engine's pending change. When the change has ended, its duration enters the
+// moving average.
 func (p *Planner) trackChange(e *Engine) {
 	change := p.pending[e.ID]
 	switch {
@@ -92,7 +94,7 @@
 	}
 }
 
-// revertOverdue reverts changes that take too long and starts the engines' cooldowns.
+// revertOverdue reverts the changes that exceed ChangeTimeout and starts the engines' cooldowns.
 func (p *Planner) revertOverdue(f *fleet, plan *Plan) {
 	for i := range f.engines {
 		e := &f.engines[i]
@@ -105,8 +107,8 @@
 	}
 }
 
-// revertOpposing reverts pending changes away from the role that is wanted now, limit at most, rather than changing
-// other engines. It returns how many.
+// revertOpposing reverts pending changes away from the role that is wanted now, limit at most, so that fewer other
+// engines have to change. It returns how many it reverted.
 func (p *Planner) revertOpposing(f *fleet, plan *Plan, wanted Role, limit int) (reverted int) {
 	for i := range f.engines {
 		e := &f.engines[i]
@@ -120,17 +122,17 @@
 	return reverted
 }
 
-// coverEmptyStage keeps at least one engine in each stage: where a stage has none, one that can do it changes now,
-// whatever the demand and the dwell time. The last engine of the other stage does both.
+// coverEmptyStage starts a change at once if a stage has no engine, whatever the demand and the dwell times. If the
+// other stage has only one engine, that engine takes both roles. It reports whether it started a change.
 func (p *Planner) coverEmptyStage(f *fleet, plan *Plan) bool {
-	if f.both > 0 || f.readers > 0 && f.writers > 0 {
+	if f.both > 0 || f.prefillEngines > 0 && f.decodeEngines > 0 {
 		return false
 	}
 	from, to, reason := Decode, Prefill, "nothing is left to read"
-	if f.writers == 0 {
+	if f.decodeEngines == 0 {
 		from, to, reason = Prefill, Decode, "nothing is left to write"
 	}
-	switch max(f.readers, f.writers) {
+	switch max(f.prefillEngines, f.decodeEngines) {
 	case 0:
 		return false
 	case 1:
@@ -144,9 +146,9 @@
 	return true
 }
 
-// specialize gives engines that do both a single role again once each stage has an engine of its own.
+// specialize gives an engine that does both a single role again once another engine serves one of the stages.
 func (p *Planner) specialize(f *fleet, plan *Plan) {
-	if f.readers+f.writers < 1 || f.changing > 0 {
+	if f.prefillEngines+f.decodeEngines < 1 || f.changing > 0 {
 		return
 	}
 	e := p.selectEngine(f, Both, Both, respectDwell)
@@ -155,35 +157,35 @@
 	}
 	const stageEmpty, stagesCovered = "the other stage has engines again", "each stage has engines again"
 	switch {
-	case f.readers == 0:
+	case f.prefillEngines == 0:
 		p.startChange(f, plan, e, Prefill, stageEmpty)
-	case f.writers == 0:
+	case f.decodeEngines == 0:
 		p.startChange(f, plan, e, Decode, stageEmpty)
-	case f.trusted && f.prefillDemand/float64(f.readers) > f.decodeDemand/float64(f.writers):
+	case f.trusted && f.prefillDemand/float64(f.prefillEngines) > f.decodeDemand/float64(f.decodeEngines):
 		p.startChange(f, plan, e, Prefill, p.reason(f, stagesCovered))
 	default:
 		p.startChange(f, plan, e, Decode, p.reason(f, stagesCovered))
 	}
 }
 
-// returnIdle finds an engine that reported its change and does nothing of its new stage while its peers are busy, and
-// gives it its old role back.
-func (p *Planner) returnIdle(f *fleet, plan *Plan) {
+// undoIneffectiveChange gives an engine its old role back if it confirmed its change but is idle in its new stage while
+// its peers are busy. It starts one such change at most.
+func (p *Planner) undoIneffectiveChange(f *fleet, plan *Plan) {
 	if !f.trusted {
 		return
 	}
 	for i := range f.engines {
 		e := &f.engines[i]
 		meter := p.meters[e.ID]
-		if !meter.trusted || !p.recentlyChanged(e) || p.inCooldown(e.ID) {
+		if !meter.trusted || !p.inIdleCheckWindow(e) || p.inCooldown(e.ID) {
 			continue
 		}
-		demand, stageDemand, peers, oldRole := meter.prefill, f.prefillDemand, f.readers, Decode
+		demand, stageDemand, peers, oldRole := meter.prefill, f.prefillDemand, f.prefillEngines, Decode
 		if e.Role == Decode {
-			demand, stageDemand, peers, oldRole = meter.decode, f.decodeDemand, f.writers, Prefill
+			demand, stageDemand, peers, oldRole = meter.decode, f.decodeDemand, f.decodeEngines, Prefill
 		}
 		mean := stageDemand / float64(max(peers, 1))
-		if peers > 1 && mean > minPeerDemand && demand < idleShare*mean {
+		if peers > 1 && mean > minPeerDemand && demand < idleFraction*mean {
 			p.startCooldown(e.ID)
 			p.startChange(f, plan, e, oldRole,
 				fmt.Sprintf("does nothing as %v (%.3f of %.2f) while its peers do", e.Role, demand, mean))
@@ -192,8 +194,9 @@
 	}
 }
 
-// recentlyChanged reports whether an engine changed to a single role long enough ago to be busy, and not much longer.
-func (p *Planner) recentlyChanged(e *Engine) bool {
+// inIdleCheckWindow reports whether an engine changed to a single role at least one and at most idleCheckPeriods grace
+// periods ago.
+func (p *Planner) inIdleCheckWindow(e *Engine) bool {
 	if !e.flexible() || !e.Ready || e.changing() || e.Role == Both || e.ChangedAt == 0 {
 		return false
 	}
--- a/roles/config.go
+++ b/roles/config.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// Config is what operators configure. A zero value means the documented default.
+// Config holds the settings of a Planner. The zero value of a field means its default.
 type Config struct {
-	// MinDwell is the least time between two changes of one engine; 0 = 60 s.
+	// MinDwell is the minimum time between two changes of one engine; 0 = 60 s.
 	MinDwell time.Duration
-	// MaxConcurrent is the share of the fleet that may be changing at once, one engine at least; 0 = 0.1.
+	// MaxConcurrent is the fraction of the fleet that may be changing at once. One engine is always allowed; 0 = 0.1.
 	MaxConcurrent float64
-	// ChangeTime is what a change typically takes, from draining until half warm; 0 = 10 s. It is the planner's unit of
-	// time: how long it looks back, and how sure it must be. The measured time of changes is learned separately.
+	// ChangeTime is the typical duration of a change, from the start of draining until the engine is half warm; 0 = 10 s.
+	// Lookbacks and the margins between experts are multiples of it. The measured duration of changes is learned
+	// separately.
 	ChangeTime time.Duration
-	// WarmUp is the part of ChangeTime that follows the engine's report that it has changed; 0 = 3 s.
+	// WarmUp is the part of ChangeTime after the engine has reported that it has changed; 0 = 3 s.
 	WarmUp time.Duration
-	// StaleAfter is the age from which a load report is ignored; 0 = 5 s.
+	// StaleAfter is the age above which a load report is ignored; 0 = 5 s.
 	StaleAfter time.Duration
 	// ChangeTimeout is the time after which a change that is not confirmed is reverted; 0 = 2 min.
 	ChangeTimeout time.Duration
 }
 
-// Validate returns an error that names the first invalid field, as it is called in settings.
+// Validate returns an error that names the first invalid field, by its name in settings.
 func (c Config) Validate() error {
 	for _, field := range []struct {
 		name  string
@@ -37,11 +38,11 @@
 		{"TurnTime", c.ChangeTimeout},
 	} {
 		if field.value < 0 {
-			return fmt.Errorf("roles: settings: %s: negative time %v", field.name, field.value)
+			return fmt.Errorf("roles: settings: %s: negative duration %v", field.name, field.value)
 		}
 	}
-	if !(c.MaxConcurrent >= 0 && c.MaxConcurrent <= 1) { // written so that NaN is refused
-		return errors.New("roles: settings: AtOnce: a part from 0 to 1 is needed")
+	if !(c.MaxConcurrent >= 0 && c.MaxConcurrent <= 1) { // the negation also refuses NaN
+		return errors.New("roles: settings: AtOnce: must be between 0 and 1")
 	}
 	return nil
 }
--- a/roles/config_test.go
+++ b/roles/config_test.go
@@ -19,7 +19,7 @@
 			t.Errorf("%v: %v %v", role, got, err)
 		}
 	}
-	if _, err := ParseRole("cook"); err == nil {
+	if _, err := ParseRole("unknown"); err == nil {
 		t.Error("an unknown role was accepted")
 	}
 }
--- a/roles/cooldown.go
+++ b/roles/cooldown.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// An engine that did not change as commanded is left alone for firstCooldown, doubled each time up to maxCooldown: long
-// against a change, so that a broken engine costs little, and short enough that a repaired one is used the same day.
+// An engine that did not change as commanded is in cooldown for firstCooldown, and for twice as long after each
+// further failure, up to maxCooldown. A cooldown is long compared with a change, so that a faulty engine costs little,
+// and short enough that a repaired engine is used the same day.
 const (
 	firstCooldown = 5 * time.Minute
 	maxCooldown   = time.Hour
 )
 
-// cooldown is the time in which an engine is left alone.
+// cooldown is a period in which an engine is not selected for a change, unless a stage has no engine.
 type cooldown struct {
-	until time.Duration
-	pause time.Duration // its full length; the next one is twice as long
+	until    time.Duration
+	duration time.Duration // full length; the next cooldown is twice as long
 }
 
 func (p *Planner) inCooldown(id string) bool { return p.now < p.cooldowns[id].until }
 
-// startCooldown begins an engine's cooldown, twice as long as its last one.
+// startCooldown starts a cooldown of an engine, twice as long as its last one.
 func (p *Planner) startCooldown(id string) {
-	pause := min(max(2*p.cooldowns[id].pause, firstCooldown), maxCooldown)
-	p.cooldowns[id] = cooldown{until: p.now + pause, pause: pause}
+	duration := min(max(2*p.cooldowns[id].duration, firstCooldown), maxCooldown)
+	p.cooldowns[id] = cooldown{until: p.now + duration, duration: duration}
 }
--- a/roles/cost.go
+++ b/roles/cost.go
@@ -3,35 +3,38 @@
 import "math"
 
 const (
-	// engineCapacity is the work that one engine can be asked for, in engines.
+	// engineCapacity is the work that one engine can do, in engines.
 	engineCapacity = 1.0
-	// softMaximumScale is how far from full load random arrivals already cost work, in engines, as a factor of the
-	// square root of the fleet's size: a larger fleet varies more in total and less for each engine.
+	// softMaximumScale sets how far below full load random arrivals already cause losses: that distance, in engines, is
+	// this factor times the square root of the fleet's size. The work of a larger fleet varies more in total and less
+	// per engine.
 	softMaximumScale = 0.09
-	// linearFrom is where exp(z) is so large that the soft maximum equals its line to double precision.
-	linearFrom = 30
+	// linearAbove is the value of z above which ln(1+exp(z)) equals z to double precision.
+	linearAbove = 30
 )
 
-// Cost is what a second costs with so many prefill and decode engines under the given work, all in engines. It is the
-// quantity that the planner minimizes, exported for comparisons.
-func Cost(reading, writing float64, readers, writers int) float64 {
-	return splitCost(reading, writing, float64(readers), float64(writers), softness(float64(readers+writers)))
+// Cost returns the work, in engines, that a fleet with the given numbers of engines is expected to lose under the given
+// work, also in engines. The planner minimizes it; it is exported for comparisons.
+func Cost(prefillWork, decodeWork float64, prefillEngines, decodeEngines int) float64 {
+	return splitCost(prefillWork, decodeWork, float64(prefillEngines), float64(decodeEngines),
+		softMaximumWidth(float64(prefillEngines+decodeEngines)))
 }
 
-// splitCost is the cost of both stages.
-func splitCost(prefillWork, decodeWork, readers, writers, soft float64) float64 {
-	return stageCost(prefillWork, readers, soft) + stageCost(decodeWork, writers, soft)
+// splitCost returns the cost of both stages together.
+func splitCost(prefillWork, decodeWork, prefillEngines, decodeEngines, width float64) float64 {
+	return stageCost(prefillWork, prefillEngines, width) + stageCost(decodeWork, decodeEngines, width)
 }
 
-// stageCost is the work, in engines, that a stage is expected to lose: what exceeds its engines, and near full load
-// what a queue loses by chance. It is a soft maximum of two lines, so it is convex in engines.
-func stageCost(work, engines, soft float64) float64 {
-	z := (work - engineCapacity*engines) / soft
-	if z > linearFrom {
+// stageCost returns the work, in engines, that a stage is expected to lose: the work that exceeds its engines and, near
+// full load, the work lost because arrivals are random. It is a soft maximum of 0 and the excess, so it is convex in
+// engines.
+func stageCost(work, engines, width float64) float64 {
+	z := (work - engineCapacity*engines) / width
+	if z > linearAbove {
 		return work - engineCapacity*engines
 	}
-	return soft * math.Log1p(math.Exp(z))
+	return width * math.Log1p(math.Exp(z))
 }
 
-// softness is the width of the soft maximum for a fleet of so many engines.
-func softness(engines float64) float64 { return softMaximumScale * math.Sqrt(max(engines, 1)) }
+// softMaximumWidth returns the width of the soft maximum for a fleet with the given number of engines.
+func softMaximumWidth(engines float64) float64 { return softMaximumScale * math.Sqrt(max(engines, 1)) }
--- a/roles/expert.go
+++ b/roles/expert.go
@@ -6,56 +6,56 @@
 )
 
 const (
-	// changeCost is the work that one change is assumed to lose, as a share of the engine's work during the change.
+	// changeCost is the work that one change is assumed to lose, as a fraction of what the engine could do meanwhile.
 	changeCost = 1.0
-	// priorShare is the share of an expert's lookback for which the split that it starts with counts as the right one.
-	priorShare = 0.1
-	// historySpan is how much history is kept, in lookbacks: an older sample's weight is below exp(-3).
+	// priorFraction is the length of an expert's prior, as a fraction of its lookback. The prior is the first sample of
+	// its history, in which the work is in proportion to the initial split.
+	priorFraction = 0.1
+	// historySpan is how much history is kept, in lookbacks. The weight of an older sample would be below exp(-3).
 	historySpan = 3.0
-	// historyBuckets is the number of samples that historySpan is divided into. It bounds an expert's memory and time.
+	// historyBuckets is the number of samples in historySpan. It bounds the memory and the time that an expert takes.
 	historyBuckets = 64
-	// minSampleSeconds keeps a sample's length above zero, by which its work is divided.
+	// minSampleSeconds keeps the length of a sample above zero, because its work is divided by it.
 	minSampleSeconds = 1e-3
 )
 
-// expert is one estimator of the wanted split: it looks back for a fixed time and wants the number of prefill engines
-// that would have cost least over that time. It simulates changes of a fleet of its own, with the duration and bounds
-// of real changes, so that the cost of a late change, or of changing at all, counts against it. On a mix that
-// oscillates, the expert that looks back over several periods loses least; on one that shifts, the one with a short
-// lookback.
+// expert is one estimator of the best split: it prefers the number of prefill engines that would have cost least over
+// its lookback, a fixed time. It applies its choice to a simulated fleet, with the duration and bounds of real changes,
+// so that its loss includes the cost of changing late and of changing at all. If the mix oscillates, an expert whose
+// lookback covers several periods loses least; if the mix shifts, one with a short lookback does.
 type expert struct {
-	lookback         time.Duration
-	lossWindow       time.Duration // time constant with which old losses are forgotten
-	history          []workSample  // newest last
-	readers, writers int           // simulated engines at work
-	pending          []simulatedChange
-	started          bool
-	loss             float64
+	lookback                      time.Duration
+	lossWindow                    time.Duration // time constant with which losses decay
+	history                       []workSample  // newest last
+	prefillEngines, decodeEngines int           // simulated engines that are not changing
+	pending                       []simulatedChange
+	started                       bool
+	loss                          float64
 }
 
-// workSample is the work asked for during some time, in engine seconds.
+// workSample is the work demanded during an interval, in engine seconds.
 type workSample struct {
 	start           time.Duration
 	prefill, decode float64
 	seconds         float64
-	weight          float64 // of the seconds; old samples count less
+	weight          float64 // seconds, discounted by age
 }
 
-// simulatedChange is an engine of the simulated fleet that is changing role.
+// simulatedChange is a pending change of an engine in an expert's simulated fleet.
 type simulatedChange struct {
 	endsAt time.Duration
 	target Role
 }
 
-// rebase applies what happened to the real fleet other than by the planner: engines lost, recovered or changed by
-// somebody else.
-func (x *expert) rebase(readers, writers int) {
-	x.readers, x.writers = max(x.readers+readers, 0), max(x.writers+writers, 0)
+// applyExternalChanges applies changes of the real split that the planner did not make: engines that failed, recovered
+// or were changed by an operator or another planner.
+func (x *expert) applyExternalChanges(prefillDelta, decodeDelta int) {
+	x.prefillEngines, x.decodeEngines = max(x.prefillEngines+prefillDelta, 0), max(x.decodeEngines+decodeDelta, 0)
 }
 
-// wantedReaders is the number of prefill engines, including those that are changing into one.
-func (x *expert) wantedReaders() int {
-	n := x.readers
+// wantedPrefillEngines returns the number of simulated prefill engines, including those that are changing to prefill.
+func (x *expert) wantedPrefillEngines() int {
+	n := x.prefillEngines
 	for _, change := range x.pending {
 		if change.target == Prefill {
 			n++
@@ -64,71 +64,75 @@
 	return n
 }
 
-// step charges dt seconds of the present work to the simulated split, records the work, and starts simulated changes.
+// step adds the cost of dt seconds of the present demand to the expert's loss, records the demand, and finishes and
+// starts simulated changes.
 func (x *expert) step(f *fleet, now time.Duration, dt, changeSeconds float64, maxConcurrent int) {
 	if !x.started {
 		x.start(f, now)
 	}
 	x.finishChanges(now)
-	half := float64(f.both) / 2
+	bothHalf := float64(f.both) / 2
 	x.loss *= math.Exp(-dt / x.lossWindow.Seconds())
-	soft := softness(float64(f.size()))
-	x.loss += dt * splitCost(f.prefillDemand, f.decodeDemand, float64(x.readers)+half, float64(x.writers)+half, soft)
+	width := softMaximumWidth(float64(f.size()))
+	x.loss += dt * splitCost(f.prefillDemand, f.decodeDemand,
+		float64(x.prefillEngines)+bothHalf, float64(x.decodeEngines)+bothHalf, width)
 	x.record(f, now, dt)
 	x.startChanges(f, now, changeSeconds, maxConcurrent)
 }
 
-// start takes the real split as the prior, with work in proportion to it.
+// start copies the real split and adds the prior to the history.
 func (x *expert) start(f *fleet, now time.Duration) {
-	x.readers, x.writers, x.pending, x.started = f.readers, f.writers, nil, true
-	seconds := priorShare * x.lookback.Seconds()
-	workPerEngine := (f.prefillDemand + f.decodeDemand) / float64(max(f.readers+f.writers, 1))
+	x.prefillEngines, x.decodeEngines, x.pending, x.started = f.prefillEngines, f.decodeEngines, nil, true
+	seconds := priorFraction * x.lookback.Seconds()
+	workPerEngine := (f.prefillDemand + f.decodeDemand) / float64(max(f.prefillEngines+f.decodeEngines, 1))
 	x.history = []workSample{{
 		start:   now,
-		prefill: workPerEngine * float64(f.readers) * seconds,
-		decode:  workPerEngine * float64(f.writers) * seconds,
+		prefill: workPerEngine * float64(f.prefillEngines) * seconds,
+		decode:  workPerEngine * float64(f.decodeEngines) * seconds,
 		seconds: seconds,
 	}}
 }
 
-// finishChanges ends the simulated changes that are due; they are in order of their ends.
+// finishChanges completes the simulated changes that are due. They are sorted by the time at which they end.
 func (x *expert) finishChanges(now time.Duration) {
 	for len(x.pending) > 0 && x.pending[0].endsAt <= now {
 		if x.pending[0].target == Prefill {
-			x.readers++
+			x.prefillEngines++
 		} else {
-			x.writers++
+			x.decodeEngines++
 		}
 		x.pending = x.pending[1:]
 	}
 }
 
-// startChanges begins simulated changes towards the best split, if they pay for themselves within the lookback.
+// startChanges starts simulated changes towards the best split if the expected gain over the lookback exceeds the cost
+// of one change.
 func (x *expert) startChanges(f *fleet, now time.Duration, changeSeconds float64, maxConcurrent int) {
-	half := float64(f.both) / 2
-	total := x.readers + x.writers + len(x.pending)
-	maxReaders := total - (f.readers + f.writers - f.maxReaders)
-	have, want := x.wantedReaders(), x.bestReaders(f.minReaders, maxReaders, total, half)
-	gain := x.meanCost(have, total, half) - x.meanCost(want, total, half)
+	bothHalf := float64(f.both) / 2
+	total := x.prefillEngines + x.decodeEngines + len(x.pending)
+	maxPrefillEngines := total - (f.prefillEngines + f.decodeEngines - f.maxPrefillEngines)
+	current, wanted := x.wantedPrefillEngines(),
+		x.bestPrefillEngines(f.minPrefillEngines, maxPrefillEngines, total, bothHalf)
+	gain := x.meanCost(current, total, bothHalf) - x.meanCost(wanted, total, bothHalf)
 	if gain*max(x.lookback.Seconds(), changeSeconds) < changeCost*changeSeconds {
 		return
 	}
 	endsAt := now + time.Duration(changeSeconds*float64(time.Second))
-	for have != want && len(x.pending) < maxConcurrent {
-		target, from, step := Prefill, &x.writers, 1
-		if want < have {
-			target, from, step = Decode, &x.readers, -1
+	for current != wanted && len(x.pending) < maxConcurrent {
+		target, source, delta := Prefill, &x.decodeEngines, 1
+		if wanted < current {
+			target, source, delta = Decode, &x.prefillEngines, -1
 		}
-		if *from == 0 {
+		if *source == 0 {
 			return
 		}
-		*from--
+		*source--
 		x.pending = append(x.pending, simulatedChange{endsAt: endsAt, target: target})
-		have += step
+		current += delta
 	}
 }
 
-// record adds the present work to the newest sample and updates the weights of all.
+// record adds the present demand to the newest sample, drops expired samples and updates all weights.
 func (x *expert) record(f *fleet, now time.Duration, dt float64) {
 	span := time.Duration(historySpan * float64(x.lookback))
 	if n := len(x.history); n == 0 || now-x.history[n-1].start >= span/historyBuckets {
@@ -151,23 +155,25 @@
 	}
 }
 
-// meanCost is the weighted mean cost of a second of the history, had there been so many prefill engines of a total.
-func (x *expert) meanCost(readers, total int, half float64) float64 {
-	sum, weights, soft := 0.0, 0.0, softness(float64(total)+2*half)
-	prefillEngines, decodeEngines := float64(readers)+half, float64(total-readers)+half
+// meanCost returns the weighted mean cost over the history of a split with the given number of prefill engines out of
+// total. bothHalf, half of the engines that do both stages, is added to each stage.
+func (x *expert) meanCost(prefillEngines, total int, bothHalf float64) float64 {
+	sum, weights, width := 0.0, 0.0, softMaximumWidth(float64(total)+2*bothHalf)
+	prefillCapacity, decodeCapacity := float64(prefillEngines)+bothHalf, float64(total-prefillEngines)+bothHalf
 	for i := range x.history {
 		s := &x.history[i]
 		weights += s.weight
-		sum += s.weight * splitCost(s.prefill/s.seconds, s.decode/s.seconds, prefillEngines, decodeEngines, soft)
+		sum += s.weight * splitCost(s.prefill/s.seconds, s.decode/s.seconds, prefillCapacity, decodeCapacity, width)
 	}
 	return sum / weights
 }
 
-// bestReaders is the cheapest number of prefill engines from low to high, by bisection since the cost is convex.
-func (x *expert) bestReaders(low, high, total int, half float64) int {
+// bestPrefillEngines returns the number of prefill engines from low to high that costs least. Bisection finds it
+// because the cost is convex.
+func (x *expert) bestPrefillEngines(low, high, total int, bothHalf float64) int {
 	for low < high {
 		middle := (low + high) / 2
-		if x.meanCost(middle, total, half) <= x.meanCost(middle+1, total, half) {
+		if x.meanCost(middle, total, bothHalf) <= x.meanCost(middle+1, total, bothHalf) {
 			high = middle
 		} else {
 			low = middle + 1
--- a/roles/fleet.go
+++ b/roles/fleet.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// minTrustedShare is the share of a stage's engines whose reports must be trusted for any plan: with fewer, scaling
-// their demand up to the whole stage would be a guess.
-const minTrustedShare = 0.5
+// minTrustedFraction is the fraction of a stage's engines whose reports must be trusted for a plan. With fewer, scaling
+// their demand up to the whole stage would be unreliable.
+const minTrustedFraction = 0.5
 
-// Engine is one engine as the planner sees it.
+// Engine is the state of one engine, as the caller of Planner.Step knows it.
 type Engine struct {
 	ID          string
-	Role        Role // in force, as listed
-	Target      Role // what it is changing to; = Role when it is not changing
+	Role        Role // the role that it is listed in
+	Target      Role // the role that it is changing to; equals Role if it is not changing
 	ChangedAt   time.Duration
-	Ready       bool // listed, up, and not taken out by an operator
+	Ready       bool // up and listed as serving
 	CanPrefill  bool
 	CanDecode   bool
-	Pinned      bool // an operator keeps it in its role
-	Cell        int  // each role is spread over the cells
-	Outstanding int  // requests and read states that a change would have to wait for
+	Pinned      bool // its role is fixed by an operator
+	Cell        int  // number of its cell; each role is spread over the cells
+	Outstanding int  // requests and read states that must end before a change does
 	Report      *Report
 }
 
@@ -32,61 +32,61 @@
 // flexible reports whether the planner may give the engine either role.
 func (e *Engine) flexible() bool { return e.CanPrefill && e.CanDecode && !e.Pinned }
 
-// Report is an engine's load report. The totals only grow while its process lives.
+// Report is the load report of an engine or a replica. Its totals only grow until the process restarts.
 type Report struct {
-	At    time.Duration // by the planner's clock
-	Read  Stage
-	Write Stage
+	At      time.Duration // when it was made, by the planner's clock
+	Prefill StageLoad
+	Decode  StageLoad
 }
 
-// Stage is one stage's work at an engine or a replica, in seconds of a whole engine.
-type Stage struct {
-	Done    float64 // total work done; for decode, the used part of its capacity (slots or memory) over time
-	Waiting float64 // work queued here now
-	Lost    float64 // total work that was rejected or given up as too late
+// StageLoad is the load of one stage at an engine or a replica, in engine seconds.
+type StageLoad struct {
+	Done    float64 // total work done; for decode, the integral of the used fraction of its slots or memory
+	Waiting float64 // work that is queued now
+	Lost    float64 // total work that was rejected, or dropped because it was too late
 }
 
-// Replica is the load report of one replica: the work that it had to reject, which no engine ever saw. Replicas
-// without a trusted report are left out; the plan is then made of what engines report, and sees less of an overload.
+// Replica is a gateway replica with its load report: the work that it rejected, which no engine reports. A replica
+// without a trusted report is ignored, and the planner then underestimates an overload.
 type Replica struct {
 	ID     string
 	Report *Report
 }
 
-// fleet is a summary of what one step sees.
+// fleet is the aggregated state of the fleet in one step.
 type fleet struct {
-	engines                     []Engine // sorted by ID
-	readers, writers            int      // ready, by the role that they have or are changing to
-	both                        int      // ready, that do both
-	changing                    int
-	minReaders, maxReaders      int // bounds of the prefill engines that may be wanted
-	prefillDemand, decodeDemand float64
-	trusted                     bool // the reports suffice for a plan
-	untrustedReports            int
+	engines                              []Engine // sorted by ID
+	prefillEngines, decodeEngines        int      // ready or changing, by target role
+	both                                 int      // ready or changing, with Both as target role
+	changing                             int
+	minPrefillEngines, maxPrefillEngines int // bounds of the number of prefill engines
+	prefillDemand, decodeDemand          float64
+	trusted                              bool // enough reports are trusted to plan by demand
+	untrustedReports                     int
 }
 
-// size is the number of engines that are ready, in any role.
-func (f *fleet) size() int { return f.readers + f.writers + f.both }
+// size returns the number of engines that are ready or changing, in any role.
+func (f *fleet) size() int { return f.prefillEngines + f.decodeEngines + f.both }
 
-// count adds n to the number of engines of a role.
+// count adds n to the number of engines with a target role.
 func (f *fleet) count(role Role, n int) {
 	switch role {
 	case Prefill:
-		f.readers += n
+		f.prefillEngines += n
 	case Decode:
-		f.writers += n
+		f.decodeEngines += n
 	default:
 		f.both += n
 	}
 }
 
-// split is a number of prefill and decode engines.
-type split struct{ readers, writers int }
+// split is how many engines prefill and how many decode.
+type split struct{ prefill, decode int }
 
-// stageTotals sums up the engines of one stage.
+// stageTotals aggregates the engines of one stage.
 type stageTotals struct {
-	demand  float64 // of the engines with a trusted report
-	trusted float64 // engines with a trusted report
+	demand  float64 // sum over the engines with a trusted report
+	trusted float64 // number of engines with a trusted report
 	engines float64
 }
 
@@ -98,25 +98,26 @@
 	}
 }
 
-// scaled is the demand of the whole stage, if enough reports are trusted to infer it from theirs.
+// scaled returns the demand of the whole stage, extrapolated from the trusted reports. ok is false if these are too
+// few.
 func (t *stageTotals) scaled() (demand float64, ok bool) {
-	if t.engines > 0 && t.trusted < minTrustedShare*t.engines || t.trusted == 0 {
+	if t.engines > 0 && t.trusted < minTrustedFraction*t.engines || t.trusted == 0 {
 		return t.demand, false
 	}
 	return t.demand * (t.engines / t.trusted), true
 }
 
-// observe sums up the fleet, brings the demand meters up to date and learns from changes that have ended. State of
-// engines and replicas that are not named is dropped.
+// observe updates the demand meters and the pending changes and returns the aggregated state of the fleet. It drops the
+// state of engines and replicas that are absent from its arguments.
 func (p *Planner) observe(engines []Engine, replicas []Replica) *fleet {
 	f := &fleet{engines: slices.Clone(engines)}
 	slices.SortFunc(f.engines, func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) })
-	named := map[string]bool{}
+	present := map[string]bool{}
 	var prefill, decode stageTotals
-	var fixed split // engines that the planner may not change
+	var fixed split // engines whose role the planner must not change
 	for i := range f.engines {
 		e := &f.engines[i]
-		named[e.ID] = true
+		present[e.ID] = true
 		meter := p.updateMeter(e.ID, e.Report)
 		p.trackChange(e)
 		if !e.Ready && !e.changing() {
@@ -130,8 +131,8 @@
 			decode.add(meter.decode, meter.trusted)
 		}
 	}
-	lostPrefill, lostDecode := p.observeReplicas(replicas, named)
-	p.forget(named)
+	lostPrefill, lostDecode := p.observeReplicas(replicas, present)
+	p.dropAbsent(present)
 	prefillDemand, prefillTrusted := prefill.scaled()
 	decodeDemand, decodeTrusted := decode.scaled()
 	f.trusted = prefillTrusted && decodeTrusted
@@ -140,7 +141,7 @@
 	return f
 }
 
-// countEngine counts an engine that is ready or changing.
+// countEngine adds an engine that is ready or changing to the counts of f and, if its role is fixed, to fixed.
 func (f *fleet) countEngine(e *Engine, meter *demandMeter, fixed *split) {
 	if !meter.trusted {
 		f.untrustedReports++
@@ -154,29 +155,29 @@
 	}
 	switch e.Target {
 	case Prefill:
-		fixed.readers++
+		fixed.prefill++
 	case Decode:
-		fixed.writers++
+		fixed.decode++
 	case Both:
 	}
 }
 
-// setBounds sets how many prefill engines may be wanted: at least one for each stage, unless engines that do both keep
-// the stages alive.
+// setBounds sets the bounds of the number of prefill engines. Each stage keeps at least one engine of its own, unless
+// there are engines that do both.
 func (f *fleet) setBounds(fixed split) {
-	total := f.readers + f.writers
+	total := f.prefillEngines + f.decodeEngines
 	if f.both > 0 {
-		f.minReaders, f.maxReaders = fixed.readers, total-fixed.writers
+		f.minPrefillEngines, f.maxPrefillEngines = fixed.prefill, total-fixed.decode
 		return
 	}
-	f.minReaders, f.maxReaders = max(fixed.readers, 1), total-max(fixed.writers, 1)
+	f.minPrefillEngines, f.maxPrefillEngines = max(fixed.prefill, 1), total-max(fixed.decode, 1)
 }
 
-// observeReplicas is the demand that replicas had to reject.
-func (p *Planner) observeReplicas(replicas []Replica, named map[string]bool) (prefill, decode float64) {
+// observeReplicas updates the meters of the replicas and returns the demand that they rejected.
+func (p *Planner) observeReplicas(replicas []Replica, present map[string]bool) (prefill, decode float64) {
 	for _, replica := range replicas {
-		id := "front " + replica.ID // a key that no engine has
-		named[id] = true
+		id := "replica " + replica.ID // differs from the keys of all engines
+		present[id] = true
 		if meter := p.updateMeter(id, replica.Report); meter.trusted {
 			prefill, decode = prefill+meter.prefill, decode+meter.decode
 		}
@@ -184,7 +185,7 @@
 	return prefill, decode
 }
 
-// updateMeter gives the meter of an engine or a replica its newest report.
+// updateMeter passes the latest report of an engine or a replica to its meter, which it creates if needed.
 func (p *Planner) updateMeter(id string, report *Report) *demandMeter {
 	meter := p.meters[id]
 	if meter == nil {
@@ -195,10 +196,10 @@
 	return meter
 }
 
-// forget drops the state of engines and replicas that are not named. A cooldown is kept until it ends: the engine may
-// come back.
-func (p *Planner) forget(named map[string]bool) {
-	maps.DeleteFunc(p.meters, func(id string, _ *demandMeter) bool { return !named[id] })
-	maps.DeleteFunc(p.pending, func(id string, _ *pendingChange) bool { return !named[id] })
-	maps.DeleteFunc(p.cooldowns, func(id string, c cooldown) bool { return !named[id] && p.now >= c.until })
+// dropAbsent drops the state of engines and replicas that are not present. A cooldown is kept until it ends, because
+// the engine may come back.
+func (p *Planner) dropAbsent(present map[string]bool) {
+	maps.DeleteFunc(p.meters, func(id string, _ *demandMeter) bool { return !present[id] })
+	maps.DeleteFunc(p.pending, func(id string, _ *pendingChange) bool { return !present[id] })
+	maps.DeleteFunc(p.cooldowns, func(id string, c cooldown) bool { return !present[id] && p.now >= c.until })
 }
--- a/roles/fleet_test.go
+++ b/roles/fleet_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// simulatedFleet is a small fleet that carries out plans, with totals that grow by the work asked for.
+// simulatedFleet is a fleet that carries out plans. Its load reports grow by the work that advance is given.
 type simulatedFleet struct {
 	now     time.Duration
 	engines []Engine
-	endsAt  map[string]time.Duration // of each engine's change
+	endsAt  map[string]time.Duration // end of each engine's change
 	totals  map[string]*Report
 }
 
-func newSimulatedFleet(readers, writers int) *simulatedFleet {
+func newSimulatedFleet(prefillEngines, decodeEngines int) *simulatedFleet {
 	f := &simulatedFleet{now: time.Hour, endsAt: map[string]time.Duration{}, totals: map[string]*Report{}}
-	for i := range readers + writers {
+	for i := range prefillEngines + decodeEngines {
 		e := Engine{ID: fmt.Sprintf("e%03d", i), Ready: true, CanPrefill: true, CanDecode: true, Cell: i % 3}
-		if i >= readers {
+		if i >= prefillEngines {
 			e.Role, e.Target = Decode, Decode
 		}
 		f.engines = append(f.engines, e)
@@ -27,7 +27,7 @@
 	return f
 }
 
-// count is the number of engines that are ready in a role and not changing.
+// count returns the number of engines that are ready in a role and not changing.
 func (f *simulatedFleet) count(role Role) (n int) {
 	for _, e := range f.engines {
 		if e.Ready && e.Role == role && e.Target == role {
@@ -37,10 +37,10 @@
 	return n
 }
 
-// run lets a second pass under the given work, in engines.
-func (f *simulatedFleet) run(prefillWork, decodeWork float64) {
+// advance advances the fleet by one second under the given work, in engines.
+func (f *simulatedFleet) advance(prefillWork, decodeWork float64) {
 	f.now += time.Second
-	addWork := func(totals *Stage, work float64, engines int) {
+	addWork := func(totals *StageLoad, work float64, engines int) {
 		utilization := work / float64(max(engines, 1))
 		totals.Done += min(utilization, 1)
 		totals.Lost += max(utilization-1, 0)
@@ -53,10 +53,10 @@
 			continue
 		}
 		if e.Role.Prefills() {
-			addWork(&totals.Read, prefillWork, f.count(Prefill)+f.count(Both))
+			addWork(&totals.Prefill, prefillWork, f.count(Prefill)+f.count(Both))
 		}
 		if e.Role.Decodes() {
-			addWork(&totals.Write, decodeWork, f.count(Decode)+f.count(Both))
+			addWork(&totals.Decode, decodeWork, f.count(Decode)+f.count(Both))
 		}
 	}
 	for i := range f.engines {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// apply carries out a plan; its changes end after changeTime.
+// apply carries out a plan. Its changes end after changeTime.
 func (f *simulatedFleet) apply(plan Plan, changeTime time.Duration) {
 	for _, id := range plan.Reverts {
 		e := f.engine(id)
@@ -90,8 +90,8 @@
 	}
 }
 
-// step plans for the fleet as it is, applies the plan and returns it.
-func (f *simulatedFleet) step(p *Planner, changeTime time.Duration) Plan {
+// planAndApply plans for the present state of the fleet, applies the plan and returns it.
+func (f *simulatedFleet) planAndApply(p *Planner, changeTime time.Duration) Plan {
 	plan := p.Step(f.now, f.engines, nil)
 	f.apply(plan, changeTime)
 	return plan
--- a/roles/lifecycle.go
+++ b/roles/lifecycle.go
@@ -6,40 +6,41 @@
 )
 
 // The life cycle of a change. The assignment table, stored by the API server, holds for every engine the role that it
-// is listed in and the newest command to it. Any number of planners write it: a write names the version that it was
-// made from and is refused if the table has been written since, so a planner that was paused, cut off or started
-// twice can't act on an old version, and what is checked against the table holds over all planners. An engine follows
-// the newest command that has reached it and keeps it on disk.
+// is listed in and the newest command to it. Any number of planners may write the table. A write names the version that
+// it was made from and is refused if the table has been written since. So a planner that was paused, disconnected or
+// started twice can't act on an old version, and a condition checked on the table holds across all planners. An engine
+// follows the newest command that has reached it and keeps that command on disk.
 //
 //	planner                      assignment table              engine
 //	Start, Write ──────────────▶ command: listed as draining
-//	Command {order, role} ────────────────────────────────────▶ Accept: drains its old role
+//	Command {number, role} ───────────────────────────────────▶ Accept: drains its old role
 //	                                                            FinishDraining: switches, then serves
-//	ApplyStatus ◀────────────────────────────────────────────── StatusReport {order, role, serving}
+//	ApplyStatus ◀────────────────────────────────────────────── StatusReport {number, role, serving}
 //	Write ─────────────────────▶ confirmed: listed in its new role
 //
-// Every message may be lost, late or repeated, and every party may crash at any point: a command is repeated until a
-// status report confirms it. A command is reverted by a newer one back to the role in force. A command that only adds
-// a stage (to Both) drains nothing: the engine stays listed in its old role until it does both.
+// Any message may be lost, late or repeated, and planners, API server and engines may crash at any point. A command is
+// sent again until a status report confirms it. A command is reverted by a newer one that asks for the listed role. A
+// command that only adds a stage (to Both) drains nothing: the engine stays listed in its old role until it does both.
 
-// revertReason is the stored reason of the commands that revert a planner's change.
+// revertReason is the reason stored with a command that reverts a planner's change: the change has exceeded its
+// timeout, or demand now requires the old role.
 const revertReason = "it took too long, or the work turned"
 
-// Command is what an engine is told to become.
+// Command tells an engine which role to take.
 type Command struct {
 	ID     string `json:"id"`
-	Order  uint64 `json:"order"`
+	Number uint64 `json:"order"`
 	Target Role   `json:"to"`
 }
 
-// StatusReport is what an engine reports of its role.
+// StatusReport is an engine's report of its role and of the newest command that it has accepted.
 type StatusReport struct {
-	Order   uint64 `json:"order"`
-	Role    Role   `json:"role"`
-	Serving bool   `json:"serves"` // accepts new work of its role; else it drains or switches
+	CommandNumber uint64 `json:"order"`
+	Role          Role   `json:"role"`
+	Serving       bool   `json:"serves"` // it accepts new work of its role; otherwise it is draining or switching
 }
 
-// Start commands an engine to a role.
+// Start commands an engine to take a role.
 func (a Assignments) Start(id string, to Role, reason string) (Assignments, error) {
 	e, ok := a.Entries[id]
 	switch {
@@ -64,7 +65,7 @@
 	case e.Target == e.Role:
 		return a, fmt.Errorf("%w: %s", ErrSameRole, id)
 	}
-	e.Serving = false // it may have changed already
+	e.Serving = false // the engine may have changed already
 	return a.command(id, e, e.Role, reason)
 }
 
@@ -77,59 +78,59 @@
 	return a.Start(id, to, reason)
 }
 
-// command issues the next command, unless a stage would be left without an engine whose target includes it.
+// command enters the next command to an engine, unless a stage would lose its last engine.
 func (a Assignments) command(id string, e Assignment, to Role, reason string) (Assignments, error) {
-	a.Orders++
-	e.Order, e.Target, e.Reason = a.Orders, to, reason
+	a.LastCommandNumber++
+	e.CommandNumber, e.Target, e.Reason = a.LastCommandNumber, to, reason
 	e.Serving = e.Serving && to.covers(e.Role)
-	next := a.with(id, e)
+	next := a.withEntry(id, e)
 	if a.stagesCovered().loses(next.stagesCovered()) {
 		return a, fmt.Errorf("%w: %s to %v", ErrLastOfStage, id, to)
 	}
 	return next, nil
 }
 
-// ApplyStatus applies an engine's status report at now, and reports whether the table has changed and must be
-// written. A report that carries the newest command's number confirms it. An engine that serves in another role than
-// it is listed in, because it has lost its disk, is commanded back and does not serve meanwhile.
+// ApplyStatus applies an engine's status report at now, and reports whether the table has changed and must be written.
+// A report with the newest command's number confirms that command. An engine that serves another role than it is listed
+// in, because it has lost its disk, is commanded back and is not listed as serving meanwhile.
 func (a Assignments) ApplyStatus(id string, status StatusReport, now time.Duration) (Assignments, bool) {
 	e, ok := a.Entries[id]
 	if !ok || !status.Serving {
 		return a, false
 	}
 	switch {
-	case status.Order == e.Order && status.Role == e.Target && e.pending():
-		if !e.Serving { // it may have switched, also there and back
-			e.ReopenedAt = now
+	case status.CommandNumber == e.CommandNumber && status.Role == e.Target && e.pending():
+		if !e.Serving { // it may have switched, or switched and been commanded back
+			e.ServingSince = now
 		}
 		e.Role, e.Serving, e.ChangedAt = e.Target, true, now
-		return a.with(id, e), true
-	case e.Serving && status.Order <= e.Order && status.Role != e.Role:
-		a.Orders++
-		e.Order, e.Target, e.Serving = a.Orders, e.Role, false
+		return a.withEntry(id, e), true
+	case e.Serving && status.CommandNumber <= e.CommandNumber && status.Role != e.Role:
+		a.LastCommandNumber++
+		e.CommandNumber, e.Target, e.Serving = a.LastCommandNumber, e.Role, false
 		e.Reason = fmt.Sprintf("it serves as %v and is listed as %v", status.Role, e.Role)
-		return a.with(id, e), true
+		return a.withEntry(id, e), true
 	}
 	return a, false
 }
 
-// PendingCommands are the commands to be sent, again and again, until a status report confirms them.
+// PendingCommands returns the commands that are not confirmed. They must be sent until a status report confirms them.
 func (a Assignments) PendingCommands() []Command {
 	var pending []Command
 	for _, id := range a.Names() {
 		if e := a.Entries[id]; e.pending() {
-			pending = append(pending, Command{ID: id, Order: e.Order, Target: e.Target})
+			pending = append(pending, Command{ID: id, Number: e.CommandNumber, Target: e.Target})
 		}
 	}
 	return pending
 }
 
-// ApplyPlan applies the parts of a plan that the table allows: done is what was applied, refused the error of each
-// change that was not.
+// ApplyPlan applies the parts of a plan that the table allows. done holds the parts that were applied, refused the
+// error of each change that was not.
 func (a Assignments) ApplyPlan(plan Plan) (next Assignments, done Plan, refused map[string]error) {
 	next = a
 	for _, id := range plan.Reverts {
-		// A refused revert is dropped: nothing is pending any more, or a stage depends on the change.
+		// A refused revert is dropped: either no change is pending any more, or a stage needs the changed engine.
 		if reverted, err := next.Revert(id, revertReason); err == nil {
 			next, done.Reverts = reverted, append(done.Reverts, id)
 		}
@@ -146,33 +147,35 @@
 	return next, done, refused
 }
 
-// EngineState is an engine's own part of the life cycle. It is kept on disk: what Accept and FinishDraining return is
-// written before the engine acts upon it or reports it.
+// EngineState is the state that an engine keeps on disk. The engine writes the results of Accept and FinishDraining
+// before it acts on them or reports them.
 type EngineState struct {
-	Order  uint64 `json:"order"`
-	Role   Role   `json:"role"`
-	Target Role   `json:"to"`
+	CommandNumber uint64 `json:"order"`
+	Role          Role   `json:"role"`
+	Target        Role   `json:"to"`
 }
 
-// Serves reports whether the engine accepts new work of a role. One that only adds a stage goes on with what it did.
+// Serves reports whether the engine accepts new work of a role. An engine that only adds a stage goes on serving its
+// old role.
 func (s EngineState) Serves(role Role) bool { return s.Role.covers(role) && s.Target.covers(s.Role) }
 
-// StatusReport is what the engine reports in this state.
+// StatusReport returns the report that the engine sends in this state.
 func (s EngineState) StatusReport() StatusReport {
-	return StatusReport{Order: s.Order, Role: s.Role, Serving: s.Target == s.Role}
+	return StatusReport{CommandNumber: s.CommandNumber, Role: s.Role, Serving: s.Target == s.Role}
 }
 
-// Accept follows a command if it is newer than any before. While Target differs from Role the engine drains: it
-// accepts no new work of its old role and finishes what it has, also after a crash.
+// Accept returns the state after a command; a command that is not newer than the last one is ignored. While Target
+// differs from Role the engine drains, also after a crash: it accepts no new work of its old role and finishes the work
+// that it has.
 func (s EngineState) Accept(command Command) EngineState {
-	if command.Order > s.Order {
-		s.Order, s.Target = command.Order, command.Target
+	if command.Number > s.CommandNumber {
+		s.CommandNumber, s.Target = command.Number, command.Target
 	}
 	return s
 }
 
-// FinishDraining is called when a draining engine has no work and holds no read state any more, or when one that only
-// adds a stage is ready for it. The engine then serves in its new role.
+// FinishDraining returns the state in which the engine serves its new role. It is called when a draining engine has no
+// work and holds no read state any more, or when an engine that only adds a stage is ready for it.
 func (s EngineState) FinishDraining() EngineState {
 	s.Role = s.Target
 	return s
--- a/roles/lifecycle_test.go
+++ b/roles/lifecycle_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// systemState is one state of a small system: the assignment table, the engines, and two planners with the table as
-// each last read it. Messages in transit are sets from which any may be delivered at any time, again and again (late,
-// repeated) or never (lost).
+// systemState is one state of a small system: the assignment table, the engines, and two planners with the version of
+// the table that each read last. Messages in transit are sets. Each message may be delivered at any time and any
+// number of times, which includes late, repeated and lost messages.
 type systemState struct {
 	table      Assignments
 	cached     [2]Assignments // by planner
@@ -34,20 +34,20 @@
 
 func formatTable(table Assignments) string {
 	var b strings.Builder
-	fmt.Fprint(&b, table.Version, " ", table.Orders)
+	fmt.Fprint(&b, table.Version, " ", table.LastCommandNumber)
 	for _, id := range table.Names() {
 		e := table.Entries[id]
-		fmt.Fprint(&b, "|", e.Role, e.Order, e.Target, e.Serving)
+		fmt.Fprint(&b, "|", e.Role, e.CommandNumber, e.Target, e.Serving)
 	}
 	return b.String()
 }
 
-// sortedByText gives the elements of a set in the order of their printed forms.
+// sortedByText returns the elements of a set in the order of their printed forms.
 func sortedByText[T comparable](set map[T]bool) []T {
 	return slices.SortedFunc(maps.Keys(set), func(a, b T) int { return cmp.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 }
 
-// key identifies a state.
+// key returns a text that identifies the state.
 func (s systemState) key() string {
 	var b strings.Builder
 	b.WriteString(formatTable(s.table) + "#" + formatTable(s.cached[0]) + "#" + formatTable(s.cached[1]))
@@ -64,7 +64,7 @@
 	return b.String()
 }
 
-// implementation is what the explored system runs: an engine's part and the API server's. Tests replace either by a
+// implementation holds the functions of the engine and of the API server that are explored. Tests replace either by a
 // faulty one.
 type implementation struct {
 	accept func(EngineState, Command) EngineState
@@ -81,19 +81,19 @@
 	diskLosses int
 }
 
-// explorer visits all states that can be reached within its bounds.
+// explorer is an explicit-state model checker: it visits all states that can be reached within its bounds.
 type explorer struct {
 	bounds       bounds
-	system       implementation
-	violation    string // the first state that violates an invariant
+	impl         implementation
+	violation    string // the first violation of an invariant, with its state
 	indexes      map[string]int
 	states       []systemState
 	predecessors [][]int
-	met          eventsMet
+	seen         eventsSeen
 }
 
-// eventsMet says which kinds of events an exploration has met.
-type eventsMet struct{ conflict, lastOfStage, reverted, corrected, confirmed bool }
+// eventsSeen holds which kinds of events have occurred in an exploration.
+type eventsSeen struct{ conflict, lastOfStage, reverted, corrected, confirmed bool }
 
 func (x *explorer) add(from int, s systemState) {
 	key := s.key()
@@ -116,7 +116,7 @@
 	}
 }
 
-// checkInvariants checks what must hold in every state.
+// checkInvariants checks the conditions that must hold in every state.
 func (x *explorer) checkInvariants(s systemState) {
 	if covered := s.table.stagesCovered(); !covered.prefill || !covered.decode {
 		x.fail("a stage is left without an engine", s)
@@ -124,12 +124,12 @@
 	for id, e := range s.table.Entries {
 		engine := s.engines[id]
 		if e.Serving && !e.Target.covers(e.Role) {
-			x.fail(id+" is listed as serving while it is commanded to another role", s)
+			x.fail(id+" is listed as serving while it changes to another role", s)
 		}
-		if engine.Order > e.Order {
-			x.fail(id+" follows a command that the table does not know", s)
+		if engine.CommandNumber > e.CommandNumber {
+			x.fail(id+" follows a command that is not in the table", s)
 		}
-		confirmed := StatusReport{Order: e.Order, Role: e.Role, Serving: true}
+		confirmed := StatusReport{CommandNumber: e.CommandNumber, Role: e.Role, Serving: true}
 		if e.Serving && s.diskLosses == 0 &&
 			(!engine.Serves(e.Role) || e.Target == e.Role && engine.StatusReport() != confirmed) {
 			x.fail(id+" is listed as serving in a role that it does not serve", s)
@@ -137,11 +137,12 @@
 	}
 }
 
-// write lets a planner write a table made from its cached one. It reports whether the write was accepted.
+// write adds the state after a planner has written a table made from its cached one. It reports whether the write was
+// accepted.
 func (x *explorer) write(i int, s systemState, planner int, next Assignments) bool {
-	stored, err := x.system.write(s.table, next)
+	stored, err := x.impl.write(s.table, next)
 	if errors.Is(err, ErrConflict) {
-		x.met.conflict = true
+		x.seen.conflict = true
 		return false
 	}
 	n := s.clone()
@@ -151,7 +152,7 @@
 	return true
 }
 
-// step adds all states that follow from one event in state i.
+// step adds all states that one event leads to from state i.
 func (x *explorer) step(i int) {
 	s := x.states[i]
 	for planner := range s.cached {
@@ -164,24 +165,24 @@
 
 func (x *explorer) stepPlanner(i int, s systemState, planner int) {
 	cached := s.cached[planner]
-	if cached.Version != s.table.Version { // it reads the table; a planner that crashed does the same
+	if cached.Version != s.table.Version { // the planner reads the table, as after a crash
 		n := s.clone()
 		n.cached[planner] = s.table
 		x.add(i, n)
 	}
 	for id := range cached.Entries {
-		if cached.Orders < x.bounds.commands {
+		if cached.LastCommandNumber < x.bounds.commands {
 			x.stepCommand(i, s, planner, id)
 		}
 		for report := range s.reports[id] {
 			next, changed := cached.ApplyStatus(id, report, 0)
-			correction := next.Orders > cached.Orders
-			if !changed || correction && cached.Orders >= x.bounds.commands+2 {
+			correction := next.LastCommandNumber > cached.LastCommandNumber
+			if !changed || correction && cached.LastCommandNumber >= x.bounds.commands+2 {
 				continue
 			}
 			if x.write(i, s, planner, next) {
-				x.met.confirmed = x.met.confirmed || !correction
-				x.met.corrected = x.met.corrected || correction
+				x.seen.confirmed = x.seen.confirmed || !correction
+				x.seen.corrected = x.seen.corrected || correction
 			}
 		}
 	}
@@ -194,7 +195,8 @@
 	}
 }
 
-// stepCommand lets a planner start each change of an engine, or revert the pending one.
+// stepCommand adds the states after a planner has started each possible change of an engine or reverted its pending
+// one.
 func (x *explorer) stepCommand(i int, s systemState, planner int, id string) {
 	cached := s.cached[planner]
 	for to := Prefill; to <= Both; to++ {
@@ -202,10 +204,10 @@
 		if err == nil {
 			x.write(i, s, planner, next)
 		}
-		x.met.lastOfStage = x.met.lastOfStage || errors.Is(err, ErrLastOfStage)
+		x.seen.lastOfStage = x.seen.lastOfStage || errors.Is(err, ErrLastOfStage)
 	}
 	if next, err := cached.Revert(id, ""); err == nil && x.write(i, s, planner, next) {
-		x.met.reverted = true
+		x.seen.reverted = true
 	}
 }
 
@@ -217,18 +219,19 @@
 		x.add(i, n)
 	}
 	for command := range s.commands {
-		if accepted := x.system.accept(engine, command); command.ID == id && accepted != engine {
+		if accepted := x.impl.accept(engine, command); command.ID == id && accepted != engine {
 			n := s.clone()
 			n.engines[id] = accepted
 			x.add(i, n)
 		}
 	}
-	if engine.Target != engine.Role { // it has drained, or crashes and restarts without work
+	if engine.Target != engine.Role { // it has drained, or has crashed and restarted without work
 		n := s.clone()
 		n.engines[id] = engine.FinishDraining()
 		x.add(i, n)
 	}
-	if s.diskLosses < x.bounds.diskLosses && engine.Order > 0 { // it loses its disk and starts as it was first installed
+	if s.diskLosses < x.bounds.diskLosses && engine.CommandNumber > 0 {
+		// The engine loses its disk and starts in its initial state.
 		n := s.clone()
 		n.diskLosses++
 		n.engines[id] = EngineState{Role: Prefill, Target: Prefill}
@@ -236,7 +239,7 @@
 	}
 }
 
-// allConfirmed reports whether every command is confirmed and every engine is what it is listed as.
+// allConfirmed reports whether every command is confirmed and every engine serves the role that it is listed in.
 func (s systemState) allConfirmed() bool {
 	for id, e := range s.table.Entries {
 		engine := s.engines[id]
@@ -247,7 +250,7 @@
 	return true
 }
 
-// checkLiveness checks that from every state all commands can still be confirmed.
+// checkLiveness checks that from every state a state can be reached in which all commands are confirmed.
 func (x *explorer) checkLiveness() {
 	live := make([]bool, len(x.states))
 	var queue []int
@@ -267,12 +270,12 @@
 		}
 	}
 	if i := slices.Index(live, false); i >= 0 {
-		x.fail("from here no command is ever confirmed", x.states[i])
+		x.fail("no state can be reached in which all commands are confirmed", x.states[i])
 	}
 }
 
-// explore visits all states from an idle fleet, until an invariant is violated.
-func explore(fleet []Role, limit bounds, system implementation) *explorer {
+// explore visits all states that can be reached from a fleet without pending changes, until an invariant is violated.
+func explore(fleet []Role, limit bounds, impl implementation) *explorer {
 	start := systemState{
 		engines:  map[string]EngineState{},
 		commands: map[Command]bool{},
@@ -286,7 +289,7 @@
 		start.reports[id] = map[StatusReport]bool{}
 	}
 	start.cached = [2]Assignments{start.table, start.table}
-	x := &explorer{bounds: limit, system: system, indexes: map[string]int{}}
+	x := &explorer{bounds: limit, impl: impl, indexes: map[string]int{}}
 	x.add(-1, start)
 	for i := 0; i < len(x.states) && x.violation == ""; i++ {
 		x.step(i)
@@ -297,11 +300,13 @@
 	return x
 }
 
-// TestLifecycleHoldsInEveryState explores the life cycle in full for small fleets with two planners, messages lost,
-// late and repeated, planners with an old table and engines that lose their disk. In every state: each stage has an
-// engine whose target includes it; no engine follows a command that the table does not know; none is listed as
-// serving in a role that it does not serve, unless it lost its disk; and from every state everything can be
-// confirmed.
+// TestLifecycleHoldsInEveryState explores all states of the life cycle for small fleets with two planners, with lost,
+// late and repeated messages, planners that hold an old table, and engines that lose their disk. In every state:
+//
+//   - each stage has an engine whose target role includes it
+//   - no engine follows a command that is not in the table
+//   - no engine is listed as serving in a role that it does not serve, unless it has lost its disk
+//   - a state can be reached in which all commands are confirmed
 func TestLifecycleHoldsInEveryState(t *testing.T) {
 	for name, c := range map[string]struct {
 		fleet []Role
@@ -317,30 +322,31 @@
 				t.Fatal(x.violation)
 			}
 			t.Logf("%d states", len(x.states))
-			want := eventsMet{
+			want := eventsSeen{
 				conflict: true, lastOfStage: true, confirmed: true,
-				reverted:  c.limit.commands > 1 || x.met.reverted,
-				corrected: c.limit.diskLosses > 0 || x.met.corrected,
+				reverted:  c.limit.commands > 1 || x.seen.reverted,
+				corrected: c.limit.diskLosses > 0 || x.seen.corrected,
 			}
-			if x.met != want {
-				t.Errorf("met %+v, want %+v", x.met, want)
+			if x.seen != want {
+				t.Errorf("events seen: %+v, want %+v", x.seen, want)
 			}
 		})
 	}
 }
 
-// TestExplorerDetectsFaultyImplementations: faulty engines and API servers each violate an invariant.
+// TestExplorerDetectsFaultyImplementations checks that the explorer finds a violation if engines or the API server are
+// faulty.
 func TestExplorerDetectsFaultyImplementations(t *testing.T) {
 	acceptsOldCommands := func(s EngineState, command Command) EngineState {
-		s.Order, s.Target = command.Order, command.Target
+		s.CommandNumber, s.Target = command.Number, command.Target
 		return s
 	}
 	acceptsNothing := func(s EngineState, _ Command) EngineState { return s }
 	mergesOldVersions := func(stored, next Assignments) (Assignments, error) {
 		next.Version = stored.Version + 1
-		entries := maps.Clone(stored.Entries) // each entry separately, as if it were an object of its own
+		entries := maps.Clone(stored.Entries) // merges each entry separately, as if it were an object of its own
 		for id, e := range next.Entries {
-			if e.Order > entries[id].Order {
+			if e.CommandNumber > entries[id].CommandNumber {
 				entries[id] = e
 			}
 		}
@@ -360,7 +366,7 @@
 		"an engine that accepts nothing": {
 			fleet:  []Role{Prefill, Decode},
 			system: implementation{accept: acceptsNothing, write: Assignments.Write},
-			want:   "no command is ever confirmed",
+			want:   "no state can be reached in which all commands are confirmed",
 		},
 		"an API server that accepts old versions": {
 			fleet:  []Role{Prefill, Prefill, Decode},
@@ -371,7 +377,7 @@
 		t.Run(name, func(t *testing.T) {
 			x := explore(c.fleet, bounds{commands: 2}, c.system)
 			if !strings.Contains(x.violation, c.want) {
-				t.Errorf("found %q, want %q", x.violation, c.want)
+				t.Errorf("violation %q, want %q", x.violation, c.want)
 			}
 		})
 	}
--- a/roles/memory_test.go
+++ b/roles/memory_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// oscillatingWork alternates every 50 s between two mixes, too fast for changes to pay.
+// oscillatingWork alternates every 50 s between two mixes, too fast for changes to pay off.
 func oscillatingWork(second int) (prefill, decode float64) {
 	if second/50%2 == 0 {
 		return 7, 4
@@ -16,7 +16,7 @@
 	return 4, 7
 }
 
-// throughJSON is a memory as it comes back from its stored form.
+// throughJSON encodes a memory in its stored form and decodes it again.
 func throughJSON(t *testing.T, m Memory) (stored Memory) {
 	t.Helper()
 	text, err := json.Marshal(m)
@@ -29,21 +29,21 @@
 	return stored
 }
 
-// TestRestoreContinuesWhereMemoryWasTaken: a planner that is started with what another had learned decides as that one
-// would.
+// TestRestoreContinuesWhereMemoryWasTaken checks that a planner with the restored memory of another one keeps its
+// leading expert and, like it, makes no changes on an oscillating mix.
 func TestRestoreContinuesWhereMemoryWasTaken(t *testing.T) {
 	fleet := newSimulatedFleet(8, 8)
 	first := newPlanner(t, Config{})
 	if _, ok := first.Memory(); ok {
-		t.Error("a planner that has seen nothing returns a memory")
+		t.Error("a planner that has not planned returns a memory")
 	}
 	for second := range 3000 {
-		fleet.run(oscillatingWork(second))
-		fleet.step(first, 8*time.Second)
+		fleet.advance(oscillatingWork(second))
+		fleet.planAndApply(first, 8*time.Second)
 	}
 	memory, ok := first.Memory()
 	if !ok {
-		t.Fatal("no memory")
+		t.Fatal("a planner that has planned returns no memory")
 	}
 	stored := throughJSON(t, memory)
 	second := newPlanner(t, Config{})
@@ -51,36 +51,37 @@
 		t.Fatal(err)
 	}
 	restored, _ := second.Memory()
-	if !reflect.DeepEqual(restored.Experts[0].History[0].Reading, memory.Experts[0].History[0].Reading) {
-		t.Errorf("oldest work %v, was %v", restored.Experts[0].History[0].Reading, memory.Experts[0].History[0].Reading)
+	if !reflect.DeepEqual(restored.Experts[0].History[0].Prefill, memory.Experts[0].History[0].Prefill) {
+		t.Errorf("oldest sample: restored %v, saved %v",
+			restored.Experts[0].History[0].Prefill, memory.Experts[0].History[0].Prefill)
 	}
 	if second.leader != first.leader {
-		t.Errorf("leader %d, was %d", second.leader, first.leader)
+		t.Errorf("leader: restored %d, saved %d", second.leader, first.leader)
 	}
 	changes := 0
 	for at := 3000; at < 4000; at++ {
-		fleet.run(oscillatingWork(at))
-		changes += len(fleet.step(second, 8*time.Second).Changes)
+		fleet.advance(oscillatingWork(at))
+		changes += len(fleet.planAndApply(second, 8*time.Second).Changes)
 		if second.leader != first.leader {
 			t.Fatalf("the leading expert changed from %d to %d", first.leader, second.leader)
 		}
 	}
 	if changes > 0 {
-		t.Errorf("%d changes on a mix that it had learned", changes)
+		t.Errorf("%d changes on an oscillating mix in the restored history", changes)
 	}
 	if err := second.Restore(stored, 0, fleet.now); err == nil {
 		t.Error("a planner that has planned accepted a memory")
 	}
 }
 
-// learnedMemory is the memory of a planner after 100 s, with the fleet that it planned for.
+// learnedMemory returns the memory of a planner after 100 s and the fleet that it planned for.
 func learnedMemory(t *testing.T) (Memory, *simulatedFleet) {
 	t.Helper()
 	fleet := newSimulatedFleet(4, 4)
 	p := newPlanner(t, Config{})
 	for range 100 {
-		fleet.run(2, 2)
-		fleet.step(p, 8*time.Second)
+		fleet.advance(2, 2)
+		fleet.planAndApply(p, 8*time.Second)
 	}
 	memory, ok := p.Memory()
 	if !ok {
@@ -93,10 +94,10 @@
 	for name, corrupt := range map[string]func(*Memory){
 		"no experts":         func(m *Memory) { m.Experts = nil },
 		"unknown leader":     func(m *Memory) { m.Leader = 99 },
-		"cost not a number":  func(m *Memory) { m.ChangeCost = math.NaN() },
-		"enormous cost":      func(m *Memory) { m.ChangeCost = 1e9 },
+		"cost not a number":  func(m *Memory) { m.ChangeSeconds = math.NaN() },
+		"enormous cost":      func(m *Memory) { m.ChangeSeconds = 1e9 },
 		"negative split":     func(m *Memory) { m.LastSplit[0] = -1 },
-		"negative readers":   func(m *Memory) { m.Experts[1].Readers = -1 },
+		"negative readers":   func(m *Memory) { m.Experts[1].PrefillEngines = -1 },
 		"infinite loss":      func(m *Memory) { m.Experts[1].Loss = math.Inf(1) },
 		"other lookback":     func(m *Memory) { m.Experts[2].Lookback++ },
 		"no history":         func(m *Memory) { m.Experts[0].History = nil },
@@ -104,7 +105,7 @@
 		"empty sample":       func(m *Memory) { m.Experts[0].History[0].Seconds = 0 },
 		"out of order":       func(m *Memory) { m.Experts[0].History[0].Age = -1 },
 		"endless cooldown": func(m *Memory) {
-			m.Cooldowns = []CooldownMemory{{ID: "e", Remaining: time.Hour, Pause: 1000 * time.Hour}}
+			m.Cooldowns = []CooldownMemory{{ID: "e", Remaining: time.Hour, Duration: 1000 * time.Hour}}
 		},
 		"too many cooldowns": func(m *Memory) { m.Cooldowns = make([]CooldownMemory, maxStoredCooldowns+1) },
 	} {
@@ -113,10 +114,10 @@
 			corrupt(&memory)
 			p := newPlanner(t, Config{})
 			if err := p.Restore(memory, 0, fleet.now); err == nil {
-				t.Error("accepted")
+				t.Error("Restore accepted it")
 			}
 			if p.experts[0].started || p.leader != 0 || len(p.cooldowns) > 0 {
-				t.Error("refused, and a part of it was taken")
+				t.Error("Restore refused it but has changed the planner")
 			}
 		})
 	}
@@ -126,13 +127,13 @@
 	memory, fleet := learnedMemory(t)
 	p := newPlanner(t, Config{})
 	if err := p.Restore(memory, -time.Second, fleet.now); err == nil {
-		t.Error("a memory from the future was accepted")
+		t.Error("Restore accepted a memory from the future")
 	}
 	if err := p.Restore(memory, 24*time.Hour, fleet.now); err != nil {
-		t.Errorf("a day old: %v", err)
+		t.Errorf("Restore of a memory one day old: %v", err)
 	}
-	fleet.run(2, 2)
+	fleet.advance(2, 2)
 	if plan := p.Step(fleet.now, fleet.engines, nil); len(plan.Changes) > 0 {
-		t.Errorf("%+v", plan)
+		t.Errorf("changes after restoring a memory one day old: %+v", plan)
 	}
 }
--- a/roles/planner.go
+++ b/roles/planner.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// maxStepSeconds bounds the time charged to one step: a planner that was paused has observed nothing meanwhile.
+	// maxStepSeconds bounds the time that one step accounts for: the planner has observed nothing while it was paused.
 	maxStepSeconds = 5
-	// lossWindowChanges is how long an expert's losses count, in change times: several periods of the slowest
-	// oscillation that is worth following.
+	// lossWindowChanges is the time constant with which an expert's losses decay, in change times: several periods of
+	// the slowest oscillation that is worth following.
 	lossWindowChanges = 120.0
-	// longerLookbackMargin is how much less an expert with a longer lookback than the leader's must have lost to
-	// lead, in costs of one change.
+	// longerLookbackMargin is how much less than the leader an expert with a longer lookback must have lost to become
+	// the leader, in costs of one change.
 	longerLookbackMargin = 1.0
-	// shorterLookbackMargin is the same for a shorter lookback, as a share of the whole fleet's work during a change.
-	// It is larger, since a short lookback gains by luck on the first period of a mix that oscillates.
+	// shorterLookbackMargin is the same for a shorter lookback, as a fraction of the whole fleet's work during a change.
+	// It is larger because an expert with a short lookback gains by chance in the first period of an oscillating mix.
 	shorterLookbackMargin = 0.3
 )
 
-// lookbacks are how long each expert looks back, in change times: what is long for a fleet depends on what a change
-// takes there. The one that looks back longest leads until another has done better.
+// lookbacks are the experts' lookbacks, in change times: how far it is useful to look back depends on how long a change
+// takes. The expert with the longest lookback leads until another has lost less by the margin.
 var lookbacks = [...]float64{120, 30, 8, 2, 0.5}
 
-// Planner plans for one fleet. It is not safe for concurrent use.
+// Planner decides the changes of role of one fleet. It is not safe for concurrent use.
 type Planner struct {
 	config    Config
 	now       time.Duration
@@ -33,34 +33,34 @@
 	cooldowns map[string]cooldown
 
 	experts       []*expert
-	leader        int // index of the expert that decides
+	leader        int // index of the expert whose split is used
 	lastSplit     split
-	changeSeconds float64 // moving average of what a change takes, in seconds of an engine
+	changeSeconds float64 // moving average of the duration of a change
 }
 
-// Change is one engine to be given another role.
+// Change is the decision to give an engine another role.
 type Change struct {
 	ID     string
 	Target Role
-	Reason string // for logs, with the demand that caused it
+	Reason string // for logs; includes the demand where it caused the change
 }
 
-// Plan is what Step decides, with what it saw.
+// Plan is the result of Step: the decisions and the figures that they are based on.
 type Plan struct {
 	Changes []Change
-	Reverts []string // engines whose pending change no longer helps: to be commanded back to the role in force
+	Reverts []string // engines whose pending change is overdue or no longer wanted: to be commanded back
 
-	Trusted          bool          // the reports sufficed for a plan; else only a stage without any engine causes changes
-	Reading          float64       // demand for prefill, in engines
-	Writing          float64       // demand for decode, in engines
-	Readers          int           // wanted prefill engines
-	Lookback         time.Duration // of the leading expert
-	Engines          int           // prefill and decode engines in all
-	UntrustedReports int           // reports that were missing, stale, frozen or not finite
-	ChangeTime       time.Duration // what a change takes, as measured
+	Trusted              bool          // enough reports are trusted; otherwise demand causes no changes
+	PrefillDemand        float64       // demand for prefill, in engines
+	DecodeDemand         float64       // demand for decode, in engines
+	WantedPrefillEngines int           // the leading expert's choice; without one, the present number
+	Lookback             time.Duration // of the leading expert; 0 if none has planned
+	Engines              int           // prefill engines and decode engines
+	UntrustedReports     int           // engines whose report is missing, stale, frozen or invalid
+	ChangeTime           time.Duration // measured duration of a change
 }
 
-// New returns a planner that has learned nothing yet.
+// New returns a planner without any history.
 func New(config Config) (*Planner, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -82,8 +82,8 @@
 	return p, nil
 }
 
-// Step takes the fleet as it is at now and plans. It is meant to be called about once a second; the interval has
-// little influence on the plans. Engines that are not named are forgotten.
+// Step plans for the state of the fleet at now. It is meant to be called about once a second; the interval has little
+// influence on the plans. The state of engines and replicas that are not passed is dropped.
 func (p *Planner) Step(now time.Duration, engines []Engine, replicas []Replica) Plan {
 	dt := min(max((now-p.now).Seconds(), 0), maxStepSeconds)
 	if !p.started {
@@ -92,37 +92,37 @@
 	p.now = now
 	f := p.observe(engines, replicas)
 	plan := Plan{
-		Trusted:          f.trusted,
-		Reading:          f.prefillDemand,
-		Writing:          f.decodeDemand,
-		Readers:          f.readers,
-		Engines:          f.readers + f.writers,
-		UntrustedReports: f.untrustedReports,
-		ChangeTime:       time.Duration(p.changeSeconds * float64(time.Second)),
+		Trusted:              f.trusted,
+		PrefillDemand:        f.prefillDemand,
+		DecodeDemand:         f.decodeDemand,
+		WantedPrefillEngines: f.prefillEngines,
+		Engines:              f.prefillEngines + f.decodeEngines,
+		UntrustedReports:     f.untrustedReports,
+		ChangeTime:           time.Duration(p.changeSeconds * float64(time.Second)),
 	}
 	for _, x := range p.experts {
-		x.rebase(f.readers-p.lastSplit.readers, f.writers-p.lastSplit.writers)
+		x.applyExternalChanges(f.prefillEngines-p.lastSplit.prefill, f.decodeEngines-p.lastSplit.decode)
 	}
-	if f.minReaders <= f.maxReaders && f.trusted {
+	if f.minPrefillEngines <= f.maxPrefillEngines && f.trusted {
 		for _, x := range p.experts {
 			x.step(f, now, dt, p.changeSeconds, p.maxConcurrent(f))
 		}
 		p.selectLeader(float64(f.size()))
 		leader := p.experts[p.leader]
 		plan.Lookback = leader.lookback
-		plan.Readers = min(max(leader.wantedReaders(), f.minReaders), f.maxReaders)
+		plan.WantedPrefillEngines = min(max(leader.wantedPrefillEngines(), f.minPrefillEngines), f.maxPrefillEngines)
 	}
 	p.planChanges(f, &plan)
-	p.lastSplit = split{readers: f.readers, writers: f.writers}
+	p.lastSplit = split{prefill: f.prefillEngines, decode: f.decodeEngines}
 	return plan
 }
 
-// selectLeader makes the expert that has lost least the leader, once it is better by the margin.
+// selectLeader makes the expert with the largest gain over the leader the new leader, if the gain exceeds its margin.
 func (p *Planner) selectLeader(engines float64) {
 	leader, largestGain := p.leader, 0.0
 	for i, x := range p.experts {
 		margin := longerLookbackMargin * changeCost * p.changeSeconds
-		if i > p.leader { // experts are sorted by lookback, longest first
+		if i > p.leader { // experts are sorted by lookback, the longest first
 			margin = shorterLookbackMargin * engines * p.config.ChangeTime.Seconds()
 		}
 		if gain := p.experts[p.leader].loss - x.loss - margin; gain > largestGain {
@@ -132,13 +132,13 @@
 	p.leader = leader
 }
 
-// maxConcurrent is how many engines may be changing at once.
+// maxConcurrent returns how many engines may be changing at once.
 func (p *Planner) maxConcurrent(f *fleet) int {
 	return max(1, int(p.config.MaxConcurrent*float64(f.size())))
 }
 
-// reason is the text of a change with the demand that caused it. It is stored with the assignment.
+// reason returns the reason of a change with the demand that caused it. It is stored with the assignment.
 func (p *Planner) reason(f *fleet, cause string) string {
 	return fmt.Sprintf("%s: reading asks for %.2f engines, writing for %.2f, of %d readers and %d writers",
-		cause, f.prefillDemand, f.decodeDemand, f.readers, f.writers)
+		cause, f.prefillDemand, f.decodeDemand, f.prefillEngines, f.decodeEngines)
 }
--- a/roles/planner_test.go
+++ b/roles/planner_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlansRespectBounds draws fleets, loads, failures, pins and faulty reports. Each plan changes only engines that
-// are flexible, not within their dwell time unless a stage has no engine at all, not too many at once, and leaves
-// each stage an engine where two can serve.
+// TestPlansRespectBounds draws fleets with pinned engines, loads, failures and faulty reports. Each plan must change
+// only flexible engines, respect the dwell time and the limit of concurrent changes unless a stage has no engine, and
+// leave each stage an engine if two engines can serve.
 func TestPlansRespectBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawFleet(t)
@@ -23,7 +23,7 @@
 		for range 80 {
 			load := rapid.Float64Range(0, float64(2*len(fleet.engines))).Draw(t, "load")
 			share := rapid.Float64Range(0, 1).Draw(t, "prefill share")
-			fleet.run(load*share, load*(1-share))
+			fleet.advance(load*share, load*(1-share))
 			drawFault(t, fleet)
 			before := slices.Clone(fleet.engines)
 			stageEmpty := fleet.count(Both) == 0 &&
@@ -36,7 +36,7 @@
 	})
 }
 
-// drawFleet draws a fleet with some engines pinned or able to do one stage only.
+// drawFleet draws a fleet in which some engines are pinned or can serve one stage only.
 func drawFleet(t *rapid.T) *simulatedFleet {
 	fleet := newSimulatedFleet(rapid.IntRange(1, 12).Draw(t, "readers"), rapid.IntRange(1, 12).Draw(t, "writers"))
 	for i := range fleet.engines {
@@ -52,7 +52,7 @@
 	return fleet
 }
 
-// drawFault draws an engine and, sometimes, a fault of it.
+// drawFault draws an engine and injects a fault into it with a probability of about one half.
 func drawFault(t *rapid.T, fleet *simulatedFleet) {
 	e := &fleet.engines[rapid.IntRange(0, len(fleet.engines)-1).Draw(t, "engine")]
 	switch rapid.IntRange(0, 12).Draw(t, "fault") {
@@ -62,11 +62,11 @@
 	case 1:
 		e.Report = nil
 	case 2:
-		e.Report.Read.Done = math.NaN()
+		e.Report.Prefill.Done = math.NaN()
 	case 3:
 		e.Report.At -= time.Minute
 	case 4:
-		e.Report.Write.Waiting = math.Inf(1)
+		e.Report.Decode.Waiting = math.Inf(1)
 	case 5:
 		e.Report = &Report{At: fleet.now}
 	}
@@ -89,16 +89,16 @@
 		dwelt := fleet.now - old.ChangedAt
 		switch {
 		case !old.flexible() || !old.Ready || old.changing():
-			t.Fatalf("%+v was changed: %+v", old, change)
+			t.Fatalf("engine %+v must not change: %+v", old, change)
 		case !stageEmpty && old.ChangedAt > 0 && dwelt < config.MinDwell:
-			t.Fatalf("%s changed again after %v: %s", change.ID, dwelt, change.Reason)
+			t.Fatalf("%s is changed again after %v: %s", change.ID, dwelt, change.Reason)
 		case !stageEmpty && changing > limit:
-			t.Fatalf("%d changing at once: %+v", changing, plan)
+			t.Fatalf("%d engines changing at once: %+v", changing, plan)
 		}
 	}
 }
 
-// checkStagesCovered checks that a plan leaves each stage an engine where two engines can serve.
+// checkStagesCovered checks that each stage has an engine after a plan if two engines can serve.
 func checkStagesCovered(t *rapid.T, fleet *simulatedFleet, plan Plan) {
 	available := 0
 	for i := range fleet.engines {
@@ -109,11 +109,11 @@
 	stageEmpty := countTargets(fleet.engines, Both) == 0 &&
 		(countTargets(fleet.engines, Prefill) == 0 || countTargets(fleet.engines, Decode) == 0)
 	if available >= 2 && stageEmpty {
-		t.Fatalf("a stage was left without an engine: %+v of %+v", plan, fleet.engines)
+		t.Fatalf("a stage has no engine: plan %+v, engines %+v", plan, fleet.engines)
 	}
 }
 
-// countTargets counts the engines that have a role or are changing to it.
+// countTargets counts the engines that are in a role or changing to it.
 func countTargets(engines []Engine, role Role) (n int) {
 	for _, e := range engines {
 		if (e.Ready || e.changing()) && e.Target == role {
@@ -123,7 +123,7 @@
 	return n
 }
 
-// TestSteadyWorkConverges: under steady work the changes end, near the split with the least cost.
+// TestSteadyWorkConverges checks that under steady work the changes end, at a split whose cost is near the minimum.
 func TestSteadyWorkConverges(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 6 {
@@ -142,15 +142,15 @@
 	p := newPlanner(t, Config{})
 	late := map[Role]int{}
 	for second := range 1800 {
-		fleet.run(prefill, decode)
-		for _, change := range fleet.step(p, 8*time.Second).Changes {
+		fleet.advance(prefill, decode)
+		for _, change := range fleet.planAndApply(p, 8*time.Second).Changes {
 			if second > 1200 {
 				late[change.Target]++
 			}
 		}
 	}
 	if late[Prefill]+late[Decode] > 1 {
-		t.Errorf("changes by role after 20 minutes of steady work: %v", late)
+		t.Errorf("changes by target role after 20 minutes of steady work: %v", late)
 	}
 	least := math.Inf(1)
 	for readers := 1; readers < engines; readers++ {
@@ -158,88 +158,89 @@
 	}
 	cost := Cost(prefill, decode, fleet.count(Prefill), fleet.count(Decode))
 	if cost > least+0.02*float64(engines) {
-		t.Errorf("%d readers cost %.2f engines, the least is %.2f", fleet.count(Prefill), cost, least)
+		t.Errorf("%d prefill engines cost %.2f engines, the minimum is %.2f", fleet.count(Prefill), cost, least)
 	}
 }
 
-// TestUntrustedReportsCauseNoChanges: missing, stale, frozen and implausible reports are no reason to change.
+// TestUntrustedReportsCauseNoChanges checks that missing, stale, frozen and invalid reports cause no changes.
 func TestUntrustedReportsCauseNoChanges(t *testing.T) {
 	const frozenName = "frozen"
 	for name, corrupt := range map[string]func(fleet *simulatedFleet, e *Engine){
 		"missing": func(_ *simulatedFleet, e *Engine) { e.Report = nil },
 		"stale":   func(_ *simulatedFleet, e *Engine) { e.Report.At -= time.Minute },
 		frozenName: func(fleet *simulatedFleet, e *Engine) {
-			e.Report = &Report{At: fleet.now, Read: Stage{Done: 7, Waiting: 9}}
+			e.Report = &Report{At: fleet.now, Prefill: StageLoad{Done: 7, Waiting: 9}}
 		},
-		"not a number":    func(_ *simulatedFleet, e *Engine) { e.Report.Read.Waiting = math.NaN() },
-		"infinite":        func(_ *simulatedFleet, e *Engine) { e.Report.Write.Lost = math.Inf(1) },
-		"negative":        func(_ *simulatedFleet, e *Engine) { e.Report.Write.Waiting = -1 },
+		"not a number":    func(_ *simulatedFleet, e *Engine) { e.Report.Prefill.Waiting = math.NaN() },
+		"infinite":        func(_ *simulatedFleet, e *Engine) { e.Report.Decode.Lost = math.Inf(1) },
+		"negative":        func(_ *simulatedFleet, e *Engine) { e.Report.Decode.Waiting = -1 },
 		"from the future": func(_ *simulatedFleet, e *Engine) { e.Report.At += time.Hour },
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newSimulatedFleet(2, 8)
 			p := newPlanner(t, Config{})
 			for second := range 200 {
-				fleet.run(6, 1)
+				fleet.advance(6, 1)
 				for i := range fleet.engines {
 					corrupt(fleet, &fleet.engines[i])
 				}
 				plan := p.Step(fleet.now, fleet.engines, nil)
-				detected := name != frozenName || second > 30 // frozen totals are trusted for a while
+				detected := name != frozenName || second > 30 // frozen totals are trusted until frozenAfter has passed
 				if len(plan.Changes) > 0 && detected {
-					t.Errorf("%+v", plan.Changes)
+					t.Errorf("changes from untrusted reports: %+v", plan.Changes)
 				}
 			}
 		})
 	}
 }
 
-// TestTrustedReportsCauseChanges is the counterpart: the same fleet and work with intact reports.
+// TestTrustedReportsCauseChanges is the counterpart of TestUntrustedReportsCauseNoChanges, with valid reports of the
+// same fleet and work.
 func TestTrustedReportsCauseChanges(t *testing.T) {
 	fleet := newSimulatedFleet(2, 8)
 	p, changes := newPlanner(t, Config{}), 0
 	for range 200 {
-		fleet.run(6, 1)
-		changes += len(fleet.step(p, 8*time.Second).Changes)
+		fleet.advance(6, 1)
+		changes += len(fleet.planAndApply(p, 8*time.Second).Changes)
 	}
 	if changes == 0 || fleet.count(Prefill) < 5 {
-		t.Errorf("%d changes, %d readers of work for 6", changes, fleet.count(Prefill))
+		t.Errorf("%d changes, %d prefill engines for the work of 6", changes, fleet.count(Prefill))
 	}
 }
 
-// TestSurvivorOfTwoDoesBoth: when one of two engines fails the other does both at once; when it is back each has a
-// single role again, after the dwell time.
-func TestSurvivorOfTwoDoesBoth(t *testing.T) {
+// TestRemainingEngineOfTwoTakesBothRoles checks that when one of two engines fails, the other takes both roles at once.
+// When the failed engine is back, each has a single role again after the dwell time.
+func TestRemainingEngineOfTwoTakesBothRoles(t *testing.T) {
 	for failed := range 2 {
 		t.Run(fmt.Sprintf("engine %d fails", failed), func(t *testing.T) {
 			fleet := newSimulatedFleet(1, 1)
 			p := newPlanner(t, Config{MinDwell: 30 * time.Second})
 			run := func(seconds int) {
 				for range seconds {
-					fleet.run(0.3, 0.3)
-					fleet.step(p, 2*time.Second)
+					fleet.advance(0.3, 0.3)
+					fleet.planAndApply(p, 2*time.Second)
 				}
 			}
 			run(40)
 			fleet.engines[failed].Ready = false
 			run(5)
 			if fleet.count(Both) != 1 {
-				t.Fatalf("the other does not do both: %+v", fleet.engines)
+				t.Fatalf("the remaining engine does not serve both stages: %+v", fleet.engines)
 			}
 			fleet.engines[failed].Ready = true
 			run(10)
 			if fleet.count(Both) != 1 {
-				t.Errorf("it changed again within its dwell time: %+v", fleet.engines)
+				t.Errorf("the remaining engine changed again within its dwell time: %+v", fleet.engines)
 			}
 			run(60)
 			if fleet.count(Prefill) != 1 || fleet.count(Decode) != 1 {
-				t.Errorf("after it is back: %+v", fleet.engines)
+				t.Errorf("roles after the failed engine is back: %+v", fleet.engines)
 			}
 		})
 	}
 }
 
-// TestEmptyStageIsCoveredAtOnce: when all prefill engines fail a decode engine replaces them, whatever the dwell time.
+// TestEmptyStageIsCoveredAtOnce checks that if all prefill engines fail, a decode engine changes within its dwell time.
 func TestEmptyStageIsCoveredAtOnce(t *testing.T) {
 	fleet := newSimulatedFleet(3, 5)
 	p := newPlanner(t, Config{MinDwell: time.Hour})
@@ -250,17 +251,17 @@
 		for i := range 3 {
 			fleet.engines[i].Ready = false
 		}
-		fleet.run(2, 2)
-		fleet.step(p, time.Second)
+		fleet.advance(2, 2)
+		fleet.planAndApply(p, time.Second)
 	}
 	if fleet.count(Prefill) != 1 || fleet.count(Decode) != 4 {
 		t.Errorf("%+v", fleet.engines)
 	}
 }
 
-// TestIdleEngineGetsOldRoleBack: an engine that reports its new role and does nothing in it gets its old role and a
-// cooldown.
-func TestIdleEngineGetsOldRoleBack(t *testing.T) {
+// TestEngineIdleAfterChangeGetsOldRoleBack checks that an engine that confirms its new role but is idle in it gets its
+// old role back and a cooldown.
+func TestEngineIdleAfterChangeGetsOldRoleBack(t *testing.T) {
 	fleet := newSimulatedFleet(4, 4)
 	p := newPlanner(t, Config{MinDwell: 30 * time.Second})
 	idle := &fleet.engines[0]
@@ -268,36 +269,37 @@
 	returnedAt := time.Duration(0)
 	for range 300 {
 		before := *fleet.totals[idle.ID]
-		fleet.run(2, 2)
+		fleet.advance(2, 2)
 		if idle.Role == Prefill {
-			fleet.totals[idle.ID].Read = before.Read
-			idle.Report.Read = before.Read
+			fleet.totals[idle.ID].Prefill = before.Prefill
+			idle.Report.Prefill = before.Prefill
 		}
-		for _, change := range fleet.step(p, time.Second).Changes {
+		for _, change := range fleet.planAndApply(p, time.Second).Changes {
 			if change.ID != idle.ID {
 				continue
 			}
 			if change.Target == Decode {
 				returnedAt = fleet.now
 			} else if fleet.now-returnedAt < 4*time.Minute {
-				t.Fatalf("it was changed again %v later: %+v", fleet.now-returnedAt, change)
+				t.Fatalf("the idle engine was changed again after %v: %+v", fleet.now-returnedAt, change)
 			}
 		}
 	}
 	if returnedAt == 0 {
-		t.Error("it never got its old role back")
+		t.Error("the idle engine never got its old role back")
 	}
 }
 
-// TestOverdueChangeIsReverted: an engine that never confirms its change is commanded back and gets a cooldown.
+// TestOverdueChangeIsReverted checks that an engine that never confirms its change is commanded back and gets a
+// cooldown.
 func TestOverdueChangeIsReverted(t *testing.T) {
 	const timeout = 20 * time.Second
 	fleet := newSimulatedFleet(2, 8)
 	p := newPlanner(t, Config{ChangeTimeout: timeout, MinDwell: 10 * time.Second})
 	startedAt, reverts := map[string]time.Duration{}, 0
 	for range 120 {
-		fleet.run(6, 1)
-		plan := fleet.step(p, time.Hour)
+		fleet.advance(6, 1)
+		plan := fleet.planAndApply(p, time.Hour)
 		for _, id := range plan.Reverts {
 			reverts++
 			if took := fleet.now - startedAt[id]; took < timeout || took > timeout+5*time.Second {
@@ -306,22 +308,22 @@
 		}
 		for _, change := range plan.Changes {
 			if _, twice := startedAt[change.ID]; twice {
-				t.Errorf("%s was commanded again, though it could not change", change.ID)
+				t.Errorf("%s was commanded again during its cooldown", change.ID)
 			}
 			startedAt[change.ID] = fleet.now
 		}
 	}
 	if reverts == 0 {
-		t.Error("nothing was reverted")
+		t.Error("no change was reverted")
 	}
 }
 
-// TestPlansDoNotDependOnOrder: plans depend on nothing but the reports, whatever the order of the engines.
-func TestPlansDoNotDependOnOrder(t *testing.T) {
+// TestPlansDoNotDependOnEngineOrder checks that two planners that get the engines in opposite orders decide the same.
+func TestPlansDoNotDependOnEngineOrder(t *testing.T) {
 	fleet := newSimulatedFleet(3, 7)
 	first, second := newPlanner(t, Config{}), newPlanner(t, Config{})
 	for i := range 300 {
-		fleet.run(2+3*math.Sin(float64(i)/40), 3)
+		fleet.advance(2+3*math.Sin(float64(i)/40), 3)
 		reversed := slices.Clone(fleet.engines)
 		slices.Reverse(reversed)
 		plan, same := first.Step(fleet.now, fleet.engines, nil), second.Step(fleet.now, reversed, nil)
@@ -332,7 +334,7 @@
 	}
 }
 
-// BenchmarkStep is one step for a fleet; about one a second is needed.
+// BenchmarkStep measures one step. A planner does about one step a second.
 func BenchmarkStep(b *testing.B) {
 	for _, engines := range []int{16, 74, 740, 7400} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -344,8 +346,8 @@
 				for j := range fleet.engines {
 					report := fleet.totals[fleet.engines[j].ID]
 					report.At = fleet.now
-					report.Read.Done += 0.5 + 0.2*math.Sin(float64(i)/50)
-					report.Write.Done += 0.5
+					report.Prefill.Done += 0.5 + 0.2*math.Sin(float64(i)/50)
+					report.Decode.Done += 0.5
 					fleet.engines[j].Report = report
 				}
 				b.StartTimer()
--- a/roles/recorded_test.go
+++ b/roles/recorded_test.go
@@ -13,7 +13,7 @@
 	"brackenbend/internal/golden"
 )
 
-// digest is a hash of text that is written to it piece by piece.
+// digest is a hash of formatted text.
 type digest struct{ hash.Hash }
 
 func newDigest() digest { return digest{sha256.New()} }
@@ -24,8 +24,8 @@
 
 func (d digest) String() string { return fmt.Sprintf("%x", d.Sum(nil)[:12]) }
 
-// encodePlan writes a plan in a form that stays the same when types and fields are renamed. Times are nanoseconds; the
-// texts of reasons are for logs and are left out.
+// encodePlan returns a plan in a form that does not depend on the names of types and fields. Times are in nanoseconds.
+// Reasons are left out.
 func encodePlan(p Plan) string {
 	var b strings.Builder
 	for _, c := range p.Changes {
@@ -34,38 +34,38 @@
 	for _, id := range p.Reverts {
 		fmt.Fprintf(&b, "back %s;", id)
 	}
-	fmt.Fprintf(&b, "%v %.9g %.9g %d %d %d %d %d", p.Trusted, p.Reading, p.Writing, p.Readers, int64(p.Lookback),
-		p.Engines, p.UntrustedReports, int64(p.ChangeTime))
+	fmt.Fprintf(&b, "%v %.9g %.9g %d %d %d %d %d", p.Trusted, p.PrefillDemand, p.DecodeDemand,
+		p.WantedPrefillEngines, int64(p.Lookback), p.Engines, p.UntrustedReports, int64(p.ChangeTime))
 	return b.String()
 }
 
-// recordedFleet is one run of a planner over a fleet whose load, engines and reports change at random.
+// recordedFleet configures one recorded run of a planner for a fleet whose load and engines change at random.
 type recordedFleet struct {
-	name             string
-	readers, writers int
-	steps            int
-	faults           bool // engines fail, recover, are pinned, restart, and changes take too long
+	name                          string
+	prefillEngines, decodeEngines int
+	steps                         int
+	faults                        bool // engines fail, recover, restart and are pinned, and some changes take too long
 }
 
-// run returns the digest of all plans and how many changes and reverts they held.
+// run returns the digest of all plans and their numbers of changes and reverts.
 func (f recordedFleet) run(t *testing.T) (sum string, changes, reverts int) {
 	t.Helper()
-	random := rand.New(rand.NewPCG(uint64(f.readers), uint64(f.writers)))
-	fleet := newSimulatedFleet(f.readers, f.writers)
+	random := rand.New(rand.NewPCG(uint64(f.prefillEngines), uint64(f.decodeEngines)))
+	fleet := newSimulatedFleet(f.prefillEngines, f.decodeEngines)
 	planner := newPlanner(t, Config{MinDwell: 20 * time.Second})
 	d := newDigest()
-	prefill, decode := float64(f.readers)*0.7, float64(f.writers)*0.7
+	prefill, decode := float64(f.prefillEngines)*0.7, float64(f.decodeEngines)*0.7
 	for step := range f.steps {
 		if step%90 == 0 {
-			all := float64(f.readers + f.writers)
+			all := float64(f.prefillEngines + f.decodeEngines)
 			share := random.Float64()
 			prefill, decode = all*share*0.8, all*(1-share)*0.8
 		}
 		if f.faults {
 			f.injectFault(random, fleet, step)
 		}
-		fleet.run(prefill, decode)
-		replicas := []Replica{{ID: "a", Report: &Report{At: fleet.now, Read: Stage{Lost: float64(step) * 0.01}}}}
+		fleet.advance(prefill, decode)
+		replicas := []Replica{{ID: "a", Report: &Report{At: fleet.now, Prefill: StageLoad{Lost: float64(step) * 0.01}}}}
 		plan := planner.Step(fleet.now, fleet.engines, replicas)
 		d.addf("%s\n", encodePlan(plan))
 		changeTime := 6 * time.Second
@@ -79,7 +79,7 @@
 	return d.String(), changes, reverts
 }
 
-// injectFault changes one engine of the fleet at every seventh step.
+// injectFault changes the state of one engine at every seventh step.
 func (f recordedFleet) injectFault(random *rand.Rand, fleet *simulatedFleet, step int) {
 	if step%7 != 0 {
 		return
@@ -93,11 +93,11 @@
 	case 2:
 		e.CanPrefill = !e.CanPrefill || !e.CanDecode
 	case 3:
-		fleet.totals[e.ID].Read.Done = 0 // its process has restarted
+		fleet.totals[e.ID].Prefill.Done = 0 // its process has restarted
 	}
 }
 
-// addMemory adds what the planner would store, in its stored form.
+// addMemory adds the planner's memory, in its stored form, to the digest.
 func addMemory(t *testing.T, d digest, planner *Planner) {
 	t.Helper()
 	memory, ok := planner.Memory()
@@ -108,7 +108,7 @@
 	d.addf("%v %s\n", ok, text)
 }
 
-// recordedTable is the table that random operations start from.
+// recordedTable returns the table that random operations start from.
 func recordedTable() Assignments {
 	table := Assignments{Entries: map[string]Assignment{}}
 	for i := range 9 {
@@ -134,7 +134,7 @@
 		next, err = table.Edit(id, func(e *Assignment) { e.Pinned = random.IntN(3) == 0 })
 	default:
 		e := table.Entries[id]
-		status := StatusReport{Order: e.Order, Role: Role(random.IntN(3)), Serving: random.IntN(3) > 0}
+		status := StatusReport{CommandNumber: e.CommandNumber, Role: Role(random.IntN(3)), Serving: random.IntN(3) > 0}
 		if random.IntN(2) == 0 {
 			status.Role = e.Target
 		}
@@ -144,7 +144,7 @@
 	return next, false, err
 }
 
-// runAssignments applies random commands and status reports to a table and returns the digest of its stored forms.
+// runAssignments applies random operations to a table and returns the digest of its stored forms.
 func runAssignments(t *testing.T, seed uint64) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -172,9 +172,9 @@
 	return d.String()
 }
 
-// TestRecordedPlans compares the planner's plans, its stored memory and the assignment table with those of the code
-// that recorded them. The encoding holds no name of a type or field, so a digest that differs is a decision that
-// differs: a change that is not meant to change decisions must never write the file anew.
+// TestRecordedPlans compares digests of the planner's plans, its stored memory and the assignment table with recorded
+// ones. The encoding holds no names of types or fields, so a different digest means a different decision. The golden
+// file must not be updated by a change that is not meant to change decisions.
 func TestRecordedPlans(t *testing.T) {
 	var got strings.Builder
 	for _, f := range []recordedFleet{
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -1,24 +1,25 @@
-// Package roles decides which engines prefill, which decode and which do both, where engines can do either. It is free
-// of I/O, clock and goroutines: Planner.Step takes a view of the fleet and returns the changes to make now.
+// Package roles decides which engines prefill, which decode and which do both, in fleets whose engines can change role.
+// It does no I/O, reads no clock and starts no goroutines: Planner.Step takes the state of the fleet and returns the
+// changes to make now.
 //
-//   - planner.go decides how many engines each stage wants, from the estimators in expert.go and cost.go
-//   - fleet.go sums up a view of the fleet, demand.go decides which load reports are trusted
-//   - changes.go and selection.go decide which engines change, cooldown.go which are left alone
-//   - assignments.go and lifecycle.go are the life cycle of one change between planner, assignment table and engine
+//   - planner.go decides how many engines each stage needs, with the experts in expert.go and the cost in cost.go
+//   - fleet.go aggregates the state of the fleet, demand.go turns load reports into demand
+//   - changes.go and selection.go choose the engines that change role, cooldown.go excludes those that failed to change
+//   - assignments.go and lifecycle.go are the protocol of a change between planner, assignment table and engine
 //   - memory.go exports and restores what a planner has learned
 //
 // docs/roles.md explains the decision rule, its bounds and the alternatives.
 //
-// Nothing here knows a deployment: work is counted in engines, as the time that engines were busy with a stage, so
-// that a prefill engine that is busy half of the time is half an engine of prefill work, whatever its speed.
+// Work is measured in engines: the fraction of time for which an engine is busy with a stage. An engine that prefills
+// half of the time is 0.5 engines of prefill work, so the package needs no figures about the speed of engines.
 package roles
 
 import "fmt"
 
-// Role is what an engine does.
+// Role is the set of stages that an engine serves.
 type Role uint8
 
-// The roles. Their text forms ("reader", "writer", "both") are stored and must not change.
+// The roles. Their text forms ("reader", "writer", "both") are part of stored data and must not change.
 const (
 	Prefill Role = iota // prefills prompts
 	Decode              // decodes answers
@@ -39,13 +40,13 @@
 			return r, nil
 		}
 	}
-	return 0, fmt.Errorf("roles: unknown role %q: reader, writer or both", s)
+	return 0, fmt.Errorf("roles: unknown role %q; want reader, writer or both", s)
 }
 
-// MarshalText returns the role's text form, which is also its form in JSON.
+// MarshalText returns the role's text form, which JSON uses too.
 func (r Role) MarshalText() ([]byte, error) {
 	if r > Both {
-		return nil, fmt.Errorf("roles: no name for %v", r)
+		return nil, fmt.Errorf("roles: no text form for %v", r)
 	}
 	return []byte(r.String()), nil
 }
--- a/roles/selection.go
+++ b/roles/selection.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// dwellRule says whether an engine may be selected before its dwell time or cooldown has ended.
+// dwellRule determines whether an engine may be selected before its dwell time or cooldown has ended.
 type dwellRule bool
 
 const (
 	respectDwell dwellRule = false
-	ignoreDwell  dwellRule = true // a stage would have no engine otherwise
+	ignoreDwell  dwellRule = true // used when a stage has no engine
 )
 
-// maxRankedStay is where a longer time since the last change no longer matters to the selection.
-const maxRankedStay = 24 * time.Hour
+// maxRankedDwell is the time since the last change above which the selection does not prefer a longer one.
+const maxRankedDwell = 24 * time.Hour
 
-// selectEngine returns the engine whose change from one role to another does the least harm: in the cell where its role
-// is most frequent against the other, then the one with the least outstanding work, then the one that changed longest
-// ago. It returns nil if no engine may change.
+// selectEngine returns the engine whose change from one role to another disturbs least. It prefers the cell with the
+// largest surplus of the old role over the new one, then the engine with the least outstanding work, then the engine
+// that changed longest ago. It returns nil if no engine may change.
 func (p *Planner) selectEngine(f *fleet, from, to Role, rule dwellRule) *Engine {
 	surplus := f.surplusByCell(from, to)
 	var best *Engine
@@ -32,7 +32,7 @@
 		rank := [3]float64{
 			-surplus[e.Cell],
 			float64(e.Outstanding),
-			-math.Min((p.now - e.ChangedAt).Seconds(), maxRankedStay.Seconds()),
+			-math.Min((p.now - e.ChangedAt).Seconds(), maxRankedDwell.Seconds()),
 		}
 		if best == nil || slices.Compare(rank[:], bestRank[:]) < 0 {
 			best, bestRank = e, rank
@@ -53,7 +53,7 @@
 	return !dwelling && !p.inCooldown(e.ID)
 }
 
-// surplusByCell is how many more engines of one role than of another each cell has.
+// surplusByCell returns, for each cell, how many more engines of one role than of another it has.
 func (f *fleet) surplusByCell(role, other Role) map[int]float64 {
 	surplus := map[int]float64{}
 	for i := range f.engines {
--- a/roles/stored_test.go
+++ b/roles/stored_test.go
@@ -19,8 +19,7 @@
 	return string(text) + "\n"
 }
 
-// readGolden reads a recorded file into a fresh value and checks that writing that gives the file again: nothing is
-// lost.
+// readGolden decodes a golden file and checks that encoding the result gives the same file, so that no field is lost.
 func readGolden[T any](t *testing.T, name string) T {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -32,17 +31,17 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	if got := marshal(t, v); got != string(text) {
-		t.Errorf("%s: read and written again it is\n%s", name, got)
+		t.Errorf("%s: decoded and encoded again:\n%s", name, got)
 	}
 	return v
 }
 
-// The golden files of these tests hold stored and transmitted forms of released versions. They must not be updated.
+// The golden files of these tests hold data as released versions store and transmit it. They must not be updated.
 
 func TestStoredAssignments(t *testing.T) {
-	table := Assignments{Version: 7, Orders: 1<<53 + 1, Entries: map[string]Assignment{
+	table := Assignments{Version: 7, LastCommandNumber: 1<<53 + 1, Entries: map[string]Assignment{
 		"all": {
-			Role: Prefill, Order: 4, Target: Decode, Serving: true, ChangedAt: 5, ReopenedAt: 6, Pinned: true,
+			Role: Prefill, CommandNumber: 4, Target: Decode, Serving: true, ChangedAt: 5, ServingSince: 6, Pinned: true,
 			CanPrefill: true, CanDecode: true, Reason: "w",
 		},
 		"few": {Role: Both, Target: Both},
@@ -50,8 +49,8 @@
 	}}
 	golden.Check(t, "book.json", marshal(t, table))
 	stored := readGolden[Assignments](t, "book.json")
-	if stored.Version != 7 || stored.Orders != 1<<53+1 || len(stored.Entries) != 3 {
-		t.Errorf("version %d, %d commands, %d entries", stored.Version, stored.Orders, len(stored.Entries))
+	if stored.Version != 7 || stored.LastCommandNumber != 1<<53+1 || len(stored.Entries) != 3 {
+		t.Errorf("version %d, %d commands, %d entries", stored.Version, stored.LastCommandNumber, len(stored.Entries))
 	}
 	for id, e := range table.Entries {
 		if stored.Entries[id] != e {
@@ -63,7 +62,10 @@
 }
 
 func TestStoredEngineState(t *testing.T) {
-	states := []EngineState{{Order: 3, Role: Prefill, Target: Decode}, {Order: 1<<53 + 1, Role: Both, Target: Both}}
+	states := []EngineState{
+		{CommandNumber: 3, Role: Prefill, Target: Decode},
+		{CommandNumber: 1<<53 + 1, Role: Both, Target: Both},
+	}
 	golden.Check(t, "seats.json", marshal(t, states))
 	for i, state := range readGolden[[]EngineState](t, "seats.json") {
 		if state != states[i] {
@@ -79,28 +81,29 @@
 	}
 }
 
-// storedMemory is the memory that memory.json holds.
+// storedMemory returns the memory in memory.json.
 func storedMemory(p *Planner) Memory {
 	m := Memory{
-		Leader: len(p.experts) - 1, ChangeCost: 2.5, LastSplit: [2]int{3, 4},
+		Leader: len(p.experts) - 1, ChangeSeconds: 2.5, LastSplit: [2]int{3, 4},
 		Cooldowns: []CooldownMemory{
-			{ID: "e0", Remaining: time.Second, Pause: time.Minute},
-			{ID: "e1", Remaining: time.Minute, Pause: 2 * time.Minute},
+			{ID: "e0", Remaining: time.Second, Duration: time.Minute},
+			{ID: "e1", Remaining: time.Minute, Duration: 2 * time.Minute},
 		},
 	}
 	for i, x := range p.experts {
 		m.Experts = append(m.Experts, ExpertMemory{
-			Lookback: x.lookback, Loss: float64(i) / 3, Readers: i, Writers: i + 1,
+			Lookback: x.lookback, Loss: float64(i) / 3, PrefillEngines: i, DecodeEngines: i + 1,
 			History: []WorkMemory{
-				{Age: 3 * time.Second, Reading: 1.5, Writing: 1e-9, Seconds: 1},
-				{Age: time.Second, Reading: 2, Writing: 0.1, Seconds: 2},
+				{Age: 3 * time.Second, Prefill: 1.5, Decode: 1e-9, Seconds: 1},
+				{Age: time.Second, Prefill: 2, Decode: 0.1, Seconds: 2},
 			},
 		})
 	}
 	return m
 }
 
-// TestStoredMemory: a planner restores the recorded memory and returns the same one, or its aged form.
+// TestStoredMemory checks that a planner that restores the recorded memory returns the same memory, or one aged by the
+// time since it was taken.
 func TestStoredMemory(t *testing.T) {
 	golden.Check(t, "memory.json", marshal(t, storedMemory(newPlanner(t, Config{}))))
 	for _, c := range []struct {
