--- a/internal/planner/client.go
+++ b/internal/planner/client.go
@@ -14,53 +14,53 @@
 )
 
 const (
-	// maxResponseBytes bounds what is read of any response: a table of 10,000 engines is below 4 MiB.
+	// maxResponseBytes bounds the size of a response body. An assignment table of 10,000 engines is below 4 MiB.
 	maxResponseBytes = 16 << 20
-	// maxErrorRunes bounds what an error quotes of a response.
+	// maxErrorRunes bounds how much of a response body an error quotes.
 	maxErrorRunes = 200
-	// maxUpdateRetries is how often Update starts again after a conflict. Conflicts need another writer in the few
-	// milliseconds between read and write.
+	// maxUpdateRetries is how often Update retries after a conflict. A conflict needs another write in the few
+	// milliseconds between Update's read and write.
 	maxUpdateRetries = 5
 )
 
-// errNotFound means that the API server keeps nothing at the path.
+// errNotFound means that the API server stores nothing at the path.
 var errNotFound = errors.New("not found")
 
 // StatusError is a response with an unexpected status code.
 type StatusError struct {
 	Method, URL string
 	Code        int
-	Body        string // its beginning
+	Body        string // truncated
 }
 
 func (e *StatusError) Error() string {
 	if e.Body == "" {
-		return fmt.Sprintf("%s %s: answered %d", e.Method, e.URL, e.Code)
+		return fmt.Sprintf("%s %s: unexpected status %d", e.Method, e.URL, e.Code)
 	}
-	return fmt.Sprintf("%s %s: answered %d: %s", e.Method, e.URL, e.Code, e.Body)
+	return fmt.Sprintf("%s %s: unexpected status %d: %s", e.Method, e.URL, e.Code, e.Body)
 }
 
-// Client is a client of the API server's assignment table.
+// Client reads and writes the assignment table and the planner memory at the API server.
 type Client struct {
 	URL  string
 	HTTP *http.Client
 }
 
-// View reads the assignment table.
+// View returns the stored assignment table and the listings of the engines.
 func (c *Client) View(ctx context.Context) (v View, err error) {
 	err = c.do(ctx, http.MethodGet, c.url(PathAssignments), nil, &v)
 	return v, err
 }
 
-// Write writes a table made from the version that it names and returns what the API server stored; the error is
-// roles.ErrConflict if the stored version is another.
+// Write replaces the stored table by one that was made from the version that it names, and returns the table as stored.
+// The error is roles.ErrConflict if the stored table has another version.
 func (c *Client) Write(ctx context.Context, table roles.Assignments) (stored roles.Assignments, err error) {
 	err = c.do(ctx, http.MethodPut, c.url(PathAssignments), table, &stored)
 	return stored, err
 }
 
-// Update reads the table, lets change make another of it and writes that. After a conflict it starts again, a few
-// times. It is what operators' commands use.
+// Update reads the table, applies change to it and writes the result. It retries after a conflict, at most
+// maxUpdateRetries times. Operators' commands use it.
 func (c *Client) Update(
 	ctx context.Context, change func(roles.Assignments) (roles.Assignments, error),
 ) (roles.Assignments, error) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// LoadMemory returns what a planner last saved. ok is false, without an error, if none has.
+// LoadMemory returns the memory that a planner saved last. ok is false, without an error, if none has been saved.
 func (c *Client) LoadMemory(ctx context.Context) (saved SavedMemory, ok bool, err error) {
 	err = c.do(ctx, http.MethodGet, c.url(PathMemory), nil, &saved)
 	if errors.Is(err, errNotFound) {
@@ -89,7 +89,7 @@
 	return saved, err == nil, err
 }
 
-// SaveMemory saves a memory for later planners.
+// SaveMemory stores a memory for later planners.
 func (c *Client) SaveMemory(ctx context.Context, saved SavedMemory) error {
 	var stored struct{}
 	return c.do(ctx, http.MethodPut, c.url(PathMemory), saved, &stored)
@@ -97,8 +97,8 @@
 
 func (c *Client) url(path string) string { return strings.TrimSuffix(c.URL, "/") + path }
 
-// do sends a request with a JSON body, if body is not nil, and decodes the JSON response into result. Engines are
-// asked with it as well.
+// do sends a request, with body encoded as JSON if it is not nil, and decodes the JSON response into result. It is also
+// used for requests to engines.
 func (c *Client) do(ctx context.Context, method, url string, body, result any) error {
 	req, err := newRequest(ctx, method, url, body)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return req, nil
 }
 
-// checkStatus turns a status code other than 200 into an error.
+// checkStatus returns an error for a status code other than 200.
 func checkStatus(method, url string, code int, body []byte) error {
 	switch code {
 	case http.StatusOK:
@@ -154,5 +154,5 @@
 }
 
 func closeBody(resp *http.Response) {
-	_ = resp.Body.Close() // all that is wanted of it has been read
+	_ = resp.Body.Close() // the part that is needed has been read
 }
--- a/internal/planner/client_test.go
+++ b/internal/planner/client_test.go
@@ -10,7 +10,7 @@
 	"brackenbend/roles"
 )
 
-// TestClientReturnsTypedErrors: the status codes that callers tell apart are errors that errors.Is and As find.
+// TestClientReturnsTypedErrors checks that errors.Is and errors.As distinguish the status codes that callers handle.
 func TestClientReturnsTypedErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		code  int
@@ -29,7 +29,7 @@
 			defer server.Close()
 			client := planner.Client{URL: server.URL, HTTP: server.Client()}
 			if _, err := client.View(t.Context()); !c.check(err) {
-				t.Errorf("%v", err)
+				t.Errorf("unexpected error %v", err)
 			}
 		})
 	}
--- a/internal/planner/engines.go
+++ b/internal/planner/engines.go
@@ -11,7 +11,7 @@
 	"brackenbend/roles"
 )
 
-// pollEngines asks every engine that is up for its status, and returns the time of the answers.
+// pollEngines requests the status of every engine that is up, and returns the time at which all polls had ended.
 func (r *Runner) pollEngines(ctx context.Context, view View) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout*r.Interval)
 	defer cancel()
@@ -31,7 +31,7 @@
 	return r.now()
 }
 
-// sendCommands sends every pending command, for the first time or again.
+// sendCommands sends every pending command, also those that were sent before.
 func (r *Runner) sendCommands(ctx context.Context, view View, table roles.Assignments) {
 	commands := map[string]roles.Command{}
 	for _, command := range table.PendingCommands() {
@@ -47,12 +47,13 @@
 		}
 		var status Status
 		if err := r.APIServer.do(ctx, http.MethodPost, url, command, &status); err != nil {
-			r.Log.Info("command not delivered, it is sent again", zap.String("engine", id), zap.Error(err))
+			r.Log.Info("sending command failed; it is sent again in the next round", zap.String("engine", id), zap.Error(err))
 		}
 	})
 }
 
-// forEachEngine calls f for the engines that are up, MaxConcurrentPolls at once, and returns when all calls have.
+// forEachEngine calls f for the engines that are up, at most MaxConcurrentPolls at once, and returns when all calls
+// have returned.
 func (r *Runner) forEachEngine(view View, f func(id, url string)) {
 	var up []string
 	for _, id := range view.Assignments.Names() {
@@ -65,7 +66,7 @@
 	})
 }
 
-// forEachLimited calls f with 0 to n-1, at most limit calls at once, and returns when all calls have.
+// forEachLimited calls f with 0 to n-1, at most limit calls at once, and returns when all calls have returned.
 func forEachLimited(limit, n int, f func(i int)) {
 	slots := make(chan struct{}, limit)
 	var calls sync.WaitGroup
--- a/internal/planner/memory.go
+++ b/internal/planner/memory.go
@@ -7,14 +7,14 @@
 	"go.uber.org/zap"
 )
 
-// memoryState says when the planner's memory was last exchanged with the API server.
+// memoryState is the state of loading and saving the planner's memory.
 type memoryState struct {
-	requested bool // the memory of an earlier planner
-	savedAt   time.Time
+	requested bool      // the memory of an earlier planner has been requested
+	savedAt   time.Time // of the last attempt to save; at first, of the request
 }
 
-// restoreMemory restores, once, what an earlier planner has saved. Without it the planner learns anew, which is safe
-// and slower.
+// restoreMemory restores, in the first round only, the memory that an earlier planner has saved. If that fails, the
+// planner starts without history, which is safe but takes longer to reach good decisions.
 func (r *Runner) restoreMemory(ctx context.Context) {
 	if r.memory.requested || r.Policy != nil {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// saveMemory saves what the planner has learned, once per SaveInterval.
+// saveMemory saves the planner's memory once per SaveInterval.
 func (r *Runner) saveMemory(ctx context.Context) {
 	if r.Policy != nil || time.Since(r.memory.savedAt) < r.SaveInterval {
 		return
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -9,8 +9,8 @@
 
 const metricPrefix = "brackenbend_planner_"
 
-// Metrics are what a planner measures of itself and of the fleet as it sees it. Labels are roles and stages only.
-// Metric names and label values must not change; fields use the terms of the code.
+// Metrics are a planner's metrics of its own work and of the fleet. Labels are roles, stages, states and results only.
+// Names, help texts and label values of metrics must not change, so the fields' names differ from them.
 type Metrics struct {
 	Registry *prometheus.Registry
 
@@ -66,7 +66,7 @@
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: metricPrefix + name, Help: help}, []string{label})
 }
 
-// observe records a round that was planned.
+// observe records a plan and the table that it was made from.
 func (m *Metrics) observe(plan roles.Plan, table roles.Assignments) {
 	m.demand.WithLabelValues("reading").Set(plan.PrefillDemand)
 	m.demand.WithLabelValues("writing").Set(plan.DecodeDemand)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -23,10 +23,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// eventuallyTimeout is how long tests wait for what a planner does within a few rounds of 10 ms, on a loaded machine.
+// eventuallyTimeout is how long tests wait for an effect of a planner. It takes a few rounds of 10 ms, and longer on a
+// loaded machine.
 const eventuallyTimeout = 20 * time.Second
 
-// kinds are the engine kinds that engines are listed as, by role.
+// kinds are the kinds that engines are listed as, by role.
 var kinds = map[roles.Role]string{roles.Prefill: "prefill", roles.Decode: "decode", roles.Both: "mixed"}
 
 func engineParams(role roles.Role) enginemodel.Params {
@@ -37,14 +38,14 @@
 	}
 }
 
-// fleet is a fake API server with fake engines that may change role.
+// fleet is a fake API server with fake engines that can change role.
 type fleet struct {
 	t       *testing.T
 	api     *apiserver.Server
 	engines map[string]*engine.Server
 	client  planner.Client
 	http    *http.Client
-	metrics *planner.Metrics // of the newest planner
+	metrics *planner.Metrics // of the planner started last
 }
 
 func newFleet(t *testing.T, engineRoles ...roles.Role) *fleet {
@@ -79,7 +80,7 @@
 	f.engines[name] = s
 }
 
-// startAPIServer starts an API server that keeps the assignment table in a file, or in memory only if file is "".
+// startAPIServer starts an API server that stores the assignment table in a file, or in memory only if file is "".
 func (f *fleet) startAPIServer(file string) {
 	f.t.Helper()
 	var err error
@@ -93,7 +94,8 @@
 	f.client = planner.Client{URL: f.api.URL(), HTTP: f.http}
 }
 
-// restartAPIServer replaces the API server by one that starts from file. All engines are listed anew.
+// restartAPIServer replaces the API server by one that reads the assignment table from file. All engines are listed
+// again.
 func (f *fleet) restartAPIServer(file string) {
 	f.t.Helper()
 	f.api.Close()
@@ -104,7 +106,7 @@
 	}
 }
 
-// list lists an engine as it is now.
+// list updates the API server's entry of an engine.
 func (f *fleet) list(s *engine.Server) {
 	info := s.Info()
 	f.api.Set(apiserver.Entry{
@@ -112,7 +114,7 @@
 	})
 }
 
-// runPlanner starts a planner; the function that it returns ends it as a crash does.
+// runPlanner starts a planner. The function that it returns stops the planner without any cleanup, like a crash.
 func (f *fleet) runPlanner(config roles.Config) (kill func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -132,7 +134,7 @@
 	return kill
 }
 
-// startChange writes a command to an engine into the table, as an operator does.
+// startChange writes a command to an engine into the table, as an operator's command does.
 func (f *fleet) startChange(id string, to roles.Role) {
 	f.t.Helper()
 	_, err := f.client.Update(f.t.Context(), func(table roles.Assignments) (roles.Assignments, error) {
@@ -143,18 +145,19 @@
 	}
 }
 
+// eventually waits until a condition holds. what describes the condition.
 func (f *fleet) eventually(what string, ok func(roles.Assignments) bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(eventuallyTimeout)
 	for !ok(f.api.Assignments()) {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("%s: %+v", what, f.api.Assignments())
+			f.t.Fatalf("timed out before the condition %q held; table %+v", what, f.api.Assignments())
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// confirmed reports whether an engine has a role, by the table and by itself.
+// confirmed returns a condition: an engine has a role, both in the table and in its own state.
 func (f *fleet) confirmed(id string, role roles.Role) func(roles.Assignments) bool {
 	return func(table roles.Assignments) bool {
 		entry, state := table.Entries[id], f.engines[id].EngineState()
@@ -162,7 +165,7 @@
 	}
 }
 
-// servingByMetrics is the number of engines that the planner's metrics show as serving in a role.
+// servingByMetrics returns the number of engines in a role that the planner's metrics show as serving.
 func (f *fleet) servingByMetrics(role roles.Role) (n float64) {
 	f.t.Helper()
 	families, err := f.metrics.Registry.Gather()
@@ -182,15 +185,16 @@
 	return n
 }
 
-// commandsOnly is a configuration with which the planner changes nothing by itself.
+// commandsOnly is a configuration with which the planner starts no changes itself.
 var commandsOnly = roles.Config{MinDwell: time.Hour}
 
 func TestCommandIsCarriedOut(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	f.runPlanner(commandsOnly)
 	f.startChange("e0", roles.Decode)
-	f.eventually("confirmed", f.confirmed("e0", roles.Decode))
-	f.eventually("shown by the metrics", func(roles.Assignments) bool { return f.servingByMetrics(roles.Decode) == 2 })
+	f.eventually("e0 is confirmed as a decode engine", f.confirmed("e0", roles.Decode))
+	f.eventually("the metrics show two decode engines",
+		func(roles.Assignments) bool { return f.servingByMetrics(roles.Decode) == 2 })
 	if e, _ := f.api.Entry("e1"); e.Name != "e1" {
 		t.Errorf("%+v", e)
 	}
@@ -198,15 +202,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = resp.Body.Close() }() // read to its end
+	defer func() { _ = resp.Body.Close() }() // the body has been read
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || strings.Count(string(text), `"brackenbend.dev/kind":"decode"`) != 2 ||
 		!strings.Contains(string(text), "brackenbend.dev/started") {
-		t.Errorf("replicas are told %s %v", text, err)
+		t.Errorf("endpoint list for replicas: %s, error %v", text, err)
 	}
 }
 
-// post sends a request to an engine and returns its response, without the body.
+// post sends a request to an engine and returns its response with the body closed.
 func (f *fleet) post(url, id, body string) *http.Response {
 	f.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
@@ -222,8 +226,8 @@
 	return resp
 }
 
-// TestDrainingEngineKeepsReadState: an engine that is commanded to decode while it holds a read state accepts no new
-// work, keeps the state until it is fetched, and switches then.
+// TestDrainingEngineKeepsReadState checks that an engine that is commanded to decode while it holds a read state
+// accepts no new work, keeps the state until it is fetched, and switches then.
 func TestDrainingEngineKeepsReadState(t *testing.T) {
 	const prefillRequest = `{"model":"m","messages":[{"role":"user","content":"hello"}],` +
 		`"kv_transfer_params":{"do_remote_decode":true}}`
@@ -236,40 +240,41 @@
 	}
 	f.runPlanner(commandsOnly)
 	f.startChange("e0", roles.Decode)
-	f.eventually("the command has arrived", func(roles.Assignments) bool {
+	f.eventually("the command has arrived at e0", func(roles.Assignments) bool {
 		return engine.EngineState().Target == roles.Decode
 	})
 	resp = f.post(url+"/v1/chat/completions", "r2", prefillRequest)
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Brackenbend-Never-Ran") != "1" {
-		t.Errorf("new work was answered %d while it drains", resp.StatusCode)
+		t.Errorf("draining engine answered new work with status %d", resp.StatusCode)
 	}
 	if state := engine.EngineState(); state.Role != roles.Prefill || engine.States() != 1 {
-		t.Errorf("it switched to %v with a state held", state.Role)
+		t.Errorf("engine switched to %v while it held a read state", state.Role)
 	}
 	if resp := f.post(url+"/standin/take", "", `{"id":"r1"}`); resp.StatusCode != http.StatusOK {
-		t.Errorf("the state was lost: %d", resp.StatusCode)
+		t.Errorf("fetching the read state: status %d", resp.StatusCode)
 	}
-	f.eventually("confirmed", f.confirmed("e0", roles.Decode))
+	f.eventually("e0 is confirmed as a decode engine", f.confirmed("e0", roles.Decode))
 }
 
-// TestChangeSurvivesCrashes: the planner crashes with a command written and not sent, the engine crashes with a
-// command accepted, the API server restarts from its disk; the change is completed each time.
+// TestChangeSurvivesCrashes checks that a change is completed if the planner crashes after it has written a command and
+// before it has sent it, and if the engine crashes after it has accepted a command and the API server restarts from its
+// file.
 func TestChangeSurvivesCrashes(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	file := filepath.Join(t.TempDir(), "book.json")
 	if err := f.api.PersistAssignments(file); err != nil {
 		t.Fatal(err)
 	}
-	f.startChange("e0", roles.Decode) // written; no planner runs that would send it
+	f.startChange("e0", roles.Decode) // written; no planner is running that would send it
 	kill := f.runPlanner(commandsOnly)
-	f.eventually("completed by the next planner", f.confirmed("e0", roles.Decode))
+	f.eventually("the next planner has completed the change of e0", f.confirmed("e0", roles.Decode))
 	kill()
 
 	f.startChange("e1", roles.Both)
 	e1 := f.engines["e1"]
 	resp := f.post("http://"+e1.Info().Address+planner.PathRole, "", `{"id":"e1","order":2,"to":"both"}`)
 	if resp.StatusCode != http.StatusOK {
-		t.Fatalf("the command was answered %d", resp.StatusCode)
+		t.Fatalf("the command was answered with status %d", resp.StatusCode)
 	}
 	e1.Crash()
 	if err := e1.Restart(); err != nil {
@@ -279,13 +284,13 @@
 	f.restartAPIServer(file)
 	if got := f.api.Assignments(); got.LastCommandNumber != before.LastCommandNumber ||
 		got.Entries["e1"] != before.Entries["e1"] {
-		t.Fatalf("the API server came back with %+v, it had %+v", got, before)
+		t.Fatalf("table after the restart of the API server %+v, before %+v", got, before)
 	}
 	f.runPlanner(commandsOnly)
-	f.eventually("confirmed", f.confirmed("e1", roles.Both))
+	f.eventually("e1 is confirmed in both roles", f.confirmed("e1", roles.Both))
 }
 
-// TestWriteOfOldVersionIsRefused: a planner that was paused writes a table made before another writer's.
+// TestWriteOfOldVersionIsRefused checks that a planner that was paused can't overwrite a newer version of the table.
 func TestWriteOfOldVersionIsRefused(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	old, err := f.client.View(t.Context())
@@ -298,37 +303,37 @@
 		t.Fatal(err)
 	}
 	if _, err := f.client.Write(t.Context(), table); !errors.Is(err, roles.ErrConflict) {
-		t.Errorf("%v", err)
+		t.Errorf("write of an old version: error %v, want a conflict", err)
 	}
 	_, err = f.client.Update(t.Context(), func(table roles.Assignments) (roles.Assignments, error) {
 		return table.Start("e1", roles.Decode, "")
 	})
 	if !errors.Is(err, roles.ErrLastOfStage) {
-		t.Errorf("the last prefill engine was changed: %v", err)
+		t.Errorf("change of the last prefill engine: error %v", err)
 	}
 }
 
-// TestUnreachableAPIServerStopsChanges: while the API server does not answer a planner does nothing, and it continues
-// after.
+// TestUnreachableAPIServerStopsChanges checks that a planner sends no commands while the API server does not answer,
+// and continues afterwards.
 func TestUnreachableAPIServerStopsChanges(t *testing.T) {
 	f := newFleet(t, roles.Prefill, roles.Prefill, roles.Decode)
 	f.startChange("e0", roles.Decode)
 	f.api.SetUnreachable(true)
 	f.runPlanner(commandsOnly)
 	if _, err := f.client.View(t.Context()); err == nil {
-		t.Error("an API server that is cut off answers")
+		t.Error("the unreachable API server answers")
 	}
 	if f.engines["e0"].EngineState().CommandNumber != 0 {
-		t.Error("an engine got a command without the table")
+		t.Error("the engine got a command while the API server was unreachable")
 	}
 	f.api.SetUnreachable(false)
-	f.eventually("confirmed", f.confirmed("e0", roles.Decode))
+	f.eventually("e0 is confirmed as a decode engine", f.confirmed("e0", roles.Decode))
 }
 
-// memorySavedAfter waits for a memory that a planner saved after a time.
+// memorySavedAfter waits for a memory that a planner has saved after the given time.
 func (f *fleet) memorySavedAfter(after time.Time) (saved planner.SavedMemory) {
 	f.t.Helper()
-	f.eventually("a memory is saved", func(roles.Assignments) bool {
+	f.eventually("a planner has saved a memory", func(roles.Assignments) bool {
 		var ok bool
 		var err error
 		saved, ok, err = f.client.LoadMemory(f.t.Context())
@@ -340,13 +345,13 @@
 	return saved
 }
 
-// oldestWork is the age of the oldest work that a memory holds.
+// oldestWork returns the age of the oldest sample in a memory.
 func oldestWork(saved planner.SavedMemory) time.Duration {
 	return saved.Memory.Experts[0].History[0].Age
 }
 
-// TestMemorySurvivesPlannerAndAPIServerRestarts: a second planner continues with the memory of the first, and one that
-// finds an implausible memory starts anew.
+// TestMemorySurvivesPlannerAndAPIServerRestarts checks that a second planner continues with the memory of the first,
+// and that one that loads an implausible memory starts without history.
 func TestMemorySurvivesPlannerAndAPIServerRestarts(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "book.json")
 	f := newFleet(t, roles.Prefill, roles.Decode)
@@ -354,7 +359,7 @@
 		t.Fatal(err)
 	}
 	if _, ok, err := f.client.LoadMemory(t.Context()); ok || err != nil {
-		t.Fatalf("%v %v before there was a planner", ok, err)
+		t.Fatalf("memory before any planner has run: %v, error %v", ok, err)
 	}
 	kill := f.runPlanner(commandsOnly)
 	f.memorySavedAfter(time.Time{})
@@ -365,7 +370,7 @@
 	kill = f.runPlanner(commandsOnly)
 	saved := f.memorySavedAfter(startedAt)
 	if running := saved.At.Sub(startedAt); oldestWork(saved) <= running {
-		t.Errorf("the second planner's oldest work is %v old, it has run for %v", oldestWork(saved), running)
+		t.Errorf("oldest sample of the second planner is %v old; it has run for %v", oldestWork(saved), running)
 	}
 	kill()
 
@@ -377,6 +382,6 @@
 	f.runPlanner(commandsOnly)
 	saved = f.memorySavedAfter(startedAt)
 	if running := saved.At.Sub(startedAt); oldestWork(saved) > running {
-		t.Errorf("a planner without a memory has work %v old, it has run for %v", oldestWork(saved), running)
+		t.Errorf("oldest sample of a planner without a memory is %v old; it has run for %v", oldestWork(saved), running)
 	}
 }
--- a/internal/planner/recorded_test.go
+++ b/internal/planner/recorded_test.go
@@ -24,10 +24,11 @@
 	"brackenbend/roles"
 )
 
-// recordingServer answers each request with a text by its method and path, and keeps the bytes of all requests.
+// recordingServer answers each request with the response set for its method and path, and records the bytes of all
+// requests.
 type recordingServer struct {
 	listener  net.Listener
-	responses map[string]string // by "METHOD path"; none = 404
+	responses map[string]string // by "METHOD path"; without an entry, 404
 	served    chan string       // "METHOD path" of each request
 	mu        sync.Mutex
 	received  strings.Builder
@@ -59,7 +60,7 @@
 }
 
 func (s *recordingServer) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // the client sees a cut response, and fails the test
+	defer func() { _ = conn.Close() }() // if this fails, the client gets a truncated response and fails the test
 	var raw strings.Builder
 	req, err := http.ReadRequest(bufio.NewReaderSize(io.TeeReader(conn, &raw), 1<<16))
 	if err != nil {
@@ -76,17 +77,18 @@
 	fmt.Fprintf(&s.received, "%q\n", raw.String())
 	s.mu.Unlock()
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 %s\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s",
-		status, len(text), text) // a client that is gone does not matter
+		status, len(text), text) // an error means that the client has disconnected
 	s.served <- key
 }
 
 func (s *recordingServer) address() string { return s.listener.Addr().String() }
 func (s *recordingServer) url() string     { return "http://" + s.address() }
 
-// timesOfChange matches the wall clock times of an assignment.
+// timesOfChange matches the wall clock times in an encoded assignment.
 var timesOfChange = regexp.MustCompile(`(\\"(?:changed|began)\\":)\d{19}\b`)
 
-// text is what was received, with the ports and times that differ from run to run replaced, and these only.
+// text returns the recorded requests. Only the server's address and the times of changes, which differ in each run, are
+// replaced.
 func (s *recordingServer) text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +113,7 @@
 	return plan
 }
 
-// start runs r until the function that it returns is called.
+// start runs r until the returned function is called.
 func start(t *testing.T, r *planner.Runner) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -139,10 +141,9 @@
 		`"write":{"done":0,"waiting":0,"lost":0,"count":0}}`, order, role)
 }
 
-// The golden files of these tests hold transmitted and stored forms of released versions. They must not be updated.
+// The golden files of these tests hold data as released versions transmit and store it. They must not be updated.
 
-// TestRecordedRound compares what one round of a planner sends to the API server, to engines and to a replica with
-// what was recorded.
+// TestRecordedRound compares the requests of one round to the API server, the engines and a replica with recorded ones.
 func TestRecordedRound(t *testing.T) {
 	const get, post = "GET /v1/brackenbend/role", "POST /v1/brackenbend/role"
 	e0 := newRecordingServer(t, map[string]string{get: statusText(0, "reader"), post: statusText(5, "reader")})
@@ -172,7 +173,7 @@
 			Changes: []roles.Change{{ID: "e0", Target: roles.Decode, Reason: "more <writing> & such"}},
 		}},
 	})
-	for range 2 { // the poll, then the command: the last request of a round
+	for range 2 { // the poll, then the command, which is the last request of a round
 		<-e0.served
 	}
 	stop()
@@ -180,7 +181,7 @@
 		"front\n"+replica.text())
 }
 
-// recordedMemory is the memory that saved.json holds.
+// recordedMemory returns the memory in saved.json.
 func recordedMemory() planner.SavedMemory {
 	return planner.SavedMemory{At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC), Memory: roles.Memory{
 		Leader: 1, ChangeSeconds: 2.5, LastSplit: [2]int{3, 4},
@@ -192,8 +193,8 @@
 	}}
 }
 
-// TestRecordedClientRequests: the memory as it is saved, read and saved again, and the table as an operator's command
-// writes it.
+// TestRecordedClientRequests compares a client's requests with recorded ones: a memory is loaded and saved again
+// without any loss, and the table is written as by an operator's command.
 func TestRecordedClientRequests(t *testing.T) {
 	text, err := json.Marshal(recordedMemory())
 	if err != nil {
@@ -215,7 +216,7 @@
 	if err != nil || !ok {
 		t.Fatal(ok, err)
 	}
-	if err := client.SaveMemory(t.Context(), saved); err != nil { // complete: the same bytes again
+	if err := client.SaveMemory(t.Context(), saved); err != nil { // must send the bytes that were loaded
 		t.Fatal(err)
 	}
 	unchanged := func(table roles.Assignments) (roles.Assignments, error) { return table, nil }
@@ -225,7 +226,8 @@
 	golden.Check(t, "client.txt", api.text())
 }
 
-// TestRecordedMetrics: names, types, help texts and labels, without those of the Go runtime and the process.
+// TestRecordedMetrics compares the names, types, help texts, labels and values of the planner's metrics with recorded
+// ones. Metrics of the Go runtime and the process are left out.
 func TestRecordedMetrics(t *testing.T) {
 	metrics := planner.NewMetrics()
 	api := newRecordingServer(t, map[string]string{
@@ -251,7 +253,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The rounds are counted by result, which depends on when the run was ended: their name and labels only, at the end.
+	// How many rounds of each result there are depends on when the run ended. Only the name, help text, type and label of
+	// their counter are compared.
 	const rounds = "brackenbend_planner_looks_total"
 	var got, roundsText strings.Builder
 	for _, family := range families {
--- a/internal/planner/replicareports_test.go
+++ b/internal/planner/replicareports_test.go
@@ -14,7 +14,7 @@
 	"brackenbend/roles"
 )
 
-// reportPolicy sends the age of each report of a replica that it is given.
+// reportPolicy is a policy that sends the age of each replica report that it gets to a channel.
 type reportPolicy struct{ ages chan time.Duration }
 
 func (p reportPolicy) Step(now time.Duration, _ []roles.Engine, replicas []roles.Replica) roles.Plan {
@@ -27,8 +27,9 @@
 	return roles.Plan{}
 }
 
-// TestReplicaReportsAreNotInTheFuture: the clock of a round was read before the replicas were polled, so their reports
-// lay some milliseconds in the round's future, and the planner takes no report of the future: lost work never counted.
+// TestReplicaReportsAreNotInTheFuture checks that replica reports are not newer than the time of their round. The
+// planner ignores reports from the future, so lost work never counted when the clock was read before the replicas were
+// polled.
 func TestReplicaReportsAreNotInTheFuture(t *testing.T) {
 	const pollTime = 20 * time.Millisecond
 	replica := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(pollTime) }))
@@ -50,10 +51,10 @@
 	select {
 	case age := <-policy.ages:
 		if age < 0 {
-			t.Errorf("the round takes a report of %v in its future", -age)
+			t.Errorf("replica report is %v newer than its round", -age)
 		}
 	case <-time.After(eventuallyTimeout):
-		t.Error("no report of a replica")
+		t.Error("the policy got no replica report")
 	}
 	cancel()
 	<-done
--- a/internal/planner/replicas.go
+++ b/internal/planner/replicas.go
@@ -18,25 +18,26 @@
 	"brackenbend/roles"
 )
 
-// LostCounts are a replica's totals of lost requests, by the stage that they were lost at.
+// LostCounts are a replica's totals of lost requests, by the stage that they had not completed.
 type LostCounts struct{ Prefill, Decode float64 }
 
-// LostWorkEstimator turns replicas' counts of lost requests into work, by the mean cost of a request.
+// LostWorkEstimator estimates the work that replicas lost from their counts of lost requests and the mean cost of a
+// request.
 type LostWorkEstimator struct {
-	counts  map[string]LostCounts // by replica, as last read
-	reports map[string]*roles.Report
+	counts  map[string]LostCounts    // last counts, by replica
+	reports map[string]*roles.Report // last reports, by replica
 }
 
-// NewLostWorkEstimator returns a LostWork with no counts.
+// NewLostWorkEstimator returns a LostWorkEstimator without counts.
 func NewLostWorkEstimator() LostWorkEstimator {
 	return LostWorkEstimator{counts: map[string]LostCounts{}, reports: map[string]*roles.Report{}}
 }
 
-// MeanCosts is what a request takes of each stage, in engine seconds, on the mean over the lifetimes of all engines
-// that answered.
+// MeanCosts returns the mean work of a request at each stage, in engine seconds, over the lifetimes of the engines
+// with a status.
 func MeanCosts(statuses map[string]Status) (prefillCost, decodeCost float64) {
 	var prefill, decode StageLoad
-	for _, id := range slices.Sorted(maps.Keys(statuses)) { // sorted, so that rounding is the same every time
+	for _, id := range slices.Sorted(maps.Keys(statuses)) { // sorted, so that rounding does not depend on map order
 		status := statuses[id]
 		prefill.Done, prefill.Count = prefill.Done+status.Prefill.Done, prefill.Count+status.Prefill.Count
 		decode.Done, decode.Count = decode.Done+status.Decode.Done, decode.Count+status.Decode.Count
@@ -44,8 +45,9 @@
 	return prefill.Done / max(prefill.Count, 1), decode.Done / max(decode.Count, 1)
 }
 
-// Update takes a replica's counts at now and the mean costs of a request, and returns the replica's report. A request
-// lost before its prefill would have had to be decoded too.
+// Update processes a replica's counts at now, with the mean costs of a request, and returns the replica's report. A
+// request that was lost before its prefill had ended counts as lost work of both stages, since it would have been
+// decoded too.
 func (l *LostWorkEstimator) Update(
 	replica string, counts LostCounts, now time.Duration, prefillCost, decodeCost float64,
 ) *roles.Report {
@@ -67,7 +69,8 @@
 	return report
 }
 
-// pollReplicas reads the replicas' counters; those that do not answer are left out.
+// pollReplicas reads the counters of the replicas and returns their reports, without those of replicas that did not
+// answer.
 func (r *Runner) pollReplicas(ctx context.Context) []roles.Replica {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout*r.Interval)
 	defer cancel()
--- a/internal/planner/replicas_test.go
+++ b/internal/planner/replicas_test.go
@@ -11,7 +11,7 @@
 	"brackenbend/internal/telemetry"
 )
 
-// serveMetrics serves a replica's metrics until the test ends and returns their address.
+// serveMetrics serves a replica's metrics until the test ends and returns the address.
 func serveMetrics(t *testing.T, metrics *telemetry.Metrics) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 	return l.Addr().String()
 }
 
-// TestPollReplicasTurnsLostRequestsIntoWork reads the counters of a real replica's metrics.
+// TestPollReplicasTurnsLostRequestsIntoWork polls counters served by package telemetry, as a replica serves them.
 func TestPollReplicasTurnsLostRequestsIntoWork(t *testing.T) {
 	metrics := telemetry.NewMetrics()
 	r := &Runner{
@@ -58,7 +58,7 @@
 	if len(second) != 1 || second[0].Report.Prefill.Lost != 2 || second[0].Report.Decode.Lost != 12 {
 		t.Errorf("%+v", second[0].Report)
 	}
-	// A replica that restarts begins at zero, and its totals do not decrease.
+	// A restarted replica counts from zero again; the totals of its report must not decrease.
 	restarted := r.lost.Update(r.Replicas[0], LostCounts{Prefill: 1}, 0, 1, 1)
 	if restarted.Prefill.Lost != 2 || restarted.Decode.Lost != 12 {
 		t.Errorf("%+v", restarted)
--- a/internal/planner/runner.go
+++ b/internal/planner/runner.go
@@ -1,10 +1,10 @@
-// Package planner runs a role planner (package roles) against the API server and the engines: in each round it reads
-// the assignment table, polls the engines, writes what the planner decides and sends the engines their commands. It
-// decides nothing itself. Any number of planners may run: each write names the version of the table that it was made
-// from.
+// Package planner connects a role planner (package roles) to the API server and the engines. In each round it reads
+// the assignment table, polls the engines, writes the planner's decisions to the table and sends the engines their
+// commands. All decisions are made in package roles. Any number of planners may run, because each write names the
+// version of the table that it was made from.
 //
-// Runner.Run's goroutine owns all state of a Runner; polls and commands run in goroutines that end before a round
-// does.
+// The goroutine that calls Runner.Run owns all state of the Runner. Polls and commands run in goroutines that end
+// before their round does.
 package planner
 
 import (
@@ -27,44 +27,46 @@
 	roundTimeout = 5
 	pollTimeout  = 2
 
-	// epoch is the planner clock's time at the start of a Runner, so that what happened before has a time as well.
+	// epoch is the planner clock's time at the start of a Runner. It is above zero so that earlier events, such as
+	// changes by another planner, have positive times.
 	epoch = 24 * time.Hour
 )
 
-// Policy decides: roles.Planner, or another one for comparisons.
+// Policy decides the changes of role. roles.Planner implements it; comparisons use others.
 type Policy interface {
 	Step(now time.Duration, engines []roles.Engine, replicas []roles.Replica) roles.Plan
 }
 
 // Runner runs a planner. Its exported fields are its configuration and must not change while it runs.
 type Runner struct {
-	APIServer          Client // of the API server
+	APIServer          Client // its HTTP client also polls engines and replicas
 	Settings           roles.Config
-	Replicas           []string      // metrics addresses, host:port, of replicas polled for lost requests; may be empty
+	Replicas           []string      // host:port of the metrics of replicas, polled for lost requests; may be empty
 	Interval           time.Duration // between rounds; 0 = 1 s
-	MaxConcurrentPolls int           // engines asked at once; 0 = 32
-	SaveInterval       time.Duration // between two saves of what was learned; 0 = 30 s
+	MaxConcurrentPolls int           // limit of concurrent requests to engines or replicas; 0 = 32
+	SaveInterval       time.Duration // between two saves of the planner's memory; 0 = 30 s
 	Log                *zap.Logger
-	Policy             Policy           // decides in place of roles.Planner, for comparisons; nil = roles.Planner
-	OnPlan             func(roles.Plan) // called in each round; may be nil
+	Policy             Policy           // replaces roles.Planner in comparisons; nil = roles.Planner
+	OnPlan             func(roles.Plan) // called with each plan; may be nil
 	Metrics            *Metrics         // may be nil
 
 	planner   *roles.Planner
 	startedAt time.Time
-	cells     map[string]int    // numbers of localities, for roles.Engine.Cell
-	statuses  map[string]Status // of the engines that answered the last poll
+	cells     map[string]int    // roles.Engine.Cell by locality
+	statuses  map[string]Status // of the engines that answered the last poll, by name
 	lost      LostWorkEstimator
 	memory    memoryState
 }
 
-// now is the planner's clock. Times in the assignment table are of the wall clock, so that they outlive planners.
+// now returns the time of the planner's clock. The assignment table uses the wall clock instead, whose times stay valid
+// after a planner has ended.
 func (r *Runner) now() time.Duration { return epoch + time.Since(r.startedAt) }
 
-// wallClock is the time as the assignment table keeps it.
+// wallClock returns the time in the form that the assignment table uses.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// Run plans until ctx ends. An API server or engines that do not answer are no reason to return, nor to change
-// anything.
+// Run plans until ctx ends. It does not return if the API server or engines do not answer, nor does it change roles for
+// that reason.
 func (r *Runner) Run(ctx context.Context) error {
 	if err := r.init(); err != nil {
 		return err
@@ -74,7 +76,7 @@
 	for {
 		result := "done"
 		if err := r.round(ctx); err != nil && ctx.Err() == nil {
-			r.Log.Warn("planning failed", zap.Error(err))
+			r.Log.Warn("planning round failed", zap.Error(err))
 			result = "failed"
 		}
 		r.Metrics.rounds.WithLabelValues(result).Inc()
@@ -113,7 +115,7 @@
 	polledAt := r.pollEngines(ctx, view)
 	table, confirmed := r.applyStatuses(view.Assignments)
 	replicas := r.pollReplicas(ctx)
-	now := r.now() // after all polls: the planner takes no report of its future
+	now := r.now() // read after all polls, because the planner ignores reports from the future
 	engines := Engines(view, r.statuses, r.cells, polledAt, now, wallClock())
 	plan := r.policy().Step(now, engines, replicas)
 	if r.OnPlan != nil {
@@ -124,7 +126,7 @@
 	r.logPlan(done, refused)
 	if confirmed || len(done.Reverts)+len(done.Changes) > 0 {
 		if table, err = r.APIServer.Write(ctx, table); err != nil {
-			return err // no command is sent that is not written
+			return err // a command must not be sent before it is stored
 		}
 	}
 	r.sendCommands(ctx, view, table)
@@ -139,7 +141,7 @@
 	return r.planner
 }
 
-// applyStatuses applies the engines' status reports to the table, and reports whether any of them changed it.
+// applyStatuses applies the engines' status reports to the table and reports whether any of them changed it.
 func (r *Runner) applyStatuses(table roles.Assignments) (next roles.Assignments, changed bool) {
 	next = table
 	for _, id := range table.Names() {
@@ -154,7 +156,7 @@
 	return next, changed
 }
 
-// logPlan logs and counts what was applied of a plan, and logs what was refused.
+// logPlan logs and counts the applied reverts and changes of a plan, and logs the refused changes.
 func (r *Runner) logPlan(done roles.Plan, refused map[string]error) {
 	for _, id := range done.Reverts {
 		r.Metrics.reverts.Inc()
@@ -170,8 +172,9 @@
 	}
 }
 
-// Engines is a planner's view of the assignment table and the engines' statuses, polled at polledAt. now is the
-// planner's clock and wall that of the table; cells keeps the numbers given to localities.
+// Engines returns the input of a Policy from the assignment table and the engines' statuses, which were polled at
+// polledAt. now is the present time by the planner's clock, wall by the clock of the table. cells holds the numbers
+// given to localities; Engines adds new ones.
 func Engines(
 	view View, statuses map[string]Status, cells map[string]int, polledAt, now, wall time.Duration,
 ) []roles.Engine {
