--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -145,13 +145,13 @@
 	}
 }
 
-// eventually waits until a condition holds. what describes the condition.
-func (f *fleet) eventually(what string, ok func(roles.Assignments) bool) {
+// eventually waits until a condition holds, and fails the test with the condition's description if it does not.
+func (f *fleet) eventually(condition string, holds func(roles.Assignments) bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(eventuallyTimeout)
-	for !ok(f.api.Assignments()) {
+	for !holds(f.api.Assignments()) {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("timed out before the condition %q held; table %+v", what, f.api.Assignments())
+			f.t.Fatalf("timed out before the condition %q held; table %+v", condition, f.api.Assignments())
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/roles/changes.go
+++ b/roles/changes.go
@@ -24,8 +24,8 @@
 // pendingChange is a change that the engine has not confirmed, as the planner last saw it.
 type pendingChange struct {
 	target   Role
-	since    time.Duration
-	reverted bool // commanded back to the old role
+	since    time.Duration // when the planner started it or first saw it
+	reverted bool          // the engine has been commanded back to its old role
 }
 
 // planChanges plans changes towards the wanted number of prefill engines, within the limit of concurrent changes.
@@ -57,6 +57,7 @@
 	}
 }
 
+// startChange adds a change to the plan and counts the engine in its new role.
 func (p *Planner) startChange(f *fleet, plan *Plan, e *Engine, to Role, reason string) {
 	p.pending[e.ID] = &pendingChange{target: to, since: p.now}
 	plan.Changes = append(plan.Changes, Change{ID: e.ID, Target: to, Reason: reason})
@@ -66,6 +67,7 @@
 	f.changing++
 }
 
+// revert adds a revert of a pending change to the plan and counts the engine in its old role.
 func (p *Planner) revert(f *fleet, plan *Plan, e *Engine, change *pendingChange) {
 	change.reverted = true
 	plan.Reverts = append(plan.Reverts, e.ID)
@@ -123,11 +125,12 @@
 }
 
 // coverEmptyStage starts a change at once if a stage has no engine, whatever the demand and the dwell times. If the
-// other stage has only one engine, that engine takes both roles. It reports whether it started a change.
+// other stage has only one engine, that engine serves both stages. It reports whether it started a change.
 func (p *Planner) coverEmptyStage(f *fleet, plan *Plan) bool {
 	if f.both > 0 || f.prefillEngines > 0 && f.decodeEngines > 0 {
 		return false
 	}
+	// The reasons are stored: no engine is left that prefills, or none that decodes.
 	from, to, reason := Decode, Prefill, "nothing is left to read"
 	if f.decodeEngines == 0 {
 		from, to, reason = Prefill, Decode, "nothing is left to write"
--- a/roles/memory.go
+++ b/roles/memory.go
@@ -36,19 +36,19 @@
 	History        []WorkMemory  `json:"past"` // oldest first
 }
 
-// WorkMemory is a sample of an expert's history, in engine seconds.
+// WorkMemory is a sample of an expert's history: the work demanded during an interval, in engine seconds.
 type WorkMemory struct {
-	Age     time.Duration `json:"age"`
+	Age     time.Duration `json:"age"` // of the interval's start
 	Prefill float64       `json:"reading"`
 	Decode  float64       `json:"writing"`
-	Seconds float64       `json:"seconds"`
+	Seconds float64       `json:"seconds"` // length of the interval
 }
 
 // CooldownMemory is an engine in cooldown.
 type CooldownMemory struct {
 	ID        string        `json:"id"`
 	Remaining time.Duration `json:"left"`
-	Duration  time.Duration `json:"pause"`
+	Duration  time.Duration `json:"pause"` // full length
 }
 
 // Memory returns what the planner has learned. ok is false until the planner has planned from trusted reports.
@@ -114,9 +114,9 @@
 func (x *expert) restore(e ExpertMemory, age, now time.Duration) {
 	x.prefillEngines, x.decodeEngines, x.started = e.PrefillEngines, e.DecodeEngines, true
 	x.loss = e.Loss * math.Exp(-age.Seconds()/x.lossWindow.Seconds())
-	for _, past := range e.History {
+	for _, sample := range e.History {
 		x.history = append(x.history, workSample{
-			start: now - age - past.Age, prefill: past.Prefill, decode: past.Decode, seconds: past.Seconds,
+			start: now - age - sample.Age, prefill: sample.Prefill, decode: sample.Decode, seconds: sample.Seconds,
 		})
 	}
 }
@@ -159,11 +159,11 @@
 			e.Lookback)
 	}
 	previous := time.Duration(math.MaxInt64)
-	for _, past := range e.History {
-		if !past.plausible() || past.Age > previous {
+	for _, sample := range e.History {
+		if !sample.plausible() || sample.Age > previous {
 			return fmt.Errorf("roles: restore memory: expert with lookback %v: implausible or unordered history", e.Lookback)
 		}
-		previous = past.Age
+		previous = sample.Age
 	}
 	return nil
 }
--- a/roles/planner.go
+++ b/roles/planner.go
@@ -137,7 +137,8 @@
 	return max(1, int(p.config.MaxConcurrent*float64(f.size())))
 }
 
-// reason returns the reason of a change with the demand that caused it. It is stored with the assignment.
+// reason returns the reason of a change with the demand that caused it. It is stored with the assignment, and so names
+// stages and engines after the text forms of the roles.
 func (p *Planner) reason(f *fleet, cause string) string {
 	return fmt.Sprintf("%s: reading asks for %.2f engines, writing for %.2f, of %d readers and %d writers",
 		cause, f.prefillDemand, f.decodeDemand, f.prefillEngines, f.decodeEngines)
