--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -95,7 +95,7 @@
 	f.StringVar(&e.name, "name", "engine-1", "name of the engine")
 	f.BoolVar(&e.plain, "plain", false, "support only vLLM's protocol, without the extensions")
 	f.BoolVar(&e.cold, "cold", false, "start cold: slower until the engine has warmed up")
-	f.BoolVar(&e.canChangeRoles, "shifts", false, "accept commands to change role (POST "+planner.Path+")")
+	f.BoolVar(&e.canChangeRoles, "shifts", false, "accept commands to change role (POST "+planner.PathRole+")")
 }
 
 func (e *fakeEngine) run(out io.Writer) error {
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -9,30 +9,31 @@
 
 const metricPrefix = "brackenbend_planner_"
 
-// Metrics are what a planner measures of itself and of the fleet as it sees it. Labels are roles and stages only.
-// Metric names and label values must not change; fields use the terms of the code.
+// Metrics are a planner's metrics of its own work and of the fleet. Labels are roles, stages, states and results only.
+// Names, help texts and label values of metrics must not change, so the fields' names differ from them.
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	engines          *prometheus.GaugeVec // by role and state
-	demand           *prometheus.GaugeVec // by stage, in engines
-	wantedReaders    prometheus.Gauge
-	lookback         prometheus.Gauge
-	changeTime       prometheus.Gauge
-	untrustedReports prometheus.Gauge
-	trusted          prometheus.Gauge
-	changes          *prometheus.CounterVec // by role
-	reverts          prometheus.Counter
-	rounds           *prometheus.CounterVec // by result
+	engines              *prometheus.GaugeVec // by role and state
+	demand               *prometheus.GaugeVec // by stage, in engines
+	wantedPrefillEngines prometheus.Gauge
+	lookback             prometheus.Gauge
+	changeTime           prometheus.Gauge
+	untrustedReports     prometheus.Gauge
+	trusted              prometheus.Gauge
+	changes              *prometheus.CounterVec // by role
+	reverts              prometheus.Counter
+	rounds               *prometheus.CounterVec // by result
 }
 
 // NewMetrics returns metrics in a registry of their own.
 func NewMetrics() *Metrics {
 	m := &Metrics{
-		Registry:      prometheus.NewRegistry(),
-		engines:       newGaugeVec("engines", "Engines in the book, by role and state (serves, changing).", "role", "state"),
-		demand:        newGaugeVec("asked_engines", "Work asked for, by stage, in engines.", "stage"),
-		wantedReaders: newGauge("wanted_readers", "Readers wanted."),
+		Registry: prometheus.NewRegistry(),
+		engines: newGaugeVec("engines",
+			"Engines in the book, by role and state (serves, changing).", "role", "state"),
+		demand:               newGaugeVec("asked_engines", "Work asked for, by stage, in engines.", "stage"),
+		wantedPrefillEngines: newGauge("wanted_readers", "Readers wanted."),
 		lookback: newGauge("memory_seconds",
 			"How long the expert that leads looks back; 0 while nothing is planned."),
 		changeTime: newGauge("change_seconds", "What a change takes, as seen."),
@@ -46,7 +47,7 @@
 		rounds: newCounterVec("looks_total", "Looks at the fleet, by result (done, failed).", "result"),
 	}
 	m.Registry.MustRegister(
-		m.engines, m.demand, m.wantedReaders, m.lookback, m.changeTime, m.untrustedReports, m.trusted,
+		m.engines, m.demand, m.wantedPrefillEngines, m.lookback, m.changeTime, m.untrustedReports, m.trusted,
 		m.changes, m.reverts, m.rounds,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
@@ -65,11 +66,11 @@
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: metricPrefix + name, Help: help}, []string{label})
 }
 
-// observe records a round that was planned.
+// observe records a plan and the table that it was made from.
 func (m *Metrics) observe(plan roles.Plan, table roles.Assignments) {
-	m.demand.WithLabelValues("reading").Set(plan.Reading)
-	m.demand.WithLabelValues("writing").Set(plan.Writing)
-	m.wantedReaders.Set(float64(plan.Readers))
+	m.demand.WithLabelValues("reading").Set(plan.PrefillDemand)
+	m.demand.WithLabelValues("writing").Set(plan.DecodeDemand)
+	m.wantedPrefillEngines.Set(float64(plan.WantedPrefillEngines))
 	m.lookback.Set(plan.Lookback.Seconds())
 	m.changeTime.Set(plan.ChangeTime.Seconds())
 	m.untrustedReports.Set(float64(plan.UntrustedReports))
--- a/internal/simulation/fleet/planner.go
+++ b/internal/simulation/fleet/planner.go
@@ -113,7 +113,7 @@
 
 	process        processState
 	planner        *roles.Planner
-	lostWork       planner.LostWork
+	lostWork       planner.LostWorkEstimator
 	cells          map[string]int // numbers assigned to localities
 	savedAt        time.Duration  // time of the latest saveMemory, or the start of the process
 	memoryRestored bool           // whether restoreMemory was done in this process
@@ -138,7 +138,7 @@
 	}
 	p.process.generation++
 	p.process.up, p.memoryRestored, p.savedAt = true, false, p.now()
-	p.cells, p.lostWork = map[string]int{}, planner.NewLostWork()
+	p.cells, p.lostWork = map[string]int{}, planner.NewLostWorkEstimator()
 	p.schedule(time.Duration(p.rnd.Float64()*float64(p.interval())), plannerPoll{p.process.generation})
 	return nil
 }
@@ -255,7 +255,7 @@
 	var replicas []roles.Replica
 	for _, name := range slices.Sorted(maps.Keys(p.lostRequests)) {
 		counts := planner.LostCounts{Prefill: p.lostRequests[name][0], Decode: p.lostRequests[name][1]}
-		report := *p.lostWork.Add(name, counts, now, read, write)
+		report := *p.lostWork.Update(name, counts, now, read, write)
 		replicas = append(replicas, roles.Replica{ID: name, Report: &report})
 	}
 	return replicas
@@ -277,7 +277,7 @@
 func (p *plannerProcess) recordSample(plan roles.Plan, assignments roles.Assignments) {
 	serving, changing := assignments.CountServing()
 	p.samples = append(p.samples, RoleSample{
-		At: p.now(), PrefillDemand: plan.Reading, DecodeDemand: plan.Writing, Commands: assignments.Orders,
+		At: p.now(), PrefillDemand: plan.PrefillDemand, DecodeDemand: plan.DecodeDemand, Commands: assignments.LastCommandNumber,
 		Prefill: serving[roles.Prefill], Decode: serving[roles.Decode], Changing: changing,
 	})
 }
