--- a/internal/audit/answers.go
+++ b/internal/audit/answers.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// killMargin is the time around an attempt in which the kill of its replica explains a missing answer. The client sees
-// the connection end before or after the kill is recorded; a second covers the lag of a busy machine.
+// killMargin is how long before or after an attempt a kill of its replica still explains a missing answer. The client
+// may see the connection end before or after the kill is recorded; 1 s covers the scheduling lag of a busy machine.
 const killMargin = time.Second
 
-// replicaKills are the times at which each replica was killed.
+// replicaKills holds the times at which replicas were killed, by their names.
 type replicaKills map[string][]time.Duration
 
 func findReplicaKills(events []Event) replicaKills {
@@ -24,27 +24,27 @@
 	return kills
 }
 
-// near reports whether the replica was killed in the span, with killMargin on both sides.
+// near reports whether the replica was killed between from and to, or within killMargin of them.
 func (k replicaKills) near(replica string, from, to time.Duration) bool {
 	return slices.ContainsFunc(k[replica], func(at time.Duration) bool {
 		return at >= from-killMargin && at <= to+killMargin
 	})
 }
 
-// attemptAnswers is what the rule of one answer knows of an attempt.
+// attemptAnswers is what was observed of an attempt.
 type attemptAnswers struct {
 	sent    Event
-	ended   Event // the first answer, cut or disconnect; Kind is "" before
-	answers int
+	ended   Event // the first answer, connection cut or disconnect of the client; Kind is "" while there is none
+	answers int   // final answers
 }
 
-// answerCheck checks that everything accepted by a running replica gets exactly one final answer before the client's
-// deadline, and no bytes after it.
+// answerCheck checks that each attempt gets exactly one final answer and no bytes after it, except where its client
+// disconnected or its replica was killed. A rejection or failure must come before the client's deadline.
 type answerCheck struct {
 	result   RuleResult
 	attempts map[string]*attemptAnswers
 	kills    replicaKills
-	slowest  time.Duration // rejection or failure
+	slowest  time.Duration // longest time from a request to its rejection or failure
 }
 
 func checkAnswers(events []Event) RuleResult {
@@ -70,10 +70,10 @@
 	return c.result
 }
 
-// observe takes an event that ends an attempt or follows its end.
+// observe processes an event that ends an attempt or follows its end.
 func (c *answerCheck) observe(e Event) {
 	attempt := c.attempts[e.Attempt]
-	if attempt == nil { // answered before the whole request was written: an early rejection
+	if attempt == nil { // rejected before the whole request was written
 		attempt = &attemptAnswers{sent: Event{At: e.At, Deadline: e.At, Replica: e.Replica}}
 		c.attempts[e.Attempt] = attempt
 	}
@@ -92,7 +92,7 @@
 	}
 }
 
-// checkEnd checks how an attempt ended, once all events were observed.
+// checkEnd checks how an attempt ended, after all events were observed.
 func (c *answerCheck) checkEnd(id string, attempt *attemptAnswers) {
 	sent, ended := attempt.sent, attempt.ended
 	switch ended.Kind {
@@ -103,12 +103,12 @@
 		}
 		c.slowest = max(c.slowest, ended.At-sent.At)
 		if sent.Deadline > 0 && ended.At > sent.Deadline {
-			c.result.violated(ended.At, "try %s: %s came %v after the client's time",
+			c.result.violated(ended.At, "try %s: the final answer (%s) came %v after the client's time limit",
 				id, ended.Result, ended.At-sent.Deadline)
 		}
 	case ConnectionCut:
 		if !c.kills.near(sent.Replica, sent.At, ended.At) {
-			c.result.violated(ended.At, "try %s: the connection ended without an answer, front %s was not killed",
+			c.result.violated(ended.At, "try %s: the connection ended without an answer, but replica %s was not killed",
 				id, sent.Replica)
 		}
 	default:
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,8 +1,9 @@
-// Package audit checks the five rules against a record of what passed on the sockets of clients, engines and the API
-// server. It queries no replica and imports none of its code.
+// Package audit checks the five rules that replicas of the gateway must keep against a record of events at clients,
+// engines and the API server, on sockets or in simulated time. It is independent of the replicas: it queries none and
+// imports none of their code.
 //
-// A Record is shared by all goroutines that observe a socket; its mutex guards the events. Check is a pure function of
-// the events. The package starts no goroutines.
+// A Record is shared by all goroutines that record events; its mutex guards them. Check is a pure function of the
+// events. The package starts no goroutines.
 package audit
 
 import (
@@ -12,11 +13,11 @@
 	"time"
 )
 
-// Limits are the figures of the rules.
+// Limits are the time limits of the rules.
 type Limits struct {
-	DrainGrace time.Duration
-	StateTTL   time.Duration
-	// Slack is added to what is measured between two sockets: what one shows may lag by so much.
+	DrainGrace time.Duration // after the notification that an engine drains or is gone
+	StateTTL   time.Duration // of read states without an attempt in flight
+	// Slack is added to both limits: the times compared come from different sockets, and either may be observed late.
 	Slack time.Duration
 }
 
@@ -25,15 +26,16 @@
 	Rule       string   `json:"rule"`
 	Checks     int      `json:"checks"`
 	Violations []string `json:"breaches"`
-	WorstCase  string   `json:"worst,omitempty"` // the nearest to a violation, where that is a time
+	WorstCase  string   `json:"worst,omitempty"` // the worst time measured, for rules about times
 }
 
 func (r *RuleResult) violated(at time.Duration, format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf("%.3fs: ", at.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Check checks a whole record against the five rules, in the order of the documentation. A rule that was never checked
-// has no violations and Checks 0; it is for the caller to count that as a violation.
+// Check checks a whole record against the five rules and returns the results in the order in which the rules are
+// documented. Checks 0 means that no event of the record tests the rule; the caller decides whether that counts as a
+// violation.
 func Check(events []Event, limits Limits) []RuleResult {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -10,7 +10,7 @@
 
 var limits = Limits{DrainGrace: 500 * ms, StateTTL: 500 * ms}
 
-// The rules by their index in the result of Check.
+// The indices of the rules in the result of Check.
 const (
 	ruleAnswers = iota
 	ruleExecutions
@@ -19,7 +19,7 @@
 	ruleReadStates
 )
 
-// compliantEvents is a record in which every rule is checked and kept.
+// compliantEvents returns a record in which every rule is checked and none violated.
 func compliantEvents() []Event {
 	const deadline = 6 * time.Second
 	return []Event{
@@ -48,7 +48,7 @@
 	}
 }
 
-// without returns the events but those of a kind and attempt.
+// without returns all events except those of the given kind and attempt.
 func without(events []Event, kind Kind, attempt string) (rest []Event) {
 	for _, e := range events {
 		if e.Kind != kind || e.Attempt != attempt {
@@ -61,7 +61,7 @@
 func TestCheckAcceptsCompliantRecord(t *testing.T) {
 	for _, result := range Check(compliantEvents(), limits) {
 		if result.Checks == 0 || len(result.Violations) > 0 {
-			t.Errorf("a record that keeps the rules: %+v", result)
+			t.Errorf("compliant record: %+v", result)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 			append(idempotent, Event{At: time.Second, Kind: Executed, Intent: "o1", Class: Idempotent}),
 		},
 		{
-			"a state of what a killed replica had just sent", ruleReadStates,
+			"a read state of a request that a killed replica had just sent", ruleReadStates,
 			append(compliantEvents(),
 				Event{At: 970 * ms, Kind: Arrived, Engine: "r", Replica: "f", Request: "x-7-0"},
 				Event{At: 980 * ms, Kind: StateHeld, Request: "x-7-0"},
--- a/internal/audit/drains.go
+++ b/internal/audit/drains.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// replicaEngine is a replica and an engine that it knows of.
+// replicaEngine identifies an engine as one replica is notified of it.
 type replicaEngine struct{ replica, engine string }
 
-// checkDrains checks that nothing new reaches an engine later than the grace period after the replica was notified that
-// the engine drains or is gone.
+// checkDrains checks that no new request reaches an engine later than the drain grace after the API server notified the
+// replica that sent it that the engine drains or is gone.
 func checkDrains(events []Event, limits Limits) RuleResult {
 	result := RuleResult{Rule: "drains are kept"}
 	notified := map[replicaEngine]time.Duration{}
@@ -23,7 +23,7 @@
 			}
 		case NotifiedReady:
 			delete(notified, key)
-		case ReplicaKilled: // its next process has to be notified again
+		case ReplicaKilled: // its next process has not been notified yet
 			for k := range notified {
 				if k.replica == e.Replica {
 					delete(notified, k)
@@ -38,12 +38,13 @@
 			delay := e.At - at
 			latest = max(latest, delay)
 			if delay > limits.DrainGrace+limits.Slack {
-				result.violated(e.At, "%s sent %s to %s %v after it was told", e.Replica, e.Request, e.Engine, delay)
+				result.violated(e.At, "%s sent request %s to engine %s %v after it was told that the engine drains or is gone",
+					e.Replica, e.Request, e.Engine, delay)
 			}
 		default:
 		}
 	}
-	result.WorstCase = fmt.Sprintf("latest arrival %v after the front was told, %v allowed",
+	result.WorstCase = fmt.Sprintf("latest arrival %v after the replica was told of a drain or removal, %v allowed",
 		latest.Round(time.Millisecond), limits.DrainGrace)
 	return result
 }
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Kind says what an event is. Its values are part of the stored record and keep their form.
+// Kind is the kind of an event. Its values are part of stored records and must not change.
 type Kind string
 
-// The events. In brackets the fields that count beside At.
+// The kinds of events. Brackets list the relevant fields besides At.
 const (
 	// Sent: the client wrote a whole request [Attempt, Intent, Class, Replica, Deadline].
 	Sent Kind = "sent"
-	// Unsent: the client could not write it whole, so it was not accepted [Attempt].
+	// Unsent: the client could not write the whole request, which therefore was not accepted [Attempt].
 	Unsent Kind = "unsent"
-	// Answer: the client has its whole final answer [Attempt, Result].
+	// Answer: the client received its whole final answer [Attempt, Result].
 	Answer Kind = "answer"
 	// ConnectionCut: the connection ended before a final answer [Attempt].
 	ConnectionCut Kind = "cut"
@@ -28,22 +28,22 @@
 	ReplicaStarted Kind = "front up"
 	// ReplicaKilled: a replica's process was killed [Replica].
 	ReplicaKilled Kind = "front killed"
-	// NotifiedGone: the API server wrote to a replica that an engine drains or is gone [Replica, Engine].
+	// NotifiedGone: the API server notified a replica that an engine drains or is gone [Replica, Engine].
 	NotifiedGone Kind = "told"
-	// NotifiedReady: the API server wrote to a replica that an engine is ready [Replica, Engine].
+	// NotifiedReady: the API server notified a replica that an engine is ready [Replica, Engine].
 	NotifiedReady Kind = "told ready"
 
-	// Arrived: a new prefill or decode reached an engine [Engine, Replica, Request, Decode].
+	// Arrived: a prefill or decode request reached an engine [Engine, Replica, Request, Decode].
 	Arrived Kind = "arrive"
-	// Ended: the engine has finished with it [Engine, Request].
+	// Ended: the engine finished or failed a request that had arrived [Engine, Request].
 	Ended Kind = "end"
-	// Executed: it took effect [Engine, Request, Attempt, Intent, Class].
+	// Executed: a request took effect at an engine [Engine, Request, Attempt, Intent, Class].
 	Executed Kind = "run"
-	// Deduplicated: a repeat was dropped by the dedup group of the engines [as Executed].
+	// Deduplicated: the dedup group of the engines dropped a repeated request [the fields of Executed].
 	Deduplicated Kind = "repeat"
 	// StateHeld: a read state waits at a prefill engine [Engine, Request].
 	StateHeld Kind = "held"
-	// StateReleased: it is gone from there: fetched, released, expired, or the engine died [Engine, Request].
+	// StateReleased: a read state was fetched, released or expired, or its engine died [Engine, Request].
 	StateReleased Kind = "let go"
 	// Overloaded: an engine in slow start was overloaded and crashed [Engine].
 	Overloaded Kind = "fell over"
@@ -53,40 +53,40 @@
 	EngineStopped Kind = "engine off"
 )
 
-// Class says how requests of a class may be repeated.
+// Class says whether the requests of a class may be executed more than once.
 type Class string
 
-// The three kinds of classes.
+// The values of Class.
 const (
 	Idempotent        Class = "safe"
 	IdempotentWithKey Class = "keyed"
 	NotIdempotent     Class = "unsafe"
 )
 
-// The results of an attempt that the rules distinguish (Event.Result); others are "turned" (never accepted), "failed"
-// and "invalid".
+// The values of Event.Result that the rules distinguish. The others are "turned" (rejected before it was accepted),
+// "failed" and "invalid".
 const (
 	resultServed   = "served"
 	resultRejected = "refused"
 	resultBroken   = "broken"
 )
 
-// Event is one line of the record.
+// Event is one event of the record. The names of its JSON fields are those of stored records.
 type Event struct {
 	At       time.Duration `json:"at"`
 	Kind     Kind          `json:"kind"`
 	Replica  string        `json:"front,omitempty"`
 	Engine   string        `json:"engine,omitempty"`
-	Request  string        `json:"request,omitempty"` // the id on the engines' sockets: replica's run, number, attempt
+	Request  string        `json:"request,omitempty"` // id sent to engines: replica's run, number, attempt
 	Decode   bool          `json:"write,omitempty"`
-	Attempt  string        `json:"try,omitempty"`    // one request of a client
-	Intent   string        `json:"effect,omitempty"` // what the attempts of one client's request have in common
+	Attempt  string        `json:"try,omitempty"`    // one attempt of a client's request
+	Intent   string        `json:"effect,omitempty"` // id of the client's request, shared by its attempts
 	Class    Class         `json:"class,omitempty"`
-	Result   string        `json:"result,omitempty"` // served, refused, turned, failed, broken, invalid
-	Deadline time.Duration `json:"until,omitempty"`  // the client's deadline
+	Result   string        `json:"result,omitempty"` // served, refused, turned, failed, broken or invalid
+	Deadline time.Duration `json:"until,omitempty"`  // the client's deadline, as a time of the record
 }
 
-// Record collects events from many goroutines. A nil record keeps nothing.
+// Record collects events from many goroutines. A nil Record discards them.
 type Record struct {
 	start time.Time
 
@@ -94,7 +94,7 @@
 	events []Event
 }
 
-// NewRecord begins a record now.
+// NewRecord returns an empty record whose clock starts now.
 func NewRecord() *Record { return &Record{start: time.Now()} }
 
 // Now is the time since the record began; 0 for a nil record.
@@ -105,7 +105,7 @@
 	return time.Since(r.start)
 }
 
-// Add stamps an event with the present time and keeps it.
+// Add sets the time of an event to the present and records it.
 func (r *Record) Add(e Event) {
 	if r == nil {
 		return
@@ -116,7 +116,7 @@
 	r.events = append(r.events, e)
 }
 
-// Events returns a copy of all events so far, by time.
+// Events returns a copy of all events so far, ordered by time.
 func (r *Record) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/audit/executions.go
+++ b/internal/audit/executions.go
@@ -1,15 +1,15 @@
 package audit
 
-// executions are what took effect, by attempt and by the intent that attempts share.
+// executions are the Executed events, by attempt and by intent, and the intent of each attempt that was sent.
 type executions struct {
-	count         map[string]int   // of an intent
-	byAttempt     map[string]Event // the last of an attempt
+	count         map[string]int   // by intent
+	byAttempt     map[string]Event // the last one of each attempt
 	firstOfIntent map[string]Event
-	intent        map[string]string // of an attempt
+	intent        map[string]string // by attempt
 }
 
-// checkExecutions checks that no intent of a client takes effect twice over all its attempts, and that nothing is
-// rejected that may have run, in this attempt or in an earlier one.
+// checkExecutions checks that no request of a client takes effect twice over all its attempts, unless its class is
+// idempotent, and that no request of a not idempotent class is rejected once it ran, in this attempt or an earlier one.
 func checkExecutions(events []Event) RuleResult {
 	result := RuleResult{Rule: "no effect twice, no refusal of what may have run"}
 	x := executions{
@@ -26,7 +26,7 @@
 			result.Checks++
 			x.add(e)
 			if e.Class != Idempotent && x.count[e.Intent] > 1 {
-				result.violated(e.At, "%s effect %s ran %d times, last at %s as %s",
+				result.violated(e.At, "%s request with effect %s ran %d times, last at engine %s under the id %s",
 					e.Class, e.Intent, x.count[e.Intent], e.Engine, e.Request)
 			}
 		default:
@@ -52,13 +52,14 @@
 // checkRejection checks that neither the rejected attempt nor an earlier one of the same intent has run.
 func (x *executions) checkRejection(result *RuleResult, rejection Event) {
 	if ran, ok := x.byAttempt[rejection.Attempt]; ok && ran.Class == NotIdempotent {
-		result.violated(rejection.At, "try %s of an unsafe class was refused, it had run at %s",
+		result.violated(rejection.At, "try %s of an unsafe class was refused, but it had run at engine %s",
 			rejection.Attempt, ran.Engine)
 		return
 	}
 	first, ok := x.firstOfIntent[x.intent[rejection.Attempt]]
 	if ok && first.Class == NotIdempotent && first.At < rejection.At {
-		result.violated(rejection.At, "try %s of an unsafe class was refused, try %s of it had run at %s",
+		result.violated(rejection.At,
+			"try %s of a request of an unsafe class was refused, but try %s of it had run at engine %s",
 			rejection.Attempt, first.Attempt, first.Engine)
 	}
 }
--- a/internal/audit/readstates.go
+++ b/internal/audit/readstates.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// requestWithoutAttempt is the part of a request's id that its attempts share.
+// requestWithoutAttempt returns the id of a request without the number of the attempt at its end.
 func requestWithoutAttempt(id string) string {
 	if i := strings.LastIndexByte(id, '-'); i >= 0 {
 		return id[:i]
@@ -15,25 +15,25 @@
 	return id
 }
 
-// replicaRun is the part of a request's id that names the process of the replica.
+// replicaRun returns the part of a request's id that identifies the replica's process.
 func replicaRun(id string) string {
 	run, _, _ := strings.Cut(id, "-")
 	return run
 }
 
-// notUnclaimed is unclaimedSince of a request that has an attempt in flight or holds nothing.
-const notUnclaimed = time.Duration(-1)
+// noUnclaimedState is the value of unclaimedSince for a request that has an attempt in flight or no read state.
+const noUnclaimedState = time.Duration(-1)
 
-// requestStates is what a request holds and has in flight.
+// requestStates tracks the read states of a request and its attempts in flight.
 type requestStates struct {
 	inFlight       int             // attempts
-	held           map[string]bool // attempts whose read state waits
-	unclaimedSince time.Duration   // since when something is held with no attempt in flight
+	held           map[string]bool // prefill attempts whose read state is held at an engine
+	unclaimedSince time.Duration   // since when a read state is held with no attempt in flight
 }
 
 func (q *requestStates) unclaimed() bool { return q.inFlight == 0 && len(q.held) > 0 }
 
-// update takes an event of the request.
+// update applies an event of the request.
 func (q *requestStates) update(e Event) {
 	switch e.Kind {
 	case Arrived:
@@ -48,11 +48,12 @@
 	}
 }
 
-// replicaRuns knows which processes of replicas were killed: nobody can release what they held.
+// replicaRuns tracks which processes of replicas were killed. The rule exempts their read states, since nobody is left
+// to release them.
 type replicaRuns struct {
-	replica map[string]string // of a run
-	killed  map[string]bool   // runs
-	down    map[string]bool   // replicas that are down now
+	replica map[string]string // by run
+	killed  map[string]bool   // by run
+	down    map[string]bool   // by replica: killed and not started again yet
 }
 
 func (r *replicaRuns) update(e Event) {
@@ -70,7 +71,7 @@
 		}
 		run := replicaRun(e.Request)
 		r.replica[run] = e.Replica
-		// What arrives from a replica that is down was on its way when the replica died.
+		// A request that arrives from a replica that is down was sent before the replica was killed.
 		r.killed[run] = r.killed[run] || r.down[e.Replica]
 	default:
 	}
@@ -112,17 +113,17 @@
 		}
 	}
 	slices.Sort(c.result.Violations)
-	c.result.WorstCase = fmt.Sprintf("longest held with no attempt out %v, %v allowed",
+	c.result.WorstCase = fmt.Sprintf("longest time held without an attempt in flight %v, %v allowed",
 		c.longest.Round(time.Millisecond), limits.StateTTL)
 	return c.result
 }
 
-// observe takes an event of a request.
+// observe processes an event of a request.
 func (c *readStateCheck) observe(e Event) {
 	id := requestWithoutAttempt(e.Request)
 	request := c.requests[id]
 	if request == nil {
-		request = &requestStates{held: map[string]bool{}, unclaimedSince: notUnclaimed}
+		request = &requestStates{held: map[string]bool{}, unclaimedSince: noUnclaimedState}
 		c.requests[id] = request
 	}
 	if e.Kind == StateHeld {
@@ -136,11 +137,11 @@
 		request.unclaimedSince = e.At
 	case before && !after:
 		c.checkHeld(id, request, e.At)
-		request.unclaimedSince = notUnclaimed
+		request.unclaimedSince = noUnclaimedState
 	}
 }
 
-// checkHeld checks for how long a request has held states with no attempt in flight.
+// checkHeld checks how long a request has had read states but no attempt in flight.
 func (c *readStateCheck) checkHeld(id string, request *requestStates, now time.Duration) {
 	if request.unclaimedSince < 0 || c.runs.killed[replicaRun(id)] {
 		return
@@ -148,6 +149,7 @@
 	held := now - request.unclaimedSince
 	c.longest = max(c.longest, held)
 	if held > c.limits.StateTTL+c.limits.Slack {
-		c.result.violated(now, "state of %s was held %v with no attempt out", id, held.Round(time.Millisecond))
+		c.result.violated(now, "read state of request %s was held %v without an attempt in flight",
+			id, held.Round(time.Millisecond))
 	}
 }
--- a/internal/audit/slowstart.go
+++ b/internal/audit/slowstart.go
@@ -8,7 +8,7 @@
 		case EngineStarted:
 			result.Checks++
 		case Overloaded:
-			result.violated(e.At, "engine %s fell over", e.Engine)
+			result.violated(e.At, "engine %s fell over: it was overloaded in slow start", e.Engine)
 		default:
 		}
 	}
