--- a/internal/scenariorun/enginefaults.go
+++ b/internal/scenariorun/enginefaults.go
@@ -8,10 +8,10 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// defaultSlowFactor is by how much the fault "slow" slows an engine that names no factor.
+// defaultSlowFactor is how many times slower the fault "slow" makes engines where it states no factor.
 const defaultSlowFactor = 4
 
-// engineFaults are the faults that consist of settings of a fake engine, by the names that scenarios give them.
+// engineFaults holds the faults that are settings of a fake engine, by their names in scenarios.
 var engineFaults = map[string]func(*scenario.Fault) engine.Faults{
 	"fail-fast":  func(f *scenario.Fault) engine.Faults { return engine.Faults{FailFast: partOrAll(f)} },
 	"fail-class": func(f *scenario.Fault) engine.Faults { return engine.Faults{FailClass: f.Class} },
@@ -28,10 +28,10 @@
 	"reports-none":        func(*scenario.Fault) engine.Faults { return engine.Faults{NoReports: true} },
 }
 
-// partOrAll is the fraction of requests that a fault strikes.
+// partOrAll returns the fraction of requests that a fault affects: all where it states none.
 func partOrAll(fault *scenario.Fault) float64 { return cmp.Or(fault.Part, 1) }
 
-// beginOnEngines begins a fault on the engines that it strikes.
+// beginOnEngines draws the engines that a fault affects, begins it on them and returns the function that undoes it.
 func (s *faultScript) beginOnEngines(fault *scenario.Fault) (undo func()) {
 	picked := s.pick(fault)
 	var names []string
@@ -39,7 +39,7 @@
 		names = append(names, server.Info().Name)
 		s.engines.addFaults(server, 1)
 	}
-	s.logf("%s for %v: %v", fault.What, fault.For, names)
+	s.logf("fault %s for %v on engines %v", fault.What, fault.For, names)
 	var undos []func()
 	for _, server := range picked {
 		if undo := s.beginOnEngine(fault, server); undo != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// beginOnEngine begins a fault on one engine and returns what undoes it, nil when nothing needs to.
+// beginOnEngine begins a fault on one engine and returns the function that undoes it, nil for a fault that needs none.
 func (s *faultScript) beginOnEngine(fault *scenario.Fault, server *engine.Server) (undo func()) {
 	if settings, ok := engineFaults[fault.What]; ok {
 		server.SetFaults(settings(fault))
@@ -67,7 +67,7 @@
 		server.Crash()
 		return func() {
 			if err := server.Restart(); err != nil {
-				s.logf("%s not restarted: %v", server.Info().Name, err)
+				s.logf("engine %s not restarted: %v", server.Info().Name, err)
 			}
 		}
 	case "liar":
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// flap takes an engine off the list and puts it back, again and again, until it is undone.
+// flap removes an engine from the endpoint list and adds it again, every scenario.FlapInterval in turn, until undone.
 func (f *engineFleet) flap(server *engine.Server) (undo func()) {
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/internal/scenariorun/engines.go
+++ b/internal/scenariorun/engines.go
@@ -10,18 +10,19 @@
 	"brackenbend/internal/fake/loopback"
 )
 
-// minDedupWindow is the least time for which engines drop repeats of a key; a class may have a longer one.
+// minDedupWindow is the shortest time for which engines drop repeated requests with an idempotency key; the window of a
+// class may be longer.
 const minDedupWindow = time.Minute
 
-// engineFleet are the engines of a scenario and what the API server lists of them.
+// engineFleet holds the engines of a scenario and how the API server lists them.
 type engineFleet struct {
 	api     *apiserver.Server
-	engines []*engine.Server // not changed once the scenario plays
+	engines []*engine.Server // complete before the first fault
 
 	mu       sync.Mutex
 	hidden   map[string]bool        // engines that the API server doesn't list
 	draining map[string]bool        // engines that it lists as draining
-	faults   map[*engine.Server]int // faults in force, so that overlapping ones end in order
+	faults   map[*engine.Server]int // number of faults in force
 }
 
 func newEngineFleet(api *apiserver.Server) *engineFleet {
@@ -33,7 +34,7 @@
 	}
 }
 
-// startEngines starts the engines of all kinds.
+// startEngines starts the engines of all kinds in the scenario.
 func (r *run) startEngines(changing *changingEngines) error {
 	window := minDedupWindow
 	for _, class := range r.scenario.Classes {
@@ -84,7 +85,8 @@
 	}
 }
 
-// list makes the API server list an engine as it is. It is called when an engine's process starts or ends.
+// list updates the API server's entry of an engine to its present state. It is also called when an engine's process
+// starts or ends.
 func (f *engineFleet) list(server *engine.Server) {
 	info := server.Info()
 	f.mu.Lock()
@@ -100,17 +102,17 @@
 	})
 }
 
-// setHidden takes an engine off the list, or puts it back.
+// setHidden removes an engine from the API server's list, or adds it again.
 func (f *engineFleet) setHidden(server *engine.Server, hidden bool) {
 	f.setListing(server, f.hidden, hidden)
 }
 
-// setDraining lists an engine as draining, or not.
+// setDraining sets whether the API server lists an engine as draining.
 func (f *engineFleet) setDraining(server *engine.Server, draining bool) {
 	f.setListing(server, f.draining, draining)
 }
 
-// setListing changes one of the maps that say how engines are listed, and lists the engine anew.
+// setListing sets the value of an engine in f.hidden or f.draining and updates its entry at the API server.
 func (f *engineFleet) setListing(server *engine.Server, listing map[string]bool, value bool) {
 	name := server.Info().Name
 	f.mu.Lock()
@@ -119,24 +121,24 @@
 	f.list(server)
 }
 
-// addFaults counts faults of an engine; a negative number ends some.
+// addFaults adds n to the number of faults in force on an engine; n is negative when they end.
 func (f *engineFleet) addFaults(server *engine.Server, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults[server] += n
 }
 
-// sound are the engines of a kind ("" = any) that run with no fault in force and don't drain.
-func (f *engineFleet) sound(kind string) []*engine.Server {
-	var sound []*engine.Server
+// healthy returns the engines of a kind ("" = any) that run, have no fault in force and don't drain.
+func (f *engineFleet) healthy(kind string) []*engine.Server {
+	var healthy []*engine.Server
 	for _, server := range f.engines {
 		info := server.Info()
 		f.mu.Lock()
 		free := f.faults[server] == 0 && !f.draining[info.Name]
 		f.mu.Unlock()
 		if (kind == "" || info.Kind == kind) && info.Up && free {
-			sound = append(sound, server)
+			healthy = append(healthy, server)
 		}
 	}
-	return sound
+	return healthy
 }
--- a/internal/scenariorun/faults.go
+++ b/internal/scenariorun/faults.go
@@ -13,17 +13,17 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// faultScript plays the faults of a scenario. Only its own goroutine draws from random.
+// faultScript plays the faults of a scenario. Only the goroutine of play uses random.
 type faultScript struct {
 	*run
-	random *rand.Rand // clients have their own
+	random *rand.Rand // the clients' draws use other generators
 }
 
 func newFaultScript(r *run) *faultScript {
 	return &faultScript{run: r, random: rand.New(rand.NewPCG(uint64(r.scenario.Seed), 1))}
 }
 
-// play begins each fault in its time, undoes it after its duration, and waits for the end of all.
+// play begins each fault at its time, undoes it after its duration, and waits until all have ended.
 func (s *faultScript) play(ctx context.Context, began time.Time) {
 	var pending sync.WaitGroup
 	defer pending.Wait()
@@ -40,12 +40,12 @@
 		pending.Go(func() {
 			sleepUntil(ctx, began.Add(fault.At+fault.For))
 			undo()
-			s.logf("fault over: %s", fault.What)
+			s.logf("fault %s ended", fault.What)
 		})
 	}
 }
 
-// sleepUntil sleeps until a time; false: ctx was canceled before.
+// sleepUntil sleeps until a time, and reports false where ctx was canceled before.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -55,7 +55,7 @@
 	}
 }
 
-// begin begins a fault and returns what undoes it, nil when nothing needs to.
+// begin begins a fault and returns the function that undoes it, nil for a fault that needs none.
 func (s *faultScript) begin(fault *scenario.Fault) (undo func()) {
 	switch fault.What {
 	case "front-kill":
@@ -67,7 +67,7 @@
 		s.api.SetUnreachable(true)
 		return func() { s.api.SetUnreachable(false) }
 	case "register-late":
-		s.logf("API server late by %v for %v", fault.Late, fault.For)
+		s.logf("events of the API server delayed by %v for %v", fault.Late, fault.For)
 		s.api.SetDelay(fault.Late)
 		return func() { s.api.SetDelay(0) }
 	case "register-compact":
@@ -97,7 +97,7 @@
 	return s.planners.start
 }
 
-// stopReplicas signals replicas and starts them again when it is undone.
+// stopReplicas sends a signal to replicas that it draws from those that run; undo starts them again.
 func (s *faultScript) stopReplicas(fault *scenario.Fault, signal syscall.Signal) (undo func()) {
 	var stopped []*replica
 	for _, i := range s.random.Perm(len(s.replicas.members)) {
@@ -108,26 +108,26 @@
 	}
 	var stopping sync.WaitGroup
 	for _, p := range stopped {
-		s.logf("%s %s", fault.What, p.name)
+		s.logf("fault %s on replica %s", fault.What, p.name)
 		stopping.Go(func() { s.replicas.stop(p, signal) })
 	}
 	return func() {
 		stopping.Wait()
 		for _, p := range stopped {
 			if err := s.replicas.start(p); err != nil {
-				s.logf("%s not restarted: %v", p.name, err)
+				s.logf("replica %s not restarted: %v", p.name, err)
 			}
 		}
 	}
 }
 
-// clientConditions are the conditions under which clients act now.
+// clientConditions holds what the faults in force change of the clients' behavior.
 type clientConditions struct {
 	mu      sync.Mutex
 	current scenario.Conditions
 }
 
-// snapshot returns a copy of the conditions.
+// snapshot returns a copy of the present conditions.
 func (c *clientConditions) snapshot() *scenario.Conditions {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +135,8 @@
 	return &current
 }
 
-// changeConditions changes what clients do; nil where the fault is another's.
+// changeConditions applies a fault to the clients' conditions and returns the function that undoes it, nil for a fault
+// that does not concern clients.
 func (s *faultScript) changeConditions(fault *scenario.Fault) func() {
 	c := &s.conditions
 	c.mu.Lock()
@@ -144,7 +145,7 @@
 	if undo == nil {
 		return nil
 	}
-	s.logf("%s for %v", fault.What, fault.For)
+	s.logf("fault %s on clients for %v", fault.What, fault.For)
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -152,8 +153,8 @@
 	}
 }
 
-// pick draws engines for a fault; those on which a fault is in force are left out, so that the fleet doesn't lose more
-// than the script says.
+// pick draws the engines that a fault affects. It leaves out engines that have a fault in force, so that the fleet
+// doesn't lose more capacity than the scenario says.
 func (s *faultScript) pick(fault *scenario.Fault) []*engine.Server {
-	return scenario.Draw(fault, s.random, s.engines.sound(fault.Kind))
+	return scenario.Draw(fault, s.random, s.engines.healthy(fault.Kind))
 }
--- a/internal/scenariorun/foreseen.go
+++ b/internal/scenariorun/foreseen.go
@@ -9,15 +9,16 @@
 	"brackenbend/roles"
 )
 
-// defaultChangeTime is how long a change of role takes from its command on where the scenario doesn't say it.
+// defaultChangeTime is how long a change of role takes after its command, where the scenario states no time.
 const defaultChangeTime = 10 * time.Second
 
-// foreseenPolicy moves engines by a schedule that was computed beforehand. It implements planner.Policy.
+// foreseenPolicy changes the roles of engines by a schedule that is computed from the demand of an earlier run. It
+// implements planner.Policy.
 type foreseenPolicy struct {
 	run      *run
-	lead     time.Duration // by which changes are begun before they are needed
+	lead     time.Duration // how long before they are needed changes begin
 	schedule rolesim.Schedule
-	start    time.Duration // of the schedule, by the record's clock
+	start    time.Duration // of the schedule, as a time of the record
 }
 
 func newForeseenPolicy(r *run, samples []RoleSample) *foreseenPolicy {
@@ -53,7 +54,7 @@
 		second.decode += sample.DecodeDemand
 		second.samples++
 	}
-	for t := 1; t < seconds; t++ { // while the planner was stopped nothing was sampled
+	for t := 1; t < seconds; t++ { // no samples were taken while the planner was stopped
 		if demand[t].samples == 0 {
 			demand[t] = demand[t-1]
 		}
@@ -61,7 +62,7 @@
 	return demand
 }
 
-// mean is the mean demand of the t-th second.
+// mean returns the mean demand in the t-th second.
 func (d demandBySecond) mean(t int) (prefill, decode float64) {
 	samples := math.Max(d[t].samples, 1)
 	return d[t].prefill / samples, d[t].decode / samples
--- a/internal/scenariorun/forms_test.go
+++ b/internal/scenariorun/forms_test.go
@@ -10,8 +10,8 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// TestReportJSONForm checks the form of a report, which a later run reads the demand over time from. The golden file
-// was recorded before the renaming and is not updated.
+// TestReportJSONForm checks that the JSON form of a report does not change, since later runs read the demand over time
+// from reports of earlier ones. The golden file is older than the present names of the Go fields: it stays as recorded.
 func TestReportJSONForm(t *testing.T) {
 	report := &Report{
 		Seconds: 1.5, LagMS: 2.5, Service: 0.5, Expected: 0.25,
@@ -38,11 +38,12 @@
 		t.Fatal(err)
 	}
 	if err := decoded.WriteJSON(&again); err != nil || again.String() != encoded.String() {
-		t.Errorf("decoded and encoded again (%v):\n%s", err, again.String())
+		t.Errorf("after decoding and encoding again (%v):\n%s", err, again.String())
 	}
 }
 
-// TestEventJSONForm checks the form of an event in the record of a scenario (--record), and every kind of event.
+// TestEventJSONForm checks that the JSON form of the events that a scenario records (--record) and the value of every
+// kind of event do not change.
 func TestEventJSONForm(t *testing.T) {
 	var encoded bytes.Buffer
 	encoder := json.NewEncoder(&encoded)
--- a/internal/scenariorun/lag.go
+++ b/internal/scenariorun/lag.go
@@ -2,11 +2,13 @@
 
 import "time"
 
-// lagProbe is the sleep by which scheduling lag is measured: short, so that a lag of the same length is seen.
+// lagProbe is the length of the sleeps by which scheduling lag is measured. They are short so that a lag of a few
+// milliseconds is detected.
 const lagProbe = 5 * time.Millisecond
 
-// lagMeter measures by how much a short sleep oversleeps at worst: on a machine without CPU to spare, what the sockets
-// show lags by as much, and times between two of them can't be checked more finely.
+// lagMeter measures the worst scheduling lag of this process: by how much a short sleep exceeds its duration. On a
+// machine without idle CPUs, events on sockets are recorded late by as much, so that times between two sockets can't be
+// checked more precisely.
 type lagMeter struct {
 	quit  chan struct{}
 	worst chan time.Duration
--- a/internal/scenariorun/planners.go
+++ b/internal/scenariorun/planners.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// defaultSwitchTime is how long an engine takes to change its role where the scenario doesn't say it.
+	// defaultSwitchTime is how long an empty engine takes to serve in another role, where the scenario states no time.
 	defaultSwitchTime = time.Second
-	// forceTimeout bounds the operator's request that forces a role.
+	// forceTimeout bounds each request to the API server by which forceRole forces a role.
 	forceTimeout = 5 * time.Second
 )
 
-// changingEngines is what engines that change role share.
+// changingEngines holds what the engines that change role have in common.
 type changingEngines struct {
 	run        *run
 	params     map[roles.Role]enginemodel.Params
@@ -38,7 +38,7 @@
 	return c
 }
 
-// add makes an engine one of those that change role.
+// add configures an engine that changes role, and adds it to the API server's assignment table.
 func (c *changingEngines) add(cfg *engine.Config, role roles.Role) {
 	cfg.Roles = c.params
 	cfg.InitialState = roles.EngineState{Role: role, Target: role}
@@ -46,15 +46,16 @@
 	c.run.api.ManageRole(cfg.Name, role, c.kinds)
 }
 
-// RoleSample is how the engines that change role stood at one time.
+// RoleSample is the number of engines in each role, of those that change role, and the demand at a step of the first
+// planner.
 type RoleSample struct {
-	At             float64 `json:"at"` // seconds of the record
+	At             float64 `json:"at"` // in seconds, as a time of the record
 	PrefillEngines int     `json:"readers"`
 	DecodeEngines  int     `json:"writers"`
 	MixedEngines   int     `json:"both,omitempty"`
 	Changing       int     `json:"changing,omitempty"`
-	Commands       uint64  `json:"orders"`
-	PrefillDemand  float64 `json:"reading"` // in engines, as a planner saw it
+	Commands       uint64  `json:"orders"`  // so far
+	PrefillDemand  float64 `json:"reading"` // in engines, as the planner estimates it
 	DecodeDemand   float64 `json:"writing"`
 }
 
@@ -63,13 +64,13 @@
 	return s.PrefillEngines + s.DecodeEngines + s.MixedEngines + s.Changing
 }
 
-// planners are the planners of the scenario, each with its own view of the API server.
+// planners runs the planners of the scenario, each with its own client of the API server.
 type planners struct {
 	run     *run
 	running sync.WaitGroup
 
 	mu      sync.Mutex
-	cancel  context.CancelFunc // of those that run
+	cancel  context.CancelFunc // ends the running planners
 	samples []RoleSample
 }
 
@@ -88,7 +89,7 @@
 	}
 }
 
-// newRunner makes one planner; the first one samples the roles.
+// newRunner creates one planner. The first one samples the roles.
 func (p *planners) newRunner(first bool) *planner.Runner {
 	var replicas []string
 	for _, replica := range p.run.replicas.members {
@@ -111,12 +112,12 @@
 	return runner
 }
 
-// httpClient makes a client that keeps no connections; timeout 0 = none.
+// httpClient returns a client without idle connections; timeout 0 = none.
 func httpClient(timeout time.Duration) *http.Client {
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// stop ends the planners as a crash would: with nothing handed over.
+// stop ends the planners without a handover, as a crash would.
 func (p *planners) stop() {
 	p.mu.Lock()
 	cancel := p.cancel
@@ -125,7 +126,7 @@
 	p.running.Wait()
 }
 
-// sample notes how the roles stand when a plan is made.
+// sample records the roles and the demand when a plan is made, and logs its changes.
 func (p *planners) sample(plan roles.Plan) {
 	assignments := p.run.api.Assignments()
 	serving, changing := assignments.CountServing()
@@ -147,12 +148,12 @@
 	}
 }
 
-// forceRole is an operator who forces an engine into the other role, whatever the planner decides.
+// forceRole assigns an engine to the other role, as an operator does who overrides the planner.
 func (r *run) forceRole(name string) {
 	client := planner.Client{URL: r.api.URL(), HTTP: httpClient(forceTimeout)}
 	switchStage := func(assignments roles.Assignments) (roles.Assignments, error) {
-		return assignments.SwitchStage(name, "forced by the day")
+		return assignments.SwitchStage(name, "forced by the scenario")
 	}
 	assignments, err := client.Update(context.Background(), switchStage)
-	r.logf("%s forced to %v: %v", name, assignments.Entries[name].Target, err)
+	r.logf("engine %s forced to role %v (error: %v)", name, assignments.Entries[name].Target, err)
 }
--- a/internal/scenariorun/plot.go
+++ b/internal/scenariorun/plot.go
@@ -6,10 +6,10 @@
 	"brackenbend/internal/simulation/chart"
 )
 
-// serviceSmoothing is how many seconds on each side go into a point of the service chart.
+// serviceSmoothing is how many seconds before and after each point of the service chart go into its mean.
 const serviceSmoothing = 2
 
-// Plot draws service over time, and where engines change role how they stood, as SVG files into dir.
+// Plot writes charts to dir as SVG files: service over time and, where engines change role, the engines of each role.
 func (r *Report) Plot(dir string) error {
 	if err := r.plotService(filepath.Join(dir, "service.svg")); err != nil {
 		return err
@@ -23,7 +23,7 @@
 func (r *Report) plotService(file string) error {
 	service := make([]float64, len(r.Timeline))
 	for i, second := range r.Timeline {
-		service[i] = second.Worth / second.Asked // NaN where nothing was asked
+		service[i] = second.Worth / second.Asked // NaN for a second without requests
 	}
 	return chart.Save(file, "service by the time of asking, mean of 5 s", "seconds", "service",
 		chart.Line{Name: "service", X: chart.Seconds(len(service)), Y: chart.Smooth(service, serviceSmoothing)})
--- a/internal/scenariorun/replicas.go
+++ b/internal/scenariorun/replicas.go
@@ -18,31 +18,34 @@
 )
 
 const (
-	// readyTimeout bounds the start of all replicas; one takes less than a second on a quiet machine.
+	// readyTimeout bounds the start of all replicas; one takes less than a second on an idle machine.
 	readyTimeout = 30 * time.Second
-	// connectTimeout and connectInterval are those of the connects by which a replica's start is seen.
+	// connectTimeout bounds the connects that detect whether a replica has started; connectInterval is the pause
+	// between two of them.
 	connectTimeout  = time.Second
 	connectInterval = 20 * time.Millisecond
-	// firstListWait is for the first list of engines, which a replica fetches once it accepts connections.
+	// firstListWait is how long a run waits for the first endpoint list, which a replica fetches once it accepts
+	// connections.
 	firstListWait = 300 * time.Millisecond
-	// stopTimeout is after what a replica that was asked to stop is killed: longer than any shutdown in a scenario.
+	// stopTimeout is how long a replica may take to stop before it is killed: longer than any shutdown in a scenario.
 	stopTimeout = 20 * time.Second
-	// logTail and maxCrashText bound what is quoted of a crashed replica's log: its last bytes, or a panic's first.
+	// A report quotes of a crashed replica's log the last logTail bytes, or the first maxCrashText characters from a
+	// panic on.
 	logTail      = 1000
 	maxCrashText = 3000
 )
 
 var (
-	// ErrReplicaExited is the error of a replica whose process ended at its start.
-	ErrReplicaExited = errors.New("scenario: replica exited at its start")
-	// ErrReplicaNotReady is the error of a replica that accepts no connection within its time.
-	ErrReplicaNotReady = errors.New("scenario: replica not ready")
+	// ErrReplicaExited is returned for a replica whose process ended before it accepted connections.
+	ErrReplicaExited = errors.New("scenario: replica exited during startup")
+	// ErrReplicaNotReady is returned for a replica that accepts no connection within readyTimeout.
+	ErrReplicaNotReady = errors.New("scenario: replica not ready in time")
 )
 
 // replica is a replica of the gateway, in a process of its own.
 type replica struct {
 	name, addr   string
-	admin        string // where planners ask; "" = nowhere
+	admin        string // address of the metrics that planners poll; "" = none
 	settingsFile string
 	logFile      string
 
@@ -57,16 +60,16 @@
 	return p.cmd != nil
 }
 
-// replicaSet are the replicas of a scenario.
+// replicaSet holds the replicas of a scenario.
 type replicaSet struct {
 	binary  string
 	env     []string
 	record  *audit.Record
 	logf    func(format string, args ...any)
-	members []*replica // not changed once the scenario plays
+	members []*replica // complete before the first fault
 
 	mu      sync.Mutex
-	crashes []string // violations: replicas that ended by themselves
+	crashes []string // a violation for each process that ended by itself
 }
 
 func newReplicaSet(r *run) *replicaSet {
@@ -78,7 +81,7 @@
 	}
 }
 
-// startReplica writes the settings of the i-th replica and starts it.
+// startReplica writes the settings file of the i-th replica and starts the replica.
 func (r *run) startReplica(i int) error {
 	addr, err := loopback.Address()
 	if err != nil {
@@ -121,7 +124,7 @@
 	return nil
 }
 
-// await waits for the end of a replica's process, and closes ended.
+// await waits for the end of a replica's process, records a crash unless stop ended it, and closes ended.
 func (s *replicaSet) await(p *replica, cmd *exec.Cmd, ended chan struct{}) {
 	defer close(ended)
 	err := cmd.Wait()
@@ -133,16 +136,17 @@
 	}
 }
 
-// addCrash notes a replica whose process ended though nobody stopped it, with what it last wrote.
+// addCrash records that a replica's process ended by itself, with the end of its log.
 func (s *replicaSet) addCrash(p *replica, err error) {
 	text := crashText(p.logFile)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashes = append(s.crashes,
-		fmt.Sprintf("%.3fs: %s ended by itself (%v): %.*s", s.record.Now().Seconds(), p.name, err, maxCrashText, text))
+		fmt.Sprintf("%.3fs: replica %s ended by itself (%v): %.*s",
+			s.record.Now().Seconds(), p.name, err, maxCrashText, text))
 }
 
-// crashText is what a log ends with: a panic from its beginning, or the last bytes.
+// crashText returns the end of a log: from the last panic on, or the last logTail bytes where there is none.
 func crashText(logFile string) string {
 	content, err := os.ReadFile(logFile)
 	if err != nil {
@@ -156,14 +160,14 @@
 	return text[max(0, len(text)-logTail):]
 }
 
-// crashed returns a copy of the crashes noted.
+// crashed returns a copy of the crashes recorded so far.
 func (s *replicaSet) crashed() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.crashes...)
 }
 
-// stop signals a replica's process and waits for its end.
+// stop sends a signal to a replica's process, waits for its end, and kills it after stopTimeout.
 func (s *replicaSet) stop(p *replica, signal syscall.Signal) {
 	p.mu.Lock()
 	cmd, ended := p.cmd, p.ended
@@ -179,18 +183,18 @@
 	select {
 	case <-ended:
 	case <-time.After(stopTimeout):
-		s.logf("%s did not stop in time, killed", p.name)
+		s.logf("replica %s did not stop in time: killed", p.name)
 		s.record.Add(audit.Event{Kind: audit.ReplicaKilled, Replica: p.name})
-		_ = cmd.Process.Kill() // likewise
+		_ = cmd.Process.Kill() // fails only when the process has ended
 		<-ended
 	}
 }
 
-// awaitReady waits until every replica accepts connections and has its first list of engines.
+// awaitReady waits until every replica accepts connections, and then firstListWait for their first endpoint lists.
 func (s *replicaSet) awaitReady(ctx context.Context) error {
-	limit := time.Now().Add(readyTimeout)
+	deadline := time.Now().Add(readyTimeout)
 	for _, p := range s.members {
-		if err := p.awaitAccepting(ctx, limit); err != nil {
+		if err := p.awaitAccepting(ctx, deadline); err != nil {
 			return err
 		}
 	}
@@ -198,12 +202,12 @@
 	return nil
 }
 
-// awaitAccepting waits until the replica accepts a connection.
-func (p *replica) awaitAccepting(ctx context.Context, limit time.Time) error {
+// awaitAccepting waits until the replica accepts a connection, its process ends or the deadline passes.
+func (p *replica) awaitAccepting(ctx context.Context, deadline time.Time) error {
 	for {
 		conn, err := net.DialTimeout("tcp", p.addr, connectTimeout)
 		if err == nil {
-			_ = conn.Close() // that it was accepted is all that counts
+			_ = conn.Close() // it only shows that the replica accepts connections
 			return nil
 		}
 		select {
@@ -213,7 +217,7 @@
 			return ctx.Err()
 		case <-time.After(connectInterval):
 		}
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("%w: %s", ErrReplicaNotReady, p.name)
 		}
 	}
--- a/internal/scenariorun/report.go
+++ b/internal/scenariorun/report.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// socketSlack is added to times between two sockets, which are seen by different goroutines.
+	// socketSlack is added to limits on the time between events of two sockets, which different goroutines record.
 	socketSlack = 50 * time.Millisecond
-	// lagFactor is how often the worst scheduling lag is added: once for each of the two sockets.
+	// lagFactor times the worst scheduling lag is added as well: once for each of the two sockets.
 	lagFactor = 2
 	// maxPrintedViolations is how many violations of one rule are printed.
 	maxPrintedViolations = 10
@@ -31,19 +31,19 @@
 // Report is the outcome of a scenario.
 type Report struct {
 	Seconds  float64            `json:"seconds"`
-	LagMS    float64            `json:"worst_lag_ms"` // of this process; slack where two sockets' times are compared
-	Service  float64            `json:"service"`      // worth served over worth asked for
+	LagMS    float64            `json:"worst_lag_ms"` // scheduling lag of this process, part of the slack of the audit
+	Service  float64            `json:"service"`      // priority weight served over that requested
 	Classes  []scenario.Row     `json:"classes"`
 	Tenants  []scenario.Row     `json:"tenants"`
-	Attempts map[string]int     `json:"attempts"` // as the engines saw them
+	Attempts map[string]int     `json:"attempts"` // by the keys above, as engines recorded them
 	Rules    []audit.RuleResult `json:"rules"`
 	Expected float64            `json:"expected_service,omitempty"`
-	Roles    []RoleSample       `json:"roles,omitempty"` // where engines change role
-	Timeline []scenario.Second  `json:"course"`          // by the second of asking
+	Roles    []RoleSample       `json:"roles,omitempty"` // none where engines keep their roles
+	Timeline []scenario.Second  `json:"course"`          // by the second in which requests were first sent
 	Events   []audit.Event      `json:"-"`
 }
 
-// report makes the report of a scenario that has ended.
+// report creates the report of a scenario that has ended.
 func (r *run) report(clients *traffic, lag time.Duration) *Report {
 	report := &Report{
 		Seconds:  r.scenario.Length.Seconds(),
@@ -59,7 +59,7 @@
 		StateTTL:   r.scenario.Service.StateTTL,
 		Slack:      socketSlack + lagFactor*lag,
 	})
-	// A replica that crashed by itself leaves requests without an answer.
+	// A crashed replica leaves requests without an answer, which is what the first rule forbids.
 	report.Rules[0].Violations = append(report.Rules[0].Violations, r.replicas.crashed()...)
 	if r.planners != nil {
 		report.Roles = r.planners.samples
@@ -70,7 +70,7 @@
 	return report
 }
 
-// countAttempts counts what the engines saw.
+// countAttempts counts the attempts that engines recorded.
 func countAttempts(events []audit.Event) map[string]int {
 	attempts := map[string]int{}
 	for _, e := range events {
@@ -106,29 +106,29 @@
 
 func (r *Report) belowExpected() bool { return r.Service < r.Expected }
 
-// WriteText prints the report for people.
+// WriteText writes the report as text.
 func (r *Report) WriteText(w io.Writer) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "\nservice %.3f over %.0f s\n\n", r.Service, r.Seconds)
 	writeRows(&b, "class", r.Classes)
 	writeRows(&b, "tenant", r.Tenants)
-	fmt.Fprintf(&b, "attempts seen by engines: %d reads, %d writes; %d took effect, %d repeats were dropped\n\n",
+	fmt.Fprintf(&b, "attempts at engines: %d prefills, %d decodes; %d took effect, %d repeated requests were dropped\n\n",
 		r.Attempts[attemptsPrefill], r.Attempts[attemptsDecode],
 		r.Attempts[attemptsExecuted], r.Attempts[attemptsDeduplicated])
 	r.writeRoles(&b)
 	fmt.Fprintf(&b, "worst scheduling lag of this process %.0f ms; "+
-		"drains and pinned state are judged with 50 ms and twice that to spare\n", r.LagMS)
+		"the time limits for drains and read states are extended by 50 ms and twice this lag\n", r.LagMS)
 	for i, rule := range r.Rules {
 		writeRule(&b, i+1, rule)
 	}
 	if r.belowExpected() {
-		fmt.Fprintf(&b, "service %.3f is below the %.3f that this day expects\n", r.Service, r.Expected)
+		fmt.Fprintf(&b, "service %.3f is below the %.3f that this scenario expects\n", r.Service, r.Expected)
 	}
 	_, err := w.Write(b.Bytes())
 	return err
 }
 
-// writeRows prints the table of classes or tenants.
+// writeRows writes the table of classes or tenants.
 func writeRows(b *bytes.Buffer, title string, rows []scenario.Row) {
 	const (
 		head = "%-12s %8s %7s %7s %5s %8s %7s %7s %5s %5s %6s %9s %9s\n"
@@ -143,7 +143,7 @@
 	b.WriteString("\n")
 }
 
-// writeRoles prints how the engines' roles changed, where they do.
+// writeRoles writes how the roles of engines changed, where engines change role.
 func (r *Report) writeRoles(b *bytes.Buffer) {
 	if len(r.Roles) == 0 {
 		return
@@ -153,13 +153,13 @@
 	for _, sample := range r.Roles {
 		mostChanging = max(mostChanging, sample.Changing)
 	}
-	fmt.Fprintf(b, "roles: %d readers and %d writers at the start, %d and %d at the end; "+
-		"%d orders, %d on their way at once at most\n\n",
+	fmt.Fprintf(b, "roles: %d prefill and %d decode engines at the start, %d and %d at the end; "+
+		"%d commands, at most %d engines changing role at once\n\n",
 		first.PrefillEngines, first.DecodeEngines, last.PrefillEngines, last.DecodeEngines,
 		last.Commands, mostChanging)
 }
 
-// writeRule prints the outcome of one rule.
+// writeRule writes the outcome of one rule.
 func writeRule(b *bytes.Buffer, number int, rule audit.RuleResult) {
 	fmt.Fprintf(b, "rule %d, %s: %d checks, %d breaches", number, rule.Rule, rule.Checks, len(rule.Violations))
 	if rule.WorstCase != "" {
@@ -174,11 +174,11 @@
 		fmt.Fprintf(b, "  %s\n", violation)
 	}
 	if rule.Checks == 0 {
-		b.WriteString("  never checked: this day proves nothing about it\n")
+		b.WriteString("  never checked: no event of this scenario tests the rule\n")
 	}
 }
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
--- a/internal/scenariorun/scenariorun.go
+++ b/internal/scenariorun/scenariorun.go
@@ -1,11 +1,11 @@
 // Package scenariorun plays scripted scenarios (internal/simulation/scenario) on sockets: an API server and engines
-// (fakes in this process), replicas (processes of their own), clients, and faults. What passed on the sockets is
-// recorded and checked by internal/audit; no replica is queried.
+// (fakes in this process), replicas (processes of their own), clients, and faults. The fakes and the clients record
+// what passes on their sockets, and internal/audit checks the record; the replicas' own view is not used.
 //
-// Run owns all that it starts and has ended it when it returns. Goroutines: one that plays the faults and one for each
-// fault that is undone later, one for each client session, one that waits for each replica's process, one that measures
-// scheduling lag, and the planners. State that they share lies in engineFleet, replicaSet, clientConditions, planners
-// and traffic, each with a mutex of its own.
+// Run ends all that it starts before it returns. It starts a goroutine that plays the faults and one for each fault
+// that is undone later, one for each client session, one that waits for each replica's process, one that measures
+// scheduling lag, and those of the planners. The state that they share is in engineFleet, replicaSet, clientConditions,
+// planners and traffic, each with its own mutex.
 package scenariorun
 
 import (
@@ -20,22 +20,23 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// releaseMargin is what a run waits beyond the state TTL for the read states of the last requests: they are released by
-// then, or violate the rule.
+// releaseMargin is how much longer than the state TTL a run waits after its last request, so that the record shows
+// whether the replicas released the last read states in time.
 const releaseMargin = 300 * time.Millisecond
 
 // Options say how a scenario is run.
 type Options struct {
 	Binary  string    // brackenbend itself, for the replicas
-	Env     []string  // of the replicas, beside this process's environment
-	WorkDir string    // for settings, cached lists and logs of the replicas
-	Log     io.Writer // what happens, line by line; nil = nothing
-	// Foreseen is the demand of an earlier run of the scenario: roles then follow the cheapest schedule for it, each
-	// change begun as long ahead as it takes, in place of the planner's.
+	Env     []string  // of the replicas, in addition to this process's environment
+	WorkDir string    // folder for the replicas' settings, cached endpoint lists and logs
+	Log     io.Writer // receives a line for each fault, role change or problem; nil = no log
+	// Foreseen is the demand that an earlier run of the scenario recorded. Where it is set, roles follow the cheapest
+	// schedule for this demand in place of the planner's decisions, and each change of role begins as long before it is
+	// needed as it takes.
 	Foreseen []RoleSample
 }
 
-// run is a scenario under way.
+// run is the state of a scenario while it is played.
 type run struct {
 	scenario   *scenario.Scenario
 	options    Options
@@ -43,11 +44,11 @@
 	api        *apiserver.Server
 	engines    *engineFleet
 	replicas   *replicaSet
-	planners   *planners // nil where roles stay
+	planners   *planners // nil where engines keep their roles
 	conditions clientConditions
 }
 
-// Run plays a scenario and checks the rules.
+// Run plays a scenario and audits its record.
 func Run(ctx context.Context, played *scenario.Scenario, options Options) (*Report, error) {
 	if err := played.CheckRunnable(); err != nil {
 		return nil, err
@@ -85,16 +86,16 @@
 	return r.report(clients, lag.stop()), nil
 }
 
-// playFaultsAndClients plays both side by side, and waits for the end of both.
+// playFaultsAndClients plays the faults while the clients send requests, and waits until both have ended.
 func (r *run) playFaultsAndClients(ctx context.Context, clients *traffic) error {
 	began := time.Now()
-	faultsOver := make(chan struct{})
+	faultsDone := make(chan struct{})
 	go func() {
-		defer close(faultsOver)
+		defer close(faultsDone)
 		newFaultScript(r).play(ctx, began)
 	}()
 	clients.play(ctx, began)
-	<-faultsOver
+	<-faultsDone
 	return ctx.Err()
 }
 
@@ -132,11 +133,11 @@
 	}
 }
 
-// logf writes a line of what happens.
+// logf writes a line to Options.Log, with the time of the record.
 func (r *run) logf(format string, args ...any) {
 	if r.options.Log == nil {
 		return
 	}
 	line := fmt.Sprintf("%7.2fs  "+format+"\n", append([]any{r.record.Now().Seconds()}, args...)...)
-	_, _ = io.WriteString(r.options.Log, line) // progress for people; the run doesn't depend on it
+	_, _ = io.WriteString(r.options.Log, line) // a line that can't be written does not fail the run
 }
--- a/internal/scenariorun/traffic.go
+++ b/internal/scenariorun/traffic.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// maxClients bounds the clients at once, each of which has a socket and a goroutine; scenarios stay well below it.
+	// maxClients bounds the concurrent clients, each of which has a socket and a goroutine; scenarios stay well below it.
 	maxClients = 4000
-	// maxTokensFactor is how much longer than the mean answer of its class a request allows its answer to be.
+	// maxTokensFactor is the max_tokens of a request, in mean answer lengths of its class.
 	maxTokensFactor = 3
 )
 
-// traffic are the clients of the scenario. Each session has a goroutine, which owns it.
+// traffic plays the clients of the scenario. Each session has a goroutine, which owns it.
 type traffic struct {
 	run      *run
 	began    time.Time
-	end      time.Time     // no turn begins after it
-	slots    chan struct{} // bounds clients at once
+	end      time.Time     // no turn begins after this
+	slots    chan struct{} // holds an element for each client; bounds their number
 	sessions sync.WaitGroup
 
 	mu    sync.Mutex
@@ -34,7 +34,7 @@
 	return &traffic{run: r, slots: make(chan struct{}, maxClients), score: r.scenario.Score()}
 }
 
-// play lets sessions begin at their rate until the scenario is over, and waits for their ends.
+// play starts sessions at the scenario's rate until its end, and waits until all have ended.
 func (t *traffic) play(ctx context.Context, began time.Time) {
 	t.began, t.end = began, began.Add(t.run.scenario.Length)
 	conditions := &t.run.conditions
@@ -47,7 +47,7 @@
 		session := arrivals.Next(conditions.snapshot())
 		select {
 		case t.slots <- struct{}{}:
-		default: // the bound on clients; this one does not begin
+		default: // there are maxClients already: the session is dropped
 			continue
 		}
 		t.sessions.Go(func() {
@@ -58,7 +58,7 @@
 	t.sessions.Wait()
 }
 
-// runSession runs one conversation.
+// runSession plays the turns of one session.
 func (t *traffic) runSession(session *scenario.Session) {
 	request := t.newRequest(session)
 	for {
@@ -75,7 +75,7 @@
 	}
 }
 
-// newRequest is what all requests of a session share.
+// newRequest returns an attempt with the fields that all requests of a session share.
 func (t *traffic) newRequest(session *scenario.Session) client.Attempt {
 	class := &t.run.scenario.Classes[session.Class]
 	request := client.Attempt{
@@ -93,7 +93,7 @@
 	return request
 }
 
-// send sends a request with the retries of its client and returns how the last attempt ended.
+// send sends a request, retries it as its client does, and returns how the last attempt ended.
 func (t *traffic) send(session *scenario.Session, request client.Attempt, intent string) string {
 	request.Intent = intent
 	request.DisconnectAfter, request.MarksRetries = session.HangUp, session.MarksRetries
