--- a/internal/audit/answers.go
+++ b/internal/audit/answers.go
@@ -73,7 +73,7 @@
 // observe processes an event that ends an attempt or follows its end.
 func (c *answerCheck) observe(e Event) {
 	attempt := c.attempts[e.Attempt]
-	if attempt == nil { // rejected before the whole request was written
+	if attempt == nil { // an early rejection, before the whole request was written
 		attempt = &attemptAnswers{sent: Event{At: e.At, Deadline: e.At, Replica: e.Replica}}
 		c.attempts[e.Attempt] = attempt
 	}
--- a/internal/audit/drains.go
+++ b/internal/audit/drains.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// replicaEngine identifies an engine as one replica is notified of it.
+// replicaEngine is a pair of a replica and an engine that it is notified of, by their names.
 type replicaEngine struct{ replica, engine string }
 
 // checkDrains checks that no new request reaches an engine later than the drain grace after the API server notified the
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -53,7 +53,7 @@
 	EngineStopped Kind = "engine off"
 )
 
-// Class says whether the requests of a class may be executed more than once.
+// Class is the idempotency of the requests of a class.
 type Class string
 
 // The values of Class.
--- a/internal/scenariorun/foreseen.go
+++ b/internal/scenariorun/foreseen.go
@@ -16,7 +16,7 @@
 // implements planner.Policy.
 type foreseenPolicy struct {
 	run      *run
-	lead     time.Duration // how long before they are needed changes begin
+	lead     time.Duration // how long before a change is needed it begins
 	schedule rolesim.Schedule
 	start    time.Duration // of the schedule, as a time of the record
 }
--- a/internal/scenariorun/planners.go
+++ b/internal/scenariorun/planners.go
@@ -38,7 +38,7 @@
 	return c
 }
 
-// add configures an engine that changes role, and adds it to the API server's assignment table.
+// add sets the role configuration of an engine that changes role, and adds it to the API server's assignment table.
 func (c *changingEngines) add(cfg *engine.Config, role roles.Role) {
 	cfg.Roles = c.params
 	cfg.InitialState = roles.EngineState{Role: role, Target: role}
@@ -46,8 +46,8 @@
 	c.run.api.ManageRole(cfg.Name, role, c.kinds)
 }
 
-// RoleSample is the number of engines in each role, of those that change role, and the demand at a step of the first
-// planner.
+// RoleSample holds the number of engines in each role, among those that change role, and the demand at one step of the
+// first planner.
 type RoleSample struct {
 	At             float64 `json:"at"` // in seconds, as a time of the record
 	PrefillEngines int     `json:"readers"`
--- a/internal/scenariorun/replicas.go
+++ b/internal/scenariorun/replicas.go
@@ -29,8 +29,8 @@
 	firstListWait = 300 * time.Millisecond
 	// stopTimeout is how long a replica may take to stop before it is killed: longer than any shutdown in a scenario.
 	stopTimeout = 20 * time.Second
-	// A report quotes of a crashed replica's log the last logTail bytes, or the first maxCrashText characters from a
-	// panic on.
+	// Of a crashed replica's log a report quotes the last logTail bytes or, from a panic on, the first maxCrashText
+	// characters.
 	logTail      = 1000
 	maxCrashText = 3000
 )
@@ -146,7 +146,8 @@
 			s.record.Now().Seconds(), p.name, err, maxCrashText, text))
 }
 
-// crashText returns the end of a log: from the last panic on, or the last logTail bytes where there is none.
+// crashText returns the end of a log: from the last panic or fatal error on, or the last logTail bytes where there is
+// none.
 func crashText(logFile string) string {
 	content, err := os.ReadFile(logFile)
 	if err != nil {
