--- a/routing/actions.go
+++ b/routing/actions.go
@@ -75,12 +75,12 @@
 	ReasonNone              Reason = iota // no reason given
 	ReasonDeadline                        // the deadline has passed or is too close to finish in time
 	ReasonObjectiveMissed                 // the first token can no longer meet the latency objective
-	ReasonOverload                        // shed on arrival, because most answers are late
+	ReasonOverload                        // shed on arrival, because of late answers or slow prefills
 	ReasonAttemptsExhausted               // no attempts are left
-	ReasonMayHaveRun                      // an attempt may have run, and the class must not run twice
+	ReasonMayHaveRun                      // an attempt may have run, and the class allows no further one
 	ReasonPossibleDuplicate               // an earlier request of the client may have run
 	ReasonStateExpired                    // the read state was released before a decode fetched it
-	ReasonNoDecodeEndpoint                // no decode endpoint may be sent to
+	ReasonNoDecodeEndpoint                // no decode endpoint may be sent the request
 	ReasonShutdown                        // this replica shuts down
 )
 
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -50,8 +50,9 @@
 	return true
 }
 
-// handleRequest queues a new request, marked as shed if it is to be rejected at the next dispatch. It drops
-// requests with a known id or an unknown class.
+// handleRequest queues a new request, marked as shed if it is to be rejected at the next dispatch. A possible
+// duplicate of a class that is not idempotent fails at once. Requests with a known id or an unknown class are
+// dropped.
 func (r *Router) handleRequest(event Request) {
 	if r.requests[event.ID] != nil || event.Class < 0 || event.Class >= len(r.config.Classes) {
 		return
--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// maxWarmCandidates is how many endpoints past slow start are tried for a prompt in hash order: a prompt
-	// prefilled farther down the order would evict the cached prefixes that other keys keep there.
+	// maxWarmCandidates is how many endpoints past slow start are tried in hash order before a prompt stays
+	// queued for lack of capacity: a prompt prefilled farther down the order would evict the cached prefixes
+	// that other keys keep there.
 	maxWarmCandidates = 2
-	// maxPreferredShare is the multiple of an even share of the requests above which an endpoint that is
-	// preferred by more diverts some of them to the next candidate.
+	// An endpoint that is preferred by more than maxPreferredShare times an even share of the requests
+	// diverts some of them to the next candidate.
 	maxPreferredShare = 1.3
 	// slowPrefillFactor is the multiple of the mean prefill time per token above which an endpoint diverts
 	// more requests.
@@ -22,8 +23,8 @@
 	preferredPrior = 1.0
 	// preferredDecay is the time constant of prefixCache.preferredRequests.
 	preferredDecay = 30 * time.Second
-	// affinitySpread is the multiple of its proportional share of the endpoints that a key is spread over:
-	// replicas that don't share their counts, and prompts of uneven length, need more than 1.
+	// A key is spread over affinitySpread times its proportional share of the endpoints. That share alone
+	// is too few, since replicas don't know each other's counts and prompts differ in length.
 	affinitySpread = 3.0
 	// keyCountInterval is how often the request counts of keys are halved. Counts below minKeyCount are then
 	// removed.
@@ -47,7 +48,7 @@
 	halveAt        time.Duration  // when the counts are halved next
 	spread         map[uint64]int // number of preferred endpoints of each key that has several
 	spreadVersion  uint64         // order version for which spread was computed
-	usablePrefills float64        // number of prefill endpoints that may be sent to
+	usablePrefills float64        // number of prefill endpoints that may be sent requests
 	candidates     []candidate    // result of rankCandidates; the slice is reused
 }
 
@@ -110,9 +111,9 @@
 	a.requestCounts[newKey]++
 	a.requestTotal++
 	a.spread[newKey] = max(a.spread[newKey], 1)
-	for key, oldCount := range a.spread {
+	for key, oldSpread := range a.spread {
 		n := a.preferredCount(key, a.usablePrefills)
-		if a.spread[key] = n; n != oldCount {
+		if a.spread[key] = n; n != oldSpread {
 			r.queue.recheckKey(key)
 		}
 		if n == 1 {
@@ -190,8 +191,8 @@
 func (b *backend) sessionRank(req *request) float64 { return uniform(uint64(b.ID), req.Session) }
 
 // divertsRequest reports whether a request should go to the next candidate, because this endpoint is
-// preferred by more than an even share of the requests or is slow. The decision is the same for all requests
-// of a session.
+// preferred by more than an even share of the requests or is slow. All requests of a session have the same
+// draw.
 func (b *backend) divertsRequest(req *request, evenShare float64) bool {
 	share := (b.cache.preferredRequests + preferredPrior) / evenShare
 	share *= max(b.pace.slowness/slowPrefillFactor, 1)
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -23,7 +23,7 @@
 
 // send starts an attempt and adds its cost to the load of the endpoint.
 func (r *Router) send(req *request, b *backend, decode bool) {
-	a := attempt{backend: b, sentAt: r.now, decode: decode, inFlight: true, awaitingReply: true}
+	a := attempt{backend: b, sentAt: r.now, decode: decode, inFlight: true, awaitingResponse: true}
 	a.cost.memory = req.memoryTokens()
 	if req.state.backend == nil {
 		a.cost.uncached = b.uncachedTokens(req)
@@ -56,10 +56,10 @@
 	})
 }
 
-// timeout returns the time-out of an attempt; 0 lets it run until the deadline, if no other attempt may
-// replace it. The time-out is shortened where another attempt can then still meet the latency objective, so
-// that a request lost at a healthy endpoint is still answered in time. During overload it ends at the latency
-// objective.
+// timeout returns the time-out of an attempt. It is 0, and the attempt runs until the request's deadline, if
+// no other attempt may replace it. It is shortened where another attempt can then still meet the latency
+// objective, so that a request lost at a healthy endpoint is still answered in time. During overload every
+// attempt times out at the end of the latency objective.
 func (r *Router) timeout(req *request, a *attempt) time.Duration {
 	expected := a.cost.queued * max(r.latency.prefillPace, a.backend.pace.perToken)
 	minTimeout, attemptsToFinish := minPrefillTimeout, 2
@@ -130,7 +130,8 @@
 	switch {
 	case req.ended:
 		if event.Result == PrefillDone || a.decode && req.state.prefillSent && !req.streaming && !a.canceled {
-			r.emit(ReleaseState{req.ID}) // no decode will fetch the state
+			// No decode will fetch the state, and an earlier release may have had no effect.
+			r.emit(ReleaseState{req.ID})
 		}
 	case event.RequestDone || event.Result == Served:
 		r.finish(req, nil)
@@ -205,8 +206,8 @@
 	r.observeSuccess(b, req, event.Elapsed.Seconds() < limit)
 }
 
-// observeTimeout updates the statistics by an attempt that timed out. It is no failure of the endpoint if the
-// request's deadline came soon after the send.
+// observeTimeout updates the statistics by an attempt that timed out. It counts as a failure of the endpoint,
+// but as a success if the request's deadline came soon after the send.
 func (r *Router) observeTimeout(req *request, a *attempt, event Outcome) {
 	b := a.backend
 	r.mixed.observe(a, r.latency.usualFirstToken(a.cost.queued), event.Elapsed)
--- a/routing/attempts_test.go
+++ b/routing/attempts_test.go
@@ -74,7 +74,7 @@
 
 // TestPrefillTimeoutIncludesBacklogOfOtherReplicas checks that the time-out of a short prompt allows for the backlog
 // of other replicas at the prefill endpoint, which delays it as long as a long prompt. A time-out by the prompt's own
-// tokens was 0.8 s where prefills took 0.5 s in the mean. The endpoints went on with prefills that had timed out, and
+// tokens was 0.8 s where prefills took 0.5 s on average. The endpoints went on with prefills that had timed out, and
 // their retries queued behind them. Time-outs must also raise the expected time; otherwise it would count only the
 // prefills that were fast enough.
 func TestPrefillTimeoutIncludesBacklogOfOtherReplicas(t *testing.T) {
--- a/routing/backend.go
+++ b/routing/backend.go
@@ -51,7 +51,7 @@
 	memory         float64         // tokens reserved by them
 	uncached       float64         // prompt tokens waiting to be prefilled
 	pausedUntil    time.Duration   // it is treated as full until then
-	slowStartSends []time.Duration // times of the sends in the last window, while in slow start
+	slowStartSends []time.Duration // times of the sends in the last OverloadAfter, while in slow start
 }
 
 // prefixCache models which prompts an endpoint has in its cache, and counts the requests that prefer it.
@@ -66,7 +66,7 @@
 		c.tokens = map[uint64]float64{}
 	}
 	c.tokens[req.Prefix], c.tokens[req.Session] = req.PrefixTokens, req.PromptTokens
-	delete(c.tokens, 0)
+	delete(c.tokens, 0) // the id of no prefix and of no session
 }
 
 // uncachedTokens estimates the prompt tokens that the endpoint would have to prefill.
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// maxPrefills bounds this replica's attempts at a prefill endpoint.
+	// maxPrefills bounds this replica's attempts in flight at a prefill endpoint.
 	maxPrefills = 6
 	// maxBacklog bounds this replica's prompt tokens that wait at an endpoint, as the time to prefill them
 	// there. Further requests wait in the queue instead, from where they can still go to any endpoint.
@@ -29,10 +29,10 @@
 	bounds       capacityBounds
 }
 
-// capacityBounds are upper bounds of the capacity, whatever the request; knownToBeFull uses them.
+// capacityBounds are bounds of the capacity that hold for any request; knownToBeFull uses them.
 type capacityBounds struct {
-	largestFree     float64 // largest free memory of any decode endpoint
-	totalFree       float64 // free memory of all decode endpoints
+	largestFree     float64 // largest free memory of a decode or mixed endpoint; +Inf if one is idle
+	totalFree       float64 // free memory of all decode and mixed endpoints
 	prefillAttempts float64 // attempts in flight at prefill endpoints
 	mixedMayFit     bool    // some mixed endpoint may have capacity
 }
@@ -122,8 +122,9 @@
 		b.load.uncached*b.pace.perToken <= maxBacklog.Seconds()
 }
 
-// usable reports whether an endpoint may be sent to at all. An ejected endpoint gets one trial at a time,
-// unless all endpoints of its role are ejected: then all of them are used.
+// usable reports whether an endpoint may be sent a request at all. An ejected endpoint gets one trial at a
+// time, unless all endpoints of its role are ejected: then all of them are used. A trial that decodes is only
+// given to a request of an idempotent class.
 func (r *Router) usable(b *backend, req *request) bool {
 	if !b.listed || !r.slowStartAllows(b, req) {
 		return false
@@ -142,7 +143,7 @@
 	return memory * decodeMemoryFraction / float64(r.config.Replicas) * r.capacityFraction(b)
 }
 
-// memoryTokens is the memory of a decode endpoint that the request is expected to take, in tokens.
+// memoryTokens is the memory that the request is expected to take while it is decoded, in tokens.
 func (req *request) memoryTokens() float64 {
 	return req.PromptTokens + expectedOutputFraction*req.MaxOutputTokens
 }
@@ -162,9 +163,10 @@
 	return found && free > prefilling
 }
 
-// knownToBeFull reports whether placeQueued is certain to fail, without the cost of trying it: because no
-// decode endpoint has enough free memory, or because the prefill endpoints that would be tried are still as
-// full as at the last try. A request that is not yet counted at its preferred endpoint is always tried.
+// knownToBeFull reports whether placeQueued is certain to fail, without the cost of trying it: because the
+// endpoints that decode lack free memory, or because the prefill endpoints that would be tried are still as
+// full as at the last try. A request that is not yet counted at the endpoint that it prefers is tried
+// nevertheless if the try may count it.
 func (r *Router) knownToBeFull(req *request) bool {
 	need, bounds := req.memoryTokens(), &r.capacity.bounds
 	mixed := r.backends.roles[RoleMixed].listed > 0
--- a/routing/congestion_test.go
+++ b/routing/congestion_test.go
@@ -127,13 +127,13 @@
 					mean, before := 0.0, 1.0
 					inBand := l.inBand(band)
 					for _, tokens := range inBand {
-						chance := l.admissionProbability(tokens, budget)
-						if chance > before+1e-9 && l.band(tokens) == band {
+						probability := l.admissionProbability(tokens, budget)
+						if probability > before+1e-9 && l.band(tokens) == band {
 							t.Errorf("a prompt of %.0f tokens is admitted with probability %.3f, a shorter one with %.3f",
-								tokens, chance, before)
+								tokens, probability, before)
 						}
-						mean += chance / float64(len(inBand))
-						before = chance
+						mean += probability / float64(len(inBand))
+						before = probability
 					}
 					if len(inBand) > 0 && mean < meanOfAll/2 {
 						t.Errorf("mean admission probability of band %d is %.3f, of all prompts %.3f", band, mean, meanOfAll)
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -26,7 +26,7 @@
 		case r.knownToBeFull(req):
 		case r.placeQueued(req):
 			q.markDispatched(req)
-			// Each send raises the number of requests owed to mixed endpoints, so requests that were tried
+			// A send to a prefill endpoint raises the credit of mixed endpoints, so requests that were tried
 			// without success may be sent there now.
 			r.capacity.stale = r.capacity.stale || r.backends.roles[RoleMixed].listed > 0
 			if r.capacity.stale && !all { // also try all requests after this one
--- a/routing/environment_test.go
+++ b/routing/environment_test.go
@@ -343,11 +343,11 @@
 		limit = a.Timeout
 	}
 	attempt := &req.attempts[outcome.Attempt]
-	streamEnd := outcome.Result == Served || outcome.Result == ConnectionReset
+	answeredOrReset := outcome.Result == Served || outcome.Result == ConnectionReset
 	endsStream := outcome.Result == Served || outcome.Result == ConnectionReset && decode
 	if after > limit && !endsStream || after > time.Minute {
 		after, outcome.Result, outcome.StateMissing = max(limit, 0), TimedOut, false
-	} else if streamEnd && after > limit {
+	} else if answeredOrReset && after > limit {
 		attempt.arrived = decode
 		env.schedule(limit+ms, Outcome{
 			Request: outcome.Request, Attempt: outcome.Attempt, Endpoint: outcome.Endpoint, Result: TimedOut,
--- a/routing/events.go
+++ b/routing/events.go
@@ -75,17 +75,17 @@
 		Request  RequestID
 		Attempt  int
 		Endpoint EndpointID
-		Elapsed  time.Duration
+		Elapsed  time.Duration // since the send
 	}
 	// Outcome reports how an attempt ended. Each Send gets exactly one.
 	Outcome struct {
 		Request      RequestID
 		Attempt      int
 		Endpoint     EndpointID
-		Elapsed      time.Duration
-		RequestDone  bool // the request is complete and needs no further answer
+		Elapsed      time.Duration // since the send
+		RequestDone  bool          // the request is complete and needs no further answer
 		Result       Result
-		StateMissing bool      // there was no read state to fetch, or it was lost when the answer failed
+		StateMissing bool      // there was no read state to fetch, or it was lost when the decode failed
 		CachedTokens float64   // for PrefillDone and Served: prompt tokens found in the endpoint's cache
 		LoadReport   []float64 // Carried for callers; the router does not use it.
 	}
--- a/routing/lengthshares_test.go
+++ b/routing/lengthshares_test.go
@@ -15,7 +15,7 @@
 	h := newHarness(t, config, prefillEndpoint(1), decodeEndpoint(2))
 	rnd := rand.New(rand.NewSource(1))
 	lengths, tenants := map[RequestID]float64{}, map[RequestID]int{}
-	var open []Send
+	var inFlight []Send
 	var dispatched []RequestID
 	for id := RequestID(1); id <= 600; id++ {
 		tokens := 200 + 100*rnd.Float64()
@@ -26,13 +26,13 @@
 		req.Tenant = boolToInt(id%20 == 0)
 		lengths[id], tenants[id] = tokens, req.Tenant
 		events := []Event{req}
-		if id%2 == 0 && len(open) > 0 {
-			events = append(events, Outcome{Request: open[0].Request, Endpoint: 1, Result: Canceled})
-			events = append(events, ClientDisconnected{open[0].Request})
-			open = open[1:]
+		if id%2 == 0 && len(inFlight) > 0 {
+			events = append(events, Outcome{Request: inFlight[0].Request, Endpoint: 1, Result: Canceled})
+			events = append(events, ClientDisconnected{inFlight[0].Request})
+			inFlight = inFlight[1:]
 		}
 		for _, send := range actionsOf[Send](h.advance(50*ms, events...)) {
-			open = append(open, send)
+			inFlight = append(inFlight, send)
 			dispatched = append(dispatched, send.Request)
 		}
 	}
--- a/routing/loadshed.go
+++ b/routing/loadshed.go
@@ -10,8 +10,8 @@
 	// shedAdjustRate is how fast the shed fraction changes: the change per second of the logarithm of the
 	// admitted fraction, for an adjustment of 1.
 	shedAdjustRate = 0.45
-	// recoveryFactor is how much more an answer in time raises the admitted fraction than a late answer of no
-	// value lowers it.
+	// recoveryFactor is how many times more an answer in time raises the admitted fraction than a late answer
+	// of no value lowers it.
 	recoveryFactor = 1.5
 	// maxShedFraction keeps some requests admitted, since only their answers show the end of the overload.
 	maxShedFraction = 0.9
@@ -42,8 +42,8 @@
 // loadShedder sets the fraction of new requests that is rejected on arrival because of overload. If most
 // answers come late, the load exceeds what the endpoints can answer in time, whether because of a surge or
 // because endpoints are gone, slow or starting. Queueing the excess would make all answers late, so the
-// fraction rises until the admitted requests are answered in time. Shedding only loses answers where a lower
-// load does not make the rest faster.
+// fraction rises until the admitted requests are answered in time. Where a lower load does not make the
+// remaining answers faster, shedding loses answers without any gain.
 type loadShedder struct {
 	shedFraction float64
 	updatedAt    time.Duration // time of the last observed answer
@@ -67,8 +67,8 @@
 		max(1-(1-s.shedFraction)*math.Exp(-shedAdjustRate*elapsed*adjustment), 0), maxShedFraction)
 }
 
-// shedBias returns how many times more likely than the average a request of a value is shed: the mean value
-// divided by its own, within maxShedBias.
+// shedBias returns how many times more likely than the average a request of the given value is shed: the mean
+// value divided by its own, within maxShedBias.
 func (s *loadShedder) shedBias(value float64) float64 {
 	s.meanValue = cmp.Or(s.meanValue, value)
 	s.meanValue += meanValueWeight * (value - s.meanValue)
--- a/routing/loadshed_test.go
+++ b/routing/loadshed_test.go
@@ -77,9 +77,11 @@
 	}
 }
 
-// countShedBySort sends 4,000 requests, half of each of two sorts, while a fraction is shed, and returns how many of
-// each sort are shed. change makes a request one of a sort, 0 or 1.
-func countShedBySort(t *testing.T, weightByWork bool, fraction float64, change func(req *Request, sort int)) [2]int {
+// countShedByVariant sends 4,000 requests, half of each of two variants, while a fraction is shed, and returns how many
+// of each are shed. change turns a request into variant 0 or 1.
+func countShedByVariant(
+	t *testing.T, weightByWork bool, fraction float64, change func(req *Request, variant int),
+) [2]int {
 	t.Helper()
 	config := testConfig()
 	config.WeightByWork, config.OverQuotaWeight = weightByWork, 0.1
@@ -102,14 +104,14 @@
 // TestLowValueRequestsAreShedMore checks that requests with much work for their weight and requests over quota are
 // shed more than others, but by no more than maxShedBias, and that none is shed at a shed fraction of 0.
 func TestLowValueRequestsAreShedMore(t *testing.T) {
-	long := func(req *Request, sort int) { req.PromptTokens += 2400 * float64(sort) }
-	highPriority := func(req *Request, sort int) { req.Class = sort }
-	overQuota := func(req *Request, sort int) { req.Tenant = 1 - sort }
+	long := func(req *Request, variant int) { req.PromptTokens += 2400 * float64(variant) }
+	highPriority := func(req *Request, variant int) { req.Class = variant }
+	overQuota := func(req *Request, variant int) { req.Tenant = 1 - variant }
 	tests := []struct {
 		name         string
 		weightByWork bool
-		change       func(req *Request, sort int)
-		more         int // the sort that is shed more; -1 = neither
+		change       func(req *Request, variant int)
+		more         int // the variant that is shed more; -1 = neither
 	}{
 		{"long, weight by request", false, long, 1},
 		{"long, weight by work", true, long, -1},
@@ -120,7 +122,7 @@
 	const fraction = 0.12
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			shed := countShedBySort(t, tc.weightByWork, fraction, tc.change)
+			shed := countShedByVariant(t, tc.weightByWork, fraction, tc.change)
 			less, more := shed[0], shed[1]
 			if tc.more == 0 {
 				less, more = more, less
@@ -128,9 +130,9 @@
 			switch {
 			case tc.more < 0 && (less > 2*more || more > 2*less), tc.more >= 0 && 2*more < 3*less,
 				less == 0 || more == 0 || float64(more) > 2000*fraction*maxShedBias*1.2:
-				t.Errorf("%v requests shed, of 2000 of each sort", shed)
+				t.Errorf("%v requests shed, of 2000 of each variant", shed)
 			}
-			if shed := countShedBySort(t, tc.weightByWork, 0, tc.change); shed != [2]int{} {
+			if shed := countShedByVariant(t, tc.weightByWork, 0, tc.change); shed != [2]int{} {
 				t.Errorf("%v requests shed at a shed fraction of 0", shed)
 			}
 		})
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -30,7 +30,7 @@
 
 // endsSilence reports whether the result restarts the time for which the endpoint has been silent. A broken
 // connection does, since it was established before, and so does an attempt that was not sent, since it had no
-// reply to wait for.
+// response to wait for.
 func (r Result) endsSilence() bool {
 	return r != TimedOut && r != Canceled && r != ConnectFailed
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -26,7 +26,7 @@
 	maxFailureRate = 0.4
 	// recoveredFailureRate caps the failure rate of an endpoint when it is reinstated.
 	recoveredFailureRate = 0.3
-	// evaluationInterval is the time between evaluations of all endpoints; a failure triggers one at once.
+	// evaluationInterval is the time between two runs of detectOutliers; a failure triggers one at once.
 	evaluationInterval = 100 * time.Millisecond
 	// baseEjectionTime is the time from the first ejection of an endpoint to its trial. It doubles with each
 	// further ejection, up to maxEjectionTime, and halves with each recovery.
@@ -119,10 +119,11 @@
 
 var roleNames = [...]string{RolePrefill: "prefill", RoleDecode: "decode", RoleMixed: "mixed"}
 
-// observeSuccess records a successful attempt, which ends an ejection if it took no more than the usual time.
-func (r *Router) observeSuccess(b *backend, req *request, inUsualTime bool) {
+// observeSuccess records a successful attempt, which ends an ejection if it was fast enough
+// for a successful trial.
+func (r *Router) observeSuccess(b *backend, req *request, fastEnough bool) {
 	r.observeOutcome(b, req, false, outcomeWeight)
-	if b.health.ejected && inUsualTime {
+	if b.health.ejected && fastEnough {
 		r.reinstate(b)
 	}
 }
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -14,8 +14,8 @@
 	maxMixedCredit, minMixedCredit = 2, -1
 	// mixedSlownessWeight is the weight of the newest sample in mixedScheduler.slowness.
 	mixedSlownessWeight = 0.2
-	// maxDecodeWaitFraction is the fraction of the state TTL for which a read state may wait until some
-	// decode endpoint may be sent to.
+	// maxDecodeWaitFraction is the fraction of the state TTL for which a read state may wait until its
+	// request may be sent to some decode endpoint.
 	maxDecodeWaitFraction = 0.5
 	// minShortage avoids division by zero in localityShare.shortage and by its result.
 	minShortage = 1e-9
@@ -81,10 +81,10 @@
 	r.mixed.credit = min(r.mixed.credit+share/max(r.mixed.slowness, 1), maxMixedCredit)
 }
 
-// placeDecode sends a prefilled request to a decode endpoint. If none may be sent to, the request waits for
-// at most maxDecodeWaitFraction of the state TTL, counted from the end of the prefill or from the last reply
-// of a decode endpoint. Failed connections don't restart that time, since the prefill endpoint holds the
-// state throughout.
+// placeDecode sends a prefilled request to a decode endpoint. If it may be sent to none, it waits for at most
+// maxDecodeWaitFraction of the state TTL, counted from the end of the prefill or from the last response of a
+// decode endpoint. Failed connections don't restart that time, since the prefill endpoint holds the state
+// throughout.
 func (r *Router) placeDecode(req *request) {
 	b := r.decodeBackend(req, false)
 	waited := r.now - req.state.renewedAt
@@ -111,10 +111,11 @@
 // decodeRank is the sort key of a candidate for a decode; the smallest, compared in order, is the best.
 type decodeRank [6]float64
 
-// decodeBackend returns the endpoint with capacity that has the fewest attempts of this replica; ties go to
-// the cell of the request's prefill endpoint, then to its zone. If none has capacity and requireCapacity is
-// false, it returns the endpoint with the fewest attempts of those that may be sent to at all, ejected ones
-// last. It returns nil if there is none.
+// decodeBackend returns the endpoint that decodes a request. Of those with capacity, it prefers endpoints
+// that the request was not tried on and that are not avoided for it, and of these the one with the fewest
+// attempts of this replica. Ties go to the cell of the request's prefill endpoint, then to its zone; what
+// then still ties is decided at random. If none has capacity and requireCapacity is false, it returns the
+// best without capacity, ejected ones last. It returns nil if there is none.
 func (r *Router) decodeBackend(req *request, requireCapacity bool) *backend {
 	var best *backend
 	var bestRank decodeRank
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -84,7 +84,8 @@
 	return i
 }
 
-// queuedAfter returns the queued requests that come after req in a dispatch that tries promoted first.
+// queuedAfter returns the queued requests that come after req, which was just sent, in a dispatch that tries
+// promoted first.
 func (q *requestQueue) queuedAfter(req, promoted *request) []*request {
 	if req == promoted {
 		return q.waiting
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// markDispatched removes a request that was sent from the queue and counts its dispatch.
+// markDispatched removes a request from the queue after it was sent, and counts its dispatch.
 func (q *requestQueue) markDispatched(req *request) {
 	q.remove(req)
 	if len(req.attempts) == 1 {
--- a/routing/readstate.go
+++ b/routing/readstate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// stateTTLParts divides the state TTL. One part of it is reserved for a release to reach the endpoint, and
-// one part is the connect timeout of attempts for which a state waits.
+// stateTTLParts is the number of equal parts of the state TTL. One part is reserved for a release to reach
+// the endpoint, and one part is the connect timeout of attempts for which a state waits.
 const stateTTLParts = 5
 
 // The TTL of a read state runs from the end of its prefill, or from the last response of a decode endpoint
--- a/routing/recorded_test.go
+++ b/routing/recorded_test.go
@@ -137,7 +137,7 @@
 	rec.queue.push(rec.now+after, event)
 }
 
-// execute returns the line of the run in the file of recorded digests.
+// execute executes the run and returns its line for the file of recorded digests.
 func (rec *recording) execute() string {
 	rec.step(EndpointList{Scope: ListFull, Endpoints: rec.listed})
 	for i := range rec.steps {
--- a/routing/request.go
+++ b/routing/request.go
@@ -25,13 +25,13 @@
 
 // attempt is one send of a request to an endpoint.
 type attempt struct {
-	backend       *backend
-	sentAt        time.Duration
-	cost          attemptCost
-	decode        bool // generates output and so may have an effect; otherwise it only prefills
-	inFlight      bool
-	awaitingReply bool // the endpoint has not replied yet
-	canceled      bool
+	backend          *backend
+	sentAt           time.Duration
+	cost             attemptCost
+	decode           bool // generates output and so may have an effect; otherwise it only prefills
+	inFlight         bool
+	awaitingResponse bool // the endpoint has not responded yet
+	canceled         bool
 }
 
 // attemptCost is the load that an attempt adds to its endpoint, in tokens.
@@ -49,7 +49,7 @@
 }
 
 // sendWindow returns how long a request may still be sent: until the dedup window of an attempt that may have
-// run ends, if the request is idempotent with a key. 0 means no bound.
+// run ends, if the request is idempotent with a key. It is 0 for requests that have no such bound.
 func (req *request) sendWindow(now time.Duration) time.Duration {
 	if !req.execution.possible || req.class.Idempotency != IdempotentWithKey {
 		return 0
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -14,20 +14,20 @@
 	// A request whose read state is missing is prefilled again, unless the decode endpoint can prefill it and
 	// too few attempts are left for both a prefill and a decode.
 	mustDecode := r.config.DecodeCanPrefill && len(req.attempts)+2 > r.config.MaxAttempts
-	stateKept := a.decode && req.state.backend != nil && (!event.StateMissing || mustDecode)
+	decodeAgain := a.decode && req.state.backend != nil && (!event.StateMissing || mustDecode)
 	if r.stateExpired(req) && !event.Result.NeverExecuted() && event.Result != EngineError {
-		stateKept = false // no decode endpoint replied in time, and the state was released
+		decodeAgain = false // no decode endpoint responded in time, and the state was released
 	}
 	reason := r.giveUpReason(req)
-	if reason == ReasonNone && !r.mayRetry(req, stateKept) {
+	if reason == ReasonNone && !r.mayRetry(req, decodeAgain) {
 		reason = ReasonMayHaveRun
 	}
 	switch {
 	case reason != ReasonNone:
 		r.finish(req, r.finalAnswer(req, len(r.queue.waiting), reason))
-	case stateKept:
+	case decodeAgain:
 		if event.Result == Rejected || event.Result == EngineError {
-			r.renewState(req) // the decode reached the endpoint, which restarts the time of the state
+			r.renewState(req) // the decode reached the endpoint, which restarts the TTL of the state
 		}
 		r.placeDecode(req)
 	default:
@@ -42,12 +42,12 @@
 // mayRetry reports whether a request may have a further attempt, given that an earlier one may have run. A
 // request that is idempotent with a key may only be decoded again: a second prefill would use up too much of
 // its dedup window.
-func (r *Router) mayRetry(req *request, stateKept bool) bool {
+func (r *Router) mayRetry(req *request, decodeAgain bool) bool {
 	switch {
 	case !req.execution.possible:
 		return true
 	case req.class.Idempotency == IdempotentWithKey:
-		return stateKept
+		return decodeAgain
 	}
 	return req.class.Idempotency == Idempotent
 }
@@ -67,9 +67,9 @@
 
 // finalAnswer returns the answer to a request that is given up: Reject if the client may safely retry, else
 // Fail. A client library's automatic retry of a request that is not idempotent looks the same whether it
-// follows a rejection or a lost answer, so it fails on arrival. For that reason a rejection of such a request
-// asks the client not to retry automatically. queuedAhead is the number of queued requests that a retry would
-// find ahead of it.
+// follows a rejection or a lost answer, so it fails on arrival as a possible duplicate. For that reason a
+// rejection of such a request asks the client not to retry automatically. queuedAhead is the number of queued
+// requests that a retry would find ahead of it.
 func (r *Router) finalAnswer(req *request, queuedAhead int, reason Reason) Action {
 	if !safeToRetry(req) {
 		return Fail{Request: req.ID, Reason: reason}
@@ -109,8 +109,9 @@
 	}
 }
 
-// finish ends a request; every request ends here. It emits the final answer, unless answer is nil because
-// none is owed, cancels attempts in flight and releases the read state.
+// finish ends a request; every request ends here, except those that handleRequest does not queue. It emits
+// the final answer, unless answer is nil because none is owed, cancels attempts in flight and releases the
+// read state.
 func (r *Router) finish(req *request, answer Action) {
 	req.ended = true
 	r.observeEnd(req, answer != nil)
--- a/routing/router.go
+++ b/routing/router.go
@@ -42,7 +42,7 @@
 	seed       uint64        // differs between replicas, so that their random draws are independent
 	now        time.Duration // time of the current step
 	actions    []Action      // actions of the current step
-	wakeAt     time.Duration // earliest pending timer; 0 = none
+	wakeAt     time.Duration // when the earliest pending timer fires; a past time = none is pending
 	requests   map[RequestID]*request
 	backends   backendSet
 	queue      requestQueue
@@ -79,7 +79,7 @@
 }
 
 // Step processes the events that happened at the time now, in order. It returns the actions to carry out, in
-// order.
+// order. Points in time inside events are on the same clock as now.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
 	elapsed := (now - r.now).Seconds()
 	r.now, r.actions = now, nil
--- a/routing/silence.go
+++ b/routing/silence.go
@@ -41,8 +41,8 @@
 }
 
 // maxSilence is the time without a response after which an endpoint, or an attempt there, counts as silent:
-// much longer than the usual response time. Attempts of a class that is not idempotent have no time-out, so
-// without this check a stall would only be noticed at their deadlines.
+// much longer than the usual response time. Except during overload, decodes of a class that is not idempotent
+// have no time-out, so without this check a stall would only be noticed at their deadlines.
 func (r *Router) maxSilence(b *backend) time.Duration {
 	usual := b.load.uncached * r.latency.prefillPace
 	if b.role != RolePrefill {
@@ -61,7 +61,7 @@
 	for _, b := range r.backends.sorted {
 		s := &b.silence
 		s.attempts = slices.DeleteFunc(s.attempts, func(ref attemptRef) bool {
-			return !ref.attempt().inFlight || !ref.attempt().awaitingReply
+			return !ref.attempt().inFlight || !ref.attempt().awaitingResponse
 		})
 		if len(s.attempts) == 0 && s.byClass == nil {
 			continue
@@ -83,15 +83,15 @@
 }
 
 // markAnswered removes an attempt from the unanswered ones and its prompt from those that wait to be
-// prefilled. fromEndpoint says that the endpoint itself has responded.
-func (r *Router) markAnswered(a *attempt, fromEndpoint bool) {
+// prefilled. endsSilence says that it restarts the time for which the endpoint has been silent.
+func (r *Router) markAnswered(a *attempt, endsSilence bool) {
 	b := a.backend
-	if a.awaitingReply {
+	if a.awaitingResponse {
 		b.silence.unanswered--
 	}
 	b.load.uncached = max(b.load.uncached-a.cost.uncached, 0)
-	a.awaitingReply, a.cost.uncached = false, 0
-	if fromEndpoint {
+	a.awaitingResponse, a.cost.uncached = false, 0
+	if endsSilence {
 		b.silence.silentSince = r.now
 	}
 }
--- a/routing/silence_test.go
+++ b/routing/silence_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestSilentEndpointIsEjected: attempts of a class that is not idempotent have no time-out, so a stalled endpoint
+// TestSilentEndpointIsEjected: decodes of a class that is not idempotent have no time-out, so a stalled endpoint
 // shows only by its silence.
 func TestSilentEndpointIsEjected(t *testing.T) {
 	h := newHarness(t, testConfig(), prefillEndpoint(1), decodeEndpoint(2), decodeEndpoint(3), decodeEndpoint(4))
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestEndpointSilentToOneClassIsTriedLastForIt: an endpoint answers one class and is silent to another, whose attempts
+// TestEndpointSilentToOneClassIsTriedLastForIt: an endpoint answers one class and is silent to another, whose decodes
 // have no time-out. Once one of these has been unanswered for long, requests of that class go to another endpoint,
 // although it has more attempts. Other classes are not affected.
 func TestEndpointSilentToOneClassIsTriedLastForIt(t *testing.T) {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -33,12 +33,13 @@
 	return r.config.SlowStartFrom + (1-r.config.SlowStartFrom)*running/float64(r.config.SlowStartFor)
 }
 
-// slowStartAllows reports whether an endpoint in slow start may be sent the request. It keeps the endpoint
-// within a budget although replicas don't coordinate: the fraction of a warm endpoint's work that it can do.
-// If this replica's share of that is one request or more per window, the replica counts its sends. Below one,
-// it sends at most one, with a probability that makes the mean over all replicas right. The draw is the same
-// at all endpoints for a request: with a draw for each endpoint, some endpoint would nearly always accept the
-// request when a whole role has restarted, and all of them would be overloaded.
+// slowStartAllows reports whether an endpoint in slow start may be sent the request. Replicas don't
+// coordinate, so each has its own budget of sends to the endpoint per window of OverloadAfter: a fraction of
+// what it sends a warm endpoint in that time. With a budget of one or more, the replica counts its sends.
+// With a smaller one, it sends at most one request, with a probability that makes the mean over all replicas
+// right. The draw is the same at all endpoints for a request: with a draw for each endpoint, some endpoint
+// would nearly always accept the request when a whole role has restarted, and all of them would be
+// overloaded.
 func (r *Router) slowStartAllows(b *backend, req *request) bool {
 	if !r.inSlowStart(b) {
 		return true
@@ -50,17 +51,17 @@
 	if budget >= 1 || len(b.load.slowStartSends) > 0 {
 		return float64(len(b.load.slowStartSends)+1) <= budget
 	}
-	// The even shares of requests that are offered to this endpoint: retries add to them, and an idle
-	// endpoint, which ranks first, is offered those of endpoints that are not idle.
+	// offeredShares is how many even shares of the requests this endpoint is offered: retries add to them,
+	// and an idle endpoint, which ranks first, is offered those of endpoints that are not idle.
 	offeredShares := float64(1+len(req.attempts)) - boolToFloat(req.state.backend != nil)
 	if b.role != RolePrefill && b.load.attempts == 0 {
 		offeredShares *= stats.listed / max(stats.idle, 1)
 	}
-	chance := 1 - math.Exp(-share/offeredShares)
+	probability := 1 - math.Exp(-share/offeredShares)
 	if budget > minSlowStartBudget {
-		chance = 1 - math.Pow(1-budget, share/offeredShares/budget)
+		probability = 1 - math.Pow(1-budget, share/offeredShares/budget)
 	}
-	return uniform(r.seed+slowStartSeed, uint64(req.ID)) < chance
+	return uniform(r.seed+slowStartSeed, uint64(req.ID)) < probability
 }
 
 // dropOldSlowStartSends drops the sends that are older than a window.
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -103,11 +103,11 @@
 						continue
 					}
 					total += g.sends[e.ID]
-					even := 240.0 / prefills
+					evenShare := 240.0 / prefills
 					if g.roles[e.ID] == RoleDecode {
-						even = 240.0 / decodes
+						evenShare = 240.0 / decodes
 					}
-					if limit := config.OverloadFactor * 0.4 * even; float64(g.sends[e.ID]) > limit {
+					if limit := config.OverloadFactor * 0.4 * evenShare; float64(g.sends[e.ID]) > limit {
 						t.Errorf("endpoint %d in slow start got %d sends, want at most %.0f", e.ID, g.sends[e.ID], limit)
 					}
 				}
@@ -249,7 +249,7 @@
 	}
 	g.runFrom(requests, runStart+time.Duration(window)*runWindow, runWindow, run.prefix)
 	elapsed := float64(window) * runWindow.Seconds() // from the start of the endpoints to the start of the window
-	present := run.config.SlowStartFrom + (1-run.config.SlowStartFrom)*elapsed/run.config.SlowStartFor.Seconds()
+	capacity := run.config.SlowStartFrom + (1-run.config.SlowStartFrom)*elapsed/run.config.SlowStartFor.Seconds()
 	for i, e := range run.listed {
 		if !run.starting(i) {
 			continue
@@ -260,7 +260,7 @@
 		if g.roles[e.ID] == RoleDecode {
 			peers = runDecodes
 		}
-		limit := run.config.OverloadFactor * present * float64(requests) / peers
+		limit := run.config.OverloadFactor * capacity * float64(requests) / peers
 		if limit += 2*math.Sqrt(limit) + 2; float64(sends) > limit {
 			t.Errorf("window %d: endpoint %d got %d sends, want at most %.0f", window, e.ID, sends, limit)
 		}
--- a/routing/stats.go
+++ b/routing/stats.go
@@ -110,8 +110,8 @@
 	decay(&b.cache.preferredRequests, elapsed, preferredDecay)
 }
 
-// roleStats holds sums over the endpoints of a role. They are computed once for each evaluation or update of
-// the list, not once for each endpoint.
+// roleStats holds sums over the endpoints of a role. They are computed once for each outlier detection or
+// update of the endpoint list, not once for each endpoint.
 type roleStats struct {
 	listed, healthy float64   // listed endpoints, and those of them that are not ejected
 	warm, idle      float64   // listed endpoints past slow start, and those without attempts of this replica
