--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -34,7 +34,7 @@
 	// keys look popular.
 	keyCountPrior = 5
 
-	// triedFirstBit is set in the rank of candidates that the request was not tried on and that are not
+	// triedFirstBit is set in the rank of candidates that the request was not yet sent to and that are not
 	// avoided for it.
 	triedFirstBit = 1 << 63
 )
@@ -162,8 +162,8 @@
 }
 
 // rankCandidates returns the usable endpoints of a role in rendezvous hash order. Endpoints that the request
-// was tried on or that are avoided for it come last. The rank of an endpoint depends on no other endpoint, so
-// an ejection does not change which endpoints other keys prefer.
+// was sent to before or that are avoided for it come last. The rank of an endpoint depends on no other
+// endpoint, so an ejection does not change which endpoints other keys prefer.
 func (r *Router) rankCandidates(req *request, role Role) []candidate {
 	candidates := r.affinity.candidates[:0]
 	key := req.affinityKey()
@@ -172,7 +172,7 @@
 			continue
 		}
 		rank := hash64(key^hash64(uint64(b.ID))) >> 1
-		if !req.triedOn(b) && !b.avoidedFor(req) {
+		if !req.sentTo(b) && !b.avoidedFor(req) {
 			rank |= triedFirstBit
 		}
 		candidates = append(candidates, candidate{b, rank})
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -111,7 +111,7 @@
 		updateAverage(&b.pace.slowness, elapsed/r.latency.firstToken, slownessWeight)
 		updateAverage(&r.latency.firstToken, elapsed, firstTokenWeight)
 	}
-	if a.cost.uncached > 0 {
+	if a.cost.uncached > 0 { // the attempt included the prefill
 		r.capacity.stale = true
 		r.observePrefill(a, event.Elapsed)
 		r.mixed.observe(a, r.latency.usualFirstToken(a.cost.queued), event.Elapsed)
--- a/routing/congestion.go
+++ b/routing/congestion.go
@@ -106,7 +106,8 @@
 	r.admission.congestion.observe(r.now, ratio)
 }
 
-// shedForCongestion draws whether a new request is rejected because the prefill endpoints are congested.
+// shedForCongestion draws whether a new request is rejected because the prefill endpoints are congested. It
+// also records the uncached length of the prompt; requests shed for other reasons are not recorded.
 func (r *Router) shedForCongestion(req *request) bool {
 	c := &r.admission.congestion
 	uncached := max(req.PromptTokens-req.PrefixTokens, 0)
--- a/routing/environment_test.go
+++ b/routing/environment_test.go
@@ -388,7 +388,7 @@
 			EngineError, Rejected, ConnectFailed, ConnectionReset, NotSent, Rejected, RequestIncomplete,
 		}
 		outcome.Result = results[draw-14]
-		outcome.StateMissing = outcome.Result == Rejected && decode && draw == 19
+		outcome.StateMissing = outcome.Result == Rejected && decode && draw == 19 // the second Rejected in results
 		neverSent := outcome.Result.NeverExecuted() && outcome.Result != Rejected
 		if neverSent && a.ConnectTimeout > 0 {
 			after = min(after, a.ConnectTimeout)
--- a/routing/manyreplicas_test.go
+++ b/routing/manyreplicas_test.go
@@ -19,13 +19,13 @@
 // replicas timed out). Load shedding did not act although most answers were late (full queues rejected 2,518
 // attempts). Long prompts were admitted as readily as short ones although they take ten times the work.
 func TestManyReplicasUnderLoad(t *testing.T) {
-	for _, stopsTimedOutPrefills := range []bool{false, true} {
+	for _, stopTimedOutPrefills := range []bool{false, true} {
 		for _, load := range []float64{0.8, 1, 1.3, 2, 3} {
-			threeReplicas := simulateManyReplicas(t, 3, load, stopsTimedOutPrefills)
+			threeReplicas := simulateManyReplicas(t, 3, load, stopTimedOutPrefills)
 			for _, replicas := range []int{3, 30, 300} {
-				name := fmt.Sprintf("%d replicas, load %.1f, abandoned prefills stop %t", replicas, load, stopsTimedOutPrefills)
+				name := fmt.Sprintf("%d replicas, load %.1f, abandoned prefills stop %t", replicas, load, stopTimedOutPrefills)
 				t.Run(name, func(t *testing.T) {
-					result := simulateManyReplicas(t, replicas, load, stopsTimedOutPrefills)
+					result := simulateManyReplicas(t, replicas, load, stopTimedOutPrefills)
 					t.Logf("mean value %.2f, random placement %.2f, attempts: %d prefilled, %d rejected, %d timed out",
 						result.meanValue, result.randomMeanValue,
 						result.attempts[PrefillDone], result.attempts[Rejected], result.attempts[TimedOut])
@@ -48,10 +48,10 @@
 
 // simulateManyReplicas runs a simulation at a load relative to the capacity, and random placement of the same
 // arrivals.
-func simulateManyReplicas(t *testing.T, replicas int, load float64, stopsTimedOutPrefills bool) manyReplicasResult {
+func simulateManyReplicas(t *testing.T, replicas int, load float64, stopTimedOutPrefills bool) manyReplicasResult {
 	t.Helper()
 	run := newLongPromptsRun(t, replicas, true)
-	run.stopTimedOutPrefills = stopsTimedOutPrefills
+	run.stopTimedOutPrefills = stopTimedOutPrefills
 	arrivedAt, firstTokenAt := map[RequestID]time.Duration{}, map[RequestID]time.Duration{}
 	result := manyReplicasResult{attempts: map[Result]int{}}
 	run.observe = func(at time.Duration, event Event) {
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -112,7 +112,7 @@
 type decodeRank [6]float64
 
 // decodeBackend returns the endpoint that decodes a request. Of those with capacity, it prefers endpoints
-// that the request was not tried on and that are not avoided for it, and of these the one with the fewest
+// that the request was not yet sent to and that are not avoided for it, and of these the one with the fewest
 // attempts of this replica. Ties go to the cell of the request's prefill endpoint, then to its zone; what
 // then still ties is decided at random. If none has capacity and requireCapacity is false, it returns the
 // best without capacity, ejected ones last. It returns nil if there is none.
@@ -132,7 +132,7 @@
 		}
 		rank := decodeRank{
 			boolToFloat(!capacity) + boolToFloat(!capacity && b.health.ejected),
-			boolToFloat(req.triedOn(b)) + boolToFloat(b.avoidedFor(req)),
+			boolToFloat(req.sentTo(b)) + boolToFloat(b.avoidedFor(req)),
 			float64(b.load.attempts),
 			boolToFloat(!preferCell || b.Cell != req.state.backend.Cell),
 			boolToFloat(!preferZone || b.Zone != req.state.backend.Zone),
--- a/routing/request.go
+++ b/routing/request.go
@@ -67,8 +67,8 @@
 // none.
 func (req *request) affinityKey() uint64 { return cmp.Or(req.Prefix, req.Session) }
 
-// triedOn reports whether an attempt of the request was sent to an endpoint.
-func (req *request) triedOn(b *backend) bool {
+// sentTo reports whether an attempt of the request was sent to an endpoint.
+func (req *request) sentTo(b *backend) bool {
 	return slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.backend == b })
 }
 
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -107,6 +107,7 @@
 					if g.roles[e.ID] == RoleDecode {
 						evenShare = 240.0 / decodes
 					}
+					// 0.4 is a little above the mean capacity fraction in the two windows, (0.25 + 0.475) / 2.
 					if limit := config.OverloadFactor * 0.4 * evenShare; float64(g.sends[e.ID]) > limit {
 						t.Errorf("endpoint %d in slow start got %d sends, want at most %.0f", e.ID, g.sends[e.ID], limit)
 					}
