--- a/cmd/brackenbend/scenario_test.go
+++ b/cmd/brackenbend/scenario_test.go
@@ -70,7 +70,7 @@
 	logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 	recorded, attempts := 0, 0
 	for _, class := range report.Classes {
-		attempts += class.Tries
+		attempts += class.Attempts
 	}
 	for _, name := range logs {
 		recorded += recordedRequests(t, s, name)
@@ -98,7 +98,7 @@
 	if err != nil || len(got.Requests) != n {
 		t.Fatalf("%s: %d of %d requests: %v", logFile, len(got.Requests), n, err)
 	}
-	if requests, err := got.Recorded(s); err != nil || len(requests) != n {
+	if requests, err := got.RecordedRequests(s); err != nil || len(requests) != n {
 		t.Errorf("%s: %v", logFile, err)
 	}
 	return n
--- a/cmd/brackenbend/simulate_recording.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -82,7 +82,7 @@
 	}
 	t.CloseGaps()
 	r.begin = t.Begin
-	if r.requests, err = t.Recorded(played); err != nil {
+	if r.requests, err = t.RecordedRequests(played); err != nil {
 		return r, exitError{fmt.Errorf("%s: %w", file, err), exitConfig}
 	}
 	return r, nil
@@ -117,7 +117,7 @@
 		return nil, exitError{fmt.Errorf("%s: %w", file, err), exitConfig}
 	}
 	p := printer{out: os.Stderr}
-	for _, note := range t.Notes() {
+	for _, note := range t.Warnings() {
 		p.printf("%s: %s\n", file, note)
 	}
 	return t, p.err
--- a/cmd/brackenbend/simulate_scenario.go
+++ b/cmd/brackenbend/simulate_scenario.go
@@ -112,7 +112,7 @@
 func printResult(out io.Writer, played *scenario.Scenario, result *fleet.Result) error {
 	p := printer{out: out}
 	p.printf("simulated: service %.3f, worst 10 s %.3f, over %v\n\n",
-		result.Score.Service(), result.Score.Worst(10), played.Length)
+		result.Score.Service(), result.Score.WorstService(10), played.Length)
 	if p.err == nil {
 		p.err = printRows(out, result)
 	}
@@ -139,7 +139,8 @@
 	classes, tenants := result.Score.Rows()
 	for _, c := range append(classes, tenants...) {
 		p.printf("%s\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f ms\t%.0f ms\n", c.Name, c.Requests, c.Service,
-			c.Served, c.Late, c.Refused, c.Failed, c.Broken, c.Left, c.Lost, c.Tries, c.FirstP50, c.FirstP99)
+			c.Served, c.Late, c.Rejected, c.Failed, c.Broken, c.Disconnected, c.Lost, c.Attempts,
+			c.FirstTokenP50, c.FirstTokenP99)
 	}
 	if p.err != nil {
 		return p.err
--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -67,7 +67,7 @@
 func (r *Report) plotService() (svg []byte, err error) {
 	service := make([]float64, len(r.Timeline))
 	for i, second := range r.Timeline {
-		service[i] = second.Worth / second.Asked // NaN where nothing was asked
+		service[i] = second.ServedWeight / second.RequestedWeight // NaN where nothing was asked
 	}
 	return chart.SVG("service by the time of asking, mean of 5 s", "seconds", "service",
 		chart.Line{Name: "service", X: chart.Seconds(len(service)), Y: chart.Smooth(service, smoothing)})
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -111,7 +111,7 @@
 	for {
 		for len(changes) > 0 && time.Since(r.began) >= changes[0].At {
 			r.mu.Lock()
-			changes[0].Do(&r.mood)
+			changes[0].Apply(&r.mood)
 			r.mu.Unlock()
 			changes = changes[1:]
 		}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -112,8 +112,8 @@
 	}
 	for _, c := range report.Classes {
 		// the rejection and its wait are part of what the client waits for its first token
-		if q := quantiles(c.FirstToken); q.Count != int64(c.Requests) || q.P50 < 80 || c.Tries != 2*c.Requests {
-			t.Errorf("%s: %+v, %d attempts", c.Name, q, c.Tries)
+		if q := quantiles(c.FirstToken); q.Count != int64(c.Requests) || q.P50 < 80 || c.Attempts != 2*c.Requests {
+			t.Errorf("%s: %+v, %d attempts", c.Name, q, c.Attempts)
 		}
 	}
 	gaps := report.Classes[0].TokenGap.TotalCount()
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -93,7 +93,7 @@
 	b.WriteString("\nCLASS\tREQUESTS\tSERVICE\tSERVED\tLATE\tREFUSED\tFAILED\tBROKEN\tLEFT\tLOST\tTRIES\n")
 	for _, c := range r.Classes {
 		fmt.Fprintf(&b, "%s\t%d\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n",
-			c.Name, c.Requests, c.Service, c.Served, c.Late, c.Refused, c.Failed, c.Broken, c.Left, c.Lost, c.Tries)
+			c.Name, c.Requests, c.Service, c.Served, c.Late, c.Rejected, c.Failed, c.Broken, c.Disconnected, c.Lost, c.Attempts)
 	}
 	return b.String()
 }
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -17,10 +17,10 @@
 func (r *run) runSession(ctx context.Context, session *scenario.Session, at time.Time) {
 	request := r.newRequest(session)
 	for {
-		for len(request.Turns) < len(session.Turns) {
-			request.Turns = append(request.Turns, session.Turns[len(request.Turns)].Words())
+		for len(request.Turns) < len(session.Messages) {
+			request.Turns = append(request.Turns, session.Messages[len(request.Turns)].Words())
 		}
-		request.AnswerTokens = session.Answer
+		request.AnswerTokens = session.AnswerTokens
 		kind := r.send(ctx, session, request, at)
 		over := time.Since(r.began) > r.plan.Length
 		more, pause := session.NextTurn(kind, over, r.currentMood())
@@ -48,11 +48,11 @@
 // send sends one request with its client's retries and returns how the last attempt ended.
 func (r *run) send(ctx context.Context, session *scenario.Session, request client.Attempt, at time.Time) string {
 	request.Intent = fmt.Sprintf("%d.%d", session.ID, session.Turn)
-	request.DisconnectAfter, request.MarksRetries = session.HangUp, session.MarksRetries
+	request.DisconnectAfter, request.MarksRetries = session.DisconnectAfter, session.MarksRetries
 	if request.Class == audit.IdempotentWithKey {
 		request.Key = fmt.Sprintf("load-%d-%s", r.began.UnixNano(), request.Intent)
 	}
-	if session.Slow {
+	if session.ReadsSlowly {
 		request.ReadDelay = scenario.SlowReadDelay
 	}
 	for {
--- a/internal/scenariorun/enginefaults.go
+++ b/internal/scenariorun/enginefaults.go
@@ -29,7 +29,7 @@
 }
 
 // partOrAll is the fraction of requests that a fault strikes.
-func partOrAll(fault *scenario.Fault) float64 { return cmp.Or(fault.Part, 1) }
+func partOrAll(fault *scenario.Fault) float64 { return cmp.Or(fault.Fraction, 1) }
 
 // beginOnEngines begins a fault on the engines that it strikes.
 func (s *faultScript) beginOnEngines(fault *scenario.Fault) (undo func()) {
--- a/internal/scenariorun/engines.go
+++ b/internal/scenariorun/engines.go
@@ -55,7 +55,7 @@
 				Changed:   r.engines.list,
 			}
 			if kind.ChangesRole {
-				changing.add(&cfg, kind.ServedRole())
+				changing.add(&cfg, kind.InitialRole())
 			}
 			if err := r.engines.start(cfg); err != nil {
 				return err
--- a/internal/scenariorun/faults.go
+++ b/internal/scenariorun/faults.go
@@ -140,7 +140,7 @@
 	c := &s.conditions
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	undo := c.current.Change(fault)
+	undo := c.current.Apply(fault)
 	if undo == nil {
 		return nil
 	}
@@ -155,5 +155,5 @@
 // pick draws engines for a fault; those on which a fault is in force are left out, so that the fleet doesn't lose more
 // than the script says.
 func (s *faultScript) pick(fault *scenario.Fault) []*engine.Server {
-	return scenario.Draw(fault, s.random, s.engines.sound(fault.Kind))
+	return scenario.DrawTargets(fault, s.random, s.engines.sound(fault.Kind))
 }
--- a/internal/scenariorun/report.go
+++ b/internal/scenariorun/report.go
@@ -137,8 +137,8 @@
 	fmt.Fprintf(b, head, title, "requests", "service", "served", "late", "refused", "failed", "broken", "left", "lost",
 		"tries", "first p50", "p99")
 	for _, row := range rows {
-		fmt.Fprintf(b, line, row.Name, row.Requests, row.Service, row.Served, row.Late, row.Refused, row.Failed,
-			row.Broken, row.Left, row.Lost, row.Tries, row.FirstP50, row.FirstP99)
+		fmt.Fprintf(b, line, row.Name, row.Requests, row.Service, row.Served, row.Late, row.Rejected, row.Failed,
+			row.Broken, row.Disconnected, row.Lost, row.Attempts, row.FirstTokenP50, row.FirstTokenP99)
 	}
 	b.WriteString("\n")
 }
--- a/internal/scenariorun/traffic.go
+++ b/internal/scenariorun/traffic.go
@@ -62,10 +62,10 @@
 func (t *traffic) runSession(session *scenario.Session) {
 	request := t.newRequest(session)
 	for {
-		for len(request.Turns) < len(session.Turns) {
-			request.Turns = append(request.Turns, session.Turns[len(request.Turns)].Words())
+		for len(request.Turns) < len(session.Messages) {
+			request.Turns = append(request.Turns, session.Messages[len(request.Turns)].Words())
 		}
-		request.AnswerTokens = session.Answer
+		request.AnswerTokens = session.AnswerTokens
 		kind := t.send(session, request, fmt.Sprintf("%d.%d", session.ID, session.Turn))
 		more, pause := session.NextTurn(kind, time.Now().After(t.end), t.run.conditions.snapshot())
 		if !more {
@@ -96,11 +96,11 @@
 // send sends a request with the retries of its client and returns how the last attempt ended.
 func (t *traffic) send(session *scenario.Session, request client.Attempt, intent string) string {
 	request.Intent = intent
-	request.DisconnectAfter, request.MarksRetries = session.HangUp, session.MarksRetries
+	request.DisconnectAfter, request.MarksRetries = session.DisconnectAfter, session.MarksRetries
 	if request.Class == audit.IdempotentWithKey {
 		request.Key = fmt.Sprintf("key-%d-%s", t.run.scenario.Seed, intent)
 	}
-	if session.Slow {
+	if session.ReadsSlowly {
 		request.ReadDelay = scenario.SlowReadDelay
 	}
 	replicas := t.run.replicas.members
--- a/internal/simulation/faultsearch/draw.go
+++ b/internal/simulation/faultsearch/draw.go
@@ -65,7 +65,7 @@
 
 func (s *Search) drawFault(rnd *rand.Rand) scenario.Fault {
 	kind := faultKinds[rnd.IntN(len(faultKinds))]
-	fault := scenario.Fault{What: kind.what, Part: drawFigure(rnd, kind.part), Factor: drawFigure(rnd, kind.factor)}
+	fault := scenario.Fault{What: kind.what, Fraction: drawFigure(rnd, kind.part), Factor: drawFigure(rnd, kind.factor)}
 	s.drawTime(rnd, &fault)
 	switch {
 	case kind.engines:
--- a/internal/simulation/fleet/apiserver.go
+++ b/internal/simulation/fleet/apiserver.go
@@ -110,7 +110,7 @@
 	for i := range faults {
 		fault := &faults[i]
 		trial := scenario.NormalConditions()
-		if trial.Change(fault) != nil { // applied by the clients
+		if trial.Apply(fault) != nil { // applied by the clients
 			continue
 		}
 		s.runTask(fault.At, func() {
--- a/internal/simulation/fleet/apiserver_faults.go
+++ b/internal/simulation/fleet/apiserver_faults.go
@@ -15,7 +15,7 @@
 			candidates = append(candidates, i)
 		}
 	}
-	return scenario.Draw(f, s.faultRnd, candidates)
+	return scenario.DrawTargets(f, s.faultRnd, candidates)
 }
 
 // apply begins a fault and returns what ends it.
@@ -105,7 +105,7 @@
 			s.sendChange(i)
 		}
 	}
-	fault := engineFault{f.What, on, f.Part, f.Factor, f.Class}
+	fault := engineFault{f.What, on, f.Fraction, f.Factor, f.Class}
 	s.send(s.fleet.engines[i].id, s.fleet.hop(s.linkRnd), fault)
 }
 
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -118,7 +118,7 @@
 // begin schedules the faults that concern clients, and the first session.
 func (c *clients) begin() {
 	for _, change := range c.fleet.scenario.ConditionChanges() {
-		c.schedule(change.At, conditionsChange{change.Do})
+		c.schedule(change.At, conditionsChange{change.Apply})
 	}
 	c.schedule(c.arrivals.Gap(&c.conditions), sessionArrival{})
 }
@@ -170,8 +170,8 @@
 	c.attempts[a.number] = a
 	c.send(c.fleet.replicas[a.replica].id, connectHops*c.fleet.hop(c.rnd), message)
 	timeout := class.Deadline
-	if session.HangUp > 0 {
-		a.hangsUp, timeout = true, session.HangUp
+	if session.DisconnectAfter > 0 {
+		a.hangsUp, timeout = true, session.DisconnectAfter
 	}
 	c.schedule(timeout, clientTimeout{a.number})
 }
@@ -190,7 +190,7 @@
 		prompt:      max(float64(all)/bytesPerToken, 1),
 		prefixLen:   float64(prefix) / bytesPerToken,
 		session:     key,
-		out:         min(session.Answer, limit),
+		out:         min(session.AnswerTokens, limit),
 		class:       class.Name,
 		idempotency: audit.Class(class.Idempotency),
 		intent:      intent,
@@ -244,7 +244,7 @@
 	if a == nil {
 		return
 	}
-	if session := a.request.session; session.Slow && session.Stream && m.kind == kindServed {
+	if session := a.request.session; session.ReadsSlowly && session.Stream && m.kind == kindServed {
 		if until := a.firstToken + time.Duration(a.out)*scenario.SlowReadDelay; until > c.now() {
 			c.schedule(until-c.now(), m)
 			return
--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -53,7 +53,7 @@
 		if !e.kind.ChangesRole {
 			continue
 		}
-		role := e.kind.ServedRole()
+		role := e.kind.InitialRole()
 		e.role.params, e.role.state = params, roles.EngineState{Role: role, Target: role}
 		e.useRole(role)
 		e.reset(0, false)
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -44,7 +44,7 @@
 	asked := 0
 	for _, c := range classes {
 		asked += c.Requests
-		if c.Served+c.Refused+c.Failed+c.Broken+c.Left+c.Lost != c.Requests {
+		if c.Served+c.Rejected+c.Failed+c.Broken+c.Disconnected+c.Lost != c.Requests {
 			t.Errorf("%+v does not add up", c)
 		}
 	}
@@ -118,7 +118,7 @@
 	// Without a prefill endpoint all requests are rejected or fail, in time, until the endpoints are back at the end.
 	r := play(t, parse(`<happen at="0s" what="crash" kind="r" count="2" for="5s"/>`), Options{Audit: true})
 	for i, s := range r.Score.Timeline[:2] {
-		if s.Asked == 0 || s.Worth > 0 {
+		if s.RequestedWeight == 0 || s.ServedWeight > 0 {
 			t.Errorf("without prefill endpoints: second %d: %+v", i, s)
 		}
 	}
@@ -212,8 +212,8 @@
 	f := &fleet{scenario: sc, scheduler: newScheduler(1, time.Millisecond), replicas: []*replica{{}}}
 	c := &clients{fleet: f, score: sc.Score(), attempts: map[uint64]*clientAttempt{}}
 	f.scheduler.add(c)
-	session := sc.Arrivals().Next(&scenario.Conditions{Surge: 1})
-	session.Slow, session.Stream = true, true
+	session := sc.Arrivals().Next(&scenario.Conditions{RateFactor: 1})
+	session.ReadsSlowly, session.Stream = true, true
 	c.open = 1
 	c.attempts[1] = &clientAttempt{number: 1, request: &clientRequest{session: session}, out: 40, firstToken: 1}
 	c.onAnswer(answer{attempt: 1, kind: kindServed})
--- a/internal/simulation/forecast/compare.go
+++ b/internal/simulation/forecast/compare.go
@@ -46,7 +46,7 @@
 func Summarize(r *fleet.Result) *Summary {
 	s := &Summary{
 		Service:           r.Score.Service(),
-		Worst:             r.Score.Worst(worstSeconds),
+		Worst:             r.Score.WorstService(worstSeconds),
 		Attempts:          r.Attempts["read"] + r.Attempts["write"],
 		TransferredTokens: r.TransferredTokens,
 		Violations:        countViolations(r),
@@ -55,7 +55,7 @@
 	classes, _ := r.Score.Rows()
 	for _, c := range classes {
 		s.Requests += c.Requests
-		s.Refused += c.Refused
+		s.Refused += c.Rejected
 	}
 	return s
 }
@@ -165,8 +165,8 @@
 		if i == len(c.Timelines[k]) {
 			c.Timelines[k] = append(c.Timelines[k], scenario.Second{})
 		}
-		c.Timelines[k][i].Worth += second.Worth
-		c.Timelines[k][i].Asked += second.Asked
+		c.Timelines[k][i].ServedWeight += second.ServedWeight
+		c.Timelines[k][i].RequestedWeight += second.RequestedWeight
 	}
 }
 
--- a/internal/simulation/forecast/forecast.go
+++ b/internal/simulation/forecast/forecast.go
@@ -66,7 +66,7 @@
 		if err != nil {
 			return err
 		}
-		f.Services[i], worst[i] = result.Score.Service(), result.Score.Worst(worstSeconds)
+		f.Services[i], worst[i] = result.Score.Service(), result.Score.WorstService(worstSeconds)
 		violations[i] = countViolations(result)
 		return nil
 	})
--- a/internal/simulation/forecast/report.go
+++ b/internal/simulation/forecast/report.go
@@ -115,8 +115,8 @@
 	services := make([]float64, len(timeline))
 	for i, second := range timeline {
 		services[i] = math.NaN()
-		if second.Asked > 0 {
-			services[i] = second.Worth / second.Asked
+		if second.RequestedWeight > 0 {
+			services[i] = second.ServedWeight / second.RequestedWeight
 		}
 	}
 	return services
--- a/internal/simulation/overload/measure.go
+++ b/internal/simulation/overload/measure.go
@@ -32,7 +32,7 @@
 // sum adds up the weight served and requested from one second to before another.
 func (t timeline) sum(from, to int) (served, requested float64) {
 	for i := from; i < to && i < len(t); i++ {
-		served, requested = served+t[i].Worth, requested+t[i].Asked
+		served, requested = served+t[i].ServedWeight, requested+t[i].RequestedWeight
 	}
 	return served, requested
 }
@@ -75,7 +75,7 @@
 	requests, attempts, served := 0, 0, 0
 	classes, _ := r.Score.Rows()
 	for _, c := range classes {
-		requests, attempts, served = requests+c.Requests, attempts+c.Tries, served+c.Served
+		requests, attempts, served = requests+c.Requests, attempts+c.Attempts, served+c.Served
 	}
 	atEngines := r.Attempts["read"] + r.Attempts["write"]
 	return float64(attempts) / float64(max(requests, 1)), float64(atEngines) / float64(max(served, 1))
--- a/internal/simulation/scenario/arrivals.go
+++ b/internal/simulation/scenario/arrivals.go
@@ -6,50 +6,51 @@
 	"time"
 )
 
-// Streams of the random generators. Each user has its own, so that one drawing more leaves the others as they are.
+// PCG streams of the random generators. Each consumer of random numbers has its own, so that additional draws by one do
+// not change what the others draw.
 const (
-	streamArrivals = 2
-	streamSession  = 3
-	streamBlend    = 5
+	arrivalsStream = 2
+	sessionStream  = 3
+	blendStream    = 5
 )
 
-// Arrivals draws sessions as they begin. It is used by one goroutine.
+// Arrivals generates the sessions of a scenario in the order of their arrival. It is not safe for concurrent use.
 type Arrivals struct {
-	scenario *Scenario
-	rnd      *rand.Rand
-	turns    float64 // of a session, on average
-	count    int64   // sessions so far
-	recorded recorded
+	scenario  *Scenario
+	rnd       *rand.Rand
+	meanTurns float64 // mean number of turns of a session
+	count     int64   // sessions generated so far
+	replay    replayState
 }
 
-// Arrivals returns the sequence of the scenario's sessions, from its start.
+// Arrivals returns a generator of the scenario's sessions, from the start of the scenario.
 func (s *Scenario) Arrivals() *Arrivals {
-	a := &Arrivals{scenario: s, rnd: rand.New(rand.NewPCG(uint64(s.Seed), streamArrivals))}
+	a := &Arrivals{scenario: s, rnd: rand.New(rand.NewPCG(uint64(s.Seed), arrivalsStream))}
 	for _, c := range s.Classes {
-		a.turns += c.Share * c.Turns
+		a.meanTurns += c.Share * c.Turns
 	}
 	return a
 }
 
-// Gap returns the time until the next session.
+// Gap returns the time from the arrival of the previous session, or the start of the scenario, to that of the next.
 func (a *Arrivals) Gap(c *Conditions) time.Duration {
-	if a.recorded.replay {
-		return a.recorded.nextGap()
+	if a.replay.active {
+		return a.replay.nextGap()
 	}
-	rate := float64(a.scenario.Rate) / a.turns * c.Surge
+	rate := float64(a.scenario.Rate) / a.meanTurns * c.RateFactor
 	return time.Duration(a.rnd.ExpFloat64() / rate * float64(time.Second))
 }
 
-// Next returns the session that begins.
+// Next returns the next session.
 func (a *Arrivals) Next(c *Conditions) *Session {
 	a.count++
 	seed := a.rnd.Uint64()
 	session := &Session{
 		ID: a.count, Key: fmt.Sprint("s", a.count), Tenant: -1,
-		scenario: a.scenario, seed: seed, rnd: rand.New(rand.NewPCG(seed, streamSession)),
+		scenario: a.scenario, seed: seed, rnd: rand.New(rand.NewPCG(seed, sessionStream)),
 	}
-	if a.recorded.replay {
-		a.recorded.next(session, c)
+	if a.replay.active {
+		a.replay.next(session, c)
 		return session
 	}
 	a.drawClass(session, c)
@@ -66,7 +67,7 @@
 	shares, sum := make([]float64, len(classes)), 0.0
 	for i, class := range classes {
 		shares[i] = class.Share
-		if factor, ok := c.Mix[class.Name]; ok {
+		if factor, ok := c.ShareFactors[class.Name]; ok {
 			shares[i] *= factor
 		}
 		sum += shares[i]
@@ -74,7 +75,7 @@
 	session.Class = drawIndex(session.rnd.Float64()*sum, len(shares), func(i int) float64 { return shares[i] })
 }
 
-// drawIndex maps u, drawn evenly from 0 to the sum of the shares, to an index.
+// drawIndex maps u, drawn uniformly between 0 and the sum of the shares, to an index: each is as likely as its share.
 func drawIndex(u float64, n int, share func(int) float64) int {
 	for i := range n {
 		if u -= share(i); u < 0 {
--- a/internal/simulation/scenario/check.go
+++ b/internal/simulation/scenario/check.go
@@ -10,7 +10,7 @@
 	"brackenbend/internal/config"
 )
 
-// Bounds of a scenario in simulated time. On sockets they are narrower, see CheckRunnable.
+// Limits of a scenario in simulated time. On sockets they are narrower, see CheckRunnable.
 const (
 	minLength   = time.Second
 	maxLength   = time.Hour
@@ -20,7 +20,7 @@
 	maxPlanners = 8
 )
 
-// shareTolerance is what the shares of classes may differ from 1 by rounding.
+// shareTolerance is the rounding error that is accepted in the sum of the classes' shares.
 const shareTolerance = 1e-6
 
 func (s *Scenario) check(report config.Reporter) {
@@ -34,31 +34,32 @@
 
 func (s *Scenario) checkSize(report config.Reporter) {
 	if s.Length < minLength || s.Length > maxLength {
-		report(s.Pos, "write 1s to 1h", "a day of %v", s.Length)
+		report(s.Pos, "set a length from 1s to 1h", "<day> has a length of %v", s.Length)
 	}
 	if s.Rate <= 0 || s.Rate > maxRate {
-		report(s.Pos, "write a rate up to 5000/s", "a rate of %v/s", s.Rate)
+		report(s.Pos, "set a rate above 0/s and up to 5000/s", "<day> has a rate of %v/s", s.Rate)
 	}
 	if s.Replicas < 1 || s.Replicas > maxReplicas {
-		report(s.Pos, fmt.Sprintf("write 1 to %d", maxReplicas), "%d fronts", s.Replicas)
+		report(s.Pos, fmt.Sprintf("set fronts from 1 to %d", maxReplicas), "<day> has %d fronts", s.Replicas)
 	}
 }
 
 func (s *Scenario) checkKinds(report config.Reporter) {
 	for _, k := range s.Kinds {
 		if k.Role != roleDecode && k.ReadRate == 0 {
-			report(k.Pos, `add read-rate="20000/s"`, "<engines kind=%q> read at no rate", k.Name)
+			report(k.Pos, `add read-rate="20000/s"`, "<engines kind=%q>: engines that prefill need a read-rate", k.Name)
 		}
 		if k.Role != rolePrefill && (k.Step == 0 || k.FetchRate == 0) {
 			report(k.Pos, `add step="20ms" and fetch-rate="200000/s"`,
-				"<engines kind=%q> write without step or fetch-rate", k.Name)
+				"<engines kind=%q>: engines that decode need a step and a fetch-rate", k.Name)
 		}
 	}
 }
 
-// checkPlanner demands one kind of each role among those that change role, and a planner only where there are such.
+// checkPlanner requires that the kinds that change role, if any, are one prefill and one decode kind, and that a
+// planner has such kinds to assign.
 func (s *Scenario) checkPlanner(report config.Reporter) {
-	changing := map[string]int{} // kinds that change role, by the role they begin in
+	changing := map[string]int{} // kinds that change role, by initial role
 	for _, k := range s.Kinds {
 		if k.ChangesRole {
 			changing[k.Role]++
@@ -66,32 +67,32 @@
 	}
 	onePair := len(changing) == 2 && changing[rolePrefill] == 1 && changing[roleDecode] == 1
 	if len(changing) > 0 && !onePair {
-		report(s.Pos, `give shifts="true" to one kind with role="reader" and one with role="writer"`,
-			"kinds that shift: %v", changing)
+		report(s.Pos, `set shifts="true" on one kind with role="reader" and one with role="writer"`,
+			"kinds with shifts=\"true\", by role: %v", changing)
 	}
 	if s.Planner == nil {
 		return
 	}
 	if len(changing) == 0 {
-		report(s.Planner.Pos, `add shifts="true" to the kinds whose engines may change role`,
-			"a <planner> and no kind that shifts")
+		report(s.Planner.Pos, `set shifts="true" on the kinds whose engines may change role`,
+			"<planner>: no kind of <engines> may change role")
 	}
 	if err := s.Planner.Settings().Validate(); err != nil {
-		report(s.Planner.Pos, "correct the figure", "%v", err)
+		report(s.Planner.Pos, "correct the value", "%v", err)
 	}
 	if s.Planner.Count < 0 || s.Planner.Count > maxPlanners {
-		report(s.Planner.Pos, "write 1 to 8", "%d planners", s.Planner.Count)
+		report(s.Planner.Pos, "set a count from 1 to 8", "<planner> has a count of %d", s.Planner.Count)
 	}
 }
 
 func (s *Scenario) checkStages(report config.Reporter) {
 	if n := s.Engines(); n > maxEngines {
-		report(s.Pos, "lower the counts", "%d engines, %d at most", n, maxEngines)
+		report(s.Pos, "reduce the counts of <engines>", "%d engines, at most %d are allowed", n, maxEngines)
 	}
 	prefills := slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Role != roleDecode })
 	decodes := slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Role != rolePrefill })
 	if !prefills || !decodes {
-		report(s.Pos, "add engines of the missing role", "nothing reads, or nothing writes")
+		report(s.Pos, "add engines of the missing role", "no <engines> can prefill, or none can decode")
 	}
 }
 
@@ -100,40 +101,40 @@
 	for _, c := range s.Classes {
 		share += c.Share
 		if (c.Idempotency == idempotentWithKey) != (c.DedupWindow > 0) {
-			report(c.Pos, `give window with effect="keyed", and only there`,
-				"<class name=%q>: effect %s with a window of %v", c.Name, c.Idempotency, c.DedupWindow)
+			report(c.Pos, `set window with effect="keyed", and only then`,
+				"<class name=%q> has effect %s and a window of %v", c.Name, c.Idempotency, c.DedupWindow)
 		}
 	}
 	if len(s.Classes) > 0 && math.Abs(share-1) > shareTolerance {
-		report(s.Pos, "let the classes' shares add up to 1", "they add up to %v", share)
+		report(s.Pos, "change the shares to add up to 1", "the shares of the classes add up to %v", share)
 	}
 }
 
 func (s *Scenario) checkFaults(report config.Reporter) {
 	for _, f := range s.Faults {
 		if f.At+f.For > s.Length {
-			report(f.Pos, "begin earlier, or make the day longer", "<happen what=%q> ends after the day", f.What)
+			report(f.Pos, "set an earlier at, a shorter for or a longer <day>", "<happen what=%q> ends after the <day>", f.What)
 		}
 		if f.Kind != "" && !slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == f.Kind }) {
-			report(f.Pos, "name a kind of <engines>", "<happen kind=%q>: no such kind", f.Kind)
+			report(f.Pos, "use the kind of an <engines> element", "<happen kind=%q>: no engines are of this kind", f.Kind)
 		}
 		if f.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == f.Class }) {
-			report(f.Pos, "name a <class>", "<happen class=%q>: no such class", f.Class)
+			report(f.Pos, "use the name of a <class>", "<happen class=%q>: no class has this name", f.Class)
 		}
 	}
 }
 
-// ErrLength is returned for a length outside the bounds of scenarios.
-var ErrLength = errors.New("scenario: length out of bounds")
+// ErrLength is returned for a length outside the limits of scenarios.
+var ErrLength = errors.New("scenario: length out of range")
 
-// Bounds of a scenario that one machine can play on sockets.
+// Limits of a scenario that runs on the sockets of one machine.
 const (
 	maxSocketReplicas = 32
 	maxSocketEngines  = 200
 	maxSocketRate     = 1000 // requests a second
 )
 
-// A SizeError is returned where a scenario is too large to be played on the sockets of one machine.
+// SizeError is the error for a scenario that is too large to run on the sockets of one machine.
 type SizeError struct {
 	What string // replicas, engines or requests a second
 	Got  float64
@@ -141,10 +142,10 @@
 }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("scenario: %v %s, %d at most on sockets", e.Got, e.What, e.Max)
+	return fmt.Sprintf("scenario: %v %s; a run on sockets may have at most %d", e.Got, e.What, e.Max)
 }
 
-// CheckRunnable returns a *SizeError where the scenario can't be played on the sockets of one machine.
+// CheckRunnable returns a *SizeError if the scenario is too large to run on the sockets of one machine.
 func (s *Scenario) CheckRunnable() error {
 	switch {
 	case s.Replicas > maxSocketReplicas:
--- a/internal/simulation/scenario/fault.go
+++ b/internal/simulation/scenario/fault.go
@@ -16,50 +16,52 @@
 	"brackenbend/internal/config"
 )
 
-// Fault is something that goes wrong, or changes, for a while.
+// Fault is a failure, or a change of the traffic, that lasts for a while.
 type Fault struct {
 	config.Pos
 	At  time.Duration `cfg:"at,required"`
 	For time.Duration `cfg:"for"`
 	//nolint:lll // a struct tag can't be split
-	What   string        `cfg:"what,required,enum=front-kill|front-stop|crash|fail-fast|fail-class|stall|slow|refuse-connects|reset-mid-stream|reset-after-request|reset-after-effect|fail-after-effect|stall-after-effect|forget|silent-restart|drain|remove|register-cut|register-late|register-flap|register-compact|register-stale|reports-frozen|reports-none|surge|overlong|hot-prefix|hang-ups|slow-readers|mix|planner-stop|role-force|liar"`
-	Kind   string        `cfg:"kind"`   // of engines; none = any
-	Class  string        `cfg:"class"`  // for fail-class, overlong and mix
-	Count  int           `cfg:"count"`  // of engines or replicas; 0 = 1
-	Part   float64       `cfg:"part"`   // of engines, or of requests
-	Factor float64       `cfg:"factor"` // for slow, surge, overlong, and mix: times the share of the class
-	Late   time.Duration `cfg:"late"`   // for register-late
+	What     string        `cfg:"what,required,enum=front-kill|front-stop|crash|fail-fast|fail-class|stall|slow|refuse-connects|reset-mid-stream|reset-after-request|reset-after-effect|fail-after-effect|stall-after-effect|forget|silent-restart|drain|remove|register-cut|register-late|register-flap|register-compact|register-stale|reports-frozen|reports-none|surge|overlong|hot-prefix|hang-ups|slow-readers|mix|planner-stop|role-force|liar"`
+	Kind     string        `cfg:"kind"`   // of the engines that it affects; "" = any
+	Class    string        `cfg:"class"`  // for fail-class, overlong and mix
+	Count    int           `cfg:"count"`  // of engines or replicas; 0 = 1
+	Fraction float64       `cfg:"part"`   // of the engines, requests or sessions that it affects
+	Factor   float64       `cfg:"factor"` // for slow, surge, overlong, and mix (of the class's share)
+	Late     time.Duration `cfg:"late"`   // for register-late
 }
 
-// requestFaults are the faults whose Part is of an engine's requests; that of others is of engines.
+// requestFaults are the engine faults whose Fraction is of the requests of an engine. That of other engine faults is of
+// the engines.
 var requestFaults = []string{
 	"fail-fast", "reset-mid-stream", "reset-after-request", "reset-after-effect", "fail-after-effect",
 	"stall-after-effect",
 }
 
-// Draw picks as many of the candidates as a fault strikes. It reorders them.
-func Draw[E any](f *Fault, rnd *rand.Rand, candidates []E) []E {
+// DrawTargets draws the candidates that a fault affects: as many as its Count. Without a Count these are its Fraction
+// of the candidates, or a single one if it has no Fraction or that is of requests. It reorders the candidates.
+func DrawTargets[E any](f *Fault, rnd *rand.Rand, candidates []E) []E {
 	n := max(f.Count, 1)
-	if f.Count == 0 && f.Part > 0 && !slices.Contains(requestFaults, f.What) {
-		n = int(math.Ceil(f.Part * float64(len(candidates))))
+	if f.Count == 0 && f.Fraction > 0 && !slices.Contains(requestFaults, f.What) {
+		n = int(math.Ceil(f.Fraction * float64(len(candidates))))
 	}
 	rnd.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	return candidates[:min(n, len(candidates))]
 }
 
 var (
-	faultLine    = regexp.MustCompile(`[ \t]*<happen\s[^>]*/>[ \t]*\n?`)
-	expectedLine = regexp.MustCompile(`[ \t]*<expect\s[^>]*/>[ \t]*\n?`)
+	faultElement    = regexp.MustCompile(`[ \t]*<happen\s[^>]*/>[ \t]*\n?`)
+	expectedElement = regexp.MustCompile(`[ \t]*<expect\s[^>]*/>[ \t]*\n?`)
 )
 
 // ErrNotAScenario is returned for a file without the closing tag of a scenario.
 var ErrNotAScenario = errors.New("scenario: the file has no </day>")
 
-// WithFaults returns the scenario with other faults, and the text of its file. The expected service is left out, since
-// it was stated for the original faults.
+// WithFaults returns the scenario with other faults, and the text of its file, which has the note as a comment. The
+// expected service is left out, since it was set for the original faults.
 func (s *Scenario) WithFaults(faults []Fault, note string) (*Scenario, []byte, error) {
-	text := faultLine.ReplaceAll(s.text, nil)
-	text = expectedLine.ReplaceAll(text, nil)
+	text := faultElement.ReplaceAll(s.text, nil)
+	text = expectedElement.ReplaceAll(text, nil)
 	end := bytes.LastIndex(text, []byte("</day>"))
 	if end < 0 {
 		return nil, nil, ErrNotAScenario
@@ -77,10 +79,10 @@
 	return other, b.Bytes(), err
 }
 
-// XML returns the element of the fault in a scenario file.
+// XML returns the fault as an element of a scenario file.
 func (f *Fault) XML() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "<happen at=%q what=%q", formatTime(f.At), f.What)
+	fmt.Fprintf(&b, "<happen at=%q what=%q", formatDuration(f.At), f.What)
 	add := func(name, value string, given bool) {
 		if given {
 			b.WriteString(" " + name + `="` + escapeXML(value) + `"`)
@@ -89,21 +91,21 @@
 	add("kind", f.Kind, f.Kind != "")
 	add("class", f.Class, f.Class != "")
 	add("count", strconv.Itoa(f.Count), f.Count != 0)
-	add("part", strconv.FormatFloat(f.Part, 'f', -1, 64), f.Part != 0)
+	add("part", strconv.FormatFloat(f.Fraction, 'f', -1, 64), f.Fraction != 0)
 	add("factor", strconv.FormatFloat(f.Factor, 'f', -1, 64), f.Factor != 0)
-	add("late", formatTime(f.Late), f.Late != 0)
-	add("for", formatTime(f.For), f.For != 0)
+	add("late", formatDuration(f.Late), f.Late != 0)
+	add("for", formatDuration(f.For), f.For != 0)
 	return b.String() + "/>"
 }
 
 func escapeXML(text string) string {
 	var b strings.Builder
-	_ = xml.EscapeText(&b, []byte(text)) // a strings.Builder takes every write
+	_ = xml.EscapeText(&b, []byte(text)) // writes to a strings.Builder do not fail
 	return b.String()
 }
 
-// formatTime writes a duration with a single unit, as settings take it.
-func formatTime(d time.Duration) string {
+// formatDuration writes a duration as scenario files accept it, in whole seconds or else in milliseconds.
+func formatDuration(d time.Duration) string {
 	if d%time.Second == 0 {
 		return strconv.FormatInt(int64(d/time.Second), 10) + "s"
 	}
--- a/internal/simulation/scenario/golden_test.go
+++ b/internal/simulation/scenario/golden_test.go
@@ -14,12 +14,13 @@
 	"brackenbend/internal/golden"
 )
 
-// The published schema of scenario files.
+// The schema of scenario files is published, so it must not change by accident.
 func TestSchemaIsUnchanged(t *testing.T) {
 	golden.Check(t, "day.xsd", string(config.SchemaOf("day", reflect.TypeFor[Scenario]())))
 }
 
-// The text of a scenario with other faults, as a fault search writes it, parses and is written again alike.
+// Guards the text that a fault search writes for a scenario with other faults, and the text that is written once that
+// scenario has been parsed. The second text has the note twice, as each call adds one.
 func TestWithFaultsTextIsUnchanged(t *testing.T) {
 	sc, err := Default()
 	if err != nil {
@@ -27,7 +28,7 @@
 	}
 	faults := []Fault{
 		{At: time.Second, What: "crash", Kind: "decode", Count: 2, For: 1500 * time.Millisecond},
-		{At: 2 * time.Second, What: "fail-class", Class: "order", Part: 0.125, For: time.Second},
+		{At: 2 * time.Second, What: "fail-class", Class: "order", Fraction: 0.125, For: time.Second},
 		{At: 3 * time.Second, What: "register-late", Late: 250 * time.Millisecond, For: time.Second},
 		{At: 4 * time.Second, What: "surge", Factor: 2.5, For: time.Second},
 		{At: 5 * time.Second, What: "front-kill"},
@@ -50,18 +51,18 @@
 	}
 }
 
-// writeFields writes what was parsed, by the names of elements and attributes.
-func writeFields(s *strings.Builder, path string, v reflect.Value) {
+// formatFields writes the parsed fields that are not zero, under the names of their elements and attributes.
+func formatFields(s *strings.Builder, path string, v reflect.Value) {
 	for i := range v.NumField() {
 		name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("cfg"), ",")
 		f := v.Field(i)
 		switch {
 		case name == "" || f.Kind() == reflect.Pointer && f.IsNil():
 		case f.Kind() == reflect.Pointer:
-			writeFields(s, path+"/"+name, f.Elem())
+			formatFields(s, path+"/"+name, f.Elem())
 		case f.Kind() == reflect.Slice:
 			for k := range f.Len() {
-				writeFields(s, fmt.Sprintf("%s/%s[%d]", path, name, k), f.Index(k))
+				formatFields(s, fmt.Sprintf("%s/%s[%d]", path, name, k), f.Index(k))
 			}
 		case !f.IsZero():
 			fmt.Fprintf(s, "  %s/%s = %v\n", path, name, f.Interface())
@@ -69,7 +70,7 @@
 	}
 }
 
-// The parsed fields of the default scenario, and of scenarios with the elements that it lacks.
+// Compares the parsed fields of the default scenario, and of scenarios with the elements that it lacks.
 func TestParsedFieldsAreUnchanged(t *testing.T) {
 	var got strings.Builder
 	files := []string{
@@ -81,16 +82,16 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&got, "%s\n", filepath.Base(file))
-		writeFields(&got, "day", reflect.ValueOf(sc).Elem())
+		formatFields(&got, "day", reflect.ValueOf(sc).Elem())
 	}
 	golden.Check(t, "days.txt", got.String())
 }
 
-// Rows of reports are JSON that is read again.
+// Reports contain rows and timelines as JSON that is read again: the keys must stay, and decoding must lose nothing.
 func TestRowJSONIsUnchanged(t *testing.T) {
-	r := Row{Service: 0.5, FirstP50: 1.5, FirstP99: 2.5}
+	r := Row{Service: 0.5, FirstTokenP50: 1.5, FirstTokenP99: 2.5}
 	v := reflect.ValueOf(&r.Tally).Elem()
-	for i := range v.NumField() { // a value of its own for each key
+	for i := range v.NumField() { // a distinct value for each key
 		switch f := v.Field(i); f.Kind() {
 		case reflect.String:
 			f.SetString("name")
@@ -98,13 +99,13 @@
 			f.SetInt(int64(i) + 100)
 		case reflect.Float64:
 			f.SetFloat(float64(i) + 0.25)
-		default: // nothing that is written
+		default: // not encoded
 		}
 	}
 	text, err := json.MarshalIndent(struct {
 		Rows   []Row    `json:"rows"`
 		Course []Second `json:"course"`
-	}{[]Row{r}, []Second{{Worth: 1.5, Asked: 2.5}}}, "", " ")
+	}{[]Row{r}, []Second{{ServedWeight: 1.5, RequestedWeight: 2.5}}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,6 +119,6 @@
 	}
 	twice, err := json.MarshalIndent(back, "", " ")
 	if err != nil || !slices.Equal(text, twice) {
-		t.Errorf("read and written again (%v):\n%s", err, twice)
+		t.Errorf("decoded and encoded again (%v):\n%s", err, twice)
 	}
 }
--- a/internal/simulation/scenario/replay.go
+++ b/internal/simulation/scenario/replay.go
@@ -10,38 +10,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RecordedRequest is one request of a recording, in terms of a scenario.
+// RecordedRequest is one request of a recording, assigned to a class and a tenant of a scenario.
 type RecordedRequest struct {
-	At                time.Duration
-	Class, Tenant     int
-	Session, Prefix   string
-	Prompt, PrefixLen float64 // tokens
-	Out               int
-	Stream            bool
+	At                         time.Duration
+	Class, Tenant              int // indices; Tenant is -1 if the scenario has none
+	Session, Prefix            string
+	PromptTokens, PrefixTokens float64
+	AnswerTokens               int
+	Stream                     bool
 }
 
-// maxCopyOffset bounds the delay of a copy of a recording, so that copies do not arrive in step.
+// maxCopyOffset is the longest delay of a copy of a recording. The delay keeps the requests of different copies from
+// arriving at the same times.
 const maxCopyOffset = 2 * time.Second
 
-// Blend merges recordings, each repeated a number of times. A copy has sessions of its own and is delayed by up to
-// maxCopyOffset; its prefixes stay shared. The fraction of a number is the chance that a request is in the last copy.
-func Blend(seed uint64, lists [][]RecordedRequest, times []float64) []RecordedRequest {
-	rnd := rand.New(rand.NewPCG(seed, streamBlend))
+// Blend merges recordings, repeating each as many times as its scale says. All copies but the first are delayed by up
+// to maxCopyOffset. Each copy has its own sessions, but prefixes stay shared between copies. If a scale is not a whole
+// number, its fractional part is the probability with which a request is in the last copy.
+func Blend(seed uint64, lists [][]RecordedRequest, scales []float64) []RecordedRequest {
+	rnd := rand.New(rand.NewPCG(seed, blendStream))
 	var out []RecordedRequest
 	for i, list := range lists {
-		for copied := 0; float64(copied) < times[i]; copied++ {
-			part := min(times[i]-float64(copied), 1)
+		for copies := 0; float64(copies) < scales[i]; copies++ {
+			keep := min(scales[i]-float64(copies), 1)
 			offset := time.Duration(0)
-			if copied > 0 {
+			if copies > 0 {
 				offset = time.Duration(rnd.Float64() * float64(maxCopyOffset))
 			}
 			for _, request := range list {
-				if part < 1 && rnd.Float64() >= part {
+				if keep < 1 && rnd.Float64() >= keep {
 					continue
 				}
 				request.At += offset
-				if request.Session != "" && copied+i > 0 {
-					request.Session = fmt.Sprintf("%s of %d.%d", request.Session, i, copied)
+				if request.Session != "" && copies+i > 0 {
+					request.Session = fmt.Sprintf("%s of %d.%d", request.Session, i, copies)
 				}
 				out = append(out, request)
 			}
@@ -51,49 +53,50 @@
 	return out
 }
 
-// Replay returns arrivals of recorded requests in place of drawn sessions. Each is a session of one turn, so that it
-// arrives when it was recorded; retries, marks and hang-ups of clients are drawn as for other sessions.
+// Replay returns arrivals that replay recorded requests instead of drawing sessions. Each request is a session of one
+// turn, so that it arrives at its recorded time. How its client retries, reads and disconnects is drawn as for other
+// sessions.
 func (s *Scenario) Replay(list []RecordedRequest) *Arrivals {
 	a := s.Arrivals()
-	a.recorded = recorded{replay: true, pending: list}
+	a.replay = replayState{active: true, pending: list}
 	return a
 }
 
-// recorded is the part of Arrivals that replays a recording.
-type recorded struct {
-	replay  bool
-	pending []RecordedRequest
-	at      time.Duration // of the last arrival
+// replayState is the state of Arrivals that replay a recording.
+type replayState struct {
+	active      bool
+	pending     []RecordedRequest
+	lastArrival time.Duration // time of the latest arrival
 }
 
-// never is a gap longer than any scenario.
-const never = 1000 * time.Hour
+// noMoreArrivals is the gap after the last recorded request. It is longer than any scenario.
+const noMoreArrivals = 1000 * time.Hour
 
-func (r *recorded) nextGap() time.Duration {
+func (r *replayState) nextGap() time.Duration {
 	if len(r.pending) == 0 {
-		return never
+		return noMoreArrivals
 	}
-	gap := max(r.pending[0].At-r.at, 0)
-	r.at = max(r.at, r.pending[0].At)
+	gap := max(r.pending[0].At-r.lastArrival, 0)
+	r.lastArrival = max(r.lastArrival, r.pending[0].At)
 	return gap
 }
 
-// recordedPrefixStream is the stream of the texts of recorded prefixes.
+// recordedPrefixStream is the PCG stream of the generated texts that stand for recorded prefixes.
 const recordedPrefixStream = 7
 
-// next fills a session with the next recorded request.
-func (r *recorded) next(s *Session, c *Conditions) {
+// next fills in a session from the next recorded request.
+func (r *replayState) next(s *Session, c *Conditions) {
 	request := &r.pending[0]
 	r.pending = r.pending[1:]
-	s.Class, s.Tenant, s.single = request.Class, request.Tenant, true
+	s.Class, s.Tenant, s.singleTurn = request.Class, request.Tenant, true
 	if request.Session != "" {
 		s.Key = request.Session
 	}
 	s.Stream = request.Stream
-	if request.Prefix != "" && request.PrefixLen > 0 {
-		s.Prefix = Text{[2]uint64{xxhash.Sum64String(request.Prefix), recordedPrefixStream}, request.PrefixLen}
+	if request.Prefix != "" && request.PrefixTokens > 0 {
+		s.Prefix = Text{[2]uint64{xxhash.Sum64String(request.Prefix), recordedPrefixStream}, request.PrefixTokens}
 	}
 	s.nextRequest(c)
-	s.Turns = []Text{{[2]uint64{s.seed, firstTurnStream}, max(request.Prompt-request.PrefixLen, 1)}}
-	s.Answer = request.Out
+	s.Messages = []Text{{[2]uint64{s.seed, firstMessageStream}, max(request.PromptTokens-request.PrefixTokens, 1)}}
+	s.AnswerTokens = request.AnswerTokens
 }
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -1,9 +1,10 @@
-// Package scenario describes scripted runs: the fleet, its clients, and the faults that strike them. It reads and
-// checks scenario files, derives the settings of replicas from them, draws what clients do and scores the outcome. It
-// runs nothing: package scenariorun plays scenarios on sockets, package fleet in simulated time, both with the same
-// draws.
+// Package scenario describes scripted runs: a fleet, its clients, and the faults that affect them. It reads and checks
+// scenario files, derives the settings of the replicas from them, draws the clients' behavior at random and scores the
+// outcome. It does not run scenarios: package scenariorun runs them on sockets and package fleet in simulated time,
+// both with the same random draws.
 //
-// In files a scenario is a <day>, a fault a <happen>, and a replica a front; these forms are kept.
+// Scenario files have older names for some of the terms: <day> for a scenario, <happen> for a fault, front for a
+// replica, reader and writer for the roles prefill and decode.
 package scenario
 
 import (
@@ -21,19 +22,19 @@
 type Scenario struct {
 	config.Pos
 	Length         time.Duration `cfg:"length,required"`
-	Rate           config.Rate   `cfg:"rate,required"` // first requests of sessions and further turns together, a second
+	Rate           config.Rate   `cfg:"rate,required"` // requests a second, of all turns; without retries
 	Seed           int           `cfg:"seed"`
 	Replicas       int           `cfg:"fronts,required"`
-	EngineProtocol string        `cfg:"dialect,enum=vllm|extended"` // of the engines; none = extended
+	EngineProtocol string        `cfg:"dialect,enum=vllm|extended"` // of the engines; "" = extended
 	Service        *Service      `cfg:"service,required"`
-	Planner        *Planner      `cfg:"planner"` // of engines that change role; none = roles stay
+	Planner        *Planner      `cfg:"planner"` // nil = engines keep their roles
 	Kinds          []Kind        `cfg:"engines,required"`
 	Classes        []Class       `cfg:"class,required"`
 	Tenants        []Tenant      `cfg:"tenant"`
 	Faults         []Fault       `cfg:"happen"`
 	Expected       *Expected     `cfg:"expect"`
 
-	text []byte // the file it was parsed from
+	text []byte // content of the file that it was parsed from
 }
 
 // Service holds the settings that replicas and the audit share.
@@ -51,10 +52,10 @@
 	ClientRetries    int           `cfg:"client-retries"`
 }
 
-// Planner assigns roles to the engines of kinds that change role.
+// Planner holds the parameters of the planner, which assigns roles to the engines of kinds that change role.
 type Planner struct {
 	config.Pos
-	Count         int           `cfg:"count"` // planners at once; 0 = 1
+	Count         int           `cfg:"count"` // planners that run at the same time; 0 = 1
 	Interval      time.Duration `cfg:"every"`
 	MinDwell      time.Duration `cfg:"min-stay"`
 	MaxConcurrent float64       `cfg:"at-once"`
@@ -64,7 +65,7 @@
 	SwitchTime    time.Duration `cfg:"switch"` // of an empty engine; 0 = 1 s
 }
 
-// Settings returns the configuration of the planner itself.
+// Settings returns the planner's configuration.
 func (p *Planner) Settings() roles.Config {
 	return roles.Config{
 		MinDwell: p.MinDwell, MaxConcurrent: p.MaxConcurrent, ChangeTime: p.ChangeTime, WarmUp: p.WarmUp,
@@ -72,23 +73,23 @@
 	}
 }
 
-// Kind is a group of engines that are alike.
+// Kind is a group of identical engines.
 type Kind struct {
 	config.Pos
-	Name        string        `cfg:"kind,required"`
-	ChangesRole bool          `cfg:"shifts"` // engines may take the role of the other kind that changes role
-	Role        string        `cfg:"role,required,enum=reader|writer|mixed"`
-	Count       int           `cfg:"count,required"`
-	Slots       int           `cfg:"slots,required"`
-	Queue       int           `cfg:"queue,required"`
-	Memory      config.Tokens `cfg:"memory,required"`
-	ReadRate    config.Rate   `cfg:"read-rate"` // prompt tokens
-	Step        time.Duration `cfg:"step"`
-	PerStream   time.Duration `cfg:"step-per-stream"`
-	FetchRate   config.Rate   `cfg:"fetch-rate"` // state tokens
+	Name          string        `cfg:"kind,required"`
+	ChangesRole   bool          `cfg:"shifts"` // engines may take the role of the other kind that changes role
+	Role          string        `cfg:"role,required,enum=reader|writer|mixed"`
+	Count         int           `cfg:"count,required"`
+	Slots         int           `cfg:"slots,required"`
+	Queue         int           `cfg:"queue,required"`
+	Memory        config.Tokens `cfg:"memory,required"`
+	ReadRate      config.Rate   `cfg:"read-rate"` // prompt tokens a second
+	Step          time.Duration `cfg:"step"`
+	StepPerStream time.Duration `cfg:"step-per-stream"`
+	FetchRate     config.Rate   `cfg:"fetch-rate"` // tokens of read state a second
 }
 
-// The values of Kind.Role.
+// Values of Kind.Role, besides "mixed".
 const (
 	rolePrefill = "reader"
 	roleDecode  = "writer"
@@ -106,21 +107,21 @@
 	DedupWindow             time.Duration `cfg:"window"`
 	PriorityWeight          float64       `cfg:"worth"`
 	LateWeight              float64       `cfg:"late-worth"`
-	PromptTokens            config.Tokens `cfg:"prompt,required"`   // of a turn, on average
-	PrefixTokens            config.Tokens `cfg:"beginning"`         // of a shared prefix
-	PrefixShare             float64       `cfg:"beginning-share"`   // part that begins with one of a few shared prefixes
-	AnswerTokens            config.Tokens `cfg:"answer,required"`   // on average
-	Turns                   float64       `cfg:"turns"`             // of a session, on average
-	NotStreamedPart         float64       `cfg:"not-streamed-part"` // of clients that want the answer whole
+	PromptTokens            config.Tokens `cfg:"prompt,required"`   // mean length of a turn
+	PrefixTokens            config.Tokens `cfg:"beginning"`         // length of a shared prefix
+	PrefixShare             float64       `cfg:"beginning-share"`   // of sessions that begin with a shared prefix
+	AnswerTokens            config.Tokens `cfg:"answer,required"`   // mean length of an answer
+	Turns                   float64       `cfg:"turns"`             // mean number of turns of a session
+	NotStreamedFraction     float64       `cfg:"not-streamed-part"` // of sessions whose answers are not streamed
 }
 
-// The values of Class.Idempotency.
+// Values of Class.Idempotency, besides "safe".
 const (
 	idempotentWithKey = "keyed"
 	notIdempotent     = "unsafe"
 )
 
-// Tenant is a customer.
+// Tenant is a tenant, with its share of the sessions and its quota.
 type Tenant struct {
 	config.Pos
 	Name  string      `cfg:"name,required"`
@@ -128,7 +129,7 @@
 	Quota config.Rate `cfg:"quota"`
 }
 
-// Expected bounds what a run must reach; the audited rules must always hold.
+// Expected holds lower bounds for the outcome of a run. The rules of the audit must hold in any case.
 type Expected struct {
 	config.Pos
 	Service float64 `cfg:"service"`
@@ -137,7 +138,7 @@
 //go:embed bad.xml
 var builtin embed.FS
 
-// Default returns the scenario with many faults that is embedded in the program.
+// Default returns the default scenario, which is embedded in the program and has many faults.
 func Default() (*Scenario, error) {
 	text, err := builtin.ReadFile("bad.xml")
 	if err != nil {
@@ -155,7 +156,7 @@
 	return Parse(path, text)
 }
 
-// Parse parses the text of a scenario file; the error is config.Problems.
+// Parse parses the text of a scenario file. Its errors are of type config.Problems.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s := &Scenario{}
 	if err := config.Decode(file, text, "day", s, s.check); err != nil {
@@ -172,7 +173,7 @@
 	return s, nil
 }
 
-// Engines returns the number of engines.
+// Engines returns the number of engines of all kinds.
 func (s *Scenario) Engines() (n int) {
 	for _, k := range s.Kinds {
 		n += k.Count
@@ -180,21 +181,22 @@
 	return n
 }
 
-// replicationSeeds separates the seeds of replications, so that those of neighboring scenario seeds do not overlap.
-const replicationSeeds = 1000
+// replicationSeedStride is the difference between the seeds of successive replications. It keeps the replications of
+// scenarios with neighboring seeds distinct.
+const replicationSeedStride = 1000
 
-// Replication returns the scenario with the clients of its n-th replication, counted from 1. Variants of a fleet are
-// compared on the same replications.
+// Replication returns the scenario with the seed of its n-th replication, counted from 1. Variants of a fleet are
+// compared on the same replications, and so with the same clients.
 func (s *Scenario) Replication(n int) *Scenario {
 	copied := *s
-	copied.Seed += replicationSeeds * n
+	copied.Seed += replicationSeedStride * n
 	return &copied
 }
 
-// Scale sets the length of the scenario, with the times of its faults in proportion.
+// Scale sets the length of the scenario and scales the times of its faults in proportion.
 func (s *Scenario) Scale(length time.Duration) error {
 	if length < minLength || length > maxLength {
-		return fmt.Errorf("%w: %v; 1s to 1h", ErrLength, length)
+		return fmt.Errorf("%w: %v; the limits are 1s and 1h", ErrLength, length)
 	}
 	factor := float64(length) / float64(s.Length)
 	s.Length = length
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -19,8 +19,8 @@
 	return sc
 }
 
-// Each scenario file, written again from what was parsed, parses to the same faults.
-func TestFaultsSurviveWriting(t *testing.T) {
+// Parses each scenario file, writes its faults into a new text and parses that: the faults are the same.
+func TestWithFaultsRoundTrips(t *testing.T) {
 	files, err := filepath.Glob("../../../scenarios/*.xml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
@@ -39,58 +39,61 @@
 				a, b := sc.Faults[i], again.Faults[i]
 				a.Pos = b.Pos
 				if a != b {
-					t.Errorf("%+v came back as %+v", a, b)
+					t.Errorf("%+v was parsed back as %+v", a, b)
 				}
 			}
 			if len(again.Faults) != len(sc.Faults) || !reflect.DeepEqual(again.Service.StateTTL, sc.Service.StateTTL) {
-				t.Errorf("%d faults of %d", len(again.Faults), len(sc.Faults))
+				t.Errorf("%d faults, want %d; or another state TTL", len(again.Faults), len(sc.Faults))
 			}
 		})
 	}
 }
 
-// Each change of the clients' conditions is undone, also where two of them overlap.
+// Each fault that concerns clients changes their conditions, and undoing it restores them.
 func TestConditionsAreRestored(t *testing.T) {
 	for _, what := range []string{"surge", "mix", "overlong", "hot-prefix", "hang-ups", "slow-readers"} {
 		t.Run(what, func(t *testing.T) {
 			conditions := NormalConditions()
-			fault := &Fault{What: what, Class: "order", Factor: 3, Part: 0.5}
-			undo := conditions.Change(fault)
+			fault := &Fault{What: what, Class: "order", Factor: 3, Fraction: 0.5}
+			undo := conditions.Apply(fault)
 			if undo == nil || reflect.DeepEqual(conditions, NormalConditions()) {
-				t.Fatal("it changes nothing")
+				t.Fatal("the fault changes no condition")
 			}
 			undo(&conditions)
-			if conditions.Surge != 1 || conditions.Hot+conditions.HangUps+conditions.Slow+conditions.LongPart != 0 ||
-				what == "mix" && conditions.Mix["order"] != 1 {
+			if conditions.RateFactor != 1 ||
+				conditions.HotPrefixFraction+conditions.DisconnectFraction+conditions.SlowReadFraction+
+					conditions.LongPromptFraction != 0 ||
+				what == "mix" && conditions.ShareFactors["order"] != 1 {
 				t.Errorf("not undone: %+v", conditions)
 			}
 		})
 	}
 }
 
+// While two faults overlap, undoing one leaves the other in effect.
 func TestOverlappingConditionsAreRestored(t *testing.T) {
 	conditions := NormalConditions()
-	first := conditions.Change(&Fault{What: "mix", Class: "a", Factor: 2})
-	second := conditions.Change(&Fault{What: "mix", Class: "b", Factor: 3})
+	first := conditions.Apply(&Fault{What: "mix", Class: "a", Factor: 2})
+	second := conditions.Apply(&Fault{What: "mix", Class: "b", Factor: 3})
 	first(&conditions)
-	if conditions.Mix["a"] != 1 || conditions.Mix["b"] != 3 {
-		t.Errorf("%v", conditions.Mix)
+	if conditions.ShareFactors["a"] != 1 || conditions.ShareFactors["b"] != 3 {
+		t.Errorf("%v", conditions.ShareFactors)
 	}
 	second(&conditions)
-	if conditions.Mix["a"] != 1 || conditions.Mix["b"] != 1 {
-		t.Errorf("%v", conditions.Mix)
+	if conditions.ShareFactors["a"] != 1 || conditions.ShareFactors["b"] != 1 {
+		t.Errorf("%v", conditions.ShareFactors)
 	}
 }
 
 func TestEngineFaultsChangeNoConditions(t *testing.T) {
 	conditions := NormalConditions()
-	if conditions.Change(&Fault{What: "crash"}) != nil {
+	if conditions.Apply(&Fault{What: "crash"}) != nil {
 		t.Error("a crash changes the clients' conditions")
 	}
 }
 
-// The outcome of a session's requests changes neither other sessions nor its own later lengths.
-func TestSessionsAreIndependent(t *testing.T) {
+// Whether requests are served or fail must not influence when other sessions arrive and how long their prompts are.
+func TestRequestOutcomesDoNotChangeDraws(t *testing.T) {
 	conditions := NormalConditions()
 	play := func(kind string) (lengths []int, gaps []time.Duration) {
 		a := defaultScenario(t).Arrivals()
@@ -110,11 +113,12 @@
 	lengths1, gaps1 := play("served")
 	lengths2, gaps2 := play("failed")
 	if !reflect.DeepEqual(lengths1, lengths2) || !reflect.DeepEqual(gaps1, gaps2) {
-		t.Error("how requests end changes which requests arrive")
+		t.Error("the outcome of requests changes which requests arrive")
 	}
 }
 
-// newSession draws a session with some idempotency, of a client that marks its retries or not, and sends an attempt.
+// newSession draws sessions until one has the given idempotency and a client that marks its retries or not, as given,
+// and counts its first attempt.
 func newSession(sc *Scenario, idempotency string, marks bool) *Session {
 	conditions, arrivals := NormalConditions(), sc.Arrivals()
 	for {
@@ -126,8 +130,8 @@
 	}
 }
 
-// Careful clients never retry after an unknown outcome of a request that is not idempotent; those that mark retries do
-// unless the answer says not to.
+// Careful clients never retry a request that is not idempotent after an unknown outcome. Clients that mark their
+// retries do, unless the answer forbids it.
 func TestClientRetryPolicy(t *testing.T) {
 	sc := defaultScenario(t)
 	for _, c := range []struct {
@@ -149,9 +153,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			session := newSession(sc, c.idempotency, c.marks)
-			again, _ := session.AfterAttempt(c.kind, c.noAutoRetry, time.Second, time.Second)
-			if again != c.again {
-				t.Errorf("retries: %v", again)
+			retry, _ := session.AfterAttempt(c.kind, c.noAutoRetry, time.Second, time.Second)
+			if retry != c.again {
+				t.Errorf("retries: %v", retry)
 			}
 		})
 	}
@@ -166,14 +170,14 @@
 		s.AfterAttempt("unconnected", false, 0, 0)
 	}
 	if again, _ := s.AfterAttempt("unconnected", false, 0, 0); again {
-		t.Error("a client never stops connecting")
+		t.Error("a client tries to connect without limit")
 	}
 }
 
-func TestScoreCountsServedWeight(t *testing.T) {
+func TestServiceIsServedPriorityWeight(t *testing.T) {
 	sc, conditions := defaultScenario(t), NormalConditions()
 	score, a := sc.Score(), sc.Arrivals()
-	worth, asked := 0.0, 0.0
+	served, requested := 0.0, 0.0
 	for i, kind := range []string{"served", "refused", "hung up", "broken", "served"} {
 		s := a.Next(&conditions)
 		s.Stream = true
@@ -184,14 +188,15 @@
 		score.Add(s, time.Duration(i)*time.Second, kind, first)
 		c := sc.Classes[s.Class]
 		if kind != "hung up" {
-			asked += c.PriorityWeight
+			requested += c.PriorityWeight
 		}
 		if kind == "served" {
-			worth += c.PriorityWeight * map[bool]float64{true: c.LateWeight, false: 1}[i == 4]
+			served += c.PriorityWeight * map[bool]float64{true: c.LateWeight, false: 1}[i == 4]
 		}
 	}
-	if got := score.Service(); math.Abs(got-worth/asked) > 1e-12 || score.Worst(1) != 0 || len(score.Timeline) != 5 {
-		t.Errorf("service %v, want %v; %+v", got, worth/asked, score.Timeline)
+	if got := score.Service(); math.Abs(got-served/requested) > 1e-12 || score.WorstService(1) != 0 ||
+		len(score.Timeline) != 5 {
+		t.Errorf("service %v, want %v; %+v", got, served/requested, score.Timeline)
 	}
 }
 
@@ -209,6 +214,6 @@
 	settings, err := sc.Settings(7)
 	if err != nil || settings.Replica.Name != "front-8" ||
 		len(settings.RoutingConfig().Classes) != len(sc.Classes) {
-		t.Errorf("%v", err)
+		t.Errorf("settings of replica 8: %v", err)
 	}
 }
--- a/internal/simulation/scenario/score.go
+++ b/internal/simulation/scenario/score.go
@@ -5,52 +5,53 @@
 	"time"
 )
 
-// Tally counts requests: a request is a client's first attempt with its retries.
+// Tally counts requests and their outcomes. The first attempt of a client and its retries are one request.
 type Tally struct {
-	Name     string  `json:"name"`
-	Requests int     `json:"requests"`
-	Served   int     `json:"served"`
-	Late     int     `json:"late"`
-	Refused  int     `json:"refused"`
-	Failed   int     `json:"failed"`
-	Broken   int     `json:"broken"`
-	Left     int     `json:"hung_up"`
-	Lost     int     `json:"lost"` // cut off or never connected
-	Tries    int     `json:"tries"`
-	Worth    float64 `json:"worth"` // priority weight served, reduced where it was late
-	Asked    float64 `json:"asked"` // priority weight requested
-
-	firstTokens []time.Duration // latencies
+	Name            string  `json:"name"`
+	Requests        int     `json:"requests"`
+	Served          int     `json:"served"`
+	Late            int     `json:"late"` // served, but with the first token after the latency objective
+	Rejected        int     `json:"refused"`
+	Failed          int     `json:"failed"`
+	Broken          int     `json:"broken"`
+	Disconnected    int     `json:"hung_up"`
+	Lost            int     `json:"lost"` // cut off, or never connected
+	Attempts        int     `json:"tries"`
+	ServedWeight    float64 `json:"worth"` // served priority weight; a late request counts LateWeight times its own
+	RequestedWeight float64 `json:"asked"` // requested priority weight
+
+	firstTokens []time.Duration // latencies of the first token of the served requests
 }
 
-// kindHungUp is a request whose client disconnected; its weight counts neither as requested nor as served.
-const kindHungUp = "hung up"
+// kindDisconnected is the outcome of a request whose client disconnected. Its weight counts neither as requested nor as
+// served.
+const kindDisconnected = "hung up"
 
-// add counts a request that ended with a kind; firstToken is the latency of its first token, 0 for none.
+// add counts a request with its kind of outcome; firstToken is the latency of its first token, 0 if there was none.
 func (t *Tally) add(c *Class, s *Session, kind string, firstToken time.Duration) {
 	t.Requests++
-	t.Tries += s.Attempts
-	if kind != kindHungUp {
-		t.Asked += c.PriorityWeight
+	t.Attempts += s.Attempts
+	if kind != kindDisconnected {
+		t.RequestedWeight += c.PriorityWeight
 	}
 	switch kind {
 	case "served":
 		t.Served++
 		t.firstTokens = append(t.firstTokens, firstToken)
-		if !s.Stream || firstToken <= s.latencyObjective() { // the objective is of streams alone
-			t.Worth += c.PriorityWeight
+		if !s.Stream || firstToken <= s.latencyObjective() { // the objective applies only to streams
+			t.ServedWeight += c.PriorityWeight
 		} else {
 			t.Late++
-			t.Worth += c.PriorityWeight * c.LateWeight
+			t.ServedWeight += c.PriorityWeight * c.LateWeight
 		}
 	case "refused", "turned":
-		t.Refused++
+		t.Rejected++
 	case "failed", "invalid", "none":
 		t.Failed++
 	case "broken":
 		t.Broken++
-	case kindHungUp:
-		t.Left++
+	case kindDisconnected:
+		t.Disconnected++
 	default:
 		t.Lost++
 	}
@@ -59,25 +60,25 @@
 func (s *Session) latencyObjective() time.Duration {
 	c := s.class()
 	bytes := s.Prefix.Bytes()
-	for _, t := range s.Turns {
+	for _, t := range s.Messages {
 		bytes += t.Bytes()
 	}
 	thousands := float64(bytes) / bytesPerToken / 1000
 	return c.LatencyObjective + time.Duration(thousands*float64(c.LatencyObjectivePer1000))
 }
 
-// Second is the outcome of the requests that were first sent in one second of the scenario.
+// Second is the outcome of the requests whose first attempt was sent in one second of the scenario.
 type Second struct {
-	Worth float64 `json:"worth"`
-	Asked float64 `json:"asked"`
+	ServedWeight    float64 `json:"worth"`
+	RequestedWeight float64 `json:"asked"`
 }
 
-// Score is the outcome of a run. It is used by one goroutine.
+// Score accumulates the outcome of a run. It is not safe for concurrent use.
 type Score struct {
 	scenario *Scenario
 	classes  []Tally
 	tenants  []Tally
-	Timeline []Second
+	Timeline []Second // by second of the scenario
 }
 
 // Score returns an empty score.
@@ -92,11 +93,11 @@
 	return score
 }
 
-// Add counts a request that was first sent at a time of the scenario.
+// Add counts a request; at is the time of the scenario at which its first attempt was sent.
 func (s *Score) Add(session *Session, at time.Duration, kind string, firstToken time.Duration) {
 	class := &s.scenario.Classes[session.Class]
 	tally := &s.classes[session.Class]
-	before := tally.Worth
+	servedBefore := tally.ServedWeight
 	tally.add(class, session, kind, firstToken)
 	if session.Tenant >= 0 {
 		s.tenants[session.Tenant].add(class, session, kind, firstToken)
@@ -105,48 +106,49 @@
 	for len(s.Timeline) <= i {
 		s.Timeline = append(s.Timeline, Second{})
 	}
-	s.Timeline[i].Worth += tally.Worth - before
-	if kind != kindHungUp {
-		s.Timeline[i].Asked += class.PriorityWeight
+	s.Timeline[i].ServedWeight += tally.ServedWeight - servedBefore
+	if kind != kindDisconnected {
+		s.Timeline[i].RequestedWeight += class.PriorityWeight
 	}
 }
 
-// Service returns the part of the requested weight that was served.
+// Service returns the fraction of the requested priority weight that was served; 0 if there were no requests.
 func (s *Score) Service() float64 {
-	worth, asked := 0.0, 0.0
+	served, requested := 0.0, 0.0
 	for i := range s.classes {
-		worth, asked = worth+s.classes[i].Worth, asked+s.classes[i].Asked
+		served, requested = served+s.classes[i].ServedWeight, requested+s.classes[i].RequestedWeight
 	}
-	if asked == 0 {
+	if requested == 0 {
 		return 0
 	}
-	return worth / asked
+	return served / requested
 }
 
-// Worst returns the lowest service over so many seconds in a row in which there were requests; 1 where there are none.
-func (s *Score) Worst(seconds int) float64 {
+// WorstService returns the lowest service in any window of so many consecutive seconds. Windows without requests do not
+// count; the result is 1 if there are no others.
+func (s *Score) WorstService(seconds int) float64 {
 	worst := 1.0
 	for i := 0; i+seconds <= len(s.Timeline); i++ {
-		worth, asked := 0.0, 0.0
+		served, requested := 0.0, 0.0
 		for _, second := range s.Timeline[i : i+seconds] {
-			worth, asked = worth+second.Worth, asked+second.Asked
+			served, requested = served+second.ServedWeight, requested+second.RequestedWeight
 		}
-		if asked > 0 {
-			worst = min(worst, worth/asked)
+		if requested > 0 {
+			worst = min(worst, served/requested)
 		}
 	}
 	return worst
 }
 
-// Row is a tally with the figures derived from it.
+// Row is a Tally with figures derived from it.
 type Row struct {
 	Tally
-	Service  float64 `json:"service"`
-	FirstP50 float64 `json:"first_token_p50_ms"`
-	FirstP99 float64 `json:"first_token_p99_ms"`
+	Service       float64 `json:"service"`
+	FirstTokenP50 float64 `json:"first_token_p50_ms"`
+	FirstTokenP99 float64 `json:"first_token_p99_ms"`
 }
 
-// Rows returns those of the classes and of the tenants.
+// Rows returns a row for each class and one for each tenant.
 func (s *Score) Rows() (classes, tenants []Row) {
 	for _, t := range s.classes {
 		classes = append(classes, newRow(t))
@@ -159,13 +161,13 @@
 
 func newRow(t Tally) Row {
 	r := Row{Tally: t}
-	if t.Asked > 0 {
-		r.Service = t.Worth / t.Asked
+	if t.RequestedWeight > 0 {
+		r.Service = t.ServedWeight / t.RequestedWeight
 	}
 	slices.Sort(t.firstTokens)
 	if n := len(t.firstTokens); n > 0 {
-		r.FirstP50 = milliseconds(t.firstTokens[n/2])
-		r.FirstP99 = milliseconds(t.firstTokens[n*99/100])
+		r.FirstTokenP50 = milliseconds(t.firstTokens[n/2])
+		r.FirstTokenP99 = milliseconds(t.firstTokens[n*99/100])
 	}
 	return r
 }
--- a/internal/simulation/scenario/session.go
+++ b/internal/simulation/scenario/session.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Text identifies a text by what its words are drawn from; the zero Text is empty.
+// Text identifies a generated text by the seed of its words and its length. The zero Text is empty.
 type Text struct {
 	Seed   [2]uint64
 	Tokens float64
 }
 
-// A text is made of words of eight bytes, two tokens each.
+// A text consists of words of eight bytes, which count as two tokens.
 const (
 	wordBytes  = 8
 	wordTokens = 2
 )
 
-// Bytes returns the length of the text.
+// Bytes returns the length of the text in bytes.
 func (t Text) Bytes() int {
 	if t.Tokens <= 0 {
 		return 0
@@ -27,7 +27,7 @@
 	return wordBytes * int(math.Ceil(t.Tokens/wordTokens))
 }
 
-// Words returns the text itself.
+// Words generates the text.
 func (t Text) Words() string {
 	rnd := rand.New(rand.NewPCG(t.Seed[0], t.Seed[1]))
 	b := make([]byte, 0, t.Bytes())
@@ -37,143 +37,146 @@
 	return string(b)
 }
 
-// Session is one client's conversation, with a random generator of its own, so that other sessions do not influence it.
-// A client takes its turns one after the other; each is one request, with its retries.
+// Session is one client's conversation. It has a random generator of its own, so that other sessions do not influence
+// its draws. The client takes its turns one after the other; each turn is one request, with its retries.
 type Session struct {
 	ID            int64
-	Key           string // of the conversation, as servers see it
-	Class, Tenant int    // Tenant is -1 where the scenario has none
+	Key           string // identifies the session to the service
+	Class, Tenant int    // indices; Tenant is -1 if the scenario has none
 	Stream        bool
-	Prefix        Text   // shared with other sessions
-	Turns         []Text // of the client and the answers by turns
-	Turn          int    // of the client, from 0
-	Answer        int    // tokens that the engine answers
-
-	// The present request.
-	MarksRetries bool          // the client numbers its attempts
-	HangUp       time.Duration // it disconnects after this; 0 = never
-	Slow         bool          // it reads slowly
-	Attempts     int           // that were sent
-	Retries      int           // attempts before this one, as a client that numbers them counts
-
-	scenario *Scenario
-	seed     uint64
-	rnd      *rand.Rand
-	connects int  // failed connects of the present request
-	single   bool // it has no further turn
+	Prefix        Text   // of the prompts, shared with other sessions
+	Messages      []Text // of the client and of the engine, alternately
+	Turn          int    // number of the current turn, from 0
+	AnswerTokens  int    // length of the answer to the current request
+
+	// Of the current request:
+	MarksRetries    bool          // the client sends the number of its earlier attempts
+	DisconnectAfter time.Duration // 0 = the client stays connected
+	ReadsSlowly     bool
+	Attempts        int // sent so far, without those that failed to connect
+	Retries         int // earlier attempts, as a client that marks its retries counts them
+
+	scenario       *Scenario
+	seed           uint64
+	rnd            *rand.Rand
+	failedConnects int  // of the current request
+	singleTurn     bool // of a replayed request: no further turn follows
 }
 
-// Parameters of the clients' draws that scenarios do not vary.
+// Parameters of the clients that scenarios do not vary.
 const (
-	hotPrefixExtra     = 2000 // tokens by which the prefix of the fault hot-prefix is longer than that of the class
-	sharedPrefixes     = 5    // of a class
-	prefixSpread       = 1.5  // of the choice among them: the first is the most requested
-	leastLength        = 0.3  // of the mean, the shortest text
-	lengthSpread       = 1.4  // of the mean, the longest text less the shortest
-	markingPart        = 0.5  // of clients that number their attempts
-	maxHangUp          = time.Second
-	meanPause          = 500 * time.Millisecond // between two turns
-	maxTexts           = 20                     // of a session, both sides together
-	maxConnects        = 20
-	connectPause       = 100 * time.Millisecond
-	firstTurnStream    = 10 // of a turn's text: below are those of prefixes
-	hotPrefixGenerator = 99
+	hotPrefixExtraTokens   = 2000 // by which the prefix of the fault hot-prefix is longer than that of the class
+	sharedPrefixesPerClass = 5
+	prefixChoiceScale      = 1.5 // of the exponential draw that selects one of them: the first is the most frequent
+	minLengthFactor        = 0.3 // shortest text, as a multiple of the mean
+	lengthFactorRange      = 1.4 // longest text less the shortest, as a multiple of the mean
+	markingFraction        = 0.5 // fraction of requests whose client marks its retries
+	maxDisconnectAfter     = time.Second
+	meanThinkTime          = 500 * time.Millisecond // between two turns
+	maxMessages            = 20                     // of a session; it ends with the turn that exceeds this
+	maxFailedConnects      = 20
+	reconnectDelay         = 100 * time.Millisecond
+	firstMessageStream     = 10 // PCG stream of a session's first message; lower ones are those of prefixes
+	hotPrefixSeed          = 99
 )
 
 func (s *Session) class() *Class { return &s.scenario.Classes[s.Class] }
 
 func (s *Session) begin(c *Conditions) {
 	class := s.class()
-	s.Stream = s.rnd.Float64() >= class.NotStreamedPart
+	s.Stream = s.rnd.Float64() >= class.NotStreamedFraction
 	switch {
-	case s.rnd.Float64() < c.Hot:
-		s.Prefix = Text{[2]uint64{hotPrefixGenerator, hotPrefixGenerator}, float64(class.PrefixTokens) + hotPrefixExtra}
+	case s.rnd.Float64() < c.HotPrefixFraction:
+		s.Prefix = Text{[2]uint64{hotPrefixSeed, hotPrefixSeed}, float64(class.PrefixTokens) + hotPrefixExtraTokens}
 	case s.rnd.Float64() < class.PrefixShare:
-		choice := uint64(s.rnd.ExpFloat64()*prefixSpread) % sharedPrefixes
+		choice := uint64(s.rnd.ExpFloat64()*prefixChoiceScale) % sharedPrefixesPerClass
 		s.Prefix = Text{[2]uint64{uint64(s.Class), choice}, float64(class.PrefixTokens)}
 	}
 	s.nextRequest(c)
 }
 
-// nextRequest draws the next request. One half of clients are programs on a published SDK, which retries by itself and
-// marks it: whatever has no answer, 429 and 5xx, unless the answer says not to. The other half is careful and marks
-// nothing: it retries any class after a rejection, but after an unknown outcome only what is idempotent.
+// nextRequest draws the next request. Half of the clients behave like a published SDK, which marks its retries: it
+// retries without regard to idempotency if there is no answer, or on 429 and 5xx, unless the answer forbids it. The
+// other half are careful and do not mark retries: after a rejection they retry any request, but after an unknown
+// outcome only an idempotent one.
 func (s *Session) nextRequest(c *Conditions) {
 	class := s.class()
 	tokens := float64(class.PromptTokens) * s.lengthFactor()
-	if long := s.rnd.Float64() < c.LongPart; long && (c.LongClass == "" || c.LongClass == class.Name) {
-		tokens *= c.LongBy
+	if long := s.rnd.Float64() < c.LongPromptFraction; long &&
+		(c.LongPromptClass == "" || c.LongPromptClass == class.Name) {
+		tokens *= c.LongPromptFactor
 	}
-	s.addTurn(tokens)
-	s.Answer = max(1, int(float64(class.AnswerTokens)*s.lengthFactor()))
-	s.HangUp, s.Slow = 0, false
-	if s.rnd.Float64() < c.HangUps {
-		s.HangUp = time.Duration(s.rnd.Float64() * float64(maxHangUp))
+	s.addMessage(tokens)
+	s.AnswerTokens = max(1, int(float64(class.AnswerTokens)*s.lengthFactor()))
+	s.DisconnectAfter, s.ReadsSlowly = 0, false
+	if s.rnd.Float64() < c.DisconnectFraction {
+		s.DisconnectAfter = time.Duration(s.rnd.Float64() * float64(maxDisconnectAfter))
 	}
-	s.Slow = s.rnd.Float64() < c.Slow
-	s.MarksRetries = s.rnd.Float64() < markingPart
-	s.Attempts, s.Retries, s.connects = 0, 0, 0
+	s.ReadsSlowly = s.rnd.Float64() < c.SlowReadFraction
+	s.MarksRetries = s.rnd.Float64() < markingFraction
+	s.Attempts, s.Retries, s.failedConnects = 0, 0, 0
 }
 
-func (s *Session) lengthFactor() float64 { return leastLength + lengthSpread*s.rnd.Float64() }
+func (s *Session) lengthFactor() float64 { return minLengthFactor + lengthFactorRange*s.rnd.Float64() }
 
-func (s *Session) addTurn(tokens float64) {
-	s.Turns = append(s.Turns, Text{[2]uint64{s.seed, uint64(len(s.Turns)) + firstTurnStream}, tokens})
+func (s *Session) addMessage(tokens float64) {
+	s.Messages = append(s.Messages, Text{[2]uint64{s.seed, uint64(len(s.Messages)) + firstMessageStream}, tokens})
 }
 
-// PickReplica draws the replica, out of n, that the next attempt goes to.
+// PickReplica counts an attempt and draws the replica, out of n, that it is sent to.
 func (s *Session) PickReplica(n int) int {
 	s.Attempts++
 	return s.rnd.IntN(n)
 }
 
-// PromptBytes returns the length of the whole prompt, and of its shared prefix.
+// PromptBytes returns the lengths of the whole prompt and of its shared prefix, with the names of the messages' roles.
 func (s *Session) PromptBytes() (all, prefix int) {
 	if n := s.Prefix.Bytes(); n > 0 {
 		prefix = len("system") + n
 	}
 	all = prefix
-	for i, t := range s.Turns {
+	for i, t := range s.Messages {
 		all += len([]string{"user", "assistant"}[i%2]) + t.Bytes()
 	}
 	return all, prefix
 }
 
-// AfterAttempt returns whether the client retries after an attempt that ended with the given kind, and when.
-// noAutoRetry and wait are what the answer said of retries; since is the time from the request's first attempt.
+// AfterAttempt returns whether the client retries after an attempt with the given kind of outcome, and after which
+// delay. noAutoRetry and retryAfter are what the answer says about retries; elapsed is the time since the request's
+// first attempt.
 func (s *Session) AfterAttempt(
 	kind string,
 	noAutoRetry bool,
-	wait, since time.Duration,
-) (again bool, pause time.Duration) {
+	retryAfter, elapsed time.Duration,
+) (retry bool, delay time.Duration) {
 	class := s.class()
 	switch kind {
 	case "unconnected":
-		s.connects++
+		s.failedConnects++
 		s.Attempts--
-		return s.connects <= maxConnects && since <= class.Deadline, connectPause
+		return s.failedConnects <= maxFailedConnects && elapsed <= class.Deadline, reconnectDelay
 	case "refused", "turned":
-		again, pause = !s.MarksRetries || !noAutoRetry, wait
+		retry, delay = !s.MarksRetries || !noAutoRetry, retryAfter
 	case "failed", "cut":
-		again = class.Idempotency != notIdempotent
+		retry = class.Idempotency != notIdempotent
 		if s.MarksRetries {
-			again = !noAutoRetry
+			retry = !noAutoRetry
 		}
 	}
 	s.Retries++
-	return again && s.Attempts <= s.scenario.Service.ClientRetries && since <= class.Deadline, pause
+	return retry && s.Attempts <= s.scenario.Service.ClientRetries && elapsed <= class.Deadline, delay
 }
 
-// NextTurn draws whether the conversation goes on after a request that ended with the given kind, and when.
+// NextTurn draws whether the session continues after a request with the given kind of outcome, and after which pause.
 func (s *Session) NextTurn(kind string, scenarioOver bool, c *Conditions) (more bool, pause time.Duration) {
-	if s.single || scenarioOver || kind != "served" {
+	if s.singleTurn || scenarioOver || kind != "served" {
 		return false, 0
 	}
-	if s.rnd.Float64()*s.class().Turns < 1 || len(s.Turns) > maxTexts {
+	if s.rnd.Float64()*s.class().Turns < 1 || len(s.Messages) > maxMessages {
 		return false, 0
 	}
-	s.addTurn(float64(s.Answer))
-	pause = time.Duration(s.rnd.ExpFloat64() * float64(meanPause))
+	s.addMessage(float64(s.AnswerTokens))
+	pause = time.Duration(s.rnd.ExpFloat64() * float64(meanThinkTime))
 	s.Turn++
 	s.nextRequest(c)
 	return true, pause
--- a/internal/simulation/scenario/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -10,17 +10,18 @@
 	"brackenbend/roles"
 )
 
-// KindBoth is the kind of an engine that both prefills and decodes because no other is left.
+// KindBoth is the kind under which engines that change role are listed while they both prefill and decode, which is
+// needed when no engine is left for one of the stages.
 const KindBoth = "both-for-need"
 
 // Parameters of engines that scenarios do not vary.
 const (
-	prefillChunk  = 512 // tokens a step
-	engineTTL     = 30 * time.Second
-	cachePart     = 0.5  // of an engine's memory, kept for prefixes
-	leastRate     = 1    // tokens a second, of a stage that the kind does not serve
-	bytesPerToken = 4    // as the replicas' settings state it
-	seedsEach     = 1000 // separates the replicas' seeds of neighboring scenario seeds
+	prefillChunkTokens  = 512 // of an engine's step
+	engineStateTTL      = 30 * time.Second
+	prefixCacheFraction = 0.5  // of an engine's memory
+	minStageRate        = 1    // tokens a second, of a stage that the kind does not serve
+	bytesPerToken       = 4    // also written to the settings of the replicas
+	replicaSeedStride   = 1000 // keeps the replicas' seeds of scenarios with neighboring seeds distinct
 )
 
 // EngineParams returns the parameters of the engines of a kind.
@@ -32,33 +33,33 @@
 		Slots:          k.Slots,
 		MaxQueued:      k.Queue,
 		Memory:         float64(k.Memory),
-		PrefillRate:    max(float64(k.ReadRate), leastRate),
-		Chunk:          prefillChunk,
+		PrefillRate:    max(float64(k.ReadRate), minStageRate),
+		Chunk:          prefillChunkTokens,
 		Step:           k.Step,
-		StepStream:     k.PerStream,
-		FetchRate:      max(float64(k.FetchRate), leastRate),
-		CacheTokens:    float64(k.Memory) * cachePart,
+		StepStream:     k.StepPerStream,
+		FetchRate:      max(float64(k.FetchRate), minStageRate),
+		CacheTokens:    float64(k.Memory) * prefixCacheFraction,
 		SlowStartFrom:  service.SlowStartFrom,
 		SlowStartFor:   service.SlowStartFor,
 		OverloadFactor: service.OverloadFactor,
 		OverloadAfter:  service.OverloadAfter,
-		StateTTL:       engineTTL,
+		StateTTL:       engineStateTTL,
 	}
 }
 
-// Settings returns those of the i-th replica, parsed from its file as the replica itself would.
+// Settings returns the settings of the i-th replica, counted from 0, parsed as the replica parses its file.
 func (s *Scenario) Settings(i int) (*config.Settings, error) {
 	const unused = "127.0.0.1:1"
 	text := s.ReplicaXML(i, fmt.Sprint("front-", i+1), unused, "", "http://"+unused, "")
 	return config.Parse("front.xml", []byte(text))
 }
 
-// ReplicaXML returns the settings file of the i-th replica.
+// ReplicaXML returns the settings file of the i-th replica, counted from 0.
 func (s *Scenario) ReplicaXML(i int, name, listen, admin, apiServerURL, cache string) string {
 	var b strings.Builder
 	b.WriteString("<brackenbend>\n")
 	fmt.Fprintf(&b, "  <front name=%q listen=%q seed=\"%d\" drain=\"10s\" answer-margin=\"150ms\" admin=%q/>\n",
-		name, listen, s.Seed*seedsEach+i+1, admin)
+		name, listen, s.Seed*replicaSeedStride+i+1, admin)
 	b.WriteString("  <limits open-requests=\"4096\" stall-time=\"5s\"/>\n")
 	b.WriteString("  <log level=\"info\" lines-per-second=\"1000\"/>\n")
 	s.writeService(&b)
@@ -120,8 +121,8 @@
 	}
 }
 
-// ChangingRoles returns, by role, the parameters of engines that change role and the kind that they are listed as; nil
-// where no engine does.
+// ChangingRoles returns, by role, the parameters of the engines that change role and the kind under which they are
+// listed; nil if no engine changes role.
 func (s *Scenario) ChangingRoles() (params map[roles.Role]enginemodel.Params, kinds map[roles.Role]string) {
 	for i := range s.Kinds {
 		k := &s.Kinds[i]
@@ -131,7 +132,7 @@
 		if kinds == nil {
 			params, kinds = map[roles.Role]enginemodel.Params{}, map[roles.Role]string{roles.Both: KindBoth}
 		}
-		role, p := k.ServedRole(), s.EngineParams(k)
+		role, p := k.InitialRole(), s.EngineParams(k)
 		if role == roles.Decode {
 			p.CanPrefill = s.Service.DecodeCanPrefill
 		}
@@ -145,8 +146,8 @@
 	return params, kinds
 }
 
-// ServedRole returns the role in which engines of the kind begin.
-func (k *Kind) ServedRole() roles.Role {
+// InitialRole returns the role in which engines of the kind start.
+func (k *Kind) InitialRole() roles.Role {
 	switch k.Role {
 	case rolePrefill:
 		return roles.Prefill
--- a/internal/simulation/trace/fit.go
+++ b/internal/simulation/trace/fit.go
@@ -11,45 +11,45 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fitted is a scenario's synthetic clients as a recording shows them, with how well they fit.
+// Fitted holds the parameters of synthetic clients, estimated from a recording, and how well they fit it.
 type Fitted struct {
-	Rate    float64 // requests a second
-	Classes []ClassFit
-	Bursts  float64 // variance over mean of requests in a second; 1 = as the synthetic clients'
+	Rate            float64 // requests a second
+	Classes         []ClassFit
+	DispersionIndex float64 // variance over mean of the requests in a second; a Poisson process has 1
 }
 
-// ClassFit is one class.
+// ClassFit holds the parameters of one class.
 type ClassFit struct {
-	Name            string
-	Requests        int
-	Share           float64 // of sessions
-	Turns           float64 // requests of a session
-	Prompt          float64 // tokens that a turn adds
-	PrefixTokens    float64 // of prompts with a shared prefix
-	PrefixShare     float64 // part of sessions that begin with a shared prefix
-	Prefixes        int     // that are shared
-	Answer          float64 // tokens
-	NotStreamedPart float64
-	// PromptOff and AnswerOff are the greatest differences between the recorded and the synthetic distributions
-	// (Kolmogorov and Smirnov): 0 = alike, 1 = nothing in common.
-	PromptOff, AnswerOff float64
+	Name                string
+	Requests            int
+	Share               float64 // of sessions
+	Turns               float64 // mean number of requests of a session
+	PromptTokens        float64 // mean length that a turn adds to the prompt
+	PrefixTokens        float64 // mean length of a shared prefix
+	PrefixShare         float64 // fraction of sessions that begin with a shared prefix
+	SharedPrefixes      int     // number of different ones
+	AnswerTokens        float64 // mean length of an answer
+	NotStreamedFraction float64 // of requests
+	// PromptDistance and AnswerDistance are the Kolmogorov-Smirnov distances between the recorded and the synthetic
+	// distribution of lengths: 0 = equal, 1 = disjoint.
+	PromptDistance, AnswerDistance float64
 }
 
-// The least recording that can be fitted.
+// Minimum size of a recording that can be fitted.
 const (
 	minFitRequests = 20
 	minFitLength   = time.Second
 )
 
 // ErrTooShort is returned for a recording that is too short to be fitted.
-var ErrTooShort = errors.New("too few to fit anything; 20 over a second at least")
+var ErrTooShort = errors.New("too short to fit; at least 20 requests over 1s are needed")
 
-// Fit finds the figures of the synthetic clients that come nearest to a recording.
+// Fit estimates the parameters of the synthetic clients that come nearest to a recording.
 func Fit(t *Trace) (*Fitted, error) {
 	if len(t.Requests) < minFitRequests || t.Length() < minFitLength {
-		return nil, fmt.Errorf("trace: %d requests over %v are %w", len(t.Requests), t.Length(), ErrTooShort)
+		return nil, fmt.Errorf("trace: %d requests over %v: %w", len(t.Requests), t.Length(), ErrTooShort)
 	}
-	f := &Fitted{Rate: float64(len(t.Requests)) / t.Length().Seconds(), Bursts: bursts(t)}
+	f := &Fitted{Rate: float64(len(t.Requests)) / t.Length().Seconds(), DispersionIndex: dispersionIndex(t)}
 	byClass := map[string][]Request{}
 	prefixes := map[prefixKey]int{}
 	for _, r := range t.Requests {
@@ -72,21 +72,22 @@
 
 type prefixKey struct{ class, prefix string }
 
-// observation is what the requests of one class show.
+// observation collects the statistics of one class's requests.
 type observation struct {
 	sessions         map[string]*session
 	prompts, answers []float64 // tokens
-	prefixTokens     []float64 // of each session with a shared prefix
+	prefixTokens     []float64 // length of the prefix, by session with a shared prefix
 	prefixes         map[string]bool
 	notStreamed      int
 }
 
 type session struct {
-	turns int
-	last  float64 // tokens of its latest prompt and answer
+	turns         int
+	contextTokens float64 // tokens of its latest prompt and answer
 }
 
-// observe evaluates the requests of one class; prefixes counts the requests of all.
+// observe collects the statistics of one class's requests; prefixes counts the requests with each prefix. A prefix is
+// shared if several requests have it.
 func observe(requests []Request, prefixes map[prefixKey]int) *observation {
 	o := &observation{sessions: map[string]*session{}, prefixes: map[string]bool{}}
 	for i, r := range requests {
@@ -105,66 +106,69 @@
 		s = &session{}
 		o.sessions[key] = s
 		if sharesPrefix {
-			s.last = r.PrefixLen
-			o.prefixTokens = append(o.prefixTokens, r.PrefixLen)
+			s.contextTokens = r.PrefixTokens
+			o.prefixTokens = append(o.prefixTokens, r.PrefixTokens)
 			o.prefixes[r.Prefix] = true
 		}
 	}
-	o.prompts = append(o.prompts, max(r.Prompt-s.last, 1))
-	if r.Result == "served" && r.Out > 0 {
-		o.answers = append(o.answers, float64(r.Out))
+	o.prompts = append(o.prompts, max(r.PromptTokens-s.contextTokens, 1))
+	if r.Result == "served" && r.AnswerTokens > 0 {
+		o.answers = append(o.answers, float64(r.AnswerTokens))
 	}
 	if !r.Stream {
 		o.notStreamed++
 	}
 	s.turns++
-	s.last = r.Prompt + float64(r.Out)
+	s.contextTokens = r.PromptTokens + float64(r.AnswerTokens)
 }
 
-// fit returns the class; its share is in sessions.
+// fit returns the parameters of the class. Its Share is the number of its sessions, which the caller divides by that of
+// all classes.
 func (o *observation) fit(name string, requests int) ClassFit {
 	sessions := float64(len(o.sessions))
 	c := ClassFit{
-		Name:            name,
-		Requests:        requests,
-		Share:           sessions,
-		Turns:           float64(requests) / sessions,
-		PrefixShare:     float64(len(o.prefixTokens)) / sessions,
-		Prefixes:        len(o.prefixes),
-		NotStreamedPart: float64(o.notStreamed) / float64(requests),
+		Name:                name,
+		Requests:            requests,
+		Share:               sessions,
+		Turns:               float64(requests) / sessions,
+		PrefixShare:         float64(len(o.prefixTokens)) / sessions,
+		SharedPrefixes:      len(o.prefixes),
+		NotStreamedFraction: float64(o.notStreamed) / float64(requests),
 	}
 	if len(o.prefixTokens) > 0 {
 		c.PrefixTokens = stat.Mean(o.prefixTokens, nil)
 	}
-	c.Prompt, c.PromptOff = fitMean(o.prompts)
-	c.Answer, c.AnswerOff = fitMean(o.answers)
+	c.PromptTokens, c.PromptDistance = fitMean(o.prompts)
+	c.AnswerTokens, c.AnswerDistance = fitMean(o.answers)
 	return c
 }
 
-// The distribution of synthetic lengths: even from minLength to minLength+lengthSpread, times the mean.
+// Synthetic lengths are distributed uniformly: from minLengthFactor to minLengthFactor+lengthFactorRange times the
+// mean, as package scenario draws them.
 const (
-	minLength    = 0.3
-	lengthSpread = 1.4
-	lengthDraws  = 4000 // that recorded lengths are compared with
+	minLengthFactor   = 0.3
+	lengthFactorRange = 1.4
+	syntheticDraws    = 4000 // sample size to which recorded lengths are compared
 )
 
-// fitMean returns the mean of lengths, and how far their distribution is from the synthetic one of that mean.
-func fitMean(lengths []float64) (mean, off float64) {
+// fitMean returns the mean of lengths, and the Kolmogorov-Smirnov distance of their distribution from the synthetic one
+// with that mean.
+func fitMean(lengths []float64) (mean, distance float64) {
 	if len(lengths) == 0 {
 		return 1, 1
 	}
 	mean = stat.Mean(lengths, nil)
 	rnd := rand.New(rand.NewPCG(1, 1))
-	draws := make([]float64, lengthDraws)
+	draws := make([]float64, syntheticDraws)
 	for i := range draws {
-		draws[i] = mean * (minLength + lengthSpread*rnd.Float64())
+		draws[i] = mean * (minLengthFactor + lengthFactorRange*rnd.Float64())
 	}
 	slices.Sort(draws)
 	return mean, stat.KolmogorovSmirnov(slices.Sorted(slices.Values(lengths)), nil, draws, nil)
 }
 
-// bursts returns the variance over the mean of requests in a second.
-func bursts(t *Trace) float64 {
+// dispersionIndex returns the variance over the mean of the requests in a second.
+func dispersionIndex(t *Trace) float64 {
 	counts := make([]float64, int(t.Length().Seconds())+1)
 	for _, r := range t.Requests {
 		counts[int(r.At.Seconds())]++
--- a/internal/simulation/trace/golden_test.go
+++ b/internal/simulation/trace/golden_test.go
@@ -18,12 +18,12 @@
 func formatTrace(tr *Trace) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "begin %s parts %d torn %t steps %d gaps %d\n",
-		tr.Begin.UTC().Format(time.RFC3339Nano), tr.Parts, tr.Torn, tr.Steps, len(tr.Gaps))
+		tr.Begin.UTC().Format(time.RFC3339Nano), tr.Parts, tr.Truncated, tr.ClockSteps, len(tr.Gaps))
 	for _, q := range tr.Requests {
 		fmt.Fprintf(&s, "at=%d class=%q tenant=%q session=%q prefix=%q prompt=%v prefix_len=%v max_out=%v out=%d "+
 			"stream=%t result=%q first=%d took=%d\n",
-			q.At, q.Class, q.Tenant, q.Session, q.Prefix, q.Prompt, q.PrefixLen, q.MaxOut, q.Out,
-			q.Stream, q.Result, q.First, q.Took)
+			q.At, q.Class, q.Tenant, q.Session, q.Prefix, q.PromptTokens, q.PrefixTokens, q.MaxAnswerTokens, q.AnswerTokens,
+			q.Stream, q.Result, q.FirstToken, q.Duration)
 	}
 	return s.String()
 }
@@ -42,11 +42,12 @@
 	return string(text)
 }
 
-// A stored recording of two parts is read whole, and written again byte for byte.
-func TestRecordingFormIsUnchanged(t *testing.T) {
+// Writes a recording of two parts, which must equal the stored one byte for byte, and reads the stored one.
+func TestRecordingFormatIsUnchanged(t *testing.T) {
 	full := Request{
-		At: 3, Class: "c", Tenant: "t", Session: "s", Prefix: "p", Prompt: 100.5, PrefixLen: 50.25,
-		MaxOut: 64, Out: 7, Stream: true, Result: "served", First: 123456789, Took: 2 * time.Second,
+		At: 3, Class: "c", Tenant: "t", Session: "s", Prefix: "p", PromptTokens: 100.5, PrefixTokens: 50.25,
+		MaxAnswerTokens: 64, AnswerTokens: 7, Stream: true, Result: "served",
+		FirstToken: 123456789, Duration: 2 * time.Second,
 	}
 	var b bytes.Buffer
 	writePart(t, &b, begin, full, requestAt(1), Request{At: 5, Class: "<&>", Result: "refused"})
@@ -60,7 +61,7 @@
 	golden.Check(t, "recording.read.txt", formatTrace(readTrace(t, stored)))
 }
 
-// A recording made of a replica's log lines.
+// Compares the recording that FromLog makes of a replica's log with the stored one.
 func TestRecordingOfLogIsUnchanged(t *testing.T) {
 	const log = `{"level":"info","ts":"2026-01-02T03:04:05.678Z","msg":"answer served","front":"f","class":"c",` +
 		`"tenant":"t","session":"s","prefix":"p","prompt_tokens":100.5,"prefix_tokens":50.25,"max_out":64,"events":7,` +
--- a/internal/simulation/trace/log.go
+++ b/internal/simulation/trace/log.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// answerLine is what a replica logs of a request's final answer, with JSON lines at level info.
-type answerLine struct {
-	TS        string  `json:"ts"`
-	Msg       string  `json:"msg"`
-	Replica   string  `json:"front"`
-	Class     string  `json:"class"`
-	Tenant    string  `json:"tenant"`
-	Session   string  `json:"session"`
-	Prefix    string  `json:"prefix"`
-	Prompt    float64 `json:"prompt_tokens"`
-	PrefixLen float64 `json:"prefix_tokens"`
-	MaxOut    float64 `json:"max_out"`
-	Events    int     `json:"events"`
-	Stream    bool    `json:"stream"`
-	First     string  `json:"first_token"`
-	Took      string  `json:"took"`
+// finalAnswerLine is the JSON line that a replica logs at level info for the final answer of a request.
+type finalAnswerLine struct {
+	Timestamp       string  `json:"ts"`
+	Message         string  `json:"msg"`
+	Replica         string  `json:"front"`
+	Class           string  `json:"class"`
+	Tenant          string  `json:"tenant"`
+	Session         string  `json:"session"`
+	Prefix          string  `json:"prefix"`
+	PromptTokens    float64 `json:"prompt_tokens"`
+	PrefixTokens    float64 `json:"prefix_tokens"`
+	MaxAnswerTokens float64 `json:"max_out"`
+	Events          int     `json:"events"`
+	Stream          bool    `json:"stream"`
+	FirstToken      string  `json:"first_token"`
+	Duration        string  `json:"took"`
 }
 
-// answerMessage is the prefix of the message of a final answer; the result follows.
-const answerMessage = "answer "
+// answerMessagePrefix begins the message of a final answer; the result follows it.
+const answerMessagePrefix = "answer "
 
-// A FieldError is returned for a log line of a final answer with an invalid field.
+// FieldError is the error for the log line of a final answer with an invalid field.
 type FieldError struct {
 	Line  int
 	Field string
@@ -48,19 +48,19 @@
 var ErrNoAnswers = errors.New(
 	`trace: the log holds no final answers: it must be JSON lines at level info (<log level="info"/>)`)
 
-// maxLogLine is the longest line of a log, in bytes.
+// maxLogLine is the longest accepted line of a log, in bytes.
 const maxLogLine = 1 << 20
 
-// FromLog writes a trace of a replica's log. Lines that are no final answers are skipped and counted; one that looks
-// like a final answer and can't be read is a *FieldError.
+// FromLog writes a trace of the requests in a replica's log. Lines that are not of a final answer are skipped and
+// counted; a final answer with an invalid time is a *FieldError.
 func FromLog(log io.Reader, out io.Writer) (requests, skipped int, err error) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(make([]byte, 64<<10), maxLogLine)
 	var w *Writer
 	var begin time.Time
 	for n := 1; lines.Scan(); n++ {
-		var line answerLine
-		if json.Unmarshal(lines.Bytes(), &line) != nil || !strings.HasPrefix(line.Msg, answerMessage) {
+		var line finalAnswerLine
+		if json.Unmarshal(lines.Bytes(), &line) != nil || !strings.HasPrefix(line.Message, answerMessagePrefix) {
 			skipped++
 			continue
 		}
@@ -89,24 +89,24 @@
 	return requests, skipped, w.Close()
 }
 
-// request returns the request of the n-th line, and when it was accepted.
-func (l *answerLine) request(n int) (r Request, accepted time.Time, err error) {
-	ended, err := time.Parse(time.RFC3339Nano, l.TS)
+// request returns the request of the line, which is the n-th of the log, and when it was accepted.
+func (l *finalAnswerLine) request(n int) (r Request, accepted time.Time, err error) {
+	ended, err := time.Parse(time.RFC3339Nano, l.Timestamp)
 	if err != nil {
 		return r, accepted, &FieldError{n, "ts", err}
 	}
 	r = Request{
-		Class: l.Class, Tenant: l.Tenant, Session: l.Session, Prefix: l.Prefix, Prompt: l.Prompt,
-		PrefixLen: l.PrefixLen, MaxOut: l.MaxOut, Out: l.Events, Stream: l.Stream,
-		Result: strings.TrimPrefix(l.Msg, answerMessage),
+		Class: l.Class, Tenant: l.Tenant, Session: l.Session, Prefix: l.Prefix, PromptTokens: l.PromptTokens,
+		PrefixTokens: l.PrefixTokens, MaxAnswerTokens: l.MaxAnswerTokens, AnswerTokens: l.Events, Stream: l.Stream,
+		Result: strings.TrimPrefix(l.Message, answerMessagePrefix),
 	}
-	if r.Took, err = time.ParseDuration(l.Took); err != nil {
+	if r.Duration, err = time.ParseDuration(l.Duration); err != nil {
 		return r, accepted, &FieldError{n, "took", err}
 	}
-	if l.First != "" {
-		if r.First, err = time.ParseDuration(l.First); err != nil {
+	if l.FirstToken != "" {
+		if r.FirstToken, err = time.ParseDuration(l.FirstToken); err != nil {
 			return r, accepted, &FieldError{n, "first_token", err}
 		}
 	}
-	return r, ended.Add(-r.Took), nil
+	return r, ended.Add(-r.Duration), nil
 }
--- a/internal/simulation/trace/read.go
+++ b/internal/simulation/trace/read.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	maxLine      = 1 << 16   // bytes
-	maxMemory    = 256 << 20 // bytes, of the decompressor
-	minClockStep = time.Second
+	maxLine               = 1 << 16     // bytes
+	maxDecompressorMemory = 256 << 20   // bytes, of the decompressor
+	minClockStep          = time.Second // smaller steps back are ignored
 )
 
-// A LineError is returned for a file with an invalid line.
+// LineError is the error for an invalid line.
 type LineError struct {
 	Line int
 	Err  error
@@ -30,24 +30,25 @@
 
 func (e *LineError) Unwrap() error { return e.Err }
 
-// A VersionError is returned for a part of another version.
+// VersionError is the error for a part of an unsupported format version.
 type VersionError struct{ Version int }
 
 func (e VersionError) Error() string {
-	return fmt.Sprintf("a header of version %d, this program reads version %d", e.Version, Version)
+	return fmt.Sprintf("the header has version %d; only version %d is supported", e.Version, Version)
 }
 
-// The other errors of lines.
+// Other errors that a LineError wraps.
 var (
-	ErrLongLine  = fmt.Errorf("over %d bytes", maxLine)
-	ErrNoHeader  = errors.New("not a trace: the first line must be its header")
-	ErrNoRequest = errors.New("not a request: class, prompt and took are needed")
+	ErrLongLine       = fmt.Errorf("longer than %d bytes", maxLine)
+	ErrNoHeader       = errors.New("not a trace: the first line is not a header")
+	ErrInvalidRequest = errors.New("invalid request: class is missing, or prompt, out or took is negative")
 )
 
-// Read reads a whole file. A cut end, steps of the clock and gaps are reported in the trace; a line that is no request
-// is a *LineError.
+// Read reads a whole file. A truncated end, clock steps and gaps are reported in the Trace; an invalid line is a
+// *LineError.
 func Read(r io.Reader) (*Trace, error) {
-	decompressor, err := zstd.NewReader(r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxMemory))
+	decompressor, err := zstd.NewReader(
+		r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressorMemory))
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +58,7 @@
 	for n := 1; ; n++ {
 		line, err := lines.ReadSlice('\n')
 		if err != nil {
-			if err := p.end(n, line, err); err != nil {
+			if err := p.handleReadError(n, line, err); err != nil {
 				return nil, err
 			}
 			break
@@ -75,12 +76,13 @@
 // parser builds a trace line by line.
 type parser struct {
 	trace   *Trace
-	offset  time.Duration // of the present part
+	offset  time.Duration // added to the times of the current part
 	lastEnd time.Duration // the latest end of a request so far
 }
 
-// end follows an error of reading the n-th line. It returns nil where the file ends there, whole or cut off.
-func (p *parser) end(n int, line []byte, err error) error {
+// handleReadError handles an error from reading the n-th line. It returns nil if the file ends there, complete or
+// truncated.
+func (p *parser) handleReadError(n int, line []byte, err error) error {
 	switch {
 	case errors.Is(err, io.EOF) && len(line) == 0 && p.trace.Parts > 0:
 		return nil
@@ -89,7 +91,7 @@
 	case p.trace.Parts == 0:
 		return fmt.Errorf("trace: no header: %w", err)
 	}
-	p.trace.Torn = true // cut within a frame, or within a line
+	p.trace.Truncated = true // the file ends within a frame or a line
 	return nil
 }
 
@@ -113,8 +115,9 @@
 	}
 	p.trace.Parts++
 	p.offset = h.Begin.Sub(p.trace.Begin)
-	if p.lastEnd-p.offset > minClockStep { // it begins before the last part ended: another clock, or a step between
-		p.trace.Steps++
+	if p.lastEnd-p.offset > minClockStep {
+		// The part begins before the previous one ended: its clock is another one, or was set back in between.
+		p.trace.ClockSteps++
 		p.offset = p.lastEnd
 	}
 	return nil
@@ -125,13 +128,14 @@
 	if err := json.Unmarshal(line, &r); err != nil {
 		return err
 	}
-	isPrompt := r.Prompt >= 0 // false for NaN
-	if r.Class == "" || !isPrompt || r.Took < 0 || r.Out < 0 {
-		return ErrNoRequest
+	validPrompt := r.PromptTokens >= 0 // false for NaN
+	if r.Class == "" || !validPrompt || r.Duration < 0 || r.AnswerTokens < 0 {
+		return ErrInvalidRequest
 	}
 	r.At += p.offset
-	if end := r.At + r.Took; end < p.lastEnd-minClockStep { // requests are written in the order of their ends
-		p.trace.Steps++
+	if end := r.At + r.Duration; end < p.lastEnd-minClockStep {
+		// Requests are written in the order in which they end, so the clock was set back.
+		p.trace.ClockSteps++
 		p.offset += p.lastEnd - end
 		r.At += p.lastEnd - end
 	} else {
--- a/internal/simulation/trace/replay.go
+++ b/internal/simulation/trace/replay.go
@@ -7,7 +7,7 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// A NameError is returned for a recorded request whose class or tenant a scenario does not have.
+// NameError is the error for a recorded request whose class or tenant the scenario does not have.
 type NameError struct {
 	Request int    // counted from 1
 	What    string // class or tenant
@@ -15,11 +15,12 @@
 }
 
 func (e *NameError) Error() string {
-	return fmt.Sprintf("trace: request %d is of the %s %q, the day has no such <%s>", e.Request, e.What, e.Name, e.What)
+	return fmt.Sprintf("trace: request %d has %s %q, which is not a <%s> of the scenario",
+		e.Request, e.What, e.Name, e.What)
 }
 
-// Recorded returns the requests in terms of a scenario; classes and tenants are matched by name.
-func (t *Trace) Recorded(s *scenario.Scenario) ([]scenario.RecordedRequest, error) {
+// RecordedRequests assigns the requests to the classes and tenants of a scenario, by name, for a replay.
+func (t *Trace) RecordedRequests(s *scenario.Scenario) ([]scenario.RecordedRequest, error) {
 	requests := make([]scenario.RecordedRequest, 0, len(t.Requests))
 	for i, r := range t.Requests {
 		class := slices.IndexFunc(s.Classes, func(c scenario.Class) bool { return c.Name == r.Class })
@@ -30,13 +31,13 @@
 		if tenant < 0 && len(s.Tenants) > 0 {
 			return nil, &NameError{i + 1, "tenant", r.Tenant}
 		}
-		out := r.Out
-		if out == 0 { // rejected or failed: how long its answer would have been is not known
-			out = max(int(s.Classes[class].AnswerTokens), 1)
+		answerTokens := r.AnswerTokens
+		if answerTokens == 0 { // rejected or failed: the length of its answer is unknown, so the mean is used
+			answerTokens = max(int(s.Classes[class].AnswerTokens), 1)
 		}
 		requests = append(requests, scenario.RecordedRequest{
-			At: r.At, Class: class, Tenant: tenant, Session: r.Session, Prefix: r.Prefix, Prompt: r.Prompt,
-			PrefixLen: min(r.PrefixLen, r.Prompt), Out: out, Stream: r.Stream,
+			At: r.At, Class: class, Tenant: tenant, Session: r.Session, Prefix: r.Prefix, PromptTokens: r.PromptTokens,
+			PrefixTokens: min(r.PrefixTokens, r.PromptTokens), AnswerTokens: answerTokens, Stream: r.Stream,
 		})
 	}
 	return requests, nil
--- a/internal/simulation/trace/trace.go
+++ b/internal/simulation/trace/trace.go
@@ -1,10 +1,11 @@
-// Package trace keeps recorded traffic: which requests came when, of what class, session and shared prefix, how long
-// they were and what their results were; no text. It owns the file's format, reads damaged files as far as possible,
-// and reports what is wrong with them.
+// Package trace reads and writes recorded traffic: when requests arrived, their class, session and shared prefix, their
+// lengths and their results, but no text. It defines the file format, reads damaged files as far as possible and
+// reports the damage.
 //
-// The format, version 1: Zstandard frames (RFC 8878), one after the other, of JSON lines. A line with "trace" begins
-// a part, from a replica that started or a file that was appended to; all others are requests of the part, in the
-// order in which they ended. Times are nanoseconds; at counts from the part's begin.
+// Version 1 of the format is a sequence of Zstandard frames (RFC 8878) that contain JSON lines. A line that starts with
+// the key "trace" is a header and begins a part, as written by one process of a replica or one append to the file. All
+// other lines are requests of the part, in the order in which they ended. Times are in nanoseconds; at counts from the
+// start of the part.
 package trace
 
 import (
@@ -17,10 +18,10 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Version is the newest that is written, and the only one that is read.
+// Version is the version of the format that is written, and the only one that is read.
 const Version = 1
 
-// Header begins a part.
+// Header is the first line of a part.
 type Header struct {
 	Version int       `json:"trace"`
 	Begin   time.Time `json:"begin"`
@@ -29,28 +30,28 @@
 
 // Request is one request as its replica saw it.
 type Request struct {
-	At        time.Duration `json:"at"` // when it was accepted
-	Class     string        `json:"class"`
-	Tenant    string        `json:"tenant,omitempty"`
-	Session   string        `json:"session,omitempty"` // opaque; the same for one conversation
-	Prefix    string        `json:"prefix,omitempty"`  // opaque; the same for one shared prefix
-	Prompt    float64       `json:"prompt"`            // tokens
-	PrefixLen float64       `json:"prefix_len,omitempty"`
-	MaxOut    float64       `json:"max_out,omitempty"`
-	Out       int           `json:"out,omitempty"` // tokens answered
-	Stream    bool          `json:"stream,omitempty"`
-	Result    string        `json:"result"`
-	First     time.Duration `json:"first,omitempty"` // to the first token
-	Took      time.Duration `json:"took"`
+	At              time.Duration `json:"at"` // time of acceptance
+	Class           string        `json:"class"`
+	Tenant          string        `json:"tenant,omitempty"`
+	Session         string        `json:"session,omitempty"` // opaque; equal for requests of one session
+	Prefix          string        `json:"prefix,omitempty"`  // opaque; equal for requests with the same prefix
+	PromptTokens    float64       `json:"prompt"`
+	PrefixTokens    float64       `json:"prefix_len,omitempty"`
+	MaxAnswerTokens float64       `json:"max_out,omitempty"`
+	AnswerTokens    int           `json:"out,omitempty"`
+	Stream          bool          `json:"stream,omitempty"`
+	Result          string        `json:"result"`
+	FirstToken      time.Duration `json:"first,omitempty"` // latency of the first token
+	Duration        time.Duration `json:"took"`
 }
 
-// Writer writes one part. It is used by one goroutine.
+// Writer writes one part. It is not safe for concurrent use.
 type Writer struct {
 	compressor *zstd.Encoder
 	encoder    *json.Encoder
 }
 
-// NewWriter begins a part. Close ends it; a part may follow another in one file.
+// NewWriter begins a part by writing its header. Close ends the part; a file may contain several, one after the other.
 func NewWriter(w io.Writer, h Header) (*Writer, error) {
 	compressor, err := zstd.NewWriter(w, zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -64,28 +65,30 @@
 // Add writes a request.
 func (w *Writer) Add(r *Request) error { return w.encoder.Encode(r) }
 
-// Flush makes what was added so far readable, should the process end.
+// Flush writes out the requests added so far, so that they can be read even if the process ends without Close.
 func (w *Writer) Flush() error { return w.compressor.Flush() }
 
-// Close ends the part. It does not close what it writes to.
+// Close ends the part. It does not close the underlying writer.
 func (w *Writer) Close() error { return w.compressor.Close() }
 
-// Trace is the content of a file: the requests of all parts by time, counted from the first part's begin.
+// Trace is the content of a file: the requests of all parts, sorted by their times, which count from the start of the
+// first part.
 type Trace struct {
-	Begin    time.Time
-	Requests []Request
-	Parts    int
-	Torn     bool  // the end is cut off
-	Steps    int   // times at which a clock was set back by over a second; what follows was moved
-	Gaps     []Gap // spans without requests, far longer than between other requests
+	Begin      time.Time
+	Requests   []Request
+	Parts      int
+	Truncated  bool  // the end of the file is missing
+	ClockSteps int   // how often a clock was set back by more than a second; later requests were shifted
+	Gaps       []Gap // in order
 }
 
-// Gap is a span without requests.
+// Gap is a span without requests that is far longer than the usual time between two requests.
 type Gap struct{ From, To time.Duration }
 
+// A span without requests is a gap if it is longer than both limits.
 const (
-	minGap     = 30 * time.Second
-	minGapTime = 100 // times the median time between requests
+	minGap        = 30 * time.Second
+	minGapMedians = 100 // times the median time between requests
 )
 
 func (t *Trace) findGaps() {
@@ -93,13 +96,13 @@
 	if n < 3 {
 		return
 	}
-	// The median, since the gaps themselves would raise the mean.
+	// The limit is based on the median, since the gaps themselves would raise a mean.
 	var between []time.Duration
 	for i := 1; i < n; i++ {
 		between = append(between, t.Requests[i].At-t.Requests[i-1].At)
 	}
 	slices.Sort(between)
-	limit := max(minGap, minGapTime*between[len(between)/2])
+	limit := max(minGap, minGapMedians*between[len(between)/2])
 	for i := 1; i < n; i++ {
 		if from, to := t.Requests[i-1].At, t.Requests[i].At; to-from > limit {
 			t.Gaps = append(t.Gaps, Gap{from, to})
@@ -107,7 +110,7 @@
 	}
 }
 
-// CloseGaps moves what follows each gap to its start, so that a comparison does not play it.
+// CloseGaps removes the gaps by moving the requests after each gap to its start, so that a replay does not idle.
 func (t *Trace) CloseGaps() {
 	for len(t.Gaps) > 0 {
 		gap := t.Gaps[len(t.Gaps)-1]
@@ -120,7 +123,7 @@
 	}
 }
 
-// Length returns the time from the first part's begin to the last request.
+// Length returns the time from the start of the first part to the last request.
 func (t *Trace) Length() time.Duration {
 	if len(t.Requests) == 0 {
 		return 0
@@ -128,17 +131,18 @@
 	return t.Requests[len(t.Requests)-1].At
 }
 
-// Notes returns what is wrong with the file, for people.
-func (t *Trace) Notes() (notes []string) {
-	if t.Torn {
-		notes = append(notes, fmt.Sprintf("its end is cut off: %d requests were read", len(t.Requests)))
+// Warnings returns messages on the damage to the file and on its gaps.
+func (t *Trace) Warnings() (warnings []string) {
+	if t.Truncated {
+		warnings = append(warnings, fmt.Sprintf("the end of the file is missing; %d requests were read", len(t.Requests)))
 	}
-	if t.Steps > 0 {
-		notes = append(notes, fmt.Sprintf("its clock went back %d times; what follows was moved on", t.Steps))
+	if t.ClockSteps > 0 {
+		warnings = append(warnings, fmt.Sprintf("the clock was set back %d times; later requests were shifted",
+			t.ClockSteps))
 	}
 	for _, gap := range t.Gaps {
 		from, to := gap.From.Round(time.Second), gap.To.Round(time.Second)
-		notes = append(notes, fmt.Sprintf("nothing from %v to %v", from, to))
+		warnings = append(warnings, fmt.Sprintf("no requests from %v to %v", from, to))
 	}
-	return notes
+	return warnings
 }
--- a/internal/simulation/trace/trace_test.go
+++ b/internal/simulation/trace/trace_test.go
@@ -38,8 +38,8 @@
 
 func requestAt(seconds float64) Request {
 	return Request{
-		At: time.Duration(seconds * float64(time.Second)), Class: "c", Prompt: 100, Took: 100 * time.Millisecond,
-		Result: "served", Out: 5,
+		At: time.Duration(seconds * float64(time.Second)), Class: "c", PromptTokens: 100, Duration: 100 * time.Millisecond,
+		Result: "served", AnswerTokens: 5,
 	}
 }
 
@@ -52,19 +52,20 @@
 	return tr
 }
 
-// A replica that was restarted, a night without requests, and a clock that was set back.
-func TestReadPartsGapsAndSteps(t *testing.T) {
+// Reads recordings with two parts, with hours without requests, and with a clock that was set back within a part and
+// between two.
+func TestReadDetectsGapsAndClockSteps(t *testing.T) {
 	var b bytes.Buffer
 	writePart(t, &b, begin, requestAt(0), requestAt(1), requestAt(2), requestAt(3))
 	writePart(t, &b, begin.Add(10*time.Second), requestAt(0), requestAt(1))
 	tr := readTrace(t, b.Bytes())
-	if tr.Parts != 2 || len(tr.Requests) != 6 || tr.Requests[4].At != 10*time.Second || tr.Steps != 0 ||
+	if tr.Parts != 2 || len(tr.Requests) != 6 || tr.Requests[4].At != 10*time.Second || tr.ClockSteps != 0 ||
 		len(tr.Gaps) != 0 {
 		t.Errorf("%+v", tr)
 	}
 	writePart(t, &b, begin.Add(10*time.Hour), requestAt(0), requestAt(1))
 	tr = readTrace(t, b.Bytes())
-	if len(tr.Gaps) != 1 || tr.Gaps[0].To != 10*time.Hour || len(tr.Notes()) != 1 {
+	if len(tr.Gaps) != 1 || tr.Gaps[0].To != 10*time.Hour || len(tr.Warnings()) != 1 {
 		t.Errorf("%+v", tr.Gaps)
 	}
 	tr.CloseGaps()
@@ -72,27 +73,28 @@
 		t.Errorf("closed: %v", tr.Length())
 	}
 	b.Reset()
-	// The clock is set back by 15 s after the third.
+	// The clock is set back by 15 s after the third request.
 	back := []Request{requestAt(0), requestAt(10), requestAt(20), requestAt(5), requestAt(6)}
 	writePart(t, &b, begin, back...)
 	writePart(t, &b, begin.Add(-time.Hour), requestAt(0))
 	tr = readTrace(t, b.Bytes())
-	if tr.Steps != 2 || tr.Length() < 20*time.Second || tr.Length() > time.Minute ||
+	if tr.ClockSteps != 2 || tr.Length() < 20*time.Second || tr.Length() > time.Minute ||
 		tr.Requests[4].At-tr.Requests[3].At != time.Second {
-		t.Errorf("%d steps over %v: %+v", tr.Steps, tr.Length(), tr.Requests)
+		t.Errorf("%d steps over %v: %+v", tr.ClockSteps, tr.Length(), tr.Requests)
 	}
-	// Requests end out of the order in which they began; that is no step.
+	// A request may end after others that began later; this is not a clock step.
 	b.Reset()
 	long := requestAt(0)
-	long.Took = 20 * time.Second
+	long.Duration = 20 * time.Second
 	writePart(t, &b, begin, requestAt(1), requestAt(5), long, requestAt(21))
-	if tr = readTrace(t, b.Bytes()); tr.Steps != 0 || tr.Requests[0].Took != 20*time.Second {
+	if tr = readTrace(t, b.Bytes()); tr.ClockSteps != 0 || tr.Requests[0].Duration != 20*time.Second {
 		t.Errorf("%+v", tr)
 	}
 }
 
-// Of a file that is cut at any byte, what was flushed before is read; it is an error where not even the header is.
-func TestReadTornFile(t *testing.T) {
+// A file may be truncated at any byte, as by a crash. Requests that were flushed before that byte must be read; an
+// error is acceptable only if there are none.
+func TestReadTruncatedFile(t *testing.T) {
 	var b bytes.Buffer
 	w, err := NewWriter(&b, Header{Begin: begin})
 	if err != nil {
@@ -126,24 +128,24 @@
 		}
 		if err != nil {
 			if least > 0 {
-				t.Fatalf("cut at %d of %d: %v, %d requests were flushed", cut, len(whole), err, least)
+				t.Fatalf("truncated at %d of %d: %v, %d requests were flushed", cut, len(whole), err, least)
 			}
 			continue
 		}
-		if len(tr.Requests) < least || !tr.Torn && len(tr.Requests) < 200 {
-			t.Fatalf("cut at %d of %d: %d requests, %d were flushed, torn %v",
-				cut, len(whole), len(tr.Requests), least, tr.Torn)
+		if len(tr.Requests) < least || !tr.Truncated && len(tr.Requests) < 200 {
+			t.Fatalf("truncated at %d of %d: %d requests, %d were flushed, reported as truncated: %v",
+				cut, len(whole), len(tr.Requests), least, tr.Truncated)
 		}
 	}
-	if tr := readTrace(t, whole); tr.Torn || len(tr.Requests) != 200 {
+	if tr := readTrace(t, whole); tr.Truncated || len(tr.Requests) != 200 {
 		t.Errorf("whole: %+v", tr)
 	}
 }
 
 func TestReadRejectsInvalidFiles(t *testing.T) {
 	var other, bad, line bytes.Buffer
-	writePart(t, &bad, begin, Request{Class: "", Prompt: 1})
-	writePart(t, &line, begin, Request{Class: "c", Prompt: 1, Session: strings.Repeat("x", 2*maxLine)})
+	writePart(t, &bad, begin, Request{Class: "", PromptTokens: 1})
+	writePart(t, &line, begin, Request{Class: "c", PromptTokens: 1, Session: strings.Repeat("x", 2*maxLine)})
 	w, _ := NewWriter(&other, Header{Begin: begin})
 	_ = w.encoder.Encode(map[string]int{"trace": 9})
 	w.Close()
@@ -155,7 +157,7 @@
 		{"nothing", nil, io.EOF},
 		{"text", []byte("hello\n"), zstd.ErrMagicMismatch},
 		{"another version", other.Bytes(), VersionError{9}},
-		{"no class", bad.Bytes(), ErrNoRequest},
+		{"no class", bad.Bytes(), ErrInvalidRequest},
 		{"long line", line.Bytes(), ErrLongLine},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -182,9 +184,9 @@
 	}
 	tr := readTrace(t, b.Bytes())
 	want := Request{
-		At: 0, Class: "order", Tenant: "north", Session: "ab", Prefix: "cd", Prompt: 120, PrefixLen: 40,
-		MaxOut: 90, Out: 31, Stream: true,
-		Result: "served", First: 200 * time.Millisecond, Took: 500 * time.Millisecond,
+		At: 0, Class: "order", Tenant: "north", Session: "ab", Prefix: "cd", PromptTokens: 120, PrefixTokens: 40,
+		MaxAnswerTokens: 90, AnswerTokens: 31, Stream: true,
+		Result: "served", FirstToken: 200 * time.Millisecond, Duration: 500 * time.Millisecond,
 	}
 	if tr.Requests[0] != want || tr.Requests[1].At != 990*time.Millisecond || tr.Requests[1].Result != "refused" ||
 		!tr.Begin.Equal(begin.Add(2*time.Second)) {
@@ -212,7 +214,7 @@
   <class name="b" effect="unsafe" share="0.4" aim="1s" deadline="5s" prompt="500tokens" answer="15tokens"
     not-streamed-part="0.5"/></day>`
 
-// recordSynthetic returns what a replica would have recorded of the clients of syntheticXML.
+// recordSynthetic returns the scenario of syntheticXML and a recording of its clients, as a replica would make it.
 func recordSynthetic(t *testing.T) (*scenario.Scenario, *Trace) {
 	t.Helper()
 	sc, err := scenario.Parse("synthetic.xml", []byte(syntheticXML))
@@ -232,8 +234,8 @@
 		for at := now; ; {
 			bytes, prefix := s.PromptBytes()
 			q := Request{
-				At: at, Class: sc.Classes[s.Class].Name, Session: s.Key, Prompt: float64(bytes) / 4,
-				PrefixLen: float64(prefix) / 4, Out: s.Answer, Stream: s.Stream, Result: "served",
+				At: at, Class: sc.Classes[s.Class].Name, Session: s.Key, PromptTokens: float64(bytes) / 4,
+				PrefixTokens: float64(prefix) / 4, AnswerTokens: s.AnswerTokens, Stream: s.Stream, Result: "served",
 			}
 			if prefix > 0 {
 				q.Prefix = fmt.Sprint(s.Prefix.Seed)
@@ -258,8 +260,9 @@
 	return sc, readTrace(t, b.Bytes())
 }
 
-// A recording of synthetic clients gives their figures back, and others are shown not to fit.
-func TestFitFindsSyntheticFigures(t *testing.T) {
+// Fitting a recording of synthetic clients yields their parameters. Prompts with another distribution of lengths are
+// reported as a poor fit.
+func TestFitRecoversSyntheticParameters(t *testing.T) {
 	sc, tr := recordSynthetic(t)
 	f, err := Fit(tr)
 	if err != nil {
@@ -275,20 +278,20 @@
 		k := sc.Classes[i]
 		near(c.Name+" share", c.Share, k.Share, 0.1)
 		near(c.Name+" turns", c.Turns, k.Turns, 0.12)
-		near(c.Name+" prompt", c.Prompt, float64(k.PromptTokens), 0.1)
-		near(c.Name+" answer", c.Answer, float64(k.AnswerTokens), 0.1)
-		if c.PromptOff > 0.12 || c.AnswerOff > 0.12 {
-			t.Errorf("%s: off by %v and %v", c.Name, c.PromptOff, c.AnswerOff)
+		near(c.Name+" prompt", c.PromptTokens, float64(k.PromptTokens), 0.1)
+		near(c.Name+" answer", c.AnswerTokens, float64(k.AnswerTokens), 0.1)
+		if c.PromptDistance > 0.12 || c.AnswerDistance > 0.12 {
+			t.Errorf("%s: distances of %v and %v", c.Name, c.PromptDistance, c.AnswerDistance)
 		}
 	}
 	near("prefix", f.Classes[0].PrefixTokens, 800, 0.05)
 	near("shared", f.Classes[0].PrefixShare, 0.7, 0.1)
-	near("not streamed", f.Classes[1].NotStreamedPart, 0.5, 0.15)
+	near("not streamed", f.Classes[1].NotStreamedFraction, 0.5, 0.15)
 	for i := range tr.Requests {
-		tr.Requests[i].Prompt *= math.Exp(2 * math.Sin(float64(i)))
+		tr.Requests[i].PromptTokens *= math.Exp(2 * math.Sin(float64(i)))
 	}
-	if f, _ = Fit(tr); f.Classes[1].PromptOff < 0.15 {
-		t.Errorf("long tails fit: %v", f.Classes[1].PromptOff)
+	if f, _ = Fit(tr); f.Classes[1].PromptDistance < 0.15 {
+		t.Errorf("prompts with a long tail have a distance of only %v", f.Classes[1].PromptDistance)
 	}
 	var text bytes.Buffer
 	if f.WriteText(&text) != nil || !strings.Contains(text.String(), `class name="b"`) {
@@ -299,10 +302,11 @@
 	}
 }
 
-// Recorded requests are played as they came, three times as many on demand, and two recordings together.
-func TestReplayPlaysEveryRequest(t *testing.T) {
+// A replay contains every request recorded within the length of the scenario, and keeps the rules of the audit. Blend
+// with scale 3 triples a recording; with scales 1 and 0.5 it merges one recording with about half of another.
+func TestReplayAndBlendRequestCounts(t *testing.T) {
 	sc, tr := recordSynthetic(t)
-	list, err := tr.Recorded(sc)
+	list, err := tr.RecordedRequests(sc)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -330,7 +334,7 @@
 		}
 	}
 	if n := count(list); n != within {
-		t.Errorf("%d requests were played, %d recorded in the scenario's time", n, within)
+		t.Errorf("%d requests were replayed, %d were recorded within the length of the scenario", n, within)
 	}
 	three := scenario.Blend(1, [][]scenario.RecordedRequest{list}, []float64{3})
 	sc.Length = three[len(three)-1].At
@@ -342,7 +346,7 @@
 		t.Errorf("one and a half: %v", n)
 	}
 	tr.Requests[3].Class = "unknown"
-	_, err = tr.Recorded(sc)
+	_, err = tr.RecordedRequests(sc)
 	var name *NameError
 	if !errors.As(err, &name) || name.Name != "unknown" || !strings.Contains(err.Error(), "unknown") {
 		t.Errorf("an unknown class: %v", err)
