--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -69,7 +69,7 @@
 func (r *Report) plotService() (svg []byte, err error) {
 	service := make([]float64, len(r.Timeline))
 	for i, second := range r.Timeline {
-		service[i] = second.Worth / second.Asked // NaN, which is not drawn, for a second without requests
+		service[i] = second.ServedWeight / second.RequestedWeight // NaN, which is not drawn, for a second without requests
 	}
 	return chart.SVG("service by the time of asking, mean of 5 s", "seconds", "service",
 		chart.Line{Name: "service", X: chart.Seconds(len(service)), Y: chart.Smooth(service, smoothingSeconds)})
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -114,7 +114,7 @@
 	for {
 		for len(changes) > 0 && time.Since(r.startedAt) >= changes[0].At {
 			r.mu.Lock()
-			changes[0].Do(&r.conditions)
+			changes[0].Apply(&r.conditions)
 			r.mu.Unlock()
 			changes = changes[1:]
 		}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -112,8 +112,8 @@
 	}
 	for _, c := range report.Classes {
 		// the time to the first token includes the rejected attempt and the pause of 20 ms after it
-		if q := quantiles(c.FirstToken); q.Count != int64(c.Requests) || q.P50 < 80 || c.Tries != 2*c.Requests {
-			t.Errorf("%s: %+v, %d attempts", c.Name, q, c.Tries)
+		if q := quantiles(c.FirstToken); q.Count != int64(c.Requests) || q.P50 < 80 || c.Attempts != 2*c.Requests {
+			t.Errorf("%s: %+v, %d attempts", c.Name, q, c.Attempts)
 		}
 	}
 	gaps := report.Classes[0].TokenGap.TotalCount()
--- a/internal/scenariorun/enginefaults.go
+++ b/internal/scenariorun/enginefaults.go
@@ -29,7 +29,7 @@
 }
 
 // partOrAll returns the fraction of requests that a fault affects: all where it states none.
-func partOrAll(fault *scenario.Fault) float64 { return cmp.Or(fault.Part, 1) }
+func partOrAll(fault *scenario.Fault) float64 { return cmp.Or(fault.Fraction, 1) }
 
 // beginOnEngines draws the engines that a fault affects, begins it on them and returns the function that undoes it.
 func (s *faultScript) beginOnEngines(fault *scenario.Fault) (undo func()) {
--- a/internal/scenariorun/faults.go
+++ b/internal/scenariorun/faults.go
@@ -141,7 +141,7 @@
 	c := &s.conditions
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	undo := c.current.Change(fault)
+	undo := c.current.Apply(fault)
 	if undo == nil {
 		return nil
 	}
@@ -156,5 +156,5 @@
 // pick draws the engines that a fault affects. It leaves out engines that have a fault in force, so that the fleet
 // doesn't lose more capacity than the scenario says.
 func (s *faultScript) pick(fault *scenario.Fault) []*engine.Server {
-	return scenario.Draw(fault, s.random, s.engines.healthy(fault.Kind))
+	return scenario.DrawTargets(fault, s.random, s.engines.healthy(fault.Kind))
 }
--- a/internal/simulation/fleet/apiserver.go
+++ b/internal/simulation/fleet/apiserver.go
@@ -112,7 +112,7 @@
 	for i := range faults {
 		fault := &faults[i]
 		conditions := scenario.NormalConditions()
-		if conditions.Change(fault) != nil { // the fault changes client behavior and is applied by the clients actor
+		if conditions.Apply(fault) != nil { // the fault changes client behavior and is applied by the clients actor
 			continue
 		}
 		s.runTask(fault.At, func() {
--- a/internal/simulation/fleet/apiserver_faults.go
+++ b/internal/simulation/fleet/apiserver_faults.go
@@ -15,7 +15,7 @@
 			candidates = append(candidates, i)
 		}
 	}
-	return scenario.Draw(f, s.faultRnd, candidates)
+	return scenario.DrawTargets(f, s.faultRnd, candidates)
 }
 
 // applyFault starts a fault. undo ends it; nil means that the fault has no end.
@@ -107,7 +107,7 @@
 			s.sendChange(i)
 		}
 	}
-	fault := engineFault{f.What, active, f.Part, f.Factor, f.Class}
+	fault := engineFault{f.What, active, f.Fraction, f.Factor, f.Class}
 	s.send(s.fleet.engines[i].id, s.fleet.linkDelay(s.linkRnd), fault)
 }
 
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -118,7 +118,7 @@
 // start schedules the faults that change client behavior, and the first session.
 func (c *clients) start() {
 	for _, change := range c.fleet.scenario.ConditionChanges() {
-		c.schedule(change.At, conditionsChange{change.Do})
+		c.schedule(change.At, conditionsChange{change.Apply})
 	}
 	c.schedule(c.arrivals.Gap(&c.conditions), sessionArrival{})
 }
@@ -172,8 +172,8 @@
 	c.attempts[a.number] = a
 	c.send(c.fleet.replicas[a.replica].id, connectHops*c.fleet.linkDelay(c.rnd), message)
 	timeout := class.Deadline
-	if session.HangUp > 0 {
-		a.disconnectsEarly, timeout = true, session.HangUp
+	if session.DisconnectAfter > 0 {
+		a.disconnectsEarly, timeout = true, session.DisconnectAfter
 	}
 	c.schedule(timeout, clientTimeout{a.number})
 }
@@ -192,7 +192,7 @@
 		promptTokens: max(float64(promptBytes)/bytesPerToken, 1),
 		prefixTokens: float64(prefixBytes) / bytesPerToken,
 		session:      key,
-		outputTokens: min(session.Answer, limit),
+		outputTokens: min(session.AnswerTokens, limit),
 		class:        class.Name,
 		idempotency:  audit.Class(class.Idempotency),
 		intent:       intent,
@@ -248,7 +248,7 @@
 	if a == nil {
 		return
 	}
-	if session := a.request.session; session.Slow && session.Stream && m.result == resultServed {
+	if session := a.request.session; session.ReadsSlowly && session.Stream && m.result == resultServed {
 		if until := a.firstToken + time.Duration(a.outputTokens)*scenario.SlowReadDelay; until > c.now() {
 			c.schedule(until-c.now(), m)
 			return
--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -54,7 +54,7 @@
 		if !e.kind.ChangesRole {
 			continue
 		}
-		role := e.kind.ServedRole()
+		role := e.kind.InitialRole()
 		e.role.params, e.role.state = params, roles.EngineState{Role: role, Target: role}
 		e.setRoleParams(role)
 		e.resetModel(0, false)
