--- a/internal/gateway/hungengine.go
+++ b/internal/gateway/hungengine.go
@@ -92,7 +92,7 @@
 	if l.stopping {
 		return
 	}
-	message := "engine responds again after an aborted decode"
+	message := "engine responds after an aborted decode"
 	if hung.endpoint.IsOpen() && hung.endpoint.LastResponse() < hung.since {
 		message = "engine did not respond after an aborted decode; no longer waiting"
 	}
--- a/internal/gateway/release_call.go
+++ b/internal/gateway/release_call.go
@@ -111,7 +111,7 @@
 	}
 	if err != nil {
 		l.gateway.metrics.Releases.WithLabelValues("failed").Inc()
-		l.gateway.log.Warn("read state release failed", append(fields, zap.Error(err))...)
+		l.gateway.log.Warn("read state not released", append(fields, zap.Error(err))...)
 		return
 	}
 	l.observeStateEnd(r.held, stateReleased)
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -60,7 +60,7 @@
 
 func (l *eventLoop) logOverdueState(request *inflightRequest, age time.Duration) {
 	last := request.attempts[len(request.attempts)-1]
-	l.gateway.log.Warn("read state held beyond its TTL",
+	l.gateway.log.Warn("read state overdue",
 		zap.String("id", request.displayID()),
 		zap.String("reader", request.release.held.endpoint),
 		zap.Duration("held_for", age),
