--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -115,8 +115,8 @@
 	return summaries
 }
 
-// logFailure logs an attempt that failed. Together with the access log line of the request it shows why the request was
-// retried, rejected or failed.
+// logFailure logs an attempt that did not succeed, which includes canceled and unsent ones. Together with the access
+// log line of the request it shows why the request was retried, rejected or failed.
 func (a *attempt) logFailure(l *eventLoop, outcome *engine.Outcome, elapsed time.Duration) {
 	entry := l.gateway.log.Check(zap.InfoLevel, "attempt failed")
 	if entry == nil {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -29,7 +29,7 @@
 	kvParams json.RawMessage
 
 	handle engine.Attempt // safe for concurrent use
-	ended  chan struct{}  // closed by the worker
+	ended  chan struct{}  // closed when the attempt has ended
 
 	// Set by the worker before ended is closed.
 	neverExecuted bool
@@ -92,6 +92,8 @@
 }
 
 // conclude records how the attempt ended, finishes the client's answer if the attempt owns it, and posts the outcome.
+// Where states are identified by attempt, it also releases the read state that a prefill without a successful reply may
+// have left: the router doesn't know of such a state.
 //
 //go:noinline
 func (a *attempt) conclude(l *eventLoop, out *engine.Outcome) {
@@ -115,7 +117,7 @@
 	}
 	a.endedAt = monotonic.Now()
 	close(a.ended)
-	if !a.decode && !prefilled && !l.engines.StateByRequestID { // the router doesn't know of a state that it may have left
+	if !a.decode && !prefilled && !l.engines.StateByRequestID {
 		l.work.Add(1)
 		go func() {
 			defer l.work.Done()
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -20,7 +20,7 @@
 	acceptedAt time.Time
 	idleSince  monotonic.AtomicTime            // 0 = not idle, idleEvicted = closed by eviction
 	current    atomic.Pointer[inflightRequest] // the request in flight, or nil
-	hadRequest bool                            // a request has arrived; guarded by gateway.mu
+	hadRequest bool                            // a completion request was read; guarded by gateway.mu
 
 	// Owned by the connection's goroutine.
 	reader      *bufio.Reader
@@ -112,9 +112,9 @@
 // after.
 func (c *clientConn) interruptRead() { _ = c.conn.SetReadDeadline(pastDeadline) } // fails only where the read fails too
 
-// extendReadDeadline replaces the read deadline once an attempt owns the answer. The new deadline is zero, which means
-// none, for a streamed answer, and that of the whole answer for a collected one.
-func (c *clientConn) extendReadDeadline(deadline time.Time) { _ = c.setReadDeadline(deadline) } // as in interruptRead
+// extendReadDeadline replaces the read deadline once an attempt owns the answer. The new deadline is that of the whole
+// answer, or zero, which means none, if that is unknown. As in interruptRead, this fails only where the read fails too.
+func (c *clientConn) extendReadDeadline(deadline time.Time) { _ = c.setReadDeadline(deadline) }
 
 func (c *clientConn) interruptIdleRead() {
 	if c.idleSince.Load() > 0 {
@@ -122,9 +122,10 @@
 	}
 }
 
-// abort ends the connection when the time for a shutdown is over and the router has answered all requests. A connection
-// with a stream is closed. Otherwise all reads of the connection's goroutine fail from now on: a request that was read
-// completely is rejected by the router, a partial one gets an error response, and an idle connection is closed.
+// abort ends the connection when the time for a shutdown is over and the router has answered all requests. From now on
+// all reads of the connection's goroutine fail: a request that was read completely is rejected by the router, a partial
+// one gets an error response, and an idle connection is closed. If an attempt owns the answer, the connection is closed
+// at once.
 func (c *clientConn) abort() {
 	c.readDeadlineMu.Lock()
 	c.aborted = true
--- a/internal/gateway/conn_read.go
+++ b/internal/gateway/conn_read.go
@@ -60,7 +60,7 @@
 	return http1.ReadRequest(c.reader, c.gateway.limits)
 }
 
-// awaitRequest waits for a request's first byte.
+// awaitRequest waits for a request's first byte, until the idle timeout or, if the gateway drains, until graceEnd.
 func (c *clientConn) awaitRequest() error {
 	if err := c.setReadDeadline(c.readDeadline(c.gateway.Limits.IdleTimeout)); err != nil {
 		return err
@@ -89,8 +89,8 @@
 	}
 }
 
-// readDeadline returns the deadline for reading a part of a request: timeout from now, but for the first request on a
-// connection at most FirstRequestTimeout after the connection was accepted.
+// readDeadline returns the deadline for reading a part of a request: timeout from now, but until the connection has had
+// a completion request, at most FirstRequestTimeout after the connection was accepted.
 func (c *clientConn) readDeadline(timeout time.Duration) time.Time {
 	deadline := time.Now().Add(timeout)
 	if c.gateway.FirstRequestTimeout > 0 && !c.hadRequest {
@@ -101,8 +101,8 @@
 	return deadline
 }
 
-// writeReadError responds to a request that was malformed or not received in time. After other errors there is nobody
-// to respond to, or nothing to respond to.
+// writeReadError responds to a request that was malformed or not received in time. After any other error the client is
+// gone or has not sent a request, and nothing is written.
 func (c *clientConn) writeReadError(err error) {
 	var malformed *http1.Error
 	switch {
--- a/internal/gateway/conn_test.go
+++ b/internal/gateway/conn_test.go
@@ -164,8 +164,8 @@
 	return n, err
 }
 
-// connectHooked connects a client to the gateway and returns the client's end. The gateway gets its end, with hooks,
-// once the functions of beforeAccept have returned, which get the client's end.
+// connectHooked connects a client to the gateway and returns the client's end. It calls the functions of beforeAccept
+// with the client's end before it passes gatewayEnd to the gateway.
 func (r *rig) connectHooked(gatewayEnd *hookedConn, beforeAccept ...func(*net.TCPConn)) *net.TCPConn {
 	r.t.Helper()
 	l := listen(r.t)
--- a/internal/gateway/disconnect.go
+++ b/internal/gateway/disconnect.go
@@ -40,7 +40,7 @@
 // awaitAnswerWithBufferedInput waits for the answer when the client has already sent more bytes. A close behind these
 // bytes can't be detected, so the wait is for the answer and the deadlines only.
 func (c *clientConn) awaitAnswerWithBufferedInput(request *inflightRequest, backstop time.Time) (disconnected bool) {
-	if c.gateway.Pipelining == RejectPipelining { // a client that still waits for the answer would not send more
+	if c.gateway.Pipelining == RejectPipelining { // the client has sent more, so it may have given up on this request
 		response := errorResponse(errPipelined)
 		response.reason = reasonPipelined
 		if request.respond(response) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -11,11 +11,11 @@
 //     request is in flight it blocks in a read, which detects that the client closes the connection.
 //   - One worker per attempt at an engine, from a pool. The worker whose attempt gets the first token writes the stream
 //     to the client; tokens never pass through the event loop.
-//   - One goroutine per release of a read state, one per engine that has stopped responding (see hungEngine), and one
-//     timer goroutine that posts a message each second.
+//   - One goroutine per release of a read state and one per call to an engine in it, one per engine that has stopped
+//     responding (see hungEngine), and one timer goroutine that posts a message each second.
 //
-// The event loop, the connection's goroutine and the workers compete to answer a request, and exactly one does: see
-// answerState.
+// The event loop, the connection's goroutine and the workers compete to answer a request, and only one of them does:
+// see answerState.
 package gateway
 
 import (
@@ -56,7 +56,7 @@
 
 	mu        sync.Mutex
 	conns     map[*clientConn]struct{}
-	clientIDs map[string]struct{} // ids of open requests that were chosen by clients
+	clientIDs map[string]struct{} // the ids that clients chose for their open requests
 	listener  net.Listener
 
 	drain drainState
@@ -98,8 +98,8 @@
 // UpdateEndpoints posts an update of the endpoint list to the event loop. It doesn't wait for it to be applied.
 func (g *Gateway) UpdateEndpoints(u endpointslice.Update) { g.loop.post(nil, endpointsUpdated{&u}) }
 
-// Reload replaces the models, rules, sessions and prefixes of a running gateway. Any other setting needs a restart: if
-// one differs, nothing is replaced and the error names it.
+// Reload replaces the models, rules, sessions and prefixes of a running gateway, which must come from NewFromSettings.
+// Any other setting needs a restart: if one differs, nothing is replaced and the error names its element.
 func (g *Gateway) Reload(settings *config.Settings) error {
 	if err := config.CheckReload(g.settings, settings); err != nil {
 		return err
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -177,12 +177,12 @@
 	}
 }
 
-// TestReloadReplacesRoutes checks that Reload replaces the models of a running gateway, and that settings with any
+// TestReloadReplacesModels checks that Reload replaces the models of a running gateway, and that settings with any
 // other difference are refused and change nothing.
-func TestReloadReplacesRoutes(t *testing.T) {
+func TestReloadReplacesModels(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	changed := func(before, after string) error {
-		return r.gateway.Reload(parseSettings(t, strings.Replace(fmt.Sprintf(settings, ""), before, after, 1)))
+		return r.gateway.Reload(parseSettings(t, strings.Replace(fmt.Sprintf(settingsTemplate, ""), before, after, 1)))
 	}
 	if err := changed(`<model name="m"`, `<model name="m2"`); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -10,13 +10,13 @@
 	since    time.Time // when the event loop received the prefill's outcome; zero = no state is held
 }
 
-// How the holding of a read state ended, as values of a metric label.
+// Reasons why a read state is no longer held, as metric label values.
 const (
 	stateFetched       = "fetched"        // a decode's stream began
 	stateMissing       = "gone"           // a decode's engine reported that it has none, or a later prefill replaced it
 	stateReleased      = "released"       // an engine accepted the release
-	stateAbandoned     = "left"           // the request ended, and states are not released, or by attempt only
-	stateReleaseFailed = "release failed" // no engine accepted it
+	stateAbandoned     = "left"           // the request ended without a release of the state
+	stateReleaseFailed = "release failed" // no engine accepted the release that was to drop it
 )
 
 // stateHeld records that a successful prefill left a state at the endpoint.
@@ -26,7 +26,7 @@
 	l.gateway.metrics.HeldStates.Inc()
 }
 
-// endState records that the state held for the request, if any, ended in the given way.
+// endState records that the state held for the request, if any, is no longer held, and why.
 func (l *eventLoop) endState(request *inflightRequest, end string) {
 	l.observeStateEnd(request.release.held, end)
 	request.release.held = readState{}
--- a/internal/gateway/hungengine.go
+++ b/internal/gateway/hungengine.go
@@ -9,11 +9,11 @@
 	"brackenbend/internal/monotonic"
 )
 
-// This file repeats releases that a hung engine has blocked. A release doesn't drop a read state that a decode waits
-// for. An engine that hangs after it accepted a decode still counts as waiting after the decode was aborted, since it
-// notices the abort only when it runs again; then the release has to be repeated. Any response shows that the engine
-// runs again. In case there is no other request for it to respond to, the release itself is sent to it, and stays in
-// the engine's socket buffer until then.
+// This file repeats releases that a hung engine has made ineffective. A release doesn't drop a read state that a decode
+// waits for. If an engine hangs after it accepted a decode, the decode still counts as waiting after the gateway has
+// aborted it, since the engine notices the abort only when it runs again; the release has to be repeated then. Any
+// response shows that the engine runs again. In case the engine has no other request to respond to, a release is sent
+// to it, which stays in the engine's socket buffer until the engine runs.
 
 const (
 	hungEngineCallTimeout    = 8 * time.Second // timeout of one release call to a hung engine
@@ -33,8 +33,9 @@
 	requests []*inflightRequest // whose read states are to be released once it responds
 }
 
-// releaseAfterHungEngines arranges for the read states of a request that has ended to be released again once the
-// engines that have not responded since its decodes there were aborted respond.
+// releaseAfterHungEngines is called when a request has ended. For each engine that has not responded since a decode of
+// the request was aborted there, it arranges for the request's read states to be released again once the engine
+// responds.
 func (l *eventLoop) releaseAfterHungEngines(request *inflightRequest) {
 	if !l.engines.StateByRequestID || !l.releasesState || l.stopping {
 		return
@@ -65,8 +66,9 @@
 	}
 }
 
-// probeHungEngine returns when the engine has responded, is closed, or maxHungEngineWait has passed. Before the first
-// call it waits, since a busy engine usually responds to another request meanwhile.
+// probeHungEngine sends releases of the read state of id to the engine. It returns when the engine has responded or is
+// closed, maxHungEngineWait has passed, or the event loop stops. Before the first call it waits, since a busy engine
+// usually responds to another request meanwhile.
 func (l *eventLoop) probeHungEngine(hung *hungEngine, id string) {
 	delay, newConn := l.stateTTL()/releaseRetryDivisor, false
 	for end := hung.since.Add(maxHungEngineWait); monotonic.Now() < end; {
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -12,13 +12,13 @@
 )
 
 // answerState is the state of a request's answer. The goroutine whose compare-and-swap changes it from answerPending
-// owns the answer, so that there is exactly one: the event loop or the connection's goroutine with a response, an
-// attempt's worker with a stream, or the connection's goroutine when the client has disconnected.
+// owns the answer, so that it has exactly one owner: the event loop, the connection's goroutine or a worker with a
+// response, a worker at the first token of its attempt, or the connection's goroutine when the client has disconnected.
 type answerState int32
 
 const (
 	answerPending   answerState = iota
-	answerStreaming             // an attempt owns the client's stream
+	answerStreaming             // an attempt owns the answer, and streams or collects it
 	answerDone                  // the response is set, or the stream has ended
 	answerAbandoned             // the client has disconnected
 )
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// setListener registers the listener and Serve's goroutine for Shutdown. If Shutdown was called before,
-// it registers nothing and returns false, since Shutdown may already be waiting for the registered goroutines.
+// setListener registers the listener and Serve's goroutine for Shutdown. If Shutdown was called before, it registers
+// nothing and returns false, since Shutdown may already be waiting for the registered goroutines.
 func (g *Gateway) setListener(listener net.Listener) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -86,8 +86,8 @@
 }
 
 // evictIdleConn closes the connection that has been idle longest, if it has been idle for at least MinIdleTime.
-// Connections on which no request has arrived are closed first, and without that minimum, since a client should send
-// its first request right after connecting. The caller holds g.mu.
+// Connections that have had no completion request are closed first, and without that minimum, since a client should
+// send its first one right after connecting. The caller holds g.mu.
 func (g *Gateway) evictIdleConn() bool {
 	if g.MinIdleTime == 0 {
 		return false
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -39,7 +39,7 @@
 	table                endpointTable
 	steppedAt            time.Time          // when the router last ran; the timeouts in its actions start then
 	completionCandidates []*inflightRequest // requests that may have ended in this step
-	stepWaiters          []chan struct{}    // are closed at the end of this step
+	stepWaiters          []chan struct{}    // closed at the end of this step
 	hungEngines          map[*engine.Endpoint]*hungEngine
 	stopping             bool
 	statusLoggedAt       time.Time
@@ -75,7 +75,7 @@
 	statusDue struct{}
 	// stepAwaited asks for done to be closed once the router has run and its actions were started.
 	stepAwaited struct{ done chan struct{} }
-	// stopRequested cancels all attempts; the loop ends once no request is left.
+	// stopRequested cancels all attempts and the waits for hung engines; the loop ends once no request is left.
 	stopRequested struct{}
 )
 
@@ -135,7 +135,7 @@
 	<-done
 }
 
-// close cancels pending attempts, and returns once no request is left and all releases have ended.
+// close cancels pending attempts, waits until no request is left and all releases have ended, and closes the endpoints.
 func (l *eventLoop) close() {
 	l.post(nil, stopRequested{})
 	<-l.done
@@ -269,6 +269,7 @@
 }
 
 // finishCompleted removes the requests that are answered and have no pending attempt, and releases their read states.
+// For a request without a pending attempt that is not answered yet, it releases a state that no reply confirmed.
 func (l *eventLoop) finishCompleted() {
 	for _, request := range l.completionCandidates {
 		if request.pendingAttempts > 0 || l.requests[request.id] != request {
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -60,7 +60,7 @@
 	RejectPipelining                         // the client gets an error, and its connection is closed
 )
 
-// RetryAfterFormat is the format of the Retry-After field in rejections.
+// RetryAfterFormat is the format of the Retry-After field in responses that say how long to wait before a retry.
 type RetryAfterFormat uint8
 
 // The formats of Retry-After. With all but NoRetryAfter, the field retry-after-ms is sent too.
@@ -79,15 +79,17 @@
 	Protocol ClientProtocol
 	Engines  *engine.Client
 	Limits   config.Limits // all must be set
-	// AnswerMargin is how long before the client's timeout its final answer is due.
+	// AnswerMargin is how long before the end of the client's timeout the final answer is due.
 	AnswerMargin time.Duration
-	// FirstRequestTimeout bounds the wait for the first request on a new connection; 0 = as for later requests.
+	// FirstRequestTimeout bounds the time from the start of a connection until its first completion request has been
+	// read; 0 = only the timeouts of later requests apply.
 	FirstRequestTimeout time.Duration
-	// MinIdleTime is how long a connection must have been idle before it may be closed to make room for a new one when
-	// Limits.MaxConnections is reached; 0 = connections are never closed for that reason.
+	// MinIdleTime is how long a connection that has had a completion request must have been idle before it may be closed
+	// to make room for a new one when Limits.MaxConnections is reached; 0 = no connection is closed for that reason.
 	MinIdleTime time.Duration
 	// AcceptWhileDraining is how long after the start of a shutdown new connections and requests are still accepted. 0 =
-	// requests are rejected from the start, and clients that are just connecting get defaultDrainGrace to send theirs.
+	// requests are rejected from the start; clients that are just connecting get defaultDrainGrace to send a request and
+	// receive the rejection.
 	AcceptWhileDraining time.Duration
 	BrokenStreams       BrokenStreamPolicy
 	Pipelining          PipeliningPolicy
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -11,9 +11,10 @@
 
 // This file releases the read states that prefills left at engines. If states are identified by attempt, each prefill
 // endpoint is asked to release its own. If they are identified by request, any running engine forwards the release.
-// Such a release is sent at once if only decodes are pending: a decode that has reached its engine keeps the state that
-// it waits for, and one that has not reached it must not prevent the release. Otherwise it is sent when no attempt is
-// pending, since it would not cover the state that a pending prefill leaves.
+// Such a release is sent at once if only decodes that were not canceled are pending: a decode that has reached its
+// engine keeps the state that it waits for, and one that has not reached it must not prevent the release. Otherwise it
+// is sent when no attempt is pending: it would not cover the state that a pending prefill leaves, and a canceled decode
+// ends soon.
 
 const (
 	maxReleaseEndpoints = 8  // engines that are asked to release one state, at most
@@ -30,8 +31,8 @@
 	return routing.DefaultStateTTL
 }
 
-// release is a read state to be released. Its fields are set by the event loop; while calls are in progress they belong
-// to the goroutine that makes them.
+// release is a read state to be released. While its calls are in progress its fields belong to the goroutine that makes
+// them, and between the rounds of calls to the event loop.
 type release struct {
 	id        string             // of the request, or of the attempt
 	endpoints []*engine.Endpoint // in the order in which they are asked
@@ -48,8 +49,8 @@
 }
 
 // calls returns the engines in the order in which they are asked. A reused connection may be broken without any sign of
-// it, so only the first call is made on one; its engine, which most likely holds the state, is asked again on a new
-// connection.
+// it, so only the first call may use one. The first engine most likely holds the state, so it is asked again, after the
+// second engine, on a new connection.
 func (r *release) calls() []releaseCall {
 	var calls []releaseCall
 	for i, endpoint := range r.endpoints {
@@ -61,9 +62,9 @@
 	return calls
 }
 
-// releaseRequested handles the router's request to release the states that the request's prefills left at engines. Each
-// engine is asked after its attempt has ended, so that the release can't overtake the prefill. Releasing a state twice
-// is harmless.
+// releaseRequested handles the router's action to release the states that the request's prefills left at engines. If
+// states are identified by attempt, each engine is asked after its attempt has ended, so that the release can't
+// overtake the prefill. Releasing a state twice is harmless.
 func (l *eventLoop) releaseRequested(request *inflightRequest) {
 	if !l.releasesState {
 		return
@@ -119,7 +120,7 @@
 }
 
 // releaseNow releases any read state that engines may hold for the request. The request's next attempt waits for the
-// end of the release, which would also drop the state of a prefill that follows.
+// end of the release, since a release that is still in progress would also drop the state of a following prefill.
 func (l *eventLoop) releaseNow(request *inflightRequest, rounds int) {
 	done := make(chan struct{})
 	request.release.done = done
@@ -153,8 +154,9 @@
 	l.releaseNow(request, 0)
 }
 
-// releaseAll releases all read states that a request that ends may have left at engines, if the router has asked for
-// it, or if a prefill may have left a state without confirming it, besides the state that a decode has fetched.
+// releaseAll is called when a request has ended. Where states are identified by request, it releases all those that
+// engines may still hold for the request, if the router has asked for that or a prefill may have left a state that no
+// reply confirmed. Otherwise a decode has fetched the state, or there was none.
 func (l *eventLoop) releaseAll(request *inflightRequest) {
 	if !l.engines.StateByRequestID || !l.releasesState {
 		l.endState(request, stateAbandoned)
--- a/internal/gateway/release_call.go
+++ b/internal/gateway/release_call.go
@@ -15,9 +15,9 @@
 // startRelease makes the calls of a release in a goroutine of its own and then calls done. A release that failed is
 // retried after a delay.
 //
-// A release doesn't drop a state that a decode waits for. If the last decode was aborted, its connection is closed, but
-// the engine may process the release, which comes on another connection, before it notices that. So the first round
-// waits for the settle delay, and the release is sent again later.
+// A release doesn't drop a state that a decode waits for. If the last attempt is a decode that was aborted, its
+// connection is closed, but the engine may process the release, which comes on another connection, before it notices
+// that. So the first round waits for the settle delay, and the release is sent again later.
 func (l *eventLoop) startRelease(r *release, done func()) {
 	r.request.release.last = r
 	last := r.request.attempts[len(r.request.attempts)-1]
@@ -62,8 +62,8 @@
 }
 
 // callRelease asks the engines of a release one after another, until one of them accepts it. Several engines may be
-// unreachable, and it takes long to find that out for each, so the next engine is asked, as a hedged request, when the
-// last call has failed or has had no reply for a tenth of the state TTL.
+// unreachable, and it takes long to find that out for each. So the next engine is asked when a call has failed, or, as
+// a hedged request, when the last call has had no reply for a tenth of the state TTL.
 func (l *eventLoop) callRelease(r *release) error {
 	calls, startedAt := r.calls(), time.Now()
 	deadline := startedAt.Add(l.stateTTL())
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -37,8 +37,8 @@
 	codeStreamBroken      = "stream_broken" // in the last event of a broken stream
 )
 
-// Reasons, as metric label values, for which the gateway itself did not serve a request. The names of the router's
-// reasons are those of routing.Reason.
+// Reasons why a request was not served, as metric label values. These are the reasons of the gateway itself; those of
+// the router are named by routing.Reason.
 const (
 	reasonStreamBroke   = "stream broke"
 	reasonClientClosed  = "client closed its connection"
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -32,11 +32,12 @@
 	t         *testing.T
 	gateway   *Gateway
 	address   string
-	engines   map[string]*fakeengine.Server // by role and number, as in "reader-0"
+	engines   map[string]*fakeengine.Server // by role and index among all engines, as in "reader-0", "writer-1"
 	endpoints []endpointslice.Endpoint
 }
 
-const settings = `<brackenbend>
+// settingsTemplate has a %s for the attributes of <limits>.
+const settingsTemplate = `<brackenbend>
   <front name="t" listen="127.0.0.1:0" drain="5s" answer-margin="100ms"/>
   <limits %s/>
   <service fronts="1" max-attempts="6" release-within="500ms" writers-read="true" cancel="true" default-class="ask"/>
@@ -59,11 +60,11 @@
 
 func parseSettings(t *testing.T, text string) *config.Settings {
 	t.Helper()
-	set, err := config.Parse("test.xml", []byte(text))
+	parsed, err := config.Parse("test.xml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return set
+	return parsed
 }
 
 // newRig starts a gateway with the given attributes of <limits>, and one engine for each of the roles.
@@ -87,7 +88,7 @@
 	r := &rig{t: t, engines: map[string]*fakeengine.Server{}, address: l.Addr().String()}
 	var err error
 	r.gateway, err = NewFromSettings(
-		parseSettings(t, fmt.Sprintf(settings, limits)), zap.NewNop(), telemetry.NewMetrics())
+		parseSettings(t, fmt.Sprintf(settingsTemplate, limits)), zap.NewNop(), telemetry.NewMetrics())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/scripted_engine_test.go
+++ b/internal/gateway/scripted_engine_test.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// newScriptedRig starts a gateway with one scripted engine, which is both the prefill and the decode endpoint.
+// newScriptedRig starts a gateway with one scripted engine, which serves at two addresses: those of a prefill and of a
+// decode endpoint.
 func newScriptedRig(t *testing.T, limits string) (*rig, *scriptedEngine) {
 	t.Helper()
 	e := &scriptedEngine{}
--- a/internal/gateway/sdk_test.go
+++ b/internal/gateway/sdk_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// startLossyProxy starts a proxy to a gateway and returns its address. The proxy closes its first connections, failures
-// in number, when the first byte of a response arrives on them.
+// startLossyProxy starts a proxy to a gateway and returns its address. The proxy breaks as many connections as failures
+// says: it closes them at the first byte of a response, which it drops.
 func startLossyProxy(t *testing.T, gatewayAddress string, failures int64) (address string) {
 	t.Helper()
 	l := listen(t)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -26,14 +26,15 @@
 }
 
 // deadlinePassed reports whether the gateway is draining and the time of AcceptWhileDraining is over. From then on each
-// response ends its connection.
+// response ends its connection, except a stream whose request was accepted before.
 func (d *drainState) deadlinePassed() bool {
 	return d.started.Load() && monotonic.Now() >= d.deadline.Load()
 }
 
-// Shutdown shuts the gateway down gracefully: it stops accepting connections and requests and waits until open requests
-// are answered. Once ctx is done, the router rejects or fails the remaining requests, and connections with streams are
-// closed. Shutdown returns when no connection and no attempt is left.
+// Shutdown shuts the gateway down gracefully: it stops accepting connections and requests, as AcceptWhileDraining says,
+// and waits until open requests are answered. Once ctx is done, the router rejects or fails the requests without an
+// answer, and connections on which an answer has begun are closed. Shutdown returns when no connection and no attempt
+// is left.
 func (g *Gateway) Shutdown(ctx context.Context) {
 	g.startDraining()
 	done := make(chan struct{})
--- a/internal/gateway/testhooks.go
+++ b/internal/gateway/testhooks.go
@@ -9,7 +9,7 @@
 )
 
 // TestHooks lets tests inject faults into a gateway, to verify that the checks of scenarios detect them. Each function
-// may change the value that it is passed; a nil function changes nothing. Only tests set hooks.
+// may change the value that it is passed, or return another; a nil function changes nothing. Only tests set hooks.
 type TestHooks struct {
 	Settings          func(*routing.Config)                      // before the router is created
 	Request           func(*routing.Request)                     // before it is passed to the router
