--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -28,22 +28,22 @@
 // fakeEngineParams are typical parameters of a fake engine; role is a value of the --role flag.
 func fakeEngineParams(role string) enginemodel.Params {
 	return enginemodel.Params{
-		CanPrefill:     true,
-		CanDecode:      role != "reader",
-		Slots:          64,
-		MaxQueued:      32,
-		Memory:         200000,
-		PrefillRate:    15000,
-		Chunk:          512,
-		Step:           20 * time.Millisecond,
-		StepStream:     200 * time.Microsecond,
-		FetchRate:      200000,
-		CacheTokens:    100000,
-		SlowStartFrom:  0.25,
-		SlowStartFor:   10 * time.Second,
-		OverloadFactor: 4,
-		OverloadAfter:  2 * time.Second,
-		StateTTL:       30 * time.Second,
+		CanPrefill:        true,
+		CanDecode:         role != "reader",
+		Slots:             64,
+		MaxQueued:         32,
+		MemoryTokens:      200000,
+		PrefillRate:       15000,
+		PrefillChunk:      512,
+		StepTime:          20 * time.Millisecond,
+		StepTimePerStream: 200 * time.Microsecond,
+		FetchRate:         200000,
+		CacheTokens:       100000,
+		SlowStartFrom:     0.25,
+		SlowStartFor:      10 * time.Second,
+		OverloadFactor:    4,
+		OverloadAfter:     2 * time.Second,
+		StateTTL:          30 * time.Second,
 	}
 }
 
--- a/internal/fake/engine/completion.go
+++ b/internal/fake/engine/completion.go
@@ -55,7 +55,7 @@
 	switch {
 	case !c.submit():
 		c.s.reject(c.w, false)
-	case c.job.ReadOnly:
+	case c.job.PrefillOnly:
 		c.prefill()
 	default:
 		newDecodeStream(c).run()
@@ -72,12 +72,12 @@
 
 // submit hands the job to the model; false: rejected.
 func (c *completion) submit() bool {
-	c.job.Begun = func() { c.progress.begun = true; c.notify() }
-	c.job.Token = func(n int) { c.progress.tokens = n; c.notify() }
-	c.job.Lost = func() { c.progress.lost = true; c.notify() }
-	c.job.Done = func(cachedTokens float64) {
+	c.job.OnStart = func() { c.progress.begun = true; c.notify() }
+	c.job.OnToken = func(n int) { c.progress.tokens = n; c.notify() }
+	c.job.OnLost = func() { c.progress.lost = true; c.notify() }
+	c.job.OnDone = func(cachedTokens float64) {
 		c.progress.done, c.progress.cachedTokens = true, cachedTokens
-		if c.job.ReadOnly {
+		if c.job.PrefillOnly {
 			c.s.holdState(c.job.ID)
 		}
 		c.notify()
@@ -156,7 +156,7 @@
 func (c *completion) writePrefillAnswer(cachedTokens float64) {
 	host, port := c.s.hostPort()
 	c.writeHead("application/json")
-	promptTokens := int(c.job.Prompt)
+	promptTokens := int(c.job.PromptTokens)
 	answer := object{
 		"id":      "cmpl-" + c.job.ID,
 		"object":  "chat.completion",
@@ -181,7 +181,7 @@
 			"remote_host":       host,
 			"remote_port":       port,
 			"remote_request_id": c.job.ID,
-			"remote_tokens":     c.job.Prompt,
+			"remote_tokens":     c.job.PromptTokens,
 		},
 	}
 	_ = json.NewEncoder(c.w).Encode(answer) // fails only when the connection is gone
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -128,14 +128,14 @@
 func (s *Server) Working() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.model.Working()
+	return s.model.InFlight()
 }
 
 // States is the number of read states held.
 func (s *Server) States() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.model.States()
+	return s.model.ReadStateCount()
 }
 
 // Arrivals is the number of prefills and decodes that ever reached the engine.
@@ -160,12 +160,12 @@
 		s.timer.Reset(max(at-s.now(), 0))
 	}
 	for id := range s.states.held {
-		if !s.model.Holds(id) {
+		if !s.model.HasReadState(id) {
 			s.recordReleased(id)
 		}
 	}
 	s.switchIfDrained()
-	if s.model.Down() && s.process.up {
+	if s.model.Overloaded() && s.process.up {
 		s.record(audit.Event{Kind: audit.Overloaded})
 		s.goroutines.Go(s.Crash)
 	}
--- a/internal/fake/engine/faults.go
+++ b/internal/fake/engine/faults.go
@@ -32,7 +32,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
-	s.model.SetSlow(faults.speedFactor())
+	s.model.SetSlowdown(faults.speedFactor())
 }
 
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
@@ -83,7 +83,7 @@
 func (s *Server) DropPrefixCache() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.model.Forget()
+	s.model.ClearPrefixCache()
 }
 
 // SilentRestart loses everything as a crash does, but the API server is not notified and the port stays open.
--- a/internal/fake/engine/handlers.go
+++ b/internal/fake/engine/handlers.go
@@ -69,7 +69,7 @@
 		return
 	}
 	s.record(audit.Event{
-		Kind: audit.Arrived, Replica: replica, Request: id, Decode: !job.ReadOnly, Attempt: request.Metadata["try"],
+		Kind: audit.Arrived, Replica: replica, Request: id, Decode: !job.PrefillOnly, Attempt: request.Metadata["try"],
 	})
 	defer s.record(audit.Event{Kind: audit.Ended, Request: id})
 	s.mu.Lock()
@@ -83,9 +83,9 @@
 		http.Error(w, engineFault, http.StatusInternalServerError)
 	case rand.Float64() < faults.ResetAfterRequest:
 		resetConnection(w)
-	case job.ReadOnly && !params.CanPrefill || !job.ReadOnly && !params.CanDecode ||
-		job.FetchState == 0 && !job.ReadOnly && !params.CanPrefill:
-		s.reject(w, job.FetchState == 0 && !job.ReadOnly && params.CanDecode)
+	case job.PrefillOnly && !params.CanPrefill || !job.PrefillOnly && !params.CanDecode ||
+		job.FetchTokens == 0 && !job.PrefillOnly && !params.CanPrefill:
+		s.reject(w, job.FetchTokens == 0 && !job.PrefillOnly && params.CanDecode)
 	default:
 		newCompletion(s, job, &request, faults, w, r).serve()
 	}
--- a/internal/fake/engine/lifecycle.go
+++ b/internal/fake/engine/lifecycle.go
@@ -67,7 +67,7 @@
 	}
 	s.role.restart()
 	s.model = enginemodel.New(s.params(), s.now(), cold)
-	s.model.SetSlow(s.faults.speedFactor())
+	s.model.SetSlowdown(s.faults.speedFactor())
 	s.mu.Unlock()
 	s.record(audit.Event{Kind: audit.EngineStarted})
 	s.serve(server, listener)
--- a/internal/fake/engine/readstate.go
+++ b/internal/fake/engine/readstate.go
@@ -39,7 +39,7 @@
 	s.states.held[id] = true
 	s.record(audit.Event{Kind: audit.StateHeld, Request: id})
 	if s.states.isReleased(id) {
-		s.model.Drop(id)
+		s.model.DropReadState(id)
 	}
 }
 
@@ -53,7 +53,7 @@
 func (s *Server) removeState(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.model.Take(s.now(), id)
+	_, ok := s.model.TakeReadState(s.now(), id)
 	s.schedule()
 	return ok
 }
--- a/internal/fake/engine/request.go
+++ b/internal/fake/engine/request.go
@@ -60,17 +60,17 @@
 		}
 	}
 	job := &enginemodel.Job{
-		ID:        id,
-		Prompt:    max(float64(size)/bytesPerToken, 1),
-		Prefix:    system,
-		PrefixLen: float64(prefixSize) / bytesPerToken,
-		Session:   system + "\x00" + first,
-		Out:       q.answerTokens(),
+		ID:           id,
+		PromptTokens: max(float64(size)/bytesPerToken, 1),
+		Prefix:       system,
+		PrefixTokens: float64(prefixSize) / bytesPerToken,
+		Session:      system + "\x00" + first,
+		OutputTokens: q.answerTokens(),
 	}
 	if q.KV != nil && q.KV.RemoteDecode {
-		job.ReadOnly = true
+		job.PrefillOnly = true
 	} else if q.KV != nil && q.KV.RemotePrefill {
-		job.FetchState = max(job.Prompt, 1)
+		job.FetchTokens = max(job.PromptTokens, 1)
 	}
 	return job
 }
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -53,7 +53,7 @@
 
 // switchIfDrained begins to switch once nothing is left of the old role. s.mu is held.
 func (s *Server) switchIfDrained() {
-	busy := s.model.Working() > 0 || s.model.States() > 0
+	busy := s.model.InFlight() > 0 || s.model.ReadStateCount() > 0
 	adds := s.role.addsStage()
 	if s.role.switching || s.role.state.StatusReport().Serving || busy && !adds || !s.process.up {
 		return
@@ -79,7 +79,7 @@
 	s.role.state, s.role.switching = s.role.state.FinishDraining(), false
 	after := s.params()
 	if added {
-		s.model.Become(s.now(), after)
+		s.model.SetParams(s.now(), after)
 		s.schedule()
 		return
 	}
@@ -88,7 +88,7 @@
 	}
 	work := s.model.Work()
 	s.model = enginemodel.New(after, s.now(), true)
-	s.model.Resume(work)
+	s.model.RestoreWork(work)
 	s.process.started = time.Now()
 	s.schedule()
 }
@@ -140,12 +140,12 @@
 	work := s.model.Work()
 	status := planner.Status{
 		StatusReport: s.role.state.StatusReport(),
-		Outstanding:  s.model.Working() + s.model.States(),
+		Outstanding:  s.model.InFlight() + s.model.ReadStateCount(),
 		Read: planner.Stage{
-			Done: work.ReadDone, Waiting: work.ReadWaiting, Lost: work.ReadLost, Count: work.Reads,
+			Done: work.PrefillDone, Waiting: work.PrefillWaiting, Lost: work.PrefillLost, Count: work.Prefills,
 		},
 		Write: planner.Stage{
-			Done: work.WriteDone, Waiting: work.WriteWaiting, Lost: work.WriteLost, Count: work.Writes,
+			Done: work.DecodeDone, Waiting: work.DecodeWaiting, Lost: work.DecodeLost, Count: work.Decodes,
 		},
 	}
 	status.Serving = status.Serving && !s.role.switching
--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -27,7 +27,7 @@
 }
 
 func newDecodeStream(c *completion) *decodeStream {
-	d := &decodeStream{completion: c, fetched: c.job.FetchState == 0, resetAt: neverReset}
+	d := &decodeStream{completion: c, fetched: c.job.FetchTokens == 0, resetAt: neverReset}
 	if rand.Float64() < c.faults.ResetMidStream {
 		d.resetAt = 1 + rand.IntN(maxTokensBeforeReset)
 	}
@@ -131,12 +131,12 @@
 // writeEnd writes the end of the stream. An answer that max_tokens cut has the finish reason for it.
 func (d *decodeStream) writeEnd() {
 	finishReason := "stop"
-	if limit := d.request.maxTokens(); limit > 0 && d.job.Out >= limit {
+	if limit := d.request.maxTokens(); limit > 0 && d.job.OutputTokens >= limit {
 		finishReason = "length"
 	}
 	d.writeEvent(d.eventChoices("", false, finishReason), nil)
 	if d.request.Options.Usage {
-		promptTokens, answerTokens := int(d.job.Prompt), d.job.Out*d.request.choices()
+		promptTokens, answerTokens := int(d.job.PromptTokens), d.job.OutputTokens*d.request.choices()
 		d.writeEvent([]any{}, object{"usage": map[string]int{
 			"prompt_tokens":     promptTokens,
 			"completion_tokens": answerTokens,
--- a/internal/fake/enginemodel/engine.go
+++ b/internal/fake/enginemodel/engine.go
@@ -1,10 +1,10 @@
-// Package enginemodel is one engine in simulated time: slots, a queue, memory, a prefix cache, steps that compute
-// prompts and decode tokens, a slow start and its overload. The fakes on sockets and the simulation drive the same
-// model.
+// Package enginemodel models one inference engine in simulated time: its slots, queue, memory and prefix cache, the
+// steps in which it computes prompts and decodes tokens, its slow start, and its crash when slow start is overloaded.
+// The fake engine on a socket and the simulation use the same model.
 //
-// It has no clock, no locks and starts no goroutines: Advance moves an engine, Next says when something is due. Whoever
-// holds an Engine owns all its state and that of the jobs submitted to it; calls and callbacks happen on the caller's
-// goroutine.
+// The package reads no clock, takes no locks and starts no goroutines: Advance moves an engine to a given time, and
+// Next returns the time of its next event. An Engine and the jobs submitted to it must not be used concurrently; callbacks
+// run on the goroutine of the caller.
 package enginemodel
 
 import (
@@ -13,70 +13,72 @@
 	"time"
 )
 
-// minSlowFactor keeps a step's duration above zero.
-const minSlowFactor = 1e-3
+// minSlowdown is the least slowdown factor; it keeps the duration of a step positive.
+const minSlowdown = 1e-3
 
-// Engine is one engine. The zero value is not ready; use New.
+// Engine is the model of one engine. The zero value is not usable; use New.
 type Engine struct {
-	params  Params
-	now     time.Duration
-	start   time.Duration // of its slow start
-	slow    float64       // factor on the duration of every step
-	down    bool          // it was overloaded and crashed
-	queue   []*Job
-	running []*Job
-	used    float64 // memory in tokens: running jobs and read states
-	step    step
-	states  readStates
-	cache   prefixCache
-	recent  recentArrivals
-	work    Work
+	params        Params
+	now           time.Duration
+	slowStartedAt time.Duration // when its slow start began
+	slowdown      float64       // multiplies the duration of every step
+	overloaded    bool          // it crashed because it was overloaded
+	queue         []*Job
+	running       []*Job
+	usedMemory    float64 // tokens that running jobs and read states occupy
+	step          step
+	readStates    readStateMap
+	cache         prefixCache
+	arrivals      recentArrivals
+	work          Work
 }
 
-// New starts an engine at now; cold says whether it begins in slow start.
+// New returns an engine that starts at now: in slow start if cold is set, otherwise at full capacity.
 func New(params Params, now time.Duration, cold bool) *Engine {
 	e := &Engine{
-		params: params,
-		now:    now,
-		start:  now,
-		slow:   1,
-		states: readStates{},
-		cache:  newPrefixCache(),
+		params:        params,
+		now:           now,
+		slowStartedAt: now,
+		slowdown:      1,
+		readStates:    readStateMap{},
+		cache:         newPrefixCache(),
 	}
 	if !cold {
-		e.start = now - params.SlowStartFor
+		e.slowStartedAt = now - params.SlowStartFor
 	}
 	return e
 }
 
-// SetSlow makes every step so many times slower.
-func (e *Engine) SetSlow(factor float64) {
-	e.cutRepeats()
-	e.slow = max(factor, minSlowFactor)
+// SetSlowdown multiplies the duration of every step that begins from now on by factor.
+func (e *Engine) SetSlowdown(factor float64) {
+	e.truncateRepeats()
+	e.slowdown = max(factor, minSlowdown)
 }
 
-// Forget empties the prefix cache.
-func (e *Engine) Forget() { e.cache.clear() }
+// ClearPrefixCache removes every entry of the prefix cache.
+func (e *Engine) ClearPrefixCache() { e.cache.clear() }
 
-// Load is what the engine reports: fraction of slots in use, requests waiting, fraction of memory in use.
+// Load returns what the engine reports: the fraction of slots in use, the number of queued requests and the fraction of
+// memory in use.
 func (e *Engine) Load() (utilization, queue, memory float64) {
-	return float64(len(e.running)) / float64(max(e.params.Slots, 1)), float64(len(e.queue)), e.used / e.params.Memory
+	return float64(len(e.running)) / float64(max(e.params.Slots, 1)), float64(len(e.queue)),
+		e.usedMemory / e.params.MemoryTokens
 }
 
-// Working is the number of jobs that wait or run.
-func (e *Engine) Working() int { return len(e.queue) + len(e.running) }
+// InFlight returns the number of jobs that are queued or running.
+func (e *Engine) InFlight() int { return len(e.queue) + len(e.running) }
 
-// Submit accepts a job, or rejects it before it ran (false).
+// Submit queues a job and reports whether the engine accepts it. A job that is not accepted has not run.
 func (e *Engine) Submit(now time.Duration, job *Job) bool {
 	e.Advance(now)
-	if e.down || e.isFull() || job.Prompt > e.params.Memory {
-		prefill, decode := e.workOf(job)
-		e.work.ReadLost += prefill
-		e.work.WriteLost += decode
+	if e.overloaded || e.isFull() || job.PromptTokens > e.params.MemoryTokens {
+		prefill, decode := e.estimateWork(job)
+		e.work.PrefillLost += prefill
+		e.work.DecodeLost += decode
 		return false
 	}
 	e.checkOverload(job)
-	if e.down {
+	if e.overloaded {
 		return false
 	}
 	job.phase = waiting
@@ -90,7 +92,7 @@
 	return len(e.queue) >= e.params.MaxQueued && len(e.running) >= e.params.Slots
 }
 
-// Cancel ends a job; what it held is free at once.
+// Cancel ends a job and frees its slot and memory at once.
 func (e *Engine) Cancel(now time.Duration, job *Job) {
 	e.Advance(now)
 	if job.phase == ended {
@@ -101,9 +103,9 @@
 	e.beginStep()
 }
 
-// remove takes a job out of the queue or its slot.
+// remove removes a job from the queue, or from its slot and the current step.
 func (e *Engine) remove(job *Job) {
-	e.cutRepeats()
+	e.truncateRepeats()
 	isJob := func(other *Job) bool { return other == job }
 	if len(e.queue) > 0 {
 		e.queue = slices.DeleteFunc(e.queue, isJob)
@@ -111,38 +113,40 @@
 	if n := len(e.running); n > 0 {
 		e.running = slices.DeleteFunc(e.running, isJob)
 		if len(e.running) < n {
-			e.used -= job.memory()
+			e.usedMemory -= job.memory()
 		}
 	}
 	e.step.remove(job)
 	job.phase = ended
 }
 
-// Reset ends all work and empties the engine, as a crash does.
+// Reset discards all jobs, read states and cached prefixes, as a crash does, and calls OnLost of each job.
 func (e *Engine) Reset() {
 	jobs := append(slices.Clone(e.running), e.queue...)
-	e.running, e.queue, e.used = nil, nil, 0
+	e.running, e.queue, e.usedMemory = nil, nil, 0
 	e.step = step{}
-	clear(e.states)
+	clear(e.readStates)
 	e.cache.clear()
 	for _, job := range jobs {
 		job.phase = ended
-		if job.Lost != nil {
-			job.Lost()
+		if job.OnLost != nil {
+			job.OnLost()
 		}
 	}
 }
 
-// Become changes the parameters while the engine works: to those of a role that adds a stage.
-func (e *Engine) Become(now time.Duration, params Params) {
+// SetParams changes the parameters while jobs are in flight. An engine whose new role adds a stage to the present one
+// does so.
+func (e *Engine) SetParams(now time.Duration, params Params) {
 	e.Advance(now)
-	e.cutRepeats()
+	e.truncateRepeats()
 	e.params = params
 	e.admit()
 	e.beginStep()
 }
 
-// Next is when something is due; false when nothing is.
+// Next returns the time of the next event: the end of the current step or of a fetch, or the expiry of a read state.
+// It returns false if there is none.
 func (e *Engine) Next() (time.Duration, bool) {
 	at := time.Duration(math.MaxInt64)
 	if e.step.end != 0 {
@@ -153,35 +157,35 @@
 			at = min(at, job.fetchedAt)
 		}
 	}
-	for _, state := range e.states {
+	for _, state := range e.readStates {
 		at = min(at, state.expires)
 	}
 	return at, at != math.MaxInt64
 }
 
-// Advance moves the engine to now.
+// Advance processes all events up to now.
 func (e *Engine) Advance(now time.Duration) {
-	for !e.down {
+	for !e.overloaded {
 		at, ok := e.Next()
 		if !ok || at > now {
 			break
 		}
-		e.moveClock(max(e.now, at))
-		e.dropExpiredStates()
-		e.endFetches()
+		e.setClock(max(e.now, at))
+		e.removeExpiredReadStates()
+		e.finishFetches()
 		if e.step.end != 0 && e.step.end <= e.now {
-			e.bookRepeats()
-			e.endStep()
+			e.applyEndedRepeats()
+			e.finishStep()
 		}
 		e.admit()
 		e.beginStep()
 	}
-	e.moveClock(max(e.now, now))
-	e.bookRepeats()
+	e.setClock(max(e.now, now))
+	e.applyEndedRepeats()
 }
 
-// endFetches lets jobs decode whose read states have come.
-func (e *Engine) endFetches() {
+// finishFetches starts the decode of each job whose read state has arrived.
+func (e *Engine) finishFetches() {
 	for _, job := range e.running {
 		if job.phase == fetching && job.fetchedAt <= e.now {
 			job.phase = decoding
--- a/internal/fake/enginemodel/engine_test.go
+++ b/internal/fake/enginemodel/engine_test.go
@@ -16,10 +16,10 @@
 		CanDecode:      true,
 		Slots:          2,
 		MaxQueued:      2,
-		Memory:         10000,
+		MemoryTokens:   10000,
 		PrefillRate:    10000,
-		Chunk:          500,
-		Step:           10 * time.Millisecond,
+		PrefillChunk:   500,
+		StepTime:       10 * time.Millisecond,
 		FetchRate:      100000,
 		CacheTokens:    5000,
 		SlowStartFrom:  0.25,
@@ -34,37 +34,37 @@
 	prefill, decode := New(testParams(), 0, false), New(testParams(), 0, false)
 	var prefilledAt, tokens, doneAt time.Duration
 	if !prefill.Submit(0, &Job{
-		ID: "a", Prompt: 1000, Prefix: "p", PrefixLen: 800, ReadOnly: true,
-		Done: func(float64) { prefilledAt = prefill.now },
+		ID: "a", PromptTokens: 1000, Prefix: "p", PrefixTokens: 800, PrefillOnly: true,
+		OnDone: func(float64) { prefilledAt = prefill.now },
 	}) {
 		t.Fatal("rejected")
 	}
 	prefill.Advance(time.Second)
-	if prefilledAt != 100*time.Millisecond || prefill.States() != 1 || prefill.used != 1000 {
-		t.Fatalf("prefilled at %v, %d states, %v used", prefilledAt, prefill.States(), prefill.used)
+	if prefilledAt != 100*time.Millisecond || prefill.ReadStateCount() != 1 || prefill.usedMemory != 1000 {
+		t.Fatalf("prefilled at %v, %d states, %v used", prefilledAt, prefill.ReadStateCount(), prefill.usedMemory)
 	}
-	state, ok := prefill.Take(time.Second, "a")
-	if _, again := prefill.Take(time.Second, "a"); !ok || again || state != 1000 || prefill.used != 0 {
-		t.Fatalf("state %v %v, again %v, %v used", state, ok, again, prefill.used)
+	state, ok := prefill.TakeReadState(time.Second, "a")
+	if _, again := prefill.TakeReadState(time.Second, "a"); !ok || again || state != 1000 || prefill.usedMemory != 0 {
+		t.Fatalf("state %v %v, again %v, %v used", state, ok, again, prefill.usedMemory)
 	}
 	decode.Submit(time.Second, &Job{
-		ID: "a", Prompt: 1000, FetchState: state, Out: 3,
-		Token: func(int) { tokens++ }, Done: func(float64) { doneAt = decode.now },
+		ID: "a", PromptTokens: 1000, FetchTokens: state, OutputTokens: 3,
+		OnToken: func(int) { tokens++ }, OnDone: func(float64) { doneAt = decode.now },
 	})
 	decode.Advance(2 * time.Second)
-	if tokens != 3 || doneAt != time.Second+40*time.Millisecond || decode.used != 0 { // fetch 10 ms, three steps
-		t.Fatalf("%d tokens, done at %v, %v used", tokens, doneAt, decode.used)
+	if tokens != 3 || doneAt != time.Second+40*time.Millisecond || decode.usedMemory != 0 { // fetch 10 ms, three steps
+		t.Fatalf("%d tokens, done at %v, %v used", tokens, doneAt, decode.usedMemory)
 	}
 }
 
-func TestPrefixCacheIsUsedUntilDropped(t *testing.T) {
+func TestPrefixCacheIsUsedUntilCleared(t *testing.T) {
 	e := New(testParams(), 0, false)
 	cached := map[string]float64{}
 	prefill := func(at time.Duration, id string) {
 		t.Helper()
 		accepted := e.Submit(at, &Job{
-			ID: id, Prompt: 1000, Prefix: "p", PrefixLen: 800, ReadOnly: true,
-			Done: func(tokens float64) { cached[id] = tokens },
+			ID: id, PromptTokens: 1000, Prefix: "p", PrefixTokens: 800, PrefillOnly: true,
+			OnDone: func(tokens float64) { cached[id] = tokens },
 		})
 		if !accepted {
 			t.Fatalf("%s: rejected", id)
@@ -76,7 +76,7 @@
 	}
 	prefill(0, "first")
 	prefill(2*time.Second, "second")
-	e.Forget()
+	e.ClearPrefixCache()
 	prefill(3*time.Second, "after drop")
 	if cached["first"] != 0 || cached["second"] != 800 || cached["after drop"] != 0 {
 		t.Fatalf("tokens found in the cache: %v", cached)
@@ -86,15 +86,15 @@
 func TestReadStatesExpire(t *testing.T) {
 	e := New(testParams(), 0, false)
 	for i, id := range []string{"a", "b"} {
-		e.Submit(time.Duration(i)*time.Second, &Job{ID: id, Prompt: 1000, ReadOnly: true})
+		e.Submit(time.Duration(i)*time.Second, &Job{ID: id, PromptTokens: 1000, PrefillOnly: true})
 	}
 	e.Advance(4 * time.Second)
-	if e.States() != 2 || e.used != 2000 {
-		t.Fatalf("before their TTL: %d states, %v used", e.States(), e.used)
+	if e.ReadStateCount() != 2 || e.usedMemory != 2000 {
+		t.Fatalf("before their TTL: %d states, %v used", e.ReadStateCount(), e.usedMemory)
 	}
 	e.Advance(20 * time.Second)
-	if e.States() != 0 || e.used != 0 {
-		t.Fatalf("states outlive their TTL: %d, %v used", e.States(), e.used)
+	if e.ReadStateCount() != 0 || e.usedMemory != 0 {
+		t.Fatalf("after their TTL: %d states, %v used", e.ReadStateCount(), e.usedMemory)
 	}
 }
 
@@ -102,7 +102,7 @@
 	e := New(testParams(), 0, false)
 	var jobs []*Job
 	for i := range 5 {
-		job := &Job{ID: string(rune('a' + i)), Prompt: 100, Out: 1000}
+		job := &Job{ID: string(rune('a' + i)), PromptTokens: 100, OutputTokens: 1000}
 		if got := e.Submit(0, job); got != (i < 4) {
 			t.Fatalf("job %d accepted: %v", i, got)
 		}
@@ -111,29 +111,29 @@
 	e.Cancel(time.Second, jobs[0])
 	e.Cancel(time.Second, jobs[0])
 	if len(e.running) != 2 || len(e.queue) != 1 {
-		t.Fatalf("%d run, %d wait", len(e.running), len(e.queue))
+		t.Fatalf("%d running, %d queued", len(e.running), len(e.queue))
 	}
 	lost := 0
 	for _, job := range jobs {
-		job.Lost = func() { lost++ }
+		job.OnLost = func() { lost++ }
 	}
 	e.Reset()
-	if lost != 3 || e.used != 0 {
-		t.Fatalf("%d lost, %v used", lost, e.used)
+	if lost != 3 || e.usedMemory != 0 {
+		t.Fatalf("%d lost, %v used", lost, e.usedMemory)
 	}
 }
 
-func TestJobsEndThoughMemoryRunsOut(t *testing.T) {
+func TestPreemptedJobsFinishWhenMemoryRunsOut(t *testing.T) {
 	params := testParams()
-	params.Memory = 1000
+	params.MemoryTokens = 1000
 	e := New(params, 0, false)
 	done := 0
 	for range 2 {
-		e.Submit(0, &Job{Prompt: 400, Out: 300, Done: func(float64) { done++ }})
+		e.Submit(0, &Job{PromptTokens: 400, OutputTokens: 300, OnDone: func(float64) { done++ }})
 	}
 	e.Advance(time.Minute)
-	if done != 2 || e.used != 0 {
-		t.Fatalf("%d done, %v used", done, e.used)
+	if done != 2 || e.usedMemory != 0 {
+		t.Fatalf("%d done, %v used", done, e.usedMemory)
 	}
 }
 
@@ -143,80 +143,81 @@
 		interval time.Duration
 		down     bool
 	}{
-		{"within its capacity", 100 * time.Millisecond, false},
-		{"sent too much", 20 * time.Millisecond, true},
+		{"below the overload limit", 100 * time.Millisecond, false},
+		{"above the overload limit", 20 * time.Millisecond, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			params := testParams()
 			params.MaxQueued = 1000
 			e := New(params, 0, true)
-			if e.Present() != 0.25 {
-				t.Fatalf("present capacity %v", e.Present())
+			if e.CapacityFraction() != 0.25 {
+				t.Fatalf("capacity fraction %v at the start", e.CapacityFraction())
 			}
 			for at := time.Duration(0); at < 3*time.Second; at += test.interval {
-				e.Submit(at, &Job{Prompt: 500, ReadOnly: true}) // 50 ms of work at full capacity
+				e.Submit(at, &Job{PromptTokens: 500, PrefillOnly: true}) // 50 ms of work at full capacity
 			}
-			if e.Down() != test.down {
-				t.Errorf("down %v", e.Down())
+			if e.Overloaded() != test.down {
+				t.Errorf("overloaded: %v", e.Overloaded())
 			}
 		})
 	}
 }
 
-// loggedEngine is an engine with what its jobs saw.
+// loggedEngine is an engine that logs the load and the callbacks of its jobs.
 type loggedEngine struct {
 	*Engine
-	quiet bool // its jobs
-	jobs  []*Job
-	log   []string
+	firstTokenOnly bool // of its jobs
+	jobs           []*Job
+	log            []string
 }
 
 func (e *loggedEngine) logf(format string, args ...any) {
 	e.log = append(e.log, fmt.Sprintf(format, args...))
 }
 
-// submit sends the n-th job.
+// submit submits the n-th job.
 func (e *loggedEngine) submit(now time.Duration, n int, job Job) {
-	job.ID, job.Quiet = fmt.Sprint(n), e.quiet
-	job.Token = func(k int) {
+	job.ID, job.FirstTokenOnly = fmt.Sprint(n), e.firstTokenOnly
+	job.OnToken = func(k int) {
 		if k == 1 {
 			e.logf("%d first %v", n, e.now)
 		}
 	}
-	job.Done = func(float64) { e.logf("%d done %v", n, e.now) }
-	e.logf("%d taken %v", n, e.Submit(now, &job))
+	job.OnDone = func(float64) { e.logf("%d done %v", n, e.now) }
+	e.logf("%d accepted %v", n, e.Submit(now, &job))
 	e.jobs = append(e.jobs, &job)
 }
 
-// TestRepeatedStepsEqualSingleSteps checks that quiet jobs, whose steps are taken many at once, end when others would,
-// whatever arrives, is canceled, slows down or falls due between.
+// TestRepeatedStepsEqualSingleSteps checks that jobs which report only their first token, so that many of their steps
+// are simulated as one, end at the same times as jobs that report every token, whatever arrives, is canceled, or changes
+// the speed of the engine meanwhile.
 func TestRepeatedStepsEqualSingleSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		params := testParams()
-		params.Slots, params.MaxQueued, params.StepStream = 6, 6, 700*time.Microsecond
-		params.Memory = float64(rapid.IntRange(400, 4000).Draw(t, "memory"))
+		params.Slots, params.MaxQueued, params.StepTimePerStream = 6, 6, 700*time.Microsecond
+		params.MemoryTokens = float64(rapid.IntRange(400, 4000).Draw(t, "memory"))
 		cold := rapid.Bool().Draw(t, "cold")
 		params.OverloadFactor = 0
 		single := &loggedEngine{Engine: New(params, 0, cold)}
-		repeated := &loggedEngine{Engine: New(params, 0, cold), quiet: true}
+		repeated := &loggedEngine{Engine: New(params, 0, cold), firstTokenOnly: true}
 		now := time.Duration(0)
 		for n := range rapid.IntRange(1, 40).Draw(t, "events") {
-			now += time.Duration(rapid.IntRange(0, 400000).Draw(t, "later")) * time.Microsecond
-			what := rapid.IntRange(0, 5).Draw(t, "what")
+			now += time.Duration(rapid.IntRange(0, 400000).Draw(t, "delay")) * time.Microsecond
+			operation := rapid.IntRange(0, 5).Draw(t, "operation")
 			prompt := float64(rapid.IntRange(1, 600).Draw(t, "prompt"))
 			out := rapid.IntRange(1, 80).Draw(t, "out")
 			other := rapid.IntRange(0, 100).Draw(t, "other")
 			for _, e := range []*loggedEngine{single, repeated} {
 				switch {
-				case what == 0:
-					e.submit(now, n, Job{Prompt: prompt, Out: out, FetchState: prompt})
-				case what < 4:
-					e.submit(now, n, Job{Prompt: prompt, Out: out})
-				case what == 4 && len(e.jobs) > 0:
+				case operation == 0:
+					e.submit(now, n, Job{PromptTokens: prompt, OutputTokens: out, FetchTokens: prompt})
+				case operation < 4:
+					e.submit(now, n, Job{PromptTokens: prompt, OutputTokens: out})
+				case operation == 4 && len(e.jobs) > 0:
 					e.Cancel(now, e.jobs[other%len(e.jobs)])
 				default:
 					e.Advance(now)
-					e.SetSlow([]float64{1, 3}[other%2])
+					e.SetSlowdown([]float64{1, 3}[other%2])
 				}
 				utilization, queue, memory := e.Load()
 				e.logf("%v %v %.9f", utilization, queue, memory)
@@ -224,17 +225,17 @@
 		}
 		for _, e := range []*loggedEngine{single, repeated} {
 			e.Advance(now + time.Hour)
-			e.logf("%v %v", e.used, e.Work().Writes)
+			e.logf("%v %v", e.usedMemory, e.Work().Decodes)
 		}
 		want, got := single.Work(), repeated.Work()
-		if math.Abs(want.ReadDone-got.ReadDone)+math.Abs(want.WriteDone-got.WriteDone) > 1e-9 {
-			t.Fatalf("work %+v, many at once %+v", want, got)
+		if math.Abs(want.PrefillDone-got.PrefillDone)+math.Abs(want.DecodeDone-got.DecodeDone) > 1e-9 {
+			t.Fatalf("single steps: work %+v, repeated steps: %+v", want, got)
 		}
 		compareLogs(t, single.log, repeated.log)
 	})
 }
 
-// compareLogs fails the test at the first entry that differs.
+// compareLogs fails the test if the logs differ, and shows the first entry that does.
 func compareLogs(t *rapid.T, want, got []string) {
 	t.Helper()
 	if slices.Equal(want, got) {
@@ -242,8 +243,8 @@
 	}
 	for k := range want {
 		if k >= len(got) || want[k] != got[k] {
-			t.Fatalf("entry %d: %q, many at once %q", k, want[k], got[min(k, len(got)-1)])
+			t.Fatalf("entry %d: %q with single steps, %q with repeated steps", k, want[k], got[min(k, len(got)-1)])
 		}
 	}
-	t.Fatal("more entries with many at once")
+	t.Fatal("more entries with repeated steps")
 }
--- a/internal/fake/enginemodel/job.go
+++ b/internal/fake/enginemodel/job.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Job is a request at an engine. Its callbacks are called from within the engine's methods, may call Drop, and may be
-// nil.
+// Job is a request at an engine. Its callbacks may be nil. They run within the engine's methods and may call
+// DropReadState.
 type Job struct {
-	ID         string
-	Prompt     float64
-	Prefix     string // name of the shared prefix, "" = none
-	PrefixLen  float64
-	Session    string
-	Out        int     // tokens that it will answer
-	ReadOnly   bool    // a prefill only: leaves its read state for a decode engine
-	FetchState float64 // tokens of a read state to fetch in place of a prefill; 0 = prefill here
-	Quiet      bool    // Token is called for the first token only, so that steps of quiet decodes are taken many at once
+	ID             string
+	PromptTokens   float64
+	Prefix         string // identifies a prefix that sessions share; "" = none
+	PrefixTokens   float64
+	Session        string
+	OutputTokens   int     // length of its answer
+	PrefillOnly    bool    // prefill without decode: leaves its read state for a decode engine
+	FetchTokens    float64 // size of the read state that it fetches instead of a prefill; 0 = prefill here
+	FirstTokenOnly bool    // calls OnToken for the first token only, so that many decode steps can be simulated as one
 
-	Token func(n int)                // the n-th token is out, from 1; never called for a ReadOnly job
-	Done  func(cachedTokens float64) // ended well
-	Begun func()                     // it runs from here on
-	Lost  func()                     // the engine crashed or was reset
+	OnToken func(n int)                // the n-th token is generated, counted from 1; never called if PrefillOnly
+	OnDone  func(cachedTokens float64) // it is complete
+	OnStart func()                     // it has left the queue for a slot
+	OnLost  func()                     // the engine crashed or was reset
 
-	phase       jobPhase
-	cached      float64       // prompt tokens found in the prefix cache
-	prefillLeft float64       // prompt tokens still to be computed
-	answered    int           // tokens
-	fetchedAt   time.Duration // when its read state will be here, while fetching
+	phase        jobPhase
+	cachedTokens float64       // tokens found in the prefix cache when it was admitted
+	prefillLeft  float64       // tokens still to be computed
+	generated    int           // tokens of its answer so far
+	fetchedAt    time.Duration // when its read state arrives; set while fetching
 }
 
-// jobPhase is where a job is in its life.
+// jobPhase is the stage of processing that a job has reached.
 type jobPhase uint8
 
 const (
@@ -38,5 +38,5 @@
 	ended
 )
 
-// memory is what the job holds while it runs, in tokens.
-func (j *Job) memory() float64 { return j.Prompt + float64(j.answered) }
+// memory returns the tokens that the job occupies while it runs.
+func (j *Job) memory() float64 { return j.PromptTokens + float64(j.generated) }
--- a/internal/fake/enginemodel/params.go
+++ b/internal/fake/enginemodel/params.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// Params describe an engine. Rates are a second at full capacity.
+// Params describes an engine. Rates are per second at full capacity.
 type Params struct {
 	CanPrefill, CanDecode bool
-	Slots                 int     // requests at once
-	MaxQueued             int     // more may wait
-	Memory                float64 // tokens
-	PrefillRate           float64 // prompt tokens
-	Chunk                 float64 // prompt tokens of one step
-	Step                  time.Duration
-	StepStream            time.Duration // and so much more for each running stream
-	FetchRate             float64       // tokens of a read state fetched from a prefill engine
-	CacheTokens           float64       // tokens of the prefix cache
-	SlowStartFrom         float64       // fraction of its capacity at its start
-	SlowStartFor          time.Duration
-	OverloadFactor        float64 // in slow start and sent more than so many times its present capacity ...
-	OverloadAfter         time.Duration
-	StateTTL              time.Duration // a read state that nobody fetches is dropped after this
+	Slots                 int           // jobs that run at once
+	MaxQueued             int           // jobs that may wait while every slot is in use
+	MemoryTokens          float64       // of the KV cache, in tokens
+	PrefillRate           float64       // prompt tokens computed
+	PrefillChunk          float64       // most prompt tokens in one step
+	StepTime              time.Duration // of a step that decodes, without what its streams and a prefill add
+	StepTimePerStream     time.Duration // added for each stream that the step decodes
+	FetchRate             float64       // read state tokens fetched from a prefill engine
+	CacheTokens           float64       // capacity of the prefix cache
+	SlowStartFrom         float64       // fraction of full capacity at which slow start begins
+	SlowStartFor          time.Duration // 0 = no slow start
+	// In slow start the engine crashes when the jobs submitted within OverloadAfter, the heaviest aside, are more than
+	// OverloadFactor times the work that its present capacity completes in that time. If either is 0, it never does.
+	OverloadFactor float64
+	OverloadAfter  time.Duration
+	StateTTL       time.Duration // after which a read state that was not fetched is dropped
 }
--- a/internal/fake/enginemodel/prefixcache.go
+++ b/internal/fake/enginemodel/prefixcache.go
@@ -2,79 +2,81 @@
 
 import "container/list"
 
-// cacheKey names a text of the prefix cache: a prefix that sessions share, or the conversation of a session so far.
+// cacheKey identifies an entry of the prefix cache: a prefix that sessions share, or the conversation of one session so
+// far.
 type cacheKey struct {
-	ofSession bool
+	isSession bool
 	name      string // "" = none
 }
 
 func prefixKey(job *Job) cacheKey  { return cacheKey{name: job.Prefix} }
-func sessionKey(job *Job) cacheKey { return cacheKey{ofSession: true, name: job.Session} }
+func sessionKey(job *Job) cacheKey { return cacheKey{isSession: true, name: job.Session} }
 
-// cachedText is a text whose computed state is kept.
-type cachedText struct {
+// cacheEntry is a prefix whose KV cache is kept.
+type cacheEntry struct {
 	key    cacheKey
 	tokens float64
 }
 
-// prefixCache keeps the computed state of prompts; the least recently stored is evicted first.
+// prefixCache keeps the KV cache of prefixes. The least recently stored entry is evicted first; lookups do not count.
 type prefixCache struct {
-	texts  map[cacheKey]*list.Element // of *cachedText
-	recent *list.List                 // the most recently stored first
-	tokens float64                    // of all texts
+	entries     map[cacheKey]*list.Element // of *cacheEntry
+	order       *list.List                 // most recently stored first
+	totalTokens float64                    // of all entries
 }
 
 func newPrefixCache() prefixCache {
-	return prefixCache{texts: map[cacheKey]*list.Element{}, recent: list.New()}
+	return prefixCache{entries: map[cacheKey]*list.Element{}, order: list.New()}
 }
 
-// clear drops all texts.
+// clear removes all entries.
 func (c *prefixCache) clear() {
-	clear(c.texts)
-	c.recent.Init()
-	c.tokens = 0
+	clear(c.entries)
+	c.order.Init()
+	c.totalTokens = 0
 }
 
-// find is how much of the job's prompt is cached, in tokens.
-func (c *prefixCache) find(job *Job) float64 {
+// lookup returns how many tokens of the job's prompt are cached.
+func (c *prefixCache) lookup(job *Job) float64 {
 	longest := max(c.tokensOf(prefixKey(job)), c.tokensOf(sessionKey(job)))
-	return min(longest, job.Prompt)
+	return min(longest, job.PromptTokens)
 }
 
 func (c *prefixCache) tokensOf(key cacheKey) float64 {
 	if key.name == "" {
 		return 0
 	}
-	element := c.texts[key]
+	element := c.entries[key]
 	if element == nil {
 		return 0
 	}
-	return element.Value.(*cachedText).tokens
+	return element.Value.(*cacheEntry).tokens
 }
 
-// put keeps a text, and evicts others while there are more than limit tokens. One text stays, however long.
+// put stores an entry and evicts others while the cache exceeds limit tokens. The entry itself stays even if it is
+// longer than that.
 func (c *prefixCache) put(key cacheKey, tokens, limit float64) {
 	if key.name == "" || tokens <= 0 {
 		return
 	}
-	if element := c.texts[key]; element != nil {
-		text := element.Value.(*cachedText)
-		c.tokens += tokens - text.tokens
-		text.tokens = tokens
-		c.recent.MoveToFront(element)
+	if element := c.entries[key]; element != nil {
+		entry := element.Value.(*cacheEntry)
+		c.totalTokens += tokens - entry.tokens
+		entry.tokens = tokens
+		c.order.MoveToFront(element)
 	} else {
-		c.texts[key] = c.recent.PushFront(&cachedText{key, tokens})
-		c.tokens += tokens
+		c.entries[key] = c.order.PushFront(&cacheEntry{key, tokens})
+		c.totalTokens += tokens
 	}
-	for c.tokens > limit && c.recent.Len() > 1 {
+	for c.totalTokens > limit && c.order.Len() > 1 {
 		c.evictOldest()
 	}
 }
 
 func (c *prefixCache) evictOldest() {
-	oldest := c.recent.Back()
-	text := oldest.Value.(*cachedText)
-	c.tokens -= text.tokens
-	delete(c.texts, text.key)
-	c.recent.Remove(oldest)
+	oldest := c.order.Back()
+	entry := oldest.Value.(*cacheEntry)
+	c.totalTokens -= entry.tokens
+	delete(c.entries, entry.key)
+	c.order.Remove(oldest)
 }
--- a/internal/fake/enginemodel/readstate.go
+++ b/internal/fake/enginemodel/readstate.go
@@ -2,56 +2,58 @@
 
 import "time"
 
-// readState is what a prefill has left for a decode engine.
+// readState is the KV cache of a finished prefill, kept for a decode engine.
 type readState struct {
 	tokens  float64
 	expires time.Duration
 }
 
-// readStates are the read states held, by the id of their job.
-type readStates map[string]*readState
+// readStateMap holds read states by the ID of their job.
+type readStateMap map[string]*readState
 
-// holdState keeps the read state of a prefill that has ended.
-func (e *Engine) holdState(job *Job) {
-	e.used += job.Prompt // the state takes the place of the job
-	e.states[job.ID] = &readState{tokens: job.Prompt, expires: e.now + e.params.StateTTL}
+// storeReadState keeps the read state of a finished prefill.
+func (e *Engine) storeReadState(job *Job) {
+	e.usedMemory += job.PromptTokens // finishPrefill has freed the memory of the job
+	e.readStates[job.ID] = &readState{tokens: job.PromptTokens, expires: e.now + e.params.StateTTL}
 }
 
-// Take hands a read state over, or releases it; false when there is none.
-func (e *Engine) Take(now time.Duration, id string) (tokens float64, ok bool) {
+// TakeReadState removes a read state, since a decode engine fetches it or it is released, and returns its size. It
+// returns false if there is none.
+func (e *Engine) TakeReadState(now time.Duration, id string) (tokens float64, ok bool) {
 	e.Advance(now)
-	state := e.states[id]
+	state := e.readStates[id]
 	if state == nil {
 		return 0, false
 	}
-	e.dropState(id, state)
+	e.removeReadState(id, state)
 	e.admit()
 	e.beginStep()
 	return state.tokens, true
 }
 
-// Drop releases a read state, if there is one; it may be called from a job's Done.
-func (e *Engine) Drop(id string) {
-	if state := e.states[id]; state != nil {
-		e.dropState(id, state)
+// DropReadState removes a read state, if there is one. It does not admit queued jobs or start a step, so a job's
+// callbacks may call it.
+func (e *Engine) DropReadState(id string) {
+	if state := e.readStates[id]; state != nil {
+		e.removeReadState(id, state)
 	}
 }
 
-// Holds reports whether a read state waits under this id.
-func (e *Engine) Holds(id string) bool { return e.states[id] != nil }
+// HasReadState reports whether the read state of this job is held.
+func (e *Engine) HasReadState(id string) bool { return e.readStates[id] != nil }
 
-// States is the number of read states held.
-func (e *Engine) States() int { return len(e.states) }
+// ReadStateCount returns the number of read states held.
+func (e *Engine) ReadStateCount() int { return len(e.readStates) }
 
-func (e *Engine) dropState(id string, state *readState) {
-	delete(e.states, id)
-	e.used -= state.tokens
+func (e *Engine) removeReadState(id string, state *readState) {
+	delete(e.readStates, id)
+	e.usedMemory -= state.tokens
 }
 
-func (e *Engine) dropExpiredStates() {
-	for id, state := range e.states {
+func (e *Engine) removeExpiredReadStates() {
+	for id, state := range e.readStates {
 		if state.expires <= e.now {
-			e.dropState(id, state)
+			e.removeReadState(id, state)
 		}
 	}
 }
--- a/internal/fake/enginemodel/scheduler.go
+++ b/internal/fake/enginemodel/scheduler.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// minStep is the least duration of a step, so that time passes.
+// minStep is the least duration of a step, so that every step advances the time.
 const minStep = time.Microsecond
 
-// step is what the engine computes at once: a chunk of one prompt and a token of each running answer. Steps that are
-// all alike are taken as one, repeated; end is then the last one's.
+// step is one iteration of the engine: it computes a chunk of one prompt and a token of each decoding job. Consecutive
+// steps that are all alike are simulated as one step with repeats; its end is then the end of the last repeat.
 type step struct {
-	prefill  *Job
-	tokens   float64 // of the prompt
-	decodes  []*Job
-	repeats  int
-	duration time.Duration // of one of them
-	end      time.Duration // 0 = no step runs
+	prefill       *Job
+	prefillTokens float64 // of the prompt, in this step
+	decodes       []*Job
+	repeats       int
+	duration      time.Duration // of one repeat
+	end           time.Duration // 0 = no step is running
 }
 
-// remove takes a job out of the running step.
+// remove removes a job from the step.
 func (s *step) remove(job *Job) {
 	if s.prefill == job {
 		s.prefill = nil
@@ -28,34 +28,35 @@
 	s.decodes = slices.DeleteFunc(s.decodes, func(other *Job) bool { return other == job })
 }
 
-// admit moves waiting jobs into slots, in order, while memory lasts.
+// admit moves jobs from the queue into free slots, in order, while their memory is free. A job that does not fit is
+// admitted only if no job runs and no read state is held.
 func (e *Engine) admit() {
-	for len(e.queue) > 0 && len(e.running) < e.params.Slots && !e.down {
+	for len(e.queue) > 0 && len(e.running) < e.params.Slots && !e.overloaded {
 		job := e.queue[0]
-		if e.used+job.memory() > e.params.Memory && len(e.running)+len(e.states) > 0 {
+		if e.usedMemory+job.memory() > e.params.MemoryTokens && len(e.running)+len(e.readStates) > 0 {
 			return
 		}
-		e.cutRepeats()
+		e.truncateRepeats()
 		e.queue = e.queue[1:]
-		e.used += job.memory()
+		e.usedMemory += job.memory()
 		e.running = append(e.running, job)
-		if job.FetchState > 0 && job.answered == 0 {
+		if job.FetchTokens > 0 && job.generated == 0 {
 			job.phase = fetching
-			job.fetchedAt = e.now + time.Duration(job.FetchState/e.params.FetchRate*float64(time.Second))
+			job.fetchedAt = e.now + time.Duration(job.FetchTokens/e.params.FetchRate*float64(time.Second))
 		} else {
 			job.phase = prefilling
-			job.cached = e.cache.find(job)
-			job.prefillLeft = max(job.memory()-job.cached, 1)
+			job.cachedTokens = e.cache.lookup(job)
+			job.prefillLeft = max(job.memory()-job.cachedTokens, 1)
 		}
-		if job.Begun != nil {
-			job.Begun()
+		if job.OnStart != nil {
+			job.OnStart()
 		}
 	}
 }
 
-// beginStep starts a step if none runs and there is something to compute.
+// beginStep starts a step unless one is running or there is nothing to compute.
 func (e *Engine) beginStep() {
-	if e.step.end != 0 || e.down {
+	if e.step.end != 0 || e.overloaded {
 		return
 	}
 	next := step{}
@@ -65,7 +66,7 @@
 			next.decodes = append(next.decodes, job)
 		case prefilling:
 			if next.prefill == nil {
-				next.prefill, next.tokens = job, min(job.prefillLeft, e.params.Chunk)
+				next.prefill, next.prefillTokens = job, min(job.prefillLeft, e.params.PrefillChunk)
 			}
 		default:
 		}
@@ -75,70 +76,72 @@
 	}
 	var atFullSpeed time.Duration
 	if len(next.decodes) > 0 {
-		atFullSpeed = e.params.Step + e.params.StepStream*time.Duration(len(next.decodes))
+		atFullSpeed = e.params.StepTime + e.params.StepTimePerStream*time.Duration(len(next.decodes))
 	}
 	if next.prefill != nil {
-		atFullSpeed += time.Duration(next.tokens / e.params.PrefillRate * float64(time.Second))
+		atFullSpeed += time.Duration(next.prefillTokens / e.params.PrefillRate * float64(time.Second))
 	}
-	next.duration = max(time.Duration(float64(atFullSpeed)*e.slow/e.Present()), minStep)
-	next.repeats = e.repeatsOf(&next)
+	next.duration = max(time.Duration(float64(atFullSpeed)*e.slowdown/e.CapacityFraction()), minStep)
+	next.repeats = e.repeatCount(&next)
 	next.end = e.now + time.Duration(next.repeats)*next.duration
 	e.step = next
 }
 
-// repeatsOf is how many steps will be like the one that begins: until an answer ends or memory runs out, if all that
-// run are quiet answers that have begun, and the engine has its full capacity.
-func (e *Engine) repeatsOf(next *step) int {
+// repeatCount returns how many consecutive steps are like next. It is more than one only at full capacity and if every
+// running job is decoding, has its first token, and reports no others. The repeats then last until an answer is
+// complete or memory runs out.
+func (e *Engine) repeatCount(next *step) int {
 	n := len(next.decodes)
-	if n == 0 || n != len(e.running) || e.Present() < 1 {
+	if n == 0 || n != len(e.running) || e.CapacityFraction() < 1 {
 		return 1
 	}
 	repeats := math.MaxInt
 	for _, job := range next.decodes {
-		if !job.Quiet || job.answered == 0 {
+		if !job.FirstTokenOnly || job.generated == 0 {
 			return 1
 		}
-		repeats = min(repeats, job.Out-job.answered)
+		repeats = min(repeats, job.OutputTokens-job.generated)
 	}
-	return max(min(repeats, int((e.params.Memory-e.used)/float64(n))), 1)
+	return max(min(repeats, int((e.params.MemoryTokens-e.usedMemory)/float64(n))), 1)
 }
 
-// bookRepeats books those of repeated steps that are over by now, except the last, which endStep books.
-func (e *Engine) bookRepeats() {
+// applyEndedRepeats counts the tokens of the repeats that have ended by now, except for the last repeat, which
+// finishStep counts.
+func (e *Engine) applyEndedRepeats() {
 	s := &e.step
 	if s.repeats <= 1 || s.end == 0 {
 		return
 	}
-	left := int((s.end - e.now + s.duration - 1) / s.duration) // the running one included
-	over := s.repeats - max(left, 1)
-	if over <= 0 {
+	remaining := int((s.end - e.now + s.duration - 1) / s.duration) // including the one that runs now
+	completed := s.repeats - max(remaining, 1)
+	if completed <= 0 {
 		return
 	}
 	for _, job := range s.decodes {
-		job.answered += over
+		job.generated += completed
 	}
-	e.used += float64(over * len(s.decodes))
-	s.repeats -= over
+	e.usedMemory += float64(completed * len(s.decodes))
+	s.repeats -= completed
 }
 
-// cutRepeats ends repeated steps after the present one, since what follows will differ.
-func (e *Engine) cutRepeats() {
-	e.bookRepeats()
+// truncateRepeats makes the current repeat the last one, since the steps after it will differ.
+func (e *Engine) truncateRepeats() {
+	e.applyEndedRepeats()
 	if s := &e.step; s.repeats > 1 && s.end != 0 {
 		s.end -= time.Duration(s.repeats-1) * s.duration
 		s.repeats = 1
 	}
 }
 
-// endStep books what the step that has ended computed.
-func (e *Engine) endStep() {
+// finishStep counts the tokens that the ended step computed. If memory is exceeded then, it preempts jobs.
+func (e *Engine) finishStep() {
 	done := e.step
 	e.step = step{}
 	if job := done.prefill; job != nil {
-		e.work.ReadDone += done.tokens / e.params.PrefillRate
-		job.prefillLeft -= done.tokens
+		e.work.PrefillDone += done.prefillTokens / e.params.PrefillRate
+		job.prefillLeft -= done.prefillTokens
 		if job.prefillLeft <= 0 {
-			e.endPrefill(job)
+			e.finishPrefill(job)
 		}
 	}
 	for _, job := range done.decodes {
@@ -146,46 +149,46 @@
 			e.addToken(job)
 		}
 	}
-	for e.used > e.params.Memory && e.preempt() {
+	for e.usedMemory > e.params.MemoryTokens && e.preempt() {
 	}
 }
 
-// addToken books one more token of an answer, and its end where it is the last.
+// addToken counts one more token of a job's answer, and ends the job after the last one.
 func (e *Engine) addToken(job *Job) {
-	job.answered++
-	e.used++
-	n := job.answered
-	if n >= job.Out {
-		e.work.Writes++
+	job.generated++
+	e.usedMemory++
+	n := job.generated
+	if n >= job.OutputTokens {
+		e.work.Decodes++
 		e.cache.put(sessionKey(job), job.memory(), e.params.CacheTokens)
 		e.remove(job)
 	}
-	if job.Token != nil && (n == 1 || !job.Quiet) {
-		job.Token(n)
+	if job.OnToken != nil && (n == 1 || !job.FirstTokenOnly) {
+		job.OnToken(n)
 	}
-	if n >= job.Out && job.Done != nil {
-		job.Done(job.cached)
+	if n >= job.OutputTokens && job.OnDone != nil {
+		job.OnDone(job.cachedTokens)
 	}
 }
 
-// endPrefill ends the computation of a prompt.
-func (e *Engine) endPrefill(job *Job) {
-	e.work.Reads++
-	e.cache.put(prefixKey(job), job.PrefixLen, e.params.CacheTokens)
-	e.cache.put(sessionKey(job), job.Prompt, e.params.CacheTokens)
-	if !job.ReadOnly {
+// finishPrefill ends the prefill of a job, which then decodes here or leaves its read state.
+func (e *Engine) finishPrefill(job *Job) {
+	e.work.Prefills++
+	e.cache.put(prefixKey(job), job.PrefixTokens, e.params.CacheTokens)
+	e.cache.put(sessionKey(job), job.PromptTokens, e.params.CacheTokens)
+	if !job.PrefillOnly {
 		job.phase = decoding
 		return
 	}
 	e.remove(job)
-	e.holdState(job)
-	if job.Done != nil {
-		job.Done(job.cached)
+	e.storeReadState(job)
+	if job.OnDone != nil {
+		job.OnDone(job.cachedTokens)
 	}
 }
 
-// preempt sends the newest answer back into the queue, to be computed anew; false when there is none. The oldest one is
-// never preempted, so that something ends.
+// preempt moves the most recently admitted decoding job back to the head of the queue, to be computed again. It returns
+// false if there is none. The oldest running job is never preempted, so that one always completes.
 func (e *Engine) preempt() bool {
 	for i := len(e.running) - 1; i > 0; i-- {
 		job := e.running[i]
@@ -193,7 +196,7 @@
 			continue
 		}
 		e.remove(job)
-		job.phase, job.FetchState = waiting, 0
+		job.phase, job.FetchTokens = waiting, 0
 		e.queue = append([]*Job{job}, e.queue...)
 		return true
 	}
--- a/internal/fake/enginemodel/slowstart.go
+++ b/internal/fake/enginemodel/slowstart.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// arrival is work that an engine in slow start was sent.
+// arrival is the work of a job that was submitted in slow start.
 type arrival struct {
 	at   time.Duration
-	work float64 // seconds of the engine at full capacity
+	work float64 // in seconds of the engine at full capacity
 }
 
-// recentArrivals are the arrivals of the last OverloadAfter.
+// recentArrivals holds the arrivals within the last OverloadAfter.
 type recentArrivals []arrival
 
-// Present is the fraction of its capacity that the engine has now.
-func (e *Engine) Present() float64 {
-	age := e.now - e.start
+// CapacityFraction returns the fraction of full capacity that the engine has now. It grows linearly during slow start.
+func (e *Engine) CapacityFraction() float64 {
+	age := e.now - e.slowStartedAt
 	if e.params.SlowStartFor <= 0 || age >= e.params.SlowStartFor {
 		return 1
 	}
@@ -24,52 +24,52 @@
 		(1-e.params.SlowStartFrom)*float64(age)/float64(e.params.SlowStartFor)
 }
 
-// Down reports that the engine was overloaded and crashed.
-func (e *Engine) Down() bool { return e.down }
+// Overloaded reports whether the engine has crashed because it was overloaded in slow start.
+func (e *Engine) Overloaded() bool { return e.overloaded }
 
-// canOverload reports that the engine is in slow start and crashes when it is sent too much.
+// canOverload reports whether the engine is in slow start and too much work would crash it.
 func (e *Engine) canOverload() bool {
-	return e.Present() < 1 && e.params.OverloadFactor > 0 && e.params.OverloadAfter > 0
+	return e.CapacityFraction() < 1 && e.params.OverloadFactor > 0 && e.params.OverloadAfter > 0
 }
 
-// overloadLimit is the work that an engine in slow start may be sent in OverloadAfter.
+// overloadLimit returns the most work that an engine in slow start withstands within OverloadAfter.
 func (e *Engine) overloadLimit() float64 {
-	return e.params.OverloadFactor * e.Present() * e.params.OverloadAfter.Seconds()
+	return e.params.OverloadFactor * e.CapacityFraction() * e.params.OverloadAfter.Seconds()
 }
 
-// checkOverload counts what an engine in slow start is sent, and crashes it when that is too much.
+// checkOverload records the work of a job submitted in slow start, and crashes the engine if that is too much.
 func (e *Engine) checkOverload(job *Job) {
 	if !e.canOverload() {
-		e.recent = nil
+		e.arrivals = nil
 		return
 	}
-	prefill, decode := e.workOf(job)
-	e.recent = append(e.recent, arrival{e.now, prefill + decode})
-	e.recent = slices.DeleteFunc(e.recent, func(a arrival) bool { return e.now-a.at > e.params.OverloadAfter })
+	prefill, decode := e.estimateWork(job)
+	e.arrivals = append(e.arrivals, arrival{e.now, prefill + decode})
+	e.arrivals = slices.DeleteFunc(e.arrivals, func(a arrival) bool { return e.now-a.at > e.params.OverloadAfter })
 	sum, heaviest := 0.0, 0.0
-	for _, a := range e.recent {
+	for _, a := range e.arrivals {
 		sum += a.work
 		heaviest = max(heaviest, a.work)
 	}
-	// One request alone overloads nothing, however heavy.
+	// A single job never overloads the engine, however heavy it is.
 	if sum-heaviest > e.overloadLimit() {
-		e.down = true
+		e.overloaded = true
 		e.Reset()
 	}
 }
 
-// Near reports that with this job an engine in slow start would have been sent more than a fraction of what overloads
-// it.
-func (e *Engine) Near(job *Job, fraction float64) bool {
+// NearOverload reports whether, with this job, the work submitted to an engine in slow start would exceed the given
+// fraction of the overload limit.
+func (e *Engine) NearOverload(job *Job, fraction float64) bool {
 	if !e.canOverload() {
 		return false
 	}
-	prefill, decode := e.workOf(job)
+	prefill, decode := e.estimateWork(job)
 	sum := prefill + decode
-	for _, a := range e.recent {
+	for _, a := range e.arrivals {
 		if e.now-a.at <= e.params.OverloadAfter {
 			sum += a.work
 		}
 	}
-	return sum > fraction*e.params.OverloadFactor*e.Present()*e.params.OverloadAfter.Seconds()
+	return sum > fraction*e.params.OverloadFactor*e.CapacityFraction()*e.params.OverloadAfter.Seconds()
 }
--- a/internal/fake/enginemodel/work.go
+++ b/internal/fake/enginemodel/work.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Work is what an engine has done and lost at each stage since its start, in seconds of the whole engine at full
-// capacity; for decoding, the fraction of its slots in use over time. Read is the prefill stage, Write the decode
-// stage. Waiting is of what is queued now.
+// Work is the work of an engine at each stage, in seconds of the whole engine at full capacity. Done is what it has
+// completed since its start; for decode this is the fraction of slots in use, integrated over time. Lost is the work of
+// the jobs that it rejected, and Waiting that of the queued jobs and of what is left of running prefills.
 type Work struct {
-	ReadDone, ReadWaiting, ReadLost    float64
-	WriteDone, WriteWaiting, WriteLost float64
-	Reads, Writes                      float64 // prompts computed and answers ended
+	PrefillDone, PrefillWaiting, PrefillLost float64
+	DecodeDone, DecodeWaiting, DecodeLost    float64
+	Prefills, Decodes                        float64 // prompts computed and answers completed
 }
 
-// Work returns what was done up to now.
+// Work returns the totals up to the time to which the engine was advanced.
 func (e *Engine) Work() Work {
 	work := e.work
-	work.ReadWaiting, work.WriteWaiting = e.waitingWork(0)
+	work.PrefillWaiting, work.DecodeWaiting = e.waitingWork(0)
 	return work
 }
 
-// Resume goes on from the totals of the engine before a change of role: its process lives on.
-func (e *Engine) Resume(before Work) {
-	before.ReadWaiting, before.WriteWaiting = 0, 0
-	e.work = before
+// RestoreWork continues the totals of the engine before its change of role, since its process goes on running.
+func (e *Engine) RestoreWork(earlier Work) {
+	earlier.PrefillWaiting, earlier.DecodeWaiting = 0, 0
+	e.work = earlier
 }
 
-// Ahead is the prefill work, in seconds of the whole engine at full capacity, that is to be done until a job's prompt
-// would be computed if it came now, its own included.
-func (e *Engine) Ahead(job *Job) float64 {
-	own, _ := e.workOf(job)
-	all, _ := e.waitingWork(own)
-	return all
+// PrefillBacklog returns the prefill work that the engine would have to do until the job's prompt is computed, if the
+// job were submitted now. It includes that of the job, and is in seconds of the whole engine at full capacity.
+func (e *Engine) PrefillBacklog(job *Job) float64 {
+	own, _ := e.estimateWork(job)
+	total, _ := e.waitingWork(own)
+	return total
 }
 
-// waitingWork is the work of the jobs that are here and have not begun, or are in their prefill, and so much prefill
-// beside it.
-func (e *Engine) waitingWork(beside float64) (prefill, decode float64) {
-	prefill = beside
+// waitingWork returns the work of the queued jobs and the rest of the running prefills, with extraPrefill added to the
+// prefill work. The decodes of jobs that are running do not count.
+func (e *Engine) waitingWork(extraPrefill float64) (prefill, decode float64) {
+	prefill = extraPrefill
 	for _, jobs := range [2][]*Job{e.queue, e.running} {
 		for _, job := range jobs {
 			switch job.phase {
 			case waiting:
-				p, d := e.workOf(job)
+				p, d := e.estimateWork(job)
 				prefill, decode = prefill+p, decode+d
 			case prefilling:
 				prefill += job.prefillLeft / e.params.PrefillRate
@@ -51,28 +51,29 @@
 	return prefill, decode
 }
 
-// workOf is the work of a job that has not begun.
-func (e *Engine) workOf(job *Job) (prefill, decode float64) {
-	if job.FetchState == 0 {
-		prefill = max(job.Prompt-e.cache.find(job), 0) / e.params.PrefillRate
+// estimateWork returns the work of a job that has not started. That of a decode is its share of an engine whose slots
+// are all in use.
+func (e *Engine) estimateWork(job *Job) (prefill, decode float64) {
+	if job.FetchTokens == 0 {
+		prefill = max(job.PromptTokens-e.cache.lookup(job), 0) / e.params.PrefillRate
 	}
-	if !job.ReadOnly {
-		fullStep := e.params.Step + e.params.StepStream*time.Duration(e.params.Slots)
-		decode = float64(job.Out) * fullStep.Seconds() / float64(max(e.params.Slots, 1))
+	if !job.PrefillOnly {
+		fullStepTime := e.params.StepTime + e.params.StepTimePerStream*time.Duration(e.params.Slots)
+		decode = float64(job.OutputTokens) * fullStepTime.Seconds() / float64(max(e.params.Slots, 1))
 	}
 	return prefill, decode
 }
 
-// moveClock moves the clock and counts the slots in use by answers.
-func (e *Engine) moveClock(to time.Duration) {
+// setClock moves the engine's time and adds the slots in use by decode jobs to the decode work done.
+func (e *Engine) setClock(to time.Duration) {
 	if to > e.now && e.params.CanDecode {
 		decodes := 0
 		for _, job := range e.running {
-			if !job.ReadOnly && job.phase != prefilling {
+			if !job.PrefillOnly && job.phase != prefilling {
 				decodes++
 			}
 		}
-		e.work.WriteDone += (to - e.now).Seconds() * float64(decodes) / float64(max(e.params.Slots, 1))
+		e.work.DecodeDone += (to - e.now).Seconds() * float64(decodes) / float64(max(e.params.Slots, 1))
 	}
 	e.now = to
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -117,17 +117,17 @@
 	e, err := fakeengine.Start(fakeengine.Config{
 		Name: name, Kind: role, CanCancel: true,
 		Params: enginemodel.Params{
-			CanPrefill:  true,
-			CanDecode:   role != "reader",
-			Slots:       64,
-			MaxQueued:   32,
-			Memory:      200000,
-			PrefillRate: 50000,
-			Chunk:       512,
-			Step:        2 * time.Millisecond,
-			FetchRate:   1e6,
-			CacheTokens: 100000,
-			StateTTL:    30 * time.Second,
+			CanPrefill:   true,
+			CanDecode:    role != "reader",
+			Slots:        64,
+			MaxQueued:    32,
+			MemoryTokens: 200000,
+			PrefillRate:  50000,
+			PrefillChunk: 512,
+			StepTime:     2 * time.Millisecond,
+			FetchRate:    1e6,
+			CacheTokens:  100000,
+			StateTTL:     30 * time.Second,
 		},
 	}, "127.0.0.1:0", false)
 	if err != nil {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -31,9 +31,9 @@
 
 func engineParams(role roles.Role) enginemodel.Params {
 	return enginemodel.Params{
-		CanPrefill: role.Prefills(), CanDecode: role.Decodes(), Slots: 16, MaxQueued: 32, Memory: 200000,
-		PrefillRate: 50000, Chunk: 512,
-		Step: 2 * time.Millisecond, FetchRate: 1e6, CacheTokens: 100000, StateTTL: 30 * time.Second,
+		CanPrefill: role.Prefills(), CanDecode: role.Decodes(), Slots: 16, MaxQueued: 32, MemoryTokens: 200000,
+		PrefillRate: 50000, PrefillChunk: 512,
+		StepTime: 2 * time.Millisecond, FetchRate: 1e6, CacheTokens: 100000, StateTTL: 30 * time.Second,
 	}
 }
 
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -122,7 +122,7 @@
 // reset gives the engine an empty model, as a new process has.
 func (e *engine) reset(now time.Duration, slowStart bool) {
 	e.model = enginemodel.New(e.params, now, slowStart)
-	e.model.SetSlow(e.slowFactor())
+	e.model.SetSlowdown(e.slowFactor())
 	e.jobs, e.held, e.released = map[string]*job{}, map[string]bool{}, map[string]time.Duration{}
 }
 
@@ -138,7 +138,7 @@
 		e.onRelease(m.attempt)
 	case stateFetch:
 		e.model.Advance(e.now())
-		_, ok := e.model.Take(e.now(), m.state)
+		_, ok := e.model.TakeReadState(e.now(), m.state)
 		e.send(m.engine, e.fleet.hop(e.rnd), stateFetched{m.job, ok && e.up})
 	case stateFetched:
 		e.onStateFetched(m)
@@ -163,12 +163,12 @@
 // settle follows what the message changed in the model, and schedules the next wakeup.
 func (e *engine) settle() {
 	for id := range e.held {
-		if !e.model.Holds(id) {
+		if !e.model.HasReadState(id) {
 			delete(e.held, id)
 			e.record(e.now(), audit.Event{Kind: audit.StateReleased, Engine: e.name, Request: id})
 		}
 	}
-	if e.model.Down() && e.up {
+	if e.model.Overloaded() && e.up {
 		e.record(e.now(), audit.Event{Kind: audit.Overloaded, Engine: e.name})
 		e.stop()
 		e.send(e.fleet.apiServer.id, e.fleet.hop(e.rnd), engineStopped{e.index})
@@ -221,12 +221,12 @@
 		return
 	}
 	if e.strikes("reset-mid-stream") && m.decode {
-		j.resetAt, j.Quiet = 1+e.rnd.IntN(maxResetToken), false
+		j.resetAt, j.FirstTokenOnly = 1+e.rnd.IntN(maxResetToken), false
 	}
-	j.Begun = func() { e.onBegun(j) }
-	j.Token = func(n int) { e.onToken(j, n) }
-	j.Done = func(cached float64) { e.onDone(j, cached) }
-	j.Lost = func() { e.endWith(j, routing.ConnectionReset) }
+	j.OnStart = func() { e.onBegun(j) }
+	j.OnToken = func(n int) { e.onToken(j, n) }
+	j.OnDone = func(cached float64) { e.onDone(j, cached) }
+	j.OnLost = func() { e.endWith(j, routing.ConnectionReset) }
 	if !e.model.Submit(e.now(), &j.Job) {
 		e.endWith(j, routing.Rejected)
 	}
@@ -234,13 +234,13 @@
 
 func newJob(m engineRequest) *job {
 	j := &job{request: m, Job: enginemodel.Job{
-		ID: m.id, Prompt: m.work.prompt, Prefix: m.work.prefix, PrefixLen: m.work.prefixLen, Session: m.work.session,
-		Out: m.work.out, ReadOnly: !m.decode, Quiet: true,
+		ID: m.id, PromptTokens: m.work.prompt, Prefix: m.work.prefix, PrefixTokens: m.work.prefixLen, Session: m.work.session,
+		OutputTokens: m.work.out, PrefillOnly: !m.decode, FirstTokenOnly: true,
 	}}
 	if m.decode && m.state.engine >= 0 {
-		j.FetchState = max(j.Prompt, 1)
+		j.FetchTokens = max(j.PromptTokens, 1)
 	}
-	j.fetched = j.FetchState == 0
+	j.fetched = j.FetchTokens == 0
 	return j
 }
 
@@ -262,7 +262,7 @@
 		e.end(j, attemptResult{result: routing.Rejected, stateMissing: true})
 	default:
 		j.fetched = true
-		e.fetchedTokens += j.Prompt
+		e.fetchedTokens += j.PromptTokens
 		if j.hasToken {
 			e.execute(j)
 		}
@@ -303,7 +303,7 @@
 }
 
 func (e *engine) onDone(j *job, cached float64) {
-	if !j.ReadOnly {
+	if !j.PrefillOnly {
 		if !j.fetched { // the model decoded faster than the state arrived: the state decides
 			j.fetched = true
 			e.execute(j)
@@ -314,7 +314,7 @@
 	e.held[j.ID] = true
 	e.record(e.now(), audit.Event{Kind: audit.StateHeld, Engine: e.name, Request: j.ID})
 	if _, unwanted := e.released[j.ID]; unwanted {
-		e.model.Drop(j.ID)
+		e.model.DropReadState(j.ID)
 	}
 	e.end(j, attemptResult{result: routing.PrefillDone, cachedTokens: cached})
 }
@@ -346,7 +346,7 @@
 		}
 	}
 	e.released[id] = e.now()
-	e.model.Take(e.now(), id)
+	e.model.TakeReadState(e.now(), id)
 }
 
 // stop ends the process.
--- a/internal/simulation/fleet/engine_faults.go
+++ b/internal/simulation/fleet/engine_faults.go
@@ -30,7 +30,7 @@
 	_, stalls := e.faults["stall"]
 	classFault, failsClass := e.faults["fail-class"]
 	decode := j.request.decode
-	needsPrefill := !decode || j.FetchState == 0
+	needsPrefill := !decode || j.FetchTokens == 0
 	switch {
 	case stalls:
 	case failsClass && classFault.class == j.request.work.class, e.strikes("fail-fast"):
@@ -38,7 +38,7 @@
 	case e.strikes("reset-after-request"):
 		e.endWith(j, routing.ConnectionReset)
 	case needsPrefill && !e.params.CanPrefill, decode && !e.params.CanDecode:
-		missing := decode && j.FetchState == 0 && e.params.CanDecode
+		missing := decode && j.FetchTokens == 0 && e.params.CanDecode
 		e.end(j, attemptResult{result: routing.Rejected, stateMissing: missing})
 	default:
 		return false
@@ -91,7 +91,7 @@
 		}
 	case "forget":
 		if m.on {
-			e.model.Forget()
+			e.model.ClearPrefixCache()
 		}
 	case "silent-restart":
 		if m.on {
@@ -108,7 +108,7 @@
 			delete(e.faults, m.what)
 		}
 		if m.what == "slow" {
-			e.model.SetSlow(e.slowFactor())
+			e.model.SetSlowdown(e.slowFactor())
 		}
 	}
 }
--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -85,7 +85,7 @@
 
 // switchIfDrained begins the switch once no work of the old role is left.
 func (e *engine) switchIfDrained() {
-	busy := e.model.Working() > 0 || e.model.States() > 0
+	busy := e.model.InFlight() > 0 || e.model.ReadStateCount() > 0
 	if e.role.params == nil || !e.up || e.role.switching || e.role.state.StatusReport().Serving {
 		return
 	}
@@ -117,7 +117,7 @@
 	e.role.state = e.role.state.FinishDraining()
 	e.useRole(e.role.state.Role)
 	if m.added {
-		e.model.Become(e.now(), e.params)
+		e.model.SetParams(e.now(), e.params)
 		return
 	}
 	if e.role.misreports {
@@ -125,7 +125,7 @@
 	}
 	work := e.model.Work()
 	e.model = enginemodel.New(e.params, e.now(), true)
-	e.model.Resume(work)
+	e.model.RestoreWork(work)
 }
 
 func (e *engine) sendStatus(to int32) {
@@ -135,9 +135,9 @@
 	e.model.Advance(e.now())
 	work := e.model.Work()
 	status := planner.Status{
-		StatusReport: e.role.state.StatusReport(), Outstanding: e.model.Working() + e.model.States(),
-		Read:  planner.Stage{Done: work.ReadDone, Waiting: work.ReadWaiting, Lost: work.ReadLost, Count: work.Reads},
-		Write: planner.Stage{Done: work.WriteDone, Waiting: work.WriteWaiting, Lost: work.WriteLost, Count: work.Writes},
+		StatusReport: e.role.state.StatusReport(), Outstanding: e.model.InFlight() + e.model.ReadStateCount(),
+		Read:  planner.Stage{Done: work.PrefillDone, Waiting: work.PrefillWaiting, Lost: work.PrefillLost, Count: work.Prefills},
+		Write: planner.Stage{Done: work.DecodeDone, Waiting: work.DecodeWaiting, Lost: work.DecodeLost, Count: work.Decodes},
 	}
 	status.Serving = status.Serving && !e.role.switching
 	e.send(to, connectHops*e.fleet.hop(e.rnd), statusReply{e.name, status})
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -92,7 +92,7 @@
 		}
 	}
 	e := r.fleet.engines[best]
-	seconds := e.model.Ahead(j) - e.model.Ahead(&enginemodel.Job{FetchState: 1, ReadOnly: true})
+	seconds := e.model.PrefillBacklog(j) - e.model.PrefillBacklog(&enginemodel.Job{FetchTokens: 1, PrefillOnly: true})
 	e.pending.add(seconds)
 	e.schedule(2*r.fleet.options.Link, sendArrived{seconds})
 	return best
@@ -104,7 +104,7 @@
 	if !o.any() { // several shards are allowed: the engine's state must not be read from here
 		return false
 	}
-	slowStart := e.model.Present() < 1
+	slowStart := e.model.CapacityFraction() < 1
 	switch {
 	case role == routing.RoleMixed, !e.healthy():
 		return false
@@ -124,11 +124,11 @@
 func oracleJob(request *inflightRequest, role routing.Role) *enginemodel.Job {
 	work := &request.message.work
 	j := &enginemodel.Job{
-		Prompt: work.prompt, Prefix: work.prefix, PrefixLen: work.prefixLen, Session: work.session, Out: work.out,
-		ReadOnly: role == routing.RolePrefill,
+		PromptTokens: work.prompt, Prefix: work.prefix, PrefixTokens: work.prefixLen, Session: work.session, OutputTokens: work.out,
+		PrefillOnly: role == routing.RolePrefill,
 	}
 	if role == routing.RoleDecode && request.state.engine >= 0 {
-		j.FetchState = max(j.Prompt, 1)
+		j.FetchTokens = max(j.PromptTokens, 1)
 	}
 	return j
 }
@@ -139,18 +139,18 @@
 		return false
 	}
 	e := r.fleet.engines[engine]
-	if !e.healthy() || e.model.Present() < 1 && !r.fleet.options.Oracles.KnowSlowStart {
+	if !e.healthy() || e.model.CapacityFraction() < 1 && !r.fleet.options.Oracles.KnowSlowStart {
 		return false
 	}
-	return !e.model.Near(j, oracleOverload)
+	return !e.model.NearOverload(j, oracleOverload)
 }
 
 // oracleCost returns what an oracle compares engines by: the time until a prefill ends, or the streams beside a decode.
 func (e *engine) oracleCost(j *enginemodel.Job, role routing.Role) float64 {
 	if role == routing.RolePrefill {
-		return (e.model.Ahead(j) + e.pending.seconds) / e.model.Present()
+		return (e.model.PrefillBacklog(j) + e.pending.seconds) / e.model.CapacityFraction()
 	}
-	return float64(e.model.Working()+e.pending.streams+1) / e.model.Present()
+	return float64(e.model.InFlight()+e.pending.streams+1) / e.model.CapacityFraction()
 }
 
 // healthy reports whether nothing is wrong with the engine.
--- a/internal/simulation/scenario/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -27,22 +27,22 @@
 func (s *Scenario) EngineParams(k *Kind) enginemodel.Params {
 	service := s.Service
 	return enginemodel.Params{
-		CanPrefill:     k.Role != roleDecode || service.DecodeCanPrefill,
-		CanDecode:      k.Role != rolePrefill,
-		Slots:          k.Slots,
-		MaxQueued:      k.Queue,
-		Memory:         float64(k.Memory),
-		PrefillRate:    max(float64(k.ReadRate), leastRate),
-		Chunk:          prefillChunk,
-		Step:           k.Step,
-		StepStream:     k.PerStream,
-		FetchRate:      max(float64(k.FetchRate), leastRate),
-		CacheTokens:    float64(k.Memory) * cachePart,
-		SlowStartFrom:  service.SlowStartFrom,
-		SlowStartFor:   service.SlowStartFor,
-		OverloadFactor: service.OverloadFactor,
-		OverloadAfter:  service.OverloadAfter,
-		StateTTL:       engineTTL,
+		CanPrefill:        k.Role != roleDecode || service.DecodeCanPrefill,
+		CanDecode:         k.Role != rolePrefill,
+		Slots:             k.Slots,
+		MaxQueued:         k.Queue,
+		MemoryTokens:      float64(k.Memory),
+		PrefillRate:       max(float64(k.ReadRate), leastRate),
+		PrefillChunk:      prefillChunk,
+		StepTime:          k.Step,
+		StepTimePerStream: k.PerStream,
+		FetchRate:         max(float64(k.FetchRate), leastRate),
+		CacheTokens:       float64(k.Memory) * cachePart,
+		SlowStartFrom:     service.SlowStartFrom,
+		SlowStartFor:      service.SlowStartFor,
+		OverloadFactor:    service.OverloadFactor,
+		OverloadAfter:     service.OverloadAfter,
+		StateTTL:          engineTTL,
 	}
 }
 
