--- a/cmd/brackenbend/replica_test.go
+++ b/cmd/brackenbend/replica_test.go
@@ -69,11 +69,11 @@
 // key. The client retries at the second replica, and the request takes effect once.
 func TestReplicaKilledDuringDecode(t *testing.T) {
 	record := audit.NewRecord()
-	group := &engine.DedupGroup{Window: time.Minute}
+	group := &engine.DedupScope{Window: time.Minute}
 	var endpoints string
 	for _, role := range []string{"reader", "writer"} {
 		address := startFakeEngine(t, engine.Config{
-			Name: role, Kind: role, Params: fakeEngineParams(role), Group: group, Record: record,
+			Name: role, Kind: role, Params: fakeEngineParams(role), DedupScope: group, Record: record,
 		})
 		endpoints += fmt.Sprintf("<server name=%q kind=%q address=%q/>", role, role, address)
 	}
--- a/internal/fake/engine/completion.go
+++ b/internal/fake/engine/completion.go
@@ -13,33 +13,33 @@
 	"brackenbend/internal/fake/enginemodel"
 )
 
-// completion is one prefill or decode under way. Its goroutine is the one of net/http; the model's callbacks, which run
-// on other goroutines with Server.mu held, wake it.
+// completion is one prefill or decode in flight. It runs on the goroutine of its HTTP handler, which the callbacks of
+// the model wake; those run on any goroutine, with Server.mu held.
 type completion struct {
-	s       *Server
+	server  *Server
 	job     *enginemodel.Job
 	request *completionRequest
-	faults  Faults // those at its arrival
+	faults  Faults // those in force at its arrival
 	w       http.ResponseWriter
 	r       *http.Request
 	created int64
-	wake    chan struct{} // has room for one, so that a callback never blocks
+	wake    chan struct{} // has a buffer of one, so that a callback never blocks
 
 	progress progress // guarded by Server.mu
 }
 
-// progress is how far the model is with a job.
+// progress is how far the model has processed a job.
 type progress struct {
-	begun, done, lost bool
-	tokens            int
-	cachedTokens      float64 // found in the prefix cache
+	started, done, lost bool
+	tokens              int
+	cachedTokens        float64 // prompt tokens found in the prefix cache
 }
 
 func newCompletion(
 	s *Server, job *enginemodel.Job, request *completionRequest, faults Faults, w http.ResponseWriter, r *http.Request,
 ) *completion {
 	return &completion{
-		s:       s,
+		server:  s,
 		job:     job,
 		request: request,
 		faults:  faults,
@@ -50,11 +50,11 @@
 	}
 }
 
-// serve runs the request to its end.
+// serve submits the job and writes the response.
 func (c *completion) serve() {
 	switch {
 	case !c.submit():
-		c.s.reject(c.w, false)
+		c.server.reject(c.w, false)
 	case c.job.PrefillOnly:
 		c.prefill()
 	default:
@@ -62,63 +62,63 @@
 	}
 }
 
-// notify wakes the request's goroutine.
+// notify wakes the goroutine of the request.
 func (c *completion) notify() {
 	select {
 	case c.wake <- struct{}{}:
-	default: // it will wake for an earlier change and see this one too
+	default: // an earlier notification is pending, and the goroutine will see this change with it
 	}
 }
 
-// submit hands the job to the model; false: rejected.
+// submit submits the job to the model and reports whether it was accepted.
 func (c *completion) submit() bool {
-	c.job.OnStart = func() { c.progress.begun = true; c.notify() }
+	c.job.OnStart = func() { c.progress.started = true; c.notify() }
 	c.job.OnToken = func(n int) { c.progress.tokens = n; c.notify() }
 	c.job.OnLost = func() { c.progress.lost = true; c.notify() }
 	c.job.OnDone = func(cachedTokens float64) {
 		c.progress.done, c.progress.cachedTokens = true, cachedTokens
 		if c.job.PrefillOnly {
-			c.s.holdState(c.job.ID)
+			c.server.recordHeld(c.job.ID)
 		}
 		c.notify()
 	}
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	ok := c.s.process.up && !c.s.rejectsNewLocked() && c.s.model.Submit(c.s.now(), c.job)
-	c.s.schedule()
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	ok := c.server.process.up && !c.server.rejectsNewLocked() && c.server.model.Submit(c.server.now(), c.job)
+	c.server.schedule()
 	return ok
 }
 
-// abandon ends the job of a connection that ended, where the engine can cancel or has not begun it.
+// abandon cancels a job whose connection has closed, if the engine cancels on disconnect or has not started the job.
 func (c *completion) abandon() {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	if c.s.cfg.CanCancel || !c.progress.begun {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if c.server.cfg.CancelsOnDisconnect || !c.progress.started {
 		c.cancelLocked()
 	}
 }
 
-// cancel ends the job.
+// cancel removes the job from the model.
 func (c *completion) cancel() {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	c.cancelLocked()
 }
 
 // cancelLocked is cancel with Server.mu held.
 func (c *completion) cancelLocked() {
-	c.s.model.Cancel(c.s.now(), c.job)
-	c.s.schedule()
+	c.server.model.Cancel(c.server.now(), c.job)
+	c.server.schedule()
 }
 
 // currentProgress returns a copy of the progress.
 func (c *completion) currentProgress() progress {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	return c.progress
 }
 
-// awaitChange waits until the model has moved the job; false: ctx was canceled.
+// awaitChange waits for progress of the job. It returns false if ctx is canceled first.
 func (c *completion) awaitChange(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
@@ -128,36 +128,36 @@
 	}
 }
 
-// prefill waits for the end of a prefill and answers it.
+// prefill waits until the prefill has ended and writes the response.
 func (c *completion) prefill() {
 	for {
 		if !c.awaitChange(c.r.Context()) {
 			c.abandon()
 			return
 		}
-		now := c.currentProgress()
-		if now.lost {
-			resetConnection(c.w)
+		current := c.currentProgress()
+		if current.lost {
+			resetRequest(c.w)
 			return
 		}
-		if now.done {
-			if hook := c.s.currentHooks().afterPrefill; hook != nil {
+		if current.done {
+			if hook := c.server.currentHooks().afterPrefill; hook != nil {
 				hook()
 			}
-			c.writePrefillAnswer(now.cachedTokens)
+			c.writePrefillResponse(current.cachedTokens)
 			return
 		}
 	}
 }
 
-// object is a JSON object of an answer.
+// object is a JSON object of a response.
 type object = map[string]any
 
-func (c *completion) writePrefillAnswer(cachedTokens float64) {
-	host, port := c.s.hostPort()
-	c.writeHead("application/json")
+func (c *completion) writePrefillResponse(cachedTokens float64) {
+	host, port := c.server.hostPort()
+	c.setHeader("application/json")
 	promptTokens := int(c.job.PromptTokens)
-	answer := object{
+	response := object{
 		"id":      "cmpl-" + c.job.ID,
 		"object":  "chat.completion",
 		"created": time.Now().Unix(),
@@ -176,7 +176,7 @@
 		"kv_transfer_params": object{
 			"do_remote_prefill": true,
 			"do_remote_decode":  false,
-			"remote_engine_id":  c.s.cfg.Name,
+			"remote_engine_id":  c.server.cfg.Name,
 			"remote_block_ids":  []int{1},
 			"remote_host":       host,
 			"remote_port":       port,
@@ -184,10 +184,10 @@
 			"remote_tokens":     c.job.PromptTokens,
 		},
 	}
-	_ = json.NewEncoder(c.w).Encode(answer) // fails only when the connection is gone
+	_ = json.NewEncoder(c.w).Encode(response) // fails only if the connection has closed
 }
 
-// hostPort is where the engine listens.
+// hostPort returns the address on which the engine listens.
 func (s *Server) hostPort() (host string, port int) {
 	host, number, err := net.SplitHostPort(s.Info().Address)
 	if err != nil {
@@ -200,16 +200,17 @@
 	return host, port
 }
 
-// writeHead sets the header fields that every answer has.
-func (c *completion) writeHead(contentType string) {
+// setHeader sets the header fields of a successful response.
+func (c *completion) setHeader(contentType string) {
 	header := c.w.Header()
 	header.Set("Content-Type", contentType)
-	if report, ok := c.s.currentLoadReport(); ok && c.r.Header.Get("endpoint-load-metrics-format") == "TEXT" {
+	if report, ok := c.server.currentLoadReport(); ok && c.r.Header.Get("endpoint-load-metrics-format") == "TEXT" {
 		header.Set("endpoint-load-metrics", report)
 	}
 }
 
-// currentLoadReport is the load in the text form of ORCA reports; false: none are sent.
+// currentLoadReport returns the load as an ORCA report in its text format, and whether reports are sent. While reports
+// are frozen it repeats the last one.
 func (s *Server) currentLoadReport() (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +223,8 @@
 	return s.loadReport, !s.faults.NoReports
 }
 
-// recordEffect records that the request takes effect here, unless the dedup group has seen its key.
+// recordEffect records that the request takes effect here, or that it is a duplicate because its idempotency key was
+// seen in the dedup scope.
 func (c *completion) recordEffect() {
 	metadata := c.request.Metadata
 	if metadata["effect"] == "" {
@@ -235,8 +237,8 @@
 		Intent:  metadata["effect"],
 		Class:   audit.Class(metadata["kind"]),
 	}
-	if key := c.r.Header.Get("Idempotency-Key"); key != "" && !c.s.cfg.Group.first(key) {
+	if key := c.r.Header.Get("Idempotency-Key"); key != "" && !c.server.cfg.DedupScope.firstUse(key) {
 		event.Kind = audit.Deduplicated
 	}
-	c.s.record(event)
+	c.server.record(event)
 }
--- a/internal/fake/engine/dedup.go
+++ b/internal/fake/engine/dedup.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// DedupGroup is a set of engines that together drop repeats of requests with an idempotency key.
-type DedupGroup struct {
-	Window time.Duration // for which a key is remembered
+// DedupScope is a set of engines among which a request with an idempotency key takes effect only once.
+type DedupScope struct {
+	Window time.Duration // how long a key is remembered
 
 	mu   sync.Mutex
 	seen map[string]time.Time
 }
 
-// first reports whether key was not seen within the window, and remembers it.
-func (g *DedupGroup) first(key string) bool {
+// firstUse reports whether key is new within the window. It remembers a new key.
+func (g *DedupScope) firstUse(key string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -1,11 +1,12 @@
-// Package engine is a fake of an engine on a socket: it speaks vLLM's convention for disaggregated prefill and the
-// extension of docs/gateway.md, runs the model of internal/fake/enginemodel in real time, and fails on demand. It uses
-// net/http, so that the gateway's own parsers meet an independent peer.
+// Package engine is a fake inference engine on a socket. It implements vLLM's protocol for disaggregated prefill and
+// the extension described in docs/gateway.md, runs the model of internal/fake/enginemodel in real time, and injects
+// faults on demand. It uses net/http, so that the gateway's own HTTP parsers are tested against an independent
+// implementation.
 //
-// A Server's mutex guards its model, connections, faults and role; the functions named in the comments as called with
-// Server.mu held rely on it. Goroutines: those of net/http, one that accepts connections for each listener, one that
-// crashes an overloaded engine, and timers for the model, for a change of role and for refused connections. Close ends
-// and awaits the first three kinds that the package starts itself; a timer that fires later finds the process down.
+// Server.mu guards the model, connections, faults and role. Besides those of net/http, the goroutines are one that
+// accepts connections for each listener, one that crashes an overloaded engine, and those of the timers: for the model,
+// for a change of role and for the end of refused connections. Close resets all connections and waits for the accepting
+// and crashing goroutines; a timer that fires later finds the process down.
 package engine
 
 import (
@@ -21,11 +22,11 @@
 )
 
 const (
-	// defaultDedupWindow is how long a key is remembered by an engine that shares no dedup group.
+	// defaultDedupWindow is the dedup window of an engine that shares no dedup scope.
 	defaultDedupWindow = time.Minute
-	// stateFetchTimeout bounds the fetch of a read state from another fake, which answers at once while it lives.
+	// stateFetchTimeout bounds the fetch of a read state from another fake engine, which responds at once while it runs.
 	stateFetchTimeout = 2 * time.Second
-	// idleTimer is the first setting of the model's timer, which has nothing due yet.
+	// idleTimer is the initial duration of the model's timer, before the model has any event.
 	idleTimer = time.Hour
 )
 
@@ -33,22 +34,22 @@
 type Config struct {
 	Name, Kind, Zone, Cell string
 	Params                 enginemodel.Params
-	PlainVLLM              bool // speaks vLLM's convention only, not the extension
-	CanCancel              bool // work stops when its connection ends
-	Group                  *DedupGroup
+	PlainVLLM              bool // implements only vLLM's protocol, not the extension
+	CancelsOnDisconnect    bool // cancels a running job when its connection closes
+	DedupScope             *DedupScope
 	Record                 *audit.Record // may be nil
-	Changed                func(*Server) // called when its process has started or ended; may be nil
+	OnProcessChange        func(*Server) // called after the process has started or ended; may be nil
 
-	Roles        map[roles.Role]enginemodel.Params // that it can take; empty = it keeps its Params
-	InitialState roles.EngineState                 // as its disk has it at its first start
-	SwitchTime   time.Duration                     // from empty to serving in another role
+	Roles        map[roles.Role]enginemodel.Params // parameters in each role that it can have; empty = always Params
+	InitialState roles.EngineState                 // of the role, as stored on its disk at the first start
+	SwitchTime   time.Duration                     // from drained to serving in another role
 }
 
 // Server is a running fake engine.
 type Server struct {
 	cfg        Config
 	epoch      time.Time // the model's time 0
-	peers      *http.Client
+	peerClient *http.Client
 	goroutines sync.WaitGroup
 
 	mu         sync.Mutex
@@ -60,34 +61,34 @@
 	role       roleChange
 	faults     Faults
 	hooks      hooks
-	loadReport string // the last one sent; repeated while reports are frozen
-	arrivals   int
+	loadReport string // the last one sent, repeated while reports are frozen
+	arrivals   int    // prefills and decodes received
 }
 
-// Start listens on addr (port 0 = any) and serves. cold says whether the engine begins in slow start.
+// Start starts an engine that listens on addr; port 0 picks a free one. The engine begins in slow start if cold is set.
 func Start(cfg Config, addr string, cold bool) (*Server, error) {
 	s := &Server{
-		cfg:   cfg,
-		epoch: time.Now(),
-		peers: &http.Client{Timeout: stateFetchTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
-		conns: map[net.Conn]struct{}{},
+		cfg:        cfg,
+		epoch:      time.Now(),
+		peerClient: &http.Client{Timeout: stateFetchTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		conns:      map[net.Conn]struct{}{},
 		states: readStates{
 			held:     map[string]bool{},
 			released: map[string]time.Time{},
 		},
 		role: roleChange{state: cfg.InitialState},
 	}
-	if s.cfg.Group == nil {
-		s.cfg.Group = &DedupGroup{Window: defaultDedupWindow}
+	if s.cfg.DedupScope == nil {
+		s.cfg.DedupScope = &DedupScope{Window: defaultDedupWindow}
 	}
 	s.timer = time.AfterFunc(idleTimer, s.advance)
-	if err := s.startProcessRetrying(addr, cold); err != nil {
+	if err := s.startProcessWithRetry(addr, cold); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// now is the model's time.
+// now returns the time of the model.
 func (s *Server) now() time.Duration { return time.Since(s.epoch) }
 
 func (s *Server) record(e audit.Event) {
@@ -95,20 +96,20 @@
 	s.cfg.Record.Add(e)
 }
 
-func (s *Server) notifyChanged() {
-	if s.cfg.Changed != nil {
-		s.cfg.Changed(s)
+func (s *Server) notifyProcessChange() {
+	if s.cfg.OnProcessChange != nil {
+		s.cfg.OnProcessChange(s)
 	}
 }
 
-// Info is what the API server lists of an engine.
+// Info describes an engine as the API server lists it.
 type Info struct {
 	Name, Kind, Zone, Cell, Address, UID string
 	Up                                   bool
-	Started                              time.Time // zero = long ago
+	Started                              time.Time // zero = without slow start
 }
 
-// Info describes the engine as it is.
+// Info returns the current description of the engine.
 func (s *Server) Info() Info {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,28 +125,28 @@
 	}
 }
 
-// Working is the number of requests that wait or run.
-func (s *Server) Working() int {
+// InFlight returns the number of requests that are queued or running.
+func (s *Server) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.model.InFlight()
 }
 
-// States is the number of read states held.
-func (s *Server) States() int {
+// ReadStateCount returns the number of read states held.
+func (s *Server) ReadStateCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.model.ReadStateCount()
 }
 
-// Arrivals is the number of prefills and decodes that ever reached the engine.
+// Arrivals returns the number of prefills and decodes that have reached the engine since Start.
 func (s *Server) Arrivals() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.arrivals
 }
 
-// advance moves the model to the present. Callers that changed the model call schedule themselves.
+// advance moves the model to the present; the model's timer calls it.
 func (s *Server) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,8 +154,9 @@
 	s.schedule()
 }
 
-// schedule follows a change of the model: it sets the timer for what is due next, records expired states, begins a
-// change of role that was waiting, and crashes an overloaded engine. s.mu is held.
+// schedule is called after each change of the model, with s.mu held. It sets the timer for the next event, records the
+// read states that are no longer held, begins a switch of role once the engine is drained, and crashes an overloaded
+// engine.
 func (s *Server) schedule() {
 	if at, ok := s.model.Next(); ok {
 		s.timer.Reset(max(at-s.now(), 0))
--- a/internal/fake/engine/faults.go
+++ b/internal/fake/engine/faults.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Faults are what is wrong with a fake engine now; the zero value is nothing. Its JSON form is how faults are set from
-// outside, by POST /standin/faults. A fraction is a probability for each request.
+// Faults are the faults in force at a fake engine; the zero value has none. POST /standin/faults sets them in their
+// JSON form. A fraction is the probability of the fault for each request.
 type Faults struct {
 	FailFast          float64 `json:"fail_fast"`  // fraction of requests that fail at once
-	FailClass         string  `json:"fail_class"` // requests of this class fail at once
-	Stall             bool    `json:"stall"`      // requests are accepted and never answered
-	Slow              float64 `json:"slow"`       // times slower
+	FailClass         string  `json:"fail_class"` // all requests of this class fail at once
+	Stall             bool    `json:"stall"`      // requests are read but never answered
+	SlowFactor        float64 `json:"slow"`       // multiplies the duration of each step of the model; 0 = 1
 	ResetMidStream    float64 `json:"reset_mid"`  // fraction of streams that are reset after a few tokens
 	ResetAfterRequest float64 `json:"reset_head"` // fraction of requests whose connection is reset once they are read
-	ResetAfterEffect  float64 `json:"reset_run"`  // fraction that takes effect and is reset before the first token
-	FailAfterEffect   float64 `json:"fail_run"`   // fraction that takes effect and is answered with an error
-	StallAfterEffect  float64 `json:"stall_run"`  // fraction that takes effect and is never answered
-	FrozenReports     bool    `json:"frozen"`     // load reports stay as they are
+	ResetAfterEffect  float64 `json:"reset_run"`  // fraction reset after taking effect, before the first token
+	FailAfterEffect   float64 `json:"fail_run"`   // fraction that fails with status 500 after taking effect
+	StallAfterEffect  float64 `json:"stall_run"`  // fraction never answered after taking effect
+	FrozenReports     bool    `json:"frozen"`     // the last load report is sent again and again
 	NoReports         bool    `json:"no_reports"`
 }
 
-// speedFactor is by how much the model is slowed down.
-func (f Faults) speedFactor() float64 { return cmp.Or(f.Slow, 1) }
+// slowdown returns the factor by which the model is slowed down.
+func (f Faults) slowdown() float64 { return cmp.Or(f.SlowFactor, 1) }
 
-// SetFaults replaces what is wrong with the engine.
+// SetFaults replaces the faults in force.
 func (s *Server) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
-	s.model.SetSlowdown(faults.speedFactor())
+	s.model.SetSlowdown(faults.slowdown())
 }
 
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
@@ -44,72 +44,73 @@
 	s.SetFaults(faults)
 }
 
-// hooks let a test act at one moment of a request, or change how streams are written.
+// hooks are test hooks: callbacks at one point of a request, and a switch for endless streams.
 type hooks struct {
 	beforeStateFetch func()
 	afterPrefill     func()
 	endlessStreams   bool
 }
 
-// StreamWithoutEnd makes streams write without end, as fast as their connection accepts it.
-func (s *Server) StreamWithoutEnd(on bool) {
+// SetEndlessStreams makes streams send tokens forever, as fast as the connection accepts them.
+func (s *Server) SetEndlessStreams(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hooks.endlessStreams = on
 }
 
-// BeforeStateFetch sets a hook that is called when a read state is asked for, before it is handed over.
+// BeforeStateFetch sets a hook that is called when a fetch of a read state arrives, before it is answered.
 func (s *Server) BeforeStateFetch(hook func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hooks.beforeStateFetch = hook
 }
 
-// AfterPrefill sets a hook that is called when a prefill has ended, before it is answered.
+// AfterPrefill sets a hook that is called when a prefill has ended, before its response is written.
 func (s *Server) AfterPrefill(hook func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hooks.afterPrefill = hook
 }
 
-// currentHooks returns the hooks in force.
+// currentHooks returns a copy of the hooks.
 func (s *Server) currentHooks() hooks {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hooks
 }
 
-// DropPrefixCache empties the engine's prefix cache.
-func (s *Server) DropPrefixCache() {
+// ClearPrefixCache removes every entry of the engine's prefix cache.
+func (s *Server) ClearPrefixCache() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model.ClearPrefixCache()
 }
 
-// SilentRestart loses everything as a crash does, but the API server is not notified and the port stays open.
+// SilentRestart discards all jobs, read states and cached prefixes and resets all connections, as a crash does, but the
+// API server is not notified and the port stays open.
 func (s *Server) SilentRestart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropAll()
+	s.resetAll()
 }
 
-// RefuseConnects closes the listener for a while; existing connections stay.
-func (s *Server) RefuseConnects(duration time.Duration) {
+// RefuseConnections closes the listener for a duration; existing connections stay open.
+func (s *Server) RefuseConnections(duration time.Duration) {
 	s.mu.Lock()
-	listener, server, addr := s.process.listener, s.process.http, s.process.addr
+	listener, server, addr := s.process.listener, s.process.httpServer, s.process.addr
 	s.mu.Unlock()
 	closeListener(listener)
-	time.AfterFunc(duration, func() { s.acceptAgain(server, addr) })
+	time.AfterFunc(duration, func() { s.listenAgain(server, addr) })
 }
 
-// acceptAgain listens again for a process that refused connections, if it is still the same one.
-func (s *Server) acceptAgain(server *http.Server, addr string) {
+// listenAgain ends the refusal of connections, if the same process is still running.
+func (s *Server) listenAgain(server *http.Server, addr string) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return // another process has the port: this one goes on refusing
+		return // another process has taken the port: connections stay refused
 	}
 	s.mu.Lock()
-	if s.process.http != server || !s.process.up {
+	if s.process.httpServer != server || !s.process.up {
 		s.mu.Unlock()
 		closeListener(listener)
 		return
@@ -119,18 +120,18 @@
 	s.mu.Unlock()
 }
 
-// resetConnection ends a request with a TCP reset instead of an answer.
-func resetConnection(w http.ResponseWriter) {
+// resetRequest resets the TCP connection of a request instead of sending a response or the rest of it.
+func resetRequest(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		return // the connection is gone already
+		return // the connection has closed already
 	}
 	closeWithReset(conn)
 }
 
 func closeWithReset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that is gone already
+		_ = tcp.SetLinger(0) // fails only on a connection that has closed already
 	}
 	_ = conn.Close() // likewise
 }
--- a/internal/fake/engine/forms_test.go
+++ b/internal/fake/engine/forms_test.go
@@ -7,11 +7,11 @@
 	"brackenbend/internal/golden"
 )
 
-// TestFaultsJSONForm checks the form in which faults are set from outside. The golden file was recorded before the
-// renaming and is not updated.
+// TestFaultsJSONForm checks the JSON form in which POST /standin/faults takes faults. The golden file pins the
+// names that were in use before the Go fields were renamed, and must not be updated.
 func TestFaultsJSONForm(t *testing.T) {
 	faults := []Faults{{
-		FailFast: 0.5, FailClass: "c", Stall: true, Slow: 2, ResetMidStream: 0.25, ResetAfterRequest: 0.125,
+		FailFast: 0.5, FailClass: "c", Stall: true, SlowFactor: 2, ResetMidStream: 0.25, ResetAfterRequest: 0.125,
 		ResetAfterEffect: 0.75, FailAfterEffect: 0.375, StallAfterEffect: 0.625, FrozenReports: true, NoReports: true,
 	}, {}}
 	encoded, err := json.MarshalIndent(faults, "", " ")
@@ -22,12 +22,13 @@
 	var decoded []Faults
 	err = json.Unmarshal(encoded, &decoded)
 	if err != nil || decoded[0] != faults[0] || decoded[1] != faults[1] {
-		t.Errorf("decoded again (%v): not the same", err)
+		t.Errorf("decoded faults differ from the encoded ones (error %v)", err)
 	}
 }
 
-// TestTextForms checks each form of a text. The keys of an array of parts are the chat protocol's.
-func TestTextForms(t *testing.T) {
+// TestTextIsReadInEachForm checks each JSON form that a message's content or a prompt may have. The keys of an array of
+// parts are those of the chat completions API; other spellings match regardless of case.
+func TestTextIsReadInEachForm(t *testing.T) {
 	got := ""
 	for _, raw := range []string{
 		`"a"`, `null`, `[1,2]`, `["b"]`, `[{"type":"text","text":"c"},{"type":"image_url"},{"TEXT":"d"}]`, `{}`,
--- a/internal/fake/engine/handlers.go
+++ b/internal/fake/engine/handlers.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	// maxBody bounds the body of a request; scenarios send far less.
-	maxBody = 8 << 20
-	// stateFetchPath is where another fake fetches a read state. Real engines do it over a network of their own.
+	// maxBodyBytes bounds the body of a request; scenarios send far less.
+	maxBodyBytes = 8 << 20
+	// stateFetchPath is the path at which another fake engine fetches a read state. Real engines transfer read states
+	// over a separate network.
 	stateFetchPath = "/standin/take"
-	// engineFault is the answer of a request that fails by a fault.
-	engineFault = `{"error":{"message":"engine fault","type":"server_error"}}`
+	// faultBody is the response body of a request that fails because of an injected fault.
+	faultBody = `{"error":{"message":"engine fault","type":"server_error"}}`
 )
 
 func (s *Server) handler() http.Handler {
@@ -32,8 +33,8 @@
 	return mux
 }
 
-// reject answers that a request was rejected before it ran; noState says that the read state which it was to fetch is
-// not there.
+// reject responds that a request was rejected before it ran. noState says that the reason is a missing read state: the
+// one to fetch is gone, or the engine cannot prefill and the request names none.
 func (s *Server) reject(w http.ResponseWriter, noState bool) {
 	if !s.cfg.PlainVLLM {
 		w.Header().Set("X-Brackenbend-Never-Ran", "1")
@@ -46,17 +47,17 @@
 	writeString(w, `{"error":{"message":"turned away","type":"server_error","param":null,"code":null}}`)
 }
 
-// writeString writes a part of an answer. A failed write is not handled: the connection is gone, which ends the
-// request's context and is seen at the other end.
+// writeString writes a part of a response. A failed write is not handled: the connection has closed then, which cancels
+// the context of the request and is visible to the client.
 func writeString(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// serveCompletion serves a prefill, a decode, or both in one.
+// serveCompletion serves a prefill, a decode, or both in one request.
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	replica, _ := strings.CutPrefix(r.UserAgent(), "brackenbend/")
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		return // the connection ended before the request was whole
+		return // the connection closed before the whole request was received
 	}
 	var request completionRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -73,16 +74,16 @@
 	})
 	defer s.record(audit.Event{Kind: audit.Ended, Request: id})
 	s.mu.Lock()
-	faults, params := s.faults, s.params()
+	faults, params := s.faults, s.roleParams()
 	s.arrivals++
 	s.mu.Unlock()
 	switch {
 	case faults.Stall:
 		<-r.Context().Done()
 	case faults.FailClass != "" && faults.FailClass == request.Metadata["class"] || rand.Float64() < faults.FailFast:
-		http.Error(w, engineFault, http.StatusInternalServerError)
+		http.Error(w, faultBody, http.StatusInternalServerError)
 	case rand.Float64() < faults.ResetAfterRequest:
-		resetConnection(w)
+		resetRequest(w)
 	case job.PrefillOnly && !params.CanPrefill || !job.PrefillOnly && !params.CanDecode ||
 		job.FetchTokens == 0 && !job.PrefillOnly && !params.CanPrefill:
 		s.reject(w, job.FetchTokens == 0 && !job.PrefillOnly && params.CanDecode)
@@ -91,18 +92,18 @@
 	}
 }
 
-// serveStateFetch hands a read state over to the decode engine that asks for it.
+// serveStateFetch removes a read state for the decode engine that fetches it.
 func (s *Server) serveStateFetch(w http.ResponseWriter, r *http.Request) {
 	if hook := s.currentHooks().beforeStateFetch; hook != nil {
 		hook()
 	}
-	var request stateFetch
-	if json.NewDecoder(r.Body).Decode(&request) != nil || !s.removeState(request.ID) {
+	var request stateFetchRequest
+	if json.NewDecoder(r.Body).Decode(&request) != nil || !s.takeState(request.ID) {
 		http.Error(w, "no such state", http.StatusNotFound)
 	}
 }
 
-// serveRelease drops a read state that nobody will fetch: a request of the extension.
+// serveRelease releases a read state that no decode will fetch. The request is part of the extension.
 func (s *Server) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		ID string `json:"request_id"`
--- a/internal/fake/engine/lifecycle.go
+++ b/internal/fake/engine/lifecycle.go
@@ -11,29 +11,28 @@
 )
 
 const (
-	// bindAttempts and bindDelay bound the wait for an address that a closed listener still holds for a moment: a
-	// second in all.
+	// bindAttempts and bindDelay bound the wait for an address that a closed listener still occupies: 1 s in total.
 	bindAttempts = 50
 	bindDelay    = 20 * time.Millisecond
 	// readHeaderTimeout bounds how long a connection may take to send the head of a request.
 	readHeaderTimeout = 10 * time.Second
 )
 
-// ErrRunning is returned by Restart for an engine whose process has not ended.
-var ErrRunning = errors.New("fake engine: it is running")
+// ErrProcessRunning is returned by Restart if the process of the engine has not ended.
+var ErrProcessRunning = errors.New("fake engine: the process is already running")
 
 // process is one process of the engine, from its start to its crash.
 type process struct {
 	addr       string
 	generation int // counts the processes; part of the UID
 	up         bool
-	started    time.Time // zero = long ago
-	http       *http.Server
+	started    time.Time // zero = without slow start
+	httpServer *http.Server
 	listener   net.Listener
 }
 
-// startProcessRetrying starts the process at an address that a closed listener may still hold for a moment.
-func (s *Server) startProcessRetrying(addr string, cold bool) (err error) {
+// startProcessWithRetry starts the process at an address that a closed listener may still occupy for a moment.
+func (s *Server) startProcessWithRetry(addr string, cold bool) (err error) {
 	for range bindAttempts {
 		if err = s.startProcess(addr, cold); err == nil {
 			return nil
@@ -43,7 +42,7 @@
 	return err
 }
 
-// startProcess starts the process: a new UID, an empty engine, a listener.
+// startProcess starts a process with a new UID, an empty model and a new listener.
 func (s *Server) startProcess(addr string, cold bool) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -59,26 +58,26 @@
 		addr:       listener.Addr().String(),
 		generation: s.process.generation + 1,
 		up:         true,
-		http:       server,
+		httpServer: server,
 		listener:   listener,
 	}
 	if cold {
 		s.process.started = time.Now()
 	}
-	s.role.restart()
-	s.model = enginemodel.New(s.params(), s.now(), cold)
-	s.model.SetSlowdown(s.faults.speedFactor())
+	s.role.finishOnRestart()
+	s.model = enginemodel.New(s.roleParams(), s.now(), cold)
+	s.model.SetSlowdown(s.faults.slowdown())
 	s.mu.Unlock()
 	s.record(audit.Event{Kind: audit.EngineStarted})
 	s.serve(server, listener)
-	s.notifyChanged()
+	s.notifyProcessChange()
 	return nil
 }
 
 // serve accepts connections in a goroutine until the listener is closed.
 func (s *Server) serve(server *http.Server, listener net.Listener) {
 	s.goroutines.Go(func() {
-		_ = server.Serve(listener) // always an error: the listener was closed
+		_ = server.Serve(listener) // returns after the listener is closed, always with an error
 	})
 }
 
@@ -94,7 +93,7 @@
 	}
 }
 
-// Crash ends the process at once: connections are reset; read states and the prefix cache are lost.
+// Crash ends the process at once: connections are reset, and jobs, read states and the prefix cache are lost.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	if !s.process.up {
@@ -104,18 +103,18 @@
 	s.stopProcess()
 	s.mu.Unlock()
 	s.record(audit.Event{Kind: audit.EngineStopped})
-	s.notifyChanged()
+	s.notifyProcessChange()
 }
 
-// stopProcess closes the listener and every connection and empties the engine. s.mu is held.
+// stopProcess closes the listener, resets every connection and empties the model. s.mu is held.
 func (s *Server) stopProcess() {
 	s.process.up = false
 	closeListener(s.process.listener)
-	s.dropAll()
+	s.resetAll()
 }
 
-// dropAll resets every connection and empties the engine. s.mu is held.
-func (s *Server) dropAll() {
+// resetAll resets every connection and empties the model. s.mu is held.
+func (s *Server) resetAll() {
 	for conn := range s.conns {
 		closeWithReset(conn)
 	}
@@ -125,18 +124,18 @@
 	}
 }
 
-// Restart starts the process again after a crash, in slow start, under the same address.
+// Restart starts a new process after a crash, in slow start and at the same address.
 func (s *Server) Restart() error {
 	s.mu.Lock()
 	up, addr := s.process.up, s.process.addr
 	s.mu.Unlock()
 	if up {
-		return ErrRunning
+		return ErrProcessRunning
 	}
-	return s.startProcessRetrying(addr, true)
+	return s.startProcessWithRetry(addr, true)
 }
 
-// Close ends the fake.
+// Close stops the process and waits for the goroutines that the package started.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.stopProcess()
@@ -146,5 +145,5 @@
 }
 
 func closeListener(listener net.Listener) {
-	_ = listener.Close() // fails only when it is closed already
+	_ = listener.Close() // fails only if it is closed already
 }
--- a/internal/fake/engine/readstate.go
+++ b/internal/fake/engine/readstate.go
@@ -11,19 +11,19 @@
 	"brackenbend/internal/audit"
 )
 
-// readStates is what the server knows of read states beside the model, which holds them.
+// readStates is what the server records about read states; the model holds the states themselves.
 type readStates struct {
 	held     map[string]bool      // recorded as held
-	released map[string]time.Time // prefills whose state was released, though they may still run or even arrive
+	released map[string]time.Time // by prefill, when its state was released; the prefill may still run or arrive later
 }
 
-// isReleased reports whether the state of a prefill was released before the prefill ended.
+// isReleased reports whether a release of the prefill's state has arrived.
 func (r *readStates) isReleased(id string) bool {
 	_, ok := r.released[id]
 	return ok
 }
 
-// markReleased remembers a release, and forgets those older than ttl.
+// markReleased records a release and removes those older than ttl.
 func (r *readStates) markReleased(id string, now time.Time, ttl time.Duration) {
 	for other, at := range r.released {
 		if now.Sub(at) > ttl {
@@ -33,9 +33,9 @@
 	r.released[id] = now
 }
 
-// holdState records that a prefill has left its state; one that was released meanwhile is dropped at once. s.mu is
-// held, and the caller calls schedule, which records that a dropped state is gone.
-func (s *Server) holdState(id string) {
+// recordHeld records that the model holds the read state of a finished prefill. A state whose release arrived earlier
+// is dropped at once. s.mu is held, and the caller calls schedule, which records the dropped state as released.
+func (s *Server) recordHeld(id string) {
 	s.states.held[id] = true
 	s.record(audit.Event{Kind: audit.StateHeld, Request: id})
 	if s.states.isReleased(id) {
@@ -43,14 +43,14 @@
 	}
 }
 
-// recordReleased records that a state is gone. s.mu is held.
+// recordReleased records that the engine no longer holds a state. s.mu is held.
 func (s *Server) recordReleased(id string) {
 	delete(s.states.held, id)
 	s.record(audit.Event{Kind: audit.StateReleased, Request: id})
 }
 
-// removeState ends the holding of a state; false: there is none.
-func (s *Server) removeState(id string) bool {
+// takeState removes a read state from the model and reports whether there was one.
+func (s *Server) takeState(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ok := s.model.TakeReadState(s.now(), id)
@@ -58,30 +58,30 @@
 	return ok
 }
 
-// releaseState drops a state, now or, where its prefill still runs, when that ends.
+// releaseState drops a read state now, or when its prefill ends. It reports whether there was one now.
 func (s *Server) releaseState(id string) bool {
 	s.mu.Lock()
 	s.states.markReleased(id, time.Now(), s.cfg.Params.StateTTL)
 	s.mu.Unlock()
-	return s.removeState(id)
+	return s.takeState(id)
 }
 
-// stateFetch is the request for a read state from one fake to another.
-type stateFetch struct {
+// stateFetchRequest is the body of a fetch of a read state by another fake engine.
+type stateFetchRequest struct {
 	ID string `json:"id"`
 }
 
-// fetchState takes a read state from the prefill engine that holds it; false: it is not there any more.
+// fetchState fetches a read state from its prefill engine and reports whether that still held it.
 func (s *Server) fetchState(from *kvTransfer) bool {
-	body, err := json.Marshal(stateFetch{ID: from.Request})
+	body, err := json.Marshal(stateFetchRequest{ID: from.Request})
 	if err != nil {
 		return false
 	}
 	url := "http://" + net.JoinHostPort(from.Host, strconv.Itoa(from.Port)) + stateFetchPath
-	resp, err := s.peers.Post(url, "application/json", bytes.NewReader(body))
+	resp, err := s.peerClient.Post(url, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
-	_ = resp.Body.Close() // only the status counts
+	_ = resp.Body.Close() // only the status matters
 	return resp.StatusCode == http.StatusOK
 }
--- a/internal/fake/engine/request.go
+++ b/internal/fake/engine/request.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// bytesPerToken is the usual rule of thumb for English text.
+	// bytesPerToken is the usual approximation for English text.
 	bytesPerToken = 4
-	// defaultAnswerTokens is the length of an answer that the request doesn't bound.
+	// defaultAnswerTokens is the length of an answer if the request does not limit it.
 	defaultAnswerTokens = 64
-	// maxChoices bounds the answers (n) of one request.
+	// maxChoices bounds the choices (n) of one request.
 	maxChoices = 8
 )
 
-// completionRequest is the part of a body that the fake looks at.
+// completionRequest is the part of a request body that the fake reads.
 type completionRequest struct {
-	Model     string    `json:"model"`
-	Stream    bool      `json:"stream"`
-	MaxTokens *int      `json:"max_tokens"`
-	MaxNew    *int      `json:"max_completion_tokens"`
-	N         *int      `json:"n"`
-	Messages  []message `json:"messages"`
-	Prompt    text      `json:"prompt"`
-	Options   struct {
-		Usage bool `json:"include_usage"`
+	Model               string    `json:"model"`
+	Stream              bool      `json:"stream"`
+	MaxTokens           *int      `json:"max_tokens"`
+	MaxCompletionTokens *int      `json:"max_completion_tokens"`
+	N                   *int      `json:"n"`
+	Messages            []message `json:"messages"`
+	Prompt              text      `json:"prompt"`
+	StreamOptions       struct {
+		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
-	// Metadata is what the clients of a scenario send its engines: effect, try, class, kind, answer (tokens).
-	Metadata map[string]string `json:"metadata"`
-	KV       *kvTransfer       `json:"kv_transfer_params"`
+	// Metadata is set by the clients of a scenario: effect, try, class, kind and answer, the length in tokens.
+	Metadata   map[string]string `json:"metadata"`
+	KVTransfer *kvTransfer       `json:"kv_transfer_params"`
 }
 
 type message struct {
@@ -37,7 +37,8 @@
 	Content text   `json:"content"`
 }
 
-// kvTransfer says that a request is one stage of two, and for a decode where its read state is.
+// kvTransfer marks a request as the prefill or the decode of a disaggregated pair. For a decode it locates the read
+// state.
 type kvTransfer struct {
 	RemoteDecode  bool    `json:"do_remote_decode"`
 	RemotePrefill bool    `json:"do_remote_prefill"`
@@ -47,7 +48,7 @@
 	Tokens        float64 `json:"remote_tokens"`
 }
 
-// job makes the model's view of a request.
+// job returns the job by which the model represents the request.
 func (q *completionRequest) job(id string) *enginemodel.Job {
 	size, prefixSize := len(q.Prompt), 0
 	system, first := "", ""
@@ -67,22 +68,23 @@
 		Session:      system + "\x00" + first,
 		OutputTokens: q.answerTokens(),
 	}
-	if q.KV != nil && q.KV.RemoteDecode {
+	if q.KVTransfer != nil && q.KVTransfer.RemoteDecode {
 		job.PrefillOnly = true
-	} else if q.KV != nil && q.KV.RemotePrefill {
+	} else if q.KVTransfer != nil && q.KVTransfer.RemotePrefill {
 		job.FetchTokens = max(job.PromptTokens, 1)
 	}
 	return job
 }
 
-// answerTokens is the length of the answer: what the client of a scenario wants to get, within its bound.
+// answerTokens returns the length of the answer: what the client of a scenario asks for in its metadata, within the
+// limit of the request.
 func (q *completionRequest) answerTokens() int {
 	tokens := defaultAnswerTokens
 	if q.MaxTokens != nil {
 		tokens = *q.MaxTokens
 	}
-	if q.MaxNew != nil {
-		tokens = *q.MaxNew
+	if q.MaxCompletionTokens != nil {
+		tokens = *q.MaxCompletionTokens
 	}
 	if n, err := strconv.Atoi(q.Metadata["answer"]); err == nil && n > 0 {
 		tokens = min(tokens, n)
@@ -90,15 +92,15 @@
 	return tokens
 }
 
-// maxTokens is the bound on the answer's length; 0 = none.
+// maxTokens returns the limit on the length of the answer; 0 = none.
 func (q *completionRequest) maxTokens() int {
-	return max(valueOrZero(q.MaxTokens), valueOrZero(q.MaxNew))
+	return max(valueOrZero(q.MaxTokens), valueOrZero(q.MaxCompletionTokens))
 }
 
-// choices is the number of answers that were asked for.
-func (q *completionRequest) choices() int { return min(max(valueOrZero(q.N), 1), maxChoices) }
+// choiceCount returns the number of choices that the response has.
+func (q *completionRequest) choiceCount() int { return min(max(valueOrZero(q.N), 1), maxChoices) }
 
-// isChat reports whether the request is one of the chat endpoint.
+// isChat reports whether the request is a chat completion.
 func (q *completionRequest) isChat() bool { return len(q.Messages) > 0 }
 
 func valueOrZero(n *int) int {
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -10,38 +10,38 @@
 	"brackenbend/roles"
 )
 
-// maxCommandBody bounds the body of a planner's command, which has three short fields.
-const maxCommandBody = 4096
+// maxCommandBytes bounds the body of a planner's command, which has three short fields.
+const maxCommandBytes = 4096
 
-// roleChange is the engine's part in a change of role.
+// roleChange is the state of the engine's role and of its change to another.
 type roleChange struct {
-	state      roles.EngineState // on its disk: outlives crashes
-	switching  bool              // nothing of the old role is left, and SwitchTime runs
-	misreports bool              // a fault: the engine reports a change that it has not made
+	state      roles.EngineState // stored on disk: survives crashes
+	switching  bool              // no work of the old role is left, and SwitchTime is passing
+	misreports bool              // fault: the engine reports a change that it has not made
 }
 
-// restart is what a crash does: the engine is drained and comes back in the role that it was to have.
-func (c *roleChange) restart() { c.state, c.switching = c.state.FinishDraining(), false }
+// finishOnRestart completes a change of role when the process starts, since a crash has drained the engine.
+func (c *roleChange) finishOnRestart() { c.state, c.switching = c.state.FinishDraining(), false }
 
-// addsStage reports that the change only adds a stage to the one that is served.
+// addsStage reports whether the change only adds a stage to the one that the engine serves.
 func (c *roleChange) addsStage() bool {
 	return c.state.Target == roles.Both && c.state.Role != roles.Both
 }
 
-// rejectsNew reports that the engine accepts no new work, since it is on its way to another role.
+// rejectsNew reports whether the engine rejects new requests because it is changing to another role.
 func (c *roleChange) rejectsNew() bool {
 	return !c.state.Serves(c.state.Role) || c.switching && !c.addsStage()
 }
 
-// params are those of the role in force. s.mu is held.
-func (s *Server) params() enginemodel.Params {
+// roleParams returns the parameters of the current role. s.mu is held.
+func (s *Server) roleParams() enginemodel.Params {
 	if params, ok := s.cfg.Roles[s.role.state.Role]; ok {
 		return params
 	}
 	return s.cfg.Params
 }
 
-// rejectsNew reports that the engine accepts no new work, since it is on its way to another role.
+// rejectsNew reports whether the engine rejects new requests because it is changing to another role.
 func (s *Server) rejectsNew() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,34 +51,35 @@
 // rejectsNewLocked is rejectsNew with s.mu held.
 func (s *Server) rejectsNewLocked() bool { return s.role.rejectsNew() }
 
-// switchIfDrained begins to switch once nothing is left of the old role. s.mu is held.
+// switchIfDrained begins the switch to the target role once no work of the old role is left. A change that only adds a
+// stage does not wait for that. s.mu is held.
 func (s *Server) switchIfDrained() {
 	busy := s.model.InFlight() > 0 || s.model.ReadStateCount() > 0
-	adds := s.role.addsStage()
-	if s.role.switching || s.role.state.StatusReport().Serving || busy && !adds || !s.process.up {
+	addsStage := s.role.addsStage()
+	if s.role.switching || s.role.state.StatusReport().Serving || busy && !addsStage || !s.process.up {
 		return
 	}
 	s.role.switching = true
 	generation := s.process.generation
-	time.AfterFunc(s.cfg.SwitchTime, func() { s.finishSwitch(generation, adds) })
+	time.AfterFunc(s.cfg.SwitchTime, func() { s.finishSwitch(generation, addsStage) })
 }
 
-// finishSwitch puts the engine into its new role, if neither a crash nor another command came meanwhile.
-func (s *Server) finishSwitch(generation int, added bool) {
+// finishSwitch puts the engine into its new role, unless it has crashed or received another command meanwhile.
+func (s *Server) finishSwitch(generation int, addsStage bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.process.generation != generation || !s.process.up { // it crashed, and came back in its new role
+	if s.process.generation != generation || !s.process.up { // it crashed; its next process starts in the new role
 		return
 	}
-	if added != s.role.addsStage() { // another command came
+	if addsStage != s.role.addsStage() { // another command arrived
 		s.role.switching = false
 		s.switchIfDrained()
 		return
 	}
-	before := s.params()
+	before := s.roleParams()
 	s.role.state, s.role.switching = s.role.state.FinishDraining(), false
-	after := s.params()
-	if added {
+	after := s.roleParams()
+	if addsStage {
 		s.model.SetParams(s.now(), after)
 		s.schedule()
 		return
@@ -100,19 +101,19 @@
 	s.role.misreports = on
 }
 
-// EngineState is the engine's part in a change of role.
+// EngineState returns the state of the engine's role.
 func (s *Server) EngineState() roles.EngineState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.role.state
 }
 
-// serveRole answers a planner: it accepts a command where one comes, and returns the engine's status.
+// serveRole serves a planner: it accepts the command of a POST request, and responds with the engine's status.
 func (s *Server) serveRole(w http.ResponseWriter, r *http.Request) {
 	var command *roles.Command
 	if r.Method == http.MethodPost {
 		command = &roles.Command{}
-		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBody)).Decode(command)
+		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes)).Decode(command)
 		if err != nil || command.Target > roles.Both {
 			http.Error(w,
 				`{"error":{"message":"an order is {\"id\":...,\"order\":...,\"to\":...}","type":"invalid_request_error"}}`,
@@ -122,11 +123,11 @@
 	}
 	status := s.statusAfter(command)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(status) // fails only when the connection is gone
+	_ = json.NewEncoder(w).Encode(status) // fails only if the connection has closed
 }
 
-// statusAfter accepts a command that is meant for this engine and names a role that it can have, and returns what the
-// engine then reports to planners. command is nil where none came.
+// statusAfter accepts a command that is addressed to this engine and names a role that it can have, and returns the
+// status that the engine then reports to planners. command may be nil.
 func (s *Server) statusAfter(command *roles.Command) planner.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// neverReset is resetAt of a stream that is not reset.
+	// neverReset is the resetAt of a stream that is not reset.
 	neverReset = -1
-	// maxTokensBeforeReset bounds what is sent of a stream before the fault ResetMidStream.
+	// maxTokensBeforeReset bounds the tokens sent before the fault ResetMidStream resets a stream.
 	maxTokensBeforeReset = 5
 )
 
-// decodeStream is a decode under way: the stream of its answer.
+// decodeStream is the streamed answer of a decode in flight.
 type decodeStream struct {
 	*completion
 
-	fetched bool // the read state is here, or none is to be fetched
-	started bool // the first token is out
-	sent    int  // tokens
-	resetAt int  // token before which the stream is reset
+	fetched        bool // the read state was fetched, or none has to be
+	firstTokenSent bool // or about to be
+	sent           int  // tokens
+	resetAt        int  // number of tokens sent before the stream is reset
 }
 
 func newDecodeStream(c *completion) *decodeStream {
@@ -34,16 +34,16 @@
 	return d
 }
 
-// run streams the answer as the model writes it.
+// run streams the answer as the model generates it.
 func (d *decodeStream) run() {
 	ctx := d.r.Context()
 	for {
 		if !d.awaitChange(ctx) {
 			d.abandon()
-			if d.s.cfg.CanCancel {
+			if d.server.cfg.CancelsOnDisconnect {
 				return
 			}
-			ctx = context.Background() // the work goes on; nobody reads the answer
+			ctx = context.Background() // the job goes on, though the client has disconnected
 			continue
 		}
 		if ended := d.advance(d.currentProgress()); ended {
@@ -52,49 +52,49 @@
 	}
 }
 
-// advance carries the stream as far as the model is; true: it has ended.
-func (d *decodeStream) advance(now progress) (ended bool) {
+// advance sends the tokens that the model has generated, and reports whether the stream has ended.
+func (d *decodeStream) advance(current progress) (ended bool) {
 	switch {
-	case now.lost:
-		resetConnection(d.w)
+	case current.lost:
+		resetRequest(d.w)
 		return true
-	case now.begun && !d.fetched:
-		if !d.s.fetchState(d.request.KV) {
+	case current.started && !d.fetched:
+		if !d.server.fetchState(d.request.KVTransfer) {
 			d.cancel()
-			d.s.reject(d.w, true)
+			d.server.reject(d.w, true)
 			return true
 		}
 		d.fetched = true
-		d.notify() // tokens may have come meanwhile
+		d.notify() // tokens may have been generated meanwhile
 		return false
-	case now.tokens == 0:
+	case current.tokens == 0:
 		return false
 	}
-	if !d.started {
-		d.started = true
+	if !d.firstTokenSent {
+		d.firstTokenSent = true
 		d.recordEffect()
 		if d.failAfterEffect() {
 			return true
 		}
-		d.writeHead("text/event-stream")
+		d.setHeader("text/event-stream")
 	}
-	if reset := d.writeTokens(now.tokens); reset {
+	if reset := d.writeTokens(current.tokens); reset {
 		return true
 	}
-	if now.done {
+	if current.done {
 		d.writeEnd()
 	}
-	_ = http.NewResponseController(d.w).Flush() // fails only when the connection is gone
-	return now.done
+	_ = http.NewResponseController(d.w).Flush() // fails only if the connection has closed
+	return current.done
 }
 
-// failAfterEffect applies the faults of a request that has taken effect; true: it has failed by one.
+// failAfterEffect applies the faults of a request that has taken effect, and reports whether one has ended it.
 func (d *decodeStream) failAfterEffect() bool {
 	switch draw := rand.Float64(); {
 	case draw < d.faults.ResetAfterEffect:
-		resetConnection(d.w)
+		resetRequest(d.w)
 	case draw < d.faults.FailAfterEffect:
-		http.Error(d.w, engineFault, http.StatusInternalServerError)
+		http.Error(d.w, faultBody, http.StatusInternalServerError)
 	case draw < d.faults.StallAfterEffect:
 		<-d.r.Context().Done()
 	default:
@@ -104,17 +104,17 @@
 	return true
 }
 
-// writeTokens writes the tokens up to a number; true: the stream was reset before.
+// writeTokens writes tokens until upTo have been sent, and reports whether the stream was reset before that.
 func (d *decodeStream) writeTokens(upTo int) (reset bool) {
 	for ; d.sent < upTo; d.sent++ {
 		if d.resetAt == d.sent {
-			resetConnection(d.w)
+			resetRequest(d.w)
 			d.abandon()
 			return true
 		}
 		d.writeToken()
 	}
-	for d.s.currentHooks().endlessStreams {
+	for d.server.currentHooks().endlessStreams {
 		d.writeToken()
 		if d.r.Context().Err() != nil {
 			break
@@ -123,20 +123,20 @@
 	return false
 }
 
-// writeToken writes the event of the next token, which has the same content in each choice.
+// writeToken writes the event of the next token, which is the same in each choice.
 func (d *decodeStream) writeToken() {
 	d.writeEvent(d.eventChoices(fmt.Sprintf("w%d ", d.sent), d.sent == 0, nil), nil)
 }
 
-// writeEnd writes the end of the stream. An answer that max_tokens cut has the finish reason for it.
+// writeEnd writes the end of the stream. The finish reason of an answer that reaches its token limit is length.
 func (d *decodeStream) writeEnd() {
 	finishReason := "stop"
 	if limit := d.request.maxTokens(); limit > 0 && d.job.OutputTokens >= limit {
 		finishReason = "length"
 	}
 	d.writeEvent(d.eventChoices("", false, finishReason), nil)
-	if d.request.Options.Usage {
-		promptTokens, answerTokens := int(d.job.PromptTokens), d.job.OutputTokens*d.request.choices()
+	if d.request.StreamOptions.IncludeUsage {
+		promptTokens, answerTokens := int(d.job.PromptTokens), d.job.OutputTokens*d.request.choiceCount()
 		d.writeEvent([]any{}, object{"usage": map[string]int{
 			"prompt_tokens":     promptTokens,
 			"completion_tokens": answerTokens,
@@ -146,31 +146,31 @@
 	writeString(d.w, "data: [DONE]\n\n")
 }
 
-// writeEvent writes one event with the given choices.
-func (d *decodeStream) writeEvent(choices []any, more object) {
-	kind := "chat.completion.chunk"
+// writeEvent writes one event with the given choices and the fields of extra.
+func (d *decodeStream) writeEvent(choices []any, extra object) {
+	objectType := "chat.completion.chunk"
 	if !d.request.isChat() {
-		kind = "text_completion"
+		objectType = "text_completion"
 	}
 	event := object{
 		"id":      "cmpl-" + d.job.ID,
-		"object":  kind,
+		"object":  objectType,
 		"created": d.created,
 		"model":   d.request.Model,
 		"choices": choices,
 	}
-	maps.Copy(event, more)
+	maps.Copy(event, extra)
 	encoded, err := json.Marshal(event)
-	if err != nil { // plain values only
+	if err != nil { // impossible: all values are plain
 		panic(err)
 	}
 	writeString(d.w, "data: "+string(encoded)+"\n\n")
 }
 
-// eventChoices are the choices of one event, as many as were asked for. finishReason is nil before the end.
+// eventChoices returns the choices of one event. finishReason is nil before the end of the stream.
 func (d *decodeStream) eventChoices(content string, first bool, finishReason any) []any {
 	var choices []any
-	for i := range d.request.choices() {
+	for i := range d.request.choiceCount() {
 		choice := object{"index": i, "finish_reason": finishReason}
 		if d.request.isChat() {
 			delta := object{}
--- a/internal/fake/engine/text.go
+++ b/internal/fake/engine/text.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// errTextForm is the error of a text in none of the forms that real engines accept.
-var errTextForm = errors.New("neither text, parts nor token numbers")
+// errUnsupportedText is returned for a text in none of the forms that real engines accept.
+var errUnsupportedText = errors.New("neither a string, an array of parts nor an array of token IDs")
 
-// tokenText stands for a token number, as bytes of a text.
-var tokenText = strings.Repeat("0", bytesPerToken)
+// tokenPlaceholder stands for a token ID in a text and has the length of an average token.
+var tokenPlaceholder = strings.Repeat("0", bytesPerToken)
 
-// text is a message's content or a prompt, in each form that real engines accept: a string, null, an array of parts of
-// which the text ones count, an array of one string, or an array of token numbers, each of which counts as four bytes.
+// text is a message's content or a prompt. It is decoded from each form that real engines accept: a string, null, an
+// array of parts, of which only the text is kept, an array of one string, or an array of token IDs, each of which
+// counts as bytesPerToken bytes.
 type text string
 
 // textPart is one part of a message's content.
@@ -35,7 +36,7 @@
 			*t = text(*str)
 		}
 	case json.Unmarshal(raw, &tokens) == nil:
-		*t = text(strings.Repeat(tokenText, len(tokens)))
+		*t = text(strings.Repeat(tokenPlaceholder, len(tokens)))
 	case json.Unmarshal(raw, &list) == nil && len(list) == 1:
 		*t = text(list[0])
 	case json.Unmarshal(raw, &parts) == nil:
@@ -45,7 +46,7 @@
 		}
 		*t = text(b.String())
 	default:
-		return errTextForm
+		return errUnsupportedText
 	}
 	return nil
 }
--- a/internal/fake/enginemodel/engine.go
+++ b/internal/fake/enginemodel/engine.go
@@ -3,8 +3,8 @@
 // The fake engine on a socket and the simulation use the same model.
 //
 // The package reads no clock, takes no locks and starts no goroutines: Advance moves an engine to a given time, and
-// Next returns the time of its next event. An Engine and the jobs submitted to it must not be used concurrently; callbacks
-// run on the goroutine of the caller.
+// Next returns the time of its next event. An Engine and the jobs submitted to it must not be used concurrently;
+// callbacks run on the goroutine of the caller.
 package enginemodel
 
 import (
--- a/internal/fake/enginemodel/engine_test.go
+++ b/internal/fake/enginemodel/engine_test.go
@@ -189,7 +189,7 @@
 }
 
 // TestRepeatedStepsEqualSingleSteps checks that jobs which report only their first token, so that many of their steps
-// are simulated as one, end at the same times as jobs that report every token, whatever arrives, is canceled, or changes
+// are simulated as one, end at the same times as jobs that report every token, whatever arrives, is canceled or changes
 // the speed of the engine meanwhile.
 func TestRepeatedStepsEqualSingleSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -38,7 +38,7 @@
 			r.awaitOpenRequests(0)
 			r.eventually("no engine works on it", func() bool {
 				for _, e := range r.engines {
-					if e.Working() > 0 {
+					if e.InFlight() > 0 {
 						return false
 					}
 				}
@@ -58,7 +58,7 @@
 	runtime.ReadMemStats(&before)
 	send(t, c, chatRequest(chat(true, 10_000_000), ""))
 	for _, e := range r.engines {
-		e.StreamWithoutEnd(true) // tokens as fast as the sockets accept them
+		e.SetEndlessStreams(true) // tokens as fast as the sockets accept them
 	}
 	r.awaitOpenRequests(1)
 	r.awaitOpenRequests(0)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -173,7 +173,7 @@
 		if n := e.Arrivals(); strings.HasPrefix(name, "writer") && n != 0 {
 			t.Errorf("%d requests reached a draining decode endpoint", n)
 		}
-		r.eventually("all states are released", func() bool { return e.States() == 0 })
+		r.eventually("all states are released", func() bool { return e.ReadStateCount() == 0 })
 	}
 }
 
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -70,7 +70,7 @@
 	s, err := engine.Start(engine.Config{
 		Name: name, Params: engineParams(role), Roles: paramsByRole,
 		InitialState: roles.EngineState{Role: role, Target: role}, SwitchTime: 5 * time.Millisecond,
-		CanCancel: true, Changed: f.list,
+		CancelsOnDisconnect: true, OnProcessChange: f.list,
 	}, "127.0.0.1:0", false)
 	if err != nil {
 		f.t.Fatal(err)
@@ -231,8 +231,8 @@
 	engine := f.engines["e0"]
 	url := "http://" + engine.Info().Address
 	resp := f.post(url+"/v1/chat/completions", "r1", prefillRequest)
-	if resp.StatusCode != http.StatusOK || engine.States() != 1 {
-		t.Fatalf("%d, %d states", resp.StatusCode, engine.States())
+	if resp.StatusCode != http.StatusOK || engine.ReadStateCount() != 1 {
+		t.Fatalf("%d, %d states", resp.StatusCode, engine.ReadStateCount())
 	}
 	f.runPlanner(commandsOnly)
 	f.startChange("e0", roles.Decode)
@@ -243,7 +243,7 @@
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Brackenbend-Never-Ran") != "1" {
 		t.Errorf("new work was answered %d while it drains", resp.StatusCode)
 	}
-	if state := engine.EngineState(); state.Role != roles.Prefill || engine.States() != 1 {
+	if state := engine.EngineState(); state.Role != roles.Prefill || engine.ReadStateCount() != 1 {
 		t.Errorf("it switched to %v with a state held", state.Role)
 	}
 	if resp := f.post(url+"/standin/take", "", `{"id":"r1"}`); resp.StatusCode != http.StatusOK {
--- a/internal/scenariorun/enginefaults.go
+++ b/internal/scenariorun/enginefaults.go
@@ -17,7 +17,7 @@
 	"fail-class": func(f *scenario.Fault) engine.Faults { return engine.Faults{FailClass: f.Class} },
 	"stall":      func(*scenario.Fault) engine.Faults { return engine.Faults{Stall: true} },
 	"slow": func(f *scenario.Fault) engine.Faults {
-		return engine.Faults{Slow: cmp.Or(f.Factor, defaultSlowFactor)}
+		return engine.Faults{SlowFactor: cmp.Or(f.Factor, defaultSlowFactor)}
 	},
 	"reset-mid-stream":    func(f *scenario.Fault) engine.Faults { return engine.Faults{ResetMidStream: partOrAll(f)} },
 	"reset-after-request": func(f *scenario.Fault) engine.Faults { return engine.Faults{ResetAfterRequest: partOrAll(f)} },
@@ -74,11 +74,11 @@
 		server.MisreportRole(true)
 		return func() { server.MisreportRole(false) }
 	case "forget":
-		server.DropPrefixCache()
+		server.ClearPrefixCache()
 	case "silent-restart":
 		server.SilentRestart()
 	case "refuse-connects":
-		server.RefuseConnects(fault.For)
+		server.RefuseConnections(fault.For)
 	case "drain":
 		s.engines.setDraining(server, true)
 		return func() { s.engines.setDraining(server, false) }
