--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -136,7 +136,9 @@
 	work := e.model.Work()
 	status := planner.Status{
 		StatusReport: e.role.state.StatusReport(), Outstanding: e.model.InFlight() + e.model.ReadStateCount(),
-		Read:  planner.Stage{Done: work.PrefillDone, Waiting: work.PrefillWaiting, Lost: work.PrefillLost, Count: work.Prefills},
+		Read: planner.Stage{
+			Done: work.PrefillDone, Waiting: work.PrefillWaiting, Lost: work.PrefillLost, Count: work.Prefills,
+		},
 		Write: planner.Stage{Done: work.DecodeDone, Waiting: work.DecodeWaiting, Lost: work.DecodeLost, Count: work.Decodes},
 	}
 	status.Serving = status.Serving && !e.role.switching
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -124,8 +124,8 @@
 func oracleJob(request *inflightRequest, role routing.Role) *enginemodel.Job {
 	work := &request.message.work
 	j := &enginemodel.Job{
-		PromptTokens: work.prompt, Prefix: work.prefix, PrefixTokens: work.prefixLen, Session: work.session, OutputTokens: work.out,
-		PrefillOnly: role == routing.RolePrefill,
+		PromptTokens: work.prompt, Prefix: work.prefix, PrefixTokens: work.prefixLen, Session: work.session,
+		OutputTokens: work.out, PrefillOnly: role == routing.RolePrefill,
 	}
 	if role == routing.RoleDecode && request.state.engine >= 0 {
 		j.FetchTokens = max(j.PromptTokens, 1)
