--- a/internal/fake/apiserver/apiserver.go
+++ b/internal/fake/apiserver/apiserver.go
@@ -1,8 +1,8 @@
-// Package apiserver is a fake of the Kubernetes API server: EndpointSlices with list in pages, watch with bookmarks
-// and resource versions that expire (410), and the assignment table of engine roles. On demand its events are late,
-// repeated or stale, or it is unreachable.
+// Package apiserver is a fake Kubernetes API server. It serves EndpointSlices, with paginated lists, watches with
+// bookmarks, and resource versions that expire (410), and the assignment table of engine roles. It injects faults on
+// demand: delayed and stale events, and unreachability.
 //
-// A Server's mutex guards all its state; each watch runs in the goroutine of its request.
+// Server.mu guards all state of a Server. Each watch runs on the goroutine of its request.
 package apiserver
 
 import (
@@ -18,27 +18,28 @@
 )
 
 const (
-	// bookmarkInterval is the time between two bookmarks of a watch.
-	bookmarkInterval = 2 * time.Second
-	// readHeaderTimeout ends connections that never send a request.
+	// defaultBookmarkInterval is the time between two bookmarks of a watch.
+	defaultBookmarkInterval = 2 * time.Second
+	// readHeaderTimeout bounds how long a connection may take to send the header of a request.
 	readHeaderTimeout = 10 * time.Second
 )
 
-// Entry is one engine of the endpoint list.
+// Entry is one engine in the endpoint list.
 type Entry struct {
 	Name, Kind, Zone, Cell, Address, UID string
 	Ready, Draining                      bool
-	Started                              time.Time // zero = not told
+	Started                              time.Time // zero = not listed
 }
 
-// usable reports whether new work may go to the engine. That of a removed one, the zero Entry, may not.
+// usable reports whether new requests may be sent to the engine. The zero Entry, that of a removed engine, is not
+// usable.
 func (e Entry) usable() bool { return e.Ready && !e.Draining }
 
-// Server is the running fake. Every engine is an EndpointSlice of its own.
+// Server is a running fake API server. Each engine has an EndpointSlice of its own.
 type Server struct {
-	Namespace string
-	Bookmarks time.Duration // between two bookmarks of a watch
-	Record    *audit.Record // of what replicas are told; may be nil
+	Namespace        string
+	BookmarkInterval time.Duration // between two bookmarks of a watch
+	Record           *audit.Record // of what replicas were notified of; may be nil
 
 	listener net.Listener
 	http     *http.Server
@@ -46,31 +47,31 @@
 	mu          sync.Mutex
 	log         eventLog
 	entries     map[string]Entry
-	order       []string // names of the entries, in order of their addition
+	order       []string // names of the entries, in the order in which they were added
 	versions    map[string]int
-	known       map[string]bool // every name ever listed
+	everListed  map[string]bool // every name that was ever listed
 	delay       time.Duration   // of events
 	unreachable bool
 	watches     map[context.Context]context.CancelFunc
 	roles       roleTable
 }
 
-// Start listens on addr.
+// Start starts a server that listens on addr.
 func Start(addr string, record *audit.Record) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		Namespace: "default",
-		Bookmarks: bookmarkInterval,
-		Record:    record,
-		listener:  l,
-		log:       newEventLog(),
-		entries:   map[string]Entry{},
-		versions:  map[string]int{},
-		known:     map[string]bool{},
-		watches:   map[context.Context]context.CancelFunc{},
+		Namespace:        "default",
+		BookmarkInterval: defaultBookmarkInterval,
+		Record:           record,
+		listener:         l,
+		log:              newEventLog(),
+		entries:          map[string]Entry{},
+		versions:         map[string]int{},
+		everListed:       map[string]bool{},
+		watches:          map[context.Context]context.CancelFunc{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /apis/discovery.k8s.io/v1/namespaces/{ns}/endpointslices", s.serveSlices)
@@ -79,16 +80,16 @@
 	mux.HandleFunc("GET "+planner.PathMemory, s.getMemory)
 	mux.HandleFunc("PUT "+planner.PathMemory, s.putMemory)
 	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
-	go func() { _ = s.http.Serve(l) }() // ends with Close
+	go func() { _ = s.http.Serve(l) }() // returns after Close
 	return s, nil
 }
 
 // URL is the server's base URL.
 func (s *Server) URL() string { return "http://" + s.listener.Addr().String() }
 
-// Close ends the server and all its connections.
+// Close stops the server and closes all its connections.
 func (s *Server) Close() {
-	_ = s.http.Close() // of sockets that nothing uses any more
+	_ = s.http.Close() // the error of a socket that is no longer used does not matter
 }
 
 // Set adds or changes an entry.
@@ -101,7 +102,7 @@
 		s.order = append(s.order, e.Name)
 	}
 	s.entries[e.Name] = e
-	s.known[e.Name] = true
+	s.everListed[e.Name] = true
 	s.publish(kind, e)
 }
 
@@ -118,7 +119,7 @@
 	s.publish(deleted, e)
 }
 
-// Entry returns an entry as it was set.
+// Entry returns an entry as it was set, before the assignment table is applied.
 func (s *Server) Entry(name string) (Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,27 +127,27 @@
 	return e, ok
 }
 
-// publish adds an event with the entry as it is listed now. s.mu is held.
+// publish adds an event with the entry as it is listed, with its assignment applied. s.mu is held.
 func (s *Server) publish(kind eventKind, e Entry) {
-	s.versions[e.Name] = s.log.add(kind, s.listed(e))
+	s.versions[e.Name] = s.log.add(kind, s.applyAssignment(e))
 }
 
-// SendStaleEvent sends an old event of a removed engine again, with its old version.
+// SendStaleEvent sends the oldest event of an engine again, with its old resource version.
 func (s *Server) SendStaleEvent(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log.repeat(name)
+	s.log.addOldestAgain(name)
 }
 
-// SetDelay makes events late by d.
+// SetDelay delays all watch events by d.
 func (s *Server) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// SetUnreachable makes the server unreachable or reachable: while it is unreachable it answers nothing but 503, and
-// all watches are ended.
+// SetUnreachable makes the server unreachable or reachable again. While it is unreachable, it answers every API request
+// with status 503. Watches that are open when it becomes unreachable are ended.
 func (s *Server) SetUnreachable(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,14 +160,14 @@
 	}
 }
 
-// Compact drops all events: watches from earlier versions get 410 and must list again.
+// Compact discards all events. Watches from earlier versions get 410, and their clients must list again.
 func (s *Server) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.log.compact()
 }
 
-// isUnreachable reports whether requests are to be answered 503.
+// isUnreachable reports whether the server answers every request with status 503.
 func (s *Server) isUnreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/apiserver/apiserver_test.go
+++ b/internal/fake/apiserver/apiserver_test.go
@@ -13,7 +13,8 @@
 	"brackenbend/internal/audit"
 )
 
-// eventuallyTimeout is how long tests wait for what happens within milliseconds, on a loaded machine.
+// eventuallyTimeout bounds the wait for a condition that is usually true within milliseconds. It allows for a loaded
+// machine.
 const eventuallyTimeout = 20 * time.Second
 
 const slicesPath = "/apis/discovery.k8s.io/v1/namespaces/default/endpointslices"
@@ -28,8 +29,8 @@
 	return s
 }
 
-// checkingWriter is a replica's end of a response: at each write and each flush it checks what the record holds by
-// then.
+// checkingWriter is a ResponseWriter that checks at each write and each flush whether the record holds what it must at
+// that time.
 type checkingWriter struct {
 	t       *testing.T
 	record  *audit.Record
@@ -52,7 +53,7 @@
 	defer w.mu.Unlock()
 	w.written += string(b)
 	if strings.Contains(w.written, `"ready":true`) && countEvents(w.record, audit.NotifiedReady) == 0 {
-		w.t.Error("bytes that say ready are written before the record allows it")
+		w.t.Error("readiness is written before it is recorded")
 	}
 	return len(b), nil
 }
@@ -60,10 +61,10 @@
 func (w *checkingWriter) Flush() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	const drains = `"ready":false`
-	unsent := strings.Contains(w.written, drains) && !strings.Contains(w.flushed, drains)
-	if unsent && countEvents(w.record, audit.NotifiedGone) != 0 {
-		w.t.Error("the record says that the replica was told of a drain before the bytes are sent")
+	const notReady = `"ready":false`
+	flushesNotReady := strings.Contains(w.written, notReady) && !strings.Contains(w.flushed, notReady)
+	if flushesNotReady && countEvents(w.record, audit.NotifiedGone) != 0 {
+		w.t.Error("the drain is recorded before the bytes are flushed")
 	}
 	w.flushed = w.written
 	select {
@@ -72,7 +73,7 @@
 	}
 }
 
-// countEvents counts the events of a kind about the engine "e".
+// countEvents counts the events of a kind for the engine e.
 func countEvents(record *audit.Record, kind audit.Kind) (n int) {
 	for _, e := range record.Events() {
 		if e.Kind == kind && e.Engine == "e" {
@@ -82,9 +83,10 @@
 	return n
 }
 
-// TestRecordOrder: that an engine is ready is recorded before it is sent, and that it drains after. Otherwise the
-// auditor finds violations by a replica that kept the rules.
-func TestRecordOrder(t *testing.T) {
+// TestReadyIsRecordedBeforeItIsSentAndDrainAfter guards against false violations. If a replica could use an engine
+// before the record says that it was notified of the readiness, or if the record said that it was notified of a drain
+// before the bytes were sent, the auditor would report a replica that kept the rules.
+func TestReadyIsRecordedBeforeItIsSentAndDrainAfter(t *testing.T) {
 	for name, target := range map[string]string{
 		"list":  slicesPath,
 		"watch": slicesPath + "?watch=1&resourceVersion=1",
@@ -145,7 +147,7 @@
 		"removed":         {[]event{removed}, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gotReady, gotNotUsable := summarize(c.events)
+			gotReady, gotNotUsable := summarizeBatch(c.events)
 			if len(gotReady) != c.ready || len(gotNotUsable) != c.notUsable {
 				t.Errorf("ready %v, not usable %v; want %d and %d", gotReady, gotNotUsable, c.ready, c.notUsable)
 			}
@@ -153,9 +155,9 @@
 	}
 }
 
-// TestCutRejectsWatchesThatBegin: a watch that arrives while the server becomes unreachable is rejected. It once was
-// accepted, and nothing ended it any more.
-func TestCutRejectsWatchesThatBegin(t *testing.T) {
+// TestUnreachableServerRejectsNewWatch covers a watch that arrives while the server becomes unreachable. Such a watch
+// was once accepted, and was never ended because SetUnreachable had already ended the open watches.
+func TestUnreachableServerRejectsNewWatch(t *testing.T) {
 	s := startServer(t, nil)
 	s.unreachable = true // after serveSlices has checked it
 	for _, version := range []string{"1", "0"} {
@@ -163,7 +165,7 @@
 		r := httptest.NewRequest(http.MethodGet, "/?watch=1&resourceVersion="+version, nil)
 		s.watch(w, r, "")
 		if w.Code != http.StatusServiceUnavailable {
-			t.Errorf("from version %s: answered %d", version, w.Code)
+			t.Errorf("watch from version %s: status %d", version, w.Code)
 		}
 	}
 }
--- a/internal/fake/apiserver/assignments.go
+++ b/internal/fake/apiserver/assignments.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// maxMemoryBytes bounds a planner's memory, which is well below 1 MiB without cooldowns.
+	// maxMemoryBytes bounds the saved state of a planner, which is well below 1 MiB without cooldowns.
 	maxMemoryBytes = 4 << 20
 	// maxAssignmentsBytes bounds an assignment table: one of 10,000 engines is below 4 MiB.
 	maxAssignmentsBytes = 16 << 20
 )
 
-// roleTable is what the server keeps of engine roles.
+// roleTable is the state of the server that concerns engine roles.
 type roleTable struct {
 	assignments roles.Assignments
-	kinds       map[roles.Role]string // what engines are listed as, by role
+	kinds       map[roles.Role]string // the kind in which engines are listed, by role
 	file        string                // "" = kept in memory only
-	memory      []byte                // what a planner saved, as JSON; nil = nothing
+	memory      []byte                // JSON that a planner saved; nil = none
 }
 
 func (t *roleTable) memoryFile() string { return t.file + ".memory" }
 
-// load reads the table and a planner's memory from the file, where there is one.
+// load reads the table and a planner's memory from their files, if they exist.
 func (t *roleTable) load() error {
-	if text, err := os.ReadFile(t.memoryFile()); err == nil && json.Valid(text) { // a planner can do without
+	if text, err := os.ReadFile(t.memoryFile()); err == nil && json.Valid(text) { // a planner does not depend on it
 		t.memory = text
 	}
 	text, err := os.ReadFile(t.file)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// saveAssignments writes a table to the file so that a crash at any moment leaves the old or the new one.
+// saveAssignments replaces the table in the file atomically: a crash leaves either the old or the new one.
 func (t *roleTable) saveAssignments(assignments roles.Assignments) error {
 	if t.file == "" {
 		return nil
@@ -70,8 +70,8 @@
 	return atomicfile.Replace(t.memoryFile(), t.memory)
 }
 
-// ManageRole adds an engine to the assignment table, unless it is there: its role may change from now on, and it is
-// listed as the table says. kinds names the kind that it is listed as in each role.
+// ManageRole adds an engine to the assignment table, unless the table has it already. From then on its role may change,
+// and it is listed as the table says. kinds has the kind in which engines of each role are listed.
 func (s *Server) ManageRole(name string, role roles.Role, kinds map[roles.Role]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,8 @@
 	}
 }
 
-// PersistAssignments reads the assignment table from a file, if it exists, and keeps the table there from now on.
+// PersistAssignments reads the assignment table from file and a planner's memory from a file beside it, if they exist.
+// What is received later is saved there.
 func (s *Server) PersistAssignments(file string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +102,9 @@
 	return s.roles.assignments
 }
 
-// listed is an entry as the assignment table wants it listed. s.mu is held.
-func (s *Server) listed(e Entry) Entry {
+// applyAssignment returns the entry as it is listed: with the kind, the draining state and the start time that its
+// assignment implies. s.mu is held.
+func (s *Server) applyAssignment(e Entry) Entry {
 	assignment, ok := s.roles.assignments.Entries[e.Name]
 	if !ok {
 		return e
@@ -128,11 +130,11 @@
 		writeStatus(w, http.StatusNotFound, "NotFound", "no planner left anything")
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(s.roles.memory) // a client that is gone does not matter
+		_, _ = w.Write(s.roles.memory) // a client that has disconnected does not matter
 	}
 }
 
-// putMemory keeps a planner's memory as it is received; the last write wins.
+// putMemory stores a planner's memory unchanged; the last write wins.
 func (s *Server) putMemory(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +152,7 @@
 		writeStatus(w, http.StatusInternalServerError, "InternalError", err.Error())
 		return
 	}
-	_, _ = fmt.Fprintln(w, "{}") // a client that is gone does not matter
+	_, _ = fmt.Fprintln(w, "{}") // a client that has disconnected does not matter
 }
 
 func (s *Server) getAssignments(w http.ResponseWriter, _ *http.Request) {
@@ -169,7 +171,7 @@
 	writeJSON(w, view)
 }
 
-// putAssignments writes the assignment table, if it was made from the version that is stored.
+// putAssignments replaces the assignment table, if the received one is based on the stored version.
 func (s *Server) putAssignments(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,5 +205,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a client that is gone does not matter
+	_ = json.NewEncoder(w).Encode(v) // a client that has disconnected does not matter
 }
--- a/internal/fake/apiserver/events.go
+++ b/internal/fake/apiserver/events.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// maxEvents is how many events are kept, and dropEvents how many of the oldest are dropped at once when there are
-	// more: enough for every watch that is not cut off for long.
+	// maxEvents is how many events are kept. When there are more, the oldest dropEvents are dropped together. That is
+	// enough for every watch that is not interrupted for long.
 	maxEvents  = 4096
 	dropEvents = 1024
 )
 
-// eventKind is the type of a watch event, as it is transmitted.
+// eventKind is the type of a watch event on the wire.
 type eventKind string
 
 const (
@@ -20,7 +20,7 @@
 	failed   eventKind = "ERROR"
 )
 
-// event is one change of the endpoint list.
+// event is a change of one entry of the endpoint list.
 type event struct {
 	version int
 	kind    eventKind
@@ -28,20 +28,20 @@
 	at      time.Time
 }
 
-// usable reports whether new work may go to the engine after the event.
+// usable reports whether new requests may be sent to the engine after the event.
 func (e event) usable() bool { return e.kind != deleted && e.entry.usable() }
 
-// eventLog holds the newest changes of the endpoint list. The server's mutex guards it.
+// eventLog holds the latest changes of the endpoint list. Server.mu guards it.
 type eventLog struct {
-	version int // of the newest event
-	oldest  int // versions before this one have expired
+	version int // of the latest event or compaction
+	oldest  int // oldest version that has not expired
 	events  []event
 	changed chan struct{} // closed and replaced at each change
 }
 
 func newEventLog() eventLog { return eventLog{version: 1, changed: make(chan struct{})} }
 
-// add adds an event and returns its version.
+// add appends an event and returns its version.
 func (l *eventLog) add(kind eventKind, e Entry) (version int) {
 	l.version++
 	l.events = append(l.events, event{version: l.version, kind: kind, entry: e, at: time.Now()})
@@ -53,8 +53,8 @@
 	return l.version
 }
 
-// repeat adds the oldest event of an engine again, other than its removal.
-func (l *eventLog) repeat(name string) {
+// addOldestAgain appends the oldest event of an engine again, with its old version. Removals are passed over.
+func (l *eventLog) addOldestAgain(name string) {
 	for _, e := range l.events {
 		if e.entry.Name == name && e.kind != deleted {
 			e.at = time.Now()
@@ -65,7 +65,7 @@
 	}
 }
 
-// compact drops all events.
+// compact drops all events, so that all earlier versions expire.
 func (l *eventLog) compact() {
 	l.version++
 	l.oldest = l.version
@@ -73,8 +73,8 @@
 	l.notify()
 }
 
-// after is the index of the first event after a version.
-func (l *eventLog) after(version int) int {
+// indexAfter returns the index from which all events have a later version than the given one.
+func (l *eventLog) indexAfter(version int) int {
 	i := len(l.events)
 	for i > 0 && l.events[i-1].version > version {
 		i--
--- a/internal/fake/apiserver/list.go
+++ b/internal/fake/apiserver/list.go
@@ -13,10 +13,10 @@
 	"brackenbend/internal/audit"
 )
 
-// errExpired means that a continue token or a resource version is too old.
+// errExpired is returned for a continue token or a resource version that is too old.
 var errExpired = errors.New("expired")
 
-// serveSlices answers a list or watch request. The user agent names the replica.
+// serveSlices serves a list or watch request. The User-Agent names the replica.
 func (s *Server) serveSlices(w http.ResponseWriter, r *http.Request) {
 	replica, _ := strings.CutPrefix(r.UserAgent(), "brackenbend/")
 	switch {
@@ -35,9 +35,9 @@
 type listPage struct {
 	version       int
 	items         []any
-	continueToken string   // of the next page; "" = the last one
-	ready         []string // engines that the page says are ready
-	notUsable     []string // engines that drain or are removed
+	continueToken string   // of the next page; "" = this is the last one
+	ready         []string // usable engines on this page
+	notUsable     []string // engines that are draining, not ready or removed, of the whole list
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request, replica string) {
@@ -50,19 +50,20 @@
 		writeStatus(w, http.StatusGone, "Expired", "the list has changed")
 		return
 	}
-	s.recordTold(audit.NotifiedReady, replica, page.ready)
+	s.recordNotified(audit.NotifiedReady, replica, page.ready)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(map[string]any{ // a client that is gone shows at the flush
+	_ = json.NewEncoder(w).Encode(map[string]any{ // a client that has disconnected is detected at the flush
 		"kind": "EndpointSliceList", "apiVersion": "discovery.k8s.io/v1",
 		"metadata": map[string]any{"resourceVersion": strconv.Itoa(page.version), "continue": page.continueToken},
 		"items":    page.items,
 	})
 	if page.continueToken == "" && http.NewResponseController(w).Flush() == nil {
-		s.recordTold(audit.NotifiedGone, replica, page.notUsable)
+		s.recordNotified(audit.NotifiedGone, replica, page.notUsable)
 	}
 }
 
-// page is the page of the list that starts where the continue token says, with at most limit items; 0 = all.
+// page returns the page of the list that the continue token refers to, or the first one, with at most limit items;
+// 0 = all.
 func (s *Server) page(continueToken string, limit int) (listPage, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,24 +84,24 @@
 			page.continueToken = fmt.Sprintf("%d-%d", page.version, i)
 			break
 		}
-		e := s.listed(s.entries[s.order[i]])
+		e := s.applyAssignment(s.entries[s.order[i]])
 		page.items = append(page.items, s.sliceObject(e, s.versions[e.Name]))
 		if e.usable() {
 			page.ready = append(page.ready, e.Name)
 		}
 	}
-	for name := range s.known {
-		if !s.listed(s.entries[name]).usable() {
+	for name := range s.everListed {
+		if !s.applyAssignment(s.entries[name]).usable() {
 			page.notUsable = append(page.notUsable, name)
 		}
 	}
 	return page, nil
 }
 
-// recordTold records what a replica is told. That engines are ready is recorded before a byte of it is sent, since the
-// replica may act on it before this process runs again; that they drain or are removed after the bytes are sent, since
-// the replica can't know before.
-func (s *Server) recordTold(kind audit.Kind, replica string, engines []string) {
+// recordNotified records what a replica is notified of. It is called before the bytes are sent for engines that are
+// ready, since the replica may use them before this process runs again, and after the bytes are sent for engines that
+// are not usable, since the replica cannot know before.
+func (s *Server) recordNotified(kind audit.Kind, replica string, engines []string) {
 	if s.Record == nil {
 		return
 	}
@@ -109,9 +110,9 @@
 	}
 }
 
-// sliceObject is an entry as an EndpointSlice.
+// sliceObject returns an entry as an EndpointSlice.
 func (s *Server) sliceObject(e Entry, version int) map[string]any {
-	// An address that can't be split is listed as none: it comes from a test or a fake engine, never from a client.
+	// An address that cannot be split is listed as empty. Addresses come from tests and fake engines, never from clients.
 	host, port, _ := net.SplitHostPort(e.Address)
 	portNumber, _ := strconv.Atoi(port)
 	metadata := map[string]any{
@@ -121,7 +122,7 @@
 		},
 	}
 	if !e.Started.IsZero() {
-		started, _ := json.Marshal(map[string]time.Time{e.Name: e.Started}) // fails after the year 9999 only
+		started, _ := json.Marshal(map[string]time.Time{e.Name: e.Started}) // fails only after the year 9999
 		metadata["annotations"] = map[string]string{"brackenbend.dev/started": string(started)}
 	}
 	return map[string]any{
@@ -139,14 +140,14 @@
 func writeStatus(w http.ResponseWriter, code int, reason, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(statusObject(code, reason, message)) // a client that is gone does not matter
+	_ = json.NewEncoder(w).Encode(statusObject(code, reason, message)) // a client that has disconnected does not matter
 }
 
 func writeUnavailable(w http.ResponseWriter) {
 	writeStatus(w, http.StatusServiceUnavailable, "ServiceUnavailable", "cut off")
 }
 
-// statusObject is an error as the API server transmits it.
+// statusObject returns an error in the form of the Kubernetes API.
 func statusObject(code int, reason, message string) map[string]any {
 	return map[string]any{
 		"kind": "Status", "apiVersion": "v1", "status": "Failure", "reason": reason, "code": code, "message": message,
--- a/internal/fake/apiserver/stored_test.go
+++ b/internal/fake/apiserver/stored_test.go
@@ -11,7 +11,7 @@
 	"brackenbend/internal/golden"
 )
 
-// copyFile copies a file of testdata.
+// copyFile copies a file from testdata.
 func copyFile(t *testing.T, name, to string) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -23,7 +23,7 @@
 	}
 }
 
-// exchange sends a request and returns it with its response as text.
+// exchange sends a request and returns its method and path followed by the response, as text.
 func exchange(t *testing.T, s *Server, method, path, body string) string {
 	t.Helper()
 	req, err := http.NewRequest(method, s.URL()+path, strings.NewReader(body))
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = resp.Body.Close() }() // read to its end
+	defer func() { _ = resp.Body.Close() }() // the body is read to its end
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
@@ -43,8 +43,8 @@
 	return method + " " + path + "\n" + resp.Status + "\n" + resp.Header.Get("Content-Type") + "\n" + string(text)
 }
 
-// TestStoredAssignmentsAreServed: the assignment table and the memory that a released version kept on disk are read,
-// served, and written to disk again in the same form. The golden files must not be updated.
+// TestStoredAssignmentsAreServed checks that the assignment table and the planner's memory stored by a released version
+// are read, served, and written to disk again in the same form. The golden files must not be updated.
 func TestStoredAssignmentsAreServed(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "book.json")
 	copyFile(t, "book.json", file)
@@ -64,7 +64,7 @@
 		{http.MethodGet, assignments, ""},
 		{http.MethodGet, memory, ""},
 		{http.MethodPut, assignments, string(stored)},
-		{http.MethodPut, assignments, string(stored)}, // of an old version now
+		{http.MethodPut, assignments, string(stored)}, // now based on an outdated version
 		{http.MethodPut, assignments, "noise"},
 		{http.MethodPut, memory, `{"at":"2026-01-02T03:04:05Z"}`},
 		{http.MethodPut, memory, "noise"},
--- a/internal/fake/apiserver/watch.go
+++ b/internal/fake/apiserver/watch.go
@@ -11,20 +11,20 @@
 	"brackenbend/internal/audit"
 )
 
-// errUnreachable means that the server has become unreachable since the request was received.
+// errUnreachable is returned if the server has become unreachable since the request was received.
 var errUnreachable = errors.New("unreachable")
 
-// watcher sends one client the events that it watches.
+// watcher sends events to the client of one watch.
 type watcher struct {
-	server  *Server
-	replica string
-	encoder *json.Encoder
-	flusher *http.ResponseController
-	next    int // index of the first event not looked at yet
-	last    int // newest version sent
+	server      *Server
+	replica     string
+	encoder     *json.Encoder
+	flusher     *http.ResponseController
+	next        int // index of the next event
+	lastVersion int // latest version sent
 }
 
-// watch sends the events after a resource version until the client or Cut ends the request.
+// watch sends the events after a resource version until the client or SetUnreachable ends the request.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, replica string) {
 	from, err := strconv.Atoi(r.FormValue("resourceVersion"))
 	if err != nil {
@@ -46,24 +46,24 @@
 	w.Header().Set("Content-Type", "application/json")
 	stream := &watcher{
 		server: s, replica: replica, encoder: json.NewEncoder(w), flusher: http.NewResponseController(w),
-		next: next, last: from,
+		next: next, lastVersion: from,
 	}
-	_ = stream.flusher.Flush() // the header; a client that is gone shows at the next flush
+	_ = stream.flusher.Flush() // sends the header; a client that has disconnected is detected at the next flush
 	stream.run(ctx)
 }
 
-// registerWatch makes Cut end a watch, and returns the index of its first event.
+// registerWatch registers a watch, so that SetUnreachable can end it, and returns the index of its first event.
 func (s *Server) registerWatch(ctx context.Context, cancel context.CancelFunc, from int) (next int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.unreachable { // since the request was received; Cut ends the watches that it finds
+	if s.unreachable { // since the request was received; SetUnreachable ends only registered watches
 		return 0, errUnreachable
 	}
 	if from < s.log.oldest {
 		return 0, errExpired
 	}
 	s.watches[ctx] = cancel
-	return s.log.after(from), nil
+	return s.log.indexAfter(from), nil
 }
 
 func (s *Server) unregisterWatch(ctx context.Context) {
@@ -73,12 +73,12 @@
 }
 
 func (w *watcher) run(ctx context.Context) {
-	bookmarks := time.NewTicker(w.server.Bookmarks)
+	bookmarks := time.NewTicker(w.server.BookmarkInterval)
 	defer bookmarks.Stop()
 	for {
 		batch, err := w.nextBatch()
 		if err != nil {
-			_ = w.send(failed, statusObject(http.StatusGone, "Expired", "too old resource version")) // ends here
+			_ = w.send(failed, statusObject(http.StatusGone, "Expired", "too old resource version")) // the watch ends here
 			return
 		}
 		if w.sendBatch(batch.events) != nil {
@@ -90,7 +90,7 @@
 		case <-batch.changed:
 		case <-batch.nextDue:
 		case <-bookmarks.C:
-			_ = w.send(bookmark, bookmarkObject(w.last)) // a client that is gone shows at the flush
+			_ = w.send(bookmark, bookmarkObject(w.lastVersion)) // a client that has disconnected is detected at the flush
 			if w.flusher.Flush() != nil {
 				return
 			}
@@ -98,19 +98,19 @@
 	}
 }
 
-// batch is the events that are due, and what to wait for after them.
+// batch holds the events that are due and the channels to wait for before the next batch.
 type batch struct {
 	events  []event
-	changed <-chan struct{}  // closed when there are more events
+	changed <-chan struct{}  // closed when the log changes
 	nextDue <-chan time.Time // when the next delayed event is due; nil = there is none
 }
 
-// nextBatch takes the events that are due, or returns errExpired if events that were not sent yet have been dropped.
+// nextBatch returns the events that are due, or errExpired if events that were not sent yet have been dropped.
 func (w *watcher) nextBatch() (batch, error) {
 	s := w.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w.last < s.log.oldest {
+	if w.lastVersion < s.log.oldest {
 		return batch{}, errExpired
 	}
 	b := batch{changed: s.log.changed}
@@ -126,23 +126,23 @@
 	return b, nil
 }
 
-// sendBatch sends events and records what the replica is told by them.
+// sendBatch sends events and records what they notify the replica of.
 func (w *watcher) sendBatch(events []event) error {
 	if len(events) == 0 {
 		return nil
 	}
-	ready, notUsable := summarize(events)
-	w.server.recordTold(audit.NotifiedReady, w.replica, ready)
+	ready, notUsable := summarizeBatch(events)
+	w.server.recordNotified(audit.NotifiedReady, w.replica, ready)
 	for _, e := range events {
 		if err := w.send(e.kind, w.server.sliceObject(e.entry, e.version)); err != nil {
 			return err
 		}
-		w.last = max(w.last, e.version)
+		w.lastVersion = max(w.lastVersion, e.version)
 	}
 	if err := w.flusher.Flush(); err != nil {
 		return err
 	}
-	w.server.recordTold(audit.NotifiedGone, w.replica, notUsable)
+	w.server.recordNotified(audit.NotifiedGone, w.replica, notUsable)
 	return nil
 }
 
@@ -150,9 +150,9 @@
 	return w.encoder.Encode(map[string]any{"type": kind, "object": object})
 }
 
-// summarize returns the engines that are ready after some event of a batch, and those that are not usable after its
-// last.
-func summarize(events []event) (ready, notUsable []string) {
+// summarizeBatch returns the engines that are usable after some event of a batch, and those that are not usable after
+// their last event in it.
+func summarizeBatch(events []event) (ready, notUsable []string) {
 	usable := map[string]bool{}
 	for _, e := range events {
 		usable[e.entry.Name] = e.usable()
--- a/internal/fake/client/answer.go
+++ b/internal/fake/client/answer.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// streamSilence is how long a stream that runs may be silent: longer than any pause of an engine in a scenario.
-	streamSilence = 40 * time.Second
-	// maxEventLine bounds a line of a stream; tokens are a few bytes.
+	// streamIdleTimeout bounds the time between two lines of a stream. It is longer than any pause of an engine in a
+	// scenario.
+	streamIdleTimeout = 40 * time.Second
+	// maxEventLine bounds a line of a stream; one with a single token is far shorter.
 	maxEventLine   = 1 << 20
 	lineBufferSize = 4096
-	// defaultRetryAfter is taken for a rejection that names no time in milliseconds.
+	// defaultRetryAfter is the retry time of a rejection without a valid retry-after-ms.
 	defaultRetryAfter = time.Second
 )
 
-// answerReader reads the answer to an attempt.
+// answerReader reads the response to an attempt.
 type answerReader struct {
-	attempt  *Attempt
-	conn     net.Conn
-	buffered *bufio.Reader // of conn
-	started  time.Time
+	attempt *Attempt
+	conn    net.Conn
+	reader  *bufio.Reader // of conn
+	started time.Time
 }
 
-// read reads the answer to its end.
+// read reads the whole response.
 func (r *answerReader) read() Result {
-	if _, err := r.buffered.Peek(1); err != nil {
+	if _, err := r.reader.Peek(1); err != nil {
 		return r.readFailed(err)
 	}
-	resp, err := http.ReadResponse(r.buffered, &http.Request{Method: http.MethodPost})
+	resp, err := http.ReadResponse(r.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return r.readFailed(err)
 	}
@@ -44,7 +45,7 @@
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return r.readFailed(err)
 		}
-		return unservedResult(resp)
+		return errorStatusResult(resp)
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		return r.readStream(resp.Body)
@@ -52,20 +53,21 @@
 	return r.readWhole(resp.Body)
 }
 
-// readFailed is the result of an attempt whose answer could not be read.
+// readFailed returns the result of an attempt whose response could not be read.
 func (r *answerReader) readFailed(err error) Result {
 	var netErr net.Error
 	switch {
 	case !errors.As(err, &netErr) || !netErr.Timeout():
-		return Result{Kind: Cut}
+		return Result{Kind: ConnectionLost}
 	case r.attempt.DisconnectAfter > 0:
 		return Result{Kind: Disconnected}
 	default:
-		return Result{Kind: NoAnswer}
+		return Result{Kind: TimedOut}
 	}
 }
 
-// readWhole reads an answer that is not streamed. The fakes write each token as a "w" and its number.
+// readWhole reads a response that is not streamed. It counts the tokens by the letter w, since the fake engines write
+// each token as w and its number.
 func (r *answerReader) readWhole(body io.Reader) Result {
 	text, err := io.ReadAll(body)
 	if err != nil {
@@ -77,14 +79,15 @@
 	return Result{Kind: Served, FirstToken: time.Since(r.started), Tokens: bytes.Count(text, []byte("w"))}
 }
 
-// readStream reads events to their end. A stream that runs has no deadline but its own silence.
+// readStream reads the events of a stream to its end. The stream has no deadline, except for streamIdleTimeout or the
+// time at which the client disconnects.
 func (r *answerReader) readStream(body io.Reader) Result {
 	result := Result{}
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, lineBufferSize), maxEventLine)
 	for {
 		if r.attempt.DisconnectAfter == 0 {
-			setReadDeadline(r.conn, time.Now().Add(streamSilence))
+			setReadDeadline(r.conn, time.Now().Add(streamIdleTimeout))
 		}
 		if !lines.Scan() {
 			break
@@ -104,15 +107,15 @@
 	if err := lines.Err(); err != nil {
 		return r.readFailed(err)
 	}
-	result.Kind = Cut
+	result.Kind = ConnectionLost
 	return result
 }
 
-// readEvent takes one event of a stream.
+// readEvent adds the data of one event to the result.
 func (r *answerReader) readEvent(result *Result, data string) {
 	switch {
 	case strings.HasPrefix(data, `{"error"`):
-		result.Kind = Broken
+		result.Kind = StreamError
 	case data == "[DONE]":
 		result.Kind = Served
 	default:
@@ -126,17 +129,17 @@
 	}
 }
 
-// unservedResult is the result of an answer with a status of rejection or failure.
-func unservedResult(resp *http.Response) Result {
+// errorStatusResult returns the result of a response whose status is not 200.
+func errorStatusResult(resp *http.Response) Result {
 	rejected := resp.StatusCode == http.StatusTooManyRequests
-	notAccepted := resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != ""
+	unavailable := resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != ""
 	result := Result{Kind: Invalid, NoAutoRetry: resp.Header.Get("x-should-retry") == "false"}
-	if rejected || notAccepted {
+	if rejected || unavailable {
 		result.RetryAfter = retryAfter(resp.Header)
 	}
 	switch {
-	case notAccepted:
-		result.Kind = NotAccepted
+	case unavailable:
+		result.Kind = Unavailable
 	case rejected:
 		result.Kind = Rejected
 	case resp.StatusCode >= http.StatusInternalServerError:
--- a/internal/fake/client/client.go
+++ b/internal/fake/client/client.go
@@ -1,7 +1,8 @@
-// Package client is the client of a scenario: it writes a request on a socket of its own, reads the answer with
-// net/http's parser, and records what passed, also what a well-behaved gateway never sends.
+// Package client is the client of a scenario. It sends each request on a new connection, reads the response with the
+// parser of net/http, and records the outcome, including what a correct gateway never sends, such as bytes after the
+// response.
 //
-// An Attempt belongs to the goroutine that sends it; the package keeps no state and starts no goroutines.
+// Send must not be called concurrently for one Attempt. The package keeps no state and starts no goroutines.
 package client
 
 import (
@@ -10,48 +11,48 @@
 	"brackenbend/internal/audit"
 )
 
-// Attempt is one request of a client.
+// Attempt is one attempt of a client at a request.
 type Attempt struct {
 	ID, Intent      string
 	Class           audit.Class
 	ClassName       string
 	Tenant          string
 	Session         string
-	Key             string // Idempotency-Key
-	System          string // prefix that sessions share
+	IdempotencyKey  string // "" = none
+	SystemPrompt    string // system message, a prefix that sessions share; "" = none
 	Turns           []string
 	MaxTokens       int
-	AnswerTokens    int // that a fake engine answers
+	AnswerTokens    int // that the fake engine generates, at most MaxTokens
 	Stream          bool
-	Timeout         time.Duration // within which the client wants its answer, or its stream to begin
-	DisconnectAfter time.Duration // 0 = never
-	ReadDelay       time.Duration // pause after each read of a stream
-	MarksRetries    bool          // numbers its attempts as the published SDKs do
-	Retries         int           // attempts before this one
+	Timeout         time.Duration // for the whole response, or for a stream to begin
+	DisconnectAfter time.Duration // time after which the client closes the connection; 0 = never
+	ReadDelay       time.Duration // pause after each event of a stream
+	MarksRetries    bool          // sends the number of earlier attempts, as the published SDKs do
+	Retries         int           // number of earlier attempts
 	Model           string        // "" = defaultModel
-	OnToken         func()        // called for each token of a stream as it comes; may be nil
+	OnToken         func()        // called for each token of a stream when it is read; may be nil
 }
 
-// How an attempt ended. The values are those of the stored record and of the scenarios' reports.
+// Kinds of results. Stored records and the reports of scenarios contain these values.
 const (
-	Served       = "served"
-	Rejected     = "refused"
-	NotAccepted  = "turned" // rejected before it was accepted: the replica shuts down
-	Failed       = "failed"
-	Broken       = "broken" // a stream that ended with an error
-	Invalid      = "invalid"
-	Cut          = "cut"         // the connection ended before a final answer
-	Disconnected = "hung up"     // by the client itself
-	Unconnected  = "unconnected" // the request could not be sent
-	NoAnswer     = "none"        // within the client's time
+	Served         = "served"
+	Rejected       = "refused"
+	Unavailable    = "turned" // status 503 with Retry-After: the replica is shutting down
+	Failed         = "failed"
+	StreamError    = "broken" // the stream ended with an error event
+	Invalid        = "invalid"
+	ConnectionLost = "cut"         // the connection closed before the response was complete
+	Disconnected   = "hung up"     // the client closed the connection itself
+	NotSent        = "unconnected" // the client could not connect or write the request
+	TimedOut       = "none"        // the client's timeout or streamIdleTimeout passed
 )
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result struct {
 	Kind        string        // one of the constants above
 	FirstToken  time.Duration // 0 = none
 	Elapsed     time.Duration
 	Tokens      int
-	RetryAfter  time.Duration // promised with a rejection
-	NoAutoRetry bool          // the answer asks not to retry automatically
+	RetryAfter  time.Duration // retry time given with Rejected or Unavailable
+	NoAutoRetry bool          // the response asks the client not to retry automatically
 }
--- a/internal/fake/client/client_test.go
+++ b/internal/fake/client/client_test.go
@@ -12,7 +12,7 @@
 	"brackenbend/internal/audit"
 )
 
-// serveOnce accepts one connection, reads a request and lets answer write to the connection.
+// serveOnce accepts one connection, reads a request and calls answer, which writes the response.
 func serveOnce(t *testing.T, answer func(net.Conn)) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,7 +44,7 @@
 
 func respond(status int, header, body string) func(net.Conn) {
 	return func(conn net.Conn) {
-		// A failed write shows in the result that the client gets.
+		// A failed write is visible in the result of the client.
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 	}
 }
@@ -61,16 +61,16 @@
 		{"whole", respond(200, "", `{"x":"w0 "}`), Attempt{}, Served, audit.Answer},
 		{"not JSON", respond(200, "", `{`), Attempt{}, Invalid, audit.Answer},
 		{"stream", respond(200, events, "data: {}\n\ndata: [DONE]\n\n"), Attempt{}, Served, audit.Answer},
-		{"stream ended by an error", respond(200, events, "data: {\"error\":{}}\n\n"), Attempt{}, Broken, audit.Answer},
-		{"stream without an end", respond(200, events, "data: {}\n\n"), Attempt{}, Cut, audit.ConnectionCut},
+		{"stream ended by an error", respond(200, events, "data: {\"error\":{}}\n\n"), Attempt{}, StreamError, audit.Answer},
+		{"stream without an end", respond(200, events, "data: {}\n\n"), Attempt{}, ConnectionLost, audit.ConnectionCut},
 		{"rejection", respond(429, "retry-after-ms: 20\r\n", ""), Attempt{}, Rejected, audit.Answer},
-		{"shutdown", respond(503, "Retry-After: 1\r\n", ""), Attempt{}, NotAccepted, audit.Answer},
+		{"shutdown", respond(503, "Retry-After: 1\r\n", ""), Attempt{}, Unavailable, audit.Answer},
 		{"failure", respond(502, "", ""), Attempt{}, Failed, audit.Answer},
-		{"no answer", func(net.Conn) {}, Attempt{}, Cut, audit.ConnectionCut},
+		{"no answer", func(net.Conn) {}, Attempt{}, ConnectionLost, audit.ConnectionCut},
 		{
 			"silence", func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) },
 			Attempt{Timeout: 30 * time.Millisecond},
-			NoAnswer, audit.Sent,
+			TimedOut, audit.Sent,
 		},
 		{
 			"disconnect", func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) },
@@ -81,7 +81,7 @@
 			"extra bytes", func(conn net.Conn) {
 				respond(200, "", "{}")(conn)
 				_, _ = conn.Write([]byte("more"))
-				_, _ = conn.Read(make([]byte, 1)) // until the client has seen them and closes
+				_, _ = conn.Read(make([]byte, 1)) // until the client has read them and closes the connection
 			}, Attempt{}, Served, audit.ExtraBytes,
 		},
 	} {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestSendRecordsUnconnected(t *testing.T) {
+func TestSendRecordsRefusedConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -122,7 +122,7 @@
 	listener.Close()
 	record := audit.NewRecord()
 	attempt := Attempt{ID: "a", Timeout: time.Second}
-	if result := Send(&attempt, "replica", addr, record); result.Kind != Unconnected {
+	if result := Send(&attempt, "replica", addr, record); result.Kind != NotSent {
 		t.Errorf("got %q", result.Kind)
 	}
 	if events := record.Events(); len(events) != 1 || events[0].Kind != audit.Unsent {
--- a/internal/fake/client/request.go
+++ b/internal/fake/client/request.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// defaultModel is the model that scenarios ask for.
+// defaultModel is the model that scenarios request.
 const defaultModel = "day"
 
 type message struct {
@@ -16,11 +16,11 @@
 	Content string `json:"content"`
 }
 
-// messages are the conversation so far: the user and the assistant take turns.
+// messages returns the conversation so far: the system prompt, then user and assistant alternately.
 func (a *Attempt) messages() []message {
 	var messages []message
-	if a.System != "" {
-		messages = append(messages, message{"system", a.System})
+	if a.SystemPrompt != "" {
+		messages = append(messages, message{"system", a.SystemPrompt})
 	}
 	for i, turn := range a.Turns {
 		messages = append(messages, message{[]string{"user", "assistant"}[i%2], turn})
@@ -42,13 +42,13 @@
 			"answer": strconv.Itoa(a.AnswerTokens),
 		},
 	})
-	if err != nil { // plain values only
+	if err != nil { // impossible: all values are plain
 		panic(err)
 	}
 	return body
 }
 
-// encode is the request as it is written to the socket.
+// encode returns the HTTP request as it is written to the connection.
 func (a *Attempt) encode(host string) []byte {
 	body := a.body()
 	var b bytes.Buffer
@@ -61,8 +61,8 @@
 	field("X-Tenant", "%s", a.Tenant)
 	field("X-Session-Id", "%s", a.Session)
 	field("X-Stainless-Read-Timeout", "%.3f", a.Timeout.Seconds())
-	if a.Key != "" {
-		field("Idempotency-Key", "%s", a.Key)
+	if a.IdempotencyKey != "" {
+		field("Idempotency-Key", "%s", a.IdempotencyKey)
 	}
 	if a.MarksRetries {
 		field("X-Stainless-Retry-Count", "%d", a.Retries)
--- a/internal/fake/client/send.go
+++ b/internal/fake/client/send.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// connectTimeout is long beside a connect on one machine and short beside a client's time.
+	// connectTimeout is long for a connection within one machine and short for the timeout of a client.
 	connectTimeout = 2 * time.Second
-	// extraBytesWait is how long a connection is watched after the final answer for bytes that nobody asked for. What a
-	// gateway writes too much comes at once.
+	// extraBytesWait is how long a client reads on after the response, to detect extra bytes. A gateway that writes too
+	// much writes it together with the response.
 	extraBytesWait = 20 * time.Millisecond
 	readBufferSize = 8192
 )
 
-// Send sends the attempt to a replica and follows it to its end. record may be nil.
+// Send sends the attempt to a replica, reads the response and records both. record may be nil.
 func Send(attempt *Attempt, replica, addr string, record *audit.Record) Result {
 	started := time.Now()
-	unsent := func() Result {
+	notSent := func() Result {
 		record.Add(audit.Event{Kind: audit.Unsent, Attempt: attempt.ID, Replica: replica})
-		return Result{Kind: Unconnected, Elapsed: time.Since(started)}
+		return Result{Kind: NotSent, Elapsed: time.Since(started)}
 	}
 	conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
-		return unsent()
+		return notSent()
 	}
-	defer func() { _ = conn.Close() }() // all that counts was read before
+	defer func() { _ = conn.Close() }() // the response was read before
 	request := attempt.encode(addr)
 	deadline := record.Now() + attempt.Timeout
 	readUntil := time.Now().Add(attempt.Timeout)
 	if _, err := conn.Write(request); err != nil {
-		return unsent()
+		return notSent()
 	}
 	record.Add(audit.Event{
 		Kind: audit.Sent, Attempt: attempt.ID, Intent: attempt.Intent, Class: attempt.Class, Replica: replica,
@@ -44,31 +44,32 @@
 	}
 	setReadDeadline(conn, readUntil)
 	answer := &answerReader{
-		attempt: attempt, conn: conn, buffered: bufio.NewReaderSize(conn, readBufferSize), started: started,
+		attempt: attempt, conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), started: started,
 	}
 	result := answer.read()
 	result.Elapsed = time.Since(started)
-	answer.recordEnd(record, result)
+	answer.recordOutcome(record, result)
 	return result
 }
 
-// recordEnd records how the attempt ended, and bytes that come after a final answer.
-func (r *answerReader) recordEnd(record *audit.Record, result Result) {
+// recordOutcome records the outcome of the attempt, and whether bytes follow a response that ended it.
+func (r *answerReader) recordOutcome(record *audit.Record, result Result) {
 	id := r.attempt.ID
 	switch result.Kind {
-	case Cut:
+	case ConnectionLost:
 		record.Add(audit.Event{Kind: audit.ConnectionCut, Attempt: id})
 	case Disconnected:
 		record.Add(audit.Event{Kind: audit.ClientLeft, Attempt: id})
-	case NoAnswer: // the record shows it by having no answer
+	case TimedOut: // shown in the record by the missing answer
 	default:
 		record.Add(audit.Event{Kind: audit.Answer, Attempt: id, Result: result.Kind})
 		setReadDeadline(r.conn, time.Now().Add(extraBytesWait))
-		if _, err := r.buffered.Peek(1); err == nil { // otherwise the connection is silent or ends
+		if _, err := r.reader.Peek(1); err == nil { // otherwise nothing arrives in time, or the connection is closed
 			record.Add(audit.Event{Kind: audit.ExtraBytes, Attempt: id})
 		}
 	}
 }
 
-// setReadDeadline bounds the reads of a connection. It fails only on one that is closed, which the next read shows.
+// setReadDeadline sets the read deadline of a connection. It can fail only on a closed one, from which the next read
+// fails too.
 func setReadDeadline(conn net.Conn, at time.Time) { _ = conn.SetReadDeadline(at) }
--- a/internal/fake/loopback/loopback.go
+++ b/internal/fake/loopback/loopback.go
@@ -1,6 +1,6 @@
-// Package loopback picks addresses for processes that end and come back under the same one.
+// Package loopback picks loopback addresses for processes that restart under the same address.
 //
-// Its state, the ports that this process has given out, is guarded by a mutex; it starts no goroutines.
+// A mutex guards its state, the ports that it has returned. The package starts no goroutines.
 package loopback
 
 import (
@@ -11,31 +11,31 @@
 	"sync"
 )
 
-// The ports lie below those that systems give to outgoing connections (32768 and up on Linux), one of which could
-// otherwise hold the port while its owner is down, or be handed to two listeners one after another.
+// The ports lie below the ephemeral range (32768 and up on Linux). From that range, an outgoing connection could occupy
+// the port while its owner is down, or the system could assign it to two listeners one after another.
 const (
 	firstPort = 20000
-	ports     = 12000
-	// maxAttempts bounds the search; it fails only where nearly all ports are in use.
+	portCount = 12000
+	// maxAttempts bounds the search, which fails only if nearly all ports are in use.
 	maxAttempts = 1000
 )
 
-// ErrNoFreePort is returned when no port was free.
+// ErrNoFreePort is returned by Address if it finds no free port.
 var ErrNoFreePort = errors.New("loopback: no free port from 20000 to 31999")
 
 var (
-	mu    sync.Mutex
-	given = map[int]bool{} // ports, guarded by mu
+	mu       sync.Mutex
+	reserved = map[int]bool{} // ports returned by Address; guarded by mu
 )
 
-// Address returns a free loopback address that this process has not given out before.
+// Address returns a free loopback address that it has not returned before in this process.
 func Address() (string, error) {
 	mu.Lock()
 	defer mu.Unlock()
 	for range maxAttempts {
-		port := firstPort + rand.IntN(ports)
+		port := firstPort + rand.IntN(portCount)
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
-		if given[port] {
+		if reserved[port] {
 			continue
 		}
 		listener, err := net.Listen("tcp", addr)
@@ -45,7 +45,7 @@
 		if err := listener.Close(); err != nil {
 			continue
 		}
-		given[port] = true
+		reserved[port] = true
 		return addr, nil
 	}
 	return "", ErrNoFreePort
--- a/internal/fake/loopback/loopback_test.go
+++ b/internal/fake/loopback/loopback_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestAddressIsFreeAndGivenOnce(t *testing.T) {
+func TestAddressIsFreeAndUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for range 20 {
 		addr, err := Address()
@@ -13,7 +13,7 @@
 			t.Fatal(err)
 		}
 		if seen[addr] {
-			t.Errorf("%s was given twice", addr)
+			t.Errorf("%s was returned twice", addr)
 		}
 		seen[addr] = true
 		listener, err := net.Listen("tcp", addr)
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -37,7 +37,7 @@
 	request := client.Attempt{
 		Class: audit.Class(class.Idempotency), ClassName: class.Name, Session: session.Key,
 		MaxTokens: int(class.AnswerTokens) * maxTokensFactor, Stream: session.Stream, Timeout: class.Deadline,
-		System: session.Prefix.Words(), Model: r.plan.Model,
+		SystemPrompt: session.Prefix.Words(), Model: r.plan.Model,
 	}
 	if session.Tenant >= 0 {
 		request.Tenant = r.plan.Scenario.Tenants[session.Tenant].Name
@@ -50,7 +50,7 @@
 	request.Intent = fmt.Sprintf("%d.%d", session.ID, session.Turn)
 	request.DisconnectAfter, request.MarksRetries = session.HangUp, session.MarksRetries
 	if request.Class == audit.IdempotentWithKey {
-		request.Key = fmt.Sprintf("load-%d-%s", r.began.UnixNano(), request.Intent)
+		request.IdempotencyKey = fmt.Sprintf("load-%d-%s", r.began.UnixNano(), request.Intent)
 	}
 	if session.Slow {
 		request.ReadDelay = scenario.SlowReadDelay
--- a/internal/scenariorun/traffic.go
+++ b/internal/scenariorun/traffic.go
@@ -79,13 +79,13 @@
 func (t *traffic) newRequest(session *scenario.Session) client.Attempt {
 	class := &t.run.scenario.Classes[session.Class]
 	request := client.Attempt{
-		Class:     audit.Class(class.Idempotency),
-		ClassName: class.Name,
-		Session:   session.Key,
-		MaxTokens: int(class.AnswerTokens) * maxTokensFactor,
-		Stream:    session.Stream,
-		Timeout:   class.Deadline,
-		System:    session.Prefix.Words(),
+		Class:        audit.Class(class.Idempotency),
+		ClassName:    class.Name,
+		Session:      session.Key,
+		MaxTokens:    int(class.AnswerTokens) * maxTokensFactor,
+		Stream:       session.Stream,
+		Timeout:      class.Deadline,
+		SystemPrompt: session.Prefix.Words(),
 	}
 	if session.Tenant >= 0 {
 		request.Tenant = t.run.scenario.Tenants[session.Tenant].Name
@@ -98,7 +98,7 @@
 	request.Intent = intent
 	request.DisconnectAfter, request.MarksRetries = session.HangUp, session.MarksRetries
 	if request.Class == audit.IdempotentWithKey {
-		request.Key = fmt.Sprintf("key-%d-%s", t.run.scenario.Seed, intent)
+		request.IdempotencyKey = fmt.Sprintf("key-%d-%s", t.run.scenario.Seed, intent)
 	}
 	if session.Slow {
 		request.ReadDelay = scenario.SlowReadDelay
