--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -92,7 +92,7 @@
 		return usageErrorf("--role %q: reader, writer or mixed", e.role)
 	}
 	cfg := engine.Config{
-		Name: e.name, Kind: e.role, Params: fakeEngineParams(e.role), PlainVLLM: e.plain, CancelsOnDisconnect: true,
+		Name: e.name, Kind: e.role, Params: fakeEngineParams(e.role), PlainVLLM: e.plain, CanCancel: true,
 	}
 	if e.canChangeRoles {
 		cfg.InitialState, cfg.SwitchTime = roles.EngineState{Role: role, Target: role}, roleSwitchTime
--- a/cmd/brackenbend/up.go
+++ b/cmd/brackenbend/up.go
@@ -97,6 +97,6 @@
 // startUpEngine starts a fake engine.
 func startUpEngine(role, name string) (*engine.Server, error) {
 	return engine.Start(engine.Config{
-		Name: name, Kind: role, Zone: "zone-1", Cell: "cell-1", Params: fakeEngineParams(role), CancelsOnDisconnect: true,
+		Name: name, Kind: role, Zone: "zone-1", Cell: "cell-1", Params: fakeEngineParams(role), CanCancel: true,
 	}, "127.0.0.1:0", false)
 }
--- a/internal/fake/engine/completion.go
+++ b/internal/fake/engine/completion.go
@@ -93,7 +93,7 @@
 func (c *completion) abandon() {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	if c.server.cfg.CancelsOnDisconnect || !c.progress.started {
+	if c.server.cfg.CanCancel || !c.progress.started {
 		c.cancelLocked()
 	}
 }
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -26,8 +26,8 @@
 	defaultDedupWindow = time.Minute
 	// stateFetchTimeout bounds the fetch of a read state from another fake engine, which responds at once while it runs.
 	stateFetchTimeout = 2 * time.Second
-	// idleTimer is the initial duration of the model's timer, before the model has any event.
-	idleTimer = time.Hour
+	// initialTimerDelay is the initial duration of the model's timer, before the model has any event.
+	initialTimerDelay = time.Hour
 )
 
 // Config describes a fake engine.
@@ -35,7 +35,7 @@
 	Name, Kind, Zone, Cell string
 	Params                 enginemodel.Params
 	PlainVLLM              bool // implements only vLLM's protocol, not the extension
-	CancelsOnDisconnect    bool // cancels a running job when its connection closes
+	CanCancel              bool // cancels a running job when its connection closes
 	DedupScope             *DedupScope
 	Record                 *audit.Record // may be nil
 	OnProcessChange        func(*Server) // called after the process has started or ended; may be nil
@@ -81,7 +81,7 @@
 	if s.cfg.DedupScope == nil {
 		s.cfg.DedupScope = &DedupScope{Window: defaultDedupWindow}
 	}
-	s.timer = time.AfterFunc(idleTimer, s.advance)
+	s.timer = time.AfterFunc(initialTimerDelay, s.advance)
 	if err := s.startProcessWithRetry(addr, cold); err != nil {
 		return nil, err
 	}
--- a/internal/fake/engine/faults.go
+++ b/internal/fake/engine/faults.go
@@ -16,11 +16,11 @@
 	Stall             bool    `json:"stall"`      // requests are read but never answered
 	SlowFactor        float64 `json:"slow"`       // multiplies the duration of each step of the model; 0 = 1
 	ResetMidStream    float64 `json:"reset_mid"`  // fraction of streams that are reset after a few tokens
-	ResetAfterRequest float64 `json:"reset_head"` // fraction of requests whose connection is reset once they are read
+	ResetAfterRequest float64 `json:"reset_head"` // fraction of requests reset once they are read
 	ResetAfterEffect  float64 `json:"reset_run"`  // fraction reset after taking effect, before the first token
 	FailAfterEffect   float64 `json:"fail_run"`   // fraction that fails with status 500 after taking effect
 	StallAfterEffect  float64 `json:"stall_run"`  // fraction never answered after taking effect
-	FrozenReports     bool    `json:"frozen"`     // the last load report is sent again and again
+	FrozenReports     bool    `json:"frozen"`     // the last load report is repeated
 	NoReports         bool    `json:"no_reports"`
 }
 
@@ -44,7 +44,7 @@
 	s.SetFaults(faults)
 }
 
-// hooks are test hooks: callbacks at one point of a request, and a switch for endless streams.
+// hooks are set by tests: callbacks at two points of a request, and a switch that makes streams endless.
 type hooks struct {
 	beforeStateFetch func()
 	afterPrefill     func()
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -15,7 +15,7 @@
 
 // roleChange is the state of the engine's role and of its change to another.
 type roleChange struct {
-	state      roles.EngineState // stored on disk: survives crashes
+	state      roles.EngineState // as if stored on disk: survives crashes
 	switching  bool              // no work of the old role is left, and SwitchTime is passing
 	misreports bool              // fault: the engine reports a change that it has not made
 }
--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -20,10 +20,10 @@
 type decodeStream struct {
 	*completion
 
-	fetched        bool // the read state was fetched, or none has to be
-	firstTokenSent bool // or about to be
-	sent           int  // tokens
-	resetAt        int  // number of tokens sent before the stream is reset
+	fetched    bool // the read state was fetched, or none has to be
+	tookEffect bool // the first token was generated, with which the request takes effect
+	sent       int  // tokens
+	resetAt    int  // number of tokens sent before the stream is reset
 }
 
 func newDecodeStream(c *completion) *decodeStream {
@@ -40,7 +40,7 @@
 	for {
 		if !d.awaitChange(ctx) {
 			d.abandon()
-			if d.server.cfg.CancelsOnDisconnect {
+			if d.server.cfg.CanCancel {
 				return
 			}
 			ctx = context.Background() // the job goes on, though the client has disconnected
@@ -70,8 +70,8 @@
 	case current.tokens == 0:
 		return false
 	}
-	if !d.firstTokenSent {
-		d.firstTokenSent = true
+	if !d.tookEffect {
+		d.tookEffect = true
 		d.recordEffect()
 		if d.failAfterEffect() {
 			return true
--- a/internal/fake/enginemodel/engine.go
+++ b/internal/fake/enginemodel/engine.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// SetParams changes the parameters while jobs are in flight. An engine whose new role adds a stage to the present one
-// does so.
+// SetParams changes the parameters while jobs are in flight. An engine that takes on a second stage beside the one that
+// it serves changes them in this way.
 func (e *Engine) SetParams(now time.Duration, params Params) {
 	e.Advance(now)
 	e.truncateRepeats()
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -115,7 +115,7 @@
 func (r *rig) startEngine(name, role string) {
 	r.t.Helper()
 	e, err := fakeengine.Start(fakeengine.Config{
-		Name: name, Kind: role, CancelsOnDisconnect: true,
+		Name: name, Kind: role, CanCancel: true,
 		Params: enginemodel.Params{
 			CanPrefill:   true,
 			CanDecode:    role != "reader",
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -70,7 +70,7 @@
 	s, err := engine.Start(engine.Config{
 		Name: name, Params: engineParams(role), Roles: paramsByRole,
 		InitialState: roles.EngineState{Role: role, Target: role}, SwitchTime: 5 * time.Millisecond,
-		CancelsOnDisconnect: true, OnProcessChange: f.list,
+		CanCancel: true, OnProcessChange: f.list,
 	}, "127.0.0.1:0", false)
 	if err != nil {
 		f.t.Fatal(err)
--- a/internal/scenariorun/engines.go
+++ b/internal/scenariorun/engines.go
@@ -43,16 +43,16 @@
 	for _, kind := range r.scenario.Kinds {
 		for i := range kind.Count {
 			cfg := engine.Config{
-				Name:                fmt.Sprintf("%s-%d", kind.Name, i+1),
-				Kind:                kind.Name,
-				Zone:                "zone-1",
-				Cell:                fmt.Sprintf("cell-%d", i%2),
-				Params:              r.scenario.EngineParams(&kind),
-				PlainVLLM:           r.scenario.EngineProtocol == "vllm",
-				CancelsOnDisconnect: r.scenario.Service.CanCancel,
-				DedupScope:          group,
-				Record:              r.record,
-				OnProcessChange:     r.engines.list,
+				Name:            fmt.Sprintf("%s-%d", kind.Name, i+1),
+				Kind:            kind.Name,
+				Zone:            "zone-1",
+				Cell:            fmt.Sprintf("cell-%d", i%2),
+				Params:          r.scenario.EngineParams(&kind),
+				PlainVLLM:       r.scenario.EngineProtocol == "vllm",
+				CanCancel:       r.scenario.Service.CanCancel,
+				DedupScope:      group,
+				Record:          r.record,
+				OnProcessChange: r.engines.list,
 			}
 			if kind.ChangesRole {
 				changing.add(&cfg, kind.ServedRole())
