--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -38,7 +38,7 @@
 	request := client.Attempt{
 		Class: audit.Class(class.Idempotency), ClassName: class.Name, Session: session.Key,
 		MaxTokens: int(class.AnswerTokens) * maxTokensFactor, Stream: session.Stream, Timeout: class.Deadline,
-		System: session.Prefix.Words(), Model: r.plan.Model,
+		SystemPrompt: session.Prefix.Words(), Model: r.plan.Model,
 	}
 	if session.Tenant >= 0 {
 		request.Tenant = r.plan.Scenario.Tenants[session.Tenant].Name
@@ -51,7 +51,7 @@
 	request.Intent = fmt.Sprintf("%d.%d", session.ID, session.Turn)
 	request.DisconnectAfter, request.MarksRetries = session.DisconnectAfter, session.MarksRetries
 	if request.Class == audit.IdempotentWithKey {
-		request.Key = fmt.Sprintf("load-%d-%s", r.startedAt.UnixNano(), request.Intent)
+		request.IdempotencyKey = fmt.Sprintf("load-%d-%s", r.startedAt.UnixNano(), request.Intent)
 	}
 	if session.ReadsSlowly {
 		request.ReadDelay = scenario.SlowReadDelay
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -32,9 +32,9 @@
 
 func engineParams(role roles.Role) enginemodel.Params {
 	return enginemodel.Params{
-		CanPrefill: role.Prefills(), CanDecode: role.Decodes(), Slots: 16, MaxQueued: 32, Memory: 200000,
-		PrefillRate: 50000, Chunk: 512,
-		Step: 2 * time.Millisecond, FetchRate: 1e6, CacheTokens: 100000, StateTTL: 30 * time.Second,
+		CanPrefill: role.Prefills(), CanDecode: role.Decodes(), Slots: 16, MaxQueued: 32, MemoryTokens: 200000,
+		PrefillRate: 50000, PrefillChunk: 512,
+		StepTime: 2 * time.Millisecond, FetchRate: 1e6, CacheTokens: 100000, StateTTL: 30 * time.Second,
 	}
 }
 
@@ -71,7 +71,7 @@
 	s, err := engine.Start(engine.Config{
 		Name: name, Params: engineParams(role), Roles: paramsByRole,
 		InitialState: roles.EngineState{Role: role, Target: role}, SwitchTime: 5 * time.Millisecond,
-		CanCancel: true, Changed: f.list,
+		CanCancel: true, OnProcessChange: f.list,
 	}, "127.0.0.1:0", false)
 	if err != nil {
 		f.t.Fatal(err)
@@ -235,8 +235,8 @@
 	engine := f.engines["e0"]
 	url := "http://" + engine.Info().Address
 	resp := f.post(url+"/v1/chat/completions", "r1", prefillRequest)
-	if resp.StatusCode != http.StatusOK || engine.States() != 1 {
-		t.Fatalf("%d, %d states", resp.StatusCode, engine.States())
+	if resp.StatusCode != http.StatusOK || engine.ReadStateCount() != 1 {
+		t.Fatalf("%d, %d states", resp.StatusCode, engine.ReadStateCount())
 	}
 	f.runPlanner(commandsOnly)
 	f.startChange("e0", roles.Decode)
@@ -247,7 +247,7 @@
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Brackenbend-Never-Ran") != "1" {
 		t.Errorf("draining engine answered new work with status %d", resp.StatusCode)
 	}
-	if state := engine.EngineState(); state.Role != roles.Prefill || engine.States() != 1 {
+	if state := engine.EngineState(); state.Role != roles.Prefill || engine.ReadStateCount() != 1 {
 		t.Errorf("engine switched to %v while it held a read state", state.Role)
 	}
 	if resp := f.post(url+"/standin/take", "", `{"id":"r1"}`); resp.StatusCode != http.StatusOK {
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -124,7 +124,7 @@
 // resetModel replaces the model by an empty one, as after the start of a process.
 func (e *engine) resetModel(now time.Duration, slowStart bool) {
 	e.model = enginemodel.New(e.params, now, slowStart)
-	e.model.SetSlow(e.slowFactor())
+	e.model.SetSlowdown(e.slowFactor())
 	e.jobs, e.heldStates, e.releasedAt = map[string]*job{}, map[string]bool{}, map[string]time.Duration{}
 }
 
@@ -140,7 +140,7 @@
 		e.onRelease(m.attempt)
 	case stateFetch:
 		e.model.Advance(e.now())
-		_, ok := e.model.Take(e.now(), m.state)
+		_, ok := e.model.TakeReadState(e.now(), m.state)
 		e.send(m.requester, e.fleet.linkDelay(e.rnd), stateFetched{m.job, ok && e.up})
 	case stateFetched:
 		e.onStateFetched(m)
@@ -166,12 +166,12 @@
 // completed drain. It also schedules the model's next wakeup.
 func (e *engine) syncWithModel() {
 	for id := range e.heldStates {
-		if !e.model.Holds(id) {
+		if !e.model.HasReadState(id) {
 			delete(e.heldStates, id)
 			e.record(e.now(), audit.Event{Kind: audit.StateReleased, Engine: e.name, Request: id})
 		}
 	}
-	if e.model.Down() && e.up {
+	if e.model.Overloaded() && e.up {
 		e.record(e.now(), audit.Event{Kind: audit.Overloaded, Engine: e.name})
 		e.stop()
 		e.send(e.fleet.apiServer.id, e.fleet.linkDelay(e.rnd), engineStopped{e.index})
@@ -226,12 +226,12 @@
 		return
 	}
 	if e.faultApplies("reset-mid-stream") && m.decode {
-		j.resetAtToken, j.Quiet = 1+e.rnd.IntN(maxResetToken), false
+		j.resetAtToken, j.FirstTokenOnly = 1+e.rnd.IntN(maxResetToken), false
 	}
-	j.Begun = func() { e.onStarted(j) }
-	j.Token = func(n int) { e.onToken(j, n) }
-	j.Done = func(cached float64) { e.onDone(j, cached) }
-	j.Lost = func() { e.endJobWith(j, routing.ConnectionReset) }
+	j.OnStart = func() { e.onStarted(j) }
+	j.OnToken = func(n int) { e.onToken(j, n) }
+	j.OnDone = func(cached float64) { e.onDone(j, cached) }
+	j.OnLost = func() { e.endJobWith(j, routing.ConnectionReset) }
 	if !e.model.Submit(e.now(), &j.Job) {
 		e.endJobWith(j, routing.Rejected)
 	}
@@ -239,13 +239,13 @@
 
 func newJob(m engineRequest) *job {
 	j := &job{request: m, Job: enginemodel.Job{
-		ID: m.id, Prompt: m.work.promptTokens, Prefix: m.work.prefix, PrefixLen: m.work.prefixTokens, Session: m.work.session,
-		Out: m.work.outputTokens, ReadOnly: !m.decode, Quiet: true,
+		ID: m.id, PromptTokens: m.work.promptTokens, Prefix: m.work.prefix, PrefixTokens: m.work.prefixTokens, Session: m.work.session,
+		OutputTokens: m.work.outputTokens, PrefillOnly: !m.decode, FirstTokenOnly: true,
 	}}
 	if m.decode && m.state.engine >= 0 {
-		j.FetchState = max(j.Prompt, 1)
+		j.FetchTokens = max(j.PromptTokens, 1)
 	}
-	j.stateReady = j.FetchState == 0
+	j.stateReady = j.FetchTokens == 0
 	return j
 }
 
@@ -267,7 +267,7 @@
 		e.endJob(j, attemptResult{result: routing.Rejected, stateMissing: true})
 	default:
 		j.stateReady = true
-		e.fetchedTokens += j.Prompt
+		e.fetchedTokens += j.PromptTokens
 		if j.hasFirstToken {
 			e.emitFirstToken(j)
 		}
@@ -309,7 +309,7 @@
 }
 
 func (e *engine) onDone(j *job, cached float64) {
-	if !j.ReadOnly {
+	if !j.PrefillOnly {
 		if !j.stateReady { // the model finished before the fetched state arrived: count the effect now
 			j.stateReady = true
 			e.emitFirstToken(j)
@@ -320,7 +320,7 @@
 	e.heldStates[j.ID] = true
 	e.record(e.now(), audit.Event{Kind: audit.StateHeld, Engine: e.name, Request: j.ID})
 	if _, released := e.releasedAt[j.ID]; released {
-		e.model.Drop(j.ID)
+		e.model.DropReadState(j.ID)
 	}
 	e.endJob(j, attemptResult{result: routing.PrefillDone, cachedTokens: cached})
 }
@@ -353,7 +353,7 @@
 		}
 	}
 	e.releasedAt[id] = e.now()
-	e.model.Take(e.now(), id)
+	e.model.TakeReadState(e.now(), id)
 }
 
 // stop ends the engine's process.
--- a/internal/simulation/fleet/engine_faults.go
+++ b/internal/simulation/fleet/engine_faults.go
@@ -31,7 +31,7 @@
 	_, stalls := e.faults["stall"]
 	classFault, failsClass := e.faults["fail-class"]
 	decode := j.request.decode
-	needsPrefill := !decode || j.FetchState == 0
+	needsPrefill := !decode || j.FetchTokens == 0
 	switch {
 	case stalls:
 	case failsClass && classFault.class == j.request.work.class, e.faultApplies("fail-fast"):
@@ -39,7 +39,7 @@
 	case e.faultApplies("reset-after-request"):
 		e.endJobWith(j, routing.ConnectionReset)
 	case needsPrefill && !e.params.CanPrefill, decode && !e.params.CanDecode:
-		missing := decode && j.FetchState == 0 && e.params.CanDecode
+		missing := decode && j.FetchTokens == 0 && e.params.CanDecode
 		e.endJob(j, attemptResult{result: routing.Rejected, stateMissing: missing})
 	default:
 		return false
@@ -92,7 +92,7 @@
 		}
 	case "forget":
 		if m.active {
-			e.model.Forget()
+			e.model.ClearPrefixCache()
 		}
 	case "silent-restart":
 		if m.active {
@@ -109,7 +109,7 @@
 			delete(e.faults, m.name)
 		}
 		if m.name == "slow" {
-			e.model.SetSlow(e.slowFactor())
+			e.model.SetSlowdown(e.slowFactor())
 		}
 	}
 }
--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -87,7 +87,7 @@
 
 // switchIfDrained starts the switch to the commanded role once no work of the old role is left.
 func (e *engine) switchIfDrained() {
-	busy := e.model.Working() > 0 || e.model.States() > 0
+	busy := e.model.InFlight() > 0 || e.model.ReadStateCount() > 0
 	if e.role.params == nil || !e.up || e.role.switching || e.role.state.StatusReport().Serving {
 		return
 	}
@@ -119,7 +119,7 @@
 	e.role.state = e.role.state.FinishDraining()
 	e.setRoleParams(e.role.state.Role)
 	if m.stageAdded {
-		e.model.Become(e.now(), e.params)
+		e.model.SetParams(e.now(), e.params)
 		return
 	}
 	if e.role.misreports {
@@ -127,7 +127,7 @@
 	}
 	work := e.model.Work()
 	e.model = enginemodel.New(e.params, e.now(), true)
-	e.model.Resume(work)
+	e.model.RestoreWork(work)
 }
 
 func (e *engine) sendStatus(to int32) {
@@ -137,10 +137,10 @@
 	e.model.Advance(e.now())
 	work := e.model.Work()
 	status := planner.Status{
-		StatusReport: e.role.state.StatusReport(), Outstanding: e.model.Working() + e.model.States(),
-		Prefill: planner.StageLoad{Done: work.ReadDone, Waiting: work.ReadWaiting, Lost: work.ReadLost, Count: work.Reads},
+		StatusReport: e.role.state.StatusReport(), Outstanding: e.model.InFlight() + e.model.ReadStateCount(),
+		Prefill: planner.StageLoad{Done: work.PrefillDone, Waiting: work.PrefillWaiting, Lost: work.PrefillLost, Count: work.Prefills},
 		Decode: planner.StageLoad{
-			Done: work.WriteDone, Waiting: work.WriteWaiting, Lost: work.WriteLost, Count: work.Writes,
+			Done: work.DecodeDone, Waiting: work.DecodeWaiting, Lost: work.DecodeLost, Count: work.Decodes,
 		},
 	}
 	status.Serving = status.Serving && !e.role.switching
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -98,7 +98,7 @@
 		}
 	}
 	e := r.fleet.engines[best]
-	seconds := e.model.Ahead(j) - e.model.Ahead(&enginemodel.Job{FetchState: 1, ReadOnly: true})
+	seconds := e.model.PrefillBacklog(j) - e.model.PrefillBacklog(&enginemodel.Job{FetchTokens: 1, PrefillOnly: true})
 	e.pending.add(seconds)
 	e.schedule(2*r.fleet.options.Link, sendArrived{seconds})
 	return best
@@ -110,7 +110,7 @@
 	if !o.enabled() { // with several shards, this goroutine must not read the engine's state
 		return false
 	}
-	slowStart := e.model.Present() < 1
+	slowStart := e.model.CapacityFraction() < 1
 	switch {
 	case role == routing.RoleMixed, !e.healthy():
 		return false
@@ -130,11 +130,11 @@
 func oracleJob(request *inflightRequest, role routing.Role) *enginemodel.Job {
 	work := &request.message.work
 	j := &enginemodel.Job{
-		Prompt: work.promptTokens, Prefix: work.prefix, PrefixLen: work.prefixTokens, Session: work.session,
-		Out: work.outputTokens, ReadOnly: role == routing.RolePrefill,
+		PromptTokens: work.promptTokens, Prefix: work.prefix, PrefixTokens: work.prefixTokens, Session: work.session,
+		OutputTokens: work.outputTokens, PrefillOnly: role == routing.RolePrefill,
 	}
 	if role == routing.RoleDecode && request.state.engine >= 0 {
-		j.FetchState = max(j.Prompt, 1)
+		j.FetchTokens = max(j.PromptTokens, 1)
 	}
 	return j
 }
@@ -145,19 +145,19 @@
 		return false
 	}
 	e := r.fleet.engines[engine]
-	if !e.healthy() || e.model.Present() < 1 && !r.fleet.options.Oracles.KnowSlowStart {
+	if !e.healthy() || e.model.CapacityFraction() < 1 && !r.fleet.options.Oracles.KnowSlowStart {
 		return false
 	}
-	return !e.model.Near(j, oracleOverloadFraction)
+	return !e.model.NearOverload(j, oracleOverloadFraction)
 }
 
 // oracleCost returns the cost by which an oracle compares engines: the time until a prefill would end, or the number of
 // streams with a decode. Both are relative to the engine's present capacity.
 func (e *engine) oracleCost(j *enginemodel.Job, role routing.Role) float64 {
 	if role == routing.RolePrefill {
-		return (e.model.Ahead(j) + e.pending.seconds) / e.model.Present()
+		return (e.model.PrefillBacklog(j) + e.pending.seconds) / e.model.CapacityFraction()
 	}
-	return float64(e.model.Working()+e.pending.streams+1) / e.model.Present()
+	return float64(e.model.InFlight()+e.pending.streams+1) / e.model.CapacityFraction()
 }
 
 // healthy reports whether the engine is up, accepts work and is affected by no fault.
--- a/internal/simulation/scenario/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -28,22 +28,22 @@
 func (s *Scenario) EngineParams(k *Kind) enginemodel.Params {
 	service := s.Service
 	return enginemodel.Params{
-		CanPrefill:     k.Role != roleDecode || service.DecodeCanPrefill,
-		CanDecode:      k.Role != rolePrefill,
-		Slots:          k.Slots,
-		MaxQueued:      k.Queue,
-		Memory:         float64(k.Memory),
-		PrefillRate:    max(float64(k.ReadRate), minStageRate),
-		Chunk:          prefillChunkTokens,
-		Step:           k.Step,
-		StepStream:     k.StepPerStream,
-		FetchRate:      max(float64(k.FetchRate), minStageRate),
-		CacheTokens:    float64(k.Memory) * prefixCacheFraction,
-		SlowStartFrom:  service.SlowStartFrom,
-		SlowStartFor:   service.SlowStartFor,
-		OverloadFactor: service.OverloadFactor,
-		OverloadAfter:  service.OverloadAfter,
-		StateTTL:       engineStateTTL,
+		CanPrefill:        k.Role != roleDecode || service.DecodeCanPrefill,
+		CanDecode:         k.Role != rolePrefill,
+		Slots:             k.Slots,
+		MaxQueued:         k.Queue,
+		MemoryTokens:      float64(k.Memory),
+		PrefillRate:       max(float64(k.ReadRate), minStageRate),
+		PrefillChunk:      prefillChunkTokens,
+		StepTime:          k.Step,
+		StepTimePerStream: k.StepPerStream,
+		FetchRate:         max(float64(k.FetchRate), minStageRate),
+		CacheTokens:       float64(k.Memory) * prefixCacheFraction,
+		SlowStartFrom:     service.SlowStartFrom,
+		SlowStartFor:      service.SlowStartFor,
+		OverloadFactor:    service.OverloadFactor,
+		OverloadAfter:     service.OverloadAfter,
+		StateTTL:          engineStateTTL,
 	}
 }
 
