--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -138,7 +138,9 @@
 	work := e.model.Work()
 	status := planner.Status{
 		StatusReport: e.role.state.StatusReport(), Outstanding: e.model.InFlight() + e.model.ReadStateCount(),
-		Prefill: planner.StageLoad{Done: work.PrefillDone, Waiting: work.PrefillWaiting, Lost: work.PrefillLost, Count: work.Prefills},
+		Prefill: planner.StageLoad{
+			Done: work.PrefillDone, Waiting: work.PrefillWaiting, Lost: work.PrefillLost, Count: work.Prefills,
+		},
 		Decode: planner.StageLoad{
 			Done: work.DecodeDone, Waiting: work.DecodeWaiting, Lost: work.DecodeLost, Count: work.Decodes,
 		},
--- a/internal/simulation/fleet/planner.go
+++ b/internal/simulation/fleet/planner.go
@@ -277,7 +277,8 @@
 func (p *plannerProcess) recordSample(plan roles.Plan, assignments roles.Assignments) {
 	serving, changing := assignments.CountServing()
 	p.samples = append(p.samples, RoleSample{
-		At: p.now(), PrefillDemand: plan.PrefillDemand, DecodeDemand: plan.DecodeDemand, Commands: assignments.LastCommandNumber,
+		At: p.now(), PrefillDemand: plan.PrefillDemand, DecodeDemand: plan.DecodeDemand,
+		Commands: assignments.LastCommandNumber,
 		Prefill: serving[roles.Prefill], Decode: serving[roles.Decode], Changing: changing,
 	})
 }
