--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -240,7 +240,7 @@
 func newJob(m engineRequest) *job {
 	j := &job{request: m, Job: enginemodel.Job{
 		ID: m.id, PromptTokens: m.work.promptTokens, Prefix: m.work.prefix, PrefixTokens: m.work.prefixTokens,
-		Session: m.work.session,
+		Session:      m.work.session,
 		OutputTokens: m.work.outputTokens, PrefillOnly: !m.decode, FirstTokenOnly: true,
 	}}
 	if m.decode && m.state.engine >= 0 {
--- a/internal/simulation/fleet/planner.go
+++ b/internal/simulation/fleet/planner.go
@@ -279,6 +279,6 @@
 	p.samples = append(p.samples, RoleSample{
 		At: p.now(), PrefillDemand: plan.PrefillDemand, DecodeDemand: plan.DecodeDemand,
 		Commands: assignments.LastCommandNumber,
-		Prefill: serving[roles.Prefill], Decode: serving[roles.Decode], Changing: changing,
+		Prefill:  serving[roles.Prefill], Decode: serving[roles.Decode], Changing: changing,
 	})
 }
