--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -12,7 +12,7 @@
 	Body           []byte
 	NotIdempotent  bool          // must not run twice: sent on a new connection, last byte withheld for SettleDelay
 	NewConn        bool          // never sent on an idle connection
-	ConnectTimeout time.Duration // for a new connection; 0 = Client.DialTimeout
+	ConnectTimeout time.Duration // for a new connection, in addition to Client.DialTimeout; 0 = none
 	Deadline       time.Time     // for the first token of a decode or the complete reply of a prefill; zero = none
 	SendBy         time.Time     // for writing the request's last byte; zero = Deadline only
 	// Abandoned reports whether the client has left, so that the request need not be sent. It is called before
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -10,10 +10,10 @@
 type Protocol interface {
 	// AppendHead appends the request line and header fields of a call, without the empty line that ends the header.
 	AppendHead(b []byte, e *Endpoint, call *Call) []byte
-	// ParseReply parses a response that is not a stream. err is the error that ended the reading of its body, if any.
-	ParseReply(prefill bool, resp *http1.Response, text []byte, err error) Outcome
+	// ParseReply parses a response that is not a stream. err is the error that ended the reading of its body, or nil.
+	ParseReply(prefill bool, resp *http1.Response, body []byte, err error) Outcome
 	// ReleaseMessage returns the complete request that releases the read state of id, or nil if the protocol has no such
-	// request and engines release state by a time-out.
+	// request and engines release read state by their own time-out.
 	ReleaseMessage(e *Endpoint, id string) []byte
 	// ReleaseAccepted reports whether the status of the response to a release means success.
 	ReleaseAccepted(status int) bool
@@ -22,11 +22,14 @@
 // Client holds the settings and the connection limits common to all engines. Set its fields before the first use.
 type Client struct {
 	Protocol         Protocol
-	LoadReportHeader string   // header field of load reports, and prefix of stream comments with a load report
+	LoadReportHeader string   // header field of load reports, and start of the stream comments that contain one
 	LoadReportFields []string // names of the load metrics that the router uses, in its order
 	StateByRequestID bool     // read state is identified by the request's ID, at all engines; else by each attempt's ID
-	RequireLastChunk bool     // a stream is complete only after the last chunk; else after its last event
-	RunsWhenComplete bool     // engines execute only complete requests; else the first byte may have an effect
+
+	// RequireLastChunk means that a stream is complete only after the last chunk, has no error events, and may contain
+	// load reports in comments. Otherwise a stream is complete after its last event.
+	RequireLastChunk bool
+	RunsWhenComplete bool // engines execute only complete requests; else the first byte may have an effect
 
 	// SettleDelay is how long the last byte of a request that is not idempotent is withheld. New connections may break
 	// soon after they are established; if one breaks within this delay, the engine has certainly not run the request.
@@ -36,7 +39,7 @@
 
 	DialTimeout       time.Duration
 	HeaderTimeout     time.Duration // from the first byte of a response header to its end; 0 = until the call's deadline
-	StreamIdleTimeout time.Duration // longest time between reads within a stream
+	StreamIdleTimeout time.Duration // longest wait for data within a stream; with HeaderTimeout also for the first event
 
 	MaxStreamBytes int64 // size limit of a whole stream, in bytes; 0 = no limit
 	MaxEventBytes  int   // size limit of one event, in bytes
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -25,8 +25,8 @@
 	totalOpen *atomic.Int64  // shared by all endpoints of the client; set before the first connection is counted
 }
 
-// Close keeps new requests from being sent to the engine, including attempts that have been started but have not yet
-// written their first byte. It closes the idle connections.
+// Close keeps requests from being sent to the engine, also those of attempts in progress that have not yet written the
+// first byte or a withheld last byte. It closes the idle connections.
 func (e *Endpoint) Close() {
 	e.closed.Store(true)
 	e.DiscardIdleConns()
@@ -38,7 +38,7 @@
 // IsOpen reports whether new requests may be sent to the engine.
 func (e *Endpoint) IsOpen() bool { return !e.closed.Load() }
 
-// LastResponse is when the engine last sent a response, of any status; 0 = never.
+// LastResponse is when the engine last responded to a complete request, with any status; 0 = never.
 func (e *Endpoint) LastResponse() monotonic.Time { return e.lastResponse.Load() }
 
 // markResponse sets the time of the engine's last response to the present.
@@ -62,7 +62,8 @@
 	})
 }
 
-// removeConn closes a connection and uncounts it. The caller holds e.mu and takes it out of the idle list.
+// removeConn closes a connection and uncounts it. The caller holds e.mu and removes the connection from the idle list
+// if it is there.
 func (e *Endpoint) removeConn(pc *persistConn) {
 	_ = pc.Close() // a failed close does no harm: the connection is not used again
 	e.uncountConn()
--- a/internal/engine/loadreport.go
+++ b/internal/engine/loadreport.go
@@ -10,8 +10,9 @@
 // maxLoadMetrics is the maximum number of metrics that are read from one load report.
 const maxLoadMetrics = 64
 
-// loadMetrics reads the metrics named in LoadReportFields from a load report, in that order. It returns nil if there is
-// no report. A metric that is missing from the report is NaN, since zero would be a valid value.
+// loadMetrics reads the metrics named in LoadReportFields from a load report, in that order. It returns nil if no
+// metrics are named or ParseLoadReport returns nil. A metric that is missing from the report is NaN, since zero would
+// be a valid value.
 func (c *Client) loadMetrics(report string) []float64 {
 	if len(c.LoadReportFields) == 0 {
 		return nil
@@ -33,7 +34,7 @@
 
 // ParseLoadReport parses an ORCA load report (Envoy, "Open Request Cost Aggregation") from the value of the
 // endpoint-load-metrics header, in its TEXT or JSON format. Metrics that are malformed or not finite are left out. It
-// returns nil for the binary format.
+// returns nil for malformed JSON and for any other format, such as the binary one.
 func ParseLoadReport(report string) map[string]float64 {
 	format, body, _ := strings.Cut(report, " ")
 	switch format {
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -29,7 +29,7 @@
 
 // failure describes an attempt that ended with an error.
 type failure struct {
-	err        error // nil if the response was complete but the attempt was canceled before it returned
+	err        error // nil = complete response, but the attempt was canceled before its connection was back in the pool
 	canceled   bool
 	connected  bool // a connection was available for the request
 	mayHaveRun bool // the engine may have started executing the request
@@ -42,7 +42,7 @@
 	result       routing.Result
 	stateMissing bool
 }{
-	// drain, removal or cancellation before the first byte was written, or the connection limit was reached
+	// the request was deliberately not sent or not completed, or the connection limit was reached
 	{matches: isOneOf(errNotSent, errConnLimit), result: routing.NotSent},
 	// the stream contains an error event or exceeds a size limit
 	{matches: isOneOf(errErrorEvent, errEventTooLarge, errStreamTooLarge), result: routing.EngineError},
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -26,7 +26,7 @@
 func (c *Client) OpenConns() int64 { return c.pool.open.Load() }
 
 // getConn returns a usable idle connection, or dials a new one if there is none, newConn is set or reuse is suspended.
-// The dial ends at deadline (zero = no deadline) and when a is canceled; a may be nil.
+// The dial ends after DialTimeout, at deadline (zero = none) or when a is canceled; a may be nil.
 func (c *Client) getConn(a *Attempt, e *Endpoint, newConn bool, deadline time.Time) (*persistConn, error) {
 	newConn = newConn || c.reuseSuspended()
 	pc, err := c.reuseOrReserve(e, newConn)
@@ -59,7 +59,7 @@
 		if len(e.idle) == 0 {
 			return nil, errConnLimit
 		}
-		e.removeConn(e.idle[0]) // stays within the limit with the new connection
+		e.removeConn(e.idle[0]) // makes room for the new connection
 		e.idle = e.idle[1:]
 	}
 	e.countConn()
@@ -67,7 +67,7 @@
 }
 
 // takeIdle removes and returns the most recently used idle connection that has been idle for ReuseDelay and is usable.
-// It closes those that have expired or were closed by the peer. The caller holds e.mu.
+// On the way it closes those that have expired, were closed by the peer or have unread data. The caller holds e.mu.
 func (c *Client) takeIdle(e *Endpoint) *persistConn {
 	for i := len(e.idle) - 1; i >= 0; i-- {
 		pc := e.idle[i]
@@ -103,8 +103,8 @@
 	return dialer.DialContext(ctx, "tcp", e.Address)
 }
 
-// putConn returns a connection after use. It closes the connection unless clean is set, which means that the last
-// response was read to its end and allows reuse.
+// putConn returns a connection after use. It keeps the connection idle if it may be reused, and closes it otherwise.
+// clean means that the last response was read to its end and allows reuse.
 func (c *Client) putConn(e *Endpoint, pc *persistConn, clean bool) {
 	if !c.keepIdle(e, pc, clean) {
 		return
@@ -175,7 +175,7 @@
 // suspendReuse stops the reuse of connections for IdleTimeout, after which every connection that is idle now has
 // expired. It is called after a reused connection failed although its socket had shown no close: engines, or proxies in
 // front of them, close idle connections earlier than IdleTimeout assumes. A request sent on such a connection may be
-// lost, and one that is not idempotent must not be retried, while a new connection costs only a handshake.
+// lost, and not every request may then be retried, while a new connection costs only a handshake.
 func (c *Client) suspendReuse() { c.pool.reuseFailedAt.Store(monotonic.Now()) }
 
 // reuseSuspended reports whether connections are currently neither reused nor kept idle.
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestNotIdempotentCallNeverUsesPooledConnection(t *testing.T) {
+func TestNotIdempotentCallNeverUsesIdleConnection(t *testing.T) {
 	connections := make(chan int, 10)
 	endpoint := startPeer(t, func(i int, conn *net.TCPConn) {
 		br := bufio.NewReader(conn)
--- a/internal/engine/relay.go
+++ b/internal/engine/relay.go
@@ -15,12 +15,12 @@
 )
 
 // relayBufferSize is the initial size of a stream's buffer in bytes. The buffer grows only for a larger event, up to
-// Client.MaxEventBytes. A stream that waits for data holds no buffer.
+// Client.MaxEventBytes. A stream that waits for its next event holds no buffer.
 const relayBufferSize = 8192
 
-// deadlineUpdates is the maximum number of read deadline updates per StreamIdleTimeout. An update for each event would
-// cost a timer update each time.
-const deadlineUpdates = 8
+// maxDeadlineUpdates is the maximum number of times per StreamIdleTimeout that a read deadline is set. Setting it for
+// each event would reset a timer each time.
+const maxDeadlineUpdates = 8
 
 var relayBuffers = sync.Pool{New: func() any { b := make([]byte, relayBufferSize); return &b }}
 
@@ -101,7 +101,7 @@
 		return nil
 	}
 	now := time.Now()
-	if now.Sub(r.deadlineSetAt) <= r.client.StreamIdleTimeout/deadlineUpdates {
+	if now.Sub(r.deadlineSetAt) <= r.client.StreamIdleTimeout/maxDeadlineUpdates {
 		return nil
 	}
 	r.deadlineSetAt = now
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// read reads all data that has arrived, so that its events are passed on in one write.
+// read reads all data that has arrived and fits the buffer, so that its events are passed on in one write.
 func (r *streamRelay) read() error {
 	n, err := r.body.Read(r.buf[r.filled:])
 	r.filled, r.total = r.filled+n, r.total+int64(n)
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// acceptComment reads the load report that a comment within the stream may contain.
+// acceptComment reads the load report that a comment within the stream may contain with RequireLastChunk.
 func (r *streamRelay) acceptComment(event []byte) {
 	if !r.client.RequireLastChunk {
 		return
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -7,15 +7,15 @@
 	"brackenbend/internal/http1"
 )
 
-// maxReleaseAttempts is how often one release is sent at most. Releases are idempotent.
+// maxReleaseAttempts is the maximum number of attempts to send one release. Releases are idempotent.
 const maxReleaseAttempts = 3
 
 // ReleasesState reports whether the protocol has a request that releases read state.
 func (c *Client) ReleasesState() bool { return c.Protocol.ReleaseMessage(&Endpoint{}, "") != nil }
 
-// ReleaseState releases the read state of id at e. It retries until deadline unless a is canceled. If newConn is set,
-// it uses a new connection. It does nothing if the protocol has no release request; engines then release read state by
-// their own time-out.
+// ReleaseState releases the read state of id at e. It makes up to maxReleaseAttempts attempts, and no retry after
+// deadline or once a is canceled. If newConn is set, each attempt uses a new connection. ReleaseState does nothing if
+// the protocol has no release request; engines then release read state by their own time-out.
 func (c *Client) ReleaseState(a *Attempt, e *Endpoint, id string, newConn bool, deadline time.Time) error {
 	message := c.Protocol.ReleaseMessage(e, id)
 	if message == nil {
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -51,7 +51,7 @@
 	return resp, err
 }
 
-// readReply reads a response that is not a stream and returns the connection to the pool.
+// readReply reads a response that is not a stream, and returns the connection to the pool or closes it.
 func (c *Client) readReply(a *Attempt, e *Endpoint, pc *persistConn, resp *http1.Response, prefill bool) Outcome {
 	var body http1.Body
 	body.Reset(pc.br, &resp.Message, c.Limits)
--- a/internal/engine/roundtrip.go
+++ b/internal/engine/roundtrip.go
@@ -11,7 +11,7 @@
 	"brackenbend/routing"
 )
 
-// earlyResponseTimeout is how long to wait for a response after writing the request has failed. An engine that responds
+// earlyResponseTimeout is how long to wait for a response after sending the request has failed. An engine that responds
 // before it stops reading the request has sent the response by then, so it arrives soon.
 const earlyResponseTimeout = 50 * time.Millisecond
 
@@ -157,9 +157,9 @@
 	return resp
 }
 
-// AwaitSettled waits for SettleDelay if this process ended the attempt by closing its connection. The engine must
-// notice the close before a retry goes to another engine or the client gets an answer. No wait is needed for an attempt
-// that the engine ended itself.
+// AwaitSettled waits for SettleDelay if, by its result, this process may have ended the attempt by closing its
+// connection. The engine must notice the close before a retry goes to another engine or the client gets an answer. No
+// wait is needed after the other results, where the engine ended the attempt itself or never received it.
 func (c *Client) AwaitSettled(out *Outcome) {
 	switch out.Result {
 	case routing.TimedOut, routing.Canceled, routing.EngineError, routing.RequestIncomplete:
--- a/internal/engine/send_test.go
+++ b/internal/engine/send_test.go
@@ -266,8 +266,8 @@
 	}
 }
 
-// TestAwaitSettledWaitsAfterLocallyEndedAttempts checks that AwaitSettled waits after attempts that this process ended,
-// so that their engine can notice, and not after attempts that the engine ended or never received.
+// TestAwaitSettledWaitsAfterLocallyEndedAttempts checks that AwaitSettled waits after attempts that this process may
+// have ended, so that their engine can notice, and not after attempts that the engine ended or never received.
 func TestAwaitSettledWaitsAfterLocallyEndedAttempts(t *testing.T) {
 	const settleDelay = 3 * time.Millisecond
 	for result, want := range map[routing.Result]time.Duration{
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -10,8 +10,8 @@
 	"brackenbend/routing"
 )
 
-// lastChunkTimeout is how long to wait for the last chunk after the last event, which engines send immediately. A
-// connection on which it does not arrive in time is closed.
+// lastChunkTimeout is how long to wait for the last chunk of a stream after its last event. Engines send the chunk
+// immediately. A connection on which it does not arrive in time is closed.
 const lastChunkTimeout = time.Second
 
 // Sink receives the events of a stream. Only the attempt's goroutine calls it.
@@ -33,7 +33,7 @@
 	if resp.Status != http.StatusOK {
 		return c.readReply(a, e, pc, resp, false)
 	}
-	if c.HeaderTimeout > 0 { // engines send the first event with the header, so it comes soon or never
+	if c.HeaderTimeout > 0 { // such engines send the first event with the header, so it comes soon or never
 		_ = pc.SetReadDeadline(earlierDeadline(c.StreamIdleTimeout, call.Deadline)) // if this fails, the read fails too
 	}
 	stream := newStreamRelay(c, a, pc, resp, sink)
--- a/internal/engine/vllm.go
+++ b/internal/engine/vllm.go
@@ -16,7 +16,7 @@
 const (
 	PathRelease            = "/v1/brackenbend/release" // POST {"request_id": ...} releases a read state
 	HeaderNeverRan         = "X-Brackenbend-Never-Ran" // "1" on 429 and 503: the request was rejected before it ran
-	HeaderNoState          = "X-Brackenbend-No-State"  // "1" along with it: there was no read state to fetch
+	HeaderNoState          = "X-Brackenbend-No-State"  // "1" along with HeaderNeverRan: there was no read state to fetch
 	HeaderLoadReport       = "endpoint-load-metrics"   // an ORCA load report
 	headerLoadReportFormat = "endpoint-load-metrics-format"
 	HeaderRequestID        = "X-Request-Id"
@@ -46,26 +46,26 @@
 }
 
 // ParseReply implements Protocol.
-func (v VLLM) ParseReply(_ bool, resp *http1.Response, text []byte, err error) Outcome {
-	out := Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine: response status %d", resp.Status)}
+func (v VLLM) ParseReply(_ bool, resp *http1.Response, body []byte, err error) Outcome {
+	out := Outcome{Result: routing.EngineError, Err: fmt.Errorf("engine returned status %d", resp.Status)}
 	switch resp.Status {
 	case http.StatusOK:
-		return parsePrefillReply(text)
+		return parsePrefillReply(body)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if v.Extended && resp.Header.Get(HeaderNeverRan) == "1" {
 			out.Result, out.StateMissing = routing.Rejected, resp.Header.Get(HeaderNoState) == "1"
 		}
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
 		if err == nil {
-			out.Result, out.Reply = routing.Served, &Reply{resp.Status, text}
+			out.Result, out.Reply = routing.Served, &Reply{resp.Status, body}
 		}
 	}
 	return out
 }
 
 // parsePrefillReply parses the body of a prefill's response with status 200.
-func parsePrefillReply(text []byte) Outcome {
-	reply, err := api.ParsePrefillReply(text)
+func parsePrefillReply(body []byte) Outcome {
+	reply, err := api.ParsePrefillReply(body)
 	switch {
 	case err != nil:
 		return Outcome{Result: routing.EngineError, Err: err}
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -17,10 +17,10 @@
 	br           *bufio.Reader
 	remaining    int64 // unread bytes of the body or of the current chunk; -1 = until the connection ends
 	chunked      bool
-	chunkEndRead bool // no CRLF after a chunk's data is left to read
+	chunkEndRead bool // the CRLF after the previous chunk's data was read, or there is no previous chunk
 	eof          bool
 	maxTrailer   int   // size limit of the trailer section, in bytes
-	err          error // from WaitReadable; the next Read returns it
+	err          error // from WaitReadable; Read returns it
 }
 
 // Reset makes b read the body of m from br, whose next byte is the first after the header of m.
@@ -85,7 +85,8 @@
 	_, _ = b.br.Peek(1) // the next Read returns the same error
 }
 
-// Buffered reports whether the next Read returns without waiting for data from the connection.
+// Buffered reports whether the next Read returns without waiting for data from the connection. After the last chunk it
+// may be true although the trailer section is incomplete, and Read then waits for the rest.
 func (b *Body) Buffered() bool {
 	n := b.br.Buffered()
 	if b.eof || !b.chunked || b.remaining > 0 || n == 0 {
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -149,7 +149,7 @@
 }
 
 // readBufferedHeader reads a header that is completely buffered and has well-formed line ends, which is the usual case.
-// In all other cases it reads nothing, and readHeader reads the header line by line and finds any error.
+// In all other cases it consumes nothing, and readHeader reads the header line by line and finds any error.
 func readBufferedHeader(br *bufio.Reader, maxBytes int) (header string, ok bool) {
 	if br.Buffered() == 0 {
 		if _, err := br.Peek(1); err != nil {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,6 @@
 // Package http1 parses HTTP/1.1 messages (RFC 9112) from a bufio.Reader: request headers for a server, response
-// headers for a client, and the bodies of both. It does not interpret messages and opens no sockets.
+// headers for a client, and the bodies of both. It also encodes the parts of messages that this program sends. It does
+// not interpret messages and opens no sockets.
 //
 // It is stricter than the RFC wherever leniency would let two parsers disagree on where a message ends. Bare LF, folded
 // fields, space before a colon, more than one Content-Length, and Content-Length together with Transfer-Encoding are
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -16,7 +16,7 @@
 
 func newReader(s string) *bufio.Reader { return bufio.NewReaderSize(strings.NewReader(s), 512) }
 
-func TestReadRequestRejectsAmbiguousMessages(t *testing.T) {
+func TestReadRequestRejectsInvalidRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		header string
 		status int
