--- a/internal/engine/failure_test.go
+++ b/internal/engine/failure_test.go
@@ -52,7 +52,7 @@
 				}
 				out := a.failureOutcome(c.err)
 				if got := (outcomeRow{int(out.Result), out.StateMissing}); got != want {
-					t.Errorf("canceled %v: %v, want %v", canceled, got, want)
+					t.Errorf("canceled %v: result and missing state %v, want %v", canceled, got, want)
 				}
 			}
 		})
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -15,7 +15,7 @@
 	StateMissing     bool
 	CachedTokens     float64
 	LoadReport       []float64
-	KVTransferParams json.RawMessage // from a prefill's reply: the decode fetches the read state with it
+	KVTransferParams json.RawMessage // from a prefill's reply, for the decode that fetches the read state
 	Events           int             // events with data in a stream, without the last one; used as the token count
 	Reply            *Reply          // the error response to an invalid request, to be passed to the client; else nil
 	Err              error           // for logs
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -14,7 +14,7 @@
 	"brackenbend/routing"
 )
 
-// TestDecodeOutcomeTable checks the result of a decode for every way in which it can end on the network.
+// TestDecodeOutcomeTable checks the results of decodes whose connections and responses end in different ways.
 func TestDecodeOutcomeTable(t *testing.T) {
 	const events = "data: {}\n\ndata: [DONE]\n\n"
 	whole := streamHeader + chunk("data: {}\n\n") + chunk("data: [DONE]\n\n") + http1.LastChunk
@@ -130,7 +130,7 @@
 		9: routing.RequestIncomplete,
 	} {
 		if int(got) != want {
-			t.Errorf("%d, want %d", got, want)
+			t.Errorf("result %d, want %d", got, want)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 		check := func(t *testing.T, out Outcome, want outcomeRow) {
 			t.Helper()
 			if got := (outcomeRow{int(out.Result), out.StateMissing}); got != want {
-				t.Errorf("%v, want %v (%v)", got, want, out.Err)
+				t.Errorf("result and missing state %v, want %v (%v)", got, want, out.Err)
 			}
 		}
 		t.Run("prefill, "+name, func(t *testing.T) {
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -180,8 +180,8 @@
 
 // reuseSuspended reports whether connections are currently neither reused nor kept idle.
 func (c *Client) reuseSuspended() bool {
-	at := c.pool.reuseFailedAt.Load()
-	return at != 0 && monotonic.Now().Sub(at) < c.IdleTimeout
+	failedAt := c.pool.reuseFailedAt.Load()
+	return failedAt != 0 && monotonic.Now().Sub(failedAt) < c.IdleTimeout
 }
 
 // onReuseFailure handles the failure of a request that was written on a reused connection and got no response. If the
--- a/internal/engine/relay.go
+++ b/internal/engine/relay.go
@@ -166,13 +166,13 @@
 // scan returns the range of the buffer to pass on: complete events, starting with the first token. It returns done
 // after the last event, unless the last chunk is required too.
 func (r *streamRelay) scan() (start, end int, done bool, err error) {
-	stream, read := &r.attempt.stream, r.buf[:r.filled]
+	stream, buffered := &r.attempt.stream, r.buf[:r.filled]
 	for {
-		n := sse.Split(read[end:])
+		n := sse.Split(buffered[end:])
 		if n == 0 {
 			return start, end, false, nil
 		}
-		event := read[end : end+n]
+		event := buffered[end : end+n]
 		data := sse.Data(event)
 		switch {
 		case data != nil:
--- a/internal/engine/send_test.go
+++ b/internal/engine/send_test.go
@@ -26,7 +26,7 @@
 	if out := client.Prefill(&Attempt{}, endpoint, call); out.Result != routing.NotSent {
 		t.Errorf("closed: %+v", out)
 	}
-	// the endpoint is drained after the dial and before the request is written
+	// a connection that was dialed but not yet used is closed along with the endpoint
 	endpoint.Open()
 	conn, err := client.getConn(nil, endpoint, true, time.Time{})
 	if err != nil {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -33,7 +33,7 @@
 	if resp.Status != http.StatusOK {
 		return c.readReply(a, e, pc, resp, false)
 	}
-	if c.HeaderTimeout > 0 { // such engines send the first event with the header, so it comes soon or never
+	if c.HeaderTimeout > 0 { // set for engines that send the first event with the header: it comes soon or never
 		_ = pc.SetReadDeadline(earlierDeadline(c.StreamIdleTimeout, call.Deadline)) // if this fails, the read fails too
 	}
 	stream := newStreamRelay(c, a, pc, resp, sink)
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -71,11 +71,11 @@
 				awaitReadable(t, local)
 			}
 			if got := ReadState(local); got != c.want {
-				t.Errorf("%d, want %d", got, c.want)
+				t.Errorf("state %d, want %d", got, c.want)
 			}
 			check(t, local.Close())
 			if got := ReadState(local); got != Closed {
-				t.Errorf("after close: %d", got)
+				t.Errorf("after a local close: state %d, want Closed", got)
 			}
 			<-reading
 		})
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -16,7 +16,7 @@
 			for cut := range len(stream) {
 				got := splitAll([]byte(stream[:cut]), []byte(stream[cut:]))
 				if !slices.Equal(got, []string{"a", "b"}) {
-					t.Fatalf("cut at %d: %q", cut, got)
+					t.Fatalf("cut at %d: data %q", cut, got)
 				}
 			}
 		})
@@ -38,13 +38,13 @@
 
 func TestDataJoinsLines(t *testing.T) {
 	if data := Data([]byte("event: x\ndata: a\ndata: b\n\n")); !bytes.Equal(data, []byte("a\nb")) {
-		t.Errorf("%q", data)
+		t.Errorf("data %q of two data lines", data)
 	}
 }
 
 func TestDataOfCommentIsNil(t *testing.T) {
 	if data := Data([]byte(": ping\n\n")); data != nil {
-		t.Errorf("%q", data)
+		t.Errorf("data %q of a comment, want nil", data)
 	}
 }
 
