--- a/internal/engine/send_test.go
+++ b/internal/engine/send_test.go
@@ -26,7 +26,7 @@
 	if out := client.Prefill(&Attempt{}, endpoint, call); out.Result != routing.NotSent {
 		t.Errorf("closed: %+v", out)
 	}
-	// the endpoint is drained after the dial and before the request is written
+	// a connection that was dialed but not yet used is closed along with the endpoint
 	endpoint.Open()
 	conn, err := client.getConn(nil, endpoint, true, time.Time{})
 	if err != nil {
@@ -266,8 +266,8 @@
 	}
 }
 
-// TestAwaitSettledWaitsAfterLocallyEndedAttempts checks that AwaitSettled waits after attempts that this process ended,
-// so that their engine can notice, and not after attempts that the engine ended or never received.
+// TestAwaitSettledWaitsAfterLocallyEndedAttempts checks that AwaitSettled waits after attempts that this process may
+// have ended, so that their engine can notice, and not after attempts that the engine ended or never received.
 func TestAwaitSettledWaitsAfterLocallyEndedAttempts(t *testing.T) {
 	const settleDelay = 3 * time.Millisecond
 	for result, want := range map[routing.Result]time.Duration{
