--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -89,7 +89,7 @@
 		}
 		actions, err := step(a.routers[instance], batch, instanceEvents)
 		if err != nil {
-			reply.Fault(instance, err.Error())
+			reply.AddFault(instance, err.Error())
 			continue
 		}
 		if err := reply.Add(instance, actions); err != nil {
@@ -125,7 +125,7 @@
 
 // start gives an instance a router.
 func (a *adapter) start(instance uint16, start simprotocol.Start) error {
-	config, err := simprotocol.ParseSettings(start.Info)
+	config, err := simprotocol.ParseSettings(start.Settings)
 	if err != nil {
 		return err
 	}
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -9,11 +9,11 @@
 	"brackenbend/routing"
 )
 
-// readStep is how many bytes of a body are read at once, so that a false length can't make the decoder allocate far
-// more than arrives.
+// readStep is how many bytes of a body are read at once, so that a wrong length in the header can't make the decoder
+// allocate much more memory than the bytes that arrive need.
 const readStep = 1 << 20
 
-// Decoder reads batches. It keeps the numbered lists from one batch to the next.
+// Decoder reads batches. It keeps the numbered endpoint lists from one batch to the next.
 type Decoder struct {
 	r     io.Reader
 	buf   []byte
@@ -28,7 +28,7 @@
 // NewDecoder returns a decoder that reads batches from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
-// Next returns the next batch, and io.EOF at a clean end of input.
+// Next returns the next batch, or io.EOF where the input ends between two batches.
 func (d *Decoder) Next() (*Batch, error) {
 	var header [batchHeaderSize]byte
 	if _, err := io.ReadFull(d.r, header[:]); err != nil {
@@ -52,17 +52,17 @@
 	return batch, d.decodeRecords(batch, body, binary.BigEndian.Uint32(header[4:]))
 }
 
-// readBody reads n bytes into the decoder's buffer.
+// readBody reads n bytes into the decoder's buffer, which the next call overwrites.
 func (d *Decoder) readBody(n int) ([]byte, error) {
 	d.buf = d.buf[:0]
 	for len(d.buf) < n {
-		step, old := min(readStep, n-len(d.buf)), len(d.buf)
-		if cap(d.buf) < old+step {
+		step, oldLen := min(readStep, n-len(d.buf)), len(d.buf)
+		if cap(d.buf) < oldLen+step {
 			d.buf = append(d.buf, make([]byte, step)...)
 		} else {
-			d.buf = d.buf[:old+step]
+			d.buf = d.buf[:oldLen+step]
 		}
-		if _, err := io.ReadFull(d.r, d.buf[old:]); err != nil {
+		if _, err := io.ReadFull(d.r, d.buf[oldLen:]); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
@@ -85,7 +85,7 @@
 			d.defineList(f)
 		default:
 			if !hasInstance && f.err == nil {
-				return fmt.Errorf("record %d: event before any instance is named", i)
+				return fmt.Errorf("record %d: event before any instance is selected", i)
 			}
 			event = d.decodeEvent(f, code)
 		}
@@ -97,16 +97,17 @@
 		}
 	}
 	if len(f.rest) != 0 {
-		return fmt.Errorf("batch: %d bytes left after %d records", len(f.rest), count)
+		return fmt.Errorf("batch body: %d bytes left after %d records", len(f.rest), count)
 	}
 	return nil
 }
 
-// defineList decodes a numbered list, which endpoint list events refer to. It replaces an earlier one of its number.
+// defineList decodes a numbered list, to which endpoint list events refer. It replaces an earlier list of the same
+// number.
 func (d *Decoder) defineList(f *fieldReader) {
 	number, length := f.u8(), f.u32()
 	if f.err == nil && (number >= maxLists || uint64(length)*endpointSize > uint64(len(f.rest))) {
-		f.err = fmt.Errorf("list %d of %d entries does not fit", number, length)
+		f.err = fmt.Errorf("list %d of %d entries does not fit: number too high or batch too short", number, length)
 	}
 	if f.err != nil {
 		return
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -16,7 +16,7 @@
 
 const us = time.Microsecond
 
-// decodeHex decodes hexadecimal digits with spaces between them.
+// decodeHex decodes hexadecimal digits; spaces between them are ignored.
 func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	out, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
@@ -26,10 +26,10 @@
 	return out
 }
 
-// batchTime is the time of the batches that frame makes.
+// batchTime is the time in the headers that frame writes.
 const batchTime = 0x805c5a * us
 
-// frame joins hand-written hexadecimal fields and puts a batch header in front.
+// frame joins fields in hexadecimal and puts a batch header with the sequence number 12 in front.
 func frame(t testing.TB, records uint32, fields ...string) []byte {
 	t.Helper()
 	body := decodeHex(t, strings.Join(fields, ""))
@@ -40,9 +40,10 @@
 	return append(header, body...)
 }
 
+// Records in hexadecimal: one selects instance 3, one defines list 2 with two endpoints.
 const (
-	forInstance3 = "0c 0003"
-	twoEndpoints = "0b 02 00000002 3f800000 00 01 03124a07 0000 0000000000000000 0000 " +
+	instance3 = "0c 0003"
+	listOfTwo = "0b 02 00000002 3f800000 00 01 03124a07 0000 0000000000000000 0000 " +
 		"3fc00000 01 02 2c9011f2 0001 00000000005d1420 0004"
 )
 
@@ -65,7 +66,7 @@
 		name, hex string
 		want      any
 	}{
-		{"start", "00 0000000000000007 00000002 7b7d", Start{Seed: 7, Info: []byte("{}")}},
+		{"start", "00 0000000000000007 00000002 7b7d", Start{Seed: 7, Settings: []byte("{}")}},
 		{"cached list", "01 03 00000029 02", routing.EndpointList{Scope: routing.ListCached, Endpoints: endpoints}},
 		{"failed list", "01 00 00000000 ff", routing.EndpointList{Scope: routing.ListFailed}},
 		{
@@ -105,7 +106,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			batch := decode(t, frame(t, 3, twoEndpoints, forInstance3, tc.hex))
+			batch := decode(t, frame(t, 3, listOfTwo, instance3, tc.hex))
 			if batch.Now != batchTime || batch.Seq != 12 || len(batch.Items) != 1 || batch.Items[0].Instance != 3 {
 				t.Fatalf("batch %+v", batch)
 			}
@@ -119,7 +120,7 @@
 func TestDecodeListReplacedInOneBatch(t *testing.T) {
 	replacement := "0b 02 00000001 3f800000 00 01 00000009 0000 0000000000000000 0000"
 	batch := decode(t, frame(t, 5,
-		twoEndpoints, forInstance3, "01 01 00000001 02", replacement, "01 04 00000002 02"))
+		listOfTwo, instance3, "01 01 00000001 02", replacement, "01 04 00000002 02"))
 	first := batch.Items[0].Event.(routing.EndpointList)
 	second := batch.Items[1].Event.(routing.EndpointList)
 	if len(first.Endpoints) != 2 || len(second.Endpoints) != 1 || second.Endpoints[0].ID != 9 {
@@ -128,7 +129,7 @@
 }
 
 func TestDecodeRejectsMalformedBatches(t *testing.T) {
-	good := frame(t, 2, forInstance3, "05 0e6f2b19")
+	good := frame(t, 2, instance3, "05 0e6f2b19")
 	long := bytes.Clone(good)
 	long[0] = 0xff
 	tests := []struct {
@@ -136,21 +137,21 @@
 		in   []byte
 		want string
 	}{
-		{"cut header", good[:7], "batch header"},
-		{"cut body", good[:len(good)-1], "batch body"},
+		{"truncated header", good[:7], "batch header"},
+		{"truncated body", good[:len(good)-1], "batch body"},
 		{"length out of range", long, "out of range"},
-		{"length under the header", append([]byte{0, 0, 0, 3}, good[4:]...), "out of range"},
-		{"unknown code", frame(t, 2, forInstance3, "63"), "unknown record code"},
-		{"record cut", frame(t, 2, forInstance3, "05 0e6f"), "record 1"},
-		{"bytes left", frame(t, 1, forInstance3, "05 0e6f2b19"), "bytes left"},
-		{"no instance", frame(t, 1, "05 0e6f2b19"), "before any instance"},
+		{"length below the header's", append([]byte{0, 0, 0, 3}, good[4:]...), "out of range"},
+		{"record code", frame(t, 2, instance3, "63"), "unknown record code"},
+		{"truncated record", frame(t, 2, instance3, "05 0e6f"), "record 1"},
+		{"bytes after the last record", frame(t, 1, instance3, "05 0e6f2b19"), "bytes left"},
+		{"event before an instance", frame(t, 1, "05 0e6f2b19"), "before any instance"},
 		{"list too long", frame(t, 1, "0b 00 ffffffff"), "does not fit"},
-		{"list slot", frame(t, 1, "0b 10 00000000"), "does not fit"},
-		{"list never defined", frame(t, 2, forInstance3, "01 01 00000001 05"), "never defined"},
-		{"scope", frame(t, 2, forInstance3, "01 09 00000001 05"), "unknown list scope"},
-		{"outcome", frame(t, 2, forInstance3, "04 5d3a91c4 0000 03124a07 00004844 01 00000000 0009 00"), "unknown outcome"},
-		{"settings too long", frame(t, 2, forInstance3, "00 0000000000000007 ffffffff 7b7d"), "unexpected EOF"},
-		{"not a number", frame(t, 2, forInstance3, "0a 5d3a91c4 0000 03124a07 01 7fc00000"), "not finite"},
+		{"list number out of range", frame(t, 1, "0b 10 00000000"), "does not fit"},
+		{"list never defined", frame(t, 2, instance3, "01 01 00000001 05"), "never defined"},
+		{"list scope code", frame(t, 2, instance3, "01 09 00000001 05"), "unknown list scope"},
+		{"outcome code", frame(t, 2, instance3, "04 5d3a91c4 0000 03124a07 00004844 01 00000000 0009 00"), "unknown outcome"},
+		{"settings too long", frame(t, 2, instance3, "00 0000000000000007 ffffffff 7b7d"), "unexpected EOF"},
+		{"NaN in an unused field", frame(t, 2, instance3, "0a 5d3a91c4 0000 03124a07 01 7fc00000"), "not finite"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -169,9 +170,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(f, 3, twoEndpoints, forInstance3, "01 01 00000001 02"))
-	f.Add(frame(f, 2, forInstance3, "04 5d3a91c4 0000 03124a07 00004844 01 00000000 000a 00"))
-	f.Add(frame(f, 2, forInstance3, "02 5d3a91c4"))
+	f.Add(frame(f, 3, listOfTwo, instance3, "01 01 00000001 02"))
+	f.Add(frame(f, 2, instance3, "04 5d3a91c4 0000 03124a07 00004844 01 00000000 000a 00"))
+	f.Add(frame(f, 2, instance3, "02 5d3a91c4"))
 	f.Add([]byte{0, 0, 0, 20})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
@@ -182,7 +183,7 @@
 			}
 			for _, item := range batch.Items {
 				if item.Event == nil {
-					t.Fatal("an empty event came through")
+					t.Fatal("decoded item without an event")
 				}
 			}
 		}
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -7,7 +7,8 @@
 	"brackenbend/routing"
 )
 
-// decodeEvent decodes a record for one instance; nil where the router has no use for it.
+// decodeEvent decodes a record for one instance. It returns nil for a record that the router does not use, and sets
+// f.err for an unknown code.
 func (d *Decoder) decodeEvent(f *fieldReader, code byte) any {
 	switch code {
 	case recordStart:
@@ -28,11 +29,11 @@
 		return routing.Timer{Tag: f.u64()}
 	case recordReserved:
 		return decodeReserved(f)
-	case recordHealthResult: // no health checks are sent
+	case recordHealthResult: // unused: this router sends no health checks
 		f.skip(10)
 		f.loadReport()
 		return nil
-	case recordPeerMessage: // replicas do not talk
+	case recordPeerMessage: // unused: replicas send one another no messages
 		f.skip(2)
 		f.skip(int64(f.u16()))
 		return nil
@@ -45,10 +46,10 @@
 
 func decodeStart(f *fieldReader) Start {
 	seed := f.u64()
-	return Start{Seed: seed, Info: f.bytes(int64(f.u32()))}
+	return Start{Seed: seed, Settings: f.bytes(int64(f.u32()))}
 }
 
-// decodeEndpointList decodes a reference to a numbered list.
+// decodeEndpointList decodes a reference to a numbered list. With the scope routing.ListFailed the number is ignored.
 func (d *Decoder) decodeEndpointList(f *fieldReader) routing.EndpointList {
 	scope, known := listScopes[f.u8()]
 	f.skip(4) // unused
@@ -60,7 +61,7 @@
 		f.err = errors.New("unknown list scope")
 	case scope == routing.ListFailed:
 	case number >= maxLists || !d.lists[number].defined:
-		f.err = fmt.Errorf("list %d was never defined", number)
+		f.err = fmt.Errorf("endpoint list %d was never defined", number)
 	default:
 		update.Endpoints = d.lists[number].endpoints
 	}
@@ -101,16 +102,16 @@
 	outcome.Endpoint = routing.EndpointID(f.u32())
 	outcome.Elapsed = fromMicros(uint64(f.u32()))
 	outcome.RequestDone = f.u8() != 0
-	detail := f.u32() // its meaning depends on the result
+	resultDetail := f.u32() // cached tokens, or the reason of a rejection, by the result
 	code := f.u16()
 	result, known := results[code]
 	if f.err == nil && !known {
-		f.err = fmt.Errorf("unknown outcome %d", code)
+		f.err = fmt.Errorf("unknown outcome code %d", code)
 	}
 	outcome.Result = result
-	outcome.StateMissing = result == routing.Rejected && detail == detailStateMissing
+	outcome.StateMissing = result == routing.Rejected && resultDetail == detailStateMissing
 	if result == routing.PrefillDone || result == routing.Served {
-		outcome.CachedTokens = float64(detail)
+		outcome.CachedTokens = float64(resultDetail)
 	}
 	outcome.LoadReport = f.loadReport()
 	return outcome
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -7,7 +7,8 @@
 	"math"
 )
 
-// fieldReader takes fields off a batch. After the first error it returns zeros.
+// fieldReader reads fields from the rest of a batch. After an error all reads return zero values and err keeps the
+// first error.
 type fieldReader struct {
 	rest []byte
 	err  error
@@ -55,16 +56,16 @@
 	return 0
 }
 
-// f32 reads a finite number.
+// f32 reads a 32-bit floating-point number, which must be finite.
 func (f *fieldReader) f32() float64 {
 	v := float64(math.Float32frombits(f.u32()))
 	if f.err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
-		f.err = errors.New("a number is not finite")
+		f.err = errors.New("floating-point number is not finite")
 	}
 	return v
 }
 
-// loadReport reads a report's length and its figures.
+// loadReport reads the number of a load report's values, then the values.
 func (f *fieldReader) loadReport() []float64 {
 	n := int(f.u8())
 	if n == 0 || f.err != nil {
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -8,13 +8,13 @@
 	"brackenbend/routing"
 )
 
-// Reply encodes the answer to one batch.
+// Reply encodes the frame that answers one batch.
 type Reply struct {
 	buf     []byte
 	records uint32
 }
 
-// NewReply begins the answer to the batch of sequence number seq. It uses the memory of buf.
+// NewReply returns a reply to the batch with the sequence number seq. It overwrites buf and reuses its memory.
 func NewReply(buf []byte, seq uint32) *Reply {
 	r := &Reply{buf: append(buf[:0], make([]byte, replyHeaderSize)...)}
 	binary.BigEndian.PutUint32(r.buf[8:], seq)
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// Fault reports a failure of an instance.
-func (r *Reply) Fault(instance uint16, text string) {
+// AddFault appends a record that reports a failure of an instance, with a text that says why.
+func (r *Reply) AddFault(instance uint16, text string) {
 	r.appendInstance(instance)
 	r.appendText(replyFault, text)
 }
@@ -83,18 +83,18 @@
 	case routing.Log:
 		r.appendText(replyLog, action.Text)
 	default:
-		return fmt.Errorf("no wire form for action %T", action)
+		return fmt.Errorf("reply: action %T has no encoding", action)
 	}
 	return nil
 }
 
-// appendInstance names the instance that the following records are from.
+// appendInstance selects the instance that the following records belong to.
 func (r *Reply) appendInstance(instance uint16) {
 	r.begin(replyInstance)
 	r.u16(instance)
 }
 
-// appendText appends a record of text, cut to what its length field holds.
+// appendText appends a record that holds a text, truncated to the maximum of its 16-bit length field.
 func (r *Reply) appendText(code byte, text string) {
 	text = text[:min(len(text), math.MaxUint16)]
 	r.begin(code)
@@ -102,7 +102,7 @@
 	r.buf = append(r.buf, text...)
 }
 
-// begin begins a record.
+// begin appends the code of a new record and counts the record.
 func (r *Reply) begin(code byte) {
 	r.u8(code)
 	r.records++
--- a/internal/simprotocol/reply_test.go
+++ b/internal/simprotocol/reply_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Fault(5, "gone")
+	r.AddFault(5, "gone")
 	want := "08 0003 01 5d3a91c4 03124a07 00013880 0a 0007a120 000000000000004d 06 0e6f2b19 0003d090" +
 		"0d 00000001 07 00000002 0003 0e 00000004 0f 00000005 00000006 0b 01 00 0002 6f6b" +
 		"01 00000001 00000002 00000000 06 00000001 7fffffff 08 0005 0c 0004 676f6e65"
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -8,23 +8,24 @@
 	"brackenbend/routing"
 )
 
-// Site is all of the settings that the program uses: the router's, and what a node needs beside them.
+// Site holds the settings that the program uses: the router's configuration, and what a node needs beside it.
 type Site struct {
 	Routing         routing.Config
-	Kinds, Tenants  []string
-	ConnIdleTimeout time.Duration // how long an idle connection to an engine may be kept; 0 = not set
+	Kinds, Tenants  []string      // names, by the indices that Routing uses
+	ConnIdleTimeout time.Duration // how long an idle connection to an engine is kept at most; 0 = not set
 	DialTimeout     time.Duration // 0 = not set
 	MaxOpenRequests int           // 0 = no bound
-	RetryAfter      bool          // rejected clients are told when to retry
+	RetryAfter      bool          // rejections tell the client when to retry
 }
 
-// ParseSettings maps the settings text to the router's configuration.
+// ParseSettings parses the settings text and returns the router's configuration.
 func ParseSettings(text []byte) (routing.Config, error) {
 	site, err := ParseSite(text)
 	return site.Routing, err
 }
 
-// ParseSite reads the settings text. Unknown keys are skipped; absent ones are zero, which routing.Config documents.
+// ParseSite parses the settings text, which is JSON. Unknown keys are ignored. An absent key gives the zero value;
+// routing.Config documents its meaning.
 func ParseSite(text []byte) (Site, error) {
 	var file settingsFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -45,8 +46,8 @@
 	return site, err
 }
 
-// settingsFile is the settings text; the names of its keys are the simulator's. Time spans are in microseconds; they
-// are plain numbers, so that errors of the JSON decoder name a type that the operators know.
+// settingsFile is the schema of the settings text; the names of its keys are the simulator's. Durations are in
+// microseconds and have the type float64, so that a decoding error names a number type and no type of this program.
 type settingsFile struct {
 	Balancers      int                `json:"Balancers"`
 	Zone           int                `json:"Zone"`
@@ -80,7 +81,7 @@
 	Share     float64 `json:"Share"`
 }
 
-// familySettings describes the two stages of requests; its lists go by class or by kind of engine.
+// familySettings describes the prefill and decode stages. Its lists are indexed by class or by kind of engine.
 type familySettings struct {
 	Ahead                    bool      `json:"Ahead"`
 	LocalRead                bool      `json:"LocalRead"`
@@ -92,7 +93,7 @@
 	Release                  float64   `json:"Release"`
 }
 
-// capabilitySettings says what the router may do.
+// capabilitySettings holds the actions that the router may take and limits on them.
 type capabilitySettings struct {
 	AttemptsCap   int     `json:"AttemptsCap"`
 	MaxOpen       int     `json:"MaxOpen"`
@@ -104,7 +105,7 @@
 	DialTimeout   float64 `json:"DialTimeout"`
 }
 
-// invariantSettings holds the bounds that the simulator checks.
+// invariantSettings holds the bounds of the invariants that the simulator checks.
 type invariantSettings struct {
 	AskWithin         float64 `json:"AskWithin"`
 	Cold              float64 `json:"Cold"`
@@ -119,7 +120,7 @@
 	Fields []string `json:"Fields"`
 }
 
-// Values of settings, by the simulator's names.
+// Values of settings, in the simulator's terms.
 const (
 	discoveryPoll = "ask"  // of Discovery
 	worthByWork   = "work" // of WorthBy
@@ -144,7 +145,8 @@
 	}
 )
 
-// routingConfig maps the settings to the router's terms. With an error it returns what was mapped so far.
+// routingConfig converts the settings to the router's configuration. With an error it returns the part that was
+// converted before it.
 func (file *settingsFile) routingConfig() (routing.Config, error) {
 	caps, family, invariants := &file.Caps, &file.FamilyInfo, &file.Invariants
 	config := routing.Config{
@@ -228,7 +230,7 @@
 	return classes, nil
 }
 
-// valueAt is values[i], or zero where the list is shorter.
+// valueAt returns values[i], or zero where the list is shorter.
 func valueAt(values []float64, i int) float64 {
 	if i < len(values) {
 		return values[i]
@@ -236,5 +238,5 @@
 	return 0
 }
 
-// micros converts a time span of the settings, which are in microseconds.
+// micros converts a duration of the settings, which is in microseconds.
 func micros(us float64) time.Duration { return time.Duration(us * float64(time.Microsecond)) }
--- a/internal/simprotocol/stored_test.go
+++ b/internal/simprotocol/stored_test.go
@@ -10,9 +10,10 @@
 	"brackenbend/internal/golden"
 )
 
-// TestSettingsParsing: the keys of the settings text are a protocol's. What comes of recorded texts was recorded before
-// the code was renamed and is not updated meanwhile.
-func TestSettingsParsing(t *testing.T) {
+// The keys of the settings text belong to the simulator's protocol, and a key that a renamed field no longer matches is
+// ignored without an error. testdata/settings.txt holds what the recorded texts parsed to before fields were renamed; a
+// rename must not change it.
+func TestParseSiteMatchesRecordedOutput(t *testing.T) {
 	var got strings.Builder
 	for _, name := range []string{"settings-full.json", "settings-case.json", "settings-short.json"} {
 		text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -31,14 +32,14 @@
 		`{"Classes":[{"Repeat":"free","Group":"town"}]}`,
 	} {
 		_, err := ParseSite([]byte(text))
-		// the middle of encoding/json's own text names Go types; what it says of the form stands at its begin and end
-		fmt.Fprintf(&got, "%s\n  error %s\n", text, formOnly(err))
+		// The error texts of encoding/json name Go types in the middle; their beginning and end describe the input.
+		fmt.Fprintf(&got, "%s\n  error %s\n", text, stripGoTypeNames(err))
 	}
 	golden.Check(t, "settings.txt", got.String())
 }
 
-// formOnly leaves out the names of Go structs and fields that encoding/json puts into its texts.
-func formOnly(err error) string {
+// stripGoTypeNames replaces the names of Go types and fields in error texts of encoding/json by "...".
+func stripGoTypeNames(err error) string {
 	if err == nil {
 		return "none"
 	}
