--- a/internal/simulation/ablation/ablation.go
+++ b/internal/simulation/ablation/ablation.go
@@ -1,7 +1,8 @@
-// Package ablation separates the causes of what replicas lose by being many. It plays one scenario at several numbers
-// of replicas: as it is, with each oracle of package fleet alone, with all of them, and with all but one. What an
-// oracle alone gains is the cost of not having that knowledge while everything else stays; what is lost when it alone
-// is taken from all is its cost where nothing else hides it. The two differ where causes mask one another.
+// Package ablation attributes the service that a fleet loses by having many replicas to single causes. It simulates one
+// scenario at several numbers of replicas: without oracles, with each oracle of package fleet alone, with all of them,
+// and with all but one. The gain from an oracle alone is the cost of its cause while all other causes remain. The gain
+// from adding it to all others is the cost of its cause where no other cause masks it. The two differ where causes mask
+// one another.
 package ablation
 
 import (
@@ -15,14 +16,14 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// Cause is something that a replica can't know or must do without.
+// Cause is a reason for lost service, such as knowledge that a replica can't have, and the oracle that removes it.
 type Cause struct {
-	Name string
-	set  func(*fleet.Oracles)
+	Name         string
+	enableOracle func(*fleet.Oracles)
 }
 
-// All are the causes, each with the oracle that removes it alone.
-var All = []Cause{
+// Causes are all causes that can be separated. Their names are keys of the results and labels of the table.
+var Causes = []Cause{
 	{"crowded readers", func(o *fleet.Oracles) { o.KnowPrefillLoad = true }},
 	{"crowded writers", func(o *fleet.Oracles) { o.KnowDecodeLoad = true }},
 	{"sparse evidence of harm", func(o *fleet.Oracles) { o.KnowHealth = true }},
@@ -31,108 +32,108 @@
 	{"time-outs at sound engines", func(o *fleet.Oracles) { o.NoTimeouts = true }},
 }
 
-// Gain is a mean difference of service over paired replications, with its confidence interval.
+// Gain is the mean difference of service over paired replications, with its confidence interval.
 type Gain struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
 }
 
-// Size is the outcome at one number of replicas.
-type Size struct {
+// Result is the outcome at one number of replicas. The gains are by the name of the cause.
+type Result struct {
 	Replicas   int             `json:"fronts"`
-	AsIs       float64         `json:"as_is"`
-	AllOracles float64         `json:"knows_all"` // with every oracle
-	Alone      map[string]Gain `json:"alone"`     // gained by one oracle alone
-	Last       map[string]Gain `json:"last"`      // lost where it alone is taken from all
+	NoOracles  float64         `json:"as_is"`     // mean service without oracles
+	AllOracles float64         `json:"knows_all"` // mean service with all oracles
+	Alone      map[string]Gain `json:"alone"`     // by its oracle alone
+	AddedLast  map[string]Gain `json:"last"`      // by its oracle where all others are in use
 }
 
-// Plan says what is played.
+// Plan describes an ablation experiment.
 type Plan struct {
 	Scenario *scenario.Scenario
 	Replicas []int
-	Runs     int // replications, each with clients of its own
-	Parallel int
+	Runs     int     // replications, each with different clients
+	Parallel int     // simulations at once
 	Level    float64 // of the confidence intervals
 }
 
 // minRuns is the least number of replications that give a confidence interval.
 const minRuns = 3
 
-// ErrPlan is returned for a plan that can't be played.
+// ErrPlan is returned for an incomplete or invalid plan.
 var ErrPlan = errors.New(
-	"ablation: 3 runs at least, a number of replicas, and a level between 0 and 1 are needed")
+	"ablation: a plan needs at least 3 runs, a number of replicas, and a level between 0 and 1")
 
 // variants are the sets of oracles that are compared.
 type variants struct {
 	sets []fleet.Oracles
 }
 
-// Indices of the sets: without oracles, with all, then for each cause with its oracle alone and with all others.
+// Indices of the sets: no oracles, all oracles, then for each cause its oracle alone and all oracles but that one.
 const (
-	asIs       = 0
+	noOracles  = 0
 	allOracles = 1
 )
 
 func (v variants) alone(cause int) int  { return 2 + 2*cause }
-func (v variants) others(cause int) int { return 3 + 2*cause }
+func (v variants) allBut(cause int) int { return 3 + 2*cause }
 
 func newVariants() variants {
-	v := variants{sets: []fleet.Oracles{{}, others("")}}
-	for _, c := range All {
+	v := variants{sets: []fleet.Oracles{{}, allOraclesBut("")}}
+	for _, c := range Causes {
 		var alone fleet.Oracles
-		c.set(&alone)
-		v.sets = append(v.sets, alone, others(c.Name))
+		c.enableOracle(&alone)
+		v.sets = append(v.sets, alone, allOraclesBut(c.Name))
 	}
 	return v
 }
 
-// others returns all oracles but that of one cause.
-func others(cause string) (o fleet.Oracles) {
-	for _, c := range All {
+// allOraclesBut returns all oracles except that of one cause; all of them for an empty name.
+func allOraclesBut(cause string) (o fleet.Oracles) {
+	for _, c := range Causes {
 		if c.Name != cause {
-			c.set(&o)
+			c.enableOracle(&o)
 		}
 	}
 	return o
 }
 
-// Run plays the plan.
-func Run(p Plan) ([]Size, error) {
-	if p.Runs < minRuns || len(p.Replicas) == 0 || p.Level <= 0 || p.Level >= 1 {
+// Run simulates the plan and returns a result for each number of replicas.
+func Run(plan Plan) ([]Result, error) {
+	if plan.Runs < minRuns || len(plan.Replicas) == 0 || plan.Level <= 0 || plan.Level >= 1 {
 		return nil, ErrPlan
 	}
 	v := newVariants()
-	var sizes []Size
-	for _, replicas := range p.Replicas {
-		services, err := p.play(replicas, v.sets)
+	var results []Result
+	for _, replicas := range plan.Replicas {
+		services, err := plan.simulate(replicas, v.sets)
 		if err != nil {
 			return nil, err
 		}
-		size := Size{
-			Replicas: replicas, AsIs: stat.Mean(services[asIs], nil), AllOracles: stat.Mean(services[allOracles], nil),
-			Alone: map[string]Gain{}, Last: map[string]Gain{},
+		result := Result{
+			Replicas: replicas, NoOracles: stat.Mean(services[noOracles], nil), AllOracles: stat.Mean(services[allOracles], nil),
+			Alone: map[string]Gain{}, AddedLast: map[string]Gain{},
 		}
-		for i, c := range All {
-			size.Alone[c.Name] = newGain(services[asIs], services[v.alone(i)], p.Level)
-			size.Last[c.Name] = newGain(services[v.others(i)], services[allOracles], p.Level)
+		for i, c := range Causes {
+			result.Alone[c.Name] = newGain(services[noOracles], services[v.alone(i)], plan.Level)
+			result.AddedLast[c.Name] = newGain(services[v.allBut(i)], services[allOracles], plan.Level)
 		}
-		sizes = append(sizes, size)
+		results = append(results, result)
 	}
-	return sizes, nil
+	return results, nil
 }
 
-// play returns the service of each replication, by set of oracles.
-func (p *Plan) play(replicas int, sets []fleet.Oracles) ([][]float64, error) {
+// simulate returns the service of each replication, by the index of the set of oracles.
+func (p *Plan) simulate(replicas int, sets []fleet.Oracles) ([][]float64, error) {
 	services := make([][]float64, len(sets))
 	for i := range sets {
 		services[i] = make([]float64, p.Runs)
 	}
 	err := replication.Run(len(sets)*p.Runs, p.Parallel, func(i int) error {
 		set, run := i/p.Runs, i%p.Runs
-		played := p.Scenario.Replication(run + 1)
-		played.Replicas = replicas
-		result, err := fleet.Run(played, fleet.Options{Seed: uint64(run) + 1, Oracles: sets[set]})
+		sc := p.Scenario.Replication(run + 1)
+		sc.Replicas = replicas
+		result, err := fleet.Run(sc, fleet.Options{Seed: uint64(run) + 1, Oracles: sets[set]})
 		if err == nil {
 			services[set][run] = result.Score.Service()
 		}
@@ -141,15 +142,16 @@
 	return services, err
 }
 
-// resamples of the bootstrap.
-const resamples = 2000
+// bootstrapResamples is the number of resamples for each confidence interval.
+const bootstrapResamples = 2000
 
-func newGain(less, more []float64, level float64) Gain {
-	differences := make([]float64, len(less))
+// newGain compares the services of the same replications with fewer and with more oracles.
+func newGain(fewerOracles, moreOracles []float64, level float64) Gain {
+	differences := make([]float64, len(fewerOracles))
 	for i := range differences {
-		differences[i] = more[i] - less[i]
+		differences[i] = moreOracles[i] - fewerOracles[i]
 	}
 	g := Gain{Mean: stat.Mean(differences, nil)}
-	g.Low, g.High = forecast.Bootstrap(differences, level, resamples)
+	g.Low, g.High = forecast.Bootstrap(differences, level, bootstrapResamples)
 	return g
 }
--- a/internal/simulation/ablation/ablation_test.go
+++ b/internal/simulation/ablation/ablation_test.go
@@ -8,8 +8,9 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// In a scenario without faults near the fleet's capacity, with prefixes shared by many, only crowding costs.
-func TestCrowdedPrefillEndpointsAreFound(t *testing.T) {
+// In a scenario without faults, near the fleet's capacity and with shared prefixes, replicas lose service mostly
+// because they don't know one another's load on prefill endpoints.
+func TestRunAttributesLossToPrefillLoad(t *testing.T) {
 	sc, err := scenario.Parse("normal.xml", []byte(`<day length="8s" rate="150/s" fronts="2" seed="3">
   <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s"
     overload-factor="4" tip-after="2s" writers-read="true" cancel="true" client-retries="1"/>
@@ -21,27 +22,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sizes, err := Run(Plan{Scenario: sc, Replicas: []int{2, 24}, Runs: 3, Parallel: 2, Level: 0.9})
+	results, err := Run(Plan{Scenario: sc, Replicas: []int{2, 24}, Runs: 3, Parallel: 2, Level: 0.9})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	if err := Write(&b, sizes); err != nil {
+	if err := Write(&b, results); err != nil {
 		t.Fatal(err)
 	}
 	t.Log("\n" + b.String())
-	many := sizes[1]
-	crowded := many.Alone["crowded readers"].Mean
+	many := results[1]
+	prefillGain := many.Alone["crowded readers"].Mean
 	for name, g := range many.Alone {
-		if name != "crowded readers" && g.Mean > crowded/2 {
-			t.Errorf("%s wins %v, crowded readers %.3f", name, g, crowded)
+		if name != "crowded readers" && g.Mean > prefillGain/2 {
+			t.Errorf("%s gains %v, crowded readers gain %.3f", name, g, prefillGain)
 		}
 	}
-	if crowded < 0.004 || many.Alone["cold budgets"].Mean != 0 || many.Alone["sparse evidence of harm"].Mean != 0 {
+	if prefillGain < 0.004 || many.Alone["cold budgets"].Mean != 0 || many.Alone["sparse evidence of harm"].Mean != 0 {
 		t.Errorf("%+v", many)
 	}
-	if many.AllOracles < many.AsIs || sizes[0].Replicas != 2 || !strings.Contains(b.String(), "only crowded readers") {
-		t.Errorf("%+v", sizes)
+	if many.AllOracles < many.NoOracles || results[0].Replicas != 2 ||
+		!strings.Contains(b.String(), "only crowded readers") {
+		t.Errorf("%+v", results)
 	}
 }
 
--- a/internal/simulation/ablation/table.go
+++ b/internal/simulation/ablation/table.go
@@ -7,26 +7,27 @@
 	"text/tabwriter"
 )
 
-// Write prints a table for people.
-func Write(w io.Writer, sizes []Size) error {
+// Write prints the results as a table with a column for each number of replicas.
+func Write(w io.Writer, results []Result) error {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	var rows strings.Builder
-	row := func(name string, cell func(s *Size) string) {
+	row := func(name string, cell func(r *Result) string) {
 		rows.WriteString(name + "\t")
-		for i := range sizes {
-			rows.WriteString(cell(&sizes[i]) + "\t")
+		for i := range results {
+			rows.WriteString(cell(&results[i]) + "\t")
 		}
 		rows.WriteString("\n")
 	}
-	row("fronts", func(s *Size) string { return fmt.Sprint(s.Replicas) })
-	row("as it is", func(s *Size) string { return fmt.Sprintf("%.4f", s.AsIs) })
-	for _, c := range All {
-		row("without "+c.Name, func(s *Size) string { return s.Alone[c.Name].String() })
+	row("fronts", func(r *Result) string { return fmt.Sprint(r.Replicas) })
+	row("as it is", func(r *Result) string { return fmt.Sprintf("%.4f", r.NoOracles) })
+	for _, c := range Causes {
+		row("without "+c.Name, func(r *Result) string { return r.Alone[c.Name].String() })
 	}
-	row("without any", func(s *Size) string { return fmt.Sprintf("%.4f", s.AllOracles) })
-	for _, c := range All {
-		row("only "+c.Name, func(s *Size) string {
-			g := s.Last[c.Name]
+	row("without any", func(r *Result) string { return fmt.Sprintf("%.4f", r.AllOracles) })
+	for _, c := range Causes {
+		row("only "+c.Name, func(r *Result) string {
+			g := r.AddedLast[c.Name]
+			// The gain is negated, since the row shows what service changes by when only this cause is present.
 			return Gain{-g.Mean, -g.High, -g.Low}.String()
 		})
 	}
--- a/internal/simulation/baseline/baseline.go
+++ b/internal/simulation/baseline/baseline.go
@@ -1,7 +1,8 @@
-// Package baseline has simple deciders, for comparisons only: no replica of the program runs them. They take the same
-// events and return the same actions as package routing, keep the rules that a replica alone can keep (one answer in
-// time, no retry of what may have run unless it is idempotent, drains, release) and know nothing of capacity, prefixes,
-// health or slow start.
+// Package baseline implements simple routing policies with which simulations compare package routing; no replica of the
+// program runs them. A Decider takes the same events and returns the same actions as routing.Router. It keeps the rules
+// that a replica can keep on its own: one answer in time, no retry of a request that may have run unless it is
+// idempotent, no new attempts at draining endpoints, release of read states. It ignores capacity, prefixes, health and
+// slow start.
 package baseline
 
 import (
@@ -13,27 +14,27 @@
 	"brackenbend/routing"
 )
 
-// Policy is how an endpoint is picked.
+// Policy determines how an endpoint is picked among the ready ones.
 type Policy string
 
 // The policies.
 const (
-	Random     Policy = "random"      // any
-	Fewest     Policy = "fewest"      // the one with the fewest own attempts open
-	TwoChoices Policy = "two-choices" // the better of two at random, by own attempts open
+	Random     Policy = "random"      // a random endpoint
+	Fewest     Policy = "fewest"      // the endpoint with the fewest open attempts of this replica
+	TwoChoices Policy = "two-choices" // of two random endpoints, the one with fewer open attempts of this replica
 )
 
-// Policies are all of them.
+// Policies are all policies.
 var Policies = []Policy{Random, Fewest, TwoChoices}
 
 // A PolicyError is returned for an unknown policy.
 type PolicyError struct{ Policy Policy }
 
 func (e *PolicyError) Error() string {
-	return fmt.Sprintf("baseline: no policy %q: %v", e.Policy, Policies)
+	return fmt.Sprintf("baseline: unknown policy %q, want one of %v", e.Policy, Policies)
 }
 
-// Decider makes the decisions of one replica. It is used by one goroutine.
+// Decider makes the routing decisions of one replica. It must not be used by several goroutines at once.
 type Decider struct {
 	policy   Policy
 	config   routing.Config
@@ -41,33 +42,33 @@
 	backends []*backend // in the order in which they were first listed
 	byID     map[routing.EndpointID]*backend
 	requests map[routing.RequestID]*request
-	actions  []routing.Action // of the present step
+	actions  []routing.Action // of the current step
 }
 
 type backend struct {
-	id    routing.EndpointID
-	role  routing.Role
-	ready bool
-	open  int // attempts
+	id           routing.EndpointID
+	role         routing.Role
+	ready        bool
+	openAttempts int // sent by this replica
 }
 
 type request struct {
-	event     routing.Request
-	sends     int
-	attempts  int      // sends less prefills that are done
-	at        *backend // of the open attempt; nil = none is
-	prefilled bool     // a read state waits
-	ran       bool     // an attempt may have run
-	answered  bool
+	event      routing.Request
+	sent       int      // attempts, including completed prefills
+	attempts   int      // sent, less completed prefills
+	backend    *backend // of the open attempt; nil = no attempt is open
+	prefilled  bool     // a read state is held for the decode
+	mayHaveRun bool     // an attempt with a decode may have run
+	answered   bool     // no further answer is owed
 }
 
 const (
 	defaultMaxAttempts = 2
-	randomStream       = 77
-	retryAfter         = time.Second // of a rejection
+	randomStream       = 77          // of the random generator
+	retryAfter         = time.Second // of all rejections
 )
 
-// New returns a decider.
+// New returns a decider for one replica.
 func New(policy Policy, c routing.Config, seed uint64) (*Decider, error) {
 	if !slices.Contains(Policies, policy) {
 		return nil, &PolicyError{policy}
@@ -84,20 +85,20 @@
 	}, nil
 }
 
-// Step takes events and returns the actions that follow from them.
+// Step processes events and returns the actions that follow from them.
 func (d *Decider) Step(now time.Duration, events []routing.Event) []routing.Action {
 	d.actions = nil
 	for _, ev := range events {
 		switch ev := ev.(type) {
 		case routing.EndpointList:
-			d.onList(ev)
+			d.onEndpointList(ev)
 		case routing.Request:
 			d.onRequest(ev, now)
 		case routing.Outcome:
 			d.onOutcome(ev)
 		case routing.ClientDisconnected:
 			if r := d.requests[ev.Request]; r != nil {
-				d.end(r)
+				d.finish(r)
 			}
 		case routing.Timer:
 			if r := d.requests[routing.RequestID(ev.Tag)]; r != nil && !r.answered {
@@ -105,18 +106,18 @@
 			}
 		case routing.FirstToken:
 			if r := d.requests[ev.Request]; r != nil {
-				r.answered = true // the stream is the answer
+				r.answered = true // a stream that has begun is the answer
 			}
 		}
 	}
 	return d.actions
 }
 
-func (d *Decider) act(a routing.Action) { d.actions = append(d.actions, a) }
+func (d *Decider) addAction(a routing.Action) { d.actions = append(d.actions, a) }
 
 func (d *Decider) class(r *request) *routing.Class { return &d.config.Classes[r.event.Class] }
 
-func (d *Decider) onList(ev routing.EndpointList) {
+func (d *Decider) onEndpointList(ev routing.EndpointList) {
 	if ev.Scope == routing.ListFailed {
 		return
 	}
@@ -143,11 +144,11 @@
 		d.fail(r, true)
 		return
 	}
-	d.act(routing.SetTimer{After: ev.Deadline - now, Tag: uint64(ev.ID)})
+	d.addAction(routing.SetTimer{After: ev.Deadline - now, Tag: uint64(ev.ID)})
 	d.send(r)
 }
 
-// pick returns a ready backend that serves a stage; nil where there is none.
+// pick returns a ready backend for a decode, or for a prefill; nil where there is none.
 func (d *Decider) pick(decode bool) *backend {
 	var ready []*backend
 	for _, b := range d.backends {
@@ -162,12 +163,12 @@
 	switch d.policy {
 	case Random:
 	case TwoChoices:
-		if other := ready[d.rnd.IntN(len(ready))]; other.open < best.open {
+		if other := ready[d.rnd.IntN(len(ready))]; other.openAttempts < best.openAttempts {
 			best = other
 		}
 	case Fewest:
 		for _, b := range ready {
-			if b.open < best.open {
+			if b.openAttempts < best.openAttempts {
 				best = b
 			}
 		}
@@ -175,8 +176,8 @@
 	return best
 }
 
-// serves reports whether requests are sent to the backend for a stage. An endpoint of both roles does both in one
-// attempt, which begins with the prefill.
+// serves reports whether the backend gets attempts that begin with a decode, or with a prefill. A mixed endpoint does
+// both stages in one attempt, which begins with the prefill.
 func (b *backend) serves(decode bool) bool {
 	if decode {
 		return b.role == routing.RoleDecode
@@ -184,91 +185,92 @@
 	return b.role == routing.RoleMixed || b.role == routing.RolePrefill
 }
 
-// send starts a request's next attempt.
+// send starts the next attempt of a request. Without a backend or an attempt left it ends the request.
 func (d *Decider) send(r *request) {
 	b := d.pick(r.prefilled)
 	if b == nil || r.attempts >= d.config.MaxAttempts {
 		d.rejectOrFail(r)
 		return
 	}
-	r.sends++
+	r.sent++
 	r.attempts++
-	r.at = b
-	b.open++
-	d.act(routing.Send{Request: r.event.ID, Endpoint: b.id})
+	r.backend = b
+	b.openAttempts++
+	d.addAction(routing.Send{Request: r.event.ID, Endpoint: b.id})
 }
 
-// rejectOrFail rejects a request that has surely not run, and fails others.
+// rejectOrFail rejects a request that is idempotent or can't have run, and fails any other.
 func (d *Decider) rejectOrFail(r *request) {
 	class := d.class(r)
-	if r.ran && class.Idempotency != routing.Idempotent {
+	if r.mayHaveRun && class.Idempotency != routing.Idempotent {
 		d.fail(r, false)
 		return
 	}
 	r.answered = true
 	noAutoRetry := class.Idempotency == routing.NotIdempotent
-	d.act(routing.Reject{Request: r.event.ID, RetryAfter: retryAfter, NoAutoRetry: noAutoRetry})
-	d.end(r)
+	d.addAction(routing.Reject{Request: r.event.ID, RetryAfter: retryAfter, NoAutoRetry: noAutoRetry})
+	d.finish(r)
 }
 
 func (d *Decider) fail(r *request, possibleDuplicate bool) {
 	r.answered = true
-	d.act(routing.Fail{Request: r.event.ID, PossibleDuplicate: possibleDuplicate})
-	d.end(r)
+	d.addAction(routing.Fail{Request: r.event.ID, PossibleDuplicate: possibleDuplicate})
+	d.finish(r)
 }
 
-// end cancels the open attempt and releases the read state.
-func (d *Decider) end(r *request) {
+// finish cancels the open attempt and releases the read state. With an attempt open, the request is kept until the
+// attempt's outcome arrives.
+func (d *Decider) finish(r *request) {
 	r.answered = true
-	if r.at != nil {
-		d.act(routing.Cancel{Request: r.event.ID, Attempt: r.sends - 1})
+	if r.backend != nil {
+		d.addAction(routing.Cancel{Request: r.event.ID, Attempt: r.sent - 1})
 	}
-	d.act(routing.ReleaseState{Request: r.event.ID})
-	if r.at == nil {
+	d.addAction(routing.ReleaseState{Request: r.event.ID})
+	if r.backend == nil {
 		delete(d.requests, r.event.ID)
 	}
 }
 
 func (d *Decider) onOutcome(ev routing.Outcome) {
 	r := d.requests[ev.Request]
-	if r == nil || r.at == nil {
+	if r == nil || r.backend == nil {
 		return
 	}
-	b := r.at
-	b.open--
-	r.at = nil
+	b := r.backend
+	b.openAttempts--
+	r.backend = nil
 	if ev.RequestDone || r.answered {
 		r.answered = true
-		d.act(routing.ReleaseState{Request: ev.Request})
+		d.addAction(routing.ReleaseState{Request: ev.Request})
 		delete(d.requests, ev.Request)
 		return
 	}
 	if ev.Result == routing.PrefillDone {
 		r.prefilled = true
-		r.attempts-- // a prefill that is done counts as no attempt of the whole
+		r.attempts-- // a prefill that succeeded does not count against MaxAttempts
 		d.send(r)
 		return
 	}
 	d.retry(r, ev, b)
 }
 
-// retry follows an attempt that failed at a backend.
+// retry sends a request again after an attempt that failed at b, or fails it where it may not run twice.
 func (d *Decider) retry(r *request, ev routing.Outcome, b *backend) {
 	prefill := b.role == routing.RolePrefill
-	if !prefill && !ev.Result.NeverExecuted() { // a prefill alone has no effect
-		r.ran = true
+	if !prefill && !ev.Result.NeverExecuted() { // a prefill alone has no side effects
+		r.mayHaveRun = true
 	}
 	if ev.StateMissing || prefill {
 		r.prefilled = false
-		d.act(routing.ReleaseState{Request: ev.Request})
+		d.addAction(routing.ReleaseState{Request: ev.Request})
 	}
-	if r.ran && d.class(r).Idempotency != routing.Idempotent {
+	if r.mayHaveRun && d.class(r).Idempotency != routing.Idempotent {
 		d.fail(r, false)
 		return
 	}
 	if !prefill {
-		r.prefilled = false // the state was fetched, or lost with the attempt
-		d.act(routing.ReleaseState{Request: ev.Request})
+		r.prefilled = false // the attempt fetched the read state or lost it
+		d.addAction(routing.ReleaseState{Request: ev.Request})
 	}
 	d.send(r)
 }
--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -10,10 +10,10 @@
 	"brackenbend/routing"
 )
 
-// slowStartRule is the index of the rule that baselines don't keep: they know nothing of slow start.
+// slowStartRule is the index of the only rule that baselines may violate, since they ignore slow start.
 const slowStartRule = 3
 
-// In the default scenario baselines answer once and in time, run nothing twice, keep drains and release states.
+// In the default scenario baselines violate no rule but that of slow start, and serve at least half.
 func TestBaselinesKeepRules(t *testing.T) {
 	sc, err := scenario.Default()
 	if err != nil {
