--- a/cmd/brackenbend/compare.go
+++ b/cmd/brackenbend/compare.go
@@ -154,7 +154,7 @@
 			"%s: another version can't be given recordings yet; compare it on a scenario", subject)
 	case isExecutable(subject):
 		play := playOtherVersion(subject, played, checkRules)
-		return forecast.Subject{Name: filepath.Base(subject), Scenario: played, Play: play}, nil
+		return forecast.Subject{Name: filepath.Base(subject), Scenario: played, Simulate: play}, nil
 	default:
 		settings, err := config.Load(subject)
 		if err != nil {
@@ -167,7 +167,7 @@
 		options.Seed = seed
 		return options
 	}
-	return forecast.Subject{Name: subject, Scenario: played, Make: withSeed}, nil
+	return forecast.Subject{Name: subject, Scenario: played, Options: withSeed}, nil
 }
 
 // isExecutable reports whether path is a program, as opposed to a settings file.
--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -109,13 +109,13 @@
 	if err != nil {
 		return err
 	}
-	s.search.Scenario, s.search.Subject, s.search.Parallel = played, tried.Make, runtime.GOMAXPROCS(0)
+	s.search.Scenario, s.search.Subject, s.search.Parallel = played, tried.Options, runtime.GOMAXPROCS(0)
 	if s.against != "" {
 		yardstick, err := side(s.against)
 		if err != nil {
 			return err
 		}
-		s.search.Yardstick = yardstick.Make
+		s.search.Yardstick = yardstick.Options
 	}
 	s.search.OnRound = func(round int, best faultsearch.Result) {
 		p := printer{out: os.Stderr} // progress: that it can't be written does not end the search
--- a/cmd/brackenbend/simulate_forecast.go
+++ b/cmd/brackenbend/simulate_forecast.go
@@ -50,7 +50,7 @@
 	f.IntVar(&s.runs, "runs", s.runs, "simulated replications of each scenario")
 	f.Float64Var(&s.level, "level", s.level, "probability with which a run on sockets lies within the bars")
 	f.Float64Var(&s.model.Floor, "floor", 0.002, "standard deviation by which the simulation is off on any scenario")
-	f.Float64Var(&s.model.Part, "part", 0.1, "and as a part of what the scenario loses")
+	f.Float64Var(&s.model.LossFraction, "part", 0.1, "and as a part of what the scenario loses")
 	f.BoolVar(&s.real, "real", false, "play the scenarios on sockets as well")
 	f.BoolVar(&s.fit, "fit", false, "with --real: find --floor and --part from these scenarios")
 	f.StringVar(&s.jsonFile, "json", "", "write forecasts and real runs to this file")
@@ -72,7 +72,7 @@
 	var pairs []forecast.Pair
 	within := 0
 	for i, f := range forecasts {
-		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d", f.Scenario, f.Mean, f.SD, f.Low, f.High, f.Worst, f.Rules)
+		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d", f.Scenario, f.Mean, f.SD, f.Low, f.High, f.Worst, f.Violations)
 		if s.real {
 			report, err := playOnSockets(ctx, scenarios[i])
 			if err != nil {
@@ -93,7 +93,7 @@
 	}
 	if s.fit {
 		fitted := forecast.Fit(pairs)
-		p.printf("fitted: --floor %.4f --part %.3f\n", fitted.Floor, fitted.Part)
+		p.printf("fitted: --floor %.4f --part %.3f\n", fitted.Floor, fitted.LossFraction)
 	}
 	if p.err != nil {
 		return p.err
--- a/cmd/brackenbend/simulate_overload.go
+++ b/cmd/brackenbend/simulate_overload.go
@@ -74,10 +74,10 @@
 	if err != nil {
 		return err
 	}
-	if side.Make == nil {
+	if side.Options == nil {
 		return usageErrorf("--way: routing, random, fewest, two-choices or a settings file")
 	}
-	s.plan.Scenario, s.plan.Make, s.plan.Parallel = played, side.Make, runtime.GOMAXPROCS(0)
+	s.plan.Scenario, s.plan.Make, s.plan.Parallel = played, side.Options, runtime.GOMAXPROCS(0)
 	if s.loops {
 		s.plan.FeedbackLoops = overload.FeedbackLoops
 	}
--- a/internal/simulation/forecast/bootstrap.go
+++ b/internal/simulation/forecast/bootstrap.go
@@ -8,13 +8,13 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// resamples of the bootstrap.
-const resamples = 4000
+// bootstrapResamples is the number of resamples for a confidence interval of a comparison.
+const bootstrapResamples = 4000
 
-// Bootstrap returns a confidence interval of the mean of values: the studentized bootstrap (Efron and Tibshirani, An
-// Introduction to the Bootstrap, 12.5), which holds its level with few values where plain percentiles fall short. Its
-// draws are always the same.
-func Bootstrap(values []float64, level float64, times int) (low, high float64) {
+// Bootstrap returns a confidence interval of the mean of values by the studentized bootstrap (Efron and Tibshirani, An
+// Introduction to the Bootstrap, 12.5). With few values its coverage stays near the level, where that of the percentile
+// bootstrap falls below it. The resamples come from a fixed seed, so equal values give equal intervals.
+func Bootstrap(values []float64, level float64, resamples int) (low, high float64) {
 	mean, sd := stat.MeanStdDev(values, nil)
 	n := float64(len(values))
 	switch {
@@ -24,36 +24,36 @@
 		return mean, mean
 	}
 	rnd := rand.New(rand.NewPCG(1, uint64(len(values))))
-	draw, ts := make([]float64, len(values)), make([]float64, 0, times)
-	for range times {
-		for i := range draw {
-			draw[i] = values[rnd.IntN(len(values))]
+	resample, tStatistics := make([]float64, len(values)), make([]float64, 0, resamples)
+	for range resamples {
+		for i := range resample {
+			resample[i] = values[rnd.IntN(len(values))]
 		}
-		m, s := stat.MeanStdDev(draw, nil)
-		if s > 0 { // draws of a single value say nothing of the spread
-			ts = append(ts, (m-mean)/(s/math.Sqrt(n)))
+		m, s := stat.MeanStdDev(resample, nil)
+		if s > 0 { // resamples of a single value have no standard error
+			tStatistics = append(tStatistics, (m-mean)/(s/math.Sqrt(n)))
 		}
 	}
-	if len(ts) == 0 {
+	if len(tStatistics) == 0 {
 		return math.Inf(-1), math.Inf(1)
 	}
-	slices.Sort(ts)
-	quantile := func(p float64) float64 { return stat.Quantile(p, stat.LinInterp, ts, nil) }
+	slices.Sort(tStatistics)
+	quantile := func(p float64) float64 { return stat.Quantile(p, stat.LinInterp, tStatistics, nil) }
 	standardError := sd / math.Sqrt(n)
 	return mean - quantile(0.5+level/2)*standardError, mean - quantile(0.5-level/2)*standardError
 }
 
 const (
-	minBimodal     = 8    // values, below which nothing is said
-	minCluster     = 3    // values: fewer are outliers
-	minVariation   = 1e-8 // sum of squares, below which values are equal
-	withinClusters = 0.1  // part of the variation that two clusters leave at most
+	minBimodalValues  = 8    // fewer values are never reported as bimodal
+	minClusterValues  = 3    // fewer values are outliers, not a cluster
+	minVariation      = 1e-8 // sum of squares below which all values are taken as equal
+	maxWithinClusters = 0.1  // greatest fraction of the variation that may remain within the two clusters
 )
 
-// isBimodal reports whether values form two clusters: a cut between two neighbors explains nearly all of their
-// variation, and neither side is an outlier or two.
+// isBimodal reports whether values form two clusters: the sorted values can be split so that hardly any of their
+// variation remains within the two parts, and neither part consists of a few outliers.
 func isBimodal(values []float64) bool {
-	if len(values) < minBimodal {
+	if len(values) < minBimodalValues {
 		return false
 	}
 	sorted := slices.Sorted(slices.Values(values))
@@ -61,15 +61,15 @@
 	if total < minVariation {
 		return false
 	}
-	for i := minCluster; i <= len(sorted)-minCluster; i++ {
-		if sumOfSquares(sorted[:i])+sumOfSquares(sorted[i:]) < withinClusters*total {
+	for i := minClusterValues; i <= len(sorted)-minClusterValues; i++ {
+		if sumOfSquares(sorted[:i])+sumOfSquares(sorted[i:]) < maxWithinClusters*total {
 			return true
 		}
 	}
 	return false
 }
 
-// sumOfSquares returns that of the deviations from the mean.
+// sumOfSquares returns the sum of the squared deviations from the mean.
 func sumOfSquares(values []float64) float64 {
 	return stat.Variance(values, nil) * float64(len(values)-1)
 }
--- a/internal/simulation/forecast/compare.go
+++ b/internal/simulation/forecast/compare.go
@@ -10,27 +10,27 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// Subject is one of two fleets to compare. Their scenarios must agree on clients and length.
+// Subject is one of two fleets to compare. Both scenarios must have the same clients and length.
 type Subject struct {
 	Name     string
 	Scenario *scenario.Scenario
-	Make     func(seed uint64) fleet.Options
-	// Play plays a replication in place of fleet.Run with Make's options, as by another version of the program.
-	Play func(s *scenario.Scenario, seed uint64) (*Summary, error)
+	Options  func(seed uint64) fleet.Options
+	// Simulate runs a replication, for instance with another version of the program; nil = fleet.Run with Options.
+	Simulate func(s *scenario.Scenario, seed uint64) (*Summary, error)
 }
 
-func (s *Subject) play(played *scenario.Scenario, seed uint64) (*Summary, error) {
-	if s.Play != nil {
-		return s.Play(played, seed)
+func (s *Subject) simulate(sc *scenario.Scenario, seed uint64) (*Summary, error) {
+	if s.Simulate != nil {
+		return s.Simulate(sc, seed)
 	}
-	result, err := fleet.Run(played, s.Make(seed))
+	result, err := fleet.Run(sc, s.Options(seed))
 	if err != nil {
 		return nil, err
 	}
 	return Summarize(result), nil
 }
 
-// Summary is what a comparison needs of one replication.
+// Summary holds the results of one replication that a comparison needs.
 type Summary struct {
 	Service           float64           `json:"service"`
 	Worst             float64           `json:"worst_10s"`
@@ -71,46 +71,46 @@
 	Undecided    Verdict = "can't tell"
 )
 
-// Comparison is the outcome of two fleets on the same replications of traffic. Arrays are by subject.
+// Comparison is the outcome of two fleets with the same replications of traffic. Arrays are indexed by subject.
 type Comparison struct {
-	Names      [2]string  `json:"names"`
-	Means      [2]float64 `json:"means"`
-	Worst      [2]float64 `json:"worst_10s"`
-	Refused    [2]float64 `json:"refused"` // part of requests
-	Attempts   [2]float64 `json:"attempts_a_request"`
-	Moved      [2]float64 `json:"state_tokens_a_request"`
-	Violations [2]int     `json:"breaches"`
-	Diffs      []float64  `json:"differences"` // second less first, by replication
-	Mean       float64    `json:"difference"`
-	Low        float64    `json:"low"`
-	High       float64    `json:"high"`
-	Level      float64    `json:"level"`
-	Looks      int        `json:"looks"`
-	Bimodal    bool       `json:"two_heaps"` // of the differences: the mean says little
-	Verdict    Verdict    `json:"verdict"`
+	Names             [2]string  `json:"names"`
+	Means             [2]float64 `json:"means"`
+	Worst             [2]float64 `json:"worst_10s"`          // service in the worst 10 seconds
+	Refused           [2]float64 `json:"refused"`            // fraction of requests
+	Attempts          [2]float64 `json:"attempts_a_request"` // at engines
+	TransferredTokens [2]float64 `json:"state_tokens_a_request"`
+	Violations        [2]int     `json:"breaches"`
+	Diffs             []float64  `json:"differences"` // service of the second less that of the first, by replication
+	Mean              float64    `json:"difference"`  // mean of Diffs, with the confidence interval Low to High
+	Low               float64    `json:"low"`
+	High              float64    `json:"high"`
+	Level             float64    `json:"level"`
+	Looks             int        `json:"looks"`     // interim analyses, one after each batch
+	Bimodal           bool       `json:"two_heaps"` // Diffs form two clusters, so the mean says little
+	Verdict           Verdict    `json:"verdict"`
 
 	Timelines [2][]scenario.Second `json:"-"` // summed over all replications
 }
 
-// StoppingRule says when a comparison ends.
+// StoppingRule determines when a comparison ends.
 type StoppingRule struct {
-	Level           float64 // of the confidence interval over all looks; 0.95
-	MinDifference   float64 // a difference below it does not count
-	BatchSize       int     // replications between two looks
+	Level           float64 // of the confidence interval, over all looks together; such as 0.95
+	MinDifference   float64 // a smaller difference counts as none
+	BatchSize       int     // replications before each look
 	MaxReplications int     // in all
-	Parallel        int
+	Parallel        int     // simulations at once
 }
 
-// looks returns the number of interim analyses.
+// looks returns the maximum number of looks, the interim analyses after each batch of replications.
 func (r StoppingRule) looks() int { return max((r.MaxReplications+r.BatchSize-1)/r.BatchSize, 1) }
 
-// ErrScenariosDiffer is returned for a comparison of scenarios that do not have the same clients.
+// ErrScenariosDiffer is returned for a comparison of scenarios that can't have the same clients.
 var ErrScenariosDiffer = errors.New(
-	"forecast: the two scenarios differ in length or classes; a comparison needs the same clients")
+	"forecast: compared scenarios must have the same length and number of classes")
 
-// Compare plays replications until the answer is clear or there are enough. Each replication has clients of its own,
-// the same for both subjects. Repeated looks would find a difference where there is none, so each look has an even
-// part of the error probability (Bonferroni).
+// Compare simulates batches of replications until the verdict is clear or the maximum number is reached. Each
+// replication has different clients, which are the same for both subjects. A test after each batch makes it more likely
+// to find a difference where there is none, so each look gets an equal share of the error probability (Bonferroni).
 func Compare(a, b Subject, r StoppingRule) (*Comparison, error) {
 	if a.Scenario.Length != b.Scenario.Length || len(a.Scenario.Classes) != len(b.Scenario.Classes) {
 		return nil, ErrScenariosDiffer
@@ -120,7 +120,7 @@
 	c := &Comparison{Names: [2]string{a.Name, b.Name}, Level: r.Level}
 	subjects, requests := [2]Subject{a, b}, [2]float64{}
 	for c.Looks = 1; c.Looks <= looks; c.Looks++ {
-		pairs, err := playPairs(&subjects, len(c.Diffs), r)
+		pairs, err := simulatePairs(&subjects, len(c.Diffs), r)
 		if err != nil {
 			return nil, err
 		}
@@ -139,27 +139,27 @@
 	return c, nil
 }
 
-// playPairs plays the batch of replications that follows the first so many, with both subjects.
-func playPairs(subjects *[2]Subject, first int, r StoppingRule) ([][2]*Summary, error) {
+// simulatePairs simulates the next batch with both subjects, after a number of replications that are done.
+func simulatePairs(subjects *[2]Subject, first int, r StoppingRule) ([][2]*Summary, error) {
 	pairs := make([][2]*Summary, min(r.BatchSize, r.MaxReplications-first))
 	err := replication.Run(2*len(pairs), r.Parallel, func(i int) error {
 		subject := &subjects[i%2]
 		seed := uint64(first + i/2 + 1)
-		summary, err := subject.play(subject.Scenario.Replication(int(seed)), seed)
+		summary, err := subject.simulate(subject.Scenario.Replication(int(seed)), seed)
 		pairs[i/2][i%2] = summary
 		return err
 	})
 	return pairs, err
 }
 
-// add adds a replication of the k-th subject to the sums.
+// add adds a replication of the k-th subject to the sums in c, and its requests to *requests.
 func (c *Comparison) add(k int, s *Summary, requests *float64) {
 	c.Means[k] += s.Service
 	c.Worst[k] += s.Worst
 	*requests += float64(s.Requests)
 	c.Refused[k] += float64(s.Refused)
 	c.Attempts[k] += float64(s.Attempts)
-	c.Moved[k] += s.TransferredTokens
+	c.TransferredTokens[k] += s.TransferredTokens
 	c.Violations[k] += s.Violations
 	for i, second := range s.Timeline {
 		if i == len(c.Timelines[k]) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// normalize turns the sums into means.
+// normalize turns the sums into means over replications or, with the numbers of requests by subject, over requests.
 func (c *Comparison) normalize(requests [2]float64) {
 	n := float64(len(c.Diffs))
 	for k := range c.Means {
@@ -178,14 +178,14 @@
 		c.Worst[k] /= n
 		c.Refused[k] /= requests[k]
 		c.Attempts[k] /= requests[k]
-		c.Moved[k] /= requests[k]
+		c.TransferredTokens[k] /= requests[k]
 	}
 }
 
-// decide sets the interval of the mean difference, and the verdict.
+// decide sets the mean difference with its confidence interval, and the verdict.
 func (c *Comparison) decide(level, minDifference float64) {
 	c.Mean = stat.Mean(c.Diffs, nil)
-	c.Low, c.High = Bootstrap(c.Diffs, level, resamples)
+	c.Low, c.High = Bootstrap(c.Diffs, level, bootstrapResamples)
 	c.Bimodal = isBimodal(c.Diffs)
 	switch {
 	case c.Low > minDifference:
--- a/internal/simulation/forecast/forecast.go
+++ b/internal/simulation/forecast/forecast.go
@@ -1,9 +1,9 @@
-// Package forecast predicts the service of a scenario with an error interval, and compares two fleets on the same
-// traffic. It plays them with package fleet, many replications in parallel; it decides on no setting of a replica.
+// Package forecast predicts the service of a scenario with a prediction interval, and compares two fleets on the same
+// traffic. It simulates them with package fleet, with several replications in parallel. It chooses no settings.
 //
-// The interval of a forecast is for one real run: it covers the spread of simulated replications, and by how much the
-// simulation was off in scenarios that were played for real (Model). That of a comparison is for the mean difference of
-// paired replications, by the bootstrap.
+// The interval of a forecast is for the service of one real run. It accounts for the spread of simulated replications
+// and for the error of the simulation (Model), which Fit estimates from scenarios that were also run for real. The
+// interval of a comparison is a bootstrap confidence interval of the mean difference of paired replications.
 package forecast
 
 import (
@@ -19,42 +19,45 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// Model is by how much real runs differ from the mean of simulated ones: a standard deviation of Floor, and of Part of
-// what the scenario loses.
+// Model is the error of the simulation: by how much the service of real runs differs from the mean of simulated ones.
+// It has two independent parts, of which the standard deviations are Floor, and LossFraction times the service that the
+// scenario loses.
 type Model struct {
-	Floor float64 `json:"floor"`
-	Part  float64 `json:"part"`
+	Floor        float64 `json:"floor"`
+	LossFraction float64 `json:"part"`
 }
 
-// deviation returns the standard deviation at a service.
-func (m Model) deviation(service float64) float64 { return math.Hypot(m.Floor, m.Part*(1-service)) }
+// deviation returns the standard deviation of the error at a predicted service.
+func (m Model) deviation(service float64) float64 {
+	return math.Hypot(m.Floor, m.LossFraction*(1-service))
+}
 
 // Forecast is the predicted service of a scenario.
 type Forecast struct {
-	Scenario string    `json:"day"`
-	Services []float64 `json:"services"` // of the simulated replications
-	Mean     float64   `json:"mean"`
-	SD       float64   `json:"sd"`
-	Low      float64   `json:"low"` // one real run lies between Low and High with probability Level
-	High     float64   `json:"high"`
-	Level    float64   `json:"level"`
-	Worst    float64   `json:"worst_10s"` // mean
-	Rules    int       `json:"breaches"`  // violations over all replications
+	Scenario   string    `json:"day"`
+	Services   []float64 `json:"services"` // of the simulated replications
+	Mean       float64   `json:"mean"`
+	SD         float64   `json:"sd"`
+	Low        float64   `json:"low"` // one real run lies between Low and High with probability Level
+	High       float64   `json:"high"`
+	Level      float64   `json:"level"`
+	Worst      float64   `json:"worst_10s"` // service in the worst 10 seconds, mean over replications
+	Violations int       `json:"breaches"`  // of rules, over all replications
 }
 
-// Holds reports whether the service of a real run lies within the interval.
+// Holds reports whether the service of a real run lies within the prediction interval.
 func (f *Forecast) Holds(service float64) bool { return service >= f.Low && service <= f.High }
 
-// minRuns is the least number of replications that give an error interval.
+// minRuns is the least number of replications for an interval.
 const minRuns = 3
 
-// ErrTooFewRuns is returned for a forecast of fewer replications than give an error interval.
-var ErrTooFewRuns = errors.New("forecast: 3 runs at least are needed for error bars")
+// ErrTooFewRuns is returned for a forecast with too few replications for a prediction interval.
+var ErrTooFewRuns = errors.New("forecast: a prediction interval needs at least 3 runs")
 
-// worstSeconds is the span over which the worst service is measured.
+// worstSeconds is the length of the window over which the worst service is measured.
 const worstSeconds = 10
 
-// Predict plays replications of a scenario, up to parallel of them at once.
+// Predict simulates replications of a scenario, at most parallel of them at once, and forecasts its service.
 func Predict(name string, s *scenario.Scenario, runs, parallel int, level float64, m Model) (*Forecast, error) {
 	if runs < minRuns {
 		return nil, ErrTooFewRuns
@@ -76,7 +79,7 @@
 	f.Mean, f.SD = stat.MeanStdDev(f.Services, nil)
 	f.Worst = stat.Mean(worst, nil)
 	for _, n := range violations {
-		f.Rules += n
+		f.Violations += n
 	}
 	f.setInterval(m)
 	return f, nil
@@ -89,15 +92,15 @@
 	return n
 }
 
-// setInterval sets the prediction interval of one more draw by Student's t, with the model's deviation added. Where the
-// replications are bimodal a normal spread would mislead, so the interval also spans the middle of the replications
-// themselves.
+// setInterval sets the prediction interval for one further run by Student's t distribution, with the model's deviation
+// added. That assumes a normal distribution; for bimodal replications it would be wrong, so the interval also spans the
+// central quantiles of the replications themselves.
 func (f *Forecast) setInterval(m Model) {
 	n := float64(len(f.Services))
 	deviation := m.deviation(f.Mean)
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.5 + f.Level/2)
-	half := t * math.Sqrt(f.SD*f.SD*(1+1/n)+deviation*deviation)
-	f.Low, f.High = f.Mean-half, f.Mean+half
+	halfWidth := t * math.Sqrt(f.SD*f.SD*(1+1/n)+deviation*deviation)
+	f.Low, f.High = f.Mean-halfWidth, f.Mean+halfWidth
 	sorted := slices.Sorted(slices.Values(f.Services))
 	quantile := func(p float64) float64 { return stat.Quantile(p, stat.Empirical, sorted, nil) }
 	f.Low = min(f.Low, quantile(0.5-f.Level/2)-t*deviation)
@@ -105,28 +108,28 @@
 	f.Low, f.High = max(f.Low, 0), min(f.High, 1)
 }
 
-// Pair is a forecast and the service of a real run. It is stored as JSON by the names of its fields.
+// Pair is a forecast and the service of a real run of its scenario. It is stored as JSON under the names of its fields.
 type Pair struct {
 	Forecast *Forecast
 	Real     float64
 }
 
-// minFloor is what one request more or less in a short scenario makes.
+// minFloor is about the effect of a single request on the service of a short scenario.
 const minFloor = 0.002
 
-// Fit finds the model from scenarios that were played for real: the part of the loss by which real runs were off,
-// beyond what chance explains, as a root mean square.
+// Fit estimates the model from scenarios that were run for real. LossFraction is the root mean square of the difference
+// between the real and the predicted service, as a fraction of the predicted loss, beyond what random spread explains.
 func Fit(pairs []Pair) Model {
 	m := Model{Floor: minFloor}
 	sum, n := 0.0, 0.0
 	for _, p := range pairs {
 		loss := max(1-p.Forecast.Mean, minFloor)
-		off := p.Real - p.Forecast.Mean
-		sum += max(off*off-p.Forecast.SD*p.Forecast.SD-m.Floor*m.Floor, 0) / (loss * loss)
+		deviation := p.Real - p.Forecast.Mean
+		sum += max(deviation*deviation-p.Forecast.SD*p.Forecast.SD-m.Floor*m.Floor, 0) / (loss * loss)
 		n++
 	}
 	if n > 0 {
-		m.Part = math.Sqrt(sum / n)
+		m.LossFraction = math.Sqrt(sum / n)
 	}
 	return m
 }
--- a/internal/simulation/forecast/forecast_test.go
+++ b/internal/simulation/forecast/forecast_test.go
@@ -13,7 +13,7 @@
 	"brackenbend/routing"
 )
 
-// smallScenario is a short scenario in which engines crash.
+// smallScenario returns a short scenario in which an engine crashes.
 func smallScenario(t *testing.T, rate string) *scenario.Scenario {
 	t.Helper()
 	sc, err := scenario.Parse("x.xml", []byte(strings.Replace(`<day length="6s" rate="RATE" fronts="2" seed="3">
@@ -31,7 +31,7 @@
 }
 
 func newSubject(name string, sc *scenario.Scenario, policy baseline.Policy) Subject {
-	return Subject{Name: name, Scenario: sc, Make: func(seed uint64) fleet.Options {
+	return Subject{Name: name, Scenario: sc, Options: func(seed uint64) fleet.Options {
 		o := fleet.Options{Seed: seed}
 		if policy != "" {
 			o.Decider = func(s routing.Config, seed uint64) (fleet.Decider, error) { return baseline.New(policy, s, seed) }
@@ -40,7 +40,7 @@
 	}}
 }
 
-// Between a fleet and itself with other seeds, a difference is found no more often than the level allows.
+// Between a fleet and itself with other seeds, Compare finds a difference no more often than its level allows.
 func TestCompareFleetWithItself(t *testing.T) {
 	sc := smallScenario(t, "60/s")
 	found, undecided := 0, 0
@@ -48,8 +48,8 @@
 	for trial := range trials {
 		a, b := newSubject("a", sc, ""), newSubject("a again", sc, "")
 		shift := uint64(1000 * (trial + 1))
-		a.Make = func(seed uint64) fleet.Options { return fleet.Options{Seed: seed + shift} }
-		b.Make = func(seed uint64) fleet.Options { return fleet.Options{Seed: seed + shift + 500} }
+		a.Options = func(seed uint64) fleet.Options { return fleet.Options{Seed: seed + shift} }
+		b.Options = func(seed uint64) fleet.Options { return fleet.Options{Seed: seed + shift + 500} }
 		rule := StoppingRule{Level: 0.95, MinDifference: 0, BatchSize: 6, MaxReplications: 12, Parallel: 4}
 		c, err := Compare(a, b, rule)
 		if err != nil {
@@ -67,7 +67,7 @@
 		t.Errorf("a difference between a fleet and itself in %d of %d trials", found, trials)
 	}
 	if found+undecided == 0 {
-		t.Error("never undecided where nothing counts as no difference: the interval can't be right")
+		t.Error("no difference in every trial, with MinDifference 0: the interval is too narrow")
 	}
 	rule := StoppingRule{Level: 0.95, MinDifference: 0.001, BatchSize: 4, MaxReplications: 12, Parallel: 4}
 	same, err := Compare(newSubject("a", sc, ""), newSubject("a", sc, ""), rule)
@@ -76,7 +76,7 @@
 	}
 }
 
-// The router against random choice, where engines fill up.
+// When engines are near their capacity, the router is so much better than random choice that few replications suffice.
 func TestCompareFindsClearDifferenceEarly(t *testing.T) {
 	random := newSubject("random", smallScenario(t, "110/s"), baseline.Random)
 	router := newSubject("routing", smallScenario(t, "110/s"), "")
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestCompareRejectsOtherLength(t *testing.T) {
+func TestCompareRejectsDifferentLengths(t *testing.T) {
 	other := smallScenario(t, "60/s")
 	other.Length *= 2
 	a, b := newSubject("a", smallScenario(t, "60/s"), ""), newSubject("b", other, "")
@@ -97,10 +97,10 @@
 	}
 }
 
-// An interval at 95% holds the mean of skewed draws nearly as often, with few of them.
-func TestBootstrapHoldsItsLevel(t *testing.T) {
+// With few values from a skewed distribution, an interval at 95% covers the mean about as often.
+func TestBootstrapIntervalCoversMeanAtItsLevel(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 5))
-	held := 0
+	covered := 0
 	const trials = 600
 	for range trials {
 		v := make([]float64, 12)
@@ -108,11 +108,11 @@
 			v[i] = rnd.ExpFloat64()
 		}
 		if low, high := Bootstrap(v, 0.95, 600); low <= 1 && high >= 1 {
-			held++
+			covered++
 		}
 	}
-	if part := float64(held) / trials; part < 0.91 || part > 0.985 {
-		t.Errorf("bars at 95%% held the mean in %.3f of trials", part)
+	if coverage := float64(covered) / trials; coverage < 0.91 || coverage > 0.985 {
+		t.Errorf("interval at 95%% covered the mean in %.3f of trials", coverage)
 	}
 	if low, high := Bootstrap([]float64{0, 0, 0, 0}, 0.95, 100); low != 0 || high != 0 {
 		t.Errorf("no spread: %v %v", low, high)
@@ -122,7 +122,7 @@
 	}
 }
 
-// The interval of replications that fall into two clusters spans both.
+// The prediction interval from replications that form two clusters spans both.
 func TestIntervalSpansBothClusters(t *testing.T) {
 	f := &Forecast{Level: 0.95}
 	for i := range 20 {
@@ -136,30 +136,30 @@
 		t.Errorf("%+v", f)
 	}
 	if !isBimodal(f.Services) {
-		t.Error("two clusters were not found")
+		t.Error("two clusters were not reported as bimodal")
 	}
 	if isBimodal([]float64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}) {
-		t.Error("even values were taken for two clusters")
+		t.Error("evenly spaced values were reported as bimodal")
 	}
 }
 
-// Scenarios that are off by a tenth of their loss give a model with that part; those that are predicted exactly give
-// none.
-func TestFitFindsPartOfLoss(t *testing.T) {
-	var off, right []Pair
+// Where real runs differ from forecasts by a tenth of the loss, the fitted model has a LossFraction of 0.1; where all
+// forecasts are exact, it has 0.
+func TestFitEstimatesLossFraction(t *testing.T) {
+	var inexact, exact []Pair
 	for i, mean := range []float64{0.8, 0.9, 0.95, 0.7} {
 		f := &Forecast{Mean: mean, SD: 0.001}
-		off = append(off, Pair{f, mean + float64(1-2*(i%2))*0.1*(1-mean)})
-		right = append(right, Pair{f, mean})
+		inexact = append(inexact, Pair{f, mean + float64(1-2*(i%2))*0.1*(1-mean)})
+		exact = append(exact, Pair{f, mean})
 	}
-	if m := Fit(off); math.Abs(m.Part-0.1) > 0.01 {
+	if m := Fit(inexact); math.Abs(m.LossFraction-0.1) > 0.01 {
 		t.Errorf("%+v", m)
 	}
-	if m := Fit(right); m.Part != 0 || m.Floor != minFloor {
+	if m := Fit(exact); m.LossFraction != 0 || m.Floor != minFloor {
 		t.Errorf("%+v", m)
 	}
-	f, err := Predict("x", smallScenario(t, "60/s"), 8, 4, 0.95, Fit(off))
-	if err != nil || f.Low >= f.Mean || f.High <= f.Mean || f.Rules > 0 {
+	f, err := Predict("x", smallScenario(t, "60/s"), 8, 4, 0.95, Fit(inexact))
+	if err != nil || f.Low >= f.Mean || f.High <= f.Mean || f.Violations > 0 {
 		t.Errorf("%+v %v", f, err)
 	}
 	if _, err := Predict("x", smallScenario(t, "60/s"), 2, 1, 0.95, Model{}); !errors.Is(err, ErrTooFewRuns) {
--- a/internal/simulation/forecast/golden_test.go
+++ b/internal/simulation/forecast/golden_test.go
@@ -10,7 +10,7 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// checkStored demands that a value is written as it was recorded, and that reading the record loses nothing.
+// checkStored checks that a value is encoded as in the golden file, and that decoding the file loses nothing.
 func checkStored[T any](t *testing.T, name string, v T) {
 	t.Helper()
 	text, err := json.MarshalIndent(v, "", " ")
@@ -21,31 +21,31 @@
 	if text, err = os.ReadFile(filepath.Join("testdata", name)); err != nil {
 		t.Fatal(err)
 	}
-	var back T
-	if err := json.Unmarshal(text, &back); err != nil {
+	var decoded T
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.MarshalIndent(back, "", " ")
+	again, err := json.MarshalIndent(decoded, "", " ")
 	if err != nil || string(again) != string(text) {
-		t.Errorf("%s: read and written again (%v):\n%s", name, err, again)
+		t.Errorf("%s: decoded and encoded again (%v):\n%s", name, err, again)
 	}
 }
 
-func TestStoredFormsAreUnchanged(t *testing.T) {
+func TestStoredJSONIsUnchanged(t *testing.T) {
 	checkStored(t, "summary.json", Summary{
 		Service: 0.5, Worst: 0.25, Requests: 3, Refused: 4, Attempts: 5, TransferredTokens: 6.5, Violations: 7,
 		Timeline: []scenario.Second{{Worth: 1.5, Asked: 2.5}, {}},
 	})
 	checkStored(t, "forecast.json", Forecast{
 		Scenario: "bad.xml", Services: []float64{0.5, 0.75}, Mean: 0.625, SD: 0.125, Low: 0.5, High: 0.875,
-		Level: 0.95, Worst: 0.375, Rules: 3,
+		Level: 0.95, Worst: 0.375, Violations: 3,
 	})
-	checkStored(t, "model.json", Model{Floor: 0.5, Part: 0.25})
+	checkStored(t, "model.json", Model{Floor: 0.5, LossFraction: 0.25})
 	checkStored(t, "comparison.json", Comparison{
 		Names: [2]string{"a", "b"}, Means: [2]float64{1, 2}, Worst: [2]float64{3, 4},
-		Refused: [2]float64{5, 6}, Attempts: [2]float64{7, 8}, Moved: [2]float64{9, 10}, Violations: [2]int{11, 12},
-		Diffs: []float64{13, 14}, Mean: 15, Low: 16, High: 17, Level: 18, Looks: 19, Bimodal: true, Verdict: SecondBetter,
-		Timelines: [2][]scenario.Second{{{Worth: 1}}, nil},
+		Refused: [2]float64{5, 6}, Attempts: [2]float64{7, 8}, TransferredTokens: [2]float64{9, 10},
+		Violations: [2]int{11, 12}, Diffs: []float64{13, 14}, Mean: 15, Low: 16, High: 17, Level: 18, Looks: 19,
+		Bimodal: true, Verdict: SecondBetter, Timelines: [2][]scenario.Second{{{Worth: 1}}, nil},
 	})
 	checkStored(t, "verdicts.json", []Verdict{FirstBetter, SecondBetter, NoDifference, Undecided})
 }
--- a/internal/simulation/forecast/report.go
+++ b/internal/simulation/forecast/report.go
@@ -13,34 +13,35 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// row is one line of a comparison's table.
+// row is one line of a comparison's table: a quantity, and its value for each subject.
 type row struct{ What, A, B string }
 
 func (c *Comparison) rows() []row {
-	format := func(what, format string, v [2]float64) row {
+	formatRow := func(what, format string, v [2]float64) row {
 		return row{what, fmt.Sprintf(format, v[0]), fmt.Sprintf(format, v[1])}
 	}
 	return []row{
-		format("service", "%.4f", c.Means),
-		format("worst 10 s", "%.4f", c.Worst),
-		format("part refused", "%.4f", c.Refused),
-		format("attempts a request", "%.2f", c.Attempts),
-		format("state tokens moved a request", "%.0f", c.Moved),
+		formatRow("service", "%.4f", c.Means),
+		formatRow("worst 10 s", "%.4f", c.Worst),
+		formatRow("part refused", "%.4f", c.Refused),
+		formatRow("attempts a request", "%.2f", c.Attempts),
+		formatRow("state tokens moved a request", "%.0f", c.TransferredTokens),
 		{"rules broken", fmt.Sprint(c.Violations[0]), fmt.Sprint(c.Violations[1])},
 	}
 }
 
-// sentence returns the verdict with its figures.
-func (c *Comparison) sentence() string {
-	text := fmt.Sprintf("%s: service differs by %+.4f, %.0f%% bars %+.4f to %+.4f, %d courses, %d looks",
+// conclusion returns the verdict with the figures that it is based on.
+func (c *Comparison) conclusion() string {
+	text := fmt.Sprintf(
+		"%s: service differs by %+.4f, %.0f%% confidence interval %+.4f to %+.4f, %d replications, %d interim analyses",
 		c.Verdict, c.Mean, 100*c.Level, c.Low, c.High, len(c.Diffs), c.Looks)
 	if c.Bimodal {
-		text += "; the differences fall into two heaps, so the mean says little: see the courses"
+		text += "; the differences form two clusters, so the mean says little: see the plot of all differences"
 	}
 	return text
 }
 
-// WriteText prints a comparison for people.
+// WriteText prints a comparison as a table, followed by the verdict.
 func (c *Comparison) WriteText(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	rows := append([]row{{"SIMULATED", c.Names[0], c.Names[1]}}, c.rows()...)
@@ -52,7 +53,7 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "\n%s\n", c.sentence())
+	_, err := fmt.Fprintf(out, "\n%s\n", c.conclusion())
 	return err
 }
 
@@ -66,10 +67,11 @@
 </html>
 `))
 
-// smoothSeconds is how many seconds on either side the plotted service is averaged over.
+// smoothSeconds is the number of seconds on either side over which the plotted service is averaged.
 const smoothSeconds = 2
 
-// WriteHTML writes a page with plots: service over time of both subjects, and the differences of all replications.
+// WriteHTML writes a page with the table, the verdict and two plots: the service of both subjects over time, and the
+// differences of all replications.
 func (c *Comparison) WriteHTML(out io.Writer) error {
 	services, err := c.plotServices()
 	if err != nil {
@@ -81,8 +83,8 @@
 	}
 	var b bytes.Buffer
 	err = page.Execute(&b, map[string]any{
-		"Title": c.Names[0] + " and " + c.Names[1], "Answer": c.sentence(), "Names": c.Names, "Rows": c.rows(),
-		// Both are drawn here, from figures: nothing in them needs to be escaped.
+		"Title": c.Names[0] + " and " + c.Names[1], "Answer": c.conclusion(), "Names": c.Names, "Rows": c.rows(),
+		// Both plots are SVG elements, in which package chart has escaped all texts.
 		"Plots": []template.HTML{template.HTML(services), template.HTML(differences)},
 	})
 	if err != nil {
@@ -110,7 +112,7 @@
 		chart.Line{X: x, Y: slices.Repeat([]float64{c.High}, len(sorted))})
 }
 
-// serviceBySecond returns the service of each second; NaN where nothing was requested.
+// serviceBySecond returns the service of each second; it is NaN where nothing was requested.
 func serviceBySecond(timeline []scenario.Second) []float64 {
 	services := make([]float64, len(timeline))
 	for i, second := range timeline {
