--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -70,13 +70,13 @@
 		return err
 	}
 	note := fmt.Sprintf("found by a fault search: %s %.3f, against %.3f; %d breaches (simulated)", subject, found.Subject,
-		found.Yardstick, found.Violations)
+		found.Reference, found.Violations)
 	_, text, err := played.WithFaults(found.Faults, note)
 	if err != nil {
 		return err
 	}
 	p := printer{out: cmd.OutOrStdout()}
-	p.printf("%s, %d lists played\n", note, found.Played)
+	p.printf("%s, %d lists played\n", note, found.Simulated)
 	for i := range found.Faults {
 		p.printf("  %s\n", found.Faults[i].XML())
 	}
@@ -115,11 +115,11 @@
 		if err != nil {
 			return err
 		}
-		s.search.Yardstick = yardstick.Options
+		s.search.Reference = yardstick.Options
 	}
 	s.search.OnRound = func(round int, best faultsearch.Result) {
 		p := printer{out: os.Stderr} // progress: that it can't be written does not end the search
-		p.printf("round %d: lost %.4f, %d breaches\n", round+1, best.Lost(), best.Violations)
+		p.printf("round %d: lost %.4f, %d breaches\n", round+1, best.Loss(), best.Violations)
 	}
 	return nil
 }
--- a/cmd/brackenbend/simulate_overload.go
+++ b/cmd/brackenbend/simulate_overload.go
@@ -77,7 +77,7 @@
 	if side.Options == nil {
 		return usageErrorf("--way: routing, random, fewest, two-choices or a settings file")
 	}
-	s.plan.Scenario, s.plan.Make, s.plan.Parallel = played, side.Options, runtime.GOMAXPROCS(0)
+	s.plan.Scenario, s.plan.Options, s.plan.Parallel = played, side.Options, runtime.GOMAXPROCS(0)
 	if s.loops {
 		s.plan.FeedbackLoops = overload.FeedbackLoops
 	}
--- a/internal/simulation/chart/chart.go
+++ b/internal/simulation/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws lines over time for reports. It decides how charts look, not what they show.
+// Package chart draws line charts for reports. It determines the appearance of charts; callers supply texts and data.
 package chart
 
 import (
@@ -11,13 +11,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line is one line of a chart; NaN leaves a gap.
+// Line is one line of a chart. A value of Y that is NaN or infinite leaves a gap.
 type Line struct {
 	Name string
 	X, Y []float64
 }
 
-// lineColors are used in turn.
+// lineColors are the colors of successive lines; they repeat when there are more lines.
 var lineColors = []color.Color{
 	color.RGBA{0x88, 0x88, 0x88, 0xff},
 	color.RGBA{0xc0, 0x39, 0x2b, 0xff},
@@ -27,7 +27,7 @@
 	color.RGBA{0xd3, 0x84, 0x00, 0xff},
 }
 
-// Save draws lines into a file; its extension is the format (svg, png, pdf).
+// Save writes a chart to a file, whose extension determines the format (svg, png, pdf).
 func Save(path, title, x, y string, lines ...Line) error {
 	p, err := draw(title, x, y, lines)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return p.Save(width, height, path)
 }
 
-// SVG draws lines as an element of an HTML page.
+// SVG returns a chart as an SVG element for an HTML page. All texts in it are escaped.
 func SVG(title, x, y string, lines ...Line) ([]byte, error) {
 	p, err := draw(title, x, y, lines)
 	if err != nil {
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	text := b.Bytes()
-	if i := bytes.Index(text, []byte("<svg")); i > 0 { // the XML declaration has no place in a page
+	if i := bytes.Index(text, []byte("<svg")); i > 0 { // an HTML page can't contain the XML declaration
 		text = text[i:]
 	}
 	return text, nil
@@ -83,7 +83,7 @@
 	return p, nil
 }
 
-// splitAtGaps returns the parts of a line between its gaps.
+// splitAtGaps returns the contiguous parts of a line between its gaps.
 func splitAtGaps(l Line) (parts []plotter.XYs) {
 	var part plotter.XYs
 	for i, v := range l.Y {
@@ -102,7 +102,7 @@
 	return parts
 }
 
-// Seconds returns 0, 1, 2 ... as x.
+// Seconds returns 0 to n-1 as X values of a line with one point per second.
 func Seconds(n int) []float64 {
 	out := make([]float64, n)
 	for i := range out {
@@ -111,7 +111,7 @@
 	return out
 }
 
-// Smooth returns the moving mean over a number of neighbors on either side; gaps are left out.
+// Smooth returns the moving mean over each value and a number of neighbors on either side. NaN values are ignored.
 func Smooth(v []float64, neighbors int) []float64 {
 	out := make([]float64, len(v))
 	for i := range v {
@@ -121,7 +121,7 @@
 				sum, n = sum+v[j], n+1
 			}
 		}
-		out[i] = sum / n // NaN where there is none
+		out[i] = sum / n // NaN where all values are NaN
 	}
 	return out
 }
--- a/internal/simulation/chart/chart_test.go
+++ b/internal/simulation/chart/chart_test.go
@@ -16,14 +16,14 @@
 	}
 }
 
-func TestSmoothLeavesGapsOut(t *testing.T) {
+func TestSmoothIgnoresGaps(t *testing.T) {
 	nan := math.NaN()
 	if s := Smooth([]float64{1, nan, 4, nan, nan, nan}, 1); s[0] != 1 || s[1] != 2.5 || s[2] != 4 || !math.IsNaN(s[4]) {
 		t.Errorf("%v", s)
 	}
 }
 
-func TestSaveNamesLines(t *testing.T) {
+func TestSaveWritesLineNames(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.svg")
 	first := Line{"first", Seconds(3), []float64{1, math.NaN(), 3}}
 	if err := Save(path, "title", "x", "y", first, Line{"second", nil, nil}); err != nil {
--- a/internal/simulation/faultsearch/faultsearch.go
+++ b/internal/simulation/faultsearch/faultsearch.go
@@ -1,6 +1,6 @@
-// Package faultsearch searches for the faults under which a decider does worst: it draws and mutates lists of faults
-// within bounds, plays them in simulated time (package fleet), and reduces the worst list to what is needed. The result
-// is a scenario that real replicas can play.
+// Package faultsearch searches for the faults under which a decider performs worst. It draws and mutates lists of
+// faults within bounds, simulates them with package fleet, and reduces the worst list to the faults that are needed for
+// its effect. A scenario with these faults can also be run with real replicas.
 package faultsearch
 
 import (
@@ -15,62 +15,62 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// Search says where to search.
+// Search describes a search.
 type Search struct {
-	Scenario  *scenario.Scenario // fleet and clients; its own faults are left out
-	Subject   func(seed uint64) fleet.Options
-	Yardstick func(seed uint64) fleet.Options // what the subject is compared with; nil = a service of 1
-	MaxFaults int                             // in a list
-	Rounds    int                             // of mutating the worst list
-	Draws     int                             // lists a round
+	Scenario  *scenario.Scenario              // for its fleet and clients; its faults are ignored
+	Subject   func(seed uint64) fleet.Options // the decider under test
+	Reference func(seed uint64) fleet.Options // the decider to compare with; nil = a service of 1
+	MaxFaults int                             // in a list, at most
+	Rounds    int                             // of draws; after the first, most lists are mutations of the worst one
+	Draws     int                             // lists per round
 	Seed      uint64
-	Parallel  int
+	Parallel  int                          // simulations at once
 	OnRound   func(round int, best Result) // called after each round; may be nil
 }
 
 // Result is a list of faults and its outcome.
 type Result struct {
 	Faults     []scenario.Fault
-	Subject    float64 // service, mean over replications
-	Yardstick  float64 // that of the yardstick; 1 without one
-	Violations int     // of the rules, by the subject
-	Played     int     // lists in all
+	Subject    float64 // service of the subject, mean over replications
+	Reference  float64 // service of the reference, mean over replications; 1 without one
+	Violations int     // of rules, by the subject, over all replications
+	Simulated  int     // lists that the search simulated; set in the result of Run only
 }
 
-// Lost is what the search maximizes: by how much the subject's service is below its yardstick's.
-func (r *Result) Lost() float64 { return r.Yardstick - r.Subject }
+// Loss returns by how much the service of the subject is below that of the reference. The search maximizes it.
+func (r *Result) Loss() float64 { return r.Reference - r.Subject }
 
-// worseThan orders results: a violated rule before any loss.
+// worseThan reports whether r is worse for the subject than o. A violated rule is worse than any loss.
 func (r *Result) worseThan(o *Result) bool {
 	if (r.Violations > 0) != (o.Violations > 0) {
 		return r.Violations > 0
 	}
-	return r.Lost() > o.Lost()
+	return r.Loss() > o.Loss()
 }
 
-// ErrNothingToSearch is returned for a search without faults, rounds or draws.
-var ErrNothingToSearch = errors.New("faultsearch: faults, rounds and draws must be 1 at least")
+// ErrNothingToSearch is returned for a search with no faults, rounds or draws.
+var ErrNothingToSearch = errors.New("faultsearch: the numbers of faults, rounds and draws must be at least 1")
 
 const (
-	replications = 2 // of each list
-	searchStream = 9 // of the random generator
-	freshEvery   = 4 // of lists, one is drawn anew, so that the search does not stay at a local maximum
+	replications    = 2 // of each list, per decider
+	searchStream    = 9 // of the random generator
+	randomListEvery = 4 // every fourth list is drawn instead of mutated, so that the search can leave a local maximum
 )
 
-// Run searches.
+// Run performs a search and returns the worst list of faults, reduced and ordered by time.
 func Run(s Search) (*Result, error) {
 	if s.MaxFaults < 1 || s.Rounds < 1 || s.Draws < 1 {
 		return nil, ErrNothingToSearch
 	}
 	rnd := rand.New(rand.NewPCG(s.Seed, searchStream))
 	var best *Result
-	played := 0
+	simulated := 0
 	for round := range s.Rounds {
-		results, err := s.play(s.nextLists(rnd, best))
+		results, err := s.simulate(s.nextLists(rnd, best))
 		if err != nil {
 			return nil, err
 		}
-		played += len(results)
+		simulated += len(results)
 		for i := range results {
 			if best == nil || results[i].worseThan(best) {
 				best = &results[i]
@@ -84,16 +84,16 @@
 	if err != nil {
 		return nil, err
 	}
-	best.Played = played + more
+	best.Simulated = simulated + more
 	slices.SortStableFunc(best.Faults, func(a, b scenario.Fault) int { return cmp.Compare(a.At, b.At) })
 	return best, nil
 }
 
-// nextLists returns the lists of a round: mutations of the best result, and some new ones.
+// nextLists returns the lists of a round: mutations of the best result so far, and some that are drawn.
 func (s *Search) nextLists(rnd *rand.Rand, best *Result) [][]scenario.Fault {
 	lists := make([][]scenario.Fault, s.Draws)
 	for i := range lists {
-		if best == nil || i%freshEvery == freshEvery-1 {
+		if best == nil || i%randomListEvery == randomListEvery-1 {
 			lists[i] = s.drawList(rnd)
 		} else {
 			lists[i] = s.mutate(rnd, best.Faults)
@@ -102,28 +102,28 @@
 	return lists
 }
 
-// play returns the result of each list.
-func (s *Search) play(lists [][]scenario.Fault) ([]Result, error) {
+// simulate returns the result of each list.
+func (s *Search) simulate(lists [][]scenario.Fault) ([]Result, error) {
 	results := make([]Result, len(lists))
 	err := replication.Run(len(lists), s.Parallel, func(i int) (err error) {
-		results[i], err = s.playList(lists[i])
+		results[i], err = s.simulateList(lists[i])
 		return err
 	})
 	return results, err
 }
 
-func (s *Search) playList(list []scenario.Fault) (Result, error) {
-	result := Result{Faults: list, Yardstick: 1}
-	played, _, err := s.Scenario.WithFaults(list, "")
+func (s *Search) simulateList(list []scenario.Fault) (Result, error) {
+	result := Result{Faults: list, Reference: 1}
+	sc, _, err := s.Scenario.WithFaults(list, "")
 	if err != nil {
-		return result, fmt.Errorf("faultsearch: a drawn list makes no scenario: %w", err)
+		return result, fmt.Errorf("faultsearch: scenario with drawn faults is invalid: %w", err)
 	}
-	yardstick := 0.0
+	reference := 0.0
 	for i := range uint64(replications) {
 		seed := i + 1
 		options := s.Subject(seed)
 		options.Audit = true
-		run, err := fleet.Run(played, options)
+		run, err := fleet.Run(sc, options)
 		if err != nil {
 			return result, err
 		}
@@ -131,15 +131,15 @@
 		for _, rule := range run.Rules {
 			result.Violations += len(rule.Violations)
 		}
-		if s.Yardstick != nil {
-			if run, err = fleet.Run(played, s.Yardstick(seed)); err != nil {
+		if s.Reference != nil {
+			if run, err = fleet.Run(sc, s.Reference(seed)); err != nil {
 				return result, err
 			}
-			yardstick += run.Score.Service() / replications
+			reference += run.Score.Service() / replications
 		}
 	}
-	if s.Yardstick != nil {
-		result.Yardstick = yardstick
+	if s.Reference != nil {
+		result.Reference = reference
 	}
 	return result, nil
 }
--- a/internal/simulation/faultsearch/faultsearch_test.go
+++ b/internal/simulation/faultsearch/faultsearch_test.go
@@ -28,7 +28,8 @@
 	return sc
 }
 
-// leakingDecider decides as the router does, and releases no state of a request of which an attempt failed.
+// leakingDecider decides as the router does, except that it never releases the read state of a request after one of its
+// attempts has failed.
 type leakingDecider struct {
 	fleet.Decider
 	failed map[routing.RequestID]bool
@@ -56,7 +57,7 @@
 	return &leakingDecider{d, map[routing.RequestID]bool{}}
 }
 
-func subject(wrap func(fleet.Decider) fleet.Decider) func(uint64) fleet.Options {
+func newOptions(wrap func(fleet.Decider) fleet.Decider) func(uint64) fleet.Options {
 	return func(seed uint64) fleet.Options {
 		return fleet.Options{Seed: seed, Decider: func(s routing.Config, seed uint64) (fleet.Decider, error) {
 			r, err := routing.New(s, seed)
@@ -65,11 +66,12 @@
 	}
 }
 
-// A decider that violates a rule only after failures of engines is found, and the list of faults is reduced.
-func TestViolationIsFoundAndReduced(t *testing.T) {
+// A search finds a decider's violation of a rule that only occurs after failed attempts, and reduces the list of faults
+// to at most two.
+func TestRunFindsAndReducesViolation(t *testing.T) {
 	sc := testScenario(t)
 	result, err := Run(Search{
-		Scenario: sc, Subject: subject(newLeakingDecider), MaxFaults: 4, Rounds: 6, Draws: 12, Seed: 1, Parallel: 4,
+		Scenario: sc, Subject: newOptions(newLeakingDecider), MaxFaults: 4, Rounds: 6, Draws: 12, Seed: 1, Parallel: 4,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -85,20 +87,20 @@
 		len(found.Faults) != len(result.Faults) {
 		t.Errorf("the scenario's own faults are still there:\n%s", text)
 	}
-	again, err := fleet.Run(found, fleet.Options{Seed: 1, Audit: true, Decider: subject(newLeakingDecider)(1).Decider})
+	again, err := fleet.Run(found, fleet.Options{Seed: 1, Audit: true, Decider: newOptions(newLeakingDecider)(1).Decider})
 	if err != nil || len(again.Rules[4].Violations) == 0 {
-		t.Errorf("the scenario that was written violates nothing: %v", err)
+		t.Errorf("no violation in a run of the written scenario: %v", err)
 	}
 }
 
-// The loss grows from round to round, and the router violates no rule meanwhile.
-func TestSearchIncreasesLoss(t *testing.T) {
+// The loss does not shrink over the rounds and is mostly kept by the reduction. The router violates no rule.
+func TestRunFindsLossAndKeepsItInReduction(t *testing.T) {
 	var first, last float64
 	result, err := Run(Search{
-		Scenario: testScenario(t), Subject: subject(func(r fleet.Decider) fleet.Decider { return r }),
+		Scenario: testScenario(t), Subject: newOptions(func(r fleet.Decider) fleet.Decider { return r }),
 		MaxFaults: 3, Rounds: 5, Draws: 8, Seed: 2, Parallel: 4,
 		OnRound: func(round int, best Result) {
-			if last = best.Lost(); round == 0 {
+			if last = best.Loss(); round == 0 {
 				first = last
 			}
 		},
@@ -106,13 +108,13 @@
 	if err != nil || result.Violations > 0 {
 		t.Fatalf("%v %+v", err, result)
 	}
-	if last < first || last < 0.05 || result.Lost() < keptLoss*last {
-		t.Errorf("lost %.3f in the first round, %.3f in the last, %.3f after reduction", first, last, result.Lost())
+	if last < first || last < 0.05 || result.Loss() < minKeptLoss*last {
+		t.Errorf("lost %.3f in the first round, %.3f in the last, %.3f after reduction", first, last, result.Loss())
 	}
 }
 
 func TestRunRejectsEmptySearch(t *testing.T) {
 	if _, err := Run(Search{Scenario: testScenario(t)}); !errors.Is(err, ErrNothingToSearch) {
-		t.Errorf("no rounds: %v", err)
+		t.Errorf("search without faults, rounds and draws: %v", err)
 	}
 }
--- a/internal/simulation/faultsearch/reduce.go
+++ b/internal/simulation/faultsearch/reduce.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	keptLoss       = 0.8             // of the loss, what a reduced list must keep
-	minHalvedFault = 2 * time.Second // the shortest fault that is halved
+	minKeptLoss       = 0.8             // the fraction of the loss that a reduced list must keep
+	minHalvedDuration = 2 * time.Second // faults that are shorter keep their duration
 )
 
-// reduce removes from a result what is not needed: whole faults, then halves of their times, then engines. It returns
-// the number of lists that it played.
-func (s *Search) reduce(best *Result) (reduced *Result, played int, err error) {
+// reduce removes from a list of faults what its effect does not need: whole faults, then half of the duration of a
+// fault, or all but one of the engines or replicas that it affects. It also returns the number of lists that it
+// simulated.
+func (s *Search) reduce(best *Result) (reduced *Result, simulated int, err error) {
 	suffices := func(r *Result) bool {
 		if best.Violations > 0 {
 			return r.Violations > 0
 		}
-		return r.Lost() >= keptLoss*best.Lost()
+		return r.Loss() >= minKeptLoss*best.Loss()
 	}
 	reduced = best
 	for {
-		results, err := s.play(reductions(reduced.Faults))
+		results, err := s.simulate(reductions(reduced.Faults))
 		if err != nil {
-			return nil, played, err
+			return nil, simulated, err
 		}
-		played += len(results)
-		first := slices.IndexFunc(results, func(r Result) bool { return suffices(&r) }) // the greatest reduction
+		simulated += len(results)
+		// The lists with the greatest reductions come first.
+		first := slices.IndexFunc(results, func(r Result) bool { return suffices(&r) })
 		if first < 0 {
-			return reduced, played, nil
+			return reduced, simulated, nil
 		}
 		reduced = &results[first]
 	}
 }
 
-// reductions returns the lists with one thing less, the greatest reductions first.
+// reductions returns the lists that differ from faults by one reduction, the greatest reductions first.
 func reductions(faults []scenario.Fault) (lists [][]scenario.Fault) {
 	for i := range faults {
 		if len(faults) > 1 {
@@ -44,7 +46,7 @@
 		}
 	}
 	for i, f := range faults {
-		if f.For >= minHalvedFault {
+		if f.For >= minHalvedDuration {
 			list := slices.Clone(faults)
 			list[i].For = (f.For / 2).Round(timeStep)
 			lists = append(lists, list)
--- a/internal/simulation/overload/measure.go
+++ b/internal/simulation/overload/measure.go
@@ -11,25 +11,26 @@
 
 // measurement is the outcome of one replication.
 type measurement struct {
-	before, goodput, worst, recovery, tries, sends float64
-	notRecovered                                   bool
+	goodputBefore, goodput, worstGoodput, recovery, clientAttempts, engineAttempts float64
+	notRecovered                                                                   bool
 }
 
 const (
-	// recoveredPart is the part of the service before an overload at which service counts as recovered.
-	recoveredPart = 0.95
-	// recoveredSeconds is how many seconds in a row must reach it.
+	// recoveredFraction is the fraction of the service before an overload at which service counts as recovered.
+	recoveredFraction = 0.95
+	// recoveredSeconds is the length of the window in which service must reach it.
 	recoveredSeconds = 3
-	// worstSeconds is the span over which the worst goodput is measured.
+	// worstSeconds is the length of the window over which the worst goodput is measured.
 	worstSeconds = 2
-	// settlePart is the part of the overload that is left out of its goodput, 1 in so many.
-	settlePart = 5
+	// settleDivisor sets how much of the beginning of an overload is excluded from its goodput: its length divided by
+	// settleDivisor.
+	settleDivisor = 5
 )
 
-// timeline is the outcome of a run by seconds.
+// timeline is the outcome of a run for each second.
 type timeline []scenario.Second
 
-// sum adds up the weight served and requested from one second to before another.
+// sum returns the priority weight that was served and requested from second from to before second to.
 func (t timeline) sum(from, to int) (served, requested float64) {
 	for i := from; i < to && i < len(t); i++ {
 		served, requested = served+t[i].Worth, requested+t[i].Asked
@@ -37,51 +38,51 @@
 	return served, requested
 }
 
-// measure evaluates a run with an overload from one time to another.
+// measure evaluates a run with an overload between two times of the scenario.
 func measure(r *fleet.Result, from, to time.Duration) measurement {
 	var m measurement
 	seconds := timeline(r.Score.Timeline)
 	begin, end := int(from/time.Second), int(to/time.Second)
 	served, requested := seconds.sum(1, begin)
-	m.before = served / float64(begin-1)
-	normal := recoveredPart * served / max(requested, 1e-9)
-	settled := begin + (end-begin)/settlePart
+	m.goodputBefore = served / float64(begin-1)
+	targetService := recoveredFraction * served / max(requested, 1e-9)
+	settled := begin + (end-begin)/settleDivisor
 	served, _ = seconds.sum(settled, end)
 	m.goodput = served / float64(end-settled)
-	m.worst = m.goodput
+	m.worstGoodput = m.goodput
 	for i := begin; i+worstSeconds <= end; i++ {
 		served, _ = seconds.sum(i, i+worstSeconds)
-		m.worst = min(m.worst, served/worstSeconds)
+		m.worstGoodput = min(m.worstGoodput, served/worstSeconds)
 	}
-	m.recovery, m.notRecovered = seconds.recovery(end, normal)
-	m.tries, m.sends = attempts(r)
+	m.recovery, m.notRecovered = seconds.recovery(end, targetService)
+	m.clientAttempts, m.engineAttempts = attemptRatios(r)
 	return m
 }
 
-// recovery returns the seconds from the end of an overload until the service is back at normal. Where it never is, it
-// returns the seconds that were played.
-func (t timeline) recovery(end int, normal float64) (seconds float64, never bool) {
+// recovery returns the seconds from the end of an overload until the service is at least targetService. If it never is,
+// recovery returns the seconds that were evaluated.
+func (t timeline) recovery(end int, targetService float64) (seconds float64, never bool) {
 	last := len(t) - recoveredSeconds
 	for i := end; i < last; i++ {
-		if served, requested := t.sum(i, i+recoveredSeconds); served >= normal*requested {
+		if served, requested := t.sum(i, i+recoveredSeconds); served >= targetService*requested {
 			return float64(i - end), false
 		}
 	}
 	return float64(max(last-end, 0)), true
 }
 
-// attempts returns the clients' attempts for each request, and the attempts at engines for each request served.
-func attempts(r *fleet.Result) (tries, sends float64) {
+// attemptRatios returns the clients' attempts per request, and the attempts at engines per served request.
+func attemptRatios(r *fleet.Result) (clientAttempts, engineAttempts float64) {
 	requests, attempts, served := 0, 0, 0
 	classes, _ := r.Score.Rows()
 	for _, c := range classes {
 		requests, attempts, served = requests+c.Requests, attempts+c.Tries, served+c.Served
 	}
-	atEngines := r.Attempts["read"] + r.Attempts["write"]
-	return float64(attempts) / float64(max(requests, 1)), float64(atEngines) / float64(max(served, 1))
+	sent := r.Attempts["read"] + r.Attempts["write"]
+	return float64(attempts) / float64(max(requests, 1)), float64(sent) / float64(max(served, 1))
 }
 
-// summarize returns the means over replications.
+// summarize returns the means over the replications at one load.
 func summarize(runs []measurement) Point {
 	mean := func(of func(m *measurement) float64) float64 {
 		values := make([]float64, len(runs))
@@ -91,12 +92,12 @@
 		return stat.Mean(values, nil)
 	}
 	p := Point{
-		Before:          mean(func(m *measurement) float64 { return m.before }),
+		Before:          mean(func(m *measurement) float64 { return m.goodputBefore }),
 		Goodput:         mean(func(m *measurement) float64 { return m.goodput }),
-		Worst:           mean(func(m *measurement) float64 { return m.worst }),
+		Worst:           mean(func(m *measurement) float64 { return m.worstGoodput }),
 		RecoverySeconds: mean(func(m *measurement) float64 { return m.recovery }),
-		Tries:           mean(func(m *measurement) float64 { return m.tries }),
-		Sends:           mean(func(m *measurement) float64 { return m.sends }),
+		ClientAttempts:  mean(func(m *measurement) float64 { return m.clientAttempts }),
+		EngineAttempts:  mean(func(m *measurement) float64 { return m.engineAttempts }),
 	}
 	for _, m := range runs {
 		if m.notRecovered {
--- a/internal/simulation/overload/overload.go
+++ b/internal/simulation/overload/overload.go
@@ -1,6 +1,7 @@
-// Package overload measures what a fleet does when more is requested than it can serve: goodput against offered load,
-// with the load going up and down again, and how long service takes to recover, as it is and with the feedback loops of
-// a collapse cut one at a time. A scenario's fleet and clients are played, with its faults.
+// Package overload measures how a fleet behaves when more is requested than it can serve. It simulates a scenario, with
+// its faults, while the load rises to an overload and falls again, and measures goodput against offered load and the
+// time until service recovers. To find the causes of a congestion collapse, the feedback loops that amplify an overload
+// can be disabled one at a time.
 package overload
 
 import (
@@ -14,13 +15,13 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// FeedbackLoop is a way in which overload feeds itself, and what cuts it.
+// FeedbackLoop is a mechanism by which an overload amplifies itself. Name says what is different when it is disabled.
 type FeedbackLoop struct {
-	Name string
-	cut  func(s *scenario.Scenario, o *fleet.Options)
+	Name    string
+	disable func(s *scenario.Scenario, o *fleet.Options)
 }
 
-// FeedbackLoops are those that can be cut without changing the router. The first is uncut.
+// FeedbackLoops are those that can be disabled without changing the router. The first entry disables none.
 var FeedbackLoops = []FeedbackLoop{
 	{"as it is", func(*scenario.Scenario, *fleet.Options) {}},
 	{"no retries by clients", func(s *scenario.Scenario, _ *fleet.Options) {
@@ -38,43 +39,44 @@
 	{"readers known to all fronts", func(_ *scenario.Scenario, o *fleet.Options) { o.Oracles.KnowPrefillLoad = true }},
 }
 
-// Plan says what is played.
+// Plan describes an overload experiment.
 type Plan struct {
 	Scenario      *scenario.Scenario
-	Base          float64   // load before and after, times the scenario's rate; 0 = 1
-	Loads         []float64 // loads of the overload, times the scenario's rate
-	Before        time.Duration
-	For           time.Duration
-	After         time.Duration
-	Runs          int
-	Parallel      int
-	FeedbackLoops []FeedbackLoop                  // nil = as it is only
-	Make          func(seed uint64) fleet.Options // nil = the router
+	Base          float64                         // load before and after the overload, times the scenario's rate; 0 = 1
+	Loads         []float64                       // loads during the overload, times the scenario's rate
+	Before        time.Duration                   // time at the base load before the overload
+	For           time.Duration                   // how long the overload lasts
+	After         time.Duration                   // time at the base load after the overload
+	Runs          int                             // replications at each load
+	Parallel      int                             // simulations at once
+	FeedbackLoops []FeedbackLoop                  // each is disabled in turn; nil = only runs with none disabled
+	Options       func(seed uint64) fleet.Options // of the fleet; nil = a fleet with package routing
 }
 
-// Point is the outcome at one load.
+// Point is the outcome at one load, with one feedback loop disabled. Figures are means over replications.
 type Point struct {
 	Loop            string  `json:"loop"`
 	Load            float64 `json:"load"`              // times the scenario's rate
-	Before          float64 `json:"goodput_before"`    // priority weight served a second
+	Before          float64 `json:"goodput_before"`    // priority weight served per second
 	Goodput         float64 `json:"goodput"`           // during the overload, without its first fifth
-	Worst           float64 `json:"goodput_worst_2s"`  // during the overload
-	RecoverySeconds float64 `json:"back_s"`            // from its end until the service is back, see recoveredSeconds
-	NotRecovered    int     `json:"never_back"`        // replications in which it never was
-	Tries           float64 `json:"tries_a_request"`   // attempts by clients, over the scenario
-	Sends           float64 `json:"attempts_per_done"` // attempts at engines for each request served
+	Worst           float64 `json:"goodput_worst_2s"`  // during the overload, over worstSeconds
+	RecoverySeconds float64 `json:"back_s"`            // from the end of the overload; see recoveredSeconds
+	NotRecovered    int     `json:"never_back"`        // replications in which service never recovered
+	ClientAttempts  float64 `json:"tries_a_request"`   // attempts by clients per request, over the scenario
+	EngineAttempts  float64 `json:"attempts_per_done"` // attempts at engines per served request
 }
 
-// The least times of a plan: goodput before is measured without the first second, recovery over recoveredSeconds.
+// The least durations of a plan. The goodput before an overload is measured without the first second, and recovery over
+// windows of recoveredSeconds.
 const (
 	minBefore = 3 * time.Second
 	minFor    = 2 * time.Second
 	minAfter  = 5 * time.Second
 )
 
-// ErrPlan is returned for a plan that can't be played.
+// ErrPlan is returned for an incomplete plan or one with too short durations.
 var ErrPlan = errors.New(
-	"overload: a load, a run, 3 s before, 2 s of overload and 5 s after it are needed at least")
+	"overload: a plan needs at least one load, one run, and 3 s before, 2 s during and 5 s after the overload")
 
 func (p *Plan) check() error {
 	if len(p.Loads) == 0 || p.Runs < 1 || p.Before < minBefore || p.For < minFor || p.After < minAfter {
@@ -83,24 +85,24 @@
 	return nil
 }
 
-// Run plays each load in a scenario of its own, with the same replications for all loads and loops.
-func Run(p Plan) ([]Point, error) {
-	if p.Base == 0 {
-		p.Base = 1
+// Run simulates each load with each feedback loop disabled. All combinations use the same replications.
+func Run(plan Plan) ([]Point, error) {
+	if plan.Base == 0 {
+		plan.Base = 1
 	}
-	if p.FeedbackLoops == nil {
-		p.FeedbackLoops = FeedbackLoops[:1]
+	if plan.FeedbackLoops == nil {
+		plan.FeedbackLoops = FeedbackLoops[:1]
 	}
-	if err := p.check(); err != nil {
+	if err := plan.check(); err != nil {
 		return nil, err
 	}
-	runs := make([][]measurement, len(p.FeedbackLoops)*len(p.Loads)) // by point and replication
+	runs := make([][]measurement, len(plan.FeedbackLoops)*len(plan.Loads)) // indexed by point and replication
 	for i := range runs {
-		runs[i] = make([]measurement, p.Runs)
+		runs[i] = make([]measurement, plan.Runs)
 	}
-	err := replication.Run(len(runs)*p.Runs, p.Parallel, func(n int) (err error) {
-		i, run := n/p.Runs, n%p.Runs
-		runs[i][run], err = p.play(p.FeedbackLoops[i/len(p.Loads)], p.Loads[i%len(p.Loads)], run)
+	err := replication.Run(len(runs)*plan.Runs, plan.Parallel, func(n int) (err error) {
+		i, run := n/plan.Runs, n%plan.Runs
+		runs[i][run], err = plan.simulate(plan.FeedbackLoops[i/len(plan.Loads)], plan.Loads[i%len(plan.Loads)], run)
 		return err
 	})
 	if err != nil {
@@ -109,26 +111,26 @@
 	points := make([]Point, len(runs))
 	for i := range points {
 		points[i] = summarize(runs[i])
-		points[i].Loop, points[i].Load = p.FeedbackLoops[i/len(p.Loads)].Name, p.Loads[i%len(p.Loads)]
+		points[i].Loop, points[i].Load = plan.FeedbackLoops[i/len(plan.Loads)].Name, plan.Loads[i%len(plan.Loads)]
 	}
 	return points, nil
 }
 
-// play plays one replication at one load with one loop cut.
-func (p *Plan) play(loop FeedbackLoop, load float64, run int) (measurement, error) {
-	played := p.Scenario.Replication(run + 1)
-	played.Length = p.Before + p.For + p.After
+// simulate runs one replication at one load with one feedback loop disabled.
+func (p *Plan) simulate(loop FeedbackLoop, load float64, run int) (measurement, error) {
+	sc := p.Scenario.Replication(run + 1)
+	sc.Length = p.Before + p.For + p.After
 	from, to := p.Before, p.Before+p.For
 	surge := scenario.Fault{At: from, For: p.For, What: "surge", Factor: load / p.Base}
-	played.Faults = append(slices.Clone(played.Faults), surge)
-	played.Rate *= config.Rate(p.Base)
+	sc.Faults = append(slices.Clone(sc.Faults), surge)
+	sc.Rate *= config.Rate(p.Base)
 	options := fleet.Options{}
-	if p.Make != nil {
-		options = p.Make(uint64(run) + 1)
+	if p.Options != nil {
+		options = p.Options(uint64(run) + 1)
 	}
 	options.Seed = uint64(run) + 1
-	loop.cut(played, &options)
-	result, err := fleet.Run(played, options)
+	loop.disable(sc, &options)
+	result, err := fleet.Run(sc, options)
 	if err != nil {
 		return measurement{}, err
 	}
--- a/internal/simulation/overload/overload_test.go
+++ b/internal/simulation/overload/overload_test.go
@@ -11,7 +11,7 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-func parse(t *testing.T, faults string) *scenario.Scenario {
+func testScenario(t *testing.T, faults string) *scenario.Scenario {
 	t.Helper()
 	sc, err := scenario.Parse("day.xml", []byte(`<day length="30s" rate="90/s" fronts="8" seed="3">
   <service max-attempts="4" release-within="500ms" drain-grace="500ms" cold-from="0.25" cold-for="4s"
@@ -30,22 +30,22 @@
 	return sc
 }
 
-func plan(sc *scenario.Scenario, loads ...float64) Plan {
+func testPlan(sc *scenario.Scenario, loads ...float64) Plan {
 	return Plan{
 		Scenario: sc, Loads: loads, Before: 5 * time.Second, For: 8 * time.Second, After: 10 * time.Second,
 		Runs: 2, Parallel: 2,
 	}
 }
 
-// After every load, alone and with a restart of half the prefill endpoints, service recovers within a time at any
-// number of replicas, and goodput does not collapse during the overload.
-func TestServiceRecovers(t *testing.T) {
+// With few and with many replicas, service recovers within 8 s after any overload, also when half of the prefill
+// endpoints restart during it. Without a restart, goodput does not collapse during the overload.
+func TestServiceRecoversAfterOverload(t *testing.T) {
 	for _, faults := range []string{"", `<happen at="7s" what="crash" kind="prefill" count="2" for="2s"/>`} {
 		for _, replicas := range []int{2, 24} {
 			t.Run(fmt.Sprintf("%d replicas, crash %v", replicas, faults != ""), func(t *testing.T) {
-				sc := parse(t, faults)
+				sc := testScenario(t, faults)
 				sc.Replicas = replicas
-				points, err := Run(plan(sc, 1, 3, 12))
+				points, err := Run(testPlan(sc, 1, 3, 12))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -63,17 +63,17 @@
 	}
 }
 
-// Without the clients' retries there are fewer attempts and no less goodput.
-func TestCutRetriesKeepGoodput(t *testing.T) {
-	p := plan(parse(t, ""), 6)
+// Without retries by clients there is one attempt per request, and goodput falls by a tenth at most.
+func TestDisabledClientRetriesKeepGoodput(t *testing.T) {
+	p := testPlan(testScenario(t, ""), 6)
 	p.FeedbackLoops = FeedbackLoops[:2]
 	points, err := Run(p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	uncut, cut := points[0], points[1]
-	if cut.Tries != 1 || uncut.Tries < 1.2 || cut.Goodput < 0.9*uncut.Goodput {
-		t.Errorf("as it is %+v, without retries %+v", uncut, cut)
+	asIs, withoutRetries := points[0], points[1]
+	if withoutRetries.ClientAttempts != 1 || asIs.ClientAttempts < 1.2 || withoutRetries.Goodput < 0.9*asIs.Goodput {
+		t.Errorf("with client retries %+v, without %+v", asIs, withoutRetries)
 	}
 	var b strings.Builder
 	if err := Write(&b, points); err != nil || strings.Count(b.String(), "\n") != 3 {
@@ -81,10 +81,10 @@
 	}
 }
 
-// Where the overload goes on, service does not recover and the point says so.
+// While all prefill endpoints are down after the overload, service does not recover, and the point reports this.
 func TestMissingRecoveryIsReported(t *testing.T) {
-	p := plan(parse(t, `<happen at="12s" what="crash" kind="prefill" count="4" for="11s"/>`), 2)
-	p.Make = func(uint64) fleet.Options { return fleet.Options{} }
+	p := testPlan(testScenario(t, `<happen at="12s" what="crash" kind="prefill" count="4" for="11s"/>`), 2)
+	p.Options = func(uint64) fleet.Options { return fleet.Options{} }
 	points, err := Run(p)
 	if err != nil {
 		t.Fatal(err)
@@ -95,13 +95,13 @@
 }
 
 func TestRunRejectsIncompletePlans(t *testing.T) {
-	p := plan(parse(t, ""))
+	p := testPlan(testScenario(t, ""))
 	if _, err := Run(p); !errors.Is(err, ErrPlan) {
-		t.Errorf("without a load: %v", err)
+		t.Errorf("plan without a load: %v", err)
 	}
-	p = plan(parse(t, ""), 1)
+	p = testPlan(testScenario(t, ""), 1)
 	p.For = time.Second
 	if _, err := Run(p); !errors.Is(err, ErrPlan) {
-		t.Errorf("an overload of a second: %v", err)
+		t.Errorf("plan with an overload of one second: %v", err)
 	}
 }
--- a/internal/simulation/overload/table.go
+++ b/internal/simulation/overload/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Write prints a table for people.
+// Write prints the points as a table.
 func Write(w io.Writer, points []Point) error {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	header := "LOOP\tLOAD\tGOODPUT BEFORE\tOVERLOADED\tWORST 2 S\tBACK AFTER\tNEVER\tTRIES\tATTEMPTS PER SERVED"
@@ -15,7 +15,7 @@
 	}
 	for _, p := range points {
 		_, err := fmt.Fprintf(table, "%s\t%g\t%.0f\t%.0f\t%.0f\t%.1f s\t%d\t%.2f\t%.1f\n", p.Loop, p.Load, p.Before,
-			p.Goodput, p.Worst, p.RecoverySeconds, p.NotRecovered, p.Tries, p.Sends)
+			p.Goodput, p.Worst, p.RecoverySeconds, p.NotRecovered, p.ClientAttempts, p.EngineAttempts)
 		if err != nil {
 			return err
 		}
--- a/internal/simulation/replication/replication.go
+++ b/internal/simulation/replication/replication.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// Run calls do for 0 to n-1, up to parallel of them at once (at least one), and joins their errors in the order of the
-// numbers. It returns once all calls have returned.
+// Run calls do with 0 to n-1, at most parallel of the calls at once (1 if parallel is smaller). After all calls have
+// returned, it returns their errors joined in the order of the numbers.
 func Run(n, parallel int, do func(i int) error) error {
 	errs := make([]error, n)
 	slots := make(chan struct{}, max(parallel, 1))
