--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -70,7 +70,7 @@
 		service[i] = second.Worth / second.Asked // NaN where nothing was asked
 	}
 	return chart.SVG("service by the time of asking, mean of 5 s", "seconds", "service",
-		chart.Line{Name: "service", X: chart.Seconds(len(service)), Y: chart.Smooth(service, smoothing)})
+		chart.Line{Name: "service", X: chart.Indices(len(service)), Y: chart.Smooth(service, smoothing)})
 }
 
 func (r *Report) plotFirstTokens() (svg []byte, err error) {
--- a/internal/scenariorun/plot.go
+++ b/internal/scenariorun/plot.go
@@ -26,7 +26,7 @@
 		service[i] = second.Worth / second.Asked // NaN where nothing was asked
 	}
 	return chart.Save(file, "service by the time of asking, mean of 5 s", "seconds", "service",
-		chart.Line{Name: "service", X: chart.Seconds(len(service)), Y: chart.Smooth(service, serviceSmoothing)})
+		chart.Line{Name: "service", X: chart.Indices(len(service)), Y: chart.Smooth(service, serviceSmoothing)})
 }
 
 func (r *Report) plotRoles(file string) error {
--- a/internal/simulation/chart/chart.go
+++ b/internal/simulation/chart/chart.go
@@ -102,8 +102,8 @@
 	return parts
 }
 
-// Seconds returns 0 to n-1 as X values of a line with one point per second.
-func Seconds(n int) []float64 {
+// Indices returns 0 to n-1, the X values of a line with one point per second or per item.
+func Indices(n int) []float64 {
 	out := make([]float64, n)
 	for i := range out {
 		out[i] = float64(i)
--- a/internal/simulation/chart/chart_test.go
+++ b/internal/simulation/chart/chart_test.go
@@ -10,7 +10,7 @@
 
 func TestSplitAtGaps(t *testing.T) {
 	nan := math.NaN()
-	got := splitAtGaps(Line{X: Seconds(6), Y: []float64{1, 2, nan, 4, nan, nan}})
+	got := splitAtGaps(Line{X: Indices(6), Y: []float64{1, 2, nan, 4, nan, nan}})
 	if len(got) != 2 || len(got[0]) != 2 || len(got[1]) != 1 || got[1][0].X != 3 {
 		t.Errorf("%v", got)
 	}
@@ -25,7 +25,7 @@
 
 func TestSaveWritesLineNames(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.svg")
-	first := Line{"first", Seconds(3), []float64{1, math.NaN(), 3}}
+	first := Line{"first", Indices(3), []float64{1, math.NaN(), 3}}
 	if err := Save(path, "title", "x", "y", first, Line{"second", nil, nil}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/forecast/report.go
+++ b/internal/simulation/forecast/report.go
@@ -98,14 +98,14 @@
 	var lines []chart.Line
 	for k, name := range c.Names {
 		y := chart.Smooth(serviceBySecond(c.Timelines[k]), smoothSeconds)
-		lines = append(lines, chart.Line{Name: name, X: chart.Seconds(len(y)), Y: y})
+		lines = append(lines, chart.Line{Name: name, X: chart.Indices(len(y)), Y: y})
 	}
 	return chart.SVG("service by the time of asking, all courses, mean of 5 s", "seconds", "service", lines...)
 }
 
 func (c *Comparison) plotDifferences() ([]byte, error) {
 	sorted := slices.Sorted(slices.Values(c.Diffs))
-	x := chart.Seconds(len(sorted))
+	x := chart.Indices(len(sorted))
 	return chart.SVG("difference of service by course, smallest first", "course", "second less first",
 		chart.Line{Name: "courses", X: x, Y: sorted},
 		chart.Line{Name: "bars of the mean", X: x, Y: slices.Repeat([]float64{c.Low}, len(sorted))},
--- a/internal/simulation/rolesim/report.go
+++ b/internal/simulation/rolesim/report.go
@@ -59,8 +59,8 @@
 			engines[second] = float64(n)
 		}
 		smooth := chart.Smooth(result.Lost, smoothSeconds)
-		prefill = append(prefill, chart.Line{Name: names[i], X: chart.Seconds(len(engines)), Y: engines})
-		lost = append(lost, chart.Line{Name: names[i], X: chart.Seconds(len(smooth)), Y: smooth})
+		prefill = append(prefill, chart.Line{Name: names[i], X: chart.Indices(len(engines)), Y: engines})
+		lost = append(lost, chart.Line{Name: names[i], X: chart.Indices(len(smooth)), Y: smooth})
 	}
 	base := filepath.Join(dir, strings.ReplaceAll(r.Scenario, " ", "-"))
 	if err := chart.Save(base+"-readers.svg", r.Scenario, "seconds", "readers", prefill...); err != nil {
