--- a/cmd/brackenbend/compare.go
+++ b/cmd/brackenbend/compare.go
@@ -164,7 +164,7 @@
 			"%s: another version of the program can't run recordings; compare it without --trace", subject)
 	case isExecutable(subject):
 		play := runOtherVersion(subject, played, checkRules)
-		return forecast.Subject{Name: filepath.Base(subject), Scenario: played, Play: play}, nil
+		return forecast.Subject{Name: filepath.Base(subject), Scenario: played, Simulate: play}, nil
 	default:
 		settings, err := config.Load(subject)
 		if err != nil {
@@ -177,7 +177,7 @@
 		options.Seed = seed
 		return options
 	}
-	return forecast.Subject{Name: subject, Scenario: played, Make: withSeed}, nil
+	return forecast.Subject{Name: subject, Scenario: played, Options: withSeed}, nil
 }
 
 // isExecutable reports whether path is a program rather than a settings file.
--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -76,13 +76,13 @@
 		return err
 	}
 	note := fmt.Sprintf("found by a fault search: service of %s %.3f, to compare with %.3f; %d breaches (simulated)",
-		subject, found.Subject, found.Yardstick, found.Violations)
+		subject, found.Subject, found.Reference, found.Violations)
 	_, text, err := played.WithFaults(found.Faults, note)
 	if err != nil {
 		return err
 	}
 	p := printer{out: cmd.OutOrStdout()}
-	p.printf("%s, %d lists run\n", note, found.Played)
+	p.printf("%s, %d lists run\n", note, found.Simulated)
 	for i := range found.Faults {
 		p.printf("  %s\n", found.Faults[i].XML())
 	}
@@ -115,17 +115,17 @@
 	if err != nil {
 		return err
 	}
-	s.search.Scenario, s.search.Subject, s.search.Parallel = played, target.Make, runtime.GOMAXPROCS(0)
+	s.search.Scenario, s.search.Subject, s.search.Parallel = played, target.Options, runtime.GOMAXPROCS(0)
 	if s.against != "" {
 		yardstick, err := parse(s.against)
 		if err != nil {
 			return err
 		}
-		s.search.Yardstick = yardstick.Make
+		s.search.Reference = yardstick.Options
 	}
 	s.search.OnRound = func(round int, best faultsearch.Result) {
 		p := printer{out: os.Stderr} // the search goes on even if its progress can't be written
-		p.printf("round %d: worst list loses %.4f, %d breaches\n", round+1, best.Lost(), best.Violations)
+		p.printf("round %d: worst list loses %.4f, %d breaches\n", round+1, best.Loss(), best.Violations)
 	}
 	return nil
 }
--- a/cmd/brackenbend/simulate_forecast.go
+++ b/cmd/brackenbend/simulate_forecast.go
@@ -51,7 +51,7 @@
 	f.IntVar(&s.runs, "runs", s.runs, "simulated replications of each scenario")
 	f.Float64Var(&s.level, "level", s.level, "probability with which a run on sockets lies within the interval")
 	f.Float64Var(&s.model.Floor, "floor", 0.002, "standard deviation of the simulation's error in any scenario")
-	f.Float64Var(&s.model.Part, "part", 0.1,
+	f.Float64Var(&s.model.LossFraction, "part", 0.1,
 		"further standard deviation, as a fraction of the service that the scenario loses")
 	f.BoolVar(&s.real, "real", false, "also run the scenarios on sockets")
 	f.BoolVar(&s.fit, "fit", false, "with --real: estimate --floor and --part from these scenarios")
@@ -74,7 +74,7 @@
 	var pairs []forecast.Pair
 	inInterval := 0
 	for i, f := range forecasts {
-		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d", f.Scenario, f.Mean, f.SD, f.Low, f.High, f.Worst, f.Rules)
+		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d", f.Scenario, f.Mean, f.SD, f.Low, f.High, f.Worst, f.Violations)
 		if s.real {
 			report, err := runOnSockets(ctx, scenarios[i])
 			if err != nil {
@@ -95,7 +95,7 @@
 	}
 	if s.fit {
 		fitted := forecast.Fit(pairs)
-		p.printf("fitted: --floor %.4f --part %.3f\n", fitted.Floor, fitted.Part)
+		p.printf("fitted: --floor %.4f --part %.3f\n", fitted.Floor, fitted.LossFraction)
 	}
 	if p.err != nil {
 		return p.err
--- a/cmd/brackenbend/simulate_overload.go
+++ b/cmd/brackenbend/simulate_overload.go
@@ -80,10 +80,10 @@
 	if err != nil {
 		return err
 	}
-	if subject.Make == nil {
+	if subject.Options == nil {
 		return usageErrorf("--way must be routing, random, fewest, two-choices or a settings file")
 	}
-	s.plan.Scenario, s.plan.Make, s.plan.Parallel = played, subject.Make, runtime.GOMAXPROCS(0)
+	s.plan.Scenario, s.plan.Options, s.plan.Parallel = played, subject.Options, runtime.GOMAXPROCS(0)
 	if s.loops {
 		s.plan.FeedbackLoops = overload.FeedbackLoops
 	}
--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -72,7 +72,7 @@
 		service[i] = second.ServedWeight / second.RequestedWeight // NaN, which is not drawn, for a second without requests
 	}
 	return chart.SVG("service by the time of asking, mean of 5 s", "seconds", "service",
-		chart.Line{Name: "service", X: chart.Seconds(len(service)), Y: chart.Smooth(service, smoothingSeconds)})
+		chart.Line{Name: "service", X: chart.Indices(len(service)), Y: chart.Smooth(service, smoothingSeconds)})
 }
 
 func (r *Report) plotFirstTokens() (svg []byte, err error) {
