--- a/roles/assignments.go
+++ b/roles/assignments.go
@@ -58,8 +58,8 @@
 	ErrSameRole       = errors.New("roles: engine has the role already")
 )
 
-// Write is how the API server replaces the stored table a by next, which was made from the version that it names. Write
-// returns next with the version incremented, or ErrConflict if a has another version.
+// Write returns the table that the API server stores in place of a: next with its version incremented. The version in
+// next is the one that it was made from; if a has another version, Write returns a and ErrConflict.
 func (a Assignments) Write(next Assignments) (Assignments, error) {
 	if next.Version != a.Version {
 		return a, fmt.Errorf("%w (from version %d, now %d)", ErrConflict, next.Version, a.Version)
--- a/roles/changes.go
+++ b/roles/changes.go
@@ -12,8 +12,8 @@
 	// idleGracePeriod is how long after its change an engine may be idle in its new stage, unless MinDwell is longer. The
 	// new role has to be listed and requests have to arrive.
 	idleGracePeriod = 20 * time.Second
-	// idleCheckPeriods is how long an engine is checked after its change, in grace periods. An engine that becomes idle
-	// later has another reason than a change that had no effect.
+	// idleCheckPeriods is how long an engine is checked after its change, in grace periods. If an engine becomes idle
+	// later, its change is not the cause.
 	idleCheckPeriods = 3
 	// idleFraction is the fraction of its peers' mean demand below which an engine counts as idle.
 	idleFraction = 0.05
@@ -77,8 +77,8 @@
 	e.Target = e.Role
 }
 
-// trackChange updates the record of an engine's pending change. When the change has ended, its duration enters the
-// moving average.
+// trackChange updates the record of an engine's pending change. When a change that was not reverted has ended, its
+// duration enters the moving average, and the averages of the engine's demand restart at zero.
 func (p *Planner) trackChange(e *Engine) {
 	change := p.pending[e.ID]
 	switch {
@@ -124,13 +124,14 @@
 	return reverted
 }
 
-// coverEmptyStage starts a change at once if a stage has no engine, whatever the demand and the dwell times. If the
-// other stage has only one engine, that engine serves both stages. It reports whether it started a change.
+// coverEmptyStage starts a change at once if a stage has no engine, whatever the demand, the dwell times, the cooldowns
+// and the limit of concurrent changes. If the other stage has only one engine, that engine serves both stages. It
+// reports whether it started a change.
 func (p *Planner) coverEmptyStage(f *fleet, plan *Plan) bool {
 	if f.both > 0 || f.prefillEngines > 0 && f.decodeEngines > 0 {
 		return false
 	}
-	// The reasons are stored: no engine is left that prefills, or none that decodes.
+	// The texts are stored. They mean that no engine is left that prefills, or none that decodes.
 	from, to, reason := Decode, Prefill, "nothing is left to read"
 	if f.decodeEngines == 0 {
 		from, to, reason = Prefill, Decode, "nothing is left to write"
@@ -149,7 +150,8 @@
 	return true
 }
 
-// specialize gives an engine that does both a single role again once another engine serves one of the stages.
+// specialize gives an engine that does both a single role again once another engine has a single role and no engine is
+// changing.
 func (p *Planner) specialize(f *fleet, plan *Plan) {
 	if f.prefillEngines+f.decodeEngines < 1 || f.changing > 0 {
 		return
--- a/roles/config.go
+++ b/roles/config.go
@@ -9,15 +9,17 @@
 
 // Config holds the settings of a Planner. The zero value of a field means its default.
 type Config struct {
-	// MinDwell is the minimum time between two changes of one engine; 0 = 60 s.
+	// MinDwell is the minimum time between two changes of one engine, unless a stage has no engine; 0 = 60 s.
 	MinDwell time.Duration
-	// MaxConcurrent is the fraction of the fleet that may be changing at once. One engine is always allowed; 0 = 0.1.
+	// MaxConcurrent is the fraction of the fleet that may be changing at once, unless a stage has no engine. One engine
+	// is always allowed; 0 = 0.1.
 	MaxConcurrent float64
 	// ChangeTime is the typical duration of a change, from the start of draining until the engine is half warm; 0 = 10 s.
-	// Lookbacks and the margins between experts are multiples of it. The measured duration of changes is learned
-	// separately.
+	// The experts' lookbacks, the decay of their losses and the margin for a shorter lookback are multiples of it. The
+	// cost of a change depends on the measured duration of changes instead, which starts at ChangeTime.
 	ChangeTime time.Duration
-	// WarmUp is the part of ChangeTime after the engine has reported that it has changed; 0 = 3 s.
+	// WarmUp is the part of a change after the engine has reported that it has changed. It is added to each measured
+	// duration; 0 = 3 s.
 	WarmUp time.Duration
 	// StaleAfter is the age above which a load report is ignored; 0 = 5 s.
 	StaleAfter time.Duration
--- a/roles/cooldown.go
+++ b/roles/cooldown.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// An engine that did not change as commanded is in cooldown for firstCooldown, and for twice as long after each
-// further failure, up to maxCooldown. A cooldown is long compared with a change, so that a faulty engine costs little,
-// and short enough that a repaired engine is used the same day.
+// An engine whose change was overdue or had no effect is in cooldown for firstCooldown, and for twice as long after
+// each further failure, up to maxCooldown. A cooldown is long compared with a change, so that a faulty engine costs
+// little, and short enough that a repaired engine is used the same day.
 const (
 	firstCooldown = 5 * time.Minute
 	maxCooldown   = time.Hour
--- a/roles/cost.go
+++ b/roles/cost.go
@@ -9,7 +9,7 @@
 	// this factor times the square root of the fleet's size. The work of a larger fleet varies more in total and less
 	// per engine.
 	softMaximumScale = 0.09
-	// linearAbove is the value of z above which ln(1+exp(z)) equals z to double precision.
+	// linearAbove is the value of z above which ln(1+exp(z)) differs from z by less than 1e-13.
 	linearAbove = 30
 )
 
--- a/roles/demand.go
+++ b/roles/demand.go
@@ -11,7 +11,8 @@
 	demandSmoothing = 4 * time.Second
 	// queueDrainTime is the time within which queued work should be done. It converts a queue into a rate of work.
 	queueDrainTime = 5 * time.Second
-	// frozenAfter is how long a report's totals may stay unchanged while work is queued before it is no longer trusted.
+	// frozenAfter is how long all values of the reports may stay unchanged while work is queued before the reports are no
+	// longer trusted.
 	frozenAfter = 10 * time.Second
 	// maxEngineDemand bounds the demand per stage, in engines, taken from one report, so that a faulty report has little
 	// influence.
@@ -22,7 +23,7 @@
 type demandMeter struct {
 	last      Report
 	hasLast   bool
-	changedAt time.Duration // when a total last changed
+	changedAt time.Duration // when a value last changed
 	prefill   float64       // moving averages of demand, in engines
 	decode    float64
 	measured  bool // at least one pair of reports has been measured
@@ -30,7 +31,7 @@
 }
 
 // update processes the latest report. A report that is missing, stale, from the future, invalid, frozen although work
-// is queued, or the first one after a restart is not trusted and leaves the averages unchanged.
+// is queued, or the first one, also after a restart, is not trusted and leaves the averages unchanged.
 func (m *demandMeter) update(report *Report, now, staleAfter time.Duration) {
 	m.trusted = false
 	if report == nil || !report.Prefill.valid() || !report.Decode.valid() ||
@@ -59,8 +60,8 @@
 	m.last, m.measured, m.trusted = *report, true, true
 }
 
-// stageDemand returns the demand for one stage between two reports, in engines: the rate of work done and lost, and the
-// rate needed to drain the queue.
+// stageDemand returns the demand for one stage between two reports, in engines: the rate of work done and lost, plus
+// the rate needed to drain the queue.
 func stageDemand(before, after StageLoad, dt float64) float64 {
 	rate := (after.Done - before.Done + after.Lost - before.Lost) / dt
 	return min(rate+after.Waiting/queueDrainTime.Seconds(), maxEngineDemand)
--- a/roles/expert.go
+++ b/roles/expert.go
@@ -64,8 +64,8 @@
 	return n
 }
 
-// step adds the cost of dt seconds of the present demand to the expert's loss, records the demand, and finishes and
-// starts simulated changes.
+// step finishes the simulated changes that are due, adds the cost of dt seconds of the present demand to the expert's
+// loss, records the demand and starts simulated changes.
 func (x *expert) step(f *fleet, now time.Duration, dt, changeSeconds float64, maxConcurrent int) {
 	if !x.started {
 		x.start(f, now)
@@ -93,7 +93,7 @@
 	}}
 }
 
-// finishChanges completes the simulated changes that are due. They are sorted by the time at which they end.
+// finishChanges completes the simulated changes that are due, in the order in which they were started.
 func (x *expert) finishChanges(now time.Duration) {
 	for len(x.pending) > 0 && x.pending[0].endsAt <= now {
 		if x.pending[0].target == Prefill {
@@ -105,8 +105,8 @@
 	}
 }
 
-// startChanges starts simulated changes towards the best split if the expected gain over the lookback exceeds the cost
-// of one change.
+// startChanges starts simulated changes towards the best split if the expected gain is at least the cost of one change.
+// The gain is counted over the lookback, or over the duration of a change if that is longer.
 func (x *expert) startChanges(f *fleet, now time.Duration, changeSeconds float64, maxConcurrent int) {
 	bothHalf := float64(f.both) / 2
 	total := x.prefillEngines + x.decodeEngines + len(x.pending)
--- a/roles/fleet.go
+++ b/roles/fleet.go
@@ -14,10 +14,10 @@
 // Engine is the state of one engine, as the caller of Planner.Step knows it.
 type Engine struct {
 	ID          string
-	Role        Role // the role that it is listed in
-	Target      Role // the role that it is changing to; equals Role if it is not changing
-	ChangedAt   time.Duration
-	Ready       bool // up and listed as serving
+	Role        Role          // the role that it is listed in
+	Target      Role          // the role that it is changing to; equals Role if it is not changing
+	ChangedAt   time.Duration // when its last command was confirmed, by the planner's clock; 0 = never
+	Ready       bool          // up and listed as serving
 	CanPrefill  bool
 	CanDecode   bool
 	Pinned      bool // its role is fixed by an operator
@@ -46,8 +46,8 @@
 	Lost    float64 // total work that was rejected, or dropped because it was too late
 }
 
-// Replica is a gateway replica with its load report: the work that it rejected, which no engine reports. A replica
-// without a trusted report is ignored, and the planner then underestimates an overload.
+// Replica is a gateway replica with its load report: the work that it lost, which no engine reports. A replica without
+// a trusted report is ignored, and the planner then underestimates an overload.
 type Replica struct {
 	ID     string
 	Report *Report
@@ -173,7 +173,7 @@
 	f.minPrefillEngines, f.maxPrefillEngines = max(fixed.prefill, 1), total-max(fixed.decode, 1)
 }
 
-// observeReplicas updates the meters of the replicas and returns the demand that they rejected.
+// observeReplicas updates the meters of the replicas and returns the demand for the work that the replicas lost.
 func (p *Planner) observeReplicas(replicas []Replica, present map[string]bool) (prefill, decode float64) {
 	for _, replica := range replicas {
 		id := "replica " + replica.ID // differs from the keys of all engines
--- a/roles/lifecycle.go
+++ b/roles/lifecycle.go
@@ -100,7 +100,7 @@
 	}
 	switch {
 	case status.CommandNumber == e.CommandNumber && status.Role == e.Target && e.pending():
-		if !e.Serving { // it may have switched, or switched and been commanded back
+		if !e.Serving { // the engine has switched, or a revert may have made it switch back
 			e.ServingSince = now
 		}
 		e.Role, e.Serving, e.ChangedAt = e.Target, true, now
@@ -165,8 +165,8 @@
 }
 
 // Accept returns the state after a command; a command that is not newer than the last one is ignored. While Target
-// differs from Role the engine drains, also after a crash: it accepts no new work of its old role and finishes the work
-// that it has.
+// lacks a stage of Role the engine drains, also after a crash: it accepts no new work of its old role and finishes the
+// work that it has.
 func (s EngineState) Accept(command Command) EngineState {
 	if command.Number > s.CommandNumber {
 		s.CommandNumber, s.Target = command.Number, command.Target
--- a/roles/memory_test.go
+++ b/roles/memory_test.go
@@ -37,8 +37,8 @@
 	if _, ok := first.Memory(); ok {
 		t.Error("a planner that has not planned returns a memory")
 	}
-	for second := range 3000 {
-		fleet.advance(oscillatingWork(second))
+	for at := range 3000 {
+		fleet.advance(oscillatingWork(at))
 		fleet.planAndApply(first, 8*time.Second)
 	}
 	memory, ok := first.Memory()
@@ -94,16 +94,16 @@
 	for name, corrupt := range map[string]func(*Memory){
 		"no experts":         func(m *Memory) { m.Experts = nil },
 		"unknown leader":     func(m *Memory) { m.Leader = 99 },
-		"cost not a number":  func(m *Memory) { m.ChangeSeconds = math.NaN() },
-		"enormous cost":      func(m *Memory) { m.ChangeSeconds = 1e9 },
+		"NaN duration":       func(m *Memory) { m.ChangeSeconds = math.NaN() },
+		"enormous duration":  func(m *Memory) { m.ChangeSeconds = 1e9 },
 		"negative split":     func(m *Memory) { m.LastSplit[0] = -1 },
-		"negative readers":   func(m *Memory) { m.Experts[1].PrefillEngines = -1 },
+		"negative engines":   func(m *Memory) { m.Experts[1].PrefillEngines = -1 },
 		"infinite loss":      func(m *Memory) { m.Experts[1].Loss = math.Inf(1) },
 		"other lookback":     func(m *Memory) { m.Experts[2].Lookback++ },
 		"no history":         func(m *Memory) { m.Experts[0].History = nil },
 		"too long a history": func(m *Memory) { m.Experts[0].History = make([]WorkMemory, 10000) },
 		"empty sample":       func(m *Memory) { m.Experts[0].History[0].Seconds = 0 },
-		"out of order":       func(m *Memory) { m.Experts[0].History[0].Age = -1 },
+		"negative age":       func(m *Memory) { m.Experts[0].History[0].Age = -1 },
 		"endless cooldown": func(m *Memory) {
 			m.Cooldowns = []CooldownMemory{{ID: "e", Remaining: time.Hour, Duration: 1000 * time.Hour}}
 		},
--- a/roles/planner.go
+++ b/roles/planner.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// maxStepSeconds bounds the time that one step accounts for: the planner has observed nothing while it was paused.
+	// maxStepSeconds bounds the time that one step accounts for: while the planner was paused, it observed no demand.
 	maxStepSeconds = 5
-	// lossWindowChanges is the time constant with which an expert's losses decay, in change times: several periods of
-	// the slowest oscillation that is worth following.
-	lossWindowChanges = 120.0
+	// lossWindowChangeTimes is the time constant with which an expert's losses decay, in multiples of Config.ChangeTime:
+	// several periods of the slowest oscillation that is worth following.
+	lossWindowChangeTimes = 120.0
 	// longerLookbackMargin is how much less than the leader an expert with a longer lookback must have lost to become
 	// the leader, in costs of one change.
 	longerLookbackMargin = 1.0
-	// shorterLookbackMargin is the same for a shorter lookback, as a fraction of the whole fleet's work during a change.
-	// It is larger because an expert with a short lookback gains by chance in the first period of an oscillating mix.
+	// shorterLookbackMargin is the same for a shorter lookback, as a fraction of what the whole fleet can do during
+	// Config.ChangeTime. It is larger because an expert with a short lookback gains by chance in the first period of an
+	// oscillating mix.
 	shorterLookbackMargin = 0.3
 )
 
-// lookbacks are the experts' lookbacks, in change times: how far it is useful to look back depends on how long a change
-// takes. The expert with the longest lookback leads until another has lost less by the margin.
+// lookbacks are the experts' lookbacks, in multiples of Config.ChangeTime: how far it is useful to look back depends on
+// how long a change takes. The expert with the longest lookback leads until another has lost less by the margin.
 var lookbacks = [...]float64{120, 30, 8, 2, 0.5}
 
 // Planner decides the changes of role of one fleet. It is not safe for concurrent use.
@@ -42,7 +43,7 @@
 type Change struct {
 	ID     string
 	Target Role
-	Reason string // for logs; includes the demand where it caused the change
+	Reason string // for operators, stored with the assignment; includes the demand where it caused the change
 }
 
 // Plan is the result of Step: the decisions and the figures that they are based on.
@@ -54,9 +55,9 @@
 	PrefillDemand        float64       // demand for prefill, in engines
 	DecodeDemand         float64       // demand for decode, in engines
 	WantedPrefillEngines int           // the leading expert's choice; without one, the present number
-	Lookback             time.Duration // of the leading expert; 0 if none has planned
-	Engines              int           // prefill engines and decode engines
-	UntrustedReports     int           // engines whose report is missing, stale, frozen or invalid
+	Lookback             time.Duration // of the leading expert; 0 if the step did not plan by demand
+	Engines              int           // prefill and decode engines, without those that do both
+	UntrustedReports     int           // engines without a trusted report
 	ChangeTime           time.Duration // measured duration of a change
 }
 
@@ -73,17 +74,18 @@
 		cooldowns:     map[string]cooldown{},
 		changeSeconds: config.ChangeTime.Seconds(),
 	}
-	for _, changes := range lookbacks {
+	for _, changeTimes := range lookbacks {
 		p.experts = append(p.experts, &expert{
-			lookback:   time.Duration(changes * float64(config.ChangeTime)),
-			lossWindow: time.Duration(lossWindowChanges * float64(config.ChangeTime)),
+			lookback:   time.Duration(changeTimes * float64(config.ChangeTime)),
+			lossWindow: time.Duration(lossWindowChangeTimes * float64(config.ChangeTime)),
 		})
 	}
 	return p, nil
 }
 
 // Step plans for the state of the fleet at now. It is meant to be called about once a second; the interval has little
-// influence on the plans. The state of engines and replicas that are not passed is dropped.
+// influence on the plans. The state of engines and replicas that are not passed is dropped, except
+// for cooldowns.
 func (p *Planner) Step(now time.Duration, engines []Engine, replicas []Replica) Plan {
 	dt := min(max((now-p.now).Seconds(), 0), maxStepSeconds)
 	if !p.started {
--- a/roles/planner_test.go
+++ b/roles/planner_test.go
@@ -38,7 +38,8 @@
 
 // drawFleet draws a fleet in which some engines are pinned or can serve one stage only.
 func drawFleet(t *rapid.T) *simulatedFleet {
-	fleet := newSimulatedFleet(rapid.IntRange(1, 12).Draw(t, "readers"), rapid.IntRange(1, 12).Draw(t, "writers"))
+	fleet := newSimulatedFleet(
+		rapid.IntRange(1, 12).Draw(t, "prefill engines"), rapid.IntRange(1, 12).Draw(t, "decode engines"))
 	for i := range fleet.engines {
 		e := &fleet.engines[i]
 		switch rapid.IntRange(0, 9).Draw(t, "kind") {
@@ -153,8 +154,8 @@
 		t.Errorf("changes by target role after 20 minutes of steady work: %v", late)
 	}
 	least := math.Inf(1)
-	for readers := 1; readers < engines; readers++ {
-		least = min(least, Cost(prefill, decode, readers, engines-readers))
+	for prefillEngines := 1; prefillEngines < engines; prefillEngines++ {
+		least = min(least, Cost(prefill, decode, prefillEngines, engines-prefillEngines))
 	}
 	cost := Cost(prefill, decode, fleet.count(Prefill), fleet.count(Decode))
 	if cost > least+0.02*float64(engines) {
@@ -185,7 +186,7 @@
 					corrupt(fleet, &fleet.engines[i])
 				}
 				plan := p.Step(fleet.now, fleet.engines, nil)
-				detected := name != frozenName || second > 30 // frozen totals are trusted until frozenAfter has passed
+				detected := name != frozenName || second > 30 // unchanged reports are trusted until frozenAfter has passed
 				if len(plan.Changes) > 0 && detected {
 					t.Errorf("changes from untrusted reports: %+v", plan.Changes)
 				}
--- a/roles/recorded_test.go
+++ b/roles/recorded_test.go
@@ -119,7 +119,8 @@
 	return table
 }
 
-// applyRandom applies a random operation to one engine's entry.
+// applyRandom applies a random operation to one engine's entry. It returns the new table, and whether a status report
+// changed it.
 func applyRandom(random *rand.Rand, table Assignments, id string, now time.Duration) (Assignments, bool, error) {
 	var next Assignments
 	var err error
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -4,7 +4,7 @@
 //
 //   - planner.go decides how many engines each stage needs, with the experts in expert.go and the cost in cost.go
 //   - fleet.go aggregates the state of the fleet, demand.go turns load reports into demand
-//   - changes.go and selection.go choose the engines that change role, cooldown.go excludes those that failed to change
+//   - changes.go and selection.go choose the engines that change role, cooldown.go excludes those that failed a change
 //   - assignments.go and lifecycle.go are the protocol of a change between planner, assignment table and engine
 //   - memory.go exports and restores what a planner has learned
 //
