--- a/internal/planner/engines.go
+++ b/internal/planner/engines.go
@@ -11,7 +11,8 @@
 	"brackenbend/roles"
 )
 
-// pollEngines requests the status of every engine that is up, and returns the time at which all polls had ended.
+// pollEngines requests the status of every engine that is up, keeps the answers in r.statuses and returns the time at
+// which all polls had ended.
 func (r *Runner) pollEngines(ctx context.Context, view View) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout*r.Interval)
 	defer cancel()
@@ -47,7 +48,7 @@
 		}
 		var status Status
 		if err := r.APIServer.do(ctx, http.MethodPost, url, command, &status); err != nil {
-			r.Log.Info("sending command failed; it is sent again in the next round", zap.String("engine", id), zap.Error(err))
+			r.Log.Info("command not delivered, it is sent again", zap.String("engine", id), zap.Error(err))
 		}
 	})
 }
--- a/internal/planner/memory.go
+++ b/internal/planner/memory.go
@@ -13,8 +13,9 @@
 	savedAt   time.Time // of the last attempt to save; at first, of the request
 }
 
-// restoreMemory restores, in the first round only, the memory that an earlier planner has saved. If that fails, the
-// planner starts without history, which is safe but takes longer to reach good decisions.
+// restoreMemory restores the memory that an earlier planner has saved. It tries once, in the first round that has read
+// the assignment table. If that fails, the planner starts without history, which is safe but takes longer to reach good
+// decisions.
 func (r *Runner) restoreMemory(ctx context.Context) {
 	if r.memory.requested || r.Policy != nil {
 		return
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -23,11 +23,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// eventuallyTimeout is how long tests wait for an effect of a planner. It takes a few rounds of 10 ms, and longer on a
-// loaded machine.
+// eventuallyTimeout is how long tests wait for an effect of a planner. An effect takes a few rounds of 10 ms, and
+// longer on a loaded machine.
 const eventuallyTimeout = 20 * time.Second
 
-// kinds are the kinds that engines are listed as, by role.
+// kinds holds the endpoint kind that the API server lists an engine as, by role.
 var kinds = map[roles.Role]string{roles.Prefill: "prefill", roles.Decode: "decode", roles.Both: "mixed"}
 
 func engineParams(role roles.Role) enginemodel.Params {
--- a/internal/planner/runner.go
+++ b/internal/planner/runner.go
@@ -1,7 +1,7 @@
 // Package planner connects a role planner (package roles) to the API server and the engines. In each round it reads
-// the assignment table, polls the engines, writes the planner's decisions to the table and sends the engines their
-// commands. All decisions are made in package roles. Any number of planners may run, because each write names the
-// version of the table that it was made from.
+// the assignment table, polls the engines and the gateway replicas, writes the planner's decisions to the table and
+// sends the engines their commands. All decisions are made in package roles. Any number of planners may run, because
+// each write names the version of the table that it was made from.
 //
 // The goroutine that calls Runner.Run owns all state of the Runner. Polls and commands run in goroutines that end
 // before their round does.
@@ -76,7 +76,7 @@
 	for {
 		result := "done"
 		if err := r.round(ctx); err != nil && ctx.Err() == nil {
-			r.Log.Warn("planning round failed", zap.Error(err))
+			r.Log.Warn("planning failed", zap.Error(err))
 			result = "failed"
 		}
 		r.Metrics.rounds.WithLabelValues(result).Inc()
@@ -113,7 +113,7 @@
 	}
 	r.restoreMemory(ctx)
 	polledAt := r.pollEngines(ctx, view)
-	table, confirmed := r.applyStatuses(view.Assignments)
+	table, changed := r.applyStatuses(view.Assignments)
 	replicas := r.pollReplicas(ctx)
 	now := r.now() // read after all polls, because the planner ignores reports from the future
 	engines := Engines(view, r.statuses, r.cells, polledAt, now, wallClock())
@@ -124,7 +124,7 @@
 	r.Metrics.observe(plan, table)
 	table, done, refused := table.ApplyPlan(plan)
 	r.logPlan(done, refused)
-	if confirmed || len(done.Reverts)+len(done.Changes) > 0 {
+	if changed || len(done.Reverts)+len(done.Changes) > 0 {
 		if table, err = r.APIServer.Write(ctx, table); err != nil {
 			return err // a command must not be sent before it is stored
 		}
@@ -149,9 +149,9 @@
 		if !ok {
 			continue
 		}
-		var confirmed bool
-		next, confirmed = next.ApplyStatus(id, status.StatusReport, wallClock())
-		changed = changed || confirmed
+		var applied bool
+		next, applied = next.ApplyStatus(id, status.StatusReport, wallClock())
+		changed = changed || applied
 	}
 	return next, changed
 }
