--- a/roles/lifecycle_test.go
+++ b/roles/lifecycle_test.go
@@ -77,7 +77,7 @@
 
 // bounds limits an exploration.
 type bounds struct {
-	commands   uint64
+	commands   uint64 // highest number of a start or revert; corrections of wrong roles may exceed it by two
 	diskLosses int
 }
 
@@ -354,28 +354,28 @@
 		return next, nil
 	}
 	for name, c := range map[string]struct {
-		fleet  []Role
-		system implementation
-		want   string
+		fleet []Role
+		impl  implementation
+		want  string
 	}{
 		"an engine that accepts old commands": {
-			fleet:  []Role{Prefill, Decode},
-			system: implementation{accept: acceptsOldCommands, write: Assignments.Write},
-			want:   "is listed as serving in a role that it does not serve",
+			fleet: []Role{Prefill, Decode},
+			impl:  implementation{accept: acceptsOldCommands, write: Assignments.Write},
+			want:  "is listed as serving in a role that it does not serve",
 		},
 		"an engine that accepts nothing": {
-			fleet:  []Role{Prefill, Decode},
-			system: implementation{accept: acceptsNothing, write: Assignments.Write},
-			want:   "no state can be reached in which all commands are confirmed",
+			fleet: []Role{Prefill, Decode},
+			impl:  implementation{accept: acceptsNothing, write: Assignments.Write},
+			want:  "no state can be reached in which all commands are confirmed",
 		},
 		"an API server that accepts old versions": {
-			fleet:  []Role{Prefill, Prefill, Decode},
-			system: implementation{accept: EngineState.Accept, write: mergesOldVersions},
-			want:   "a stage is left without an engine",
+			fleet: []Role{Prefill, Prefill, Decode},
+			impl:  implementation{accept: EngineState.Accept, write: mergesOldVersions},
+			want:  "a stage is left without an engine",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := explore(c.fleet, bounds{commands: 2}, c.system)
+			x := explore(c.fleet, bounds{commands: 2}, c.impl)
 			if !strings.Contains(x.violation, c.want) {
 				t.Errorf("violation %q, want %q", x.violation, c.want)
 			}
