--- a/internal/endpointslice/cache.go
+++ b/internal/endpointslice/cache.go
@@ -63,7 +63,7 @@
 		defer close(w.done)
 		for list := range w.pending {
 			if err := WriteCache(path, list); err != nil {
-				log("cannot write the endpoint list to the cache file", err)
+				log("cannot write the endpoint list cache", err)
 			}
 		}
 	}()
--- a/internal/endpointslice/watch.go
+++ b/internal/endpointslice/watch.go
@@ -78,7 +78,7 @@
 func (w *Watcher) loadCache() {
 	list, err := ReadCache(w.CacheFile)
 	if err != nil {
-		w.Log("cannot read the endpoint list from the cache file", err)
+		w.Log("cannot use the cached endpoint list", err)
 		return
 	}
 	if len(list) == 0 {
@@ -91,10 +91,10 @@
 func (w *Watcher) handleFailure(err error) {
 	if errors.Is(err, errExpired) {
 		w.resourceVersion = ""
-		w.Log("resource version expired; listing endpoints again", err)
+		w.Log("resource version expired, listing endpoints again", err)
 		return
 	}
-	w.Log("endpoint watch failed; keeping the last endpoint list", err)
+	w.Log("endpoint watch failed, keeping the last list", err)
 	w.OnUpdate(Update{Scope: routing.ListFailed})
 }
 
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		if !outage { // logs each outage once
-			w.Log("discovery agent unreachable; keeping the last endpoint list", err)
+			w.Log("discovery unreachable, keeping the last endpoint list", err)
 		}
 		outage = true
 		if errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -103,7 +103,7 @@
 	}
 	update, err := list.Update()
 	if err != nil {
-		n.log.Warn("cached endpoint list is invalid; starting with an empty list", zap.Error(err))
+		n.log.Warn("cannot use the cached endpoint list, starting without", zap.Error(err))
 		return empty
 	}
 	update.Scope = routing.ListCached
@@ -128,7 +128,7 @@
 func (n *Node) Reload() {
 	config, err := Load(n.configFile, n.env)
 	if err != nil {
-		n.log.Error("cannot reload configuration; keeping the current one", zap.Error(err))
+		n.log.Error("configuration rejected", zap.Error(err))
 		return
 	}
 	n.watcher.SetAddress(config.Discovery)
