--- a/internal/endpointslice/slice.go
+++ b/internal/endpointslice/slice.go
@@ -51,8 +51,8 @@
 )
 
 // AnnotationStarted is an optional annotation of a slice: a JSON object that maps endpoint names to the RFC 3339 start
-// times of their processes. For an endpoint without an entry, the process counts as started at the time when its uid
-// was first seen ready after the first list.
+// times of their processes. A process without an entry counts as started when its endpoint becomes ready after the
+// first list. If it is ready in the first list, it counts as started long ago, unless the cache holds its start time.
 const AnnotationStarted = "brackenbend.dev/started"
 
 const (
@@ -79,16 +79,16 @@
 	return port
 }
 
-// startTimes parses the annotation AnnotationStarted. It returns an empty map if the annotation is absent.
+// startTimes parses the annotation AnnotationStarted. It returns an empty map if the annotation is absent or not JSON.
 func (s *EndpointSlice) startTimes() map[string]time.Time {
 	startTimes := map[string]time.Time{}
 	if text := s.Metadata.Annotations[AnnotationStarted]; text != "" {
-		_ = json.Unmarshal([]byte(text), &startTimes) // keeps the entries that precede a malformed one
+		_ = json.Unmarshal([]byte(text), &startTimes) // keeps the entries that precede an invalid time
 	}
 	return startTimes
 }
 
-// endpoint converts one endpoint of the slice. ok is false if it has no usable address.
+// endpoint converts one endpoint of the slice. ok is false if it has no usable address or port.
 func (s *EndpointSlice) endpoint(se *SliceEndpoint, port int) (endpoint Endpoint, ok bool) {
 	if len(se.Addresses) == 0 || port <= 0 || port > maxPort {
 		return Endpoint{}, false
--- a/internal/endpointslice/store.go
+++ b/internal/endpointslice/store.go
@@ -19,8 +19,8 @@
 	eventError    = "ERROR"
 )
 
-// minDeletedVersions is the least number of deleted slices whose versions are stored, so that late events about them
-// are recognized. They take some tens of kilobytes, and pruning remains rare.
+// minDeletedVersions is how many versions of deleted slices are stored at least before they are pruned. Late events
+// about deleted slices are recognized by them. That many take some tens of kilobytes, and pruning remains rare.
 const minDeletedVersions = 1024
 
 // startTimeTolerance is how much the annotated start time of one process may vary without indicating a restart.
@@ -161,7 +161,7 @@
 		endpoint.Kind = slice.Metadata.Labels[s.kindLabel]
 		endpoint.Cell = slice.Metadata.Labels[s.cellLabel]
 		endpoint.Started = s.startTime(&endpoint, startTimes, previous)
-		// An endpoint may be listed in two slices while it moves between them. It is draining if either of them says so.
+		// An endpoint may be listed in two slices while it moves between them. It is ready only if both say so.
 		if other, ok := s.endpoints[endpoint.Name]; ok && other.State != routing.EndpointReady {
 			endpoint.State = other.State
 		}
@@ -170,13 +170,13 @@
 }
 
 // startTime returns when the process of an endpoint started: the annotated time if there is one, else the time that is
-// already known, else the present time. Zero means long ago.
+// already known, else the present time if the endpoint becomes ready after the first list. Zero means long ago.
 func (s *store) startTime(endpoint *Endpoint, annotated map[string]time.Time, previous map[string]Endpoint) time.Time {
 	now := s.now()
 	old, known := previous[endpoint.Name]
 	sameProcess := known && old.UID == endpoint.UID
 	if started, ok := annotated[endpoint.Name]; ok {
-		if started.After(now) { // the clock that the annotation is from is ahead
+		if started.After(now) { // the clock of the annotation's author is ahead
 			started = now
 		}
 		if sameProcess && !old.Started.IsZero() && started.Sub(old.Started).Abs() < startTimeTolerance {
--- a/internal/endpointslice/watch.go
+++ b/internal/endpointslice/watch.go
@@ -21,15 +21,15 @@
 	CacheFile string // path of the cache file, may be empty
 	Client    *http.Client
 	UserAgent string
-	OnUpdate  func(Update) // called from Run's goroutine only
-	Log       func(msg string, err error)
+	OnUpdate  func(Update)                // called from Run's goroutine only
+	Log       func(msg string, err error) // may be called concurrently
 
 	// MinBackoff and MaxBackoff bound the backoff after a failed request, which doubles from one to the other. The delay
 	// is drawn uniformly from the upper half of the backoff, so that replicas that lost the API server at the same time do
 	// not reconnect at the same time.
 	MinBackoff, MaxBackoff time.Duration
-	// WatchTimeout ends a watch that delivered neither an event nor a bookmark for so long, and bounds the time of a list.
-	// The API server sends a bookmark about every minute.
+	// WatchTimeout is how long a watch may deliver neither an event nor a bookmark before it is ended, and how long all
+	// pages of a list may take together. The API server sends a bookmark about every minute.
 	WatchTimeout time.Duration
 
 	store           *store
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -62,9 +62,9 @@
 	d.recordDisconnect(id)
 }
 
-// TestNoAttemptStartsAfterClientDisconnects runs thousands of clients on one processor. Most of them disconnect at a
-// random stage of their request (queued, in prefill, between prefill and decode, in decode); the others wait for the
-// response. No attempt may reach an engine more than 0.1 s after its client disconnected.
+// TestNoAttemptStartsAfterClientDisconnects runs thousands of client connections on one processor. Most clients
+// disconnect at a random stage of their request (queued, in prefill, between prefill and decode, in decode); the others
+// wait for the response. No attempt may reach an engine more than 0.1 s after its client disconnected.
 func TestNoAttemptStartsAfterClientDisconnects(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const clients, rounds, maxDelay = 16, 190, 100 * time.Millisecond
@@ -73,7 +73,7 @@
 		newPrefillEngine(t, d.withRandomDelay(replyPrefill)), newDecodeEngine(t, d.withRandomDelay(replyDecode)),
 	}
 	for _, e := range engines {
-		go func() { // this test does not wait for requests
+		go func() { // keeps the channel from filling up, since this test does not wait for requests
 			for range e.requestSeen {
 			}
 		}()
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -24,7 +24,7 @@
 
 func TestLoadNamesInvalidField(t *testing.T) {
 	for _, tc := range []struct {
-		want  string // "" = no error
+		want  string // part of the error text; "" = no error
 		field string // of the FieldError; "" = none
 		edit  func(map[string]any)
 	}{
--- a/internal/node/discovery/conn.go
+++ b/internal/node/discovery/conn.go
@@ -14,13 +14,13 @@
 // pathList is the path of the endpoint list. With a revision in the query, the request is a watch (a long poll).
 const pathList = "/v1/servers"
 
-// readBufferSize is the size of a connection's read buffer in bytes. A longer list is read into a separate buffer.
+// readBufferSize is the size of a connection's read buffer in bytes. Replies may be longer.
 const readBufferSize = 4096
 
 // responseLimits bounds the heads of replies. The platform's replies have few header fields.
 var responseLimits = http1.Limits{MaxHeaderBytes: 16 << 10, MaxHeaderFields: 100}
 
-// conn is a connection on which the complete list was requested.
+// conn is a connection to the discovery agent. The first request on it is for the complete list.
 type conn struct {
 	net.Conn
 	address       string
--- a/internal/node/discovery/discovery.go
+++ b/internal/node/discovery/discovery.go
@@ -1,10 +1,10 @@
 // Package discovery lists and watches the platform's engines through the discovery agent on the node's machine. It
-// requests the complete list first and then long-polls for the changes since a revision. It does not track the health
-// of engines and stores nothing on disk; the gateway stores the list.
+// requests the complete list first and then long-polls for the changes since a revision. It neither tracks the health
+// of engines nor keeps the list, which it passes to OnUpdate.
 //
 // list.go holds the list and its conversion, watch.go the list-and-watch loop, conn.go the connections and requests.
-// The goroutine of Watcher.Run owns the state and calls OnUpdate. It starts up to MaxListRequests goroutines, one for
-// each attempt to get the list, and waits for them to end.
+// The goroutine of Watcher.Run owns the state and calls OnUpdate. It starts a goroutine for each attempt to get the
+// complete list and waits for all of them to end.
 package discovery
 
 import (
@@ -27,7 +27,7 @@
 	ResponseTimeout  time.Duration // for the rest of a reply whose first byte has arrived
 	MaxBackoff       time.Duration // after a failed request
 	MaxListBytes     int64         // of the body of a reply
-	Seed             uint64        // of the backoff's jitter, so that nodes that lost one agent do not reconnect at once
+	Seed             uint64        // of the backoff's jitter: nodes that lost one agent must not reconnect together
 
 	position position // owned by Run's goroutine
 
@@ -47,10 +47,10 @@
 // the worst case, a watch hangs: it gets no reply, or its reply stalls after the first byte. Then one connection
 // attempt times out, and finally the list takes all the time that it is given.
 func (w *Watcher) MaxStaleness() time.Duration {
-	silentWatch := max(w.WatchTimeout+w.FirstByteTimeout, w.ResponseTimeout)
+	hangingWatch := max(w.WatchTimeout+w.FirstByteTimeout, w.ResponseTimeout)
 	failedConnect := w.ConnectTimeout + w.MaxBackoff
 	slowList := w.ConnectTimeout + MaxListRequests*w.FirstByteTimeout + w.ResponseTimeout
-	return silentWatch + failedConnect + slowList
+	return hangingWatch + failedConnect + slowList
 }
 
 // SetAddress sets the address of the discovery agent. If it differs from the current one, requests to the current
@@ -78,7 +78,7 @@
 	return ctx, w.address
 }
 
-// backoff returns the delay after a failed request, drawn uniformly from the upper half of MaxBackoff.
+// backoff returns the delay after a failed request, drawn uniformly from MaxBackoff/2 to MaxBackoff.
 func (w *Watcher) backoff(rnd *rand.Rand) time.Duration {
 	half := w.MaxBackoff / 2
 	return half + time.Duration(rnd.Int64N(int64(half)+1))
--- a/internal/node/discovery/list.go
+++ b/internal/node/discovery/list.go
@@ -41,7 +41,7 @@
 // Limits on a list, far above the size of the platform's fleets. They bound memory and the length of log lines.
 const (
 	maxMembers     = 20000
-	maxMemberBytes = 512 // of all strings of one member
+	maxMemberBytes = 512 // of the id, host_port, locality and flavor of one member together
 )
 
 // Parse parses a list. The fields revision, complete and members are required.
@@ -76,8 +76,8 @@
 
 func (e *memberError) Unwrap() error { return e.err }
 
-// Update converts the list. One invalid member makes the whole list invalid: without that member, the list would say
-// that its engine was removed.
+// Update converts the list. One invalid member makes the whole list invalid: if it were left out, its engine would
+// count as removed, or a change would be lost.
 func (l *List) Update() (endpointslice.Update, error) {
 	update := endpointslice.Update{Scope: routing.ListChanges}
 	if l.Complete {
--- a/internal/node/discovery/server_test.go
+++ b/internal/node/discovery/server_test.go
@@ -15,7 +15,7 @@
 	listener net.Listener
 	steps    []func(conn net.Conn)
 	requests chan string // query of each request, prefixed by "+" if the connection is new
-	nextStep chan int    // index of the next step; the single value also serializes requests
+	nextStep chan int    // index of the next step; empty while a request updates it
 }
 
 func newScriptedServer(t *testing.T, steps ...func(conn net.Conn)) *scriptedServer {
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// minStaleReplies is how many consecutive replies with a revision below the delivered one it takes until the last of
-// them, if it is a complete list, is accepted: the agent has then gone back to an earlier revision. A single stale
-// reply may come from a replica that lags behind, and applying it would make draining engines ready again.
+// minStaleReplies is how many replies in a row must have a revision below the delivered one before the agent is taken
+// to have gone back to an earlier revision. The last of them is then accepted if it is a complete list. A single stale
+// reply may come from a discovery replica that lags behind, and applying it would make draining engines ready again.
 const minStaleReplies = 2
 
 var (
@@ -20,8 +20,8 @@
 )
 
 // Run lists and watches until ctx ends. Each new connection starts with the complete list, since changes may have been
-// lost. There is always a request in flight, except during the backoff after a failure. A request that timed out is
-// repeated without a backoff, since the timeout was delay enough.
+// lost. There is always a request or a connection attempt in flight, except during the backoff after a failure. No
+// backoff follows a request that timed out, since the timeout was delay enough.
 func (w *Watcher) Run(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(w.Seed, 1))
 	outage := false
@@ -81,8 +81,8 @@
 	}
 }
 
-// deliver passes a list to OnUpdate. complete reports whether the complete list was requested. If it returns an error,
-// the complete list must be requested again.
+// deliver passes a list to OnUpdate. complete says that the complete list was requested. After an error, the complete
+// list must be requested again.
 func (w *Watcher) deliver(list *List, address string, complete bool) error {
 	if err := w.position.check(list, address); err != nil {
 		return err
--- a/internal/node/discovery/watch_test.go
+++ b/internal/node/discovery/watch_test.go
@@ -31,10 +31,10 @@
 	}
 }
 
-// TestInvalidReplyIsFollowedByFullList checks that an invalid list is logged and not delivered, and that the complete
-// list is requested next. It also checks that a watch starts at the revision of the last reply, and that a reply
-// without changes delivers no update.
-func TestInvalidReplyIsFollowedByFullList(t *testing.T) {
+// TestInvalidReplyIsFollowedByCompleteList checks that an invalid list is logged and not delivered, and that the
+// complete list is requested next. It also checks that a watch starts at the revision of the last reply, and that a
+// reply without changes delivers no update.
+func TestInvalidReplyIsFollowedByCompleteList(t *testing.T) {
 	draining := strings.Replace(memberJSON, "Ready", "Terminating", 1)
 	invalid := strings.Replace(memberJSON, "Ready", "Dozing", 1)
 	replies := []struct{ query, text string }{
@@ -100,16 +100,16 @@
 	}
 }
 
-// TestFailedRequestIsFollowedByFullList checks that after each kind of failure the complete list is requested on a new
-// connection, since changes may have been lost. Replies that are unusual but valid must not be treated as failures.
-func TestFailedRequestIsFollowedByFullList(t *testing.T) {
+// TestFailedRequestIsFollowedByCompleteList checks that after each kind of failure the complete list is requested on a
+// new connection, since changes may have been lost. Replies that are unusual but valid must not be treated as failures.
+func TestFailedRequestIsFollowedByCompleteList(t *testing.T) {
 	const list, watch41, watch42, watch43, watch4 = "+", "from=41", "from=42", "from=43", "from=4"
 	indented := strings.NewReplacer(",", ",\n    ", "[", "[\n  ", "{", "{\n\t").Replace(listJSON(2, 41))
 	for _, tc := range []struct {
 		name      string
 		steps     []func(net.Conn)
 		want      []string
-		endpoints int // in the last list
+		endpoints int // in the last update
 	}{
 		{
 			"no reply to the first request",
@@ -223,7 +223,7 @@
 				last = <-endpoints
 			}
 			if last != tc.endpoints {
-				t.Errorf("the last list had %d endpoints, want %d", last, tc.endpoints)
+				t.Errorf("the last update had %d endpoints, want %d", last, tc.endpoints)
 			}
 		})
 	}
@@ -320,12 +320,12 @@
 // TestSlowReplyToFirstRequestIsUsed replies to the first request only after the second one was sent, and never to the
 // second. The reply must be used.
 func TestSlowReplyToFirstRequestIsUsed(t *testing.T) {
-	secondCall := make(chan struct{})
+	secondRequest := make(chan struct{})
 	slowReply := func(conn net.Conn) {
-		<-secondCall
+		<-secondRequest
 		replyWith(listJSON(2, 41))(conn)
 	}
-	s := newScriptedServer(t, slowReply, func(net.Conn) { close(secondCall) })
+	s := newScriptedServer(t, slowReply, func(net.Conn) { close(secondRequest) })
 	endpoints := make(chan int, 10)
 	w := &Watcher{
 		OnUpdate:         func(u endpointslice.Update) { endpoints <- len(u.Endpoints) },
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// The platform sends SIGKILL some time after SIGTERM: the longest deadline of all classes, at most maxKillDeadline,
-// plus killGrace.
+// The time that the platform leaves between SIGTERM and SIGKILL is the longest deadline of all classes, but at most
+// maxKillDeadline, plus killGrace.
 const (
 	killGrace       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 	// drainMargin is how long before the platform's time limit open requests are ended, so that their final answers still
 	// arrive.
 	drainMargin = 150 * time.Millisecond
-	// maxAcceptWindow is the longest time for which a draining node accepts connections. The platform routes new
-	// connections to it for 0.4 s after SIGTERM, and a request that arrives in this time must be answered.
+	// maxAcceptWindow is how long a draining node accepts connections at most, unless clients resume broken streams. The
+	// platform routes new connections to it for 0.4 s after SIGTERM, and a request that arrives in this time must be
+	// answered.
 	maxAcceptWindow = 600 * time.Millisecond
 )
 
@@ -27,9 +28,9 @@
 // killDelay returns the time between SIGTERM and SIGKILL.
 func (c *Config) killDelay() time.Duration { return c.longestDeadline() + killGrace }
 
-// acceptWhileDraining returns how long after SIGTERM new connections and requests are accepted. It ends early enough
-// that the drain timeout does not cut off what was accepted last. If clients resume broken streams, requests on
-// existing connections are served for most of the longest deadline, because the other nodes may be restarting as well.
+// acceptWhileDraining returns how long after SIGTERM new connections and requests are accepted: at most half of the
+// time until SIGKILL, so that requests that arrive last can still be completed. If clients resume broken streams, it is
+// at least two thirds of the longest deadline, because the other nodes may be restarting as well.
 func (c *Config) acceptWhileDraining() time.Duration {
 	window := min(maxAcceptWindow, c.killDelay()/2)
 	if !c.Site.Routing.ResumeStreams {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -21,7 +21,7 @@
 	defaultMemory = 512 << 20
 )
 
-// ResourceLimits is the division of a node's file descriptors, memory and cores.
+// ResourceLimits says how a node's file descriptors, memory and cores are divided.
 type ResourceLimits struct {
 	MaxClientConns       int
 	MaxEngineConns       int // to all engines
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -153,7 +153,7 @@
 			"informational responses before the reply",
 			"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + stream,
 		},
-		{"a second reply after it", stream + stream},
+		{"second reply after the first", stream + stream},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyRaw(tc.reply)))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node implements a replica on the platform: its configuration, its resource limits, and its life cycle from
 // start to SIGTERM. Package protocol parses and writes the platform's messages, and package discovery watches the
-// platform's list of engines. The gateway handles requests, and the router takes the decisions.
+// platform's list of engines. Package gateway handles requests, and package routing makes the routing decisions.
 //
 // A Node owns the process-wide limits of the runtime from Start to Stop, and two goroutines: one watches discovery, the
 // other accepts clients. Both end with Stop.
@@ -78,8 +78,8 @@
 	return n, nil
 }
 
-// createGateway creates the gateway and gives it the cached list, even if that is empty: a node that has received no
-// list is not ready and gets no clients, and the discovery agent may be down.
+// createGateway creates the gateway and gives it the cached list, even an empty one. Without any list, the node would
+// not be ready and would get no clients for as long as the discovery agent is down.
 func (n *Node) createGateway(config *Config, limits ResourceLimits) error {
 	clients := &protocol.ClientProtocol{
 		Classes:        config.Site.Routing.Classes,
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// cachedUpdate converts the cached list. An invalid list counts as empty.
+// cachedUpdate converts the cached list. A missing or invalid list counts as empty.
 func (n *Node) cachedUpdate(list *discovery.List) endpointslice.Update {
 	empty := endpointslice.Update{Scope: routing.ListCached}
 	if list == nil {
@@ -117,7 +117,7 @@
 	n.watcherGroup.Go(func() { n.watcher.Run(ctx) })
 }
 
-// Failed returns a channel that receives the error that prevents the node from continuing.
+// Failed returns a channel that receives an error if the node can no longer accept clients.
 func (n *Node) Failed() <-chan error { return n.failed }
 
 // Addr returns the address on which the node listens.
@@ -135,8 +135,8 @@
 	n.log.Info("configuration reloaded", zap.String("discovery", config.Discovery))
 }
 
-// Stop drains the node: it completes open requests within the drain timeout, and then stops. Further calls wait for the
-// first to return.
+// Stop drains the node and shuts it down: requests that are not completed within the drain timeout are ended. Further
+// calls wait for the first to return.
 func (n *Node) Stop() {
 	n.stopOnce.Do(n.shutdown)
 	n.log.Info("node stopped")
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestNodeForwardsUnchangedRequestsFromCachedList(t *testing.T) {
+func TestRequestsReachCachedEndpointsUnchanged(t *testing.T) {
 	prefill, decode := newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyDecode)
 	n, _ := startNode(t, nodeSetup{}, prefill, decode)
 	c := dialNode(t, n)
@@ -41,7 +41,7 @@
 		t.Errorf("second request with the same id: status %d, want 409", resp.StatusCode)
 	}
 	close(released)
-	first.expectStream(t, "the first")
+	first.expectStream(t, "first request")
 	second.send(t, chatRequest("aa01", "enquiry"))
 	if resp, _, complete := second.receive(t); resp.StatusCode != http.StatusOK || !complete {
 		t.Errorf("same id after the first request has ended: status %d", resp.StatusCode)
@@ -80,7 +80,7 @@
 	released := make(chan struct{})
 	prefill := newPrefillEngine(t, replyPrefillAfter(released))
 	n, _ := startNode(t, nodeSetup{deadline: time.Hour}, prefill, newDecodeEngine(t, replyDecode))
-	n.gateway.AcceptWhileDraining = 2 * time.Second // longer than the default, since the clients below may be delayed
+	n.gateway.AcceptWhileDraining = 2 * time.Second // longer than configured, since the clients below may be delayed
 	open, idle := dialNode(t, n), dialNode(t, n)
 	open.send(t, chatRequest("aa01", "order"))
 	prefill.waitForRequest("POST aa01")
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestNodeIsReadyWithoutList starts a node while discovery is down and the cached list is empty, absent or invalid. The
-// node must be ready nevertheless, and requests that it cannot serve yet must be answered in time.
+// TestNodeIsReadyWithoutList starts a node while the discovery agent does not reply and the cached list is empty,
+// absent or invalid. The node must be ready nevertheless, and must reject requests that it cannot serve yet.
 func TestNodeIsReadyWithoutList(t *testing.T) {
 	for _, tc := range []struct{ name, known string }{
 		{"absent", "null"},
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestFinalResponseIsNotReset checks that a client receives the whole final response even if bytes that follow its
-// request are still unread when the node closes the connection. Closing a socket with unread bytes resets the
-// connection, and the kernel then discards the part of the response that it has not yet delivered.
+// TestFinalResponseIsNotReset checks that a client receives the whole final response before the node closes the
+// connection, and in the case served even if bytes that follow the request are still unread then. Closing a socket with
+// unread bytes resets the connection, and the kernel discards the part of the response that it has not yet delivered.
 func TestFinalResponseIsNotReset(t *testing.T) {
 	for _, outcome := range []string{"broken", "served"} {
 		t.Run(outcome, func(t *testing.T) {
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -11,7 +11,7 @@
 	"brackenbend/internal/node/protocol"
 )
 
-// Limits on messages, as the platform's protocol page specifies them.
+// Limits on messages, as the platform's protocol specifies them.
 const (
 	maxMessageBytes = 256 << 10
 	maxEventBytes   = 64 << 10 // one event of a stream
@@ -19,10 +19,10 @@
 	maxHeaderFields = 100
 )
 
-// Timeouts for clients. They follow the platform's protocol page and leave a margin.
+// Timeouts for clients. They follow the platform's protocol and leave a margin.
 const (
 	firstRequestTimeout = 2500 * time.Millisecond // a connection without a request must be closed within 3 s
-	minClientIdleTime   = 2 * time.Second         // after which an idle connection may be closed
+	minClientIdleTime   = 2 * time.Second         // after which an idle connection may be closed for a new one
 	maxClientIdleTime   = time.Minute
 	clientWriteTimeout  = 5 * time.Second
 	answerMargin        = 20 * time.Millisecond // final answers are sent this long before the client's deadline
@@ -31,10 +31,10 @@
 // Timeouts for engines.
 const (
 	streamIdleTimeout        = 4 * time.Second        // a client must not wait 5 s after an engine's last event
-	replyHeaderTimeout       = 500 * time.Millisecond // a reply's head and first event arrive together
+	replyHeaderTimeout       = 500 * time.Millisecond // after a reply's first byte; its first event follows at once
 	defaultDialTimeout       = 250 * time.Millisecond // used if the settings contain none
 	defaultEngineIdleTimeout = 30 * time.Second       // likewise
-	// settleDelay is a few round trips within a zone. The last byte of a request that must run only once is held back for
+	// settleDelay is a few round trips within a zone. The last byte of a request that is not idempotent is withheld for
 	// this time: if the connection breaks before, the request was not run.
 	settleDelay = 3 * time.Millisecond
 	// reuseDelay allows for an unsolicited second reply, which may arrive some milliseconds after the first.
--- a/internal/node/protocol/client.go
+++ b/internal/node/protocol/client.go
@@ -57,7 +57,8 @@
 	return &gateway.Response{Status: http.StatusOK, Body: []byte("{\"status\":\"ready\"}\n")}
 }
 
-// ParseRequest implements gateway.ClientProtocol. It rejects every request that an engine could not process.
+// ParseRequest implements gateway.ClientProtocol. It rejects a request whose header fields are invalid or whose body is
+// not a JSON object.
 func (c *ClientProtocol) ParseRequest(req *http1.Request, body []byte) (*gateway.ParsedRequest, *api.Error) {
 	fields, apiErr := parseFields(req.Header)
 	if apiErr != nil {
@@ -67,7 +68,7 @@
 		ClientID:       fields.get(headerRequestID),
 		Path:           req.Target,
 		IdempotencyKey: fields.get(engine.HeaderIdempotencyKey),
-		Bodies:         rawPrompt(body),
+		Bodies:         rawBody(body),
 	}
 	if !validRequestID(parsed.ClientID) {
 		return nil, invalidRequest(http.StatusBadRequest,
@@ -155,8 +156,8 @@
 	return nil
 }
 
-// parseHints parses the hints on the size of a request, such as "prefix=5c0f,prompt_len=5120,...". It ignores unknown
-// names.
+// parseHints parses the hints on a request's prompt and output, such as "prefix=5c0f,prompt_len=5120,...". It ignores
+// unknown names.
 func parseHints(request *routing.Request, value string) *api.Error {
 	seen := map[string]bool{}
 	for hint := range strings.SplitSeq(value, ",") {
@@ -227,11 +228,11 @@
 	return c == '-' || c == '_' || c == '.'
 }
 
-// rawPrompt is a request body that is sent to prefill and decode endpoints unchanged.
-type rawPrompt []byte
+// rawBody is a request body that is sent to prefill and decode endpoints unchanged.
+type rawBody []byte
 
-func (p rawPrompt) PrefillBody() []byte                     { return p }
-func (p rawPrompt) DecodeBody(json.RawMessage, bool) []byte { return p }
+func (p rawBody) PrefillBody() []byte                     { return p }
+func (p rawBody) DecodeBody(json.RawMessage, bool) []byte { return p }
 
 func invalidRequest(status int, format string, args ...any) *api.Error {
 	return &api.Error{Status: status, Type: "invalid_request_error", Message: fmt.Sprintf(format, args...)}
--- a/internal/node/protocol/wire_test.go
+++ b/internal/node/protocol/wire_test.go
@@ -24,7 +24,7 @@
 }
 
 // captureRequest calls send with an endpoint that answers one request with reply, and returns the bytes that the
-// endpoint received. It replaces the endpoint's address, and the remaining deadline of 59 s and some milliseconds.
+// endpoint received. It replaces the endpoint's address and the time left until the deadline, which is below 60 s.
 func captureRequest(t *testing.T, reply string, send func(endpoint *engine.Endpoint)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,7 +103,7 @@
 func TestEngineRequestBytes(t *testing.T) {
 	for _, tc := range []struct {
 		golden         string
-		singleUseConn  bool
+		notIdempotent  bool
 		idempotencyKey string
 	}{
 		{"request.golden", false, ""},
@@ -115,7 +115,7 @@
 			call := func(body []byte) engine.Call {
 				return engine.Call{
 					Path: "/v1/chat/completions?x=1", ID: "9b1f03aa5c7e2d41", IdempotencyKey: tc.idempotencyKey,
-					NotIdempotent: tc.singleUseConn, Body: body, Deadline: time.Now().Add(time.Minute),
+					NotIdempotent: tc.notIdempotent, Body: body, Deadline: time.Now().Add(time.Minute),
 				}
 			}
 			golden.Check(t, tc.golden, captureAllRequests(t, newEngineClient(), call))
@@ -131,7 +131,7 @@
 		`{"model":"chat","stream":true}`,
 		`{ "stream":false, "model":"chat","kv_transfer_params":{"a":1} }`,
 	} {
-		body := rawPrompt(text)
+		body := rawBody(text)
 		prefill := captureRequest(t, prefillReply, func(endpoint *engine.Endpoint) {
 			out := client.Prefill(&engine.Attempt{}, endpoint, call(body.PrefillBody()))
 			if out.Result != routing.PrefillDone {
--- a/internal/node/state_release_test.go
+++ b/internal/node/state_release_test.go
@@ -227,6 +227,6 @@
 		}
 	}
 	if len(peers) != 2 {
-		t.Errorf("the engine was called on %d connections, want one before the restart and one after it", len(peers))
+		t.Errorf("the engine received requests on %d connections, want one before the restart and one after it", len(peers))
 	}
 }
--- a/internal/node/stream_delay_test.go
+++ b/internal/node/stream_delay_test.go
@@ -24,7 +24,7 @@
 	served  int // complete streams
 }
 
-// writeStream returns a handler that writes a stream of events at an interval, or of one event for clients whose id
+// writeStream returns a handler that writes a stream of events at an interval, or of one event for requests whose id
 // begins with "short".
 func (d *streamDelays) writeStream(events int, interval time.Duration) engineHandler {
 	return func(_ *fakeEngine, w http.ResponseWriter, r *http.Request) {
@@ -128,7 +128,7 @@
 	clients.Wait()
 	close(stop)
 	background.Wait()
-	t.Logf("%d of %d streams served, %d events, the latest %v after it was written",
+	t.Logf("%d of %d streams served, %d events, the longest delay %v",
 		d.served, streams, d.events, d.longest)
 	if d.longest > maxDelay {
 		t.Errorf("an event arrived %v after it was written", d.longest)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -10,8 +10,9 @@
 )
 
 // Timeouts of requests to the discovery agent. The agent runs on the node's machine, so connections and replies take
-// little time. However earlier requests fail, the node must apply a change within maxStaleness after the agent has it
-// and is reachable. The watch timeout is what the other timeouts leave of that time (Watcher.MaxStaleness).
+// little time. Once the agent has a change and is reachable, the node must apply the change within maxStaleness, in
+// whatever way earlier requests failed. watchTimeout is what the other timeouts leave of that time; see
+// discovery.Watcher.MaxStaleness.
 const (
 	maxStaleness             = 6 * time.Second
 	maxSchedulingDelay       = 500 * time.Millisecond // of the node itself, which may use only a fraction of a core
