--- a/internal/endpointslice/watch.go
+++ b/internal/endpointslice/watch.go
@@ -21,15 +21,15 @@
 	CacheFile string // path of the cache file, may be empty
 	Client    *http.Client
 	UserAgent string
-	OnUpdate  func(Update) // called from Run's goroutine only
-	Log       func(msg string, err error)
+	OnUpdate  func(Update)                // called from Run's goroutine only
+	Log       func(msg string, err error) // may be called concurrently
 
 	// MinBackoff and MaxBackoff bound the backoff after a failed request, which doubles from one to the other. The delay
 	// is drawn uniformly from the upper half of the backoff, so that replicas that lost the API server at the same time do
 	// not reconnect at the same time.
 	MinBackoff, MaxBackoff time.Duration
-	// WatchTimeout ends a watch that delivered neither an event nor a bookmark for so long, and bounds the time of a list.
-	// The API server sends a bookmark about every minute.
+	// WatchTimeout is how long a watch may deliver neither an event nor a bookmark before it is ended, and how long all
+	// pages of a list may take together. The API server sends a bookmark about every minute.
 	WatchTimeout time.Duration
 
 	store           *store
@@ -78,7 +78,7 @@
 func (w *Watcher) loadCache() {
 	list, err := ReadCache(w.CacheFile)
 	if err != nil {
-		w.Log("cannot read the endpoint list from the cache file", err)
+		w.Log("cannot use the cached endpoint list", err)
 		return
 	}
 	if len(list) == 0 {
@@ -91,10 +91,10 @@
 func (w *Watcher) handleFailure(err error) {
 	if errors.Is(err, errExpired) {
 		w.resourceVersion = ""
-		w.Log("resource version expired; listing endpoints again", err)
+		w.Log("resource version expired, listing endpoints again", err)
 		return
 	}
-	w.Log("endpoint watch failed; keeping the last endpoint list", err)
+	w.Log("endpoint watch failed, keeping the last list", err)
 	w.OnUpdate(Update{Scope: routing.ListFailed})
 }
 
