--- a/cmd/brackenbend/check.go
+++ b/cmd/brackenbend/check.go
@@ -11,7 +11,7 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// formerScenarioSchema is the former name of the schema of scenario files, which still works.
+// formerScenarioSchema is the former name of the scenario schema, which the schema command still accepts.
 const formerScenarioSchema = "day"
 
 func checkCommand() *cobra.Command {
--- a/cmd/brackenbend/compare.go
+++ b/cmd/brackenbend/compare.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// routerSubject names the router with the scenario's settings as a subject of a comparison. formerRouterSubject is
-	// its former name, which still works.
+	// routerSubject is the argument for the router with the scenario's settings. formerRouterSubject is its former
+	// value, which is still accepted.
 	routerSubject       = "routing"
 	formerRouterSubject = "choice"
 
@@ -57,11 +57,12 @@
 A and B are each one of:
   routing                       the router, with the settings that the scenario gives
   path of a settings file       the router, with these settings; classes, kinds of engine and tenants
-                                need the names that they have in the scenario
+                                need the names that they have in the scenario, in the same order
   path of a program             another version of brackenbend
   random, fewest, two-choices   a simple routing policy, as a baseline
 
-With --other, B runs another scenario (other engines, other faults) with the same clients.
+With --other, B runs another scenario (other engines, other faults) with the same clients. Both
+scenarios must have the same length and the same number of classes.
 
 The confidence interval of the mean difference is a studentised bootstrap over the pairs. Its level
 holds for all interim analyses together.`,
@@ -80,7 +81,7 @@
 	c.recordings.addFlags(f)
 	f.StringVar(&c.otherFile, "other", "", "scenario `file` that B runs instead, with the same clients")
 	f.StringVar(&c.htmlFile, "html", "", "write the result as an HTML page with plots to this `file`")
-	f.StringVar(&c.jsonFile, "json", "", "write all figures as JSON to this `file`")
+	f.StringVar(&c.jsonFile, "json", "", "write all results as JSON to this `file`")
 	f.Float64Var(&c.stopping.Level, "level", c.stopping.Level, "confidence level, between 0 and 1")
 	f.Float64Var(
 		&c.stopping.MinDifference,
@@ -136,20 +137,20 @@
 	if file != "" {
 		files = []string{file}
 	}
-	played, err := loadScenario(files)
+	sc, err := loadScenario(files)
 	if err != nil {
 		return forecast.Subject{}, err
 	}
-	recorded, err := c.recordings.load(played)
+	recorded, err := c.recordings.load(sc)
 	if err != nil {
 		return forecast.Subject{}, err
 	}
-	return parseSubject(subject, played, recorded, c.checkRules)
+	return parseSubject(subject, sc, recorded, c.checkRules)
 }
 
 // parseSubject returns the subject that an argument names: the router with the scenario's settings, a baseline policy,
 // another version of this program, or the router with a settings file.
-func parseSubject(subject string, played *scenario.Scenario, recorded []scenario.RecordedRequest, checkRules bool) (
+func parseSubject(subject string, sc *scenario.Scenario, recorded []scenario.RecordedRequest, checkRules bool) (
 	forecast.Subject, error,
 ) {
 	options := fleet.Options{Audit: checkRules, Traffic: recorded}
@@ -163,8 +164,8 @@
 		return forecast.Subject{}, usageErrorf(
 			"%s: another version of the program can't run recordings; compare it without --trace", subject)
 	case isExecutable(subject):
-		play := runOtherVersion(subject, played, checkRules)
-		return forecast.Subject{Name: filepath.Base(subject), Scenario: played, Simulate: play}, nil
+		simulate := runOtherVersion(subject, sc, checkRules)
+		return forecast.Subject{Name: filepath.Base(subject), Scenario: sc, Simulate: simulate}, nil
 	default:
 		settings, err := config.Load(subject)
 		if err != nil {
@@ -177,7 +178,7 @@
 		options.Seed = seed
 		return options
 	}
-	return forecast.Subject{Name: subject, Scenario: played, Options: withSeed}, nil
+	return forecast.Subject{Name: subject, Scenario: sc, Options: withSeed}, nil
 }
 
 // isExecutable reports whether path is a program rather than a settings file.
@@ -187,8 +188,8 @@
 }
 
 // runOtherVersion returns a function that runs a replication with the program of another version, which gets the
-// scenario as a file. The program is called by its former command names, which every version understands.
-func runOtherVersion(binary string, played *scenario.Scenario, checkRules bool) func(*scenario.Scenario, uint64) (
+// scenario as a file. It calls the program with former command names, which every version accepts.
+func runOtherVersion(binary string, sc *scenario.Scenario, checkRules bool) func(*scenario.Scenario, uint64) (
 	*forecast.Summary, error,
 ) {
 	return func(replication *scenario.Scenario, seed uint64) (*forecast.Summary, error) {
@@ -197,7 +198,7 @@
 			return nil, err
 		}
 		defer removeTempDir(dir)
-		_, text, err := played.WithFaults(played.Faults, "")
+		_, text, err := sc.WithFaults(sc.Faults, "")
 		if err != nil {
 			return nil, err
 		}
@@ -210,7 +211,7 @@
 		out, runErr := exec.CommandContext(ctx, binary, "lab", "day", file, "--seed", fmt.Sprint(seed),
 			"--clients", fmt.Sprint(replication.Seed), fmt.Sprintf("--rules=%v", checkRules),
 			"--json", summaryFile).CombinedOutput()
-		text, err = os.ReadFile(summaryFile) // written even if rules were violated, and the program failed
+		text, err = os.ReadFile(summaryFile) // also written if a rule was violated and the program failed
 		if err != nil {
 			return nil, fmt.Errorf("%s lab day: %w: %.500s", binary, runErr, out)
 		}
--- a/cmd/brackenbend/daemon.go
+++ b/cmd/brackenbend/daemon.go
@@ -26,12 +26,12 @@
 	apiServerHeaderTimeout = 10 * time.Second
 	apiServerMinBackoff    = 100 * time.Millisecond
 	apiServerMaxBackoff    = 5 * time.Second
-	// apiServerWatchTimeout ends a watch on which nothing came for so long. The API server sends a bookmark about once a
-	// minute.
+	// apiServerWatchTimeout is the time without a message after which a watch is ended. The API server sends a bookmark
+	// about once a minute.
 	apiServerWatchTimeout = 90 * time.Second
 )
 
-// daemon is a running gateway with its endpoint list and its management listener.
+// daemon is a running gateway with its endpoint list and its admin listener.
 type daemon struct {
 	gateway *gateway.Gateway
 	addr    string     // of the client listener
--- a/cmd/brackenbend/fakeengine_test.go
+++ b/cmd/brackenbend/fakeengine_test.go
@@ -31,7 +31,7 @@
 
 const (
 	eventListening      = "listening"       // the process accepts connections; ID is its address
-	eventPrefilled      = "prefilled"       // a prefill is done and is answered
+	eventPrefilled      = "prefilled"       // a prefill is done, and its response follows
 	eventDecodeReceived = "decode received" // a running engine has read a decode request to its last byte
 	eventReleased       = "released"        // a running engine has received a release
 )
--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -90,7 +90,7 @@
 }
 
 func (e *fakeEngine) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&e.listen, "listen", "127.0.0.1:0", "loopback address to listen on; port 0 = any free port")
+	f.StringVar(&e.listen, "listen", "127.0.0.1:0", "address to listen on; port 0 = any free port")
 	f.StringVar(&e.role, "role", "mixed", "role: reader (prefill), writer (decode) or mixed (both)")
 	f.StringVar(&e.name, "name", "engine-1", "name of the engine")
 	f.BoolVar(&e.plain, "plain", false, "support only vLLM's protocol, without the extensions")
@@ -145,7 +145,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error { return s.run(cmd.OutOrStdout(), args) },
 	}
 	f := cmd.Flags()
-	f.StringVar(&s.listen, "listen", "127.0.0.1:0", "loopback address to listen on; port 0 = any free port")
+	f.StringVar(&s.listen, "listen", "127.0.0.1:0", "address to listen on; port 0 = any free port")
 	f.StringToStringVar(&s.kindOfRole, "shift", nil,
 		"kinds whose engines may change role, by role, such as reader=prefill,writer=decode,both=mixed")
 	f.StringVar(&s.assignmentsFile, "book", "", "`file` that keeps the role assignments across restarts")
--- a/cmd/brackenbend/load.go
+++ b/cmd/brackenbend/load.go
@@ -20,7 +20,7 @@
 const (
 	// maxLoadRate is the highest rate that --rate accepts, in requests a second.
 	maxLoadRate = 5000
-	// progressSteps is the resolution of the progress bar. It is redrawn at most once in progressInterval.
+	// progressSteps is the resolution of the progress bar. The bar is redrawn at most once in progressInterval.
 	progressSteps    = 1000
 	progressInterval = 100 * time.Millisecond
 )
@@ -44,8 +44,8 @@
 
 The load is open: a session begins at its time, however slow the answers are, and latencies count
 from the time when a request should have been sent. The report shows for each class the service (the
-share of the requests that is served), the outcomes, and the times to the first token, between
-tokens and to the end of the answer.
+share of the requests, by priority weight, that is served), the outcomes, and the times to the first
+token, between tokens and to the end of the answer.
 
 Only loopback addresses are accepted unless --anywhere is given.`,
 		Example: "  brackenbend up &\n" +
@@ -61,16 +61,16 @@
 	f.StringVar(&r.clientsFile, "clients", "", "scenario `file` with the clients; without it, the default scenario")
 	f.StringVar(&r.plan.Model, "model", "day", "model that the requests name")
 	f.Float64Var(&r.rate, "rate", 0, "requests a second; 0 = the rate of the scenario")
-	f.DurationVar(&r.plan.Length, "for", r.plan.Length, "time during which sessions begin, up to 1h")
+	f.DurationVar(&r.plan.Length, "for", r.plan.Length, "time during which sessions begin, from 1s to 1h")
 	f.IntVar(
 		&r.plan.MaxOpen,
 		"most",
 		r.plan.MaxOpen,
-		"maximum number of open sessions; a session beyond it does not begin and is counted as such",
+		"maximum number of open sessions, up to 20000; further sessions are not begun, and the report counts them",
 	)
 	f.BoolVar(&r.plan.AllowRemote, "anywhere", false, "also send to addresses other than loopback")
 	f.StringVar(&r.htmlFile, "html", "", "write the report as an HTML page with plots to this `file`")
-	f.StringVar(&r.jsonFile, "json", "", "write all figures as JSON to this `file`")
+	f.StringVar(&r.jsonFile, "json", "", "write all results as JSON to this `file`")
 	f.BoolVarP(&r.quiet, "quiet", "q", false, "show no progress bar")
 }
 
--- a/cmd/brackenbend/main.go
+++ b/cmd/brackenbend/main.go
@@ -16,9 +16,9 @@
 // Exit codes; docs/operate.md lists them.
 const (
 	exitFailure   = 1 // the command failed
-	exitUsage     = 2 // the command line is invalid
+	exitUsage     = 2 // the command line is invalid; some errors of cobra, such as an unknown command, have exitFailure
 	exitConfig    = 3 // an input file, such as settings or a scenario, is invalid
-	exitViolation = 4 // a scenario ran, and a rule was violated
+	exitViolation = 4 // a rule was violated or never checked, or the service was lower than the scenario expects
 )
 
 // exitError is an error that ends the program with its own exit code.
--- a/cmd/brackenbend/mutation_test.go
+++ b/cmd/brackenbend/mutation_test.go
@@ -129,7 +129,7 @@
 // TestMutatedGatewaysViolateRules checks that the audit detects gateways that violate a rule, since a passed audit
 // means something only if it can fail. It runs a few mutations in short scenarios. With BRACKENBEND_MUTATION_RUNS=N it
 // runs N default scenarios for each mutation and counts those that detect it, which takes long (docs/results.md has the
-// figures).
+// results).
 func TestMutatedGatewaysViolateRules(t *testing.T) {
 	if runs, _ := strconv.Atoi(os.Getenv(mutationRunsEnv)); runs > 0 {
 		for name, m := range mutations {
--- a/cmd/brackenbend/node.go
+++ b/cmd/brackenbend/node.go
@@ -18,9 +18,9 @@
 		Use:   "node",
 		Short: "Run a gateway as a node of the platform",
 		Long: `Run a gateway as a node of the platform. The environment variable LB_CONFIG names its configuration
-file, which docs/node.md describes. On SIGTERM the node answers the requests that it has accepted,
-then exits. On SIGHUP it reads the file again and follows the discovery service at the address in
-it.`,
+file, which docs/node.md describes. On SIGTERM or SIGINT the node answers the requests that it has
+accepted, then exits. On SIGHUP it reads the file again and follows the discovery agent at the
+address in it.`,
 		Example: "  LB_CONFIG=/run/balancer/config.json brackenbend node",
 		Args:    exactArgs(0),
 		RunE:    func(*cobra.Command, []string) error { return runNode() },
--- a/cmd/brackenbend/node_test.go
+++ b/cmd/brackenbend/node_test.go
@@ -25,7 +25,7 @@
 "Classes":[{"Deadline":60000000,"Importance":1,"Name":"ask","Promise":60000000,"Repeat":"free"}],
 "FamilyInfo":{"KindRole":["read","write"],"KvTokens":[200000,200000],"Release":1000000},"Kinds":["prefill","decode"]}}`
 
-// startSilentDiscovery starts a discovery service that accepts connections, reports each on connected, and never
+// startSilentDiscovery starts a discovery agent that accepts connections, reports each on connected, and never
 // answers.
 func startSilentDiscovery(t *testing.T) (address string, connected chan struct{}) {
 	t.Helper()
@@ -94,7 +94,7 @@
 	)
 }
 
-// TestDrainingNodeReloadsAndIgnoresSecondSIGTERM checks that SIGHUP moves a draining node to the new discovery service,
+// TestDrainingNodeReloadsAndIgnoresSecondSIGTERM checks that SIGHUP moves a draining node to the new discovery agent,
 // since the node still sends attempts, that a second SIGTERM has no effect, and that the node ends only when its open
 // requests are answered.
 func TestDrainingNodeReloadsAndIgnoresSecondSIGTERM(t *testing.T) {
--- a/cmd/brackenbend/planner.go
+++ b/cmd/brackenbend/planner.go
@@ -37,7 +37,7 @@
 		Use:   "planner --register URL",
 		Short: "Assign engines to prefill and decode according to demand",
 		Long: `Run a planner of engine roles until SIGTERM or SIGINT. In each round it reads the role assignments from
-the API server, polls the engines for their status, writes the changes that it decides to the
+the API server, polls the engines for their status, decides on role changes, writes them to the
 assignments, and commands the engines to change role.
 
 Several planners may run at once: the API server refuses a write that is based on an outdated
@@ -68,7 +68,7 @@
 		"part of --change-time that follows the engine's report that it has changed")
 	f.DurationVar(&r.config.ChangeTimeout, "turn-time", 2*time.Minute,
 		"time after which an unfinished role change is reverted")
-	f.DurationVar(&r.config.StaleAfter, "stale-after", 5*time.Second, "age from which a load report is ignored")
+	f.DurationVar(&r.config.StaleAfter, "stale-after", 5*time.Second, "age above which a load report is ignored")
 }
 
 func (r *plannerRun) run() error {
--- a/cmd/brackenbend/readstate_test.go
+++ b/cmd/brackenbend/readstate_test.go
@@ -11,8 +11,8 @@
 
 // TestReadStateOfUndeliveredDecodeIsReleased guards against read states that are held longer than the state TTL. A
 // prefill has succeeded, but decode requests reach no running engine, although their connections are open and accept
-// every byte. Such a request does not extend the state TTL: within it, a decode request must reach a running engine, or
-// the read state must be released.
+// every byte. A decode request that no running engine reads does not extend the state TTL: within it, another one must
+// reach a running engine, or the read state must be released.
 func TestReadStateOfUndeliveredDecodeIsReleased(t *testing.T) {
 	const stateTTL = 500 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -110,7 +110,7 @@
 	}
 	status, body := readResponse(t, f.send(t, "lost", idempotentClass))
 	if status != http.StatusOK || body != engineStream {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("status %d, body %q", status, body)
 	}
 	f.awaitLog(t, "attempt failed", "lost", `"kept_connection":true`, `"answered":"0s"`)
 }
@@ -125,7 +125,7 @@
 	})
 	status, body := readResponse(t, f.send(t, "slow", idempotentClass))
 	if status != http.StatusOK || body != engineStream {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("status %d, body %q", status, body)
 	}
 	prefills, decodes := f.count("slow", eventPrefilled), f.count("slow", eventDecodeReceived)
 	if prefills != 1 || decodes != 1 {
--- a/cmd/brackenbend/replica_test.go
+++ b/cmd/brackenbend/replica_test.go
@@ -69,11 +69,11 @@
 // key. The client retries at another replica, and the request must have taken effect once.
 func TestRetryAfterReplicaKillTakesEffectOnce(t *testing.T) {
 	record := audit.NewRecord()
-	group := &engine.DedupScope{Window: time.Minute}
+	scope := &engine.DedupScope{Window: time.Minute}
 	var endpoints string
 	for _, role := range []string{"reader", "writer"} {
 		address := startFakeEngine(t, engine.Config{
-			Name: role, Kind: role, Params: fakeEngineParams(role), DedupScope: group, Record: record,
+			Name: role, Kind: role, Params: fakeEngineParams(role), DedupScope: scope, Record: record,
 		})
 		endpoints += fmt.Sprintf("<server name=%q kind=%q address=%q/>", role, role, address)
 	}
@@ -96,7 +96,7 @@
 	}
 	body, err := sendWithKey(secondAddress)
 	if err != nil || !strings.Contains(body, "[DONE]") {
-		t.Fatalf("second attempt: %q %v", body, err)
+		t.Fatalf("second attempt: body %q, error %v", body, err)
 	}
 	executed, deduplicated := countEvents(record, audit.Executed), countEvents(record, audit.Deduplicated)
 	if executed != 1 || deduplicated != 1 {
@@ -175,7 +175,7 @@
 		strings.NewReader(`{"model":"m","messages":[{"role":"user","content":"x"}]}`),
 	)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("%v %v", resp, err)
+		t.Fatalf("response %v, error %v", resp, err)
 	}
 	resp.Body.Close()
 }
--- a/cmd/brackenbend/roles.go
+++ b/cmd/brackenbend/roles.go
@@ -33,7 +33,8 @@
 		editCommand(&url, "forbid ENGINE ROLE", "Forbid a role to an engine: reader (prefill) or writer (decode)", 2,
 			withRoleArgument(forbidRole)),
 		editCommand(&url, "allow ENGINE ROLE", "Undo forbid", 2, withRoleArgument(allowRole)),
-		editCommand(&url, "force ENGINE ROLE", "Assign an engine to a role now; use pin to keep it there", 2,
+		editCommand(&url, "force ENGINE ROLE",
+			"Assign an engine to a role now: reader, writer or both; use pin to keep it there", 2,
 			withRoleArgument(forceRole)),
 		editCommand(&url, "call-off ENGINE", "Revert the pending role change of an engine", 1, revertChange),
 	)
--- a/cmd/brackenbend/scenario.go
+++ b/cmd/brackenbend/scenario.go
@@ -64,8 +64,8 @@
 		&r.foreseeFile,
 		"foresee",
 		"",
-		"report `file` (--json) of an earlier run whose engines changed role: "+
-			"roles follow the cheapest schedule for the demand in it, in place of the planner",
+		"report `file` (--json) of an earlier run with a planner: roles follow the cheapest schedule for the demand "+
+			"in this report, in place of the planner's decisions",
 	)
 	f.StringVar(&r.eventsFile, "record", "", "write all events to this `file`, one JSON object a line")
 	f.StringVar(&r.keepDir, "keep", "", "keep the settings, endpoint lists and logs of the replicas in this `directory`")
@@ -73,11 +73,11 @@
 }
 
 func (r *scenarioRun) run(cmd *cobra.Command, args []string) error {
-	played, err := loadScenario(args)
+	sc, err := loadScenario(args)
 	if err != nil {
 		return err
 	}
-	if err := scaleLength(played, r.seconds); err != nil {
+	if err := scaleLength(sc, r.seconds); err != nil {
 		return err
 	}
 	options, err := r.options(cmd.ErrOrStderr())
@@ -89,7 +89,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	report, err := scenariorun.Run(ctx, played, options)
+	report, err := scenariorun.Run(ctx, sc, options)
 	if err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 	return loaded, nil
 }
 
-// scaleLength scales a scenario to a length in seconds. It does nothing if seconds is 0.
+// scaleLength scales a scenario to a length in seconds. It does nothing if seconds is 0 or negative.
 func scaleLength(s *scenario.Scenario, seconds float64) error {
 	if seconds <= 0 {
 		return nil
@@ -181,7 +181,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(report.Roles) == 0 {
-		return nil, fmt.Errorf("%s: the report has no roles; write it with --json in a scenario that has a planner",
+		return nil, fmt.Errorf("%s: the report has no roles; write it with --json in a run of a scenario that has a planner",
 			path)
 	}
 	return report.Roles, nil
--- a/cmd/brackenbend/scenario_test.go
+++ b/cmd/brackenbend/scenario_test.go
@@ -169,7 +169,7 @@
 func TestScenarioFilesParse(t *testing.T) {
 	files, err := filepath.Glob("../../scenarios/*.xml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%v %v", files, err)
+		t.Fatalf("scenario files %v, error %v", files, err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
--- a/cmd/brackenbend/simulate_ablation.go
+++ b/cmd/brackenbend/simulate_ablation.go
@@ -9,7 +9,7 @@
 	"brackenbend/internal/simulation/ablation"
 )
 
-// ablationSimulation measures each cause of the service that is lost by having many replicas.
+// ablationSimulation measures how much of the service that is lost with many replicas is due to each cause.
 type ablationSimulation struct {
 	plan     ablation.Plan
 	jsonFile string
@@ -26,8 +26,8 @@
 are faulty, or how much the engines in slow start can take in total. Others switch off a function of
 the replicas: load shedding, or time-outs at healthy engines.
 
-In the table, "without X" is the service gained when cause X alone is removed, and "only X" the
-service lost when X is the only cause that is left.`,
+In the table, "without X" is the change of service when cause X alone is removed, and "only X" the
+change when X is the only cause that is left, each with its confidence interval.`,
 		Example: "  brackenbend simulate ablation scenarios/simulation/size-74.xml --fronts 3,30,180",
 		Args:    cobra.MaximumNArgs(1),
 		RunE:    sim.run,
@@ -40,11 +40,11 @@
 	f.IntSliceVar(&s.plan.Replicas, "fronts", []int{3, 30, 180}, "numbers of replicas to run with")
 	f.IntVar(&s.plan.Runs, "runs", s.plan.Runs, "replications of each variant, each with different clients")
 	f.Float64Var(&s.plan.Level, "level", s.plan.Level, "confidence level of the intervals, between 0 and 1")
-	f.StringVar(&s.jsonFile, "json", "", "write all figures as JSON to this `file`")
+	f.StringVar(&s.jsonFile, "json", "", "write all results as JSON to this `file`")
 }
 
 func (s *ablationSimulation) run(cmd *cobra.Command, args []string) error {
-	played, err := loadScenario(args)
+	sc, err := loadScenario(args)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	if s.plan.Runs < 3 || s.plan.Runs > 100 || !isFraction(s.plan.Level) {
 		return usageErrorf("--runs must be from 3 to 100, --level between 0 and 1")
 	}
-	s.plan.Scenario, s.plan.Parallel = played, runtime.GOMAXPROCS(0)
+	s.plan.Scenario, s.plan.Parallel = sc, runtime.GOMAXPROCS(0)
 	sizes, err := ablation.Run(s.plan)
 	if err != nil {
 		return err
--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -25,14 +25,15 @@
 	cmd := &cobra.Command{
 		Use:   "fault-search [SCENARIO] [SUBJECT]",
 		Short: "Search for the faults under which the router serves worst or violates a rule",
-		Long: `Search for the list of faults with which a scenario goes worst. In each round, lists of faults are
-drawn at random or made by changing the worst one so far, and run in simulated time with the fleet
-and the clients of the scenario, but without its own faults. At the end, faults that are not needed
-are removed from the worst list. A list with a violated rule is worse than any loss of service.
+		Long: `Search for the list of faults under which a subject loses the most service. In each round, lists of faults
+are drawn at random or made by changing the worst one so far, and run in simulated time with the
+fleet and the clients of the scenario, but without its own faults. At the end, faults that are not
+needed are removed from the worst list. A list under which a rule is violated counts as worse than
+any loss of service.
 
 SUBJECT is "routing" (the default), a settings file, or a baseline policy, as for compare. The loss
-is counted from full service or, with --against, from the service of another subject with the same
-faults.
+is the difference from full service or, with --against, from the service of another subject under
+the same faults.
 
 The scenario that is found can be run against real replicas: brackenbend scenario FILE. The exit
 code is 4 if a rule was violated.`,
@@ -47,7 +48,7 @@
 
 func (s *faultSearch) addFlags(f *pflag.FlagSet) {
 	f.StringVar(&s.against, "against", "",
-		"subject that the loss is counted from: routing, a settings file, or a baseline policy; "+
+		"subject whose service the loss is measured from: routing, a settings file, or a baseline policy; "+
 			"without it, full service")
 	f.StringVarP(&s.outFile, "out", "o", "", "write the scenario that is found to this `file`")
 	f.IntVar(&s.search.MaxFaults, "troubles", s.search.MaxFaults, "maximum number of faults in a list")
@@ -60,7 +61,7 @@
 	if err := s.check(); err != nil {
 		return err
 	}
-	played, err := loadScenario(args[:min(len(args), 1)])
+	sc, err := loadScenario(args[:min(len(args), 1)])
 	if err != nil {
 		return err
 	}
@@ -68,16 +69,16 @@
 	if len(args) == 2 {
 		subject = args[1]
 	}
-	if err := s.prepare(played, subject); err != nil {
+	if err := s.prepare(sc, subject); err != nil {
 		return err
 	}
 	found, err := faultsearch.Run(s.search)
 	if err != nil {
 		return err
 	}
-	note := fmt.Sprintf("found by a fault search: service of %s %.3f, to compare with %.3f; %d breaches (simulated)",
+	note := fmt.Sprintf("found by a fault search: service of %s %.3f, reference %.3f; %d violations (simulated)",
 		subject, found.Subject, found.Reference, found.Violations)
-	_, text, err := played.WithFaults(found.Faults, note)
+	_, text, err := sc.WithFaults(found.Faults, note)
 	if err != nil {
 		return err
 	}
@@ -108,24 +109,24 @@
 	return nil
 }
 
-// prepare gives the search its scenario, its subject and the subject that the loss is counted from.
-func (s *faultSearch) prepare(played *scenario.Scenario, subject string) error {
-	parse := func(name string) (forecast.Subject, error) { return parseSubject(name, played, nil, false) }
+// prepare sets the scenario, the subject, the reference and the progress callback of the search.
+func (s *faultSearch) prepare(sc *scenario.Scenario, subject string) error {
+	parse := func(name string) (forecast.Subject, error) { return parseSubject(name, sc, nil, false) }
 	target, err := parse(subject)
 	if err != nil {
 		return err
 	}
-	s.search.Scenario, s.search.Subject, s.search.Parallel = played, target.Options, runtime.GOMAXPROCS(0)
+	s.search.Scenario, s.search.Subject, s.search.Parallel = sc, target.Options, runtime.GOMAXPROCS(0)
 	if s.against != "" {
-		yardstick, err := parse(s.against)
+		reference, err := parse(s.against)
 		if err != nil {
 			return err
 		}
-		s.search.Reference = yardstick.Options
+		s.search.Reference = reference.Options
 	}
 	s.search.OnRound = func(round int, best faultsearch.Result) {
 		p := printer{out: os.Stderr} // the search goes on even if its progress can't be written
-		p.printf("round %d: worst list loses %.4f, %d breaches\n", round+1, best.Loss(), best.Violations)
+		p.printf("round %d: worst list loses %.4f of the service, %d violations\n", round+1, best.Loss(), best.Violations)
 	}
 	return nil
 }
--- a/cmd/brackenbend/simulate_forecast.go
+++ b/cmd/brackenbend/simulate_forecast.go
@@ -123,7 +123,7 @@
 }
 
 // runOnSockets runs a scenario against replicas that are processes of this program.
-func runOnSockets(ctx context.Context, played *scenario.Scenario) (*scenariorun.Report, error) {
+func runOnSockets(ctx context.Context, sc *scenario.Scenario) (*scenariorun.Report, error) {
 	dir, err := os.MkdirTemp("", "brackenbend-scenario-")
 	if err != nil {
 		return nil, err
@@ -133,5 +133,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return scenariorun.Run(ctx, played, scenariorun.Options{Binary: program, WorkDir: dir})
+	return scenariorun.Run(ctx, sc, scenariorun.Options{Binary: program, WorkDir: dir})
 }
--- a/cmd/brackenbend/simulate_overload.go
+++ b/cmd/brackenbend/simulate_overload.go
@@ -37,9 +37,9 @@
 its first fifth) and in its worst two seconds, and the time from its end until the service of three
 seconds in a row reaches 95% of the service before it.
 
-With --loops, the runs are repeated with each feedback loop that can prolong an overload cut: retries
-by clients, further attempts, load shedding, time-outs at healthy engines, and crowded prefill
-engines.`,
+Feedback loops can prolong an overload: retries by clients, further attempts, load shedding, time-outs
+at healthy engines, and crowded prefill engines. With --loops, the runs are repeated with each of
+them disabled in turn.`,
 		Example: "  brackenbend simulate overload scenarios/simulation/size-74.xml --fronts 180 --base 0.6 " +
 			"--loads 1,2,5,10\n" +
 			"  brackenbend simulate overload scenarios/simulation/size-74.xml --loads 5 --loops",
@@ -55,18 +55,18 @@
 		"offered loads during the overload, as multiples of the scenario's rate")
 	f.Float64Var(&s.plan.Base, "base", 1, "load before and after the overload, as a multiple of the scenario's rate")
 	f.IntVar(&s.replicas, "fronts", 0, "number of replicas; 0 = that of the scenario")
-	f.DurationVar(&s.plan.Before, "before", s.plan.Before, "time at the base load before the overload")
-	f.DurationVar(&s.plan.For, "for", s.plan.For, "time of the overload")
-	f.DurationVar(&s.plan.After, "after", s.plan.After, "time at the base load after the overload")
+	f.DurationVar(&s.plan.Before, "before", s.plan.Before, "time at the base load before the overload, at least 3s")
+	f.DurationVar(&s.plan.For, "for", s.plan.For, "time of the overload, at least 2s")
+	f.DurationVar(&s.plan.After, "after", s.plan.After, "time at the base load after the overload, at least 5s")
 	f.IntVar(&s.plan.Runs, "runs", s.plan.Runs, "replications of each load")
-	f.BoolVar(&s.loops, "loops", false, "also run with each feedback loop cut")
+	f.BoolVar(&s.loops, "loops", false, "also run with each feedback loop disabled in turn")
 	f.StringVar(&s.subject, "way", s.subject,
-		"routing, a settings file, or a baseline policy: random, fewest or two-choices")
-	f.StringVar(&s.jsonFile, "json", "", "write all figures as JSON to this `file`")
+		"subject to simulate: routing, a settings file, or a baseline policy (random, fewest or two-choices)")
+	f.StringVar(&s.jsonFile, "json", "", "write all results as JSON to this `file`")
 }
 
 func (s *overloadSimulation) run(cmd *cobra.Command, args []string) error {
-	played, err := loadScenario(args)
+	sc, err := loadScenario(args)
 	if err != nil {
 		return err
 	}
@@ -74,16 +74,16 @@
 		return err
 	}
 	if s.replicas > 0 {
-		played.Replicas = s.replicas
+		sc.Replicas = s.replicas
 	}
-	subject, err := parseSubject(s.subject, played, nil, false)
+	subject, err := parseSubject(s.subject, sc, nil, false)
 	if err != nil {
 		return err
 	}
 	if subject.Options == nil {
 		return usageErrorf("--way must be routing, random, fewest, two-choices or a settings file")
 	}
-	s.plan.Scenario, s.plan.Options, s.plan.Parallel = played, subject.Options, runtime.GOMAXPROCS(0)
+	s.plan.Scenario, s.plan.Options, s.plan.Parallel = sc, subject.Options, runtime.GOMAXPROCS(0)
 	if s.loops {
 		s.plan.FeedbackLoops = overload.FeedbackLoops
 	}
--- a/cmd/brackenbend/simulate_recording.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -19,8 +19,8 @@
 const (
 	// maxTrafficScale is the largest factor by which the traffic of a recording may be multiplied.
 	maxTrafficScale = 100
-	// maxConcurrentOffset is the time after the first recording's begin within which a recording must begin to be taken
-	// as one of the same period.
+	// maxConcurrentOffset is how much later than the first recording a recording begins, at least, that is taken as one
+	// of another period.
 	maxConcurrentOffset = 24 * time.Hour
 )
 
@@ -43,7 +43,7 @@
 
 // load reads the recordings and returns their requests, nil if there are no recordings. It extends the scenario to the
 // length of the recordings.
-func (r *recordings) load(played *scenario.Scenario) ([]scenario.RecordedRequest, error) {
+func (r *recordings) load(sc *scenario.Scenario) ([]scenario.RecordedRequest, error) {
 	if len(r.files) == 0 {
 		return nil, nil
 	}
@@ -51,7 +51,7 @@
 	var scales []float64
 	var begins []time.Time
 	for _, arg := range r.files {
-		recording, err := loadRecording(arg, played)
+		recording, err := loadRecording(arg, sc)
 		if err != nil {
 			return nil, err
 		}
@@ -64,12 +64,12 @@
 	if len(all) == 0 {
 		return nil, exitError{fmt.Errorf("--trace: no requests in %s", strings.Join(r.files, ", ")), exitConfig}
 	}
-	played.Length = max(played.Length, all[len(all)-1].At)
+	sc.Length = max(sc.Length, all[len(all)-1].At)
 	return all, nil
 }
 
 // loadRecording reads a recording given as FILE or FILE@TIMES.
-func loadRecording(arg string, played *scenario.Scenario) (r scaledRecording, err error) {
+func loadRecording(arg string, sc *scenario.Scenario) (r scaledRecording, err error) {
 	file, times, scaled := strings.Cut(arg, "@")
 	r.scale = 1
 	if scaled {
@@ -84,7 +84,7 @@
 	}
 	t.CloseGaps()
 	r.begin = t.Begin
-	if r.requests, err = t.RecordedRequests(played); err != nil {
+	if r.requests, err = t.RecordedRequests(sc); err != nil {
 		return r, exitError{fmt.Errorf("%s: %w", file, err), exitConfig}
 	}
 	return r, nil
@@ -106,7 +106,7 @@
 	}
 }
 
-// readTrace reads a recording and prints notes on its content, such as damage, to standard error.
+// readTrace reads a recording and prints warnings of damage and gaps in it to standard error.
 func readTrace(file string) (t *trace.Trace, err error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -120,8 +120,8 @@
 		return nil, exitError{fmt.Errorf("%s: %w", file, err), exitConfig}
 	}
 	p := printer{out: os.Stderr}
-	for _, note := range t.Warnings() {
-		p.printf("%s: %s\n", file, note)
+	for _, warning := range t.Warnings() {
+		p.printf("%s: %s\n", file, warning)
 	}
 	return t, p.err
 }
--- a/cmd/brackenbend/simulate_scenario.go
+++ b/cmd/brackenbend/simulate_scenario.go
@@ -38,9 +38,9 @@
 		Use:   "scenario [FILE]",
 		Short: "Run a scenario in simulated time",
 		Long: `Run a scenario file, or the default scenario, in simulated time. The replicas use the router of the
-real gateway, the engines are the model behind the fake engines, and the clients are the same as in
-"brackenbend scenario", whose five rules are checked. The same seeds give the same result. The exit
-code is 4 if a rule was violated.`,
+real gateway, the engines use the model behind the fake engines, and the clients are the same as in
+"brackenbend scenario". The five rules of that command are checked, too. The same seeds give the same
+result. The exit code is 4 if a rule was violated.`,
 		Example: "  brackenbend simulate scenario\n" +
 			"  brackenbend simulate scenario scenarios/mass-restart.xml --seed 7\n" +
 			"  brackenbend simulate scenario big.xml --rules=false --shards 4",
@@ -53,7 +53,7 @@
 
 func (s *scenarioSimulation) addFlags(f *pflag.FlagSet) {
 	f.Float64Var(&s.seconds, "seconds", 0, "scale the scenario to this length in seconds; 0 = its own length")
-	f.Uint64Var(&s.seed, "seed", 0, "seed of everything random but the clients")
+	f.Uint64Var(&s.seed, "seed", 0, "seed of all random draws except those of the clients")
 	s.recordings.addFlags(f)
 	f.IntVar(&s.clientsSeed, "clients", 0, "seed of the clients; without it, that of the scenario")
 	f.StringVar(&s.jsonFile, "json", "", "write a summary as JSON to this `file`")
@@ -63,17 +63,17 @@
 }
 
 func (s *scenarioSimulation) run(cmd *cobra.Command, args []string) error {
-	played, err := loadScenario(args)
+	sc, err := loadScenario(args)
 	if err != nil {
 		return err
 	}
-	if err := scaleLength(played, s.seconds); err != nil {
+	if err := scaleLength(sc, s.seconds); err != nil {
 		return err
 	}
 	if cmd.Flags().Changed("clients") {
-		played.Seed = s.clientsSeed
+		sc.Seed = s.clientsSeed
 	}
-	traffic, err := s.recordings.load(played)
+	traffic, err := s.recordings.load(sc)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 		return usageErrorf("--shards must be from 1 to 64")
 	}
 	began := time.Now()
-	result, err := fleet.Run(played, fleet.Options{
+	result, err := fleet.Run(sc, fleet.Options{
 		Seed: s.seed, Audit: s.checkRules, Shards: s.shards, Traffic: traffic,
 	})
 	if err != nil {
@@ -91,7 +91,7 @@
 	if err := saveJSON(s.jsonFile, forecast.Summarize(result)); err != nil {
 		return err
 	}
-	if err := printResult(cmd.OutOrStdout(), played, result); err != nil {
+	if err := printResult(cmd.OutOrStdout(), sc, result); err != nil {
 		return err
 	}
 	if err := printCost(cmd.ErrOrStderr(), result, took); err != nil {
@@ -111,17 +111,17 @@
 }
 
 // printResult prints the service by class and tenant, the outcomes of attempts, and the rules.
-func printResult(out io.Writer, played *scenario.Scenario, result *fleet.Result) error {
+func printResult(out io.Writer, sc *scenario.Scenario, result *fleet.Result) error {
 	p := printer{out: out}
 	p.printf("simulated: service %.3f, worst 10 s %.3f, over %v\n\n",
-		result.Score.Service(), result.Score.WorstService(10), played.Length)
+		result.Score.Service(), result.Score.WorstService(10), sc.Length)
 	if p.err == nil {
 		p.err = printRows(out, result)
 	}
 	p.printf("\n%d prefills and %d decodes reached engines, %.0f tokens of read state transferred\n",
 		result.Attempts["read"], result.Attempts["write"], result.TransferredTokens)
-	for _, what := range slices.Sorted(maps.Keys(result.Outcomes)) {
-		p.printf("  %d %s\n", result.Outcomes[what], what)
+	for _, outcome := range slices.Sorted(maps.Keys(result.Outcomes)) {
+		p.printf("  %d %s\n", result.Outcomes[outcome], outcome)
 	}
 	for i, rule := range result.Rules {
 		p.printf("rule %d, %s: %d checks, %d breaches (%s)\n",
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -77,8 +77,8 @@
 	return events
 }
 
-// answer steps the router of each instance that has events in the batch once, with these events in order, and adds the
-// actions to the reply.
+// answer steps the router of each instance that has events in the batch, once with all of these events in order, and
+// adds its actions to the reply, or a fault if the step failed.
 func (a *adapter) answer(batch *simprotocol.Batch, reply *simprotocol.Reply) error {
 	events, err := a.collect(batch)
 	if err != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestStepMakesErrorOfPanic(t *testing.T) {
+func TestStepReturnsPanicAsError(t *testing.T) {
 	actions, err := step(nil, &simprotocol.Batch{}, []routing.Event{routing.Timer{}})
 	if actions != nil || err == nil || !strings.Contains(err.Error(), "decision module") {
 		t.Fatalf("actions %v, error %v", actions, err)
