--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -25,11 +25,11 @@
 	cmd := &cobra.Command{
 		Use:   "fault-search [SCENARIO] [SUBJECT]",
 		Short: "Search for the faults under which the router serves worst or violates a rule",
-		Long: `Search for the list of faults under which a subject loses the most service. In each round, lists of faults
-are drawn at random or made by changing the worst one so far, and run in simulated time with the
-fleet and the clients of the scenario, but without its own faults. At the end, faults that are not
-needed are removed from the worst list. A list under which a rule is violated counts as worse than
-any loss of service.
+		Long: `Search for the list of faults under which a subject loses the most service. In each round, lists of
+faults are drawn at random or made by changing the worst one so far, and run in simulated time with
+the fleet and the clients of the scenario, but without its own faults. At the end, faults that are
+not needed are removed from the worst list. A list under which a rule is violated counts as worse
+than any loss of service.
 
 SUBJECT is "routing" (the default), a settings file, or a baseline policy, as for compare. The loss
 is the difference from full service or, with --against, from the service of another subject under
