--- a/internal/audit/answers.go
+++ b/internal/audit/answers.go
@@ -11,7 +11,7 @@
 // may see the connection end before or after the kill is recorded; 1 s covers the scheduling lag of a busy machine.
 const killMargin = time.Second
 
-// replicaKills holds the times at which replicas were killed, by their names.
+// replicaKills holds the times at which each replica was killed, by the name of the replica.
 type replicaKills map[string][]time.Duration
 
 func findReplicaKills(events []Event) replicaKills {
@@ -31,20 +31,21 @@
 	})
 }
 
-// attemptAnswers is what was observed of an attempt.
+// attemptAnswers holds how an attempt was sent and how it ended.
 type attemptAnswers struct {
 	sent    Event
 	ended   Event // the first answer, connection cut or disconnect of the client; Kind is "" while there is none
-	answers int   // final answers
+	answers int   // number of final answers
 }
 
-// answerCheck checks that each attempt gets exactly one final answer and no bytes after it, except where its client
-// disconnected or its replica was killed. A rejection or failure must come before the client's deadline.
+// answerCheck checks that each attempt gets exactly one final answer and no bytes after it. The answer may be missing
+// only where the client disconnected or the replica was killed. Every final answer except a served or broken one must
+// come before the client's deadline.
 type answerCheck struct {
 	result   RuleResult
 	attempts map[string]*attemptAnswers
 	kills    replicaKills
-	slowest  time.Duration // longest time from a request to its rejection or failure
+	slowest  time.Duration // longest time from an attempt to its rejection or failure
 }
 
 func checkAnswers(events []Event) RuleResult {
@@ -73,7 +74,7 @@
 // observe processes an event that ends an attempt or follows its end.
 func (c *answerCheck) observe(e Event) {
 	attempt := c.attempts[e.Attempt]
-	if attempt == nil { // an early rejection, before the whole request was written
+	if attempt == nil { // never recorded as sent: the answer came before the whole request was written
 		attempt = &attemptAnswers{sent: Event{At: e.At, Deadline: e.At, Replica: e.Replica}}
 		c.attempts[e.Attempt] = attempt
 	}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,4 +1,4 @@
-// Package audit checks the five rules that replicas of the gateway must keep against a record of events at clients,
+// Package audit checks that the replicas of the gateway follow five rules. It reads a record of events at clients,
 // engines and the API server, on sockets or in simulated time. It is independent of the replicas: it queries none and
 // imports none of their code.
 //
@@ -15,9 +15,9 @@
 
 // Limits are the time limits of the rules.
 type Limits struct {
-	DrainGrace time.Duration // after the notification that an engine drains or is gone
-	StateTTL   time.Duration // of read states without an attempt in flight
-	// Slack is added to both limits: the times compared come from different sockets, and either may be observed late.
+	DrainGrace time.Duration // until the last new request, after the notification that an engine drains or is gone
+	StateTTL   time.Duration // until the release of a read state, while no attempt of its request is in flight
+	// Slack is added to both limits, since the times compared are recorded in different places and either may be late.
 	Slack time.Duration
 }
 
--- a/internal/audit/drains.go
+++ b/internal/audit/drains.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// replicaEngine is a pair of a replica and an engine that it is notified of, by their names.
+// replicaEngine names a replica and an engine of which the API server notifies it.
 type replicaEngine struct{ replica, engine string }
 
-// checkDrains checks that no new request reaches an engine later than the drain grace after the API server notified the
-// replica that sent it that the engine drains or is gone.
+// checkDrains checks that a replica sends no more requests to an engine that drains or is gone. The last one must reach
+// the engine within the drain grace after the API server notified the replica.
 func checkDrains(events []Event, limits Limits) RuleResult {
 	result := RuleResult{Rule: "drains are kept"}
 	notified := map[replicaEngine]time.Duration{}
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -35,15 +35,15 @@
 
 	// Arrived: a prefill or decode request reached an engine [Engine, Replica, Request, Decode].
 	Arrived Kind = "arrive"
-	// Ended: the engine finished or failed a request that had arrived [Engine, Request].
+	// Ended: the engine ended a request that had arrived, with or without an answer [Engine, Request].
 	Ended Kind = "end"
 	// Executed: a request took effect at an engine [Engine, Request, Attempt, Intent, Class].
 	Executed Kind = "run"
-	// Deduplicated: the dedup group of the engines dropped a repeated request [the fields of Executed].
+	// Deduplicated: the dedup scope of the engines dropped a repeated request [the fields of Executed].
 	Deduplicated Kind = "repeat"
 	// StateHeld: a read state waits at a prefill engine [Engine, Request].
 	StateHeld Kind = "held"
-	// StateReleased: a read state was fetched, released or expired, or its engine died [Engine, Request].
+	// StateReleased: a read state was fetched, released, expired or lost with its engine [Engine, Request].
 	StateReleased Kind = "let go"
 	// Overloaded: an engine in slow start was overloaded and crashed [Engine].
 	Overloaded Kind = "fell over"
@@ -77,10 +77,10 @@
 	Kind     Kind          `json:"kind"`
 	Replica  string        `json:"front,omitempty"`
 	Engine   string        `json:"engine,omitempty"`
-	Request  string        `json:"request,omitempty"` // id sent to engines: replica's run, number, attempt
+	Request  string        `json:"request,omitempty"` // ID sent to engines: replica's process, number, attempt
 	Decode   bool          `json:"write,omitempty"`
 	Attempt  string        `json:"try,omitempty"`    // one attempt of a client's request
-	Intent   string        `json:"effect,omitempty"` // id of the client's request, shared by its attempts
+	Intent   string        `json:"effect,omitempty"` // ID of the client's request, shared by its attempts
 	Class    Class         `json:"class,omitempty"`
 	Result   string        `json:"result,omitempty"` // served, refused, turned, failed, broken or invalid
 	Deadline time.Duration `json:"until,omitempty"`  // the client's deadline, as a time of the record
--- a/internal/audit/executions.go
+++ b/internal/audit/executions.go
@@ -2,14 +2,15 @@
 
 // executions are the Executed events, by attempt and by intent, and the intent of each attempt that was sent.
 type executions struct {
-	count         map[string]int   // by intent
-	byAttempt     map[string]Event // the last one of each attempt
+	count         map[string]int   // number of executions, by intent
+	byAttempt     map[string]Event // the latest execution of each attempt
 	firstOfIntent map[string]Event
 	intent        map[string]string // by attempt
 }
 
 // checkExecutions checks that no request of a client takes effect twice over all its attempts, unless its class is
-// idempotent, and that no request of a not idempotent class is rejected once it ran, in this attempt or an earlier one.
+// idempotent. For classes that are not idempotent, it also checks that no attempt is rejected that takes effect at any
+// time, or whose request has taken effect in an earlier attempt.
 func checkExecutions(events []Event) RuleResult {
 	result := RuleResult{Rule: "no effect twice, no refusal of what may have run"}
 	x := executions{
@@ -49,7 +50,7 @@
 	}
 }
 
-// checkRejection checks that neither the rejected attempt nor an earlier one of the same intent has run.
+// checkRejection checks that the rejected attempt never ran and that no attempt of its intent ran before the rejection.
 func (x *executions) checkRejection(result *RuleResult, rejection Event) {
 	if ran, ok := x.byAttempt[rejection.Attempt]; ok && ran.Class == NotIdempotent {
 		result.violated(rejection.At, "try %s of an unsafe class was refused, but it had run at engine %s",
--- a/internal/audit/readstates.go
+++ b/internal/audit/readstates.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// requestWithoutAttempt returns the id of a request without the number of the attempt at its end.
+// requestWithoutAttempt returns the ID of a request without the number of the attempt at its end.
 func requestWithoutAttempt(id string) string {
 	if i := strings.LastIndexByte(id, '-'); i >= 0 {
 		return id[:i]
@@ -15,8 +15,8 @@
 	return id
 }
 
-// replicaRun returns the part of a request's id that identifies the replica's process.
-func replicaRun(id string) string {
+// processID returns the part of a request's ID that identifies the replica's process.
+func processID(id string) string {
 	run, _, _ := strings.Cut(id, "-")
 	return run
 }
@@ -26,7 +26,7 @@
 
 // requestStates tracks the read states of a request and its attempts in flight.
 type requestStates struct {
-	inFlight       int             // attempts
+	inFlight       int             // number of attempts in flight
 	held           map[string]bool // prefill attempts whose read state is held at an engine
 	unclaimedSince time.Duration   // since when a read state is held with no attempt in flight
 }
@@ -48,31 +48,31 @@
 	}
 }
 
-// replicaRuns tracks which processes of replicas were killed. The rule exempts their read states, since nobody is left
-// to release them.
-type replicaRuns struct {
-	replica map[string]string // by run
-	killed  map[string]bool   // by run
+// replicaProcesses tracks which processes of replicas were killed. The rule exempts their read states, since a killed
+// process can't release them.
+type replicaProcesses struct {
+	replica map[string]string // by process ID
+	killed  map[string]bool   // by process ID
 	down    map[string]bool   // by replica: killed and not started again yet
 }
 
-func (r *replicaRuns) update(e Event) {
+func (r *replicaProcesses) update(e Event) {
 	switch e.Kind {
 	case ReplicaStarted:
 		r.down[e.Replica] = false
 	case ReplicaKilled:
 		r.down[e.Replica] = true
-		for run, replica := range r.replica {
-			r.killed[run] = r.killed[run] || replica == e.Replica
+		for id, replica := range r.replica {
+			r.killed[id] = r.killed[id] || replica == e.Replica
 		}
 	case Arrived:
 		if e.Request == "" {
 			return
 		}
-		run := replicaRun(e.Request)
-		r.replica[run] = e.Replica
+		id := processID(e.Request)
+		r.replica[id] = e.Replica
 		// A request that arrives from a replica that is down was sent before the replica was killed.
-		r.killed[run] = r.killed[run] || r.down[e.Replica]
+		r.killed[id] = r.killed[id] || r.down[e.Replica]
 	default:
 	}
 }
@@ -80,22 +80,22 @@
 // readStateCheck checks that a read state of a request with no attempt in flight is fetched or released within the
 // state TTL.
 type readStateCheck struct {
-	result   RuleResult
-	limits   Limits
-	requests map[string]*requestStates
-	runs     replicaRuns
-	longest  time.Duration
+	result    RuleResult
+	limits    Limits
+	requests  map[string]*requestStates
+	processes replicaProcesses
+	longest   time.Duration
 }
 
 func checkReadStates(events []Event, limits Limits) RuleResult {
 	c := readStateCheck{
-		result:   RuleResult{Rule: "nothing stays pinned"},
-		limits:   limits,
-		requests: map[string]*requestStates{},
-		runs:     replicaRuns{replica: map[string]string{}, killed: map[string]bool{}, down: map[string]bool{}},
+		result:    RuleResult{Rule: "nothing stays pinned"},
+		limits:    limits,
+		requests:  map[string]*requestStates{},
+		processes: replicaProcesses{replica: map[string]string{}, killed: map[string]bool{}, down: map[string]bool{}},
 	}
 	for _, e := range events {
-		c.runs.update(e)
+		c.processes.update(e)
 		switch e.Kind {
 		case Arrived, Ended, StateHeld, StateReleased:
 			if e.Request != "" {
@@ -143,7 +143,7 @@
 
 // checkHeld checks how long a request has had read states but no attempt in flight.
 func (c *readStateCheck) checkHeld(id string, request *requestStates, now time.Duration) {
-	if request.unclaimedSince < 0 || c.runs.killed[replicaRun(id)] {
+	if request.unclaimedSince < 0 || c.processes.killed[processID(id)] {
 		return
 	}
 	held := now - request.unclaimedSince
