--- a/internal/scenariorun/enginefaults.go
+++ b/internal/scenariorun/enginefaults.go
@@ -13,25 +13,26 @@
 
 // engineFaults holds the faults that are settings of a fake engine, by their names in scenarios.
 var engineFaults = map[string]func(*scenario.Fault) engine.Faults{
-	"fail-fast":  func(f *scenario.Fault) engine.Faults { return engine.Faults{FailFast: partOrAll(f)} },
+	"fail-fast":  func(f *scenario.Fault) engine.Faults { return engine.Faults{FailFast: fraction(f)} },
 	"fail-class": func(f *scenario.Fault) engine.Faults { return engine.Faults{FailClass: f.Class} },
 	"stall":      func(*scenario.Fault) engine.Faults { return engine.Faults{Stall: true} },
 	"slow": func(f *scenario.Fault) engine.Faults {
 		return engine.Faults{SlowFactor: cmp.Or(f.Factor, defaultSlowFactor)}
 	},
-	"reset-mid-stream":    func(f *scenario.Fault) engine.Faults { return engine.Faults{ResetMidStream: partOrAll(f)} },
-	"reset-after-request": func(f *scenario.Fault) engine.Faults { return engine.Faults{ResetAfterRequest: partOrAll(f)} },
-	"reset-after-effect":  func(f *scenario.Fault) engine.Faults { return engine.Faults{ResetAfterEffect: partOrAll(f)} },
-	"fail-after-effect":   func(f *scenario.Fault) engine.Faults { return engine.Faults{FailAfterEffect: partOrAll(f)} },
-	"stall-after-effect":  func(f *scenario.Fault) engine.Faults { return engine.Faults{StallAfterEffect: partOrAll(f)} },
+	"reset-mid-stream":    func(f *scenario.Fault) engine.Faults { return engine.Faults{ResetMidStream: fraction(f)} },
+	"reset-after-request": func(f *scenario.Fault) engine.Faults { return engine.Faults{ResetAfterRequest: fraction(f)} },
+	"reset-after-effect":  func(f *scenario.Fault) engine.Faults { return engine.Faults{ResetAfterEffect: fraction(f)} },
+	"fail-after-effect":   func(f *scenario.Fault) engine.Faults { return engine.Faults{FailAfterEffect: fraction(f)} },
+	"stall-after-effect":  func(f *scenario.Fault) engine.Faults { return engine.Faults{StallAfterEffect: fraction(f)} },
 	"reports-frozen":      func(*scenario.Fault) engine.Faults { return engine.Faults{FrozenReports: true} },
 	"reports-none":        func(*scenario.Fault) engine.Faults { return engine.Faults{NoReports: true} },
 }
 
-// partOrAll returns the fraction of requests that a fault affects: all where it states none.
-func partOrAll(fault *scenario.Fault) float64 { return cmp.Or(fault.Fraction, 1) }
+// fraction returns the fraction of requests that a fault affects: all where it states none.
+func fraction(fault *scenario.Fault) float64 { return cmp.Or(fault.Fraction, 1) }
 
-// beginOnEngines draws the engines that a fault affects, begins it on them and returns the function that undoes it.
+// beginOnEngines draws the engines that a fault affects, begins the fault on them and returns the function that undoes
+// it.
 func (s *faultScript) beginOnEngines(fault *scenario.Fault) (undo func()) {
 	picked := s.pick(fault)
 	var names []string
--- a/internal/scenariorun/engines.go
+++ b/internal/scenariorun/engines.go
@@ -40,7 +40,7 @@
 	for _, class := range r.scenario.Classes {
 		window = max(window, class.DedupWindow)
 	}
-	group := &engine.DedupScope{Window: window}
+	scope := &engine.DedupScope{Window: window}
 	for _, kind := range r.scenario.Kinds {
 		for i := range kind.Count {
 			cfg := engine.Config{
@@ -51,7 +51,7 @@
 				Params:          r.scenario.EngineParams(&kind),
 				PlainVLLM:       r.scenario.EngineProtocol == "vllm",
 				CanCancel:       r.scenario.Service.CanCancel,
-				DedupScope:      group,
+				DedupScope:      scope,
 				Record:          r.record,
 				OnProcessChange: r.engines.list,
 			}
--- a/internal/scenariorun/faults.go
+++ b/internal/scenariorun/faults.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// sleepUntil sleeps until a time, and reports false where ctx was canceled before.
+// sleepUntil sleeps until a time or until ctx is canceled, and reports whether it slept until the time.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -121,7 +121,7 @@
 	}
 }
 
-// clientConditions holds what the faults in force change of the clients' behavior.
+// clientConditions guards the present conditions of the clients, which faults change.
 type clientConditions struct {
 	mu      sync.Mutex
 	current scenario.Conditions
--- a/internal/scenariorun/foreseen.go
+++ b/internal/scenariorun/foreseen.go
@@ -9,14 +9,14 @@
 	"brackenbend/roles"
 )
 
-// defaultChangeTime is how long a change of role takes after its command, where the scenario states no time.
+// defaultChangeTime is how long a change of role takes from its command, where the scenario states no time.
 const defaultChangeTime = 10 * time.Second
 
 // foreseenPolicy changes the roles of engines by a schedule that is computed from the demand of an earlier run. It
 // implements planner.Policy.
 type foreseenPolicy struct {
 	run      *run
-	lead     time.Duration // how long before a change is needed it begins
+	lead     time.Duration // time from the beginning of a change until it is needed
 	schedule rolesim.Schedule
 	start    time.Duration // of the schedule, as a time of the record
 }
@@ -39,7 +39,7 @@
 	return p.schedule.Step(p.run.record.Now()-p.start+p.lead, engines)
 }
 
-// demandSecond is the demand seen in one second of an earlier run.
+// demandSecond holds the sums of the demand samples in one second of an earlier run, and the number of samples.
 type demandSecond struct{ prefill, decode, samples float64 }
 
 type demandBySecond []demandSecond
--- a/internal/scenariorun/forms_test.go
+++ b/internal/scenariorun/forms_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestReportJSONForm checks that the JSON form of a report does not change, since later runs read the demand over time
-// from reports of earlier ones. The golden file is older than the present names of the Go fields: it stays as recorded.
+// from reports of earlier ones. The golden file must stay as recorded: its names are not those of the Go fields.
 func TestReportJSONForm(t *testing.T) {
 	report := &Report{
 		Seconds: 1.5, LagMS: 2.5, Service: 0.5, Expected: 0.25,
--- a/internal/scenariorun/planners.go
+++ b/internal/scenariorun/planners.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// defaultSwitchTime is how long an empty engine takes to serve in another role, where the scenario states no time.
+	// defaultSwitchTime is how long a drained engine takes to change its role, where the scenario states no time.
 	defaultSwitchTime = time.Second
 	// forceTimeout bounds each request to the API server by which forceRole forces a role.
 	forceTimeout = 5 * time.Second
@@ -38,7 +38,8 @@
 	return c
 }
 
-// add sets the role configuration of an engine that changes role, and adds it to the API server's assignment table.
+// add sets the role configuration of an engine that changes role, and adds the engine to the API server's assignment
+// table.
 func (c *changingEngines) add(cfg *engine.Config, role roles.Role) {
 	cfg.Roles = c.params
 	cfg.InitialState = roles.EngineState{Role: role, Target: role}
@@ -112,7 +113,7 @@
 	return runner
 }
 
-// httpClient returns a client without idle connections; timeout 0 = none.
+// httpClient returns a client that keeps no idle connections; timeout 0 = none.
 func httpClient(timeout time.Duration) *http.Client {
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
@@ -126,7 +127,7 @@
 	p.running.Wait()
 }
 
-// sample records the roles and the demand when a plan is made, and logs its changes.
+// sample records the roles and the demand when a plan is made, and logs the changes of the plan.
 func (p *planners) sample(plan roles.Plan) {
 	assignments := p.run.api.Assignments()
 	serving, changing := assignments.CountServing()
--- a/internal/scenariorun/replicas.go
+++ b/internal/scenariorun/replicas.go
@@ -20,8 +20,8 @@
 const (
 	// readyTimeout bounds the start of all replicas; one takes less than a second on an idle machine.
 	readyTimeout = 30 * time.Second
-	// connectTimeout bounds the connects that detect whether a replica has started; connectInterval is the pause
-	// between two of them.
+	// connectTimeout bounds each attempt to connect to a replica that is starting; connectInterval is the pause between
+	// two attempts.
 	connectTimeout  = time.Second
 	connectInterval = 20 * time.Millisecond
 	// firstListWait is how long a run waits for the first endpoint list, which a replica fetches once it accepts
@@ -29,8 +29,8 @@
 	firstListWait = 300 * time.Millisecond
 	// stopTimeout is how long a replica may take to stop before it is killed: longer than any shutdown in a scenario.
 	stopTimeout = 20 * time.Second
-	// Of a crashed replica's log a report quotes the last logTail bytes or, from a panic on, the first maxCrashText
-	// characters.
+	// A report quotes the last logTail bytes of a crashed replica's log. If the log has a panic or a fatal error, it
+	// quotes up to maxCrashText characters from there instead.
 	logTail      = 1000
 	maxCrashText = 3000
 )
--- a/internal/scenariorun/report.go
+++ b/internal/scenariorun/report.go
@@ -35,7 +35,7 @@
 	Service  float64            `json:"service"`      // priority weight served over that requested
 	Classes  []scenario.Row     `json:"classes"`
 	Tenants  []scenario.Row     `json:"tenants"`
-	Attempts map[string]int     `json:"attempts"` // by the keys above, as engines recorded them
+	Attempts map[string]int     `json:"attempts"` // by the keys above; counted from the events of engines
 	Rules    []audit.RuleResult `json:"rules"`
 	Expected float64            `json:"expected_service,omitempty"`
 	Roles    []RoleSample       `json:"roles,omitempty"` // none where engines keep their roles
@@ -70,7 +70,7 @@
 	return report
 }
 
-// countAttempts counts the attempts that engines recorded.
+// countAttempts returns the counts for Report.Attempts.
 func countAttempts(events []audit.Event) map[string]int {
 	attempts := map[string]int{}
 	for _, e := range events {
@@ -88,8 +88,8 @@
 	return attempts
 }
 
-// Violations is the number of violations of the rules, counting a rule that was never checked and a service below what
-// the scenario expects.
+// Violations is the number of violations of the rules. A rule that was never checked counts as one, and so does a
+// service below what the scenario expects.
 func (r *Report) Violations() int {
 	n := 0
 	for _, rule := range r.Rules {
--- a/internal/scenariorun/scenariorun.go
+++ b/internal/scenariorun/scenariorun.go
@@ -2,10 +2,10 @@
 // (fakes in this process), replicas (processes of their own), clients, and faults. The fakes and the clients record
 // what passes on their sockets, and internal/audit checks the record; the replicas' own view is not used.
 //
-// Run ends all that it starts before it returns. It starts a goroutine that plays the faults and one for each fault
-// that is undone later, one for each client session, one that waits for each replica's process, one that measures
-// scheduling lag, and those of the planners. The state that they share is in engineFleet, replicaSet, clientConditions,
-// planners and traffic, each with its own mutex.
+// Run ends all that it starts before it returns. It starts a goroutine that plays the faults, one for each fault that
+// is undone later, for each engine that flaps and for each replica that a fault stops, one for each client session, one
+// that waits for each replica's process, one that measures scheduling lag, and those of the planners. The state that
+// they share is in engineFleet, replicaSet, clientConditions, planners and traffic, each with its own mutex.
 package scenariorun
 
 import (
@@ -26,13 +26,13 @@
 
 // Options say how a scenario is run.
 type Options struct {
-	Binary  string    // brackenbend itself, for the replicas
+	Binary  string    // path of brackenbend, which the replicas run
 	Env     []string  // of the replicas, in addition to this process's environment
 	WorkDir string    // folder for the replicas' settings, cached endpoint lists and logs
 	Log     io.Writer // receives a line for each fault, role change or problem; nil = no log
 	// Foreseen is the demand that an earlier run of the scenario recorded. Where it is set, roles follow the cheapest
-	// schedule for this demand in place of the planner's decisions, and each change of role begins as long before it is
-	// needed as it takes.
+	// schedule for this demand in place of the planner's decisions. Each change of role begins before it is needed, by
+	// the time that the scenario states for a change.
 	Foreseen []RoleSample
 }
 
--- a/internal/scenariorun/traffic.go
+++ b/internal/scenariorun/traffic.go
@@ -14,7 +14,7 @@
 const (
 	// maxClients bounds the concurrent clients, each of which has a socket and a goroutine; scenarios stay well below it.
 	maxClients = 4000
-	// maxTokensFactor is the max_tokens of a request, in mean answer lengths of its class.
+	// maxTokensFactor is the max_tokens of a request, as a multiple of the mean answer length of its class.
 	maxTokensFactor = 3
 )
 
@@ -22,8 +22,8 @@
 type traffic struct {
 	run      *run
 	began    time.Time
-	end      time.Time     // no turn begins after this
-	slots    chan struct{} // holds an element for each client; bounds their number
+	end      time.Time     // after this no session starts and none draws another turn
+	slots    chan struct{} // one element for each session in progress; bounds their number
 	sessions sync.WaitGroup
 
 	mu    sync.Mutex
