--- a/internal/simulation/fleet/apiserver.go
+++ b/internal/simulation/fleet/apiserver.go
@@ -34,7 +34,7 @@
 type listedEngine struct {
 	up, unlisted, draining bool
 	started                time.Duration // latest start of the process; 0 = before the scenario
-	activeFaults           int           // faults in effect on this engine
+	activeFaults           int           // number of faults in force on this engine
 	unhealthy              bool          // the health oracle lists the engine as draining
 	flapGeneration         int           // incremented when flapping starts or ends; odd while it lasts
 }
@@ -48,7 +48,8 @@
 
 // Messages sent by the API server.
 type (
-	// listUpdate holds one changed endpoint (routing.ListChanges) or all endpoints (routing.ListFull).
+	// listUpdate holds one changed endpoint (routing.ListChanges) or all endpoints (routing.ListFull). A replica that
+	// restarts applies a listUpdate of its own with the cached list (routing.ListCached).
 	listUpdate struct {
 		scope     routing.ListScope
 		endpoints []endpoint
@@ -74,13 +75,13 @@
 
 // Messages to the API server.
 type (
-	// engineStopped and engineStarted report that an engine's process stopped by itself or started.
+	// engineStopped reports that an engine's process ended by itself, engineStarted that it was started.
 	engineStopped struct{ engine int }
 	engineStarted struct {
 		engine int
 		at     time.Duration
 	}
-	// listRequest asks for the full endpoint list on behalf of a replica.
+	// listRequest is a replica's request for the full endpoint list.
 	listRequest struct{ replica int }
 	// scheduledTask is a function that the API server has scheduled for itself.
 	scheduledTask struct{ do func() }
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -31,9 +31,9 @@
 
 // clientRequest is the current request of a session.
 type clientRequest struct {
-	session *scenario.Session
-	key     string
-	sent    time.Duration // time of its first attempt
+	session    *scenario.Session
+	sessionKey string
+	sent       time.Duration // time of its first attempt
 }
 
 // clientAttempt is one attempt of a request: the client sends it to one replica.
@@ -43,7 +43,7 @@
 	id               string // identifies the attempt in audit events: session.turn/attempt
 	replica          int
 	sent             time.Duration
-	firstToken       time.Duration // 0 = none yet
+	firstToken       time.Duration // time of the first token; 0 = none yet
 	outputTokens     int           // length of the answer
 	disconnectsEarly bool          // the client disconnects before its deadline
 }
@@ -151,7 +151,7 @@
 	session := c.arrivals.Next(&c.conditions)
 	c.schedule(c.arrivals.Gap(&c.conditions), sessionArrival{})
 	c.openSessions++
-	c.sendAttempt(&clientRequest{session: session, key: session.Key, sent: c.now()})
+	c.sendAttempt(&clientRequest{session: session, sessionKey: session.Key, sent: c.now()})
 }
 
 const (
@@ -185,7 +185,7 @@
 }
 
 func newIncomingRequest(a *clientAttempt, class *scenario.Class) incomingRequest {
-	session, key, intent := a.request.session, a.request.key, a.intent()
+	session, key, intent := a.request.session, a.request.sessionKey, a.intent()
 	promptBytes, prefixBytes := session.PromptBytes()
 	limit := int(class.AnswerTokens) * maxAnswerFactor
 	work := requestWork{
@@ -217,7 +217,7 @@
 	return incomingRequest{a.number, classification, session.Stream, class.Deadline, work}
 }
 
-// recordSent records an attempt that reached a replica. The callers skip attempts that could not connect, which were
+// recordSent records that an attempt was sent. It is not called for attempts whose connection was refused, which were
 // never sent.
 func (c *clients) recordSent(a *clientAttempt) {
 	class := &c.fleet.scenario.Classes[a.request.session.Class]
@@ -292,6 +292,6 @@
 		c.lastEnd = c.now()
 		return
 	}
-	next := &clientRequest{session: r.session, key: r.key, sent: c.now() + pause}
+	next := &clientRequest{session: r.session, sessionKey: r.sessionKey, sent: c.now() + pause}
 	c.schedule(pause, nextAttempt{next})
 }
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -15,7 +15,7 @@
 )
 
 // engine is the actor of one engine. It runs the same model as the fake engines (enginemodel.Engine) and supports the
-// same faults, but receives its requests as messages instead of over sockets.
+// same faults, except those of load reports, but receives its requests as messages instead of over sockets.
 type engine struct {
 	actorBase
 	recorder
@@ -38,7 +38,7 @@
 
 	prefills, decodes int // attempts that arrived
 	fetchedTokens     float64
-	pending           pendingWork // sent by oracles and not yet delivered
+	pending           pendingWork // recently sent by oracles; may not have arrived
 
 	role roleState
 }
@@ -47,10 +47,10 @@
 type job struct {
 	enginemodel.Job
 	request             engineRequest
-	started, stateReady bool
+	started, stateReady bool // it has left the queue; its read state was fetched, or it needs none
 	hasFirstToken       bool // the model has generated the first token
-	disconnected        bool
-	resetAtToken        int // number of the token at which the connection is reset; 0 = never
+	disconnected        bool // its connection to the replica is closed
+	resetAtToken        int  // number of the token at which the connection is reset; 0 = never
 }
 
 // Messages between replicas and engines.
@@ -187,7 +187,7 @@
 	e.send(m.replica, e.fleet.linkDelay(e.rnd), attemptEnded{m.attemptRef, result})
 }
 
-// endJob removes a job and sends its result to the replica, unless the replica has closed the connection.
+// endJob removes a job. It also records the end and sends the result to the replica, unless the connection is closed.
 func (e *engine) endJob(j *job, result attemptResult) {
 	if e.jobs[j.ID] != j {
 		return
@@ -240,8 +240,7 @@
 func newJob(m engineRequest) *job {
 	j := &job{request: m, Job: enginemodel.Job{
 		ID: m.id, PromptTokens: m.work.promptTokens, Prefix: m.work.prefix, PrefixTokens: m.work.prefixTokens,
-		Session: m.work.session,
-		OutputTokens: m.work.outputTokens, PrefillOnly: !m.decode, FirstTokenOnly: true,
+		Session: m.work.session, OutputTokens: m.work.outputTokens, PrefillOnly: !m.decode, FirstTokenOnly: true,
 	}}
 	if m.decode && m.state.engine >= 0 {
 		j.FetchTokens = max(j.PromptTokens, 1)
@@ -250,7 +249,7 @@
 	return j
 }
 
-// onStarted is called when the model starts a job. A decode then fetches its read state.
+// onStarted is called when the model starts a job. A decode that has a read state at another engine then fetches it.
 func (e *engine) onStarted(j *job) {
 	j.started = true
 	if !j.stateReady {
@@ -288,15 +287,17 @@
 	}
 }
 
-// cancelLater schedules the cancellation of a job that has ended, because the model must not be changed during one of
-// its callbacks. The job stays registered without a connection until then.
+// cancelLater schedules a connectionClosed for a job that has ended, because the model must not be changed during one
+// of its callbacks. The message cancels the job if the engine can cancel a running job. Until then the job stays
+// registered, without a connection.
 func (e *engine) cancelLater(j *job) {
 	e.schedule(0, connectionClosed{j.ID})
 	e.jobs[j.ID] = j
 	j.disconnected = true
 }
 
-// emitFirstToken records that the request took effect, and sends its first token to the replica.
+// emitFirstToken records that the request took effect, and sends its first token to the replica unless the connection
+// is closed or a fault prevents it.
 func (e *engine) emitFirstToken(j *job) {
 	work := &j.request.work
 	e.record(e.now(), audit.Event{
@@ -367,7 +368,7 @@
 // dropAllWork resets all connections and drops the model's work, read states and prefix cache.
 func (e *engine) dropAllWork() {
 	for _, id := range slices.Sorted(maps.Keys(e.jobs)) {
-		if j := e.jobs[id]; j != nil && !j.started { // a job that is queued or stalled may be unknown to the model
+		if j := e.jobs[id]; j != nil && !j.started { // a stalled job is unknown to the model, so Reset doesn't end it
 			e.endJobWith(j, routing.ConnectionReset)
 		}
 	}
--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -36,7 +36,7 @@
 	}
 )
 
-// defaultSwitchTime is how long a drained engine takes to change its role.
+// defaultSwitchTime is how long a drained engine takes to change its role, where the scenario states no time.
 const defaultSwitchTime = time.Second
 
 // allowRoleChanges sets up the engines of the kinds that can change role, and assigns their initial roles.
@@ -85,7 +85,8 @@
 	return !e.role.state.Serves(e.role.state.Role) || e.role.switching && !e.addsStage()
 }
 
-// switchIfDrained starts the switch to the commanded role once no work of the old role is left.
+// switchIfDrained starts the switch to the commanded role once no work of the old role is left, or immediately if the
+// engine only adds a stage.
 func (e *engine) switchIfDrained() {
 	busy := e.model.InFlight() > 0 || e.model.ReadStateCount() > 0
 	if e.role.params == nil || !e.up || e.role.switching || e.role.state.StatusReport().Serving {
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -9,8 +9,8 @@
 //   - Load reports are not sent, because no replica uses them for its decisions. Outdated events of the endpoint list
 //     are not sent either, because replicas ignore them.
 //   - A planner uses the replies to a poll half an interval after it sent the poll.
-//   - After a partition from the API server, a replica reconnects after a time that is uniformly distributed up to its
-//     longest backoff.
+//   - After a partition from the API server, a replica reconnects after a random time that is uniformly distributed up
+//     to its longest backoff, or up to the length of the partition if that is shorter.
 package fleet
 
 import (
@@ -162,7 +162,8 @@
 	maxExtraTime = time.Minute
 )
 
-// isOver reports whether the run is complete: all sessions have ended and the TTL of their read states is over.
+// isOver reports whether the run is complete: all sessions have ended and the TTL of their read states is over, or
+// maxExtraTime has passed.
 func (f *fleet) isOver(now time.Duration) bool {
 	length, settle := f.scenario.Length, f.scenario.Service.StateTTL+finalReleaseSlack
 	if now > length+maxExtraTime {
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -21,8 +21,8 @@
 	KnowDecodeLoad bool
 	// KnowHealth lists engines that a fault makes unhealthy as draining, as soon as the fault starts.
 	KnowHealth bool
-	// KnowSlowStart limits the work that all replicas together send to an engine in slow start by what the engine can
-	// take, instead of the slow start of each router.
+	// KnowSlowStart limits the work that all replicas together send to an engine in slow start to what the engine can
+	// take. It replaces the slow start of each router.
 	KnowSlowStart bool
 	// NoLoadShedding gives late answers the full weight, so that routers reject no request on arrival and cancel none
 	// that is late.
@@ -55,14 +55,15 @@
 	}
 }
 
-// pendingWork is the work that oracles have sent to an engine and that has not arrived. Oracles add it to the load of
-// the engine, so that they don't all pick the same engine.
+// pendingWork is the work that oracles have recently sent to an engine and that may not have arrived. Oracles add it to
+// the load of the engine, so that they don't all pick the same engine.
 type pendingWork struct {
 	seconds float64
 	streams int
 }
 
-// sendArrived removes a request from an engine's pendingWork, at a time by which the request has arrived.
+// sendArrived removes a request from an engine's pendingWork. It is scheduled twice the minimum link latency after the
+// request is sent, whether or not the request has arrived by then.
 type sendArrived struct{ seconds float64 }
 
 func (p *pendingWork) add(seconds float64) {
--- a/internal/simulation/fleet/oracle_test.go
+++ b/internal/simulation/fleet/oracle_test.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// If a fault affects more than half of the engines of a kind, the health oracle must leave all of them listed.
+// If a fault affects more than half of the engines of a kind, the health oracle must leave all of them listed as
+// ready.
 func TestHealthOracleNeedsEnoughHealthyEngines(t *testing.T) {
 	sc := smallScenario(t, `<happen at="2s" what="slow" kind="decode" count="4" factor="3" for="6s"/>`)
 	with, without := runScenario(t, sc, Options{Seed: 1, Oracles: Oracles{KnowHealth: true}}),
--- a/internal/simulation/fleet/planner.go
+++ b/internal/simulation/fleet/planner.go
@@ -12,7 +12,7 @@
 	"brackenbend/roles"
 )
 
-// RoleSample is the state of the role assignments at one step of a planner.
+// RoleSample holds the numbers of engines by role and the demand at one step of a planner.
 type RoleSample struct {
 	At                          time.Duration
 	Prefill, Decode, Changing   int     // numbers of engines
@@ -249,13 +249,14 @@
 	}
 }
 
-// lostWorkReports converts the requests that the replicas lost for lack of capacity to reports for the planner.
+// lostWorkReports converts the replicas' counts of requests rejected or failed before their first token to reports for
+// the planner.
 func (p *plannerProcess) lostWorkReports(now time.Duration) []roles.Replica {
-	read, write := planner.MeanCosts(p.statuses)
+	prefillCost, decodeCost := planner.MeanCosts(p.statuses)
 	var replicas []roles.Replica
 	for _, name := range slices.Sorted(maps.Keys(p.lostRequests)) {
 		counts := planner.LostCounts{Prefill: p.lostRequests[name][0], Decode: p.lostRequests[name][1]}
-		report := *p.lostWork.Update(name, counts, now, read, write)
+		report := *p.lostWork.Update(name, counts, now, prefillCost, decodeCost)
 		replicas = append(replicas, roles.Replica{ID: name, Report: &report})
 	}
 	return replicas
@@ -278,7 +279,7 @@
 	serving, changing := assignments.CountServing()
 	p.samples = append(p.samples, RoleSample{
 		At: p.now(), PrefillDemand: plan.PrefillDemand, DecodeDemand: plan.DecodeDemand,
-		Commands: assignments.LastCommandNumber,
-		Prefill: serving[roles.Prefill], Decode: serving[roles.Decode], Changing: changing,
+		Commands: assignments.LastCommandNumber, Prefill: serving[roles.Prefill], Decode: serving[roles.Decode],
+		Changing: changing,
 	})
 }
--- a/internal/simulation/fleet/replica.go
+++ b/internal/simulation/fleet/replica.go
@@ -16,7 +16,7 @@
 
 const (
 	// acceptWhileDraining is how long a draining replica still accepts connections in order to reject their requests. It
-	// equals the time in package gateway.
+	// equals the default drain grace of package gateway.
 	acceptWhileDraining = 50 * time.Millisecond
 	drainTimeout        = 10 * time.Second       // as in the settings that package scenario generates
 	startupTime         = 100 * time.Millisecond // from the start of a replica's process until it listens
--- a/internal/simulation/fleet/replica_requests.go
+++ b/internal/simulation/fleet/replica_requests.go
@@ -54,8 +54,8 @@
 	r.send(r.fleet.clients.id, r.fleet.linkDelay(r.rnd), answer{attempt, result, retryAfter, noAutoRetry})
 }
 
-// mayHaveEffect reports whether a second execution of the request could have an effect, because its class is not
-// idempotent.
+// mayHaveEffect reports whether a second execution of the request could have an effect, because its class is idempotent
+// only with a key or not at all.
 func (r *replica) mayHaveEffect(request *inflightRequest) bool {
 	return r.fleet.config.Classes[request.message.classification.Class].Idempotency != routing.Idempotent
 }
--- a/internal/simulation/fleet/result.go
+++ b/internal/simulation/fleet/result.go
@@ -73,7 +73,8 @@
 	return audit.Check(events, limits)
 }
 
-// minDedupWindow is the minimum time for which engines store idempotency keys.
+// minDedupWindow is the shortest time for which engines drop repeated requests with an idempotency key; the window of a
+// class may be longer.
 const minDedupWindow = time.Minute
 
 // markDeduplicated simulates deduplication by idempotency key: of the executions of a request within the dedup window,
--- a/internal/simulation/fleet/scheduler.go
+++ b/internal/simulation/fleet/scheduler.go
@@ -8,8 +8,8 @@
 // actor is one replica, one engine, one planner, the API server, or all clients. Actors share no state and communicate
 // by messages, each of which takes at least the minimum latency of a link, the lookahead. An event can therefore affect
 // another actor only after the lookahead, and shards of actors can run in parallel for that time. An actor receives its
-// messages ordered by time, sender and sequence number, regardless of the number of shards, so the result depends only
-// on the seed.
+// messages ordered by time, sender and sequence number, so the result does not depend on the number of shards. Oracles
+// break the first rule: they read the state of other actors, and such a run must have one shard.
 type actor interface {
 	receive(message any)
 	base() *actorBase
@@ -40,7 +40,7 @@
 	}
 }
 
-// schedule delivers a message to the actor itself.
+// schedule delivers a message to the actor itself after a delay, which may be shorter than the lookahead.
 func (b *actorBase) schedule(after time.Duration, message any) {
 	b.seq++
 	b.shard.push(event{at: b.shard.now + max(after, 0), to: b.id, from: b.id, seq: b.seq, message: message})
@@ -140,7 +140,7 @@
 
 func (s *scheduler) shardOf(id int32) *shard { return s.shards[int(id)%len(s.shards)] }
 
-// add registers an actor and sets its id.
+// add registers an actor and sets its ID.
 func (s *scheduler) add(a actor) {
 	b := a.base()
 	b.id = int32(len(s.actors))
--- a/internal/simulation/fleet/scheduler_test.go
+++ b/internal/simulation/fleet/scheduler_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// echoActor increments each number that it receives and sends it to two other actors. It counts the messages that are
-// received out of order.
+// echoActor increments each number below 9 that it receives and sends it to two other actors. It counts the messages
+// that it receives out of order.
 type echoActor struct {
 	actorBase
 	received   []string
