--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// check reports contradictions between attributes or elements, each of which is valid by itself.
+// check reports the problems that decoding one attribute can't find: duplicate names, references to missing elements,
+// values out of range, and attributes or elements that contradict each other.
 func (s *Settings) check(report Reporter) {
 	checkUnique(report, "class", s.Classes, func(c Class) (Pos, string) { return c.Pos, c.Name })
 	checkUnique(report, "tenant", s.Tenants, func(t Tenant) (Pos, string) { return t.Pos, t.Name })
@@ -155,13 +156,14 @@
 }
 
 // checkAddress reports an address that is neither empty nor of the form host:port.
-func checkAddress(report Reporter, p Pos, name, v string) {
-	if _, port, err := net.SplitHostPort(v); v != "" && (err != nil || port == "") {
-		report(p, "write it like 127.0.0.1:8080", "%s=%q is no host and port", name, truncate(v))
+func checkAddress(report Reporter, p Pos, attribute, address string) {
+	if _, port, err := net.SplitHostPort(address); address != "" && (err != nil || port == "") {
+		report(p, "write it like 127.0.0.1:8080", "%s=%q is no host and port", attribute, truncate(address))
 	}
 }
 
-// checkUnique reports elements of list whose name an earlier one has. elementName is for the message.
+// checkUnique reports each element of list with the same name as an earlier one. Empty names are ignored. elementName
+// is the name of the XML element, for the message.
 func checkUnique[T any](report Reporter, elementName string, list []T, posAndName func(T) (Pos, string)) {
 	seen := map[string]int{}
 	for _, e := range list {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads and validates the XML settings file of a gateway. It reports every problem with its file, line
-// and column and a suggested fix. Settings that the file omits get the defaults in defaults.go, or stay zero, which
-// selects the router's default.
+// and column and a suggested fix. Settings that the file omits get the defaults in defaults.go, or stay zero. For
+// settings of the router, zero selects the default that routing.Config documents.
 //
 // Settings are plain values, which the caller of Load or Parse owns. The package starts no goroutines.
 package config
@@ -39,8 +39,8 @@
 // fmt.Sprintf.
 type Reporter func(at Pos, fix, message string, args ...any)
 
-// Decode fills into, a pointer to a struct with cfg tags, from the text of a file whose root element is root. It calls
-// check for the rules that involve more than one attribute. The error is of type Problems, ordered by position.
+// Decode fills into, a pointer to a struct with cfg tags, from the text of a file whose root element is root. It then
+// calls check, which reports problems that the tags can't express. The error is of type Problems, ordered by position.
 func Decode(file string, text []byte, root string, into any, check func(Reporter)) error {
 	d := &decoder{file: file}
 	if e := parseElements(text, d.problem); e != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -95,7 +95,7 @@
 		found := false
 		for _, p := range ps {
 			onLine := p.Line == line || c.old == "</brackenbend>"
-			for l := line; l > line-3 && !onLine; l-- { // an attribute's problem has the line at which its element starts
+			for l := line; l > line-3 && !onLine; l-- { // a problem with an attribute has the line of its element
 				onLine = p.Line == l && strings.Contains(strings.Split(bad, "\n")[l-1], "<")
 			}
 			found = found || strings.Contains(p.Message, c.message) && strings.Contains(p.Fix, c.fix) && onLine
--- a/internal/config/convert.go
+++ b/internal/config/convert.go
@@ -8,14 +8,14 @@
 	"brackenbend/routing"
 )
 
-// The values of enumerated attributes in a settings file, with the constants that they select.
+// Constants by the values of enumerated attributes in a settings file.
 var (
-	idempotencies = map[string]routing.Idempotency{
+	idempotenciesByName = map[string]routing.Idempotency{
 		"safe":   routing.Idempotent,
 		"keyed":  routing.IdempotentWithKey,
 		"unsafe": routing.NotIdempotent,
 	}
-	dedupScopes = map[string]routing.DedupScope{
+	dedupScopesByName = map[string]routing.DedupScope{
 		"":     routing.DedupAll,
 		"all":  routing.DedupAll,
 		"zone": routing.DedupZone,
@@ -63,8 +63,8 @@
 			Deadline:                k.Deadline,
 			PriorityWeight:          k.PriorityWeight,
 			LateWeight:              k.LateWeight,
-			Idempotency:             idempotencies[k.Idempotency],
-			DedupScope:              dedupScopes[k.DedupScope],
+			Idempotency:             idempotenciesByName[k.Idempotency],
+			DedupScope:              dedupScopesByName[k.DedupScope],
 			DedupWindow:             k.DedupWindow,
 		})
 	}
@@ -121,7 +121,7 @@
 	return slices.IndexFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// KindIndex returns the index of the kind with a name, or -1.
+// KindIndex returns the index of the kind with the given name, or -1.
 func (s *Settings) KindIndex(name string) int {
 	return slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == name })
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -12,7 +12,7 @@
 //
 // A field of a struct is an attribute if its type is a scalar, and an element if its type is a pointer to a struct or a
 // slice of structs. The tag `cfg` holds its name in the file, optionally followed by ",required" and, for strings,
-// ",enum=a|b". A field of type Pos without a tag is set to the position of the element.
+// ",enum=a|b". A field of type Pos is set to the position of the element.
 type decoder struct {
 	file     string
 	problems Problems
@@ -30,7 +30,7 @@
 	enum     []string
 }
 
-// parseTag parses the `cfg` tag of a field; ok is false if it has none.
+// parseTag parses the `cfg` tag of a field; ok is false if the field has none.
 func parseTag(f reflect.StructField) (t fieldTag, ok bool) {
 	tag, ok := f.Tag.Lookup("cfg")
 	parts := strings.Split(tag, ",")
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -5,14 +5,14 @@
 // Defaults of settings that a file omits. The limits bound the time and memory that one client or engine can take up.
 const (
 	defaultDrainTimeout         = 30 * time.Second       // for requests in flight after SIGTERM
-	defaultAnswerMargin         = 100 * time.Millisecond // before the client's deadline
+	defaultAnswerMargin         = 100 * time.Millisecond // between the final answer and the client's deadline
 	defaultMaxOpenRequests      = 20000
 	defaultMaxConnections       = 20000
 	defaultMaxHeaderBytes       = 32 << 10
 	defaultMaxHeaderFields      = 100
 	defaultMaxBodyBytes         = 4 << 20
 	defaultMaxBufferedBodyBytes = 256 << 20 // of all requests in flight
-	defaultMaxCollectedBytes    = 4 << 20   // of a response that is not streamed
+	defaultMaxCollectedBytes    = 4 << 20   // of a response that is not streamed, or of an engine's reply
 	defaultMaxEventBytes        = 256 << 10 // of one event of a stream
 	defaultHeaderTimeout        = 10 * time.Second
 	defaultBodyTimeout          = 30 * time.Second
--- a/internal/config/element.go
+++ b/internal/config/element.go
@@ -22,7 +22,7 @@
 	children []*element
 }
 
-// elementParser builds the tree of elements. It reports text between elements and elements that are nested too deep.
+// elementParser builds the tree of elements. It reports text outside tags and elements that are nested too deeply.
 type elementParser struct {
 	report       Reporter
 	openElements []*element // path from the root to the current element
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -29,7 +29,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Pos is the position of an element in its file. Both numbers start at 1.
+// Pos is a position in a file. Both numbers start at 1.
 type Pos struct{ Line, Column int }
 
 // maxQuotedValue is the number of bytes of an invalid value that a problem's message quotes.
--- a/internal/config/scalar.go
+++ b/internal/config/scalar.go
@@ -18,10 +18,10 @@
 // Rate is a number per second.
 type Rate float64
 
-// maxNumber is the largest number that a file may hold.
+// maxNumber is the largest number, before its unit, in attributes other than durations and integers.
 const maxNumber = 1e15
 
-// exampleValue returns a valid value for an attribute, which the fix of a problem suggests.
+// exampleValue returns a valid value for a missing attribute, which the fix of the problem suggests.
 func exampleValue(t reflect.Type, tag fieldTag) string {
 	switch {
 	case t == reflect.TypeFor[time.Duration]():
@@ -42,8 +42,8 @@
 	return "1"
 }
 
-// sizeUnits are the units of sizes. B is the last, as setSize uses the first suffix that matches and the others end
-// with B too.
+// sizeUnits are the units of sizes. B is the last, because setSize uses the first suffix that matches and all units end
+// with B.
 var sizeUnits = []struct {
 	suffix string
 	bytes  int64
@@ -83,11 +83,11 @@
 }
 
 // problem reports that the value is invalid.
-func (p *scalarParser) problem(fix, what string) {
-	p.decoder.problem(p.element.Pos, fix, "<%s> %s=%q: %s", p.element.name, p.tag.name, truncate(p.text), what)
+func (p *scalarParser) problem(fix, message string) {
+	p.decoder.problem(p.element.Pos, fix, "<%s> %s=%q: %s", p.element.name, p.tag.name, truncate(p.text), message)
 }
 
-// number parses a number of at least 0.
+// number parses a number from 0 to maxNumber. It reports any other text with the given fix.
 func (p *scalarParser) number(text, fix string) (float64, bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(number >= 0 && number <= maxNumber) {
@@ -99,9 +99,9 @@
 
 func (p *scalarParser) setDuration(v reflect.Value) {
 	duration, err := time.ParseDuration(p.text)
-	_, noNumber := strconv.ParseFloat(p.text, 64)
+	_, numberErr := strconv.ParseFloat(p.text, 64)
 	switch {
-	case noNumber == nil:
+	case numberErr == nil:
 		p.problem(fmt.Sprintf("write %sms or %ss", p.text, p.text), "a time needs its unit")
 	case err != nil || duration < 0:
 		p.problem("write it like 500ms, 2s or 1m30s", "not a time")
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Settings are the settings of one replica.
+// Settings holds the contents of a settings file, which configures one replica.
 type Settings struct {
 	Pos
 	Replica   *Replica      `cfg:"front,required"`
@@ -32,8 +32,8 @@
 	AnswerMargin time.Duration `cfg:"answer-margin"`   // final answers are due this long before the deadline; 0 = 100 ms
 }
 
-// Limits bound the resources that clients can use and the time that they can take. Zero selects the value in
-// defaults.go.
+// Limits bound the resources that clients and engines can use and the time that they can take. Zero selects the value
+// in defaults.go.
 type Limits struct {
 	Pos
 	MaxOpenRequests      int           `cfg:"open-requests"`
@@ -41,7 +41,7 @@
 	MaxHeaderBytes       Size          `cfg:"head"`
 	MaxHeaderFields      int           `cfg:"header-fields"`
 	MaxBodyBytes         Size          `cfg:"body"`
-	MaxCollectedBytes    Size          `cfg:"whole-answer"`  // events of a response that is not streamed
+	MaxCollectedBytes    Size          `cfg:"whole-answer"`  // events of an unstreamed response; one reply of an engine
 	MaxEventBytes        Size          `cfg:"event"`         // one event of a stream
 	HeaderTimeout        time.Duration `cfg:"head-time"`     // from a request's first byte to the end of its header
 	BodyTimeout          time.Duration `cfg:"body-time"`     // to read a whole body
@@ -59,7 +59,7 @@
 	LinesPerSecond int    `cfg:"lines-per-second"` // with the same message and level; further ones are sampled; 0 = 100
 }
 
-// Service configures routing for the service as a whole. routing.Config documents the fields.
+// Service configures routing for the service as a whole. routing.Config documents the fields that have no comment here.
 type Service struct {
 	Pos
 	Replicas         int           `cfg:"fronts,required"`
@@ -73,10 +73,10 @@
 	OverloadAfter    time.Duration `cfg:"tip-after"`
 	DecodeCanPrefill bool          `cfg:"writers-read"`
 	CanCancel        bool          `cfg:"cancel"`                     // engines abort a request when its connection closes
-	OverQuotaWeight  float64       `cfg:"over-share-worth"`           // of a request over quota, as a part of the usual
+	OverQuotaWeight  float64       `cfg:"over-share-worth"`           // of a request over quota, as a fraction of others
 	WeightBy         string        `cfg:"worth-by,enum=request|work"` // empty = request
-	DefaultClass     string        `cfg:"default-class"`
-	DefaultTenant    string        `cfg:"default-tenant"`
+	DefaultClass     string        `cfg:"default-class"`              // of requests that no rule assigns to a class
+	DefaultTenant    string        `cfg:"default-tenant"`             // of requests that no rule assigns to a tenant
 }
 
 // Class is a class of requests. routing.Class documents the fields.
@@ -94,7 +94,7 @@
 	DedupWindow             time.Duration `cfg:"window"`
 }
 
-// Tenant is a customer of the service, with its quota of requests and its share of the capacity.
+// Tenant is a customer of the service. routing.Tenant documents the fields.
 type Tenant struct {
 	Pos
 	Name  string  `cfg:"name,required"`
@@ -102,12 +102,12 @@
 	Share float64 `cfg:"share"`
 }
 
-// Kind is a kind of engine: the role that its engines have and the size of their KV cache.
+// Kind is a kind of engine: the role of its engines and the size of their KV caches.
 type Kind struct {
 	Pos
 	Name   string `cfg:"name,required"`
 	Role   string `cfg:"role,required,enum=reader|writer|mixed"`
-	Memory Tokens `cfg:"memory"`
+	Memory Tokens `cfg:"memory"` // 0 = unknown
 }
 
 // Model is a model that the service offers.
@@ -122,7 +122,7 @@
 type Rule struct {
 	Pos
 	Source string `cfg:"when,required,enum=path|model|header|api-key-sha256|user"`
-	Name   string `cfg:"name"` // of the header
+	Name   string `cfg:"name"` // of the header, for when="header"
 	Equals string `cfg:"equals"`
 	Prefix string `cfg:"begins"`
 	Class  string `cfg:"class"`
@@ -134,8 +134,8 @@
 type AffinityKey struct {
 	Pos
 	Source string `cfg:"from,required,enum=header|user|system-messages|first-message|opening"`
-	Name   string `cfg:"name"`
-	Bytes  Size   `cfg:"bytes"`
+	Name   string `cfg:"name"`  // of the header, for from="header"
+	Bytes  Size   `cfg:"bytes"` // length of the prefix, for from="opening"
 }
 
 // Engines configures the connections to engines.
@@ -145,8 +145,8 @@
 	DialTimeout       time.Duration `cfg:"dial-time"`
 	MaxConnsPerEngine int           `cfg:"connections"`      // open, per engine
 	MaxIdlePerEngine  int           `cfg:"idle-connections"` // idle, per engine
-	IdleTimeout       time.Duration `cfg:"idle-time"`
-	LoadReportFields  string        `cfg:"load-report"` // names of ORCA load report fields, separated by spaces
+	IdleTimeout       time.Duration `cfg:"idle-time"`        // a connection that is idle for this long is not reused
+	LoadReportFields  string        `cfg:"load-report"`      // names of ORCA load report fields, separated by spaces
 }
 
 // Server is an engine of the static endpoint list.
@@ -165,8 +165,8 @@
 	URL       string `cfg:"url,required"` // without a path
 	Namespace string `cfg:"namespace,required"`
 	Selector  string `cfg:"label-selector"`
-	KindLabel string `cfg:"kind-label"` // EndpointSlice label with its engines' kind; empty = brackenbend.dev/kind
-	CellLabel string `cfg:"cell-label"` // EndpointSlice label with its engines' cell; empty = brackenbend.dev/cell
+	KindLabel string `cfg:"kind-label"` // EndpointSlice label for the engines' kind; empty = brackenbend.dev/kind
+	CellLabel string `cfg:"cell-label"` // EndpointSlice label for the engines' cell; empty = brackenbend.dev/cell
 	TokenFile string `cfg:"token-file"` // bearer token; the file is read for every call
 	CAFile    string `cfg:"ca-file"`    // root certificates for https
 	CacheFile string `cfg:"cache"`      // file that stores the last endpoint list
