--- a/internal/api/body.go
+++ b/internal/api/body.go
@@ -13,25 +13,25 @@
 const keepStateForDecode = `{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
 	`"remote_block_ids":null,"remote_host":null,"remote_port":null}`
 
-// fieldOverride is a field of a body for an engine that replaces the client's field of that name. The value is JSON.
+// fieldOverride is a field that bodyWith sets in a body for an engine. The value is JSON.
 type fieldOverride struct{ name, value string }
 
 // PrefillBody returns the body for a prefill. The response is limited to one token and not streamed, and the engine
 // keeps the read state for the decode engine.
 func (r *Request) PrefillBody() []byte {
-	limit := fieldMaxTokens
-	if _, ok := r.get(limit); !ok {
+	limitField := fieldMaxTokens
+	if _, ok := r.get(limitField); !ok {
 		if _, ok := r.get(fieldMaxCompletionTokens); ok {
-			limit = fieldMaxCompletionTokens
+			limitField = fieldMaxCompletionTokens
 		}
 	}
-	overrides := []fieldOverride{{limit, "1"}, {fieldStream, "false"}, {fieldKVTransferParams, keepStateForDecode}}
+	overrides := []fieldOverride{{limitField, "1"}, {fieldStream, "false"}, {fieldKVTransferParams, keepStateForDecode}}
 	return r.bodyWith(overrides, fieldMaxTokens, fieldMaxCompletionTokens, fieldStreamOptions, fieldMinTokens)
 }
 
 // DecodeBody returns the body for a decode, which is always streamed. kv holds the transfer parameters of the prefill's
 // reply; it is nil for a request that one engine runs as a whole. usage requests the token counts at the end of the
-// stream, which a response that the client wants unstreamed must contain.
+// stream, because a response that is not streamed must contain them.
 func (r *Request) DecodeBody(kv json.RawMessage, usage bool) []byte {
 	overrides := append(make([]fieldOverride, 0, 3), fieldOverride{fieldStream, "true"})
 	if usage {
@@ -43,8 +43,8 @@
 	return r.bodyWith(overrides, fieldKVTransferParams)
 }
 
-// bodyWith returns the client's body with the overrides set and the fields in drop removed. All other fields are copied
-// byte for byte, in their order.
+// bodyWith returns the client's body with the overrides in place of the client's fields of those names, and without the
+// fields in drop. All other fields are copied byte for byte, in their order.
 func (r *Request) bodyWith(overrides []fieldOverride, drop ...string) []byte {
 	size := len("{}")
 	for _, f := range r.fields {
@@ -55,8 +55,8 @@
 	}
 	b := append(make([]byte, 0, size), '{')
 	for _, f := range r.fields {
-		isSet := slices.ContainsFunc(overrides, func(s fieldOverride) bool { return s.name == f.name })
-		if isSet || slices.Contains(drop, f.name) {
+		overridden := slices.ContainsFunc(overrides, func(s fieldOverride) bool { return s.name == f.name })
+		if overridden || slices.Contains(drop, f.name) {
 			continue
 		}
 		b = append(append(append(append(b, f.key...), ':'), f.value...), ',')
@@ -69,7 +69,7 @@
 	return b
 }
 
-// PrefillReply holds the fields of an engine's reply to a prefill that routing needs.
+// PrefillReply holds the fields that the gateway needs from an engine's reply to a prefill.
 type PrefillReply struct {
 	KVTransferParams json.RawMessage // kv_transfer_params, nil if there are none
 	CachedTokens     float64         // prompt tokens found in the engine's prefix cache; 0 if unknown
@@ -91,7 +91,7 @@
 	return reply, nil
 }
 
-// maxCachedTokens is an upper bound on plausible counts; larger ones are ignored.
+// maxCachedTokens is an upper bound on plausible counts; counts that reach it are ignored.
 const maxCachedTokens = 1e9
 
 // CachedTokens returns the number of prompt tokens found in the prefix cache, from the usage in a reply or an event; 0
--- a/internal/api/classify.go
+++ b/internal/api/classify.go
@@ -23,7 +23,7 @@
 	FromUser                         // the user field of the body
 	FromSystemMessages               // the leading system and developer messages
 	FromFirstMessage                 // all messages up to and including the first user message
-	FromOpening                      // the first bytes of the prompt
+	FromOpening                      // the first bytes of the prompt or the messages
 )
 
 // Match is a condition on the value that a source has in a request. Either Equals or Prefix is set.
@@ -147,8 +147,8 @@
 	return defaultIndex
 }
 
-// affinityHash returns the hash of the first key that has a value, with the number of bytes of the prompt that it
-// covers. It returns 0, 0 if none has one.
+// affinityHash returns the hash of the first key that has a value. size is the number of bytes of the prompt that the
+// hash covers, for FromSystemMessages and FromOpening, else 0. If no key has a value, both are 0.
 func affinityHash(keys []AffinityKey, r *Request, h http1.Header) (hash uint64, size int) {
 	for _, key := range keys {
 		hash, size = 0, 0
--- a/internal/api/collector.go
+++ b/internal/api/collector.go
@@ -8,7 +8,7 @@
 )
 
 // Collector merges the events of an engine's stream into one response object, for a client that did not ask for a
-// stream. Requests to engines always ask for a stream, as that is how the gateway learns when the first token arrives.
+// stream. DecodeBody always requests a stream, as that is how the gateway learns when the first token arrives.
 type Collector struct {
 	chat     bool
 	maxBytes int // limit on size
@@ -88,11 +88,13 @@
 	return c.choices[int(index)], nil
 }
 
-// replacedStrings are the string fields that a delta contains as a whole. The strings of all other fields are appended.
+// replacedStrings are the string fields that each delta contains as a whole. In other fields a delta contains the next
+// part of the string.
 var replacedStrings = []string{"role", "id", "type", "finish_reason"}
 
 // merge adds a delta to an object. Strings are appended, except those of replacedStrings; objects are merged; elements
-// of lists are merged by their index field, or appended if they have none; all other values are replaced.
+// of lists are merged by their index field, or appended if they have none; null changes no value; all other values are
+// replaced.
 func merge(into, delta map[string]any) {
 	for name, v := range delta {
 		old := into[name]
--- a/internal/api/header.go
+++ b/internal/api/header.go
@@ -46,8 +46,8 @@
 	return class
 }
 
-// SubtractMargin returns the time in which a gateway must answer so that the answer arrives within wait: the margin is
-// for the way to the client. At least half of wait remains.
+// SubtractMargin returns the time in which a gateway must answer so that the answer arrives within wait. The margin
+// allows for the transfer to the client. The result is at least half of wait.
 func SubtractMargin(wait, margin time.Duration) time.Duration { return max(wait-margin, wait/2) }
 
 // hashedAPIKey returns the SHA-256, in hex, of the bearer token, or "" without one. Settings contain only such hashes,
--- a/internal/api/prefix.go
+++ b/internal/api/prefix.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// EstimateTokens returns the length of the prompt in tokens, estimated from its bytes unless the prompt is given as
-// tokens.
+// EstimateTokens returns the length of the prompt in tokens. It is estimated from the prompt's bytes unless the prompt
+// is an array of token IDs.
 func (r *Request) EstimateTokens(bytesPerToken float64) float64 {
 	if r.PromptTokens > 0 {
 		return float64(r.PromptTokens)
@@ -19,8 +19,8 @@
 	return math.Ceil(float64(n) / bytesPerToken)
 }
 
-// newHash returns a hash to which the model's name is already written, as prefix caches are shared only within one
-// model. Writing to it can't fail.
+// newHash returns a hash to which the model's name is already written, because the state in a prefix cache is valid for
+// one model only. Writing to it can't fail.
 func (r *Request) newHash() *xxhash.Digest {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(r.Model)
--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -38,8 +38,8 @@
 	fieldKVTransferParams    = "kv_transfer_params"
 )
 
-// routedFields are the fields that routing reads. A request that contains one of them twice is rejected, because the
-// engine could use the other value.
+// routedFields are the fields that the gateway reads. A request that contains one of them twice is rejected, because
+// the engine could use the other value.
 var routedFields = []string{
 	fieldModel, fieldStream, fieldUser, fieldMaxTokens, fieldMaxCompletionTokens, fieldMessages, fieldPrompt,
 }
@@ -50,7 +50,7 @@
 	Text string // its text parts, joined
 }
 
-// Request is a completion request.
+// Request is a request for a chat completion or a text completion.
 type Request struct {
 	Path         string
 	Chat         bool
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// parseMaxTokens reads the output limit, which has two names in the API; the newer one has precedence.
+// parseMaxTokens reads the output limit, which has two names in the API; max_completion_tokens has precedence.
 func (r *Request) parseMaxTokens() *Error {
 	for _, name := range []string{fieldMaxTokens, fieldMaxCompletionTokens} {
 		v, ok := r.get(name)
--- a/internal/api/request_test.go
+++ b/internal/api/request_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func decode(t *testing.T, b []byte) map[string]any {
+func unmarshalObject(t *testing.T, b []byte) map[string]any {
 	t.Helper()
 	var m map[string]any
 	if err := json.Unmarshal(b, &m); err != nil {
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	prefill := decode(t, r.PrefillBody())
+	prefill := unmarshalObject(t, r.PrefillBody())
 	if prefill["max_completion_tokens"] != 1.0 || prefill["stream"] != false || prefill["stream_options"] != nil ||
 		prefill["temperature"] != 0.25 {
 		t.Errorf("prefill: %v", prefill)
@@ -73,13 +73,13 @@
 	if kv["do_remote_decode"] != true || kv["do_remote_prefill"] != false {
 		t.Errorf("prefill: %v", kv)
 	}
-	body := decode(t, r.DecodeBody(json.RawMessage(`{"remote_port":5}`), false))
+	body := unmarshalObject(t, r.DecodeBody(json.RawMessage(`{"remote_port":5}`), false))
 	kv = body["kv_transfer_params"].(map[string]any)
 	if body["max_completion_tokens"] != 50.0 || body["stream"] != true || kv["remote_port"] != 5.0 ||
 		body["stream_options"] == nil {
 		t.Errorf("decode: %v", body)
 	}
-	if _, has := decode(t, r.DecodeBody(nil, true))["kv_transfer_params"]; has {
+	if _, has := unmarshalObject(t, r.DecodeBody(nil, true))["kv_transfer_params"]; has {
 		t.Error("the body of a request without a prefill has transfer parameters")
 	}
 }
