--- a/internal/gctuning/gctuning.go
+++ b/internal/gctuning/gctuning.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// heapFloor is the heap size below which no collection starts.
+// heapFloor is a minimum for the heap goal.
 type heapFloor struct {
 	bytes  uint64
 	undone atomic.Bool
@@ -57,7 +57,7 @@
 	})
 }
 
-// setPercent sets the percentage at which the next heap goal is the floor.
+// setPercent sets the percentage that percentFor returns for the current heap.
 func (f *heapFloor) setPercent() {
 	samples := []metrics.Sample{
 		{Name: "/gc/heap/live:bytes"}, {Name: "/gc/scan/stack:bytes"}, {Name: "/gc/scan/globals:bytes"},
--- a/internal/gctuning/gctuning_test.go
+++ b/internal/gctuning/gctuning_test.go
@@ -30,8 +30,8 @@
 	return goal[0].Value.Uint64()
 }
 
-// The test compares heap goals, as the number of collections during the allocations also depends on the load of the
-// machine.
+// TestSetHeapFloorMakesCollectionsRareUntilUndone compares heap goals, as the number of collections during the
+// allocations also depends on the load of the machine.
 func TestSetHeapFloorMakesCollectionsRareUntilUndone(t *testing.T) {
 	const floor, smallGoal = 256 << 20, 16 << 20 // 64 MiB of garbage cause at least four collections at smallGoal
 	percentBefore := debug.SetGCPercent(100)
@@ -60,13 +60,13 @@
 		floor, live, roots uint64
 		want               int
 	}{
-		"live heap":                {64 << 20, 8 << 20, 0, 700},
-		"live heap and roots":      {64 << 20, 8 << 20, 6 << 20, 400},
-		"live heap half the floor": {64 << 20, 32 << 20, 0, 100},
-		"live heap over the floor": {64 << 20, 80 << 20, 0, 100},
-		"no live heap":             {64 << 20, 0, 0, 1600},
-		"small live heap":          {64 << 20, 2 << 20, 0, 1600},
-		"floor under least goal":   {1 << 20, 0, 0, 100},
+		"live heap":                         {64 << 20, 8 << 20, 0, 700},
+		"live heap and roots":               {64 << 20, 8 << 20, 6 << 20, 400},
+		"live heap half the floor":          {64 << 20, 32 << 20, 0, 100},
+		"live heap over the floor":          {64 << 20, 80 << 20, 0, 100},
+		"no live heap":                      {64 << 20, 0, 0, 1600},
+		"small live heap":                   {64 << 20, 2 << 20, 0, 1600},
+		"floor below the runtime's minimum": {1 << 20, 0, 0, 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := percentFor(c.floor, c.live, c.roots); got != c.want {
--- a/internal/golden/routingconfig.go
+++ b/internal/golden/routingconfig.go
@@ -7,8 +7,9 @@
 	"brackenbend/routing"
 )
 
-// RoutingConfigText formats a router's configuration, one line per key. The keys are those of operators' settings
-// rather than the names of Go fields, so that golden files stay the same when fields are renamed.
+// RoutingConfigText formats a router's configuration, one line per key. The keys are those of the simulator's settings
+// (internal/simprotocol) rather than the names of Go fields, so that golden files stay the same when fields are
+// renamed.
 func RoutingConfigText(c routing.Config) string {
 	var s strings.Builder
 	line := func(key string, v ...any) { fmt.Fprintf(&s, "  %s = %s", key, fmt.Sprintln(v...)) }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -69,17 +69,17 @@
 	return r
 }
 
-// runSessions starts each session at its scheduled time and waits until all have ended.
+// runSessions starts each session at its scheduled time, unless too many are open, and waits until all have ended.
 func (r *run) runSessions(ctx context.Context, report *Report) {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
 	arrivals := r.plan.Scenario.Arrivals()
-	for at := r.startedAt; ; {
-		at = at.Add(arrivals.Gap(r.currentConditions()))
-		if at.Sub(r.startedAt) > r.plan.Length || !waitUntil(ctx, at) {
+	for scheduledAt := r.startedAt; ; {
+		scheduledAt = scheduledAt.Add(arrivals.Gap(r.currentConditions()))
+		if scheduledAt.Sub(r.startedAt) > r.plan.Length || !waitUntil(ctx, scheduledAt) {
 			return
 		}
-		report.MaxSenderDelay = max(report.MaxSenderDelay, time.Since(at))
+		report.MaxSenderDelay = max(report.MaxSenderDelay, time.Since(scheduledAt))
 		session := arrivals.Next(r.currentConditions())
 		if r.openSessions.Load() >= int64(r.plan.MaxOpen) {
 			report.NotStarted++
@@ -88,7 +88,7 @@
 		r.openSessions.Add(1)
 		sessions.Go(func() {
 			defer r.openSessions.Add(-1)
-			r.runSession(ctx, session, at)
+			r.runSession(ctx, session, scheduledAt)
 		})
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -36,7 +36,7 @@
 	return s
 }
 
-// rejectingServer rejects the first attempt of each request and serves the second, with the first token after delay.
+// rejectingServer rejects the first attempt of each request and serves the others, with the first token after delay.
 type rejectingServer struct {
 	delay time.Duration
 
@@ -139,7 +139,8 @@
 }
 
 // TestRunCountsQueueingDelay guards against coordinated omission: sessions must keep starting while the server is
-// overloaded, and latencies must include the time that a request waits in the server's queue.
+// overloaded, and latencies must include the time that a request waits in the server's queue. The test
+// also checks that sessions beyond Plan.MaxOpen are counted.
 func TestRunCountsQueueingDelay(t *testing.T) {
 	var mu sync.Mutex // the server serves one request at a time
 	address := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -15,7 +15,7 @@
 	significantDigits = 2
 )
 
-// maxGapsPerAttempt bounds the memory of one attempt's measurements. Gaps after it are not recorded.
+// maxGapsPerAttempt bounds the memory of one attempt's measurements. Further gaps are not recorded.
 const maxGapsPerAttempt = 10000
 
 // Class holds the results of one class as its clients saw them. The histograms are in microseconds.
@@ -23,7 +23,7 @@
 	scenario.Row
 	FirstToken *hdrhistogram.Histogram `json:"-"` // time to the first token, from when the request should have been sent
 	TokenGap   *hdrhistogram.Histogram `json:"-"` // time between two tokens of a response
-	Complete   *hdrhistogram.Histogram `json:"-"` // time to the end of a served response, from the same moment
+	Complete   *hdrhistogram.Histogram `json:"-"` // like FirstToken, but to the end of a served response
 }
 
 func newClass() Class {
@@ -60,8 +60,8 @@
 	result      *client.Result
 	gaps        []time.Duration
 	final       bool          // the client does not retry
-	requestedAt time.Time     // when the request should have been sent
-	elapsed     time.Duration // from requestedAt to the end of the attempt
+	scheduledAt time.Time     // when the request should have been sent
+	elapsed     time.Duration // from scheduledAt to the end of the attempt
 }
 
 // record adds an attempt to the run's measurements. Tokens, gaps and outcomes count for every attempt, the latencies of
@@ -84,5 +84,5 @@
 	if a.result.Kind == "served" {
 		recordTime(class.Complete, a.elapsed)
 	}
-	r.score.Add(a.session, a.requestedAt.Sub(r.startedAt), a.result.Kind, a.result.FirstToken)
+	r.score.Add(a.session, a.scheduledAt.Sub(r.startedAt), a.result.Kind, a.result.FirstToken)
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -21,15 +21,15 @@
 // Report is the result of a run.
 type Report struct {
 	Length         time.Duration
-	Elapsed        time.Duration
+	Elapsed        time.Duration // until all sessions had ended
 	Classes        []Class
 	Tenants        []scenario.Row
-	Service        float64
+	Service        float64 // fraction of the requested priority weight that was served
 	Timeline       []scenario.Second
 	Outcomes       map[string]int // number of attempts by outcome: served, refused, failed ...
-	Tokens         int64
-	NotStarted     int           // sessions dropped because Plan.MaxOpen sessions were open
-	MaxSenderDelay time.Duration // longest delay between the scheduled and the actual start of a session
+	Tokens         int64          // received in all responses
+	NotStarted     int            // sessions dropped because Plan.MaxOpen sessions were open
+	MaxSenderDelay time.Duration  // longest delay between the scheduled and the actual start of a session
 }
 
 // Quantiles summarizes a histogram. Times are in milliseconds.
@@ -65,7 +65,7 @@
 		return err
 	}
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	for _, section := range []string{r.classTable(), r.timeTable(), r.outcomeLine()} {
+	for _, section := range []string{r.classTable(), r.latencyTable(), r.outcomeLine()} {
 		if _, err := io.WriteString(table, section); err != nil {
 			return err
 		}
@@ -98,8 +98,8 @@
 	return b.String()
 }
 
-// timeTable returns a table of quantiles with tab-separated cells and a row for each latency of each class.
-func (r *Report) timeTable() string {
+// latencyTable returns a table of quantiles with tab-separated cells and a row for each latency of each class.
+func (r *Report) latencyTable() string {
 	var b strings.Builder
 	b.WriteString("\nMILLISECONDS\tCOUNT\tP50\tP90\tP99\tP99.9\tMAX\n")
 	for _, c := range r.Classes {
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -14,19 +14,19 @@
 // for answers that are longer than the mean.
 const maxTokensFactor = 3
 
-// runSession sends the requests of one session. at is the time at which the first should be sent.
-func (r *run) runSession(ctx context.Context, session *scenario.Session, at time.Time) {
+// runSession sends the requests of one session, the first of them at scheduledAt.
+func (r *run) runSession(ctx context.Context, session *scenario.Session, scheduledAt time.Time) {
 	request := r.newRequest(session)
 	for {
 		for len(request.Turns) < len(session.Messages) {
 			request.Turns = append(request.Turns, session.Messages[len(request.Turns)].Words())
 		}
 		request.AnswerTokens = session.AnswerTokens
-		kind := r.send(ctx, session, request, at)
+		kind := r.send(ctx, session, request, scheduledAt)
 		lengthElapsed := time.Since(r.startedAt) > r.plan.Length
 		more, pause := session.NextTurn(kind, lengthElapsed, r.currentConditions())
-		at = time.Now().Add(pause)
-		if !more || !waitUntil(ctx, at) {
+		scheduledAt = time.Now().Add(pause)
+		if !more || !waitUntil(ctx, scheduledAt) {
 			return
 		}
 	}
@@ -46,8 +46,11 @@
 	return request
 }
 
-// send sends one request, retries it as its client would, and returns the outcome of the last attempt.
-func (r *run) send(ctx context.Context, session *scenario.Session, request client.Attempt, at time.Time) string {
+// send sends one request, retries it as its client would, and returns the outcome of the last attempt. Latencies count
+// from scheduledAt, when the request should have been sent.
+func (r *run) send(
+	ctx context.Context, session *scenario.Session, request client.Attempt, scheduledAt time.Time,
+) string {
 	request.Intent = fmt.Sprintf("%d.%d", session.ID, session.Turn)
 	request.DisconnectAfter, request.MarksRetries = session.DisconnectAfter, session.MarksRetries
 	if request.Class == audit.IdempotentWithKey {
@@ -61,15 +64,15 @@
 		request.ID, request.Retries = fmt.Sprintf("%s/%d", request.Intent, session.Attempts), session.Retries
 		var gaps gapRecorder
 		request.OnToken = gaps.onToken
-		delay := time.Since(at) // includes earlier attempts and their pauses, which the client waits for too
+		delay := time.Since(scheduledAt) // includes earlier attempts and their pauses, which the client waits for too
 		result := client.Send(&request, replica, replica, nil)
 		if result.FirstToken > 0 {
 			result.FirstToken += delay
 		}
-		elapsed := time.Since(at)
+		elapsed := time.Since(scheduledAt)
 		retry, pause := session.AfterAttempt(result.Kind, result.NoAutoRetry, result.RetryAfter, elapsed)
 		r.record(attemptResult{
-			session: session, result: &result, gaps: gaps.gaps, final: !retry, requestedAt: at, elapsed: elapsed,
+			session: session, result: &result, gaps: gaps.gaps, final: !retry, scheduledAt: scheduledAt, elapsed: elapsed,
 		})
 		if !retry || !waitUntil(ctx, time.Now().Add(pause)) {
 			return result.Kind
--- a/internal/telemetry/admin.go
+++ b/internal/telemetry/admin.go
@@ -10,16 +10,16 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// adminHeaderTimeout is the time in which a client of the management address must send a request's header.
+// adminHeaderTimeout is the time in which a client of the admin address must send a request's header.
 const adminHeaderTimeout = 5 * time.Second
 
-// Serve serves /healthz, /readyz and /metrics on l until it is closed. ready returns the reason why the gateway is not
+// Serve serves /healthz, /readyz and /metrics on l until l is closed. ready returns the reason why the gateway is not
 // ready, or "" if it is.
 func (m *Metrics) Serve(l net.Listener, ready func() string) error {
 	return ServeAdmin(l, m.registry, ready)
 }
 
-// ServeAdmin is Serve for metrics that are not those of a gateway.
+// ServeAdmin is like Serve, but exposes the given metrics.
 func ServeAdmin(l net.Listener, metrics prometheus.Gatherer, ready func() string) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { writeLine(w, "alive") })
--- a/internal/telemetry/logger.go
+++ b/internal/telemetry/logger.go
@@ -1,6 +1,6 @@
-// Package telemetry creates the gateway's logger and metrics, and serves the metrics and health checks on the
-// management address. The values of metric labels are names from the settings or constants, never client input, so the
-// number of time series is bounded.
+// Package telemetry creates the gateway's logger and metrics, and serves the metrics and health checks on the admin
+// address. The values of metric labels are names from the settings or constants, never client input, so the number of
+// time series is bounded.
 //
 // Loggers and metrics are safe for concurrent use.
 package telemetry
@@ -17,7 +17,7 @@
 const (
 	// samplingInterval is the interval in which lines with the same message and level are counted.
 	samplingInterval = time.Second
-	// samplingThereafter is N: after the limit of an interval is reached, every Nth line is written.
+	// samplingThereafter is N: after the first perSecond lines of an interval, only every Nth line is written.
 	samplingThereafter = 100
 )
 
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -5,21 +5,21 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// prefix is the prefix of all metric names.
+// prefix is the common prefix of the metric names.
 const prefix = "brackenbend_"
 
 // Metrics holds the gateway's metrics.
 type Metrics struct {
 	registry          *prometheus.Registry
-	Answers           *prometheus.CounterVec // by class and result
-	Attempts          *prometheus.CounterVec // by stage and result
-	FirstToken        *prometheus.HistogramVec
+	Answers           *prometheus.CounterVec   // by class and result
+	Attempts          *prometheus.CounterVec   // by stage and result
+	FirstToken        *prometheus.HistogramVec // by class
 	ClientConnections prometheus.Gauge
 	OpenRequests      prometheus.Gauge
 	EarlyRejections   *prometheus.CounterVec // of connections and requests, before a request was accepted; by reason
 	DecisionSeconds   prometheus.Histogram
 	DecisionEvents    prometheus.Histogram
-	Backstops         prometheus.Counter     // error responses sent near the deadline, as the event loop had not decided
+	Backstops         prometheus.Counter     // error responses sent because the event loop had made no decision in time
 	EndpointUpdates   *prometheus.CounterVec // by scope
 	Engines           *prometheus.GaugeVec   // by role and state
 	Releases          *prometheus.CounterVec // by result
@@ -76,7 +76,7 @@
 	return m
 }
 
-// registrar creates metrics with the common prefix and registers them.
+// registrar creates metrics whose names begin with prefix, and registers them.
 type registrar struct{ *prometheus.Registry }
 
 func (r registrar) counterVec(name, help string, labels ...string) *prometheus.CounterVec {
--- a/internal/telemetry/names_test.go
+++ b/internal/telemetry/names_test.go
@@ -19,8 +19,8 @@
 		m.Answers, m.Attempts, m.EarlyRejections, m.EndpointUpdates, m.Releases, m.NotServed, m.ClosedConnections,
 		m.LostRequests,
 	} {
-		two := i == 0 || i == 1 || i == 5
-		if two {
+		hasTwoLabels := i == 0 || i == 1 || i == 5
+		if hasTwoLabels {
 			c.WithLabelValues("first label", "second label").Add(float64(i + 1))
 		} else {
 			c.WithLabelValues("only label").Add(float64(i + 1))
