--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -9,8 +9,8 @@
 	"brackenbend/routing"
 )
 
-// readStep is how many bytes of a body are read at once, so that a wrong length in the header can't make the decoder
-// allocate much more memory than the bytes that arrive need.
+// readStep is the greatest number of bytes of a body that are read at once. The buffer grows as bytes arrive, so that a
+// wrong length in the header can't make the decoder allocate much more memory than they need.
 const readStep = 1 << 20
 
 // Decoder reads batches. It keeps the numbered endpoint lists from one batch to the next.
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -25,7 +25,8 @@
 }
 
 // ParseSite parses the settings text, which is JSON. Unknown keys are ignored. An absent key gives the zero value;
-// routing.Config documents its meaning.
+// routing.Config documents its meaning. There are two exceptions: a kind without a role is mixed, and a class without
+// Repeat is an error.
 func ParseSite(text []byte) (Site, error) {
 	var file settingsFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -93,7 +94,7 @@
 	Release                  float64   `json:"Release"`
 }
 
-// capabilitySettings holds the actions that the router may take and limits on them.
+// capabilitySettings says which actions the router may take, and holds limits on attempts, requests and connections.
 type capabilitySettings struct {
 	AttemptsCap   int     `json:"AttemptsCap"`
 	MaxOpen       int     `json:"MaxOpen"`
--- a/internal/simprotocol/stored_test.go
+++ b/internal/simprotocol/stored_test.go
@@ -11,8 +11,8 @@
 )
 
 // The keys of the settings text belong to the simulator's protocol, and a key that a renamed field no longer matches is
-// ignored without an error. testdata/settings.txt holds what the recorded texts parsed to before fields were renamed; a
-// rename must not change it.
+// ignored without an error. testdata/settings.txt holds the parsed values of the recorded texts; renaming a field must
+// not change them.
 func TestParseSiteMatchesRecordedOutput(t *testing.T) {
 	var got strings.Builder
 	for _, name := range []string{"settings-full.json", "settings-case.json", "settings-short.json"} {
--- a/internal/simulation/ablation/table.go
+++ b/internal/simulation/ablation/table.go
@@ -27,7 +27,7 @@
 	for _, c := range Causes {
 		row("only "+c.Name, func(r *Result) string {
 			g := r.AddedLast[c.Name]
-			// The gain is negated, since the row shows what service changes by when only this cause is present.
+			// The gain is negated, since the row shows by how much service changes when this is the only cause.
 			return Gain{-g.Mean, -g.High, -g.Low}.String()
 		})
 	}
--- a/internal/simulation/baseline/baseline.go
+++ b/internal/simulation/baseline/baseline.go
@@ -64,7 +64,7 @@
 
 const (
 	defaultMaxAttempts = 2
-	randomStream       = 77          // of the random generator
+	randomStream       = 77          // PCG stream of the random generator
 	retryAfter         = time.Second // of all rejections
 )
 
--- a/internal/simulation/baseline/baseline_test.go
+++ b/internal/simulation/baseline/baseline_test.go
@@ -13,7 +13,7 @@
 // slowStartRule is the index of the only rule that baselines may violate, since they ignore slow start.
 const slowStartRule = 3
 
-// In the default scenario baselines violate no rule but that of slow start, and serve at least half.
+// In the default scenario baselines violate no rule but that of slow start, and their service is at least 0.5.
 func TestBaselinesKeepRules(t *testing.T) {
 	sc, err := scenario.Default()
 	if err != nil {
--- a/internal/simulation/faultsearch/draw.go
+++ b/internal/simulation/faultsearch/draw.go
@@ -12,7 +12,7 @@
 type faultKind struct {
 	name      string
 	onEngines bool       // it affects some engines of one kind
-	part      [2]float64 // bounds of Fault.Part; 0, 0 = the fault has no part
+	fraction  [2]float64 // bounds of Fault.Fraction; 0, 0 = the fault has no fraction
 	factor    [2]float64 // bounds of Fault.Factor; 0, 0 = the fault has no factor
 }
 
@@ -21,37 +21,37 @@
 	{name: "drain", onEngines: true},
 	{name: "remove", onEngines: true},
 	{name: "stall", onEngines: true},
-	{name: "fail-fast", onEngines: true, part: [2]float64{0.3, 1}},
+	{name: "fail-fast", onEngines: true, fraction: [2]float64{0.3, 1}},
 	{name: "slow", onEngines: true, factor: [2]float64{2, 8}},
 	{name: "refuse-connects", onEngines: true},
 	{name: "forget", onEngines: true},
 	{name: "silent-restart", onEngines: true},
-	{name: "reset-mid-stream", onEngines: true, part: [2]float64{0.2, 0.8}},
-	{name: "reset-after-request", onEngines: true, part: [2]float64{0.2, 0.8}},
-	{name: "reset-after-effect", onEngines: true, part: [2]float64{0.2, 0.8}},
-	{name: "stall-after-effect", onEngines: true, part: [2]float64{0.2, 0.8}},
-	{name: "fail-after-effect", onEngines: true, part: [2]float64{0.2, 0.8}},
+	{name: "reset-mid-stream", onEngines: true, fraction: [2]float64{0.2, 0.8}},
+	{name: "reset-after-request", onEngines: true, fraction: [2]float64{0.2, 0.8}},
+	{name: "reset-after-effect", onEngines: true, fraction: [2]float64{0.2, 0.8}},
+	{name: "stall-after-effect", onEngines: true, fraction: [2]float64{0.2, 0.8}},
+	{name: "fail-after-effect", onEngines: true, fraction: [2]float64{0.2, 0.8}},
 	{name: "front-kill"},
 	{name: "front-stop"},
 	{name: "register-cut"},
 	{name: "register-late"},
 	{name: "surge", factor: [2]float64{1.5, 4}},
-	{name: "overlong", part: [2]float64{0.01, 0.05}, factor: [2]float64{5, 20}},
-	{name: "hot-prefix", part: [2]float64{0.2, 0.8}},
-	{name: "hang-ups", part: [2]float64{0.1, 0.5}},
+	{name: "overlong", fraction: [2]float64{0.01, 0.05}, factor: [2]float64{5, 20}},
+	{name: "hot-prefix", fraction: [2]float64{0.2, 0.8}},
+	{name: "hang-ups", fraction: [2]float64{0.1, 0.5}},
 	{name: "mix", factor: [2]float64{0.1, 5}},
 }
 
 // Bounds of drawn faults.
 const (
-	minFaultTime      = time.Second
-	maxExtraFraction  = 0.25 // of the scenario's length, at most in addition to minFaultTime
-	maxEngines        = 3    // of one kind that a fault affects at most
-	maxEnginesDivisor = 3    // at most a third of the engines of a kind, but at least one
+	minFaultDuration  = time.Second
+	maxExtraFraction  = 0.25 // of the scenario's length, added to minFaultDuration at most
+	maxEngines        = 3    // the most engines that a fault affects
+	maxEnginesDivisor = 3    // a fault affects at most a third of the engines of a kind, but at least one
 	minLateMillis     = 200  // least delay of the endpoint list
 	lateSpreadMillis  = 2800 // range of delays above the least
 	timeStep          = 100 * time.Millisecond
-	stepsPerUnit      = 100 // parts and factors are multiples of 1/stepsPerUnit
+	stepsPerUnit      = 100 // fractions and factors are multiples of 1/stepsPerUnit
 )
 
 // drawList draws a list of 1 to MaxFaults faults.
@@ -65,7 +65,9 @@
 
 func (s *Search) drawFault(rnd *rand.Rand) scenario.Fault {
 	kind := faultKinds[rnd.IntN(len(faultKinds))]
-	fault := scenario.Fault{What: kind.name, Fraction: drawNumber(rnd, kind.part), Factor: drawNumber(rnd, kind.factor)}
+	fault := scenario.Fault{
+		What: kind.name, Fraction: drawNumber(rnd, kind.fraction), Factor: drawNumber(rnd, kind.factor),
+	}
 	s.drawTime(rnd, &fault)
 	switch {
 	case kind.onEngines:
@@ -81,7 +83,7 @@
 	return fault
 }
 
-// drawNumber draws a part or factor within bounds; 0 for the bounds 0, 0.
+// drawNumber draws a fraction or factor within bounds; 0 for the bounds 0, 0.
 func drawNumber(rnd *rand.Rand, bounds [2]float64) float64 {
 	if bounds[1] == 0 {
 		return 0
@@ -94,7 +96,7 @@
 
 // drawTime draws the time at which a fault begins, and its duration.
 func (s *Search) drawTime(rnd *rand.Rand, f *scenario.Fault) {
-	f.For = (minFaultTime + time.Duration(rnd.Float64()*maxExtraFraction*float64(s.Scenario.Length))).Round(timeStep)
+	f.For = (minFaultDuration + time.Duration(rnd.Float64()*maxExtraFraction*float64(s.Scenario.Length))).Round(timeStep)
 	latest := max(s.latestEnd()-f.For, 0)
 	f.At = time.Duration(rnd.Float64() * float64(latest)).Round(timeStep)
 }
--- a/internal/simulation/faultsearch/faultsearch.go
+++ b/internal/simulation/faultsearch/faultsearch.go
@@ -21,8 +21,8 @@
 	Subject   func(seed uint64) fleet.Options // the decider under test
 	Reference func(seed uint64) fleet.Options // the decider to compare with; nil = a service of 1
 	MaxFaults int                             // in a list, at most
-	Rounds    int                             // of draws; after the first, most lists are mutations of the worst one
-	Draws     int                             // lists per round
+	Rounds    int                             // after the first, most lists are mutations of the worst one so far
+	Draws     int                             // lists drawn or mutated per round
 	Seed      uint64
 	Parallel  int                          // simulations at once
 	OnRound   func(round int, best Result) // called after each round; may be nil
@@ -53,7 +53,7 @@
 
 const (
 	replications    = 2 // of each list, per decider
-	searchStream    = 9 // of the random generator
+	searchStream    = 9 // PCG stream of the random generator
 	randomListEvery = 4 // every fourth list is drawn instead of mutated, so that the search can leave a local maximum
 )
 
--- a/internal/simulation/forecast/compare.go
+++ b/internal/simulation/forecast/compare.go
@@ -35,7 +35,7 @@
 	Service           float64           `json:"service"`
 	Worst             float64           `json:"worst_10s"`
 	Requests          int               `json:"requests"`
-	Refused           int               `json:"refused"`
+	Rejected          int               `json:"refused"`
 	Attempts          int               `json:"attempts"`
 	TransferredTokens float64           `json:"state_tokens"`
 	Violations        int               `json:"breaches"`
@@ -55,7 +55,7 @@
 	classes, _ := r.Score.Rows()
 	for _, c := range classes {
 		s.Requests += c.Requests
-		s.Refused += c.Rejected
+		s.Rejected += c.Rejected
 	}
 	return s
 }
@@ -76,7 +76,7 @@
 	Names             [2]string  `json:"names"`
 	Means             [2]float64 `json:"means"`
 	Worst             [2]float64 `json:"worst_10s"`          // service in the worst 10 seconds
-	Refused           [2]float64 `json:"refused"`            // fraction of requests
+	Rejected          [2]float64 `json:"refused"`            // fraction of requests
 	Attempts          [2]float64 `json:"attempts_a_request"` // at engines
 	TransferredTokens [2]float64 `json:"state_tokens_a_request"`
 	Violations        [2]int     `json:"breaches"`
@@ -139,7 +139,7 @@
 	return c, nil
 }
 
-// simulatePairs simulates the next batch with both subjects, after a number of replications that are done.
+// simulatePairs simulates the next batch of replications with both subjects; first is the number of earlier ones.
 func simulatePairs(subjects *[2]Subject, first int, r StoppingRule) ([][2]*Summary, error) {
 	pairs := make([][2]*Summary, min(r.BatchSize, r.MaxReplications-first))
 	err := replication.Run(2*len(pairs), r.Parallel, func(i int) error {
@@ -157,7 +157,7 @@
 	c.Means[k] += s.Service
 	c.Worst[k] += s.Worst
 	*requests += float64(s.Requests)
-	c.Refused[k] += float64(s.Refused)
+	c.Rejected[k] += float64(s.Rejected)
 	c.Attempts[k] += float64(s.Attempts)
 	c.TransferredTokens[k] += s.TransferredTokens
 	c.Violations[k] += s.Violations
@@ -176,7 +176,7 @@
 	for k := range c.Means {
 		c.Means[k] /= n
 		c.Worst[k] /= n
-		c.Refused[k] /= requests[k]
+		c.Rejected[k] /= requests[k]
 		c.Attempts[k] /= requests[k]
 		c.TransferredTokens[k] /= requests[k]
 	}
--- a/internal/simulation/forecast/forecast.go
+++ b/internal/simulation/forecast/forecast.go
@@ -20,8 +20,8 @@
 )
 
 // Model is the error of the simulation: by how much the service of real runs differs from the mean of simulated ones.
-// It has two independent parts, of which the standard deviations are Floor, and LossFraction times the service that the
-// scenario loses.
+// It is the sum of two independent errors. The standard deviation of one is Floor; that of the other is LossFraction
+// times the service that the scenario loses.
 type Model struct {
 	Floor        float64 `json:"floor"`
 	LossFraction float64 `json:"part"`
@@ -57,7 +57,8 @@
 // worstSeconds is the length of the window over which the worst service is measured.
 const worstSeconds = 10
 
-// Predict simulates replications of a scenario, at most parallel of them at once, and forecasts its service.
+// Predict simulates replications of a scenario, at most parallel of them at once, and forecasts its service. All have
+// the same clients; they differ in the random draws that fleet.Options.Seed determines.
 func Predict(name string, s *scenario.Scenario, runs, parallel int, level float64, m Model) (*Forecast, error) {
 	if runs < minRuns {
 		return nil, ErrTooFewRuns
--- a/internal/simulation/forecast/report.go
+++ b/internal/simulation/forecast/report.go
@@ -23,7 +23,7 @@
 	return []row{
 		formatRow("service", "%.4f", c.Means),
 		formatRow("worst 10 s", "%.4f", c.Worst),
-		formatRow("part refused", "%.4f", c.Refused),
+		formatRow("part refused", "%.4f", c.Rejected),
 		formatRow("attempts a request", "%.2f", c.Attempts),
 		formatRow("state tokens moved a request", "%.0f", c.TransferredTokens),
 		{"rules broken", fmt.Sprint(c.Violations[0]), fmt.Sprint(c.Violations[1])},
--- a/internal/simulation/overload/measure.go
+++ b/internal/simulation/overload/measure.go
@@ -59,8 +59,8 @@
 	return m
 }
 
-// recovery returns the seconds from the end of an overload until the service is at least targetService. If it never is,
-// recovery returns the seconds that were evaluated.
+// recovery returns the seconds from the end of an overload to the first window of recoveredSeconds in which the service
+// is at least targetService. If there is none, it returns the seconds that were evaluated.
 func (t timeline) recovery(end int, targetService float64) (seconds float64, never bool) {
 	last := len(t) - recoveredSeconds
 	for i := end; i < last; i++ {
--- a/internal/simulation/overload/overload.go
+++ b/internal/simulation/overload/overload.go
@@ -42,8 +42,8 @@
 // Plan describes an overload experiment.
 type Plan struct {
 	Scenario      *scenario.Scenario
-	Base          float64                         // load before and after the overload, times the scenario's rate; 0 = 1
-	Loads         []float64                       // loads during the overload, times the scenario's rate
+	Base          float64                         // load before and after, as a multiple of the scenario's rate; 0 = 1
+	Loads         []float64                       // loads during the overload, as multiples of the scenario's rate
 	Before        time.Duration                   // time at the base load before the overload
 	For           time.Duration                   // how long the overload lasts
 	After         time.Duration                   // time at the base load after the overload
@@ -56,10 +56,10 @@
 // Point is the outcome at one load, with one feedback loop disabled. Figures are means over replications.
 type Point struct {
 	Loop            string  `json:"loop"`
-	Load            float64 `json:"load"`              // times the scenario's rate
+	Load            float64 `json:"load"`              // during the overload, as a multiple of the scenario's rate
 	Before          float64 `json:"goodput_before"`    // priority weight served per second
 	Goodput         float64 `json:"goodput"`           // during the overload, without its first fifth
-	Worst           float64 `json:"goodput_worst_2s"`  // during the overload, over worstSeconds
+	Worst           float64 `json:"goodput_worst_2s"`  // during the overload, in the worst window of worstSeconds
 	RecoverySeconds float64 `json:"back_s"`            // from the end of the overload; see recoveredSeconds
 	NotRecovered    int     `json:"never_back"`        // replications in which service never recovered
 	ClientAttempts  float64 `json:"tries_a_request"`   // attempts by clients per request, over the scenario
--- a/internal/simulation/rolesim/compare.go
+++ b/internal/simulation/rolesim/compare.go
@@ -15,7 +15,7 @@
 	BestFixed, EvenSplit, Planned, Clairvoyant float64
 	StandardError                              float64       // of Planned-BestFixed
 	Changes                                    float64       // of roles by the planner, mean over the seeds
-	MinDwell                                   time.Duration // the shortest with the planner, over all seeds
+	MinDwell                                   time.Duration // shortest between two changes of one engine by the planner
 	Requests                                   int           // of all seeds
 
 	// Results of the first seed, for plots.
@@ -56,7 +56,7 @@
 		} else {
 			best = Run(s, Fixed(row.BestFixedPrefill))
 		}
-		half := Run(s, Fixed(s.Engines/2))
+		evenSplit := Run(s, Fixed(s.Engines/2))
 		planned := Run(s, &Planned{Prefill: s.Engines / 2, Config: c})
 		clairvoyant := bestClairvoyant(s, best)
 		if seed == 0 {
@@ -64,7 +64,7 @@
 		}
 		n := float64(seeds)
 		row.BestFixed += best.Service() / n
-		row.EvenSplit += half.Service() / n
+		row.EvenSplit += evenSplit.Service() / n
 		row.Planned += planned.Service() / n
 		row.Clairvoyant += clairvoyant.Service() / n
 		row.Changes += float64(planned.Changes) / n
--- a/internal/simulation/rolesim/engine.go
+++ b/internal/simulation/rolesim/engine.go
@@ -25,10 +25,10 @@
 	incarnation  int     // raised by an outage, which loses the engine's requests
 	positions    [2]int  // in the pools, by stage
 
-	prefillDone float64 // total work done, in engine seconds
-	decodeDone  float64
-	totalsAt    float64 // time of the latest update of the totals
-	reports     []roles.Report
+	prefillTotal float64 // prefill work done until totalsAt, in engine seconds
+	decodeTotal  float64 // the same for decode work
+	totalsAt     float64 // time of the latest update of the totals
+	reports      []roles.Report
 }
 
 // isPrefill reports whether the engine is up and prefills.
@@ -57,9 +57,9 @@
 		return
 	}
 	if e.role == roles.Prefill {
-		e.prefillDone += elapsed * float64(e.requests)
+		e.prefillTotal += elapsed * float64(e.requests)
 	} else {
-		e.decodeDone += elapsed * float64(e.requests) / float64(x.scenario.Slots)
+		e.decodeTotal += elapsed * float64(e.requests) / float64(x.scenario.Slots)
 	}
 }
 
--- a/internal/simulation/rolesim/planning.go
+++ b/internal/simulation/rolesim/planning.go
@@ -64,7 +64,7 @@
 	for _, e := range x.engines {
 		x.updateTotals(e)
 		report := roles.Report{
-			At: now, Prefill: roles.StageLoad{Done: e.prefillDone}, Decode: roles.StageLoad{Done: e.decodeDone},
+			At: now, Prefill: roles.StageLoad{Done: e.prefillTotal}, Decode: roles.StageLoad{Done: e.decodeTotal},
 		}
 		if e.isPrefill() {
 			report.Prefill.Waiting = prefillWait
--- a/internal/simulation/rolesim/report.go
+++ b/internal/simulation/rolesim/report.go
@@ -21,8 +21,8 @@
 	}
 	for _, r := range rows {
 		gapClosed, dwell := "", ""
-		if part := r.GapClosed(); !math.IsNaN(part) {
-			gapClosed = fmt.Sprintf("%.0f%%", 100*part)
+		if fraction := r.GapClosed(); !math.IsNaN(fraction) {
+			gapClosed = fmt.Sprintf("%.0f%%", 100*fraction)
 		}
 		if r.MinDwell > 0 {
 			dwell = r.MinDwell.Round(time.Second).String()
--- a/internal/simulation/rolesim/scenario.go
+++ b/internal/simulation/rolesim/scenario.go
@@ -77,8 +77,8 @@
 func Shift(engines int) Scenario {
 	s := Scenario{Name: "morning to evening", Engines: engines, Length: 15 * time.Minute}
 	s.Demand = func(at time.Duration) (float64, float64) {
-		evening := min(max(at.Seconds()/s.Length.Seconds()*3-1, 0), 1)
-		return splitLoad(DefaultLoad, 0.7-0.4*evening)
+		progress := min(max(at.Seconds()/s.Length.Seconds()*3-1, 0), 1)
+		return splitLoad(DefaultLoad, 0.7-0.4*progress)
 	}
 	return s
 }
--- a/internal/simulation/rolesim/sim.go
+++ b/internal/simulation/rolesim/sim.go
@@ -21,7 +21,7 @@
 	Requests, Served int
 	Changes          int           // of roles that were begun
 	MinDwell         time.Duration // shortest time between two changes of one engine; 0 = none changed twice
-	Prefill          []int         // engines that have the role or are changing to it, by second
+	Prefill          []int         // engines that prefill or are changing to it, by second
 	Lost             []float64     // fraction of the requests of each second that were not served in time
 	LostPrefill      float64       // work dropped before its prefill, in engine seconds
 	LostDecode       float64       // work dropped between prefill and decode, in engine seconds
--- a/internal/simulation/rolesim/sim_test.go
+++ b/internal/simulation/rolesim/sim_test.go
@@ -9,7 +9,8 @@
 )
 
 // The planner follows a shift of the mix: it closes at least a third of the gap between the best fixed split and a
-// clairvoyant policy. In the other scenarios its service is at most slightly lower than that of the best fixed split.
+// clairvoyant policy. In the other scenarios its service is lower than that of the best fixed split by lag at most. In
+// all of them an engine that has changed its role keeps it for at least a minute.
 func TestPlannerFollowsShift(t *testing.T) {
 	for _, c := range []struct {
 		scenario  Scenario
--- a/internal/simulation/scenario/conditions.go
+++ b/internal/simulation/scenario/conditions.go
@@ -58,13 +58,13 @@
 // setShareFactor replaces the map instead of changing it, since copies of the conditions, which share the map, may
 // still be read.
 func (c *Conditions) setShareFactor(class string, factor float64) {
-	mix := map[string]float64{class: factor}
+	factors := map[string]float64{class: factor}
 	for name, other := range c.ShareFactors {
 		if name != class {
-			mix[name] = other
+			factors[name] = other
 		}
 	}
-	c.ShareFactors = mix
+	c.ShareFactors = factors
 }
 
 // ConditionChange is a change of the clients' conditions at a time of the scenario.
--- a/internal/simulation/scenario/fault.go
+++ b/internal/simulation/scenario/fault.go
@@ -25,21 +25,21 @@
 	What     string        `cfg:"what,required,enum=front-kill|front-stop|crash|fail-fast|fail-class|stall|slow|refuse-connects|reset-mid-stream|reset-after-request|reset-after-effect|fail-after-effect|stall-after-effect|forget|silent-restart|drain|remove|register-cut|register-late|register-flap|register-compact|register-stale|reports-frozen|reports-none|surge|overlong|hot-prefix|hang-ups|slow-readers|mix|planner-stop|role-force|liar"`
 	Kind     string        `cfg:"kind"`   // of the engines that it affects; "" = any
 	Class    string        `cfg:"class"`  // for fail-class, overlong and mix
-	Count    int           `cfg:"count"`  // of engines or replicas; 0 = 1
+	Count    int           `cfg:"count"`  // of engines or replicas; 0 = by Fraction, see DrawTargets
 	Fraction float64       `cfg:"part"`   // of the engines, requests or sessions that it affects
 	Factor   float64       `cfg:"factor"` // for slow, surge, overlong, and mix (of the class's share)
 	Late     time.Duration `cfg:"late"`   // for register-late
 }
 
-// requestFaults are the engine faults whose Fraction is of the requests of an engine. That of other engine faults is of
-// the engines.
+// requestFaults are the engine faults whose Fraction is a fraction of each engine's requests. That of the other engine
+// faults is a fraction of the engines.
 var requestFaults = []string{
 	"fail-fast", "reset-mid-stream", "reset-after-request", "reset-after-effect", "fail-after-effect",
 	"stall-after-effect",
 }
 
-// DrawTargets draws the candidates that a fault affects: as many as its Count. Without a Count these are its Fraction
-// of the candidates, or a single one if it has no Fraction or that is of requests. It reorders the candidates.
+// DrawTargets draws the candidates that a fault affects. Their number is Count; if Count is 0, it is Fraction of the
+// candidates, rounded up, or 1 if there is no Fraction or it applies to requests. DrawTargets reorders the candidates.
 func DrawTargets[E any](f *Fault, rnd *rand.Rand, candidates []E) []E {
 	n := max(f.Count, 1)
 	if f.Count == 0 && f.Fraction > 0 && !slices.Contains(requestFaults, f.What) {
--- a/internal/simulation/scenario/replay.go
+++ b/internal/simulation/scenario/replay.go
@@ -24,26 +24,26 @@
 // arriving at the same times.
 const maxCopyOffset = 2 * time.Second
 
-// Blend merges recordings, repeating each as many times as its scale says. All copies but the first are delayed by up
-// to maxCopyOffset. Each copy has its own sessions, but prefixes stay shared between copies. If a scale is not a whole
-// number, its fractional part is the probability with which a request is in the last copy.
-func Blend(seed uint64, lists [][]RecordedRequest, scales []float64) []RecordedRequest {
+// Blend merges recordings, with as many copies of each as its scale says. All copies but the first of a recording are
+// delayed by up to maxCopyOffset. Each copy has its own sessions, but prefixes stay shared between copies. If a scale
+// is not a whole number, its fractional part is the probability with which a request is in the last copy.
+func Blend(seed uint64, recordings [][]RecordedRequest, scales []float64) []RecordedRequest {
 	rnd := rand.New(rand.NewPCG(seed, blendStream))
 	var out []RecordedRequest
-	for i, list := range lists {
-		for copies := 0; float64(copies) < scales[i]; copies++ {
-			keep := min(scales[i]-float64(copies), 1)
+	for i, recording := range recordings {
+		for copyIndex := 0; float64(copyIndex) < scales[i]; copyIndex++ {
+			keep := min(scales[i]-float64(copyIndex), 1)
 			offset := time.Duration(0)
-			if copies > 0 {
+			if copyIndex > 0 {
 				offset = time.Duration(rnd.Float64() * float64(maxCopyOffset))
 			}
-			for _, request := range list {
+			for _, request := range recording {
 				if keep < 1 && rnd.Float64() >= keep {
 					continue
 				}
 				request.At += offset
-				if request.Session != "" && copies+i > 0 {
-					request.Session = fmt.Sprintf("%s of %d.%d", request.Session, i, copies)
+				if request.Session != "" && copyIndex+i > 0 {
+					request.Session = fmt.Sprintf("%s of %d.%d", request.Session, i, copyIndex)
 				}
 				out = append(out, request)
 			}
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -83,10 +83,10 @@
 	Slots         int           `cfg:"slots,required"`
 	Queue         int           `cfg:"queue,required"`
 	Memory        config.Tokens `cfg:"memory,required"`
-	ReadRate      config.Rate   `cfg:"read-rate"` // prompt tokens a second
-	Step          time.Duration `cfg:"step"`
-	StepPerStream time.Duration `cfg:"step-per-stream"`
-	FetchRate     config.Rate   `cfg:"fetch-rate"` // tokens of read state a second
+	ReadRate      config.Rate   `cfg:"read-rate"`       // prompt tokens a second
+	Step          time.Duration `cfg:"step"`            // of a step that decodes, without StepPerStream and a prefill
+	StepPerStream time.Duration `cfg:"step-per-stream"` // added for each stream that the step decodes
+	FetchRate     config.Rate   `cfg:"fetch-rate"`      // tokens of read state a second
 }
 
 // Values of Kind.Role, besides "mixed".
@@ -129,7 +129,7 @@
 	Quota config.Rate `cfg:"quota"`
 }
 
-// Expected holds lower bounds for the outcome of a run. The rules of the audit must hold in any case.
+// Expected holds the lowest service that a run of the scenario may have. The rules of the audit must hold in any case.
 type Expected struct {
 	config.Pos
 	Service float64 `cfg:"service"`
@@ -193,7 +193,7 @@
 	return &copied
 }
 
-// Scale sets the length of the scenario and scales the times of its faults in proportion.
+// Scale sets the length of the scenario and scales the starts and durations of its faults in proportion.
 func (s *Scenario) Scale(length time.Duration) error {
 	if length < minLength || length > maxLength {
 		return fmt.Errorf("%w: %v; the limits are 1s and 1h", ErrLength, length)
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// Careful clients never retry a request that is not idempotent after an unknown outcome. Clients that mark their
+// After an unknown outcome, careful clients never retry a request that is not idempotent. Clients that mark their
 // retries do, unless the answer forbids it.
 func TestClientRetryPolicy(t *testing.T) {
 	sc := defaultScenario(t)
@@ -163,13 +163,13 @@
 
 func TestClientStopsRetrying(t *testing.T) {
 	s := newSession(defaultScenario(t), "safe", false)
-	if again, _ := s.AfterAttempt("refused", false, 0, time.Hour); again {
+	if retry, _ := s.AfterAttempt("refused", false, 0, time.Hour); retry {
 		t.Error("a client retries long after its deadline")
 	}
 	for range 30 {
 		s.AfterAttempt("unconnected", false, 0, 0)
 	}
-	if again, _ := s.AfterAttempt("unconnected", false, 0, 0); again {
+	if retry, _ := s.AfterAttempt("unconnected", false, 0, 0); retry {
 		t.Error("a client tries to connect without limit")
 	}
 }
--- a/internal/simulation/scenario/session.go
+++ b/internal/simulation/scenario/session.go
@@ -65,9 +65,9 @@
 
 // Parameters of the clients that scenarios do not vary.
 const (
-	hotPrefixExtraTokens   = 2000 // by which the prefix of the fault hot-prefix is longer than that of the class
+	hotPrefixExtraTokens   = 2000 // added to the length of the class's prefix for that of the fault hot-prefix
 	sharedPrefixesPerClass = 5
-	prefixChoiceScale      = 1.5 // of the exponential draw that selects one of them: the first is the most frequent
+	prefixChoiceScale      = 1.5 // mean of the exponential draw that selects a shared prefix: the first is most frequent
 	minLengthFactor        = 0.3 // shortest text, as a multiple of the mean
 	lengthFactorRange      = 1.4 // longest text less the shortest, as a multiple of the mean
 	markingFraction        = 0.5 // fraction of requests whose client marks its retries
@@ -95,10 +95,10 @@
 	s.nextRequest(c)
 }
 
-// nextRequest draws the next request. Half of the clients behave like a published SDK, which marks its retries: it
-// retries without regard to idempotency if there is no answer, or on 429 and 5xx, unless the answer forbids it. The
-// other half are careful and do not mark retries: after a rejection they retry any request, but after an unknown
-// outcome only an idempotent one.
+// nextRequest draws the next request. For about half of the requests the client behaves like a published SDK, which
+// marks its retries: it retries without regard to idempotency if there is no answer, or on 429 and 5xx, unless the
+// answer forbids it. For the others it is careful and does not mark retries: after a rejection it retries any request,
+// but after an unknown outcome only one that is idempotent, with or without a key.
 func (s *Session) nextRequest(c *Conditions) {
 	class := s.class()
 	tokens := float64(class.PromptTokens) * s.lengthFactor()
--- a/internal/simulation/scenario/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -14,9 +14,9 @@
 // needed when no engine is left for one of the stages.
 const KindBoth = "both-for-need"
 
-// Parameters of engines that scenarios do not vary.
+// Parameters of engines and replicas that scenarios do not vary.
 const (
-	prefillChunkTokens  = 512 // of an engine's step
+	prefillChunkTokens  = 512 // most prompt tokens in one step of an engine
 	engineStateTTL      = 30 * time.Second
 	prefixCacheFraction = 0.5  // of an engine's memory
 	minStageRate        = 1    // tokens a second, of a stage that the kind does not serve
--- a/internal/simulation/trace/fit.go
+++ b/internal/simulation/trace/fit.go
@@ -27,7 +27,7 @@
 	PromptTokens        float64 // mean length that a turn adds to the prompt
 	PrefixTokens        float64 // mean length of a shared prefix
 	PrefixShare         float64 // fraction of sessions that begin with a shared prefix
-	SharedPrefixes      int     // number of different ones
+	SharedPrefixes      int     // number of different shared prefixes
 	AnswerTokens        float64 // mean length of an answer
 	NotStreamedFraction float64 // of requests
 	// PromptDistance and AnswerDistance are the Kolmogorov-Smirnov distances between the recorded and the synthetic
@@ -167,7 +167,8 @@
 	return mean, stat.KolmogorovSmirnov(slices.Sorted(slices.Values(lengths)), nil, draws, nil)
 }
 
-// dispersionIndex returns the variance over the mean of the requests in a second.
+// dispersionIndex returns the variance over the mean of the requests in a second. It ignores the last second, which is
+// incomplete, unless there are only two.
 func dispersionIndex(t *Trace) float64 {
 	counts := make([]float64, int(t.Length().Seconds())+1)
 	for _, r := range t.Requests {
--- a/internal/simulation/trace/read.go
+++ b/internal/simulation/trace/read.go
@@ -16,7 +16,7 @@
 
 const (
 	maxLine               = 1 << 16     // bytes
-	maxDecompressorMemory = 256 << 20   // bytes, of the decompressor
+	maxDecompressorMemory = 256 << 20   // bytes
 	minClockStep          = time.Second // smaller steps back are ignored
 )
 
@@ -80,8 +80,8 @@
 	lastEnd time.Duration // the latest end of a request so far
 }
 
-// handleReadError handles an error from reading the n-th line. It returns nil if the file ends there, complete or
-// truncated.
+// handleReadError handles an error from reading the n-th line. It returns nil at the end of the file, and also where
+// the rest of the file can't be read; the trace is then marked as truncated.
 func (p *parser) handleReadError(n int, line []byte, err error) error {
 	switch {
 	case errors.Is(err, io.EOF) && len(line) == 0 && p.trace.Parts > 0:
@@ -91,7 +91,7 @@
 	case p.trace.Parts == 0:
 		return fmt.Errorf("trace: no header: %w", err)
 	}
-	p.trace.Truncated = true // the file ends within a frame or a line
+	p.trace.Truncated = true // the file ends within a frame or a line, or a frame is damaged
 	return nil
 }
 
--- a/internal/simulation/trace/trace.go
+++ b/internal/simulation/trace/trace.go
@@ -77,7 +77,7 @@
 	Begin      time.Time
 	Requests   []Request
 	Parts      int
-	Truncated  bool  // the end of the file is missing
+	Truncated  bool  // the end of the file is missing or can't be decompressed
 	ClockSteps int   // how often a clock was set back by more than a second; later requests were shifted
 	Gaps       []Gap // in order
 }
--- a/internal/simulation/trace/trace_test.go
+++ b/internal/simulation/trace/trace_test.go
@@ -120,21 +120,21 @@
 	whole := b.Bytes()
 	for cut := range whole {
 		tr, err := Read(bytes.NewReader(whole[:cut]))
-		least := 0
+		minRequests := 0
 		for i, at := range flushed {
 			if at <= cut {
-				least = 20 * (i + 1)
+				minRequests = 20 * (i + 1)
 			}
 		}
 		if err != nil {
-			if least > 0 {
-				t.Fatalf("truncated at %d of %d: %v, %d requests were flushed", cut, len(whole), err, least)
+			if minRequests > 0 {
+				t.Fatalf("truncated at %d of %d: %v, %d requests were flushed", cut, len(whole), err, minRequests)
 			}
 			continue
 		}
-		if len(tr.Requests) < least || !tr.Truncated && len(tr.Requests) < 200 {
+		if len(tr.Requests) < minRequests || !tr.Truncated && len(tr.Requests) < 200 {
 			t.Fatalf("truncated at %d of %d: %d requests, %d were flushed, reported as truncated: %v",
-				cut, len(whole), len(tr.Requests), least, tr.Truncated)
+				cut, len(whole), len(tr.Requests), minRequests, tr.Truncated)
 		}
 	}
 	if tr := readTrace(t, whole); tr.Truncated || len(tr.Requests) != 200 {
