--- a/internal/simulation/ablation/ablation.go
+++ b/internal/simulation/ablation/ablation.go
@@ -16,7 +16,7 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// Cause is a reason for lost service, such as knowledge that a replica can't have, and the oracle that removes it.
+// Cause is a reason for lost service, such as knowledge that replicas lack, with the oracle that removes it.
 type Cause struct {
 	Name         string
 	enableOracle func(*fleet.Oracles)
@@ -44,8 +44,8 @@
 	Replicas   int             `json:"fronts"`
 	NoOracles  float64         `json:"as_is"`     // mean service without oracles
 	AllOracles float64         `json:"knows_all"` // mean service with all oracles
-	Alone      map[string]Gain `json:"alone"`     // by its oracle alone
-	AddedLast  map[string]Gain `json:"last"`      // by its oracle where all others are in use
+	Alone      map[string]Gain `json:"alone"`     // from the oracle of the cause alone
+	AddedLast  map[string]Gain `json:"last"`      // from adding that oracle to all others
 }
 
 // Plan describes an ablation experiment.
--- a/internal/simulation/rolesim/compare.go
+++ b/internal/simulation/rolesim/compare.go
@@ -15,7 +15,7 @@
 	BestFixed, EvenSplit, Planned, Clairvoyant float64
 	StandardError                              float64       // of Planned-BestFixed
 	Changes                                    float64       // of roles by the planner, mean over the seeds
-	MinDwell                                   time.Duration // shortest between two changes of one engine by the planner
+	MinDwell                                   time.Duration // shortest in the planner's runs; see Result.MinDwell
 	Requests                                   int           // of all seeds
 
 	// Results of the first seed, for plots.
--- a/internal/simulation/rolesim/sim.go
+++ b/internal/simulation/rolesim/sim.go
@@ -20,7 +20,7 @@
 type Result struct {
 	Requests, Served int
 	Changes          int           // of roles that were begun
-	MinDwell         time.Duration // shortest time between two changes of one engine; 0 = none changed twice
+	MinDwell         time.Duration // shortest time from the end of an engine's change to its next; 0 = none changed twice
 	Prefill          []int         // engines that prefill or are changing to it, by second
 	Lost             []float64     // fraction of the requests of each second that were not served in time
 	LostPrefill      float64       // work dropped before its prefill, in engine seconds
--- a/internal/simulation/scenario/replay.go
+++ b/internal/simulation/scenario/replay.go
@@ -12,8 +12,8 @@
 
 // RecordedRequest is one request of a recording, assigned to a class and a tenant of a scenario.
 type RecordedRequest struct {
-	At                         time.Duration
-	Class, Tenant              int // indices; Tenant is -1 if the scenario has none
+	At                         time.Duration // from the start of the recording
+	Class, Tenant              int           // indices; Tenant is -1 if the scenario has none
 	Session, Prefix            string
 	PromptTokens, PrefixTokens float64
 	AnswerTokens               int
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -37,7 +37,7 @@
 	text []byte // content of the file that it was parsed from
 }
 
-// Service holds the settings that replicas and the audit share.
+// Service holds the settings that replicas, engines, clients and the audit take from a scenario.
 type Service struct {
 	config.Pos
 	MaxAttempts      int           `cfg:"max-attempts"`
@@ -49,7 +49,7 @@
 	OverloadAfter    time.Duration `cfg:"tip-after"`
 	DecodeCanPrefill bool          `cfg:"writers-read"`
 	CanCancel        bool          `cfg:"cancel"`
-	ClientRetries    int           `cfg:"client-retries"`
+	ClientRetries    int           `cfg:"client-retries"` // most retries of a request, without failed connects; 0 = none
 }
 
 // Planner holds the parameters of the planner, which assigns roles to the engines of kinds that change role.
--- a/internal/simulation/scenario/score.go
+++ b/internal/simulation/scenario/score.go
@@ -124,7 +124,7 @@
 	return served / requested
 }
 
-// WorstService returns the lowest service in any window of so many consecutive seconds. Windows without requests do not
+// WorstService returns the lowest service in any window of the given number of seconds. Windows without requests do not
 // count; the result is 1 if there are no others.
 func (s *Score) WorstService(seconds int) float64 {
 	worst := 1.0
