--- a/internal/fake/apiserver/apiserver.go
+++ b/internal/fake/apiserver/apiserver.go
@@ -1,6 +1,6 @@
 // Package apiserver is a fake Kubernetes API server. It serves EndpointSlices, with paginated lists, watches with
-// bookmarks, and resource versions that expire (410), and the assignment table of engine roles. It injects faults on
-// demand: delayed and stale events, and unreachability.
+// bookmarks, and resource versions that expire (410). It also stores the assignment table of engine roles and the
+// memory of a planner. It injects faults on demand: delayed and stale events, and unreachability.
 //
 // Server.mu guards all state of a Server. Each watch runs on the goroutine of its request.
 package apiserver
@@ -28,7 +28,7 @@
 type Entry struct {
 	Name, Kind, Zone, Cell, Address, UID string
 	Ready, Draining                      bool
-	Started                              time.Time // zero = not listed
+	Started                              time.Time // zero = listed without a start time
 }
 
 // usable reports whether new requests may be sent to the engine. The zero Entry, that of a removed engine, is not
@@ -47,8 +47,8 @@
 	mu          sync.Mutex
 	log         eventLog
 	entries     map[string]Entry
-	order       []string // names of the entries, in the order in which they were added
-	versions    map[string]int
+	order       []string        // names of the entries, in the order in which they were added
+	versions    map[string]int  // resource version of each engine's EndpointSlice
 	everListed  map[string]bool // every name that was ever listed
 	delay       time.Duration   // of events
 	unreachable bool
@@ -89,7 +89,7 @@
 
 // Close stops the server and closes all its connections.
 func (s *Server) Close() {
-	_ = s.http.Close() // the error of a socket that is no longer used does not matter
+	_ = s.http.Close() // an error on a socket that is no longer used does not matter
 }
 
 // Set adds or changes an entry.
@@ -160,7 +160,8 @@
 	}
 }
 
-// Compact discards all events. Watches from earlier versions get 410, and their clients must list again.
+// Compact discards all events. Watches from earlier versions get 410, open ones too, and their clients must list
+// again.
 func (s *Server) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/apiserver/apiserver_test.go
+++ b/internal/fake/apiserver/apiserver_test.go
@@ -29,8 +29,8 @@
 	return s
 }
 
-// checkingWriter is a ResponseWriter that checks at each write and each flush whether the record holds what it must at
-// that time.
+// checkingWriter is a ResponseWriter that checks that the readiness of the engine e is recorded before it is written,
+// and that its drain is not recorded before it is flushed.
 type checkingWriter struct {
 	t       *testing.T
 	record  *audit.Record
@@ -123,7 +123,7 @@
 	}
 	for deadline := time.Now().Add(eventuallyTimeout); countEvents(record, want) == 0; {
 		if time.Now().After(deadline) {
-			t.Fatal("never recorded")
+			t.Fatal("the notification was never recorded")
 		}
 		select {
 		case <-w.flushes:
@@ -134,17 +134,17 @@
 
 func TestSummarizeBatch(t *testing.T) {
 	ready := event{kind: modified, entry: Entry{Name: "e", Ready: true}}
-	down := event{kind: modified, entry: Entry{Name: "e"}}
+	notReady := event{kind: modified, entry: Entry{Name: "e"}}
 	removed := event{kind: deleted, entry: Entry{Name: "e", Ready: true}}
 	for name, c := range map[string]struct {
 		events           []event
 		ready, notUsable int
 	}{
-		"ready":           {[]event{ready}, 1, 0},
-		"down":            {[]event{down}, 0, 1},
-		"ready then down": {[]event{ready, down}, 1, 1},
-		"down then ready": {[]event{down, ready}, 1, 0},
-		"removed":         {[]event{removed}, 0, 1},
+		"ready":                {[]event{ready}, 1, 0},
+		"not ready":            {[]event{notReady}, 0, 1},
+		"ready then not ready": {[]event{ready, notReady}, 1, 1},
+		"not ready then ready": {[]event{notReady, ready}, 1, 0},
+		"removed":              {[]event{removed}, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gotReady, gotNotUsable := summarizeBatch(c.events)
--- a/internal/fake/apiserver/assignments.go
+++ b/internal/fake/apiserver/assignments.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// maxMemoryBytes bounds the saved state of a planner, which is well below 1 MiB without cooldowns.
+	// maxMemoryBytes bounds the memory that a planner saves, which is well below 1 MiB without cooldowns.
 	maxMemoryBytes = 4 << 20
 	// maxAssignmentsBytes bounds an assignment table: one of 10,000 engines is below 4 MiB.
 	maxAssignmentsBytes = 16 << 20
@@ -33,7 +33,7 @@
 
 // load reads the table and a planner's memory from their files, if they exist.
 func (t *roleTable) load() error {
-	if text, err := os.ReadFile(t.memoryFile()); err == nil && json.Valid(text) { // a planner does not depend on it
+	if text, err := os.ReadFile(t.memoryFile()); err == nil && json.Valid(text) { // a planner works without it
 		t.memory = text
 	}
 	text, err := os.ReadFile(t.file)
@@ -113,9 +113,9 @@
 	if !assignment.Serving {
 		e.Draining = true
 	}
-	reopenedAt := time.Unix(0, int64(assignment.ServingSince))
-	if assignment.ServingSince > 0 && reopenedAt.After(e.Started) {
-		e.Started = reopenedAt
+	servingSince := time.Unix(0, int64(assignment.ServingSince))
+	if assignment.ServingSince > 0 && servingSince.After(e.Started) {
+		e.Started = servingSince
 	}
 	return e
 }
@@ -127,7 +127,7 @@
 	case s.unreachable:
 		writeUnavailable(w)
 	case s.roles.memory == nil:
-		writeStatus(w, http.StatusNotFound, "NotFound", "no planner left anything")
+		writeStatus(w, http.StatusNotFound, "NotFound", "no planner has saved its memory")
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(s.roles.memory) // a client that has disconnected does not matter
@@ -195,8 +195,8 @@
 		return
 	}
 	s.roles.assignments = stored
-	for name, e := range stored.Entries {
-		if entry, ok := s.entries[name]; ok && previous.Entries[name] != e {
+	for name, assignment := range stored.Entries {
+		if entry, ok := s.entries[name]; ok && previous.Entries[name] != assignment {
 			s.publish(modified, entry)
 		}
 	}
--- a/internal/fake/apiserver/list.go
+++ b/internal/fake/apiserver/list.go
@@ -37,7 +37,7 @@
 	items         []any
 	continueToken string   // of the next page; "" = this is the last one
 	ready         []string // usable engines on this page
-	notUsable     []string // engines that are draining, not ready or removed, of the whole list
+	notUsable     []string // of all engines ever listed, those that are draining, not ready or removed
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request, replica string) {
@@ -100,7 +100,7 @@
 
 // recordNotified records what a replica is notified of. It is called before the bytes are sent for engines that are
 // ready, since the replica may use them before this process runs again, and after the bytes are sent for engines that
-// are not usable, since the replica cannot know before.
+// are not usable, since the replica cannot know it before.
 func (s *Server) recordNotified(kind audit.Kind, replica string, engines []string) {
 	if s.Record == nil {
 		return
@@ -144,7 +144,7 @@
 }
 
 func writeUnavailable(w http.ResponseWriter) {
-	writeStatus(w, http.StatusServiceUnavailable, "ServiceUnavailable", "cut off")
+	writeStatus(w, http.StatusServiceUnavailable, "ServiceUnavailable", "the API server is unreachable")
 }
 
 // statusObject returns an error in the form of the Kubernetes API.
--- a/internal/fake/client/answer.go
+++ b/internal/fake/client/answer.go
@@ -20,7 +20,7 @@
 	// maxEventLine bounds a line of a stream; one with a single token is far shorter.
 	maxEventLine   = 1 << 20
 	lineBufferSize = 4096
-	// defaultRetryAfter is the retry time of a rejection without a valid retry-after-ms.
+	// defaultRetryAfter is the delay before a retry if the response has no valid retry-after-ms.
 	defaultRetryAfter = time.Second
 )
 
@@ -111,7 +111,7 @@
 	return result
 }
 
-// readEvent adds the data of one event to the result.
+// readEvent adds the data of one event to the result. An event counts as a token unless it is an error or [DONE].
 func (r *answerReader) readEvent(result *Result, data string) {
 	switch {
 	case strings.HasPrefix(data, `{"error"`):
--- a/internal/fake/client/client.go
+++ b/internal/fake/client/client.go
@@ -25,22 +25,22 @@
 	AnswerTokens    int // that the fake engine generates, at most MaxTokens
 	Stream          bool
 	Timeout         time.Duration // for the whole response, or for a stream to begin
-	DisconnectAfter time.Duration // time after which the client closes the connection; 0 = never
+	DisconnectAfter time.Duration // the client closes the connection this long after sending; 0 = never
 	ReadDelay       time.Duration // pause after each event of a stream
 	MarksRetries    bool          // sends the number of earlier attempts, as the published SDKs do
 	Retries         int           // number of earlier attempts
 	Model           string        // "" = defaultModel
-	OnToken         func()        // called for each token of a stream when it is read; may be nil
+	OnToken         func()        // called when a token of a stream has been read; may be nil
 }
 
 // Kinds of results. Stored records and the reports of scenarios contain these values.
 const (
 	Served         = "served"
-	Rejected       = "refused"
-	Unavailable    = "turned" // status 503 with Retry-After: the replica is shutting down
-	Failed         = "failed"
-	StreamError    = "broken" // the stream ended with an error event
-	Invalid        = "invalid"
+	Rejected       = "refused"     // status 429
+	Unavailable    = "turned"      // status 503 with Retry-After: the replica is shutting down
+	Failed         = "failed"      // another status from 500 on
+	StreamError    = "broken"      // the stream ended with an error event
+	Invalid        = "invalid"     // any other status, or a body that is not JSON
 	ConnectionLost = "cut"         // the connection closed before the response was complete
 	Disconnected   = "hung up"     // the client closed the connection itself
 	NotSent        = "unconnected" // the client could not connect or write the request
@@ -52,7 +52,7 @@
 	Kind        string        // one of the constants above
 	FirstToken  time.Duration // 0 = none
 	Elapsed     time.Duration
-	Tokens      int
-	RetryAfter  time.Duration // retry time given with Rejected or Unavailable
+	Tokens      int           // of a stream: the events counted by readEvent
+	RetryAfter  time.Duration // delay before a retry, with Rejected or Unavailable
 	NoAutoRetry bool          // the response asks the client not to retry automatically
 }
--- a/internal/fake/client/client_test.go
+++ b/internal/fake/client/client_test.go
@@ -58,7 +58,7 @@
 		want     string
 		recorded audit.Kind
 	}{
-		{"whole", respond(200, "", `{"x":"w0 "}`), Attempt{}, Served, audit.Answer},
+		{"not streamed", respond(200, "", `{"x":"w0 "}`), Attempt{}, Served, audit.Answer},
 		{"not JSON", respond(200, "", `{`), Attempt{}, Invalid, audit.Answer},
 		{"stream", respond(200, events, "data: {}\n\ndata: [DONE]\n\n"), Attempt{}, Served, audit.Answer},
 		{"stream ended by an error", respond(200, events, "data: {\"error\":{}}\n\n"), Attempt{}, StreamError, audit.Answer},
@@ -66,14 +66,14 @@
 		{"rejection", respond(429, "retry-after-ms: 20\r\n", ""), Attempt{}, Rejected, audit.Answer},
 		{"shutdown", respond(503, "Retry-After: 1\r\n", ""), Attempt{}, Unavailable, audit.Answer},
 		{"failure", respond(502, "", ""), Attempt{}, Failed, audit.Answer},
-		{"no answer", func(net.Conn) {}, Attempt{}, ConnectionLost, audit.ConnectionCut},
+		{"connection closed without a response", func(net.Conn) {}, Attempt{}, ConnectionLost, audit.ConnectionCut},
 		{
-			"silence", func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) },
+			"no response before the timeout", func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) },
 			Attempt{Timeout: 30 * time.Millisecond},
 			TimedOut, audit.Sent,
 		},
 		{
-			"disconnect", func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) },
+			"client disconnects", func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) },
 			Attempt{DisconnectAfter: 30 * time.Millisecond},
 			Disconnected, audit.ClientLeft,
 		},
--- a/internal/fake/client/send.go
+++ b/internal/fake/client/send.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// connectTimeout is long for a connection within one machine and short for the timeout of a client.
+	// connectTimeout is long for a connection within one machine and short compared with a client's timeout.
 	connectTimeout = 2 * time.Second
 	// extraBytesWait is how long a client reads on after the response, to detect extra bytes. A gateway that writes too
 	// much writes it together with the response.
@@ -28,7 +28,7 @@
 	if err != nil {
 		return notSent()
 	}
-	defer func() { _ = conn.Close() }() // the response was read before
+	defer func() { _ = conn.Close() }() // the response has been read by then
 	request := attempt.encode(addr)
 	deadline := record.Now() + attempt.Timeout
 	readUntil := time.Now().Add(attempt.Timeout)
@@ -52,7 +52,7 @@
 	return result
 }
 
-// recordOutcome records the outcome of the attempt, and whether bytes follow a response that ended it.
+// recordOutcome records the outcome of the attempt and, if a response ended it, whether more bytes follow.
 func (r *answerReader) recordOutcome(record *audit.Record, result Result) {
 	id := r.attempt.ID
 	switch result.Kind {
