--- a/internal/fake/engine/completion.go
+++ b/internal/fake/engine/completion.go
@@ -13,8 +13,8 @@
 	"brackenbend/internal/fake/enginemodel"
 )
 
-// completion is one prefill or decode in flight. It runs on the goroutine of its HTTP handler, which the callbacks of
-// the model wake; those run on any goroutine, with Server.mu held.
+// completion is one request in flight: a prefill, a decode or both. It runs on the goroutine of its HTTP handler, which
+// the callbacks of the model wake; those run on any goroutine, with Server.mu held.
 type completion struct {
 	server  *Server
 	job     *enginemodel.Job
@@ -89,7 +89,7 @@
 	return ok
 }
 
-// abandon cancels a job whose connection has closed, if the engine cancels on disconnect or has not started the job.
+// abandon cancels a job whose response ends early, if the engine cancels on disconnect or has not started the job.
 func (c *completion) abandon() {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -224,7 +224,7 @@
 }
 
 // recordEffect records that the request takes effect here, or that it is a duplicate because its idempotency key was
-// seen in the dedup scope.
+// seen in the dedup scope within the dedup window.
 func (c *completion) recordEffect() {
 	metadata := c.request.Metadata
 	if metadata["effect"] == "" {
--- a/internal/fake/engine/dedup.go
+++ b/internal/fake/engine/dedup.go
@@ -14,21 +14,21 @@
 }
 
 // firstUse reports whether key is new within the window. It remembers a new key.
-func (g *DedupScope) firstUse(key string) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (d *DedupScope) firstUse(key string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	now := time.Now()
-	if g.seen == nil {
-		g.seen = map[string]time.Time{}
+	if d.seen == nil {
+		d.seen = map[string]time.Time{}
 	}
-	for k, at := range g.seen {
-		if now.Sub(at) > g.Window {
-			delete(g.seen, k)
+	for k, at := range d.seen {
+		if now.Sub(at) > d.Window {
+			delete(d.seen, k)
 		}
 	}
-	if _, ok := g.seen[key]; ok {
+	if _, ok := d.seen[key]; ok {
 		return false
 	}
-	g.seen[key] = now
+	d.seen[key] = now
 	return true
 }
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -3,10 +3,10 @@
 // faults on demand. It uses net/http, so that the gateway's own HTTP parsers are tested against an independent
 // implementation.
 //
-// Server.mu guards the model, connections, faults and role. Besides those of net/http, the goroutines are one that
-// accepts connections for each listener, one that crashes an overloaded engine, and those of the timers: for the model,
-// for a change of role and for the end of refused connections. Close resets all connections and waits for the accepting
-// and crashing goroutines; a timer that fires later finds the process down.
+// Server.mu guards the model, connections, faults and role. Besides those of net/http, the package starts a goroutine
+// for each listener, which accepts connections, and one that crashes an overloaded engine. Timers run the model, finish
+// a change of role and end the refusal of connections. Close resets all connections and waits for the goroutines that
+// accept connections or crash the engine; a timer that fires later finds the process down.
 package engine
 
 import (
@@ -38,10 +38,10 @@
 	CanCancel              bool // cancels a running job when its connection closes
 	DedupScope             *DedupScope
 	Record                 *audit.Record // may be nil
-	OnProcessChange        func(*Server) // called after the process has started or ended; may be nil
+	OnProcessChange        func(*Server) // called after the process has started or crashed; may be nil
 
 	Roles        map[roles.Role]enginemodel.Params // parameters in each role that it can have; empty = always Params
-	InitialState roles.EngineState                 // of the role, as stored on its disk at the first start
+	InitialState roles.EngineState                 // of the role, as if stored on disk before the first start
 	SwitchTime   time.Duration                     // from drained to serving in another role
 }
 
@@ -62,7 +62,7 @@
 	faults     Faults
 	hooks      hooks
 	loadReport string // the last one sent, repeated while reports are frozen
-	arrivals   int    // prefills and decodes received
+	arrivals   int    // see Arrivals
 }
 
 // Start starts an engine that listens on addr; port 0 picks a free one. The engine begins in slow start if cold is set.
@@ -139,7 +139,8 @@
 	return s.model.ReadStateCount()
 }
 
-// Arrivals returns the number of prefills and decodes that have reached the engine since Start.
+// Arrivals returns the number of prefills and decodes that the engine has received since Start, without those rejected
+// because it was changing to another role.
 func (s *Server) Arrivals() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,9 +155,8 @@
 	s.schedule()
 }
 
-// schedule is called after each change of the model, with s.mu held. It sets the timer for the next event, records the
-// read states that are no longer held, begins a switch of role once the engine is drained, and crashes an overloaded
-// engine.
+// schedule acts on a change of the model: it sets the timer for the next event, records the read states that are no
+// longer held, begins a switch of role if switchIfDrained allows it, and crashes an overloaded engine. s.mu is held.
 func (s *Server) schedule() {
 	if at, ok := s.model.Next(); ok {
 		s.timer.Reset(max(at-s.now(), 0))
--- a/internal/fake/engine/faults.go
+++ b/internal/fake/engine/faults.go
@@ -9,7 +9,7 @@
 )
 
 // Faults are the faults in force at a fake engine; the zero value has none. POST /standin/faults sets them in their
-// JSON form. A fraction is the probability of the fault for each request.
+// JSON form. A fraction is the probability of the fault for each request, if no other fault has ended it.
 type Faults struct {
 	FailFast          float64 `json:"fail_fast"`  // fraction of requests that fail at once
 	FailClass         string  `json:"fail_class"` // all requests of this class fail at once
--- a/internal/fake/engine/forms_test.go
+++ b/internal/fake/engine/forms_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestFaultsJSONForm checks the JSON form in which POST /standin/faults takes faults. The golden file pins the
-// names that were in use before the Go fields were renamed, and must not be updated.
+// JSON names, which stay when Go fields are renamed, and must not be updated.
 func TestFaultsJSONForm(t *testing.T) {
 	faults := []Faults{{
 		FailFast: 0.5, FailClass: "c", Stall: true, SlowFactor: 2, ResetMidStream: 0.25, ResetAfterRequest: 0.125,
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestTextIsReadInEachForm checks each JSON form that a message's content or a prompt may have. The keys of an array of
-// parts are those of the chat completions API; other spellings match regardless of case.
+// TestTextIsReadInEachForm checks each JSON form that a message's content or a prompt may have. The keys of the
+// parts in an array are those of the chat completions API, matched regardless of case.
 func TestTextIsReadInEachForm(t *testing.T) {
 	got := ""
 	for _, raw := range []string{
--- a/internal/fake/engine/lifecycle.go
+++ b/internal/fake/engine/lifecycle.go
@@ -14,7 +14,7 @@
 	// bindAttempts and bindDelay bound the wait for an address that a closed listener still occupies: 1 s in total.
 	bindAttempts = 50
 	bindDelay    = 20 * time.Millisecond
-	// readHeaderTimeout bounds how long a connection may take to send the head of a request.
+	// readHeaderTimeout bounds how long a connection may take to send the header of a request.
 	readHeaderTimeout = 10 * time.Second
 )
 
@@ -135,7 +135,7 @@
 	return s.startProcessWithRetry(addr, true)
 }
 
-// Close stops the process and waits for the goroutines that the package started.
+// Close stops the process and waits for the goroutines that accept connections or crash the engine.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.stopProcess()
--- a/internal/fake/engine/readstate.go
+++ b/internal/fake/engine/readstate.go
@@ -73,7 +73,7 @@
 
 // fetchState fetches a read state from its prefill engine and reports whether that still held it.
 func (s *Server) fetchState(from *kvTransfer) bool {
-	body, err := json.Marshal(stateFetchRequest{ID: from.Request})
+	body, err := json.Marshal(stateFetchRequest{ID: from.RequestID})
 	if err != nil {
 		return false
 	}
--- a/internal/fake/engine/request.go
+++ b/internal/fake/engine/request.go
@@ -27,7 +27,8 @@
 	StreamOptions       struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
-	// Metadata is set by the clients of a scenario: effect, try, class, kind and answer, the length in tokens.
+	// Metadata is set by the clients of a scenario. Its keys are effect, try, class, kind and answer; answer is the
+	// length of the answer in tokens.
 	Metadata   map[string]string `json:"metadata"`
 	KVTransfer *kvTransfer       `json:"kv_transfer_params"`
 }
@@ -44,28 +45,28 @@
 	RemotePrefill bool    `json:"do_remote_prefill"`
 	Host          string  `json:"remote_host"`
 	Port          int     `json:"remote_port"`
-	Request       string  `json:"remote_request_id"`
+	RequestID     string  `json:"remote_request_id"`
 	Tokens        float64 `json:"remote_tokens"`
 }
 
 // job returns the job by which the model represents the request.
 func (q *completionRequest) job(id string) *enginemodel.Job {
-	size, prefixSize := len(q.Prompt), 0
-	system, first := "", ""
+	promptBytes, prefixBytes := len(q.Prompt), 0
+	systemPrompt, firstMessage := "", ""
 	for i, m := range q.Messages {
-		size += len(m.Role) + len(m.Content)
+		promptBytes += len(m.Role) + len(m.Content)
 		if m.Role == "system" && i == 0 {
-			system, prefixSize = string(m.Content), len(m.Role)+len(m.Content)
-		} else if first == "" {
-			first = string(m.Content)
+			systemPrompt, prefixBytes = string(m.Content), len(m.Role)+len(m.Content)
+		} else if firstMessage == "" {
+			firstMessage = string(m.Content)
 		}
 	}
 	job := &enginemodel.Job{
 		ID:           id,
-		PromptTokens: max(float64(size)/bytesPerToken, 1),
-		Prefix:       system,
-		PrefixTokens: float64(prefixSize) / bytesPerToken,
-		Session:      system + "\x00" + first,
+		PromptTokens: max(float64(promptBytes)/bytesPerToken, 1),
+		Prefix:       systemPrompt,
+		PrefixTokens: float64(prefixBytes) / bytesPerToken,
+		Session:      systemPrompt + "\x00" + firstMessage,
 		OutputTokens: q.answerTokens(),
 	}
 	if q.KVTransfer != nil && q.KVTransfer.RemoteDecode {
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -16,7 +16,7 @@
 // roleChange is the state of the engine's role and of its change to another.
 type roleChange struct {
 	state      roles.EngineState // as if stored on disk: survives crashes
-	switching  bool              // no work of the old role is left, and SwitchTime is passing
+	switching  bool              // the switch to the target role has begun, and SwitchTime is passing
 	misreports bool              // fault: the engine reports a change that it has not made
 }
 
@@ -64,14 +64,15 @@
 	time.AfterFunc(s.cfg.SwitchTime, func() { s.finishSwitch(generation, addsStage) })
 }
 
-// finishSwitch puts the engine into its new role, unless it has crashed or received another command meanwhile.
+// finishSwitch puts the engine into its target role, unless it has crashed meanwhile. If a later command has changed
+// whether the switch only adds a stage, it starts over or ends without a change of role.
 func (s *Server) finishSwitch(generation int, addsStage bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.process.generation != generation || !s.process.up { // it crashed; its next process starts in the new role
 		return
 	}
-	if addsStage != s.role.addsStage() { // another command arrived
+	if addsStage != s.role.addsStage() { // because of a later command
 		s.role.switching = false
 		s.switchIfDrained()
 		return
@@ -94,7 +95,8 @@
 	s.schedule()
 }
 
-// MisreportRole makes the engine report a change of role that it has not made.
+// MisreportRole makes the engine report changes of role that it has not made. A change that only adds a stage is made
+// nevertheless.
 func (s *Server) MisreportRole(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +118,7 @@
 		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes)).Decode(command)
 		if err != nil || command.Target > roles.Both {
 			http.Error(w,
-				`{"error":{"message":"an order is {\"id\":...,\"order\":...,\"to\":...}","type":"invalid_request_error"}}`,
+				`{"error":{"message":"a command is {\"id\":...,\"order\":...,\"to\":...}","type":"invalid_request_error"}}`,
 				http.StatusBadRequest)
 			return
 		}
--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -88,7 +88,8 @@
 	return current.done
 }
 
-// failAfterEffect applies the faults of a request that has taken effect, and reports whether one has ended it.
+// failAfterEffect applies the faults of a request that has taken effect, and reports whether one has ended it. One draw
+// decides all of them: each occurs only as far as its fraction exceeds those of the cases before it.
 func (d *decodeStream) failAfterEffect() bool {
 	switch draw := rand.Float64(); {
 	case draw < d.faults.ResetAfterEffect:
@@ -104,7 +105,8 @@
 	return true
 }
 
-// writeTokens writes tokens until upTo have been sent, and reports whether the stream was reset before that.
+// writeTokens writes tokens until upTo have been sent, and reports whether the stream was reset before that. While
+// streams are endless, it writes more tokens until the connection closes.
 func (d *decodeStream) writeTokens(upTo int) (reset bool) {
 	for ; d.sent < upTo; d.sent++ {
 		if d.resetAt == d.sent {
--- a/internal/fake/enginemodel/engine_test.go
+++ b/internal/fake/enginemodel/engine_test.go
@@ -77,8 +77,8 @@
 	prefill(0, "first")
 	prefill(2*time.Second, "second")
 	e.ClearPrefixCache()
-	prefill(3*time.Second, "after drop")
-	if cached["first"] != 0 || cached["second"] != 800 || cached["after drop"] != 0 {
+	prefill(3*time.Second, "after clearing")
+	if cached["first"] != 0 || cached["second"] != 800 || cached["after clearing"] != 0 {
 		t.Fatalf("tokens found in the cache: %v", cached)
 	}
 }
@@ -141,7 +141,7 @@
 	for _, test := range []struct {
 		name     string
 		interval time.Duration
-		down     bool
+		want     bool // overloaded
 	}{
 		{"below the overload limit", 100 * time.Millisecond, false},
 		{"above the overload limit", 20 * time.Millisecond, true},
@@ -156,7 +156,7 @@
 			for at := time.Duration(0); at < 3*time.Second; at += test.interval {
 				e.Submit(at, &Job{PromptTokens: 500, PrefillOnly: true}) // 50 ms of work at full capacity
 			}
-			if e.Overloaded() != test.down {
+			if e.Overloaded() != test.want {
 				t.Errorf("overloaded: %v", e.Overloaded())
 			}
 		})
--- a/internal/fake/enginemodel/job.go
+++ b/internal/fake/enginemodel/job.go
@@ -9,15 +9,15 @@
 	PromptTokens   float64
 	Prefix         string // identifies a prefix that sessions share; "" = none
 	PrefixTokens   float64
-	Session        string
+	Session        string  // identifies a conversation in the prefix cache; "" = none
 	OutputTokens   int     // length of its answer
 	PrefillOnly    bool    // prefill without decode: leaves its read state for a decode engine
 	FetchTokens    float64 // size of the read state that it fetches instead of a prefill; 0 = prefill here
 	FirstTokenOnly bool    // calls OnToken for the first token only, so that many decode steps can be simulated as one
 
 	OnToken func(n int)                // the n-th token is generated, counted from 1; never called if PrefillOnly
-	OnDone  func(cachedTokens float64) // it is complete
-	OnStart func()                     // it has left the queue for a slot
+	OnDone  func(cachedTokens float64) // the job is complete
+	OnStart func()                     // the job has left the queue for a slot, possibly again after a preemption
 	OnLost  func()                     // the engine crashed or was reset
 
 	phase        jobPhase
--- a/internal/fake/enginemodel/params.go
+++ b/internal/fake/enginemodel/params.go
@@ -7,7 +7,7 @@
 	CanPrefill, CanDecode bool
 	Slots                 int           // jobs that run at once
 	MaxQueued             int           // jobs that may wait while every slot is in use
-	MemoryTokens          float64       // of the KV cache, in tokens
+	MemoryTokens          float64       // size of the KV cache
 	PrefillRate           float64       // prompt tokens computed
 	PrefillChunk          float64       // most prompt tokens in one step
 	StepTime              time.Duration // of a step that decodes, without what its streams and a prefill add
@@ -16,8 +16,8 @@
 	CacheTokens           float64       // capacity of the prefix cache
 	SlowStartFrom         float64       // fraction of full capacity at which slow start begins
 	SlowStartFor          time.Duration // 0 = no slow start
-	// In slow start the engine crashes when the jobs submitted within OverloadAfter, the heaviest aside, are more than
-	// OverloadFactor times the work that its present capacity completes in that time. If either is 0, it never does.
+	// In slow start the engine crashes when the work of the jobs submitted within OverloadAfter, without the heaviest, is
+	// more than OverloadFactor times what its present capacity completes in that time. If either is 0, it never does.
 	OverloadFactor float64
 	OverloadAfter  time.Duration
 	StateTTL       time.Duration // after which a read state that was not fetched is dropped
--- a/internal/fake/enginemodel/prefixcache.go
+++ b/internal/fake/enginemodel/prefixcache.go
@@ -18,7 +18,8 @@
 	tokens float64
 }
 
-// prefixCache keeps the KV cache of prefixes. The least recently stored entry is evicted first; lookups do not count.
+// prefixCache keeps the KV cache of prefixes. The least recently stored entry is evicted first; a lookup does not
+// change the order.
 type prefixCache struct {
 	entries     map[cacheKey]*list.Element // of *cacheEntry
 	order       *list.List                 // most recently stored first
--- a/internal/fake/enginemodel/scheduler.go
+++ b/internal/fake/enginemodel/scheduler.go
@@ -28,8 +28,8 @@
 	s.decodes = slices.DeleteFunc(s.decodes, func(other *Job) bool { return other == job })
 }
 
-// admit moves jobs from the queue into free slots, in order, while their memory is free. A job that does not fit is
-// admitted only if no job runs and no read state is held.
+// admit moves jobs from the queue into free slots, in order, while there is enough free memory for them. A job that
+// does not fit is admitted only if no job runs and no read state is held.
 func (e *Engine) admit() {
 	for len(e.queue) > 0 && len(e.running) < e.params.Slots && !e.overloaded {
 		job := e.queue[0]
@@ -74,14 +74,14 @@
 	if next.prefill == nil && len(next.decodes) == 0 {
 		return
 	}
-	var atFullSpeed time.Duration
+	var atFullCapacity time.Duration
 	if len(next.decodes) > 0 {
-		atFullSpeed = e.params.StepTime + e.params.StepTimePerStream*time.Duration(len(next.decodes))
+		atFullCapacity = e.params.StepTime + e.params.StepTimePerStream*time.Duration(len(next.decodes))
 	}
 	if next.prefill != nil {
-		atFullSpeed += time.Duration(next.prefillTokens / e.params.PrefillRate * float64(time.Second))
+		atFullCapacity += time.Duration(next.prefillTokens / e.params.PrefillRate * float64(time.Second))
 	}
-	next.duration = max(time.Duration(float64(atFullSpeed)*e.slowdown/e.CapacityFraction()), minStep)
+	next.duration = max(time.Duration(float64(atFullCapacity)*e.slowdown/e.CapacityFraction()), minStep)
 	next.repeats = e.repeatCount(&next)
 	next.end = e.now + time.Duration(next.repeats)*next.duration
 	e.step = next
--- a/internal/fake/enginemodel/slowstart.go
+++ b/internal/fake/enginemodel/slowstart.go
@@ -32,7 +32,8 @@
 	return e.CapacityFraction() < 1 && e.params.OverloadFactor > 0 && e.params.OverloadAfter > 0
 }
 
-// overloadLimit returns the most work that an engine in slow start withstands within OverloadAfter.
+// overloadLimit returns the most work, without the heaviest job, that an engine in slow start withstands within
+// OverloadAfter.
 func (e *Engine) overloadLimit() float64 {
 	return e.params.OverloadFactor * e.CapacityFraction() * e.params.OverloadAfter.Seconds()
 }
@@ -58,8 +59,8 @@
 	}
 }
 
-// NearOverload reports whether, with this job, the work submitted to an engine in slow start would exceed the given
-// fraction of the overload limit.
+// NearOverload reports whether, with this job, the work submitted within OverloadAfter to an engine in slow start would
+// exceed the given fraction of the overload limit. Unlike checkOverload it counts the heaviest job too.
 func (e *Engine) NearOverload(job *Job, fraction float64) bool {
 	if !e.canOverload() {
 		return false
--- a/internal/fake/enginemodel/work.go
+++ b/internal/fake/enginemodel/work.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Work is the work of an engine at each stage, in seconds of the whole engine at full capacity. Done is what it has
-// completed since its start; for decode this is the fraction of slots in use, integrated over time. Lost is the work of
-// the jobs that it rejected, and Waiting that of the queued jobs and of what is left of running prefills.
+// completed since its start; for decode this is the fraction of slots that decodes occupy, integrated over time. Lost
+// is the work of the jobs that it rejected. Waiting is the work of the queued jobs and the rest of running prefills.
 type Work struct {
 	PrefillDone, PrefillWaiting, PrefillLost float64
 	DecodeDone, DecodeWaiting, DecodeLost    float64
@@ -18,7 +18,7 @@
 	return work
 }
 
-// RestoreWork continues the totals of the engine before its change of role, since its process goes on running.
+// RestoreWork sets the totals to those before a change of role, since the engine's process goes on running.
 func (e *Engine) RestoreWork(earlier Work) {
 	earlier.PrefillWaiting, earlier.DecodeWaiting = 0, 0
 	e.work = earlier
@@ -64,7 +64,7 @@
 	return prefill, decode
 }
 
-// setClock moves the engine's time and adds the slots in use by decode jobs to the decode work done.
+// setClock moves the engine's time and adds the slot time of decodes, also while they fetch, to the decode work done.
 func (e *Engine) setClock(to time.Duration) {
 	if to > e.now && e.params.CanDecode {
 		decodes := 0
