--- a/internal/simulation/fleet/apiserver.go
+++ b/internal/simulation/fleet/apiserver.go
@@ -26,7 +26,7 @@
 	partitioned bool          // no replica or planner can reach the API server
 
 	assignments   roles.Assignments
-	kinds         map[roles.Role]int // index of the engine kind that serves a role; nil = no engine changes role
+	kindByRole    map[roles.Role]int // index of the engine kind that serves a role; nil = no engine changes role
 	plannerMemory plannerMemory
 }
 
@@ -41,7 +41,7 @@
 
 // watch is the ordered stream of updates to one replica: a delayed update also delays the updates after it.
 type watch struct {
-	down        bool          // the replica is stopped by a fault
+	replicaDown bool          // the replica is stopped by a fault
 	lastSent    time.Duration // time at which the latest update is sent
 	lastArrival time.Duration // time at which the latest update arrives
 }
@@ -151,17 +151,17 @@
 // assignment.
 func (s *apiServer) endpoint(i int) endpoint {
 	e := s.fleet.engines[i]
-	listed := endpoint{i, s.fleet.settings.KindIndex(e.kind.Name), s.endpointState(i), s.engines[i].started}
+	entry := endpoint{i, s.fleet.settings.KindIndex(e.kind.Name), s.endpointState(i), s.engines[i].started}
 	if assigned, ok := s.assignments.Entries[e.name]; ok {
-		listed.kind = s.kinds[assigned.Role]
-		if listed.state == routing.EndpointReady && !assigned.Serving {
-			listed.state = routing.EndpointDraining
+		entry.kind = s.kindByRole[assigned.Role]
+		if entry.state == routing.EndpointReady && !assigned.Serving {
+			entry.state = routing.EndpointDraining
 		}
 		if assigned.ServingSince > 0 {
-			listed.started = max(listed.started, assigned.ServingSince-epoch)
+			entry.started = max(entry.started, assigned.ServingSince-epoch)
 		}
 	}
-	return listed
+	return entry
 }
 
 func (s *apiServer) endpointState(i int) routing.EndpointState {
@@ -181,7 +181,7 @@
 	}
 	update := listUpdate{routing.ListChanges, []endpoint{s.endpoint(engine)}}
 	for i := range s.watches {
-		if !s.watches[i].down {
+		if !s.watches[i].replicaDown {
 			s.sendUpdate(i, update)
 		}
 	}
@@ -189,7 +189,7 @@
 
 // sendFullList sends a replica the full endpoint list.
 func (s *apiServer) sendFullList(replica int) {
-	if s.partitioned || s.watches[replica].down {
+	if s.partitioned || s.watches[replica].replicaDown {
 		return
 	}
 	update := listUpdate{scope: routing.ListFull}
@@ -203,10 +203,10 @@
 	r, w := s.fleet.replicas[replica], &s.watches[replica]
 	w.lastSent = max(w.lastSent, s.now()+s.updateDelay)
 	w.lastArrival = max(w.lastSent+s.fleet.linkDelay(s.linkRnd), w.lastArrival)
-	for _, listed := range update.endpoints {
+	for _, entry := range update.endpoints {
 		// The audit counts a drain from the arrival of the update, and readiness from when the update is sent.
-		name := s.fleet.engines[listed.engine].name
-		if listed.state == routing.EndpointReady {
+		name := s.fleet.engines[entry.engine].name
+		if entry.state == routing.EndpointReady {
 			s.record(w.lastSent, audit.Event{Kind: audit.NotifiedReady, Replica: r.name, Engine: name})
 		} else {
 			s.record(w.lastArrival, audit.Event{Kind: audit.NotifiedGone, Replica: r.name, Engine: name})
--- a/internal/simulation/fleet/apiserver_faults.go
+++ b/internal/simulation/fleet/apiserver_faults.go
@@ -10,8 +10,8 @@
 func (s *apiServer) pickEngines(f *scenario.Fault) []int {
 	var candidates []int
 	for i, e := range s.fleet.engines {
-		listed := &s.engines[i]
-		if (f.Kind == "" || e.kind.Name == f.Kind) && listed.up && listed.activeFaults == 0 && !listed.draining {
+		entry := &s.engines[i]
+		if (f.Kind == "" || e.kind.Name == f.Kind) && entry.up && entry.activeFaults == 0 && !entry.draining {
 			candidates = append(candidates, i)
 		}
 	}
@@ -48,9 +48,9 @@
 
 // applyToEngines starts a fault on the engines that it draws.
 func (s *apiServer) applyToEngines(f *scenario.Fault) (undo func()) {
-	picked := s.pickEngines(f)
-	unhealthy := s.marksUnhealthy(f, len(picked))
-	for _, i := range picked {
+	targets := s.pickEngines(f)
+	unhealthy := s.marksUnhealthy(f, len(targets))
+	for _, i := range targets {
 		s.engines[i].activeFaults++
 		if unhealthy {
 			s.engines[i].unhealthy = true
@@ -59,7 +59,7 @@
 		s.applyToEngine(i, f, true)
 	}
 	return func() {
-		for _, i := range picked {
+		for _, i := range targets {
 			s.applyToEngine(i, f, false)
 			s.engines[i].activeFaults--
 			if unhealthy {
@@ -85,25 +85,25 @@
 
 // applyToEngine starts or ends a fault on one engine.
 func (s *apiServer) applyToEngine(i int, f *scenario.Fault, active bool) {
-	listed := &s.engines[i]
+	entry := &s.engines[i]
 	switch f.What {
 	case "drain":
-		listed.draining = active
+		entry.draining = active
 		s.sendChange(i)
 		return
 	case "remove", "register-stale": // replicas ignore the outdated event that follows a removal
-		listed.unlisted = active
+		entry.unlisted = active
 		s.sendChange(i)
 		return
 	case "register-flap":
-		listed.flapGeneration++
-		s.flap(i, listed.flapGeneration)
+		entry.flapGeneration++
+		s.flap(i, entry.flapGeneration)
 		return
 	case "reports-frozen", "reports-none": // no replica uses load reports for its decisions
 		return
 	case "crash":
 		if active { // the API server detects the end of a process without delay
-			listed.up = false
+			entry.up = false
 			s.sendChange(i)
 		}
 	}
@@ -114,14 +114,14 @@
 // flap toggles whether an engine is listed, and repeats this every scenario.FlapInterval until the engine's flap
 // generation changes. An even generation lists the engine again and stops.
 func (s *apiServer) flap(i, generation int) {
-	listed := &s.engines[i]
+	entry := &s.engines[i]
 	switch {
-	case listed.flapGeneration != generation:
+	case entry.flapGeneration != generation:
 		return
 	case generation%2 == 0:
-		listed.unlisted = false
+		entry.unlisted = false
 	default:
-		listed.unlisted = !listed.unlisted
+		entry.unlisted = !entry.unlisted
 		s.runTask(scenario.FlapInterval, func() { s.flap(i, generation) })
 	}
 	s.sendChange(i)
@@ -129,18 +129,18 @@
 
 // stopReplicas kills as many replicas as the fault says, or shuts them down; undo starts them again.
 func (s *apiServer) stopReplicas(f *scenario.Fault) (undo func()) {
-	var picked []int
+	var targets []int
 	for _, i := range s.faultRnd.Perm(len(s.fleet.replicas)) {
-		if !s.watches[i].down && len(picked) < max(f.Count, 1) {
-			picked = append(picked, i)
-			s.watches[i].down = true
+		if !s.watches[i].replicaDown && len(targets) < max(f.Count, 1) {
+			targets = append(targets, i)
+			s.watches[i].replicaDown = true
 			s.send(s.fleet.replicas[i].id, s.fleet.linkDelay(s.linkRnd), processSignal{f.What})
 		}
 	}
 	return func() {
-		for _, i := range picked {
+		for _, i := range targets {
 			s.send(s.fleet.replicas[i].id, s.fleet.linkDelay(s.linkRnd), processSignal{signalStart})
-			s.watches[i].down = false
+			s.watches[i].replicaDown = false
 		}
 	}
 }
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -18,22 +18,22 @@
 type clients struct {
 	actorBase
 	recorder
-	fleet        *fleet
-	rnd          *rand.Rand
-	arrivals     *scenario.Arrivals
-	conditions   scenario.Conditions
-	score        *scenario.Score
-	attempts     map[uint64]*clientAttempt // in flight, by attempt number
-	lastAttempt  uint64
-	openSessions int           // sessions that have not ended
-	lastEnd      time.Duration // time at which a session last ended
+	fleet          *fleet
+	rnd            *rand.Rand
+	arrivals       *scenario.Arrivals
+	conditions     scenario.Conditions
+	score          *scenario.Score
+	attempts       map[uint64]*clientAttempt // in flight, by attempt number
+	lastAttempt    uint64
+	openSessions   int           // sessions that have not ended
+	lastSessionEnd time.Duration // time at which a session last ended
 }
 
 // clientRequest is the current request of a session.
 type clientRequest struct {
 	session    *scenario.Session
 	sessionKey string
-	sent       time.Duration // time of its first attempt
+	sentAt     time.Duration // time of its first attempt
 }
 
 // clientAttempt is one attempt of a request: the client sends it to one replica.
@@ -42,8 +42,8 @@
 	request          *clientRequest
 	id               string // identifies the attempt in audit events: session.turn/attempt
 	replica          int
-	sent             time.Duration
-	firstToken       time.Duration // time of the first token; 0 = none yet
+	sentAt           time.Duration
+	firstTokenAt     time.Duration // time of the first token; 0 = none yet
 	outputTokens     int           // length of the answer
 	disconnectsEarly bool          // the client disconnects before its deadline
 }
@@ -132,8 +132,8 @@
 	case conditionsChange:
 		m.apply(&c.conditions)
 	case streamStarted:
-		if a := c.attempts[m.attempt]; a != nil && a.firstToken == 0 {
-			a.firstToken = c.now()
+		if a := c.attempts[m.attempt]; a != nil && a.firstTokenAt == 0 {
+			a.firstTokenAt = c.now()
 		}
 	case answer:
 		c.onAnswer(m)
@@ -151,7 +151,7 @@
 	session := c.arrivals.Next(&c.conditions)
 	c.schedule(c.arrivals.Gap(&c.conditions), sessionArrival{})
 	c.openSessions++
-	c.sendAttempt(&clientRequest{session: session, sessionKey: session.Key, sent: c.now()})
+	c.sendAttempt(&clientRequest{session: session, sessionKey: session.Key, sentAt: c.now()})
 }
 
 const (
@@ -164,7 +164,7 @@
 	class := &c.fleet.scenario.Classes[session.Class]
 	c.lastAttempt++
 	a := &clientAttempt{
-		number: c.lastAttempt, request: r, replica: session.PickReplica(len(c.fleet.replicas)), sent: c.now(),
+		number: c.lastAttempt, request: r, replica: session.PickReplica(len(c.fleet.replicas)), sentAt: c.now(),
 	}
 	a.id = fmt.Sprintf("%d.%d", session.ID, session.Turn) + "/" + strconv.Itoa(session.Attempts)
 	message := newIncomingRequest(a, class)
@@ -187,12 +187,12 @@
 func newIncomingRequest(a *clientAttempt, class *scenario.Class) incomingRequest {
 	session, key, intent := a.request.session, a.request.sessionKey, a.intent()
 	promptBytes, prefixBytes := session.PromptBytes()
-	limit := int(class.AnswerTokens) * maxAnswerFactor
+	maxOutputTokens := int(class.AnswerTokens) * maxAnswerFactor
 	work := requestWork{
 		promptTokens: max(float64(promptBytes)/bytesPerToken, 1),
 		prefixTokens: float64(prefixBytes) / bytesPerToken,
 		session:      key,
-		outputTokens: min(session.AnswerTokens, limit),
+		outputTokens: min(session.AnswerTokens, maxOutputTokens),
 		class:        class.Name,
 		idempotency:  audit.Class(class.Idempotency),
 		intent:       intent,
@@ -204,7 +204,7 @@
 		Session:         xxhash.Sum64String(key),
 		PromptTokens:    float64((promptBytes + bytesPerToken - 1) / bytesPerToken),
 		PrefixTokens:    float64(prefixBytes) / bytesPerToken,
-		MaxOutputTokens: float64(limit),
+		MaxOutputTokens: float64(maxOutputTokens),
 		Retry:           session.MarksRetries && session.Retries > 0,
 	}
 	if prefixBytes > 0 {
@@ -221,9 +221,9 @@
 // never sent.
 func (c *clients) recordSent(a *clientAttempt) {
 	class := &c.fleet.scenario.Classes[a.request.session.Class]
-	c.record(a.sent, audit.Event{
+	c.record(a.sentAt, audit.Event{
 		Kind: audit.Sent, Attempt: a.id, Intent: a.intent(), Class: audit.Class(class.Idempotency),
-		Replica: c.fleet.replicas[a.replica].name, Deadline: a.sent + class.Deadline,
+		Replica: c.fleet.replicas[a.replica].name, Deadline: a.sentAt + class.Deadline,
 	})
 }
 
@@ -237,7 +237,7 @@
 		c.record(c.now(), audit.Event{Kind: audit.ClientLeft, Attempt: a.id})
 		c.send(c.fleet.replicas[a.replica].id, c.fleet.linkDelay(c.rnd), clientDisconnected{number})
 		c.endAttempt(a, answer{attempt: number, result: resultDisconnected})
-	case a.firstToken == 0 || !a.request.session.Stream:
+	case a.firstTokenAt == 0 || !a.request.session.Stream:
 		c.send(c.fleet.replicas[a.replica].id, c.fleet.linkDelay(c.rnd), clientDisconnected{number})
 		c.endAttempt(a, answer{attempt: number, result: resultTimeout})
 	}
@@ -249,8 +249,8 @@
 		return
 	}
 	if session := a.request.session; session.ReadsSlowly && session.Stream && m.result == resultServed {
-		if until := a.firstToken + time.Duration(a.outputTokens)*scenario.SlowReadDelay; until > c.now() {
-			c.schedule(until-c.now(), m)
+		if readUntil := a.firstTokenAt + time.Duration(a.outputTokens)*scenario.SlowReadDelay; readUntil > c.now() {
+			c.schedule(readUntil-c.now(), m)
 			return
 		}
 	}
@@ -263,8 +263,8 @@
 	default:
 		c.record(c.now(), audit.Event{Kind: audit.Answer, Attempt: a.id, Result: m.result})
 	}
-	if m.result == resultServed && a.firstToken == 0 { // not streamed
-		a.firstToken = c.now()
+	if m.result == resultServed && a.firstTokenAt == 0 { // not streamed
+		a.firstTokenAt = c.now()
 	}
 	c.endAttempt(a, m)
 }
@@ -276,22 +276,22 @@
 		c.recordSent(a)
 	}
 	r := a.request
-	retry, pause := r.session.AfterAttempt(m.result, m.noAutoRetry, m.retryAfter, c.now()-r.sent)
+	retry, delay := r.session.AfterAttempt(m.result, m.noAutoRetry, m.retryAfter, c.now()-r.sentAt)
 	if retry {
-		c.schedule(pause, nextAttempt{r})
+		c.schedule(delay, nextAttempt{r})
 		return
 	}
-	firstToken := time.Duration(0)
-	if a.firstToken > 0 {
-		firstToken = a.firstToken - r.sent
+	timeToFirstToken := time.Duration(0)
+	if a.firstTokenAt > 0 {
+		timeToFirstToken = a.firstTokenAt - r.sentAt
 	}
-	c.score.Add(r.session, r.sent, m.result, firstToken)
-	hasNextTurn, pause := r.session.NextTurn(m.result, c.now() > c.fleet.scenario.Length, &c.conditions)
+	c.score.Add(r.session, r.sentAt, m.result, timeToFirstToken)
+	hasNextTurn, delay := r.session.NextTurn(m.result, c.now() > c.fleet.scenario.Length, &c.conditions)
 	if !hasNextTurn {
 		c.openSessions--
-		c.lastEnd = c.now()
+		c.lastSessionEnd = c.now()
 		return
 	}
-	next := &clientRequest{session: r.session, sessionKey: r.sessionKey, sent: c.now() + pause}
-	c.schedule(pause, nextAttempt{next})
+	next := &clientRequest{session: r.session, sessionKey: r.sessionKey, sentAt: c.now() + delay}
+	c.schedule(delay, nextAttempt{next})
 }
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -36,9 +36,9 @@
 	releasedAt         map[string]time.Duration // when the release of an attempt's state arrived
 	nextWakeup         time.Duration            // time of the scheduled modelWakeup; 0 = none
 
-	prefills, decodes int // attempts that arrived
-	fetchedTokens     float64
-	pending           pendingWork // recently sent by oracles; may not have arrived
+	prefillCount, decodeCount int // attempts that arrived
+	fetchedTokens             float64
+	pendingOracleWork         pendingWork // recently sent by oracles; may not have arrived
 
 	role roleState
 }
@@ -68,7 +68,7 @@
 		id          string
 		replicaName string // for audit events
 		decode      bool
-		state       stateLocation
+		readState   stateLocation
 		work        requestWork
 	}
 	// stateLocation identifies a read state by the engine that holds it and the prefill attempt that created it.
@@ -97,9 +97,9 @@
 // Messages between engines, and those that an engine schedules for itself.
 type (
 	stateFetch struct {
-		state     string
-		requester int32 // actor ID of the engine that fetches the state
-		job       string
+		prefillAttempt string
+		requester      int32 // actor ID of the engine that fetches the state
+		job            string
 	}
 	stateFetched struct {
 		job string
@@ -108,13 +108,13 @@
 	modelWakeup struct{}
 )
 
-// cells is the number of cells over which the engines of each kind are distributed.
-const cells = 2
+// cellCount is the number of cells over which the engines of each kind are distributed.
+const cellCount = 2
 
-func newEngine(f *fleet, k *scenario.Kind, n int) *engine {
+func newEngine(f *fleet, k *scenario.Kind, indexInKind int) *engine {
 	e := &engine{
 		recorder: recorder{enabled: f.options.Audit}, fleet: f, rnd: f.newRand(firstEngineStream + uint64(len(f.engines))),
-		index: len(f.engines), name: fmt.Sprintf("%s-%d", k.Name, n+1), kind: k, cell: 1 + n%cells,
+		index: len(f.engines), name: fmt.Sprintf("%s-%d", k.Name, indexInKind+1), kind: k, cell: 1 + indexInKind%cellCount,
 		params: f.scenario.EngineParams(k), up: true, faults: map[string]engineFault{},
 	}
 	e.resetModel(0, false)
@@ -140,14 +140,14 @@
 		e.onRelease(m.attempt)
 	case stateFetch:
 		e.model.Advance(e.now())
-		_, ok := e.model.TakeReadState(e.now(), m.state)
+		_, ok := e.model.TakeReadState(e.now(), m.prefillAttempt)
 		e.send(m.requester, e.fleet.linkDelay(e.rnd), stateFetched{m.job, ok && e.up})
 	case stateFetched:
 		e.onStateFetched(m)
 	case engineFault:
 		e.onFault(m)
 	case sendArrived:
-		e.pending.remove(m)
+		e.pendingOracleWork.remove(m)
 	case roleCommand:
 		e.onRoleCommand(m)
 	case statusRequest:
@@ -199,7 +199,7 @@
 	}
 }
 
-func (e *engine) endJobWith(j *job, result routing.Result) {
+func (e *engine) endJobWithResult(j *job, result routing.Result) {
 	e.endJob(j, attemptResult{result: result})
 }
 
@@ -216,9 +216,9 @@
 		Kind: audit.Arrived, Engine: e.name, Replica: m.replicaName, Request: m.id, Decode: m.decode, Attempt: m.work.attempt,
 	})
 	if m.decode {
-		e.decodes++
+		e.decodeCount++
 	} else {
-		e.prefills++
+		e.prefillCount++
 	}
 	j := newJob(m)
 	e.jobs[m.id] = j
@@ -231,9 +231,9 @@
 	j.OnStart = func() { e.onStarted(j) }
 	j.OnToken = func(n int) { e.onToken(j, n) }
 	j.OnDone = func(cached float64) { e.onDone(j, cached) }
-	j.OnLost = func() { e.endJobWith(j, routing.ConnectionReset) }
+	j.OnLost = func() { e.endJobWithResult(j, routing.ConnectionReset) }
 	if !e.model.Submit(e.now(), &j.Job) {
-		e.endJobWith(j, routing.Rejected)
+		e.endJobWithResult(j, routing.Rejected)
 	}
 }
 
@@ -242,7 +242,7 @@
 		ID: m.id, PromptTokens: m.work.promptTokens, Prefix: m.work.prefix, PrefixTokens: m.work.prefixTokens,
 		Session: m.work.session, OutputTokens: m.work.outputTokens, PrefillOnly: !m.decode, FirstTokenOnly: true,
 	}}
-	if m.decode && m.state.engine >= 0 {
+	if m.decode && m.readState.engine >= 0 {
 		j.FetchTokens = max(j.PromptTokens, 1)
 	}
 	j.stateReady = j.FetchTokens == 0
@@ -253,8 +253,8 @@
 func (e *engine) onStarted(j *job) {
 	j.started = true
 	if !j.stateReady {
-		source := e.fleet.engines[j.request.state.engine]
-		e.send(source.id, connectHops*e.fleet.linkDelay(e.rnd), stateFetch{j.request.state.attempt, e.id, j.ID})
+		source := e.fleet.engines[j.request.readState.engine]
+		e.send(source.id, connectHops*e.fleet.linkDelay(e.rnd), stateFetch{j.request.readState.attempt, e.id, j.ID})
 	}
 }
 
@@ -282,7 +282,7 @@
 		}
 	}
 	if j.resetAtToken == n && e.jobs[j.ID] == j && j.stateReady {
-		e.endJobWith(j, routing.ConnectionReset)
+		e.endJobWithResult(j, routing.ConnectionReset)
 		e.cancelLater(j)
 	}
 }
@@ -361,7 +361,7 @@
 // stop ends the engine's process.
 func (e *engine) stop() {
 	e.up = false
-	e.role.lastSwitch++
+	e.role.lastSwitchNumber++
 	e.dropAllWork()
 }
 
@@ -369,11 +369,11 @@
 func (e *engine) dropAllWork() {
 	for _, id := range slices.Sorted(maps.Keys(e.jobs)) {
 		if j := e.jobs[id]; j != nil && !j.started { // a stalled job is unknown to the model, so Reset doesn't end it
-			e.endJobWith(j, routing.ConnectionReset)
+			e.endJobWithResult(j, routing.ConnectionReset)
 		}
 	}
 	e.model.Reset()
 	for _, id := range slices.Sorted(maps.Keys(e.jobs)) {
-		e.endJobWith(e.jobs[id], routing.ConnectionReset)
+		e.endJobWithResult(e.jobs[id], routing.ConnectionReset)
 	}
 }
--- a/internal/simulation/fleet/engine_faults.go
+++ b/internal/simulation/fleet/engine_faults.go
@@ -35,12 +35,12 @@
 	switch {
 	case stalls:
 	case failsClass && classFault.class == j.request.work.class, e.faultApplies("fail-fast"):
-		e.endJobWith(j, routing.EngineError)
+		e.endJobWithResult(j, routing.EngineError)
 	case e.faultApplies("reset-after-request"):
-		e.endJobWith(j, routing.ConnectionReset)
+		e.endJobWithResult(j, routing.ConnectionReset)
 	case needsPrefill && !e.params.CanPrefill, decode && !e.params.CanDecode:
-		missing := decode && j.FetchTokens == 0 && e.params.CanDecode
-		e.endJob(j, attemptResult{result: routing.Rejected, stateMissing: missing})
+		stateMissing := decode && j.FetchTokens == 0 && e.params.CanDecode
+		e.endJob(j, attemptResult{result: routing.Rejected, stateMissing: stateMissing})
 	default:
 		return false
 	}
@@ -68,10 +68,10 @@
 		}
 		switch name {
 		case "reset-after-effect":
-			e.endJobWith(j, routing.ConnectionReset)
+			e.endJobWithResult(j, routing.ConnectionReset)
 			e.cancelLater(j)
 		case "fail-after-effect":
-			e.endJobWith(j, routing.EngineError)
+			e.endJobWithResult(j, routing.EngineError)
 			e.cancelLater(j)
 		}
 		return true
@@ -99,7 +99,7 @@
 			e.dropAllWork()
 		}
 	case "liar":
-		e.role.misreports = m.active
+		e.role.misreportsRole = m.active
 	case "refuse-connects":
 		e.refusesConnections = m.active
 	default:
--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -17,9 +17,10 @@
 	params    map[roles.Role]enginemodel.Params // by role; nil = the role is fixed
 	state     roles.EngineState
 	switching bool
-	// lastSwitch numbers the switches. A stop of the process increments it too, so that a pending roleSwitched is ignored.
-	lastSwitch int
-	misreports bool // fault liar: the engine reports a new role but keeps its parameters
+	// lastSwitchNumber numbers the switches. A stop of the process increments it too, so that a pending
+	// roleSwitched is ignored.
+	lastSwitchNumber int
+	misreportsRole   bool // fault liar: the engine reports a new role but keeps its parameters
 }
 
 // Messages between planners and engines. An engine schedules roleSwitched for itself.
@@ -31,8 +32,8 @@
 	}
 	roleCommand  struct{ command roles.Command }
 	roleSwitched struct {
-		number     int
-		stageAdded bool // the engine keeps its stage and serves a second one
+		switchNumber int
+		stageAdded   bool // the engine keeps its stage and serves a second one
 	}
 )
 
@@ -49,7 +50,7 @@
 	for role, name := range names {
 		kinds[role] = f.settings.KindIndex(name)
 	}
-	f.apiServer.kinds, f.apiServer.assignments.Entries = kinds, map[string]roles.Assignment{}
+	f.apiServer.kindByRole, f.apiServer.assignments.Entries = kinds, map[string]roles.Assignment{}
 	for _, e := range f.engines {
 		if !e.kind.ChangesRole {
 			continue
@@ -96,19 +97,19 @@
 		return
 	}
 	e.role.switching = true
-	e.role.lastSwitch++
+	e.role.lastSwitchNumber++
 	delay := cmp.Or(e.fleet.scenario.Planner.SwitchTime, defaultSwitchTime)
-	e.schedule(delay, roleSwitched{e.role.lastSwitch, e.addsStage()})
+	e.schedule(delay, roleSwitched{e.role.lastSwitchNumber, e.addsStage()})
 }
 
 func (e *engine) onRoleCommand(m roleCommand) {
-	if _, can := e.role.params[m.command.Target]; can && e.up {
+	if _, supported := e.role.params[m.command.Target]; supported && e.up {
 		e.role.state = e.role.state.Accept(m.command)
 	}
 }
 
 func (e *engine) onRoleSwitched(m roleSwitched) {
-	if m.number != e.role.lastSwitch || !e.up {
+	if m.switchNumber != e.role.lastSwitchNumber || !e.up {
 		return
 	}
 	e.model.Advance(e.now())
@@ -116,15 +117,15 @@
 	if m.stageAdded != e.addsStage() { // another command arrived during the switch
 		return
 	}
-	before := e.params
+	previousParams := e.params
 	e.role.state = e.role.state.FinishDraining()
 	e.setRoleParams(e.role.state.Role)
 	if m.stageAdded {
 		e.model.SetParams(e.now(), e.params)
 		return
 	}
-	if e.role.misreports {
-		e.params = before
+	if e.role.misreportsRole {
+		e.params = previousParams
 	}
 	work := e.model.Work()
 	e.model = enginemodel.New(e.params, e.now(), true)
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -32,11 +32,11 @@
 
 // Options configure a run.
 type Options struct {
-	Seed   uint64        // of the draws that the scenario's own seed does not determine, such as latencies
-	Link   time.Duration // minimum latency from one actor to another; 0 = 250 us
-	Jitter time.Duration // mean of the exponentially distributed addition to Link; 0 = 50 us
-	Shards int           // number of goroutines that run actors; the result does not depend on it; 0 = 1
-	Audit  bool          // record all events and check the rules on them
+	Seed        uint64        // of the draws that the scenario's own seed does not determine, such as latencies
+	LinkLatency time.Duration // minimum latency from one actor to another; 0 = 250 us
+	Jitter      time.Duration // mean of the exponentially distributed addition to LinkLatency; 0 = 50 us
+	Shards      int           // number of goroutines that run actors; the result does not depend on it; 0 = 1
+	Audit       bool          // record all events and check the rules on them
 	// Traffic is replayed instead of the scenario's generated sessions; nil = use those.
 	Traffic []scenario.RecordedRequest
 	// Oracles give replicas knowledge that real replicas can't have.
@@ -49,13 +49,13 @@
 }
 
 const (
-	defaultLink   = 250 * time.Microsecond
-	defaultJitter = 50 * time.Microsecond
+	defaultLinkLatency = 250 * time.Microsecond
+	defaultJitter      = 50 * time.Microsecond
 )
 
 // withDefaults replaces zero values by their defaults.
 func (o Options) withDefaults() Options {
-	o.Link, o.Jitter = cmp.Or(o.Link, defaultLink), cmp.Or(o.Jitter, defaultJitter)
+	o.LinkLatency, o.Jitter = cmp.Or(o.LinkLatency, defaultLinkLatency), cmp.Or(o.Jitter, defaultJitter)
 	o.Shards = max(o.Shards, 1)
 	if o.Decider == nil {
 		o.Decider = func(s routing.Config, seed uint64) (Decider, error) { return routing.New(s, seed) }
@@ -99,7 +99,7 @@
 }
 
 func newFleet(s *scenario.Scenario, o Options) (*fleet, error) {
-	f := &fleet{scenario: s, options: o, scheduler: newScheduler(o.Shards, o.Link)}
+	f := &fleet{scenario: s, options: o, scheduler: newScheduler(o.Shards, o.LinkLatency)}
 	var err error
 	if f.settings, err = s.Settings(0); err != nil {
 		return nil, err
@@ -165,25 +165,26 @@
 // isOver reports whether the run is complete: all sessions have ended and the TTL of their read states is over, or
 // maxExtraTime has passed.
 func (f *fleet) isOver(now time.Duration) bool {
-	length, settle := f.scenario.Length, f.scenario.Service.StateTTL+finalReleaseSlack
+	length, releaseWait := f.scenario.Length, f.scenario.Service.StateTTL+finalReleaseSlack
 	if now > length+maxExtraTime {
 		return true
 	}
-	return now > length+settle && f.clients.openSessions == 0 && now > f.clients.lastEnd+settle
+	return now > length+releaseWait && f.clients.openSessions == 0 && now > f.clients.lastSessionEnd+releaseWait
 }
 
 // NamesError reports that Options.Settings don't have the scenario's names.
 type NamesError struct {
-	What          string // classes, kinds of engine or tenants
-	Got, Scenario []string
+	Setting          string // classes, kinds of engine or tenants
+	Actual, Required []string
 }
 
 func (e *NamesError) Error() string {
-	return fmt.Sprintf("fleet: settings have %s %v, but the scenario requires %v in this order", e.What, e.Got, e.Scenario)
+	return fmt.Sprintf("fleet: settings have %s %v, but the scenario requires %v in this order",
+		e.Setting, e.Actual, e.Required)
 }
 
 // checkNames returns a *NamesError if the names in other settings differ from those in the scenario's own.
-func checkNames(own, other *config.Settings) error {
+func checkNames(scenarioSettings, settings *config.Settings) error {
 	names := func(s *config.Settings) [3][]string {
 		var names [3][]string
 		for _, c := range s.Classes {
@@ -197,10 +198,10 @@
 		}
 		return names
 	}
-	want, got := names(own), names(other)
-	for i, what := range []string{"classes", "kinds of engine", "tenants"} {
-		if !slices.Equal(want[i], got[i]) {
-			return &NamesError{what, got[i], want[i]}
+	required, actual := names(scenarioSettings), names(settings)
+	for i, setting := range []string{"classes", "kinds of engine", "tenants"} {
+		if !slices.Equal(required[i], actual[i]) {
+			return &NamesError{setting, actual[i], required[i]}
 		}
 	}
 	return nil
@@ -223,7 +224,7 @@
 
 // linkDelay draws the latency of a message over one link.
 func (f *fleet) linkDelay(rnd *rand.Rand) time.Duration {
-	return f.options.Link + time.Duration(rnd.ExpFloat64()*float64(f.options.Jitter))
+	return f.options.LinkLatency + time.Duration(rnd.ExpFloat64()*float64(f.options.Jitter))
 }
 
 // connectHops is the number of link delays until the first message on a new connection arrives.
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -32,9 +32,9 @@
 // The default scenario must pass the audit that also checks it on sockets, and its score must count every request once.
 func TestDefaultScenarioHasNoViolations(t *testing.T) {
 	r := runScenario(t, defaultScenario(t), Options{Seed: 1, Audit: true})
-	for _, v := range r.Rules {
-		if v.Checks == 0 || len(v.Violations) > 0 {
-			t.Errorf("%s: %d checks, %.300v", v.Rule, v.Checks, v.Violations)
+	for _, rule := range r.Rules {
+		if rule.Checks == 0 || len(rule.Violations) > 0 {
+			t.Errorf("%s: %d checks, %.300v", rule.Rule, rule.Checks, rule.Violations)
 		}
 	}
 	if s := r.Score.Service(); s < 0.8 || s > 0.99 {
@@ -62,13 +62,13 @@
 	if err := sc.Scale(15 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	one := runScenario(t, sc, Options{Seed: 5, Audit: true})
+	want := runScenario(t, sc, Options{Seed: 5, Audit: true})
 	for _, shards := range []int{1, 3, 8} {
-		if again := runScenario(t, sc, Options{Seed: 5, Audit: true, Shards: shards}); !reflect.DeepEqual(one, again) {
-			t.Errorf("%d shards give another result: service %v, want %v", shards, again.Score.Service(), one.Score.Service())
+		if again := runScenario(t, sc, Options{Seed: 5, Audit: true, Shards: shards}); !reflect.DeepEqual(want, again) {
+			t.Errorf("%d shards give another result: service %v, want %v", shards, again.Score.Service(), want.Score.Service())
 		}
 	}
-	if other := runScenario(t, sc, Options{Seed: 6, Audit: true}); reflect.DeepEqual(one.Rules, other.Rules) {
+	if other := runScenario(t, sc, Options{Seed: 6, Audit: true}); reflect.DeepEqual(want.Rules, other.Rules) {
 		t.Error("another seed gives the same rule results")
 	}
 }
@@ -153,10 +153,10 @@
 					t.Errorf("%s: %.300v", v.Rule, v.Violations)
 				}
 			}
-			last := r.Roles[len(r.Roles)-1]
-			if last.Commands == 0 || last.Changing > 0 || last.Prefill > maxPrefill ||
-				last.Prefill+last.Decode > sc.Engines() {
-				t.Errorf("the last sample shows pending changes or too many engines: %+v", last)
+			lastSample := r.Roles[len(r.Roles)-1]
+			if lastSample.Commands == 0 || lastSample.Changing > 0 || lastSample.Prefill > maxPrefill ||
+				lastSample.Prefill+lastSample.Decode > sc.Engines() {
+				t.Errorf("the last sample shows pending changes or too many engines: %+v", lastSample)
 			}
 			if again := runScenario(t, sc, Options{Seed: 1, Audit: true, Shards: 3}); !reflect.DeepEqual(r.Roles, again.Roles) {
 				t.Error("the roles depend on the number of shards")
@@ -167,8 +167,8 @@
 
 // A flapping engine must alternate between unlisted and listed, and must be listed after the fault.
 func TestFlappingEngineIsListedAgain(t *testing.T) {
-	flap := smallScenario(t, `<happen at="2s" what="register-flap" kind="decode" count="2" for="4s"/>`)
-	r := runScenario(t, flap, Options{Seed: 1, Audit: true})
+	flappingScenario := smallScenario(t, `<happen at="2s" what="register-flap" kind="decode" count="2" for="4s"/>`)
+	r := runScenario(t, flappingScenario, Options{Seed: 1, Audit: true})
 	normal := runScenario(t, smallScenario(t, ""), Options{Seed: 1, Audit: true})
 	if checks := r.Rules[2].Checks; checks <= 0 || len(r.Rules[2].Violations) > 0 {
 		t.Errorf("rule 3: %+v", r.Rules[2])
@@ -179,21 +179,21 @@
 	f := fleet{scheduler: newScheduler(1, time.Millisecond)}
 	server := &apiServer{fleet: &f, engines: make([]listedEngine, 1)}
 	f.scheduler.add(server)
-	f.engines = []*engine{{kind: &flap.Kinds[0]}}
+	f.engines = []*engine{{kind: &flappingScenario.Kinds[0]}}
 	shard := f.scheduler.shards[0]
-	unlisted := []bool{}
+	unlistedHistory := []bool{}
 	server.engines[0].flapGeneration = 1
 	server.partitioned = true // no replica is notified
 	server.flap(0, 1)
 	for range 4 {
-		unlisted = append(unlisted, server.engines[0].unlisted)
+		unlistedHistory = append(unlistedHistory, server.engines[0].unlisted)
 		shard.run(shard.now + scenario.FlapInterval + 1)
 	}
 	server.engines[0].flapGeneration++
 	server.flap(0, 2)
 	shard.run(time.Minute)
-	if !reflect.DeepEqual(unlisted, []bool{true, false, true, false}) || server.engines[0].unlisted {
-		t.Errorf("unlisted was %v while flapping, %v after it", unlisted, server.engines[0].unlisted)
+	if !reflect.DeepEqual(unlistedHistory, []bool{true, false, true, false}) || server.engines[0].unlisted {
+		t.Errorf("unlisted was %v while flapping, %v after it", unlistedHistory, server.engines[0].unlisted)
 	}
 }
 
@@ -218,7 +218,7 @@
 	session := sc.Arrivals().Next(&scenario.Conditions{RateFactor: 1})
 	session.ReadsSlowly, session.Stream = true, true
 	c.openSessions = 1
-	c.attempts[1] = &clientAttempt{number: 1, request: &clientRequest{session: session}, outputTokens: 40, firstToken: 1}
+	c.attempts[1] = &clientAttempt{number: 1, request: &clientRequest{session: session}, outputTokens: 40, firstTokenAt: 1}
 	c.onAnswer(answer{attempt: 1, result: resultServed})
 	if len(c.attempts) != 1 {
 		t.Fatal("the attempt ended before the slow client had read its answer")
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -82,32 +82,32 @@
 
 // pickByOracle returns the engine with the lowest cost if an oracle applies to the request. Otherwise it returns the
 // router's pick.
-func (r *replica) pickByOracle(request *inflightRequest, picked int) int {
-	role := r.fleet.config.Kinds[r.endpoints.known[picked].kind].Role
-	if !r.oracleApplies(request, picked, role) {
-		return picked
+func (r *replica) pickByOracle(request *inflightRequest, routerPick int) int {
+	role := r.fleet.config.Kinds[r.endpoints.entries[routerPick].kind].Role
+	if !r.oracleApplies(request, routerPick, role) {
+		return routerPick
 	}
 	j := oracleJob(request, role)
-	best, lowestCost := picked, 0.0
-	for i, listed := range r.endpoints.known {
-		if !r.oracleMayPick(i, listed, role, j) {
+	bestEngine, lowestCost := routerPick, 0.0
+	for i, entry := range r.endpoints.entries {
+		if !r.oracleMayPick(i, entry, role, j) {
 			continue
 		}
 		cost := r.fleet.engines[i].oracleCost(j, role)
-		if lowestCost == 0 || cost < lowestCost || cost == lowestCost && i == picked {
-			best, lowestCost = i, cost
+		if lowestCost == 0 || cost < lowestCost || cost == lowestCost && i == routerPick {
+			bestEngine, lowestCost = i, cost
 		}
 	}
-	e := r.fleet.engines[best]
+	e := r.fleet.engines[bestEngine]
 	seconds := e.model.PrefillBacklog(j) - e.model.PrefillBacklog(&enginemodel.Job{FetchTokens: 1, PrefillOnly: true})
-	e.pending.add(seconds)
-	e.schedule(2*r.fleet.options.Link, sendArrived{seconds})
-	return best
+	e.pendingOracleWork.add(seconds)
+	e.schedule(2*r.fleet.options.LinkLatency, sendArrived{seconds})
+	return bestEngine
 }
 
 // oracleApplies reports whether an oracle may replace the router's pick for a request.
-func (r *replica) oracleApplies(request *inflightRequest, picked int, role routing.Role) bool {
-	o, e := r.fleet.options.Oracles, r.fleet.engines[picked]
+func (r *replica) oracleApplies(request *inflightRequest, routerPick int, role routing.Role) bool {
+	o, e := r.fleet.options.Oracles, r.fleet.engines[routerPick]
 	if !o.enabled() { // with several shards, this goroutine must not read the engine's state
 		return false
 	}
@@ -134,15 +134,15 @@
 		PromptTokens: work.promptTokens, Prefix: work.prefix, PrefixTokens: work.prefixTokens, Session: work.session,
 		OutputTokens: work.outputTokens, PrefillOnly: role == routing.RolePrefill,
 	}
-	if role == routing.RoleDecode && request.state.engine >= 0 {
+	if role == routing.RoleDecode && request.readState.engine >= 0 {
 		j.FetchTokens = max(j.PromptTokens, 1)
 	}
 	return j
 }
 
 // oracleMayPick reports whether an oracle may send a job to an engine.
-func (r *replica) oracleMayPick(engine int, listed endpoint, role routing.Role, j *enginemodel.Job) bool {
-	if listed.state != routing.EndpointReady || r.fleet.config.Kinds[listed.kind].Role != role {
+func (r *replica) oracleMayPick(engine int, entry endpoint, role routing.Role, j *enginemodel.Job) bool {
+	if entry.state != routing.EndpointReady || r.fleet.config.Kinds[entry.kind].Role != role {
 		return false
 	}
 	e := r.fleet.engines[engine]
@@ -156,9 +156,9 @@
 // streams with a decode. Both are relative to the engine's present capacity.
 func (e *engine) oracleCost(j *enginemodel.Job, role routing.Role) float64 {
 	if role == routing.RolePrefill {
-		return (e.model.PrefillBacklog(j) + e.pending.seconds) / e.model.CapacityFraction()
+		return (e.model.PrefillBacklog(j) + e.pendingOracleWork.seconds) / e.model.CapacityFraction()
 	}
-	return float64(e.model.InFlight()+e.pending.streams+1) / e.model.CapacityFraction()
+	return float64(e.model.InFlight()+e.pendingOracleWork.streams+1) / e.model.CapacityFraction()
 }
 
 // healthy reports whether the engine is up, accepts work and is affected by no fault.
@@ -169,7 +169,7 @@
 // sentToDecode reports whether an attempt of a request was sent to a decode endpoint.
 func (r *replica) sentToDecode(request *inflightRequest) bool {
 	return slices.ContainsFunc(request.attempts, func(a *attempt) bool {
-		return r.fleet.config.Kinds[r.endpoints.known[a.engine].kind].Role == routing.RoleDecode
+		return r.fleet.config.Kinds[r.endpoints.entries[a.engine].kind].Role == routing.RoleDecode
 	})
 }
 
@@ -184,11 +184,11 @@
 	case "drain", "remove", "crash", "forget", "silent-restart", "role-force":
 		return false
 	}
-	left := 0
+	healthyCount := 0
 	for i, e := range s.fleet.engines {
-		if listed := &s.engines[i]; (f.Kind == "" || e.kind.Name == f.Kind) && listed.up && !listed.unhealthy {
-			left++
+		if entry := &s.engines[i]; (f.Kind == "" || e.kind.Name == f.Kind) && entry.up && !entry.unhealthy {
+			healthyCount++
 		}
 	}
-	return left >= 2*affected
+	return healthyCount >= 2*affected
 }
--- a/internal/simulation/fleet/oracle_test.go
+++ b/internal/simulation/fleet/oracle_test.go
@@ -52,21 +52,21 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			sc := smallScenario(t, tc.faults)
-			without, with := 0.0, 0.0 // means over three replications
+			serviceWithout, serviceWith := 0.0, 0.0 // means over three replications
 			for seed := range 3 {
 				sc.Seed++
-				without += runScenario(t, sc, Options{Seed: uint64(seed)}).Score.Service() / 3
+				serviceWithout += runScenario(t, sc, Options{Seed: uint64(seed)}).Score.Service() / 3
 				r := runScenario(t, sc, Options{Seed: uint64(seed), Audit: true, Oracles: tc.oracles})
-				with += r.Score.Service() / 3
+				serviceWith += r.Score.Service() / 3
 				for i, v := range r.Rules {
 					if len(v.Violations) > 0 {
 						t.Errorf("rule %d: %.300v", i+1, v.Violations)
 					}
 				}
 			}
-			t.Logf("service %.3f without the oracle, %.3f with it", without, with)
-			if with < without+tc.minGain {
-				t.Errorf("too small a gain: service %.3f without the oracle, %.3f with it", without, with)
+			t.Logf("service %.3f without the oracle, %.3f with it", serviceWithout, serviceWith)
+			if serviceWith < serviceWithout+tc.minGain {
+				t.Errorf("too small a gain: service %.3f without the oracle, %.3f with it", serviceWithout, serviceWith)
 			}
 		})
 	}
@@ -84,9 +84,10 @@
 // ready.
 func TestHealthOracleNeedsEnoughHealthyEngines(t *testing.T) {
 	sc := smallScenario(t, `<happen at="2s" what="slow" kind="decode" count="4" factor="3" for="6s"/>`)
-	with, without := runScenario(t, sc, Options{Seed: 1, Oracles: Oracles{KnowHealth: true}}),
+	withOracle, withoutOracle := runScenario(t, sc, Options{Seed: 1, Oracles: Oracles{KnowHealth: true}}),
 		runScenario(t, sc, Options{Seed: 1})
-	if with.Score.Service() != without.Score.Service() || with.Events != without.Events {
-		t.Errorf("the run changed: service %.4f with the oracle, %.4f without", with.Score.Service(), without.Score.Service())
+	if withOracle.Score.Service() != withoutOracle.Score.Service() || withOracle.Events != withoutOracle.Events {
+		t.Errorf("the run changed: service %.4f with the oracle, %.4f without",
+			withOracle.Score.Service(), withoutOracle.Score.Service())
 	}
 }
--- a/internal/simulation/fleet/planner.go
+++ b/internal/simulation/fleet/planner.go
@@ -24,8 +24,8 @@
 type (
 	lostWorkRequest struct{ from int32 }
 	lostWorkReply   struct {
-		replica string
-		lost    [2]float64 // replica.lostByStage
+		replica     string
+		lostByStage [2]float64 // replica.lostByStage
 	}
 	viewRequest struct{ from int32 }
 	viewReply   struct {
@@ -61,8 +61,8 @@
 	}
 	view := planner.View{Assignments: s.assignments, Listings: map[string]planner.Listing{}}
 	for i, e := range s.fleet.engines {
-		if listed := &s.engines[i]; e.role.params != nil && !listed.unlisted {
-			view.Listings[e.name] = planner.Listing{Locality: fmt.Sprint(e.cell), Up: listed.up && !listed.draining}
+		if entry := &s.engines[i]; e.role.params != nil && !entry.unlisted {
+			view.Listings[e.name] = planner.Listing{Locality: fmt.Sprint(e.cell), Up: entry.up && !entry.draining}
 		}
 	}
 	s.send(m.from, s.fleet.linkDelay(s.linkRnd), viewReply{view, s.plannerMemory})
@@ -82,10 +82,10 @@
 
 // storeAssignments replaces the assignments and sends the replicas every engine whose entry changed.
 func (s *apiServer) storeAssignments(assignments roles.Assignments) {
-	before := s.assignments
+	previous := s.assignments
 	s.assignments = assignments
 	for i, e := range s.fleet.engines {
-		if assignments.Entries[e.name] != before.Entries[e.name] {
+		if assignments.Entries[e.name] != previous.Entries[e.name] {
 			s.sendChange(i)
 		}
 	}
@@ -111,18 +111,18 @@
 	fleet *fleet
 	rnd   *rand.Rand
 
-	process        processState
-	planner        *roles.Planner
-	lostWork       planner.LostWorkEstimator
-	cells          map[string]int // numbers assigned to localities
-	savedAt        time.Duration  // time of the latest saveMemory, or the start of the process
-	memoryRestored bool           // whether restoreMemory was done in this process
-	samples        []RoleSample
+	process           processState
+	planner           *roles.Planner
+	lostWorkEstimator planner.LostWorkEstimator
+	cellByLocality    map[string]int // numbers assigned to localities
+	savedAt           time.Duration  // time of the latest saveMemory, or the start of the process
+	memoryRestored    bool           // whether restoreMemory was done in this process
+	roleSamples       []RoleSample
 
 	// Replies to the latest poll.
 	statuses     map[string]planner.Status
 	lostRequests map[string][2]float64
-	view         *viewReply
+	viewReply    *viewReply
 }
 
 const (
@@ -138,7 +138,7 @@
 	}
 	p.process.generation++
 	p.process.up, p.memoryRestored, p.savedAt = true, false, p.now()
-	p.cells, p.lostWork = map[string]int{}, planner.NewLostWorkEstimator()
+	p.cellByLocality, p.lostWorkEstimator = map[string]int{}, planner.NewLostWorkEstimator()
 	p.schedule(time.Duration(p.rnd.Float64()*float64(p.interval())), plannerPoll{p.process.generation})
 	return nil
 }
@@ -156,17 +156,17 @@
 			p.poll()
 		}
 	case viewReply:
-		p.view = &m
+		p.viewReply = &m
 	case statusReply:
 		if p.statuses != nil {
 			p.statuses[m.engine] = m.status
 		}
 	case lostWorkReply:
 		if p.lostRequests != nil {
-			p.lostRequests[m.replica] = m.lost
+			p.lostRequests[m.replica] = m.lostByStage
 		}
 	case plannerStep:
-		if p.process.up && m.generation == p.process.generation && p.view != nil {
+		if p.process.up && m.generation == p.process.generation && p.viewReply != nil {
 			p.step()
 		}
 	case assignmentsWritten:
@@ -190,7 +190,7 @@
 // poll requests the state of the API server, the engines and the replicas. The step half an interval later uses the
 // replies that have arrived.
 func (p *plannerProcess) poll() {
-	p.statuses, p.lostRequests, p.view = map[string]planner.Status{}, map[string][2]float64{}, nil
+	p.statuses, p.lostRequests, p.viewReply = map[string]planner.Status{}, map[string][2]float64{}, nil
 	p.send(p.fleet.apiServer.id, p.fleet.linkDelay(p.rnd), viewRequest{p.id})
 	for _, e := range p.fleet.engines {
 		p.send(e.id, connectHops*p.fleet.linkDelay(p.rnd), statusRequest{p.id})
@@ -206,7 +206,7 @@
 func (p *plannerProcess) step() {
 	now := epoch + p.now()
 	p.restoreMemory(now)
-	assignments, changed := p.view.view.Assignments, false
+	assignments, changed := p.viewReply.view.Assignments, false
 	for _, id := range assignments.Names() {
 		if status, ok := p.statuses[id]; ok {
 			var applied bool
@@ -215,10 +215,10 @@
 		}
 	}
 	replicas := p.lostWorkReports(now)
-	plan := p.planner.Step(now, planner.Engines(p.view.view, p.statuses, p.cells, now, now, now), replicas)
+	plan := p.planner.Step(now, planner.Engines(p.viewReply.view, p.statuses, p.cellByLocality, now, now, now), replicas)
 	// Changes that can't be applied are planned again at the next step.
-	assignments, done, _ := assignments.ApplyPlan(plan)
-	if changed || len(done.Reverts)+len(done.Changes) > 0 {
+	assignments, appliedPlan, _ := assignments.ApplyPlan(plan)
+	if changed || len(appliedPlan.Reverts)+len(appliedPlan.Changes) > 0 {
 		p.send(p.fleet.apiServer.id, p.fleet.linkDelay(p.rnd), assignmentsWrite{p.id, assignments})
 	} else {
 		p.sendCommands(assignments)
@@ -233,7 +233,7 @@
 		return
 	}
 	p.memoryRestored = true
-	if m := p.view.memory; m.ok {
+	if m := p.viewReply.memory; m.ok {
 		_ = p.planner.Restore(m.memory, p.now()-m.at, now) // an invalid memory is ignored, as by the real process
 	}
 }
@@ -256,7 +256,7 @@
 	var replicas []roles.Replica
 	for _, name := range slices.Sorted(maps.Keys(p.lostRequests)) {
 		counts := planner.LostCounts{Prefill: p.lostRequests[name][0], Decode: p.lostRequests[name][1]}
-		report := *p.lostWork.Update(name, counts, now, prefillCost, decodeCost)
+		report := *p.lostWorkEstimator.Update(name, counts, now, prefillCost, decodeCost)
 		replicas = append(replicas, roles.Replica{ID: name, Report: &report})
 	}
 	return replicas
@@ -277,7 +277,7 @@
 
 func (p *plannerProcess) recordSample(plan roles.Plan, assignments roles.Assignments) {
 	serving, changing := assignments.CountServing()
-	p.samples = append(p.samples, RoleSample{
+	p.roleSamples = append(p.roleSamples, RoleSample{
 		At: p.now(), PrefillDemand: plan.PrefillDemand, DecodeDemand: plan.DecodeDemand,
 		Commands: assignments.LastCommandNumber, Prefill: serving[roles.Prefill], Decode: serving[roles.Decode],
 		Changing: changing,
--- a/internal/simulation/fleet/replica.go
+++ b/internal/simulation/fleet/replica.go
@@ -21,8 +21,8 @@
 	drainTimeout        = 10 * time.Second       // as in the settings that package scenario generates
 	startupTime         = 100 * time.Millisecond // from the start of a replica's process until it listens
 	restartPollInterval = 100 * time.Millisecond // between checks whether a replica has drained and can start again
-	// listHops is the number of link delays until a list request on a new connection to the API server is answered.
-	listHops = 4
+	// listRequestHops is the number of link delays until a list request on a new connection to the API server is answered.
+	listRequestHops = 4
 )
 
 // replica is the actor of one gateway replica. It consists of a Decider and a model of the gateway around it.
@@ -55,7 +55,7 @@
 type endpointTable struct {
 	ids      []routing.EndpointID // indexed by engine
 	engineOf map[routing.EndpointID]int
-	known    []endpoint // indexed by engine; nil = no list was received yet
+	entries  []endpoint // indexed by engine; nil = no list was received yet
 }
 
 func newEndpointTable(engines []*engine) endpointTable {
@@ -80,9 +80,9 @@
 	}
 	// answerDue fails a request that has no answer by its deadline.
 	answerDue struct {
-		generation int
-		request    routing.RequestID
-		whole      bool // the complete answer is due, not only the first token
+		generation     int
+		request        routing.RequestID
+		completeAnswer bool // the complete answer is due, not only the first token
 	}
 	processStarted struct{}
 	// processTask is a function that a process has scheduled.
@@ -110,8 +110,8 @@
 	r.process.up, r.process.draining = true, false
 	r.requests, r.lostByStage = newRequestTable(), [2]float64{}
 	r.record(r.now(), audit.Event{Kind: audit.ReplicaStarted, Replica: r.name})
-	if r.endpoints.known != nil { // simulates the list cached on disk, which survives a restart
-		r.onList(listUpdate{routing.ListCached, slices.Clone(r.endpoints.known)})
+	if r.endpoints.entries != nil { // simulates the list cached on disk, which survives a restart
+		r.onList(listUpdate{routing.ListCached, slices.Clone(r.endpoints.entries)})
 	}
 	return nil
 }
@@ -172,7 +172,7 @@
 		if err := r.start(); err != nil { // can't happen: the same settings were accepted at the first start
 			panic(err)
 		}
-		r.send(r.fleet.apiServer.id, listHops*r.fleet.linkDelay(r.rnd), listRequest{r.index})
+		r.send(r.fleet.apiServer.id, listRequestHops*r.fleet.linkDelay(r.rnd), listRequest{r.index})
 	}
 }
 
@@ -223,18 +223,18 @@
 // onList applies an update of the endpoint list. It updates the table before the router handles the update, so that no
 // attempt is sent to an endpoint that is listed as draining or gone.
 func (r *replica) onList(update listUpdate) {
-	if r.endpoints.known == nil {
-		r.endpoints.known = make([]endpoint, len(r.fleet.engines))
+	if r.endpoints.entries == nil {
+		r.endpoints.entries = make([]endpoint, len(r.fleet.engines))
 	}
 	ev := routing.EndpointList{Scope: update.scope}
-	for _, listed := range update.endpoints {
-		r.endpoints.known[listed.engine] = listed
-		e := r.fleet.engines[listed.engine]
+	for _, entry := range update.endpoints {
+		r.endpoints.entries[entry.engine] = entry
+		e := r.fleet.engines[entry.engine]
 		endpoint := routing.Endpoint{
-			ID: r.endpoints.ids[listed.engine], Kind: listed.kind, Cell: e.cell, State: listed.state,
+			ID: r.endpoints.ids[entry.engine], Kind: entry.kind, Cell: e.cell, State: entry.state,
 		}
-		if listed.started > 0 {
-			endpoint.StartedAt = epoch + listed.started
+		if entry.started > 0 {
+			endpoint.StartedAt = epoch + entry.started
 		}
 		ev.Endpoints = append(ev.Endpoints, endpoint)
 	}
@@ -247,10 +247,10 @@
 		r.perform(action)
 	}
 	// Answered requests are removed after all actions, because a release may follow the answer.
-	for _, request := range r.requests.answered {
+	for _, request := range r.requests.answeredInStep {
 		r.removeIfDone(request)
 	}
-	r.requests.answered = r.requests.answered[:0]
+	r.requests.answeredInStep = r.requests.answeredInStep[:0]
 }
 
 func (r *replica) perform(action routing.Action) {
@@ -260,12 +260,12 @@
 	case routing.Reject:
 		if request := r.requests.byID[a.Request]; request != nil {
 			r.finish(request, resultRejected, a.RetryAfter, a.NoAutoRetry)
-			r.requests.answered = append(r.requests.answered, request)
+			r.requests.answeredInStep = append(r.requests.answeredInStep, request)
 		}
 	case routing.Fail:
 		if request := r.requests.byID[a.Request]; request != nil {
 			r.finish(request, resultFailed, 0, a.PossibleDuplicate || r.mayHaveEffect(request))
-			r.requests.answered = append(r.requests.answered, request)
+			r.requests.answeredInStep = append(r.requests.answeredInStep, request)
 		}
 	case routing.Cancel:
 		if request := r.requests.byID[a.Request]; request != nil && a.Attempt < len(request.attempts) {
--- a/internal/simulation/fleet/replica_attempts.go
+++ b/internal/simulation/fleet/replica_attempts.go
@@ -54,41 +54,41 @@
 
 // sendAttempt sends an attempt to the engine that the router or an oracle picked, and schedules its timeout.
 func (r *replica) sendAttempt(action routing.Send) {
-	request, picked := r.requests.byID[action.Request], r.endpoints.engineOf[action.Endpoint]
-	target := r.pickByOracle(request, picked)
-	listed := r.endpoints.known[target]
-	n := len(request.attempts)
+	request, routerPick := r.requests.byID[action.Request], r.endpoints.engineOf[action.Endpoint]
+	target := r.pickByOracle(request, routerPick)
+	entry := r.endpoints.entries[target]
+	index := len(request.attempts)
 	a := &attempt{
-		engine: target, routerPick: picked, decode: r.fleet.config.Kinds[listed.kind].Role != routing.RolePrefill,
+		engine: target, routerPick: routerPick, decode: r.fleet.config.Kinds[entry.kind].Role != routing.RolePrefill,
 		startedAt: r.now(), id: r.attemptID(request),
 	}
 	request.attempts = append(request.attempts, a)
 	request.openAttempts++
-	if listed.state != routing.EndpointReady { // the endpoint began to drain after the router's decision
+	if entry.state != routing.EndpointReady { // the endpoint began to drain after the router's decision
 		a.neverExecuted = true
-		r.runTask(0, func() { r.endAttempt(request, n, attemptResult{result: routing.NotSent}) })
+		r.runTask(0, func() { r.endAttempt(request, index, attemptResult{result: routing.NotSent}) })
 		return
 	}
 	e := r.fleet.engines[target]
-	r.send(e.id, r.sendDelay(request, a), r.newEngineRequest(request, n))
-	end := request.deadline
+	r.send(e.id, r.sendDelay(request, a), r.newEngineRequest(request, index))
+	attemptDeadline := request.deadline
 	if action.Timeout > 0 && (!r.fleet.options.Oracles.NoTimeouts || !e.healthy()) {
-		end = min(end, r.now()+action.Timeout)
+		attemptDeadline = min(attemptDeadline, r.now()+action.Timeout)
 	}
-	r.schedule(end-r.now(), attemptTimeout{r.process.generation, request.id, n})
+	r.schedule(attemptDeadline-r.now(), attemptTimeout{r.process.generation, request.id, index})
 }
 
 // newEngineRequest returns the message for an attempt. A new prefill invalidates the request's read state.
-func (r *replica) newEngineRequest(request *inflightRequest, n int) engineRequest {
-	a := request.attempts[n]
+func (r *replica) newEngineRequest(request *inflightRequest, index int) engineRequest {
+	a := request.attempts[index]
 	m := engineRequest{
-		attemptRef: attemptRef{r.process.generation, request.id, n}, replica: r.id, id: a.id, replicaName: r.name,
-		decode: a.decode, state: noState, work: request.message.work,
+		attemptRef: attemptRef{r.process.generation, request.id, index}, replica: r.id, id: a.id, replicaName: r.name,
+		decode: a.decode, readState: noState, work: request.message.work,
 	}
 	if a.decode {
-		m.state = request.state
+		m.readState = request.readState
 	} else {
-		request.state = noState
+		request.readState = noState
 	}
 	return m
 }
@@ -99,7 +99,7 @@
 	delay := r.fleet.linkDelay(r.rnd)
 	class := r.fleet.config.Classes[request.message.classification.Class]
 	if a.decode && class.Idempotency == routing.NotIdempotent {
-		delay += 2 * r.fleet.options.Link
+		delay += 2 * r.fleet.options.LinkLatency
 	}
 	return delay
 }
@@ -118,23 +118,23 @@
 }
 
 // closeConnection closes the connection of an attempt to its engine.
-func (r *replica) closeConnection(request *inflightRequest, n int) {
-	a := request.attempts[n]
+func (r *replica) closeConnection(request *inflightRequest, index int) {
+	a := request.attempts[index]
 	r.send(r.fleet.engines[a.engine].id, r.fleet.linkDelay(r.rnd), connectionClosed{a.id})
 }
 
-func (r *replica) cancel(request *inflightRequest, n int) {
-	a := request.attempts[n]
+func (r *replica) cancel(request *inflightRequest, index int) {
+	a := request.attempts[index]
 	if !a.ended && !a.neverExecuted {
 		a.canceled = true
-		r.closeConnection(request, n)
-		r.runTask(0, func() { r.endAttempt(request, n, attemptResult{result: routing.Canceled}) })
+		r.closeConnection(request, index)
+		r.runTask(0, func() { r.endAttempt(request, index, attemptResult{result: routing.Canceled}) })
 	}
 }
 
 func (r *replica) cancelAll(request *inflightRequest) {
-	for n := range request.attempts {
-		r.cancel(request, n)
+	for index := range request.attempts {
+		r.cancel(request, index)
 	}
 }
 
@@ -182,30 +182,30 @@
 }
 
 // endAttempt records the result of an attempt and passes it to the router.
-func (r *replica) endAttempt(request *inflightRequest, n int, m attemptResult) {
-	a := request.attempts[n]
+func (r *replica) endAttempt(request *inflightRequest, index int, result attemptResult) {
+	a := request.attempts[index]
 	if a.ended {
 		return
 	}
 	a.ended = true
-	r.outcomes[attemptOutcome{a.decode, m.result}]++
-	a.neverExecuted = a.neverExecuted || m.result.NeverExecuted()
+	r.outcomes[attemptOutcome{a.decode, result.result}]++
+	a.neverExecuted = a.neverExecuted || result.result.NeverExecuted()
 	request.openAttempts--
-	isAnswer := request.answer == answerStreaming && request.streamingAttempt == n
+	isAnswer := request.answer == answerStreaming && request.streamingAttempt == index
 	if isAnswer {
-		r.endStream(request, m.result)
+		r.endStream(request, result.result)
 	}
-	if m.result == routing.PrefillDone {
-		request.state, request.prefilled = stateLocation{a.engine, a.id}, true
+	if result.result == routing.PrefillDone {
+		request.readState, request.prefilled = stateLocation{a.engine, a.id}, true
 	}
 	// A prefill that did not complete may have left a read state that the router has no location for: release it here.
-	if !a.decode && (a.releaseRequested || m.result != routing.PrefillDone) {
+	if !a.decode && (a.releaseRequested || result.result != routing.PrefillDone) {
 		a.releaseRequested = true
 		r.release(a)
 	}
 	r.step(routing.Outcome{
-		Request: request.id, Attempt: n, Endpoint: r.endpoints.ids[a.routerPick], Elapsed: r.now() - a.startedAt,
-		RequestDone: isAnswer, Result: m.result, StateMissing: m.stateMissing, CachedTokens: m.cachedTokens,
+		Request: request.id, Attempt: index, Endpoint: r.endpoints.ids[a.routerPick], Elapsed: r.now() - a.startedAt,
+		RequestDone: isAnswer, Result: result.result, StateMissing: result.stateMissing, CachedTokens: result.cachedTokens,
 	})
 	r.removeIfDone(request)
 }
--- a/internal/simulation/fleet/replica_requests.go
+++ b/internal/simulation/fleet/replica_requests.go
@@ -17,10 +17,10 @@
 
 // requestTable holds the requests in flight in a replica's process.
 type requestTable struct {
-	lastID    routing.RequestID
-	byID      map[routing.RequestID]*inflightRequest
-	byAttempt map[uint64]*inflightRequest // by the number of the client's attempt
-	answered  []*inflightRequest          // in the current step; checked for removal at its end
+	lastID         routing.RequestID
+	byID           map[routing.RequestID]*inflightRequest
+	byAttempt      map[uint64]*inflightRequest // by the number of the client's attempt
+	answeredInStep []*inflightRequest          // in the current step; checked for removal at its end
 }
 
 func newRequestTable() requestTable {
@@ -36,7 +36,7 @@
 	streamingAttempt int // index of the attempt that streams the answer
 	attempts         []*attempt
 	openAttempts     int           // number of attempts that have not ended
-	state            stateLocation // read state of the latest prefill
+	readState        stateLocation // read state of the latest prefill
 	prefilled        bool          // at least one prefill completed
 }
 
@@ -90,10 +90,10 @@
 		return
 	}
 	r.requests.lastID++
-	request := &inflightRequest{id: r.requests.lastID, message: m, state: noState}
+	request := &inflightRequest{id: r.requests.lastID, message: m, readState: noState}
 	margin := r.fleet.settings.Replica.AnswerMargin
-	wait := api.ShorterTimeout(r.fleet.config.Classes[m.classification.Class].Deadline, m.timeout)
-	request.deadline = r.now() + api.SubtractMargin(wait, margin)
+	timeout := api.ShorterTimeout(r.fleet.config.Classes[m.classification.Class].Deadline, m.timeout)
+	request.deadline = r.now() + api.SubtractMargin(timeout, margin)
 	r.requests.byID[request.id], r.requests.byAttempt[m.attempt] = request, request
 	r.schedule(request.deadline+margin/2-r.now(), answerDue{r.process.generation, request.id, false})
 	if !m.stream {
@@ -108,7 +108,7 @@
 	if m.generation != r.process.generation || request == nil {
 		return
 	}
-	if request.answer == answerPending || request.answer == answerStreaming && m.whole {
+	if request.answer == answerPending || request.answer == answerStreaming && m.completeAnswer {
 		r.finish(request, resultFailed, 0, r.mayHaveEffect(request))
 		r.onClientDisconnected(request)
 	}
--- a/internal/simulation/fleet/result.go
+++ b/internal/simulation/fleet/result.go
@@ -33,8 +33,8 @@
 		f.clients.recordSent(f.clients.attempts[n])
 	}
 	for _, e := range f.engines {
-		r.Attempts[stagePrefill] += e.prefills
-		r.Attempts[stageDecode] += e.decodes
+		r.Attempts[stagePrefill] += e.prefillCount
+		r.Attempts[stageDecode] += e.decodeCount
 		r.TransferredTokens += e.fetchedTokens
 	}
 	for _, replica := range f.replicas {
@@ -43,7 +43,7 @@
 		}
 	}
 	if len(f.planners) > 0 {
-		r.Roles = f.planners[0].samples
+		r.Roles = f.planners[0].roleSamples
 	}
 	for _, s := range f.scheduler.shards {
 		r.Events += s.events
@@ -84,17 +84,17 @@
 	for _, c := range f.scenario.Classes {
 		window = max(window, c.DedupWindow)
 	}
-	executed := map[string]time.Duration{} // time of the latest execution with effect, by intent
+	lastExecutedAt := map[string]time.Duration{} // time of the latest execution with effect, by intent
 	for i := range events {
 		e := &events[i]
 		if e.Kind != audit.Executed || e.Class != audit.IdempotentWithKey {
 			continue
 		}
-		if at, ok := executed[e.Intent]; ok && e.At-at <= window {
+		if at, ok := lastExecutedAt[e.Intent]; ok && e.At-at <= window {
 			e.Kind = audit.Deduplicated
 			continue
 		}
-		executed[e.Intent] = e.At
+		lastExecutedAt[e.Intent] = e.At
 	}
 }
 
--- a/internal/simulation/fleet/scheduler.go
+++ b/internal/simulation/fleet/scheduler.go
@@ -175,7 +175,7 @@
 		}
 		s.shards[0].run(next + s.lookahead)
 		round.Wait()
-		s.exchange()
+		s.deliverOutboxes()
 	}
 	for _, limit := range limits[1:] {
 		close(limit)
@@ -193,8 +193,8 @@
 	return next, found
 }
 
-// exchange moves the events in the outboxes to the queues of their shards.
-func (s *scheduler) exchange() {
+// deliverOutboxes moves the events in the outboxes to the queues of their shards.
+func (s *scheduler) deliverOutboxes() {
 	for _, shard := range s.shards {
 		for to, events := range shard.outbox {
 			for _, ev := range events {
--- a/internal/simulation/fleet/scheduler_test.go
+++ b/internal/simulation/fleet/scheduler_test.go
@@ -10,16 +10,16 @@
 // that it receives out of order.
 type echoActor struct {
 	actorBase
-	received   []string
-	last       time.Duration
-	outOfOrder int
+	received     []string
+	lastReceived time.Duration
+	outOfOrder   int
 }
 
 func (e *echoActor) receive(message any) {
-	if e.now() < e.last {
+	if e.now() < e.lastReceived {
 		e.outOfOrder++
 	}
-	e.last = e.now()
+	e.lastReceived = e.now()
 	n := message.(int)
 	e.received = append(e.received, fmt.Sprint(e.now(), n))
 	if n < 9 {
