--- a/internal/fake/apiserver/apiserver.go
+++ b/internal/fake/apiserver/apiserver.go
@@ -41,8 +41,8 @@
 	BookmarkInterval time.Duration // between two bookmarks of a watch
 	Record           *audit.Record // of what replicas were notified of; may be nil
 
-	listener net.Listener
-	http     *http.Server
+	listener   net.Listener
+	httpServer *http.Server
 
 	mu          sync.Mutex
 	log         eventLog
@@ -50,7 +50,7 @@
 	order       []string        // names of the entries, in the order in which they were added
 	versions    map[string]int  // resource version of each engine's EndpointSlice
 	everListed  map[string]bool // every name that was ever listed
-	delay       time.Duration   // of events
+	eventDelay  time.Duration   // of watch events
 	unreachable bool
 	watches     map[context.Context]context.CancelFunc
 	roles       roleTable
@@ -79,8 +79,8 @@
 	mux.HandleFunc("PUT "+planner.PathAssignments, s.putAssignments)
 	mux.HandleFunc("GET "+planner.PathMemory, s.getMemory)
 	mux.HandleFunc("PUT "+planner.PathMemory, s.putMemory)
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
-	go func() { _ = s.http.Serve(l) }() // returns after Close
+	s.httpServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	go func() { _ = s.httpServer.Serve(l) }() // returns after Close
 	return s, nil
 }
 
@@ -89,16 +89,16 @@
 
 // Close stops the server and closes all its connections.
 func (s *Server) Close() {
-	_ = s.http.Close() // an error on a socket that is no longer used does not matter
+	_ = s.httpServer.Close() // an error on a socket that is no longer used does not matter
 }
 
 // Set adds or changes an entry.
 func (s *Server) Set(e Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kind := modified
+	kind := eventModified
 	if _, ok := s.entries[e.Name]; !ok {
-		kind = added
+		kind = eventAdded
 		s.order = append(s.order, e.Name)
 	}
 	s.entries[e.Name] = e
@@ -116,7 +116,7 @@
 	}
 	delete(s.entries, name)
 	s.order = slices.DeleteFunc(s.order, func(n string) bool { return n == name })
-	s.publish(deleted, e)
+	s.publish(eventDeleted, e)
 }
 
 // Entry returns an entry as it was set, before the assignment table is applied.
@@ -136,23 +136,23 @@
 func (s *Server) SendStaleEvent(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log.addOldestAgain(name)
+	s.log.repeatOldest(name)
 }
 
 // SetDelay delays all watch events by d.
 func (s *Server) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delay = d
+	s.eventDelay = d
 }
 
 // SetUnreachable makes the server unreachable or reachable again. While it is unreachable, it answers every API request
 // with status 503. Watches that are open when it becomes unreachable are ended.
-func (s *Server) SetUnreachable(on bool) {
+func (s *Server) SetUnreachable(unreachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unreachable = on
-	if !on {
+	s.unreachable = unreachable
+	if !unreachable {
 		return
 	}
 	for _, cancel := range s.watches {
--- a/internal/fake/apiserver/apiserver_test.go
+++ b/internal/fake/apiserver/apiserver_test.go
@@ -133,9 +133,9 @@
 }
 
 func TestSummarizeBatch(t *testing.T) {
-	ready := event{kind: modified, entry: Entry{Name: "e", Ready: true}}
-	notReady := event{kind: modified, entry: Entry{Name: "e"}}
-	removed := event{kind: deleted, entry: Entry{Name: "e", Ready: true}}
+	ready := event{kind: eventModified, entry: Entry{Name: "e", Ready: true}}
+	notReady := event{kind: eventModified, entry: Entry{Name: "e"}}
+	removed := event{kind: eventDeleted, entry: Entry{Name: "e", Ready: true}}
 	for name, c := range map[string]struct {
 		events           []event
 		ready, notUsable int
--- a/internal/fake/apiserver/assignments.go
+++ b/internal/fake/apiserver/assignments.go
@@ -197,7 +197,7 @@
 	s.roles.assignments = stored
 	for name, assignment := range stored.Entries {
 		if entry, ok := s.entries[name]; ok && previous.Entries[name] != assignment {
-			s.publish(modified, entry)
+			s.publish(eventModified, entry)
 		}
 	}
 	writeJSON(w, stored)
--- a/internal/fake/apiserver/events.go
+++ b/internal/fake/apiserver/events.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// maxEvents is how many events are kept. When there are more, the oldest dropEvents are dropped together. That is
+	// maxEvents is how many events are kept. When there are more, the oldest droppedEvents are dropped together. That is
 	// enough for every watch that is not interrupted for long.
-	maxEvents  = 4096
-	dropEvents = 1024
+	maxEvents     = 4096
+	droppedEvents = 1024
 )
 
 // eventKind is the type of a watch event on the wire.
 type eventKind string
 
 const (
-	added    eventKind = "ADDED"
-	modified eventKind = "MODIFIED"
-	deleted  eventKind = "DELETED"
-	bookmark eventKind = "BOOKMARK"
-	failed   eventKind = "ERROR"
+	eventAdded    eventKind = "ADDED"
+	eventModified eventKind = "MODIFIED"
+	eventDeleted  eventKind = "DELETED"
+	eventBookmark eventKind = "BOOKMARK"
+	eventError    eventKind = "ERROR"
 )
 
 // event is a change of one entry of the endpoint list.
@@ -29,34 +29,34 @@
 }
 
 // usable reports whether new requests may be sent to the engine after the event.
-func (e event) usable() bool { return e.kind != deleted && e.entry.usable() }
+func (e event) usable() bool { return e.kind != eventDeleted && e.entry.usable() }
 
 // eventLog holds the latest changes of the endpoint list. Server.mu guards it.
 type eventLog struct {
-	version int // of the latest event or compaction
-	oldest  int // oldest version that has not expired
-	events  []event
-	changed chan struct{} // closed and replaced at each change
+	version       int // of the latest event or compaction
+	oldestVersion int // oldest version that has not expired
+	events        []event
+	changeSignal  chan struct{} // closed and replaced at each change
 }
 
-func newEventLog() eventLog { return eventLog{version: 1, changed: make(chan struct{})} }
+func newEventLog() eventLog { return eventLog{version: 1, changeSignal: make(chan struct{})} }
 
 // add appends an event and returns its version.
 func (l *eventLog) add(kind eventKind, e Entry) (version int) {
 	l.version++
 	l.events = append(l.events, event{version: l.version, kind: kind, entry: e, at: time.Now()})
 	if len(l.events) > maxEvents {
-		l.events = l.events[dropEvents:]
-		l.oldest = l.events[0].version
+		l.events = l.events[droppedEvents:]
+		l.oldestVersion = l.events[0].version
 	}
 	l.notify()
 	return l.version
 }
 
-// addOldestAgain appends the oldest event of an engine again, with its old version. Removals are passed over.
-func (l *eventLog) addOldestAgain(name string) {
+// repeatOldest appends the oldest event of an engine again, with its old version. Removals are passed over.
+func (l *eventLog) repeatOldest(name string) {
 	for _, e := range l.events {
-		if e.entry.Name == name && e.kind != deleted {
+		if e.entry.Name == name && e.kind != eventDeleted {
 			e.at = time.Now()
 			l.events = append(l.events, e)
 			l.notify()
@@ -68,7 +68,7 @@
 // compact drops all events, so that all earlier versions expire.
 func (l *eventLog) compact() {
 	l.version++
-	l.oldest = l.version
+	l.oldestVersion = l.version
 	l.events = nil
 	l.notify()
 }
@@ -83,6 +83,6 @@
 }
 
 func (l *eventLog) notify() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+	close(l.changeSignal)
+	l.changeSignal = make(chan struct{})
 }
--- a/internal/fake/apiserver/list.go
+++ b/internal/fake/apiserver/list.go
@@ -36,8 +36,8 @@
 	version       int
 	items         []any
 	continueToken string   // of the next page; "" = this is the last one
-	ready         []string // usable engines on this page
-	notUsable     []string // of all engines ever listed, those that are draining, not ready or removed
+	usable        []string // usable engines on this page
+	unusable      []string // of all engines ever listed, those that are draining, not ready or removed
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request, replica string) {
@@ -50,7 +50,7 @@
 		writeStatus(w, http.StatusGone, "Expired", "the list has changed")
 		return
 	}
-	s.recordNotified(audit.NotifiedReady, replica, page.ready)
+	s.recordNotified(audit.NotifiedReady, replica, page.usable)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{ // a client that has disconnected is detected at the flush
 		"kind": "EndpointSliceList", "apiVersion": "discovery.k8s.io/v1",
@@ -58,7 +58,7 @@
 		"items":    page.items,
 	})
 	if page.continueToken == "" && http.NewResponseController(w).Flush() == nil {
-		s.recordNotified(audit.NotifiedGone, replica, page.notUsable)
+		s.recordNotified(audit.NotifiedGone, replica, page.unusable)
 	}
 }
 
@@ -70,16 +70,16 @@
 	if limit <= 0 {
 		limit = len(s.order)
 	}
-	start := 0
+	startIndex := 0
 	if continueToken != "" {
 		var version int
-		_, err := fmt.Sscanf(continueToken, "%d-%d", &version, &start)
+		_, err := fmt.Sscanf(continueToken, "%d-%d", &version, &startIndex)
 		if err != nil || version != s.log.version {
 			return listPage{}, errExpired
 		}
 	}
 	page := listPage{version: s.log.version, items: []any{}}
-	for i := start; i < len(s.order); i++ {
+	for i := startIndex; i < len(s.order); i++ {
 		if len(page.items) == limit {
 			page.continueToken = fmt.Sprintf("%d-%d", page.version, i)
 			break
@@ -87,12 +87,12 @@
 		e := s.applyAssignment(s.entries[s.order[i]])
 		page.items = append(page.items, s.sliceObject(e, s.versions[e.Name]))
 		if e.usable() {
-			page.ready = append(page.ready, e.Name)
+			page.usable = append(page.usable, e.Name)
 		}
 	}
 	for name := range s.everListed {
 		if !s.applyAssignment(s.entries[name]).usable() {
-			page.notUsable = append(page.notUsable, name)
+			page.unusable = append(page.unusable, name)
 		}
 	}
 	return page, nil
--- a/internal/fake/apiserver/stored_test.go
+++ b/internal/fake/apiserver/stored_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// exchange sends a request and returns its method and path followed by the response, as text.
-func exchange(t *testing.T, s *Server, method, path, body string) string {
+// requestText sends a request and returns its method and path followed by the response, as text.
+func requestText(t *testing.T, s *Server, method, path, body string) string {
 	t.Helper()
 	req, err := http.NewRequest(method, s.URL()+path, strings.NewReader(body))
 	if err != nil {
@@ -70,7 +70,7 @@
 		{http.MethodPut, memory, "noise"},
 		{http.MethodGet, memory, ""},
 	} {
-		got.WriteString(exchange(t, s, request.method, request.path, request.body))
+		got.WriteString(requestText(t, s, request.method, request.path, request.body))
 	}
 	golden.Check(t, "served.txt", got.String())
 	for _, name := range []string{file, file + ".memory"} {
--- a/internal/fake/apiserver/watch.go
+++ b/internal/fake/apiserver/watch.go
@@ -26,14 +26,14 @@
 
 // watch sends the events after a resource version until the client or SetUnreachable ends the request.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, replica string) {
-	from, err := strconv.Atoi(r.FormValue("resourceVersion"))
+	fromVersion, err := strconv.Atoi(r.FormValue("resourceVersion"))
 	if err != nil {
 		writeStatus(w, http.StatusBadRequest, "BadRequest", "resourceVersion is no number")
 		return
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	next, err := s.registerWatch(ctx, cancel, from)
+	next, err := s.registerWatch(ctx, cancel, fromVersion)
 	switch {
 	case errors.Is(err, errUnreachable):
 		writeUnavailable(w)
@@ -46,24 +46,24 @@
 	w.Header().Set("Content-Type", "application/json")
 	stream := &watcher{
 		server: s, replica: replica, encoder: json.NewEncoder(w), flusher: http.NewResponseController(w),
-		next: next, lastVersion: from,
+		next: next, lastVersion: fromVersion,
 	}
 	_ = stream.flusher.Flush() // sends the header; a client that has disconnected is detected at the next flush
 	stream.run(ctx)
 }
 
 // registerWatch registers a watch, so that SetUnreachable can end it, and returns the index of its first event.
-func (s *Server) registerWatch(ctx context.Context, cancel context.CancelFunc, from int) (next int, err error) {
+func (s *Server) registerWatch(ctx context.Context, cancel context.CancelFunc, fromVersion int) (next int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unreachable { // since the request was received; SetUnreachable ends only registered watches
 		return 0, errUnreachable
 	}
-	if from < s.log.oldest {
+	if fromVersion < s.log.oldestVersion {
 		return 0, errExpired
 	}
 	s.watches[ctx] = cancel
-	return s.log.indexAfter(from), nil
+	return s.log.indexAfter(fromVersion), nil
 }
 
 func (s *Server) unregisterWatch(ctx context.Context) {
@@ -78,7 +78,7 @@
 	for {
 		batch, err := w.nextBatch()
 		if err != nil {
-			_ = w.send(failed, statusObject(http.StatusGone, "Expired", "too old resource version")) // the watch ends here
+			_ = w.send(eventError, statusObject(http.StatusGone, "Expired", "too old resource version")) // the watch ends here
 			return
 		}
 		if w.sendBatch(batch.events) != nil {
@@ -87,10 +87,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-batch.changed:
+		case <-batch.changeSignal:
 		case <-batch.nextDue:
 		case <-bookmarks.C:
-			_ = w.send(bookmark, bookmarkObject(w.lastVersion)) // a client that has disconnected is detected at the flush
+			_ = w.send(eventBookmark, bookmarkObject(w.lastVersion)) // a client that has disconnected is detected at the flush
 			if w.flusher.Flush() != nil {
 				return
 			}
@@ -100,9 +100,9 @@
 
 // batch holds the events that are due and the channels to wait for before the next batch.
 type batch struct {
-	events  []event
-	changed <-chan struct{}  // closed when the log changes
-	nextDue <-chan time.Time // when the next delayed event is due; nil = there is none
+	events       []event
+	changeSignal <-chan struct{}  // closed when the log changes
+	nextDue      <-chan time.Time // when the next delayed event is due; nil = there is none
 }
 
 // nextBatch returns the events that are due, or errExpired if events that were not sent yet have been dropped.
@@ -110,14 +110,14 @@
 	s := w.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w.lastVersion < s.log.oldest {
+	if w.lastVersion < s.log.oldestVersion {
 		return batch{}, errExpired
 	}
-	b := batch{changed: s.log.changed}
+	b := batch{changeSignal: s.log.changeSignal}
 	w.next = min(w.next, len(s.log.events))
 	for ; w.next < len(s.log.events); w.next++ {
 		e := s.log.events[w.next]
-		if wait := s.delay - time.Since(e.at); wait > 0 {
+		if wait := s.eventDelay - time.Since(e.at); wait > 0 {
 			b.nextDue = time.After(wait)
 			break
 		}
@@ -131,7 +131,7 @@
 	if len(events) == 0 {
 		return nil
 	}
-	ready, notUsable := summarizeBatch(events)
+	ready, unusable := summarizeBatch(events)
 	w.server.recordNotified(audit.NotifiedReady, w.replica, ready)
 	for _, e := range events {
 		if err := w.send(e.kind, w.server.sliceObject(e.entry, e.version)); err != nil {
@@ -142,7 +142,7 @@
 	if err := w.flusher.Flush(); err != nil {
 		return err
 	}
-	w.server.recordNotified(audit.NotifiedGone, w.replica, notUsable)
+	w.server.recordNotified(audit.NotifiedGone, w.replica, unusable)
 	return nil
 }
 
@@ -152,7 +152,7 @@
 
 // summarizeBatch returns the engines that are usable after some event of a batch, and those that are not usable after
 // their last event in it.
-func summarizeBatch(events []event) (ready, notUsable []string) {
+func summarizeBatch(events []event) (ready, unusable []string) {
 	usable := map[string]bool{}
 	for _, e := range events {
 		usable[e.entry.Name] = e.usable()
@@ -162,10 +162,10 @@
 	}
 	for name, ok := range usable {
 		if !ok {
-			notUsable = append(notUsable, name)
+			unusable = append(unusable, name)
 		}
 	}
-	return ready, notUsable
+	return ready, unusable
 }
 
 func bookmarkObject(version int) map[string]any {
--- a/internal/fake/client/answer.go
+++ b/internal/fake/client/answer.go
@@ -24,8 +24,8 @@
 	defaultRetryAfter = time.Second
 )
 
-// answerReader reads the response to an attempt.
-type answerReader struct {
+// responseReader reads the response to an attempt.
+type responseReader struct {
 	attempt *Attempt
 	conn    net.Conn
 	reader  *bufio.Reader // of conn
@@ -33,55 +33,55 @@
 }
 
 // read reads the whole response.
-func (r *answerReader) read() Result {
+func (r *responseReader) read() Result {
 	if _, err := r.reader.Peek(1); err != nil {
-		return r.readFailed(err)
+		return r.failedReadResult(err)
 	}
 	resp, err := http.ReadResponse(r.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		return r.readFailed(err)
+		return r.failedReadResult(err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return r.readFailed(err)
+			return r.failedReadResult(err)
 		}
 		return errorStatusResult(resp)
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		return r.readStream(resp.Body)
 	}
-	return r.readWhole(resp.Body)
+	return r.readBody(resp.Body)
 }
 
-// readFailed returns the result of an attempt whose response could not be read.
-func (r *answerReader) readFailed(err error) Result {
+// failedReadResult returns the result of an attempt whose response could not be read.
+func (r *responseReader) failedReadResult(err error) Result {
 	var netErr net.Error
 	switch {
 	case !errors.As(err, &netErr) || !netErr.Timeout():
-		return Result{Kind: ConnectionLost}
+		return Result{Outcome: ConnectionLost}
 	case r.attempt.DisconnectAfter > 0:
-		return Result{Kind: Disconnected}
+		return Result{Outcome: Disconnected}
 	default:
-		return Result{Kind: TimedOut}
+		return Result{Outcome: TimedOut}
 	}
 }
 
-// readWhole reads a response that is not streamed. It counts the tokens by the letter w, since the fake engines write
+// readBody reads a response that is not streamed. It counts the tokens by the letter w, since the fake engines write
 // each token as w and its number.
-func (r *answerReader) readWhole(body io.Reader) Result {
+func (r *responseReader) readBody(body io.Reader) Result {
 	text, err := io.ReadAll(body)
 	if err != nil {
-		return r.readFailed(err)
+		return r.failedReadResult(err)
 	}
 	if !json.Valid(text) {
-		return Result{Kind: Invalid}
+		return Result{Outcome: Invalid}
 	}
-	return Result{Kind: Served, FirstToken: time.Since(r.started), Tokens: bytes.Count(text, []byte("w"))}
+	return Result{Outcome: Served, FirstToken: time.Since(r.started), Tokens: bytes.Count(text, []byte("w"))}
 }
 
 // readStream reads the events of a stream to its end. The stream has no deadline, except for streamIdleTimeout or the
 // time at which the client disconnects.
-func (r *answerReader) readStream(body io.Reader) Result {
+func (r *responseReader) readStream(body io.Reader) Result {
 	result := Result{}
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, lineBufferSize), maxEventLine)
@@ -101,23 +101,23 @@
 			time.Sleep(r.attempt.ReadDelay)
 		}
 	}
-	if result.Kind != "" {
+	if result.Outcome != "" {
 		return result
 	}
 	if err := lines.Err(); err != nil {
-		return r.readFailed(err)
+		return r.failedReadResult(err)
 	}
-	result.Kind = ConnectionLost
+	result.Outcome = ConnectionLost
 	return result
 }
 
 // readEvent adds the data of one event to the result. An event counts as a token unless it is an error or [DONE].
-func (r *answerReader) readEvent(result *Result, data string) {
+func (r *responseReader) readEvent(result *Result, data string) {
 	switch {
 	case strings.HasPrefix(data, `{"error"`):
-		result.Kind = StreamError
+		result.Outcome = StreamError
 	case data == "[DONE]":
-		result.Kind = Served
+		result.Outcome = Served
 	default:
 		if result.FirstToken == 0 {
 			result.FirstToken = time.Since(r.started)
@@ -133,17 +133,17 @@
 func errorStatusResult(resp *http.Response) Result {
 	rejected := resp.StatusCode == http.StatusTooManyRequests
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != ""
-	result := Result{Kind: Invalid, NoAutoRetry: resp.Header.Get("x-should-retry") == "false"}
+	result := Result{Outcome: Invalid, NoAutoRetry: resp.Header.Get("x-should-retry") == "false"}
 	if rejected || unavailable {
 		result.RetryAfter = retryAfter(resp.Header)
 	}
 	switch {
 	case unavailable:
-		result.Kind = Unavailable
+		result.Outcome = Unavailable
 	case rejected:
-		result.Kind = Rejected
+		result.Outcome = Rejected
 	case resp.StatusCode >= http.StatusInternalServerError:
-		result.Kind = Failed
+		result.Outcome = Failed
 	}
 	return result
 }
--- a/internal/fake/client/client.go
+++ b/internal/fake/client/client.go
@@ -49,7 +49,7 @@
 
 // Result is the outcome of an attempt.
 type Result struct {
-	Kind        string        // one of the constants above
+	Outcome     string        // one of the constants above
 	FirstToken  time.Duration // 0 = none
 	Elapsed     time.Duration
 	Tokens      int           // of a stream: the events counted by readEvent
--- a/internal/fake/client/client_test.go
+++ b/internal/fake/client/client_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestSendClassifiesAnswers(t *testing.T) {
-	const events = "Content-Type: text/event-stream\r\n"
+	const sseType = "Content-Type: text/event-stream\r\n"
 	for _, test := range []struct {
 		name     string
 		answer   func(net.Conn)
@@ -60,9 +60,9 @@
 	}{
 		{"not streamed", respond(200, "", `{"x":"w0 "}`), Attempt{}, Served, audit.Answer},
 		{"not JSON", respond(200, "", `{`), Attempt{}, Invalid, audit.Answer},
-		{"stream", respond(200, events, "data: {}\n\ndata: [DONE]\n\n"), Attempt{}, Served, audit.Answer},
-		{"stream ended by an error", respond(200, events, "data: {\"error\":{}}\n\n"), Attempt{}, StreamError, audit.Answer},
-		{"stream without an end", respond(200, events, "data: {}\n\n"), Attempt{}, ConnectionLost, audit.ConnectionCut},
+		{"stream", respond(200, sseType, "data: {}\n\ndata: [DONE]\n\n"), Attempt{}, Served, audit.Answer},
+		{"stream ended by an error", respond(200, sseType, "data: {\"error\":{}}\n\n"), Attempt{}, StreamError, audit.Answer},
+		{"stream without an end", respond(200, sseType, "data: {}\n\n"), Attempt{}, ConnectionLost, audit.ConnectionCut},
 		{"rejection", respond(429, "retry-after-ms: 20\r\n", ""), Attempt{}, Rejected, audit.Answer},
 		{"shutdown", respond(503, "Retry-After: 1\r\n", ""), Attempt{}, Unavailable, audit.Answer},
 		{"failure", respond(502, "", ""), Attempt{}, Failed, audit.Answer},
@@ -92,11 +92,11 @@
 			}
 			record := audit.NewRecord()
 			result := Send(&attempt, "replica", serveOnce(t, test.answer), record)
-			if result.Kind != test.want {
-				t.Errorf("got %q, want %q", result.Kind, test.want)
+			if result.Outcome != test.want {
+				t.Errorf("got %q, want %q", result.Outcome, test.want)
 			}
-			events := record.Events()
-			if last := events[len(events)-1].Kind; last != test.recorded {
+			recordedEvents := record.Events()
+			if last := recordedEvents[len(recordedEvents)-1].Kind; last != test.recorded {
 				t.Errorf("recorded last %q, want %q", last, test.recorded)
 			}
 		})
@@ -122,8 +122,8 @@
 	listener.Close()
 	record := audit.NewRecord()
 	attempt := Attempt{ID: "a", Timeout: time.Second}
-	if result := Send(&attempt, "replica", addr, record); result.Kind != NotSent {
-		t.Errorf("got %q", result.Kind)
+	if result := Send(&attempt, "replica", addr, record); result.Outcome != NotSent {
+		t.Errorf("got %q", result.Outcome)
 	}
 	if events := record.Events(); len(events) != 1 || events[0].Kind != audit.Unsent {
 		t.Errorf("recorded %+v", events)
--- a/internal/fake/client/request.go
+++ b/internal/fake/client/request.go
@@ -52,20 +52,20 @@
 func (a *Attempt) encode(host string) []byte {
 	body := a.body()
 	var b bytes.Buffer
-	field := func(name, format string, value any) { fmt.Fprintf(&b, name+": "+format+"\r\n", value) }
+	writeField := func(name, format string, value any) { fmt.Fprintf(&b, name+": "+format+"\r\n", value) }
 	b.WriteString("POST /v1/chat/completions HTTP/1.1\r\n")
-	field("Host", "%s", host)
-	field("Content-Type", "%s", "application/json")
-	field("Content-Length", "%d", len(body))
-	field("X-Class", "%s", a.ClassName)
-	field("X-Tenant", "%s", a.Tenant)
-	field("X-Session-Id", "%s", a.Session)
-	field("X-Stainless-Read-Timeout", "%.3f", a.Timeout.Seconds())
+	writeField("Host", "%s", host)
+	writeField("Content-Type", "%s", "application/json")
+	writeField("Content-Length", "%d", len(body))
+	writeField("X-Class", "%s", a.ClassName)
+	writeField("X-Tenant", "%s", a.Tenant)
+	writeField("X-Session-Id", "%s", a.Session)
+	writeField("X-Stainless-Read-Timeout", "%.3f", a.Timeout.Seconds())
 	if a.IdempotencyKey != "" {
-		field("Idempotency-Key", "%s", a.IdempotencyKey)
+		writeField("Idempotency-Key", "%s", a.IdempotencyKey)
 	}
 	if a.MarksRetries {
-		field("X-Stainless-Retry-Count", "%d", a.Retries)
+		writeField("X-Stainless-Retry-Count", "%d", a.Retries)
 	}
 	b.WriteString("\r\n")
 	b.Write(body)
--- a/internal/fake/client/send.go
+++ b/internal/fake/client/send.go
@@ -22,7 +22,7 @@
 	started := time.Now()
 	notSent := func() Result {
 		record.Add(audit.Event{Kind: audit.Unsent, Attempt: attempt.ID, Replica: replica})
-		return Result{Kind: NotSent, Elapsed: time.Since(started)}
+		return Result{Outcome: NotSent, Elapsed: time.Since(started)}
 	}
 	conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
@@ -43,26 +43,26 @@
 		readUntil = time.Now().Add(attempt.DisconnectAfter)
 	}
 	setReadDeadline(conn, readUntil)
-	answer := &answerReader{
+	reader := &responseReader{
 		attempt: attempt, conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), started: started,
 	}
-	result := answer.read()
+	result := reader.read()
 	result.Elapsed = time.Since(started)
-	answer.recordOutcome(record, result)
+	reader.recordOutcome(record, result)
 	return result
 }
 
 // recordOutcome records the outcome of the attempt and, if a response ended it, whether more bytes follow.
-func (r *answerReader) recordOutcome(record *audit.Record, result Result) {
+func (r *responseReader) recordOutcome(record *audit.Record, result Result) {
 	id := r.attempt.ID
-	switch result.Kind {
+	switch result.Outcome {
 	case ConnectionLost:
 		record.Add(audit.Event{Kind: audit.ConnectionCut, Attempt: id})
 	case Disconnected:
 		record.Add(audit.Event{Kind: audit.ClientLeft, Attempt: id})
 	case TimedOut: // shown in the record by the missing answer
 	default:
-		record.Add(audit.Event{Kind: audit.Answer, Attempt: id, Result: result.Kind})
+		record.Add(audit.Event{Kind: audit.Answer, Attempt: id, Result: result.Outcome})
 		setReadDeadline(r.conn, time.Now().Add(extraBytesWait))
 		if _, err := r.reader.Peek(1); err == nil { // otherwise nothing arrives in time, or the connection is closed
 			record.Add(audit.Event{Kind: audit.ExtraBytes, Attempt: id})
--- a/internal/fake/engine/completion.go
+++ b/internal/fake/engine/completion.go
@@ -84,8 +84,8 @@
 	}
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	ok := c.server.process.up && !c.server.rejectsNewLocked() && c.server.model.Submit(c.server.now(), c.job)
-	c.server.schedule()
+	ok := c.server.process.up && !c.server.rejectsRequestsLocked() && c.server.model.Submit(c.server.now(), c.job)
+	c.server.onModelChange()
 	return ok
 }
 
@@ -108,7 +108,7 @@
 // cancelLocked is cancel with Server.mu held.
 func (c *completion) cancelLocked() {
 	c.server.model.Cancel(c.server.now(), c.job)
-	c.server.schedule()
+	c.server.onModelChange()
 }
 
 // currentProgress returns a copy of the progress.
--- a/internal/fake/engine/dedup.go
+++ b/internal/fake/engine/dedup.go
@@ -9,8 +9,8 @@
 type DedupScope struct {
 	Window time.Duration // how long a key is remembered
 
-	mu   sync.Mutex
-	seen map[string]time.Time
+	mu          sync.Mutex
+	firstUsedAt map[string]time.Time
 }
 
 // firstUse reports whether key is new within the window. It remembers a new key.
@@ -18,17 +18,17 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	if d.seen == nil {
-		d.seen = map[string]time.Time{}
+	if d.firstUsedAt == nil {
+		d.firstUsedAt = map[string]time.Time{}
 	}
-	for k, at := range d.seen {
+	for k, at := range d.firstUsedAt {
 		if now.Sub(at) > d.Window {
-			delete(d.seen, k)
+			delete(d.firstUsedAt, k)
 		}
 	}
-	if _, ok := d.seen[key]; ok {
+	if _, ok := d.firstUsedAt[key]; ok {
 		return false
 	}
-	d.seen[key] = now
+	d.firstUsedAt[key] = now
 	return true
 }
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -121,7 +121,7 @@
 		Address: s.process.addr,
 		UID:     fmt.Sprintf("%s-%d", s.cfg.Name, s.process.generation),
 		Up:      s.process.up,
-		Started: s.process.started,
+		Started: s.process.slowStartedAt,
 	}
 }
 
@@ -152,12 +152,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model.Advance(s.now())
-	s.schedule()
+	s.onModelChange()
 }
 
-// schedule acts on a change of the model: it sets the timer for the next event, records the read states that are no
-// longer held, begins a switch of role if switchIfDrained allows it, and crashes an overloaded engine. s.mu is held.
-func (s *Server) schedule() {
+// onModelChange acts on a change of the model: it sets the timer for the next event, records the read states that are
+// no longer held, begins a switch of role if switchIfDrained allows it, and crashes an overloaded engine. s.mu is held.
+func (s *Server) onModelChange() {
 	if at, ok := s.model.Next(); ok {
 		s.timer.Reset(max(at-s.now(), 0))
 	}
--- a/internal/fake/engine/faults.go
+++ b/internal/fake/engine/faults.go
@@ -52,10 +52,10 @@
 }
 
 // SetEndlessStreams makes streams send tokens forever, as fast as the connection accepts them.
-func (s *Server) SetEndlessStreams(on bool) {
+func (s *Server) SetEndlessStreams(enabled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hooks.endlessStreams = on
+	s.hooks.endlessStreams = enabled
 }
 
 // BeforeStateFetch sets a hook that is called when a fetch of a read state arrives, before it is answered.
--- a/internal/fake/engine/handlers.go
+++ b/internal/fake/engine/handlers.go
@@ -65,7 +65,7 @@
 		return
 	}
 	job := request.job(id)
-	if s.rejectsNew() {
+	if s.rejectsRequests() {
 		s.reject(w, false)
 		return
 	}
@@ -98,7 +98,7 @@
 		hook()
 	}
 	var request stateFetchRequest
-	if json.NewDecoder(r.Body).Decode(&request) != nil || !s.takeState(request.ID) {
+	if json.NewDecoder(r.Body).Decode(&request) != nil || !s.removeState(request.ID) {
 		http.Error(w, "no such state", http.StatusNotFound)
 	}
 }
--- a/internal/fake/engine/lifecycle.go
+++ b/internal/fake/engine/lifecycle.go
@@ -23,12 +23,12 @@
 
 // process is one process of the engine, from its start to its crash.
 type process struct {
-	addr       string
-	generation int // counts the processes; part of the UID
-	up         bool
-	started    time.Time // zero = without slow start
-	httpServer *http.Server
-	listener   net.Listener
+	addr          string
+	generation    int // counts the processes; part of the UID
+	up            bool
+	slowStartedAt time.Time // zero = without slow start
+	httpServer    *http.Server
+	listener      net.Listener
 }
 
 // startProcessWithRetry starts the process at an address that a closed listener may still occupy for a moment.
@@ -62,7 +62,7 @@
 		listener:   listener,
 	}
 	if cold {
-		s.process.started = time.Now()
+		s.process.slowStartedAt = time.Now()
 	}
 	s.role.finishOnRestart()
 	s.model = enginemodel.New(s.roleParams(), s.now(), cold)
--- a/internal/fake/engine/readstate.go
+++ b/internal/fake/engine/readstate.go
@@ -34,7 +34,7 @@
 }
 
 // recordHeld records that the model holds the read state of a finished prefill. A state whose release arrived earlier
-// is dropped at once. s.mu is held, and the caller calls schedule, which records the dropped state as released.
+// is dropped at once. s.mu is held, and the caller calls onModelChange, which records the dropped state as released.
 func (s *Server) recordHeld(id string) {
 	s.states.held[id] = true
 	s.record(audit.Event{Kind: audit.StateHeld, Request: id})
@@ -49,12 +49,12 @@
 	s.record(audit.Event{Kind: audit.StateReleased, Request: id})
 }
 
-// takeState removes a read state from the model and reports whether there was one.
-func (s *Server) takeState(id string) bool {
+// removeState removes a read state from the model and reports whether there was one.
+func (s *Server) removeState(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ok := s.model.TakeReadState(s.now(), id)
-	s.schedule()
+	s.onModelChange()
 	return ok
 }
 
@@ -63,7 +63,7 @@
 	s.mu.Lock()
 	s.states.markReleased(id, time.Now(), s.cfg.Params.StateTTL)
 	s.mu.Unlock()
-	return s.takeState(id)
+	return s.removeState(id)
 }
 
 // stateFetchRequest is the body of a fetch of a read state by another fake engine.
--- a/internal/fake/engine/request.go
+++ b/internal/fake/engine/request.go
@@ -21,7 +21,7 @@
 	Stream              bool      `json:"stream"`
 	MaxTokens           *int      `json:"max_tokens"`
 	MaxCompletionTokens *int      `json:"max_completion_tokens"`
-	N                   *int      `json:"n"`
+	Choices             *int      `json:"n"`
 	Messages            []message `json:"messages"`
 	Prompt              text      `json:"prompt"`
 	StreamOptions       struct {
@@ -99,7 +99,9 @@
 }
 
 // choiceCount returns the number of choices that the response has.
-func (q *completionRequest) choiceCount() int { return min(max(valueOrZero(q.N), 1), maxChoices) }
+func (q *completionRequest) choiceCount() int {
+	return min(max(valueOrZero(q.Choices), 1), maxChoices)
+}
 
 // isChat reports whether the request is a chat completion.
 func (q *completionRequest) isChat() bool { return len(q.Messages) > 0 }
--- a/internal/fake/engine/role.go
+++ b/internal/fake/engine/role.go
@@ -15,9 +15,9 @@
 
 // roleChange is the state of the engine's role and of its change to another.
 type roleChange struct {
-	state      roles.EngineState // as if stored on disk: survives crashes
-	switching  bool              // the switch to the target role has begun, and SwitchTime is passing
-	misreports bool              // fault: the engine reports a change that it has not made
+	state          roles.EngineState // as if stored on disk: survives crashes
+	switching      bool              // the switch to the target role has begun, and SwitchTime is passing
+	misreportsRole bool              // fault: the engine reports a change that it has not made
 }
 
 // finishOnRestart completes a change of role when the process starts, since a crash has drained the engine.
@@ -28,8 +28,8 @@
 	return c.state.Target == roles.Both && c.state.Role != roles.Both
 }
 
-// rejectsNew reports whether the engine rejects new requests because it is changing to another role.
-func (c *roleChange) rejectsNew() bool {
+// rejectsRequests reports whether the engine rejects new requests because it is changing to another role.
+func (c *roleChange) rejectsRequests() bool {
 	return !c.state.Serves(c.state.Role) || c.switching && !c.addsStage()
 }
 
@@ -41,15 +41,15 @@
 	return s.cfg.Params
 }
 
-// rejectsNew reports whether the engine rejects new requests because it is changing to another role.
-func (s *Server) rejectsNew() bool {
+// rejectsRequests reports whether the engine rejects new requests because it is changing to another role.
+func (s *Server) rejectsRequests() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rejectsNewLocked()
+	return s.rejectsRequestsLocked()
 }
 
-// rejectsNewLocked is rejectsNew with s.mu held.
-func (s *Server) rejectsNewLocked() bool { return s.role.rejectsNew() }
+// rejectsRequestsLocked is rejectsRequests with s.mu held.
+func (s *Server) rejectsRequestsLocked() bool { return s.role.rejectsRequests() }
 
 // switchIfDrained begins the switch to the target role once no work of the old role is left. A change that only adds a
 // stage does not wait for that. s.mu is held.
@@ -77,30 +77,30 @@
 		s.switchIfDrained()
 		return
 	}
-	before := s.roleParams()
+	previousParams := s.roleParams()
 	s.role.state, s.role.switching = s.role.state.FinishDraining(), false
-	after := s.roleParams()
+	params := s.roleParams()
 	if addsStage {
-		s.model.SetParams(s.now(), after)
-		s.schedule()
+		s.model.SetParams(s.now(), params)
+		s.onModelChange()
 		return
 	}
-	if s.role.misreports {
-		after = before
+	if s.role.misreportsRole {
+		params = previousParams
 	}
 	work := s.model.Work()
-	s.model = enginemodel.New(after, s.now(), true)
+	s.model = enginemodel.New(params, s.now(), true)
 	s.model.RestoreWork(work)
-	s.process.started = time.Now()
-	s.schedule()
+	s.process.slowStartedAt = time.Now()
+	s.onModelChange()
 }
 
 // MisreportRole makes the engine report changes of role that it has not made. A change that only adds a stage is made
 // nevertheless.
-func (s *Server) MisreportRole(on bool) {
+func (s *Server) MisreportRole(enabled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.role.misreports = on
+	s.role.misreportsRole = enabled
 }
 
 // EngineState returns the state of the engine's role.
@@ -139,7 +139,7 @@
 		}
 	}
 	s.model.Advance(s.now())
-	s.schedule()
+	s.onModelChange()
 	work := s.model.Work()
 	status := planner.Status{
 		StatusReport: s.role.state.StatusReport(),
--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// neverReset is the resetAt of a stream that is not reset.
+	// neverReset is the resetAfterTokens of a stream that is not reset.
 	neverReset = -1
 	// maxTokensBeforeReset bounds the tokens sent before the fault ResetMidStream resets a stream.
 	maxTokensBeforeReset = 5
@@ -20,16 +20,16 @@
 type decodeStream struct {
 	*completion
 
-	fetched    bool // the read state was fetched, or none has to be
-	tookEffect bool // the first token was generated, with which the request takes effect
-	sent       int  // tokens
-	resetAt    int  // number of tokens sent before the stream is reset
+	stateFetched     bool // the read state was fetched, or none has to be
+	tookEffect       bool // the first token was generated, with which the request takes effect
+	tokensSent       int
+	resetAfterTokens int // number of tokens sent before the stream is reset
 }
 
 func newDecodeStream(c *completion) *decodeStream {
-	d := &decodeStream{completion: c, fetched: c.job.FetchTokens == 0, resetAt: neverReset}
+	d := &decodeStream{completion: c, stateFetched: c.job.FetchTokens == 0, resetAfterTokens: neverReset}
 	if rand.Float64() < c.faults.ResetMidStream {
-		d.resetAt = 1 + rand.IntN(maxTokensBeforeReset)
+		d.resetAfterTokens = 1 + rand.IntN(maxTokensBeforeReset)
 	}
 	return d
 }
@@ -58,13 +58,13 @@
 	case current.lost:
 		resetRequest(d.w)
 		return true
-	case current.started && !d.fetched:
+	case current.started && !d.stateFetched:
 		if !d.server.fetchState(d.request.KVTransfer) {
 			d.cancel()
 			d.server.reject(d.w, true)
 			return true
 		}
-		d.fetched = true
+		d.stateFetched = true
 		d.notify() // tokens may have been generated meanwhile
 		return false
 	case current.tokens == 0:
@@ -105,11 +105,11 @@
 	return true
 }
 
-// writeTokens writes tokens until upTo have been sent, and reports whether the stream was reset before that. While
+// writeTokens writes tokens until target have been sent, and reports whether the stream was reset before that. While
 // streams are endless, it writes more tokens until the connection closes.
-func (d *decodeStream) writeTokens(upTo int) (reset bool) {
-	for ; d.sent < upTo; d.sent++ {
-		if d.resetAt == d.sent {
+func (d *decodeStream) writeTokens(target int) (reset bool) {
+	for ; d.tokensSent < target; d.tokensSent++ {
+		if d.resetAfterTokens == d.tokensSent {
 			resetRequest(d.w)
 			d.abandon()
 			return true
@@ -127,7 +127,7 @@
 
 // writeToken writes the event of the next token, which is the same in each choice.
 func (d *decodeStream) writeToken() {
-	d.writeEvent(d.eventChoices(fmt.Sprintf("w%d ", d.sent), d.sent == 0, nil), nil)
+	d.writeEvent(d.eventChoices(fmt.Sprintf("w%d ", d.tokensSent), d.tokensSent == 0, nil), nil)
 }
 
 // writeEnd writes the end of the stream. The finish reason of an answer that reaches its token limit is length.
--- a/internal/fake/engine/text.go
+++ b/internal/fake/engine/text.go
@@ -27,18 +27,18 @@
 func (t *text) UnmarshalJSON(raw []byte) error {
 	var str *string
 	var parts []textPart
-	var tokens []int
-	var list []string
+	var tokenIDs []int
+	var stringList []string
 	switch {
 	case json.Unmarshal(raw, &str) == nil:
 		*t = ""
 		if str != nil {
 			*t = text(*str)
 		}
-	case json.Unmarshal(raw, &tokens) == nil:
-		*t = text(strings.Repeat(tokenPlaceholder, len(tokens)))
-	case json.Unmarshal(raw, &list) == nil && len(list) == 1:
-		*t = text(list[0])
+	case json.Unmarshal(raw, &tokenIDs) == nil:
+		*t = text(strings.Repeat(tokenPlaceholder, len(tokenIDs)))
+	case json.Unmarshal(raw, &stringList) == nil && len(stringList) == 1:
+		*t = text(stringList[0])
 	case json.Unmarshal(raw, &parts) == nil:
 		var b strings.Builder
 		for _, part := range parts {
--- a/internal/fake/enginemodel/engine.go
+++ b/internal/fake/enginemodel/engine.go
@@ -81,7 +81,7 @@
 	if e.overloaded {
 		return false
 	}
-	job.phase = waiting
+	job.phase = phaseWaiting
 	e.queue = append(e.queue, job)
 	e.admit()
 	e.beginStep()
@@ -95,7 +95,7 @@
 // Cancel ends a job and frees its slot and memory at once.
 func (e *Engine) Cancel(now time.Duration, job *Job) {
 	e.Advance(now)
-	if job.phase == ended {
+	if job.phase == phaseEnded {
 		return
 	}
 	e.remove(job)
@@ -117,7 +117,7 @@
 		}
 	}
 	e.step.remove(job)
-	job.phase = ended
+	job.phase = phaseEnded
 }
 
 // Reset discards all jobs, read states and cached prefixes, as a crash does, and calls OnLost of each job.
@@ -128,7 +128,7 @@
 	clear(e.readStates)
 	e.cache.clear()
 	for _, job := range jobs {
-		job.phase = ended
+		job.phase = phaseEnded
 		if job.OnLost != nil {
 			job.OnLost()
 		}
@@ -153,7 +153,7 @@
 		at = e.step.end
 	}
 	for _, job := range e.running {
-		if job.phase == fetching {
+		if job.phase == phaseFetching {
 			at = min(at, job.fetchedAt)
 		}
 	}
@@ -187,8 +187,8 @@
 // finishFetches starts the decode of each job whose read state has arrived.
 func (e *Engine) finishFetches() {
 	for _, job := range e.running {
-		if job.phase == fetching && job.fetchedAt <= e.now {
-			job.phase = decoding
+		if job.phase == phaseFetching && job.fetchedAt <= e.now {
+			job.phase = phaseDecoding
 		}
 	}
 }
--- a/internal/fake/enginemodel/engine_test.go
+++ b/internal/fake/enginemodel/engine_test.go
@@ -178,8 +178,8 @@
 // submit submits the n-th job.
 func (e *loggedEngine) submit(now time.Duration, n int, job Job) {
 	job.ID, job.FirstTokenOnly = fmt.Sprint(n), e.firstTokenOnly
-	job.OnToken = func(k int) {
-		if k == 1 {
+	job.OnToken = func(tokenCount int) {
+		if tokenCount == 1 {
 			e.logf("%d first %v", n, e.now)
 		}
 	}
@@ -198,40 +198,40 @@
 		params.MemoryTokens = float64(rapid.IntRange(400, 4000).Draw(t, "memory"))
 		cold := rapid.Bool().Draw(t, "cold")
 		params.OverloadFactor = 0
-		single := &loggedEngine{Engine: New(params, 0, cold)}
-		repeated := &loggedEngine{Engine: New(params, 0, cold), firstTokenOnly: true}
+		singleSteps := &loggedEngine{Engine: New(params, 0, cold)}
+		repeatedSteps := &loggedEngine{Engine: New(params, 0, cold), firstTokenOnly: true}
 		now := time.Duration(0)
 		for n := range rapid.IntRange(1, 40).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 400000).Draw(t, "delay")) * time.Microsecond
 			operation := rapid.IntRange(0, 5).Draw(t, "operation")
-			prompt := float64(rapid.IntRange(1, 600).Draw(t, "prompt"))
-			out := rapid.IntRange(1, 80).Draw(t, "out")
-			other := rapid.IntRange(0, 100).Draw(t, "other")
-			for _, e := range []*loggedEngine{single, repeated} {
+			promptTokens := float64(rapid.IntRange(1, 600).Draw(t, "prompt"))
+			outputTokens := rapid.IntRange(1, 80).Draw(t, "out")
+			choice := rapid.IntRange(0, 100).Draw(t, "other")
+			for _, e := range []*loggedEngine{singleSteps, repeatedSteps} {
 				switch {
 				case operation == 0:
-					e.submit(now, n, Job{PromptTokens: prompt, OutputTokens: out, FetchTokens: prompt})
+					e.submit(now, n, Job{PromptTokens: promptTokens, OutputTokens: outputTokens, FetchTokens: promptTokens})
 				case operation < 4:
-					e.submit(now, n, Job{PromptTokens: prompt, OutputTokens: out})
+					e.submit(now, n, Job{PromptTokens: promptTokens, OutputTokens: outputTokens})
 				case operation == 4 && len(e.jobs) > 0:
-					e.Cancel(now, e.jobs[other%len(e.jobs)])
+					e.Cancel(now, e.jobs[choice%len(e.jobs)])
 				default:
 					e.Advance(now)
-					e.SetSlowdown([]float64{1, 3}[other%2])
+					e.SetSlowdown([]float64{1, 3}[choice%2])
 				}
 				utilization, queue, memory := e.Load()
 				e.logf("%v %v %.9f", utilization, queue, memory)
 			}
 		}
-		for _, e := range []*loggedEngine{single, repeated} {
+		for _, e := range []*loggedEngine{singleSteps, repeatedSteps} {
 			e.Advance(now + time.Hour)
 			e.logf("%v %v", e.usedMemory, e.Work().Decodes)
 		}
-		want, got := single.Work(), repeated.Work()
+		want, got := singleSteps.Work(), repeatedSteps.Work()
 		if math.Abs(want.PrefillDone-got.PrefillDone)+math.Abs(want.DecodeDone-got.DecodeDone) > 1e-9 {
 			t.Fatalf("single steps: work %+v, repeated steps: %+v", want, got)
 		}
-		compareLogs(t, single.log, repeated.log)
+		compareLogs(t, singleSteps.log, repeatedSteps.log)
 	})
 }
 
--- a/internal/fake/enginemodel/job.go
+++ b/internal/fake/enginemodel/job.go
@@ -20,23 +20,23 @@
 	OnStart func()                     // the job has left the queue for a slot, possibly again after a preemption
 	OnLost  func()                     // the engine crashed or was reset
 
-	phase        jobPhase
-	cachedTokens float64       // tokens found in the prefix cache when it was admitted
-	prefillLeft  float64       // tokens still to be computed
-	generated    int           // tokens of its answer so far
-	fetchedAt    time.Duration // when its read state arrives; set while fetching
+	phase            jobPhase
+	cachedTokens     float64       // tokens found in the prefix cache when it was admitted
+	remainingPrefill float64       // tokens still to be computed
+	generatedTokens  int           // tokens of its answer so far
+	fetchedAt        time.Duration // when its read state arrives; set while fetching
 }
 
 // jobPhase is the stage of processing that a job has reached.
 type jobPhase uint8
 
 const (
-	waiting jobPhase = iota
-	fetching
-	prefilling
-	decoding
-	ended
+	phaseWaiting jobPhase = iota
+	phaseFetching
+	phasePrefilling
+	phaseDecoding
+	phaseEnded
 )
 
 // memory returns the tokens that the job occupies while it runs.
-func (j *Job) memory() float64 { return j.PromptTokens + float64(j.generated) }
+func (j *Job) memory() float64 { return j.PromptTokens + float64(j.generatedTokens) }
--- a/internal/fake/enginemodel/scheduler.go
+++ b/internal/fake/enginemodel/scheduler.go
@@ -40,13 +40,13 @@
 		e.queue = e.queue[1:]
 		e.usedMemory += job.memory()
 		e.running = append(e.running, job)
-		if job.FetchTokens > 0 && job.generated == 0 {
-			job.phase = fetching
+		if job.FetchTokens > 0 && job.generatedTokens == 0 {
+			job.phase = phaseFetching
 			job.fetchedAt = e.now + time.Duration(job.FetchTokens/e.params.FetchRate*float64(time.Second))
 		} else {
-			job.phase = prefilling
+			job.phase = phasePrefilling
 			job.cachedTokens = e.cache.lookup(job)
-			job.prefillLeft = max(job.memory()-job.cachedTokens, 1)
+			job.remainingPrefill = max(job.memory()-job.cachedTokens, 1)
 		}
 		if job.OnStart != nil {
 			job.OnStart()
@@ -62,11 +62,11 @@
 	next := step{}
 	for _, job := range e.running {
 		switch job.phase {
-		case decoding:
+		case phaseDecoding:
 			next.decodes = append(next.decodes, job)
-		case prefilling:
+		case phasePrefilling:
 			if next.prefill == nil {
-				next.prefill, next.prefillTokens = job, min(job.prefillLeft, e.params.PrefillChunk)
+				next.prefill, next.prefillTokens = job, min(job.remainingPrefill, e.params.PrefillChunk)
 			}
 		default:
 		}
@@ -74,14 +74,14 @@
 	if next.prefill == nil && len(next.decodes) == 0 {
 		return
 	}
-	var atFullCapacity time.Duration
+	var fullCapacityDuration time.Duration
 	if len(next.decodes) > 0 {
-		atFullCapacity = e.params.StepTime + e.params.StepTimePerStream*time.Duration(len(next.decodes))
+		fullCapacityDuration = e.params.StepTime + e.params.StepTimePerStream*time.Duration(len(next.decodes))
 	}
 	if next.prefill != nil {
-		atFullCapacity += time.Duration(next.prefillTokens / e.params.PrefillRate * float64(time.Second))
+		fullCapacityDuration += time.Duration(next.prefillTokens / e.params.PrefillRate * float64(time.Second))
 	}
-	next.duration = max(time.Duration(float64(atFullCapacity)*e.slowdown/e.CapacityFraction()), minStep)
+	next.duration = max(time.Duration(float64(fullCapacityDuration)*e.slowdown/e.CapacityFraction()), minStep)
 	next.repeats = e.repeatCount(&next)
 	next.end = e.now + time.Duration(next.repeats)*next.duration
 	e.step = next
@@ -97,10 +97,10 @@
 	}
 	repeats := math.MaxInt
 	for _, job := range next.decodes {
-		if !job.FirstTokenOnly || job.generated == 0 {
+		if !job.FirstTokenOnly || job.generatedTokens == 0 {
 			return 1
 		}
-		repeats = min(repeats, job.OutputTokens-job.generated)
+		repeats = min(repeats, job.OutputTokens-job.generatedTokens)
 	}
 	return max(min(repeats, int((e.params.MemoryTokens-e.usedMemory)/float64(n))), 1)
 }
@@ -118,7 +118,7 @@
 		return
 	}
 	for _, job := range s.decodes {
-		job.generated += completed
+		job.generatedTokens += completed
 	}
 	e.usedMemory += float64(completed * len(s.decodes))
 	s.repeats -= completed
@@ -135,17 +135,17 @@
 
 // finishStep counts the tokens that the ended step computed. If memory is exceeded then, it preempts jobs.
 func (e *Engine) finishStep() {
-	done := e.step
+	endedStep := e.step
 	e.step = step{}
-	if job := done.prefill; job != nil {
-		e.work.PrefillDone += done.prefillTokens / e.params.PrefillRate
-		job.prefillLeft -= done.prefillTokens
-		if job.prefillLeft <= 0 {
+	if job := endedStep.prefill; job != nil {
+		e.work.PrefillDone += endedStep.prefillTokens / e.params.PrefillRate
+		job.remainingPrefill -= endedStep.prefillTokens
+		if job.remainingPrefill <= 0 {
 			e.finishPrefill(job)
 		}
 	}
-	for _, job := range done.decodes {
-		if job.phase == decoding {
+	for _, job := range endedStep.decodes {
+		if job.phase == phaseDecoding {
 			e.addToken(job)
 		}
 	}
@@ -155,9 +155,9 @@
 
 // addToken counts one more token of a job's answer, and ends the job after the last one.
 func (e *Engine) addToken(job *Job) {
-	job.generated++
+	job.generatedTokens++
 	e.usedMemory++
-	n := job.generated
+	n := job.generatedTokens
 	if n >= job.OutputTokens {
 		e.work.Decodes++
 		e.cache.put(sessionKey(job), job.memory(), e.params.CacheTokens)
@@ -177,7 +177,7 @@
 	e.cache.put(prefixKey(job), job.PrefixTokens, e.params.CacheTokens)
 	e.cache.put(sessionKey(job), job.PromptTokens, e.params.CacheTokens)
 	if !job.PrefillOnly {
-		job.phase = decoding
+		job.phase = phaseDecoding
 		return
 	}
 	e.remove(job)
@@ -192,11 +192,11 @@
 func (e *Engine) preempt() bool {
 	for i := len(e.running) - 1; i > 0; i-- {
 		job := e.running[i]
-		if job.phase != decoding {
+		if job.phase != phaseDecoding {
 			continue
 		}
 		e.remove(job)
-		job.phase, job.FetchTokens = waiting, 0
+		job.phase, job.FetchTokens = phaseWaiting, 0
 		e.queue = append([]*Job{job}, e.queue...)
 		return true
 	}
--- a/internal/fake/enginemodel/slowstart.go
+++ b/internal/fake/enginemodel/slowstart.go
@@ -47,13 +47,13 @@
 	prefill, decode := e.estimateWork(job)
 	e.arrivals = append(e.arrivals, arrival{e.now, prefill + decode})
 	e.arrivals = slices.DeleteFunc(e.arrivals, func(a arrival) bool { return e.now-a.at > e.params.OverloadAfter })
-	sum, heaviest := 0.0, 0.0
+	totalWork, heaviestJob := 0.0, 0.0
 	for _, a := range e.arrivals {
-		sum += a.work
-		heaviest = max(heaviest, a.work)
+		totalWork += a.work
+		heaviestJob = max(heaviestJob, a.work)
 	}
 	// A single job never overloads the engine, however heavy it is.
-	if sum-heaviest > e.overloadLimit() {
+	if totalWork-heaviestJob > e.overloadLimit() {
 		e.overloaded = true
 		e.Reset()
 	}
@@ -66,11 +66,11 @@
 		return false
 	}
 	prefill, decode := e.estimateWork(job)
-	sum := prefill + decode
+	totalWork := prefill + decode
 	for _, a := range e.arrivals {
 		if e.now-a.at <= e.params.OverloadAfter {
-			sum += a.work
+			totalWork += a.work
 		}
 	}
-	return sum > fraction*e.params.OverloadFactor*e.CapacityFraction()*e.params.OverloadAfter.Seconds()
+	return totalWork > fraction*e.params.OverloadFactor*e.CapacityFraction()*e.params.OverloadAfter.Seconds()
 }
--- a/internal/fake/enginemodel/work.go
+++ b/internal/fake/enginemodel/work.go
@@ -19,16 +19,16 @@
 }
 
 // RestoreWork sets the totals to those before a change of role, since the engine's process goes on running.
-func (e *Engine) RestoreWork(earlier Work) {
-	earlier.PrefillWaiting, earlier.DecodeWaiting = 0, 0
-	e.work = earlier
+func (e *Engine) RestoreWork(previous Work) {
+	previous.PrefillWaiting, previous.DecodeWaiting = 0, 0
+	e.work = previous
 }
 
 // PrefillBacklog returns the prefill work that the engine would have to do until the job's prompt is computed, if the
 // job were submitted now. It includes that of the job, and is in seconds of the whole engine at full capacity.
 func (e *Engine) PrefillBacklog(job *Job) float64 {
-	own, _ := e.estimateWork(job)
-	total, _ := e.waitingWork(own)
+	jobPrefill, _ := e.estimateWork(job)
+	total, _ := e.waitingWork(jobPrefill)
 	return total
 }
 
@@ -39,11 +39,11 @@
 	for _, jobs := range [2][]*Job{e.queue, e.running} {
 		for _, job := range jobs {
 			switch job.phase {
-			case waiting:
+			case phaseWaiting:
 				p, d := e.estimateWork(job)
 				prefill, decode = prefill+p, decode+d
-			case prefilling:
-				prefill += job.prefillLeft / e.params.PrefillRate
+			case phasePrefilling:
+				prefill += job.remainingPrefill / e.params.PrefillRate
 			default:
 			}
 		}
@@ -69,7 +69,7 @@
 	if to > e.now && e.params.CanDecode {
 		decodes := 0
 		for _, job := range e.running {
-			if !job.PrefillOnly && job.phase != prefilling {
+			if !job.PrefillOnly && job.phase != phasePrefilling {
 				decodes++
 			}
 		}
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -70,7 +70,7 @@
 	r.tokens.Add(int64(a.result.Tokens))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outcomes[a.result.Kind]++
+	r.outcomes[a.result.Outcome]++
 	class := &r.classes[a.session.Class]
 	for _, gap := range a.gaps {
 		recordTime(class.TokenGap, gap)
@@ -81,8 +81,8 @@
 	if a.result.FirstToken > 0 {
 		recordTime(class.FirstToken, a.result.FirstToken)
 	}
-	if a.result.Kind == "served" {
+	if a.result.Outcome == "served" {
 		recordTime(class.Complete, a.elapsed)
 	}
-	r.score.Add(a.session, a.scheduledAt.Sub(r.startedAt), a.result.Kind, a.result.FirstToken)
+	r.score.Add(a.session, a.scheduledAt.Sub(r.startedAt), a.result.Outcome, a.result.FirstToken)
 }
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -70,12 +70,12 @@
 			result.FirstToken += delay
 		}
 		elapsed := time.Since(scheduledAt)
-		retry, pause := session.AfterAttempt(result.Kind, result.NoAutoRetry, result.RetryAfter, elapsed)
+		retry, pause := session.AfterAttempt(result.Outcome, result.NoAutoRetry, result.RetryAfter, elapsed)
 		r.record(attemptResult{
 			session: session, result: &result, gaps: gaps.gaps, final: !retry, scheduledAt: scheduledAt, elapsed: elapsed,
 		})
 		if !retry || !waitUntil(ctx, time.Now().Add(pause)) {
-			return result.Kind
+			return result.Outcome
 		}
 	}
 }
--- a/internal/scenariorun/traffic.go
+++ b/internal/scenariorun/traffic.go
@@ -113,12 +113,12 @@
 		if result.FirstToken > 0 {
 			result.FirstToken += before
 		}
-		again, pause := session.AfterAttempt(result.Kind, result.NoAutoRetry, result.RetryAfter, time.Since(began))
+		again, pause := session.AfterAttempt(result.Outcome, result.NoAutoRetry, result.RetryAfter, time.Since(began))
 		if !again {
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.score.Add(session, began.Sub(t.began), result.Kind, result.FirstToken)
-			return result.Kind
+			t.score.Add(session, began.Sub(t.began), result.Outcome, result.FirstToken)
+			return result.Outcome
 		}
 		time.Sleep(pause)
 	}
