--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -21,7 +21,7 @@
 }
 
 func simulateFaultSearchCommand() *cobra.Command {
-	s := faultSearch{search: faultsearch.Search{MaxFaults: 4, Rounds: 12, Draws: 24}}
+	s := faultSearch{search: faultsearch.Search{MaxFaults: 4, Rounds: 12, ListsPerRound: 24}}
 	cmd := &cobra.Command{
 		Use:   "fault-search [SCENARIO] [SUBJECT]",
 		Short: "Search for the faults under which the router serves worst or violates a rule",
@@ -53,7 +53,7 @@
 	f.StringVarP(&s.outFile, "out", "o", "", "write the scenario that is found to this `file`")
 	f.IntVar(&s.search.MaxFaults, "troubles", s.search.MaxFaults, "maximum number of faults in a list")
 	f.IntVar(&s.search.Rounds, "rounds", s.search.Rounds, "rounds of the search")
-	f.IntVar(&s.search.Draws, "draws", s.search.Draws, "lists of faults in a round")
+	f.IntVar(&s.search.ListsPerRound, "draws", s.search.ListsPerRound, "lists of faults in a round")
 	f.Uint64Var(&s.search.Seed, "seed", 1, "seed of the search")
 }
 
@@ -77,13 +77,13 @@
 		return err
 	}
 	note := fmt.Sprintf("found by a fault search: service of %s %.3f, reference %.3f; %d violations (simulated)",
-		subject, found.Subject, found.Reference, found.Violations)
+		subject, found.SubjectService, found.ReferenceService, found.Violations)
 	_, text, err := sc.WithFaults(found.Faults, note)
 	if err != nil {
 		return err
 	}
 	p := printer{out: cmd.OutOrStdout()}
-	p.printf("%s, %d lists run\n", note, found.Simulated)
+	p.printf("%s, %d lists run\n", note, found.SimulatedLists)
 	for i := range found.Faults {
 		p.printf("  %s\n", found.Faults[i].XML())
 	}
@@ -103,7 +103,8 @@
 
 func (s *faultSearch) check() error {
 	inRange := func(v, low, high int) bool { return low <= v && v <= high }
-	if !inRange(s.search.MaxFaults, 1, 20) || !inRange(s.search.Rounds, 1, 10000) || !inRange(s.search.Draws, 4, 1000) {
+	if !inRange(s.search.MaxFaults, 1, 20) || !inRange(s.search.Rounds, 1, 10000) ||
+		!inRange(s.search.ListsPerRound, 4, 1000) {
 		return usageErrorf("--troubles must be from 1 to 20, --rounds from 1 to 10000, --draws from 4 to 1000")
 	}
 	return nil
@@ -116,13 +117,13 @@
 	if err != nil {
 		return err
 	}
-	s.search.Scenario, s.search.Subject, s.search.Parallel = sc, target.Options, runtime.GOMAXPROCS(0)
+	s.search.Scenario, s.search.SubjectOptions, s.search.Parallel = sc, target.Options, runtime.GOMAXPROCS(0)
 	if s.against != "" {
 		reference, err := parse(s.against)
 		if err != nil {
 			return err
 		}
-		s.search.Reference = reference.Options
+		s.search.ReferenceOptions = reference.Options
 	}
 	s.search.OnRound = func(round int, best faultsearch.Result) {
 		p := printer{out: os.Stderr} // the search goes on even if its progress can't be written
--- a/cmd/brackenbend/simulate_forecast.go
+++ b/cmd/brackenbend/simulate_forecast.go
@@ -74,7 +74,8 @@
 	var pairs []forecast.Pair
 	inInterval := 0
 	for i, f := range forecasts {
-		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d", f.Scenario, f.Mean, f.SD, f.Low, f.High, f.Worst, f.Violations)
+		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d",
+			f.Scenario, f.MeanService, f.SD, f.Low, f.High, f.WorstService, f.Violations)
 		if s.real {
 			report, err := runOnSockets(ctx, scenarios[i])
 			if err != nil {
@@ -82,7 +83,7 @@
 			}
 			pairs = append(pairs, forecast.Pair{Forecast: f, Real: report.Service})
 			verdict := "missed"
-			if f.Holds(report.Service) {
+			if f.Contains(report.Service) {
 				inInterval++
 				verdict = "held"
 			}
--- a/cmd/brackenbend/simulate_overload.go
+++ b/cmd/brackenbend/simulate_overload.go
@@ -24,7 +24,7 @@
 
 func simulateOverloadCommand() *cobra.Command {
 	sim := overloadSimulation{
-		plan:    overload.Plan{Runs: 3, Before: 8 * time.Second, For: 10 * time.Second, After: 15 * time.Second},
+		plan:    overload.Plan{Runs: 3, Before: 8 * time.Second, Duration: 10 * time.Second, After: 15 * time.Second},
 		subject: routerSubject,
 	}
 	cmd := &cobra.Command{
@@ -53,10 +53,10 @@
 func (s *overloadSimulation) addFlags(f *pflag.FlagSet) {
 	f.Float64SliceVar(&s.plan.Loads, "loads", []float64{0.5, 1, 2, 5, 10, 20},
 		"offered loads during the overload, as multiples of the scenario's rate")
-	f.Float64Var(&s.plan.Base, "base", 1, "load before and after the overload, as a multiple of the scenario's rate")
+	f.Float64Var(&s.plan.BaseLoad, "base", 1, "load before and after the overload, as a multiple of the scenario's rate")
 	f.IntVar(&s.replicas, "fronts", 0, "number of replicas; 0 = that of the scenario")
 	f.DurationVar(&s.plan.Before, "before", s.plan.Before, "time at the base load before the overload, at least 3s")
-	f.DurationVar(&s.plan.For, "for", s.plan.For, "time of the overload, at least 2s")
+	f.DurationVar(&s.plan.Duration, "for", s.plan.Duration, "time of the overload, at least 2s")
 	f.DurationVar(&s.plan.After, "after", s.plan.After, "time at the base load after the overload, at least 5s")
 	f.IntVar(&s.plan.Runs, "runs", s.plan.Runs, "replications of each load")
 	f.BoolVar(&s.loops, "loops", false, "also run with each feedback loop disabled in turn")
@@ -103,11 +103,11 @@
 			return usageErrorf("--loads must be above 0 and at most 100 each")
 		}
 	}
-	baseInBounds := s.plan.Base > 0 && s.plan.Base <= 10
+	baseInBounds := s.plan.BaseLoad > 0 && s.plan.BaseLoad <= 10
 	if s.plan.Runs < 1 || s.plan.Runs > 100 || !baseInBounds || s.replicas < 0 || s.replicas > 10000 {
 		return usageErrorf("--runs must be from 1 to 100, --base above 0 and at most 10, --fronts from 0 to 10000")
 	}
-	if s.plan.Before+s.plan.For+s.plan.After > maxOverloadLength {
+	if s.plan.Before+s.plan.Duration+s.plan.After > maxOverloadLength {
 		return usageErrorf("--before, --for and --after must be at most 10 minutes together")
 	}
 	return nil
--- a/internal/simulation/baseline/baseline.go
+++ b/internal/simulation/baseline/baseline.go
@@ -19,13 +19,13 @@
 
 // The policies.
 const (
-	Random     Policy = "random"      // a random endpoint
-	Fewest     Policy = "fewest"      // the endpoint with the fewest open attempts of this replica
-	TwoChoices Policy = "two-choices" // of two random endpoints, the one with fewer open attempts of this replica
+	Random         Policy = "random"      // a random endpoint
+	FewestAttempts Policy = "fewest"      // the endpoint with the fewest open attempts of this replica
+	TwoChoices     Policy = "two-choices" // of two random endpoints, the one with fewer open attempts of this replica
 )
 
 // Policies are all policies.
-var Policies = []Policy{Random, Fewest, TwoChoices}
+var Policies = []Policy{Random, FewestAttempts, TwoChoices}
 
 // A PolicyError is returned for an unknown policy.
 type PolicyError struct{ Policy Policy }
@@ -53,19 +53,19 @@
 }
 
 type request struct {
-	event      routing.Request
-	sent       int      // attempts, including completed prefills
-	attempts   int      // sent, less completed prefills
-	backend    *backend // of the open attempt; nil = no attempt is open
-	prefilled  bool     // a read state is held for the decode
-	mayHaveRun bool     // an attempt with a decode may have run
-	answered   bool     // no further answer is owed
+	event           routing.Request
+	attemptsSent    int      // attempts, including completed prefills
+	countedAttempts int      // sent, less completed prefills
+	backend         *backend // of the open attempt; nil = no attempt is open
+	prefilled       bool     // a read state is held for the decode
+	mayHaveRun      bool     // an attempt with a decode may have run
+	answered        bool     // no further answer is owed
 }
 
 const (
 	defaultMaxAttempts = 2
 	randomStream       = 77          // PCG stream of the random generator
-	retryAfter         = time.Second // of all rejections
+	rejectRetryAfter   = time.Second // of all rejections
 )
 
 // New returns a decider for one replica.
@@ -166,7 +166,7 @@
 		if other := ready[d.rnd.IntN(len(ready))]; other.openAttempts < best.openAttempts {
 			best = other
 		}
-	case Fewest:
+	case FewestAttempts:
 		for _, b := range ready {
 			if b.openAttempts < best.openAttempts {
 				best = b
@@ -188,12 +188,12 @@
 // send starts the next attempt of a request. Without a backend or an attempt left it ends the request.
 func (d *Decider) send(r *request) {
 	b := d.pick(r.prefilled)
-	if b == nil || r.attempts >= d.config.MaxAttempts {
+	if b == nil || r.countedAttempts >= d.config.MaxAttempts {
 		d.rejectOrFail(r)
 		return
 	}
-	r.sent++
-	r.attempts++
+	r.attemptsSent++
+	r.countedAttempts++
 	r.backend = b
 	b.openAttempts++
 	d.addAction(routing.Send{Request: r.event.ID, Endpoint: b.id})
@@ -208,7 +208,7 @@
 	}
 	r.answered = true
 	noAutoRetry := class.Idempotency == routing.NotIdempotent
-	d.addAction(routing.Reject{Request: r.event.ID, RetryAfter: retryAfter, NoAutoRetry: noAutoRetry})
+	d.addAction(routing.Reject{Request: r.event.ID, RetryAfter: rejectRetryAfter, NoAutoRetry: noAutoRetry})
 	d.finish(r)
 }
 
@@ -223,7 +223,7 @@
 func (d *Decider) finish(r *request) {
 	r.answered = true
 	if r.backend != nil {
-		d.addAction(routing.Cancel{Request: r.event.ID, Attempt: r.sent - 1})
+		d.addAction(routing.Cancel{Request: r.event.ID, Attempt: r.attemptsSent - 1})
 	}
 	d.addAction(routing.ReleaseState{Request: r.event.ID})
 	if r.backend == nil {
@@ -247,7 +247,7 @@
 	}
 	if ev.Result == routing.PrefillDone {
 		r.prefilled = true
-		r.attempts-- // a prefill that succeeded does not count against MaxAttempts
+		r.countedAttempts-- // a prefill that succeeded does not count against MaxAttempts
 		d.send(r)
 		return
 	}
--- a/internal/simulation/chart/chart.go
+++ b/internal/simulation/chart/chart.go
@@ -29,7 +29,7 @@
 
 // Save writes a chart to a file, whose extension determines the format (svg, png, pdf).
 func Save(path, title, x, y string, lines ...Line) error {
-	p, err := draw(title, x, y, lines)
+	p, err := newPlot(title, x, y, lines)
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 
 // SVG returns a chart as an SVG element for an HTML page. All texts in it are escaped.
 func SVG(title, x, y string, lines ...Line) ([]byte, error) {
-	p, err := draw(title, x, y, lines)
+	p, err := newPlot(title, x, y, lines)
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 // The size of a chart on a page.
 const width, height = 18 * vg.Centimeter, 9 * vg.Centimeter
 
-func draw(title, x, y string, lines []Line) (*plot.Plot, error) {
+func newPlot(title, x, y string, lines []Line) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Legend.Top = true
@@ -84,44 +84,44 @@
 }
 
 // splitAtGaps returns the contiguous parts of a line between its gaps.
-func splitAtGaps(l Line) (parts []plotter.XYs) {
-	var part plotter.XYs
+func splitAtGaps(l Line) (segments []plotter.XYs) {
+	var segment plotter.XYs
 	for i, v := range l.Y {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
-			if len(part) > 0 {
-				parts = append(parts, part)
+			if len(segment) > 0 {
+				segments = append(segments, segment)
 			}
-			part = nil
+			segment = nil
 			continue
 		}
-		part = append(part, plotter.XY{X: l.X[i], Y: v})
+		segment = append(segment, plotter.XY{X: l.X[i], Y: v})
 	}
-	if len(part) > 0 {
-		parts = append(parts, part)
+	if len(segment) > 0 {
+		segments = append(segments, segment)
 	}
-	return parts
+	return segments
 }
 
 // Indices returns 0 to n-1, the X values of a line with one point per second or per item.
 func Indices(n int) []float64 {
-	out := make([]float64, n)
-	for i := range out {
-		out[i] = float64(i)
+	indices := make([]float64, n)
+	for i := range indices {
+		indices[i] = float64(i)
 	}
-	return out
+	return indices
 }
 
 // Smooth returns the moving mean over each value and a number of neighbors on either side. NaN values are ignored.
-func Smooth(v []float64, neighbors int) []float64 {
-	out := make([]float64, len(v))
-	for i := range v {
+func Smooth(values []float64, neighbors int) []float64 {
+	means := make([]float64, len(values))
+	for i := range values {
 		sum, n := 0.0, 0.0
-		for j := max(0, i-neighbors); j <= min(len(v)-1, i+neighbors); j++ {
-			if !math.IsNaN(v[j]) {
-				sum, n = sum+v[j], n+1
+		for j := max(0, i-neighbors); j <= min(len(values)-1, i+neighbors); j++ {
+			if !math.IsNaN(values[j]) {
+				sum, n = sum+values[j], n+1
 			}
 		}
-		out[i] = sum / n // NaN where all values are NaN
+		means[i] = sum / n // NaN where all values are NaN
 	}
-	return out
+	return means
 }
--- a/internal/simulation/faultsearch/draw.go
+++ b/internal/simulation/faultsearch/draw.go
@@ -10,27 +10,27 @@
 
 // faultKind is a kind of fault that a search can draw, with the bounds of its numbers.
 type faultKind struct {
-	name      string
-	onEngines bool       // it affects some engines of one kind
-	fraction  [2]float64 // bounds of Fault.Fraction; 0, 0 = the fault has no fraction
-	factor    [2]float64 // bounds of Fault.Factor; 0, 0 = the fault has no factor
+	name           string
+	affectsEngines bool       // it affects some engines of one kind
+	fraction       [2]float64 // bounds of Fault.Fraction; 0, 0 = the fault has no fraction
+	factor         [2]float64 // bounds of Fault.Factor; 0, 0 = the fault has no factor
 }
 
 var faultKinds = []faultKind{
-	{name: "crash", onEngines: true},
-	{name: "drain", onEngines: true},
-	{name: "remove", onEngines: true},
-	{name: "stall", onEngines: true},
-	{name: "fail-fast", onEngines: true, fraction: [2]float64{0.3, 1}},
-	{name: "slow", onEngines: true, factor: [2]float64{2, 8}},
-	{name: "refuse-connects", onEngines: true},
-	{name: "forget", onEngines: true},
-	{name: "silent-restart", onEngines: true},
-	{name: "reset-mid-stream", onEngines: true, fraction: [2]float64{0.2, 0.8}},
-	{name: "reset-after-request", onEngines: true, fraction: [2]float64{0.2, 0.8}},
-	{name: "reset-after-effect", onEngines: true, fraction: [2]float64{0.2, 0.8}},
-	{name: "stall-after-effect", onEngines: true, fraction: [2]float64{0.2, 0.8}},
-	{name: "fail-after-effect", onEngines: true, fraction: [2]float64{0.2, 0.8}},
+	{name: "crash", affectsEngines: true},
+	{name: "drain", affectsEngines: true},
+	{name: "remove", affectsEngines: true},
+	{name: "stall", affectsEngines: true},
+	{name: "fail-fast", affectsEngines: true, fraction: [2]float64{0.3, 1}},
+	{name: "slow", affectsEngines: true, factor: [2]float64{2, 8}},
+	{name: "refuse-connects", affectsEngines: true},
+	{name: "forget", affectsEngines: true},
+	{name: "silent-restart", affectsEngines: true},
+	{name: "reset-mid-stream", affectsEngines: true, fraction: [2]float64{0.2, 0.8}},
+	{name: "reset-after-request", affectsEngines: true, fraction: [2]float64{0.2, 0.8}},
+	{name: "reset-after-effect", affectsEngines: true, fraction: [2]float64{0.2, 0.8}},
+	{name: "stall-after-effect", affectsEngines: true, fraction: [2]float64{0.2, 0.8}},
+	{name: "fail-after-effect", affectsEngines: true, fraction: [2]float64{0.2, 0.8}},
 	{name: "front-kill"},
 	{name: "front-stop"},
 	{name: "register-cut"},
@@ -54,13 +54,13 @@
 	stepsPerUnit      = 100 // fractions and factors are multiples of 1/stepsPerUnit
 )
 
-// drawList draws a list of 1 to MaxFaults faults.
-func (s *Search) drawList(rnd *rand.Rand) []scenario.Fault {
-	list := make([]scenario.Fault, 1+rnd.IntN(s.MaxFaults))
-	for i := range list {
-		list[i] = s.drawFault(rnd)
+// drawFaults draws a list of 1 to MaxFaults faults.
+func (s *Search) drawFaults(rnd *rand.Rand) []scenario.Fault {
+	faults := make([]scenario.Fault, 1+rnd.IntN(s.MaxFaults))
+	for i := range faults {
+		faults[i] = s.drawFault(rnd)
 	}
-	return list
+	return faults
 }
 
 func (s *Search) drawFault(rnd *rand.Rand) scenario.Fault {
@@ -70,7 +70,7 @@
 	}
 	s.drawTime(rnd, &fault)
 	switch {
-	case kind.onEngines:
+	case kind.affectsEngines:
 		engines := &s.Scenario.Kinds[rnd.IntN(len(s.Scenario.Kinds))]
 		fault.Kind, fault.Count = engines.Name, 1+rnd.IntN(max(min(engines.Count/maxEnginesDivisor, maxEngines), 1))
 	case kind.name == "front-kill" || kind.name == "front-stop":
@@ -102,24 +102,24 @@
 }
 
 // mutate returns a copy of a list with one or two random changes.
-func (s *Search) mutate(rnd *rand.Rand, from []scenario.Fault) []scenario.Fault {
-	list := slices.Clone(from)
+func (s *Search) mutate(rnd *rand.Rand, faults []scenario.Fault) []scenario.Fault {
+	mutated := slices.Clone(faults)
 	for range 1 + rnd.IntN(2) {
-		i := rnd.IntN(len(list))
+		i := rnd.IntN(len(mutated))
 		switch rnd.IntN(4) {
 		case 0:
-			s.drawTime(rnd, &list[i])
+			s.drawTime(rnd, &mutated[i])
 		case 1:
-			list[i] = s.drawFault(rnd)
+			mutated[i] = s.drawFault(rnd)
 		case 2:
-			if len(list) < s.MaxFaults {
-				list = append(list, s.drawFault(rnd))
+			if len(mutated) < s.MaxFaults {
+				mutated = append(mutated, s.drawFault(rnd))
 			}
 		default: // move the fault to the time of another one, so that both coincide
-			j := rnd.IntN(len(list))
-			list[i].At = min(list[j].At, s.latestEnd()-list[i].For)
-			list[i].At = max(list[i].At, 0)
+			j := rnd.IntN(len(mutated))
+			mutated[i].At = min(mutated[j].At, s.latestEnd()-mutated[i].For)
+			mutated[i].At = max(mutated[i].At, 0)
 		}
 	}
-	return list
+	return mutated
 }
--- a/internal/simulation/faultsearch/faultsearch.go
+++ b/internal/simulation/faultsearch/faultsearch.go
@@ -17,28 +17,28 @@
 
 // Search describes a search.
 type Search struct {
-	Scenario  *scenario.Scenario              // for its fleet and clients; its faults are ignored
-	Subject   func(seed uint64) fleet.Options // the decider under test
-	Reference func(seed uint64) fleet.Options // the decider to compare with; nil = a service of 1
-	MaxFaults int                             // in a list, at most
-	Rounds    int                             // after the first, most lists are mutations of the worst one so far
-	Draws     int                             // lists drawn or mutated per round
-	Seed      uint64
-	Parallel  int                          // simulations at once
-	OnRound   func(round int, best Result) // called after each round; may be nil
+	Scenario         *scenario.Scenario              // for its fleet and clients; its faults are ignored
+	SubjectOptions   func(seed uint64) fleet.Options // the decider under test
+	ReferenceOptions func(seed uint64) fleet.Options // the decider to compare with; nil = a service of 1
+	MaxFaults        int                             // in a list, at most
+	Rounds           int                             // after the first, most lists are mutations of the worst one so far
+	ListsPerRound    int                             // lists drawn or mutated per round
+	Seed             uint64
+	Parallel         int                          // simulations at once
+	OnRound          func(round int, best Result) // called after each round; may be nil
 }
 
 // Result is a list of faults and its outcome.
 type Result struct {
-	Faults     []scenario.Fault
-	Subject    float64 // service of the subject, mean over replications
-	Reference  float64 // service of the reference, mean over replications; 1 without one
-	Violations int     // of rules, by the subject, over all replications
-	Simulated  int     // lists that the search simulated; set in the result of Run only
+	Faults           []scenario.Fault
+	SubjectService   float64 // service of the subject, mean over replications
+	ReferenceService float64 // service of the reference, mean over replications; 1 without one
+	Violations       int     // of rules, by the subject, over all replications
+	SimulatedLists   int     // lists that the search simulated; set in the result of Run only
 }
 
 // Loss returns by how much the service of the subject is below that of the reference. The search maximizes it.
-func (r *Result) Loss() float64 { return r.Reference - r.Subject }
+func (r *Result) Loss() float64 { return r.ReferenceService - r.SubjectService }
 
 // worseThan reports whether r is worse for the subject than o. A violated rule is worse than any loss.
 func (r *Result) worseThan(o *Result) bool {
@@ -59,7 +59,7 @@
 
 // Run performs a search and returns the worst list of faults, reduced and ordered by time.
 func Run(s Search) (*Result, error) {
-	if s.MaxFaults < 1 || s.Rounds < 1 || s.Draws < 1 {
+	if s.MaxFaults < 1 || s.Rounds < 1 || s.ListsPerRound < 1 {
 		return nil, ErrNothingToSearch
 	}
 	rnd := rand.New(rand.NewPCG(s.Seed, searchStream))
@@ -80,21 +80,21 @@
 			s.OnRound(round, *best)
 		}
 	}
-	best, more, err := s.reduce(best)
+	best, reductionSimulated, err := s.reduce(best)
 	if err != nil {
 		return nil, err
 	}
-	best.Simulated = simulated + more
+	best.SimulatedLists = simulated + reductionSimulated
 	slices.SortStableFunc(best.Faults, func(a, b scenario.Fault) int { return cmp.Compare(a.At, b.At) })
 	return best, nil
 }
 
 // nextLists returns the lists of a round: mutations of the best result so far, and some that are drawn.
 func (s *Search) nextLists(rnd *rand.Rand, best *Result) [][]scenario.Fault {
-	lists := make([][]scenario.Fault, s.Draws)
+	lists := make([][]scenario.Fault, s.ListsPerRound)
 	for i := range lists {
 		if best == nil || i%randomListEvery == randomListEvery-1 {
-			lists[i] = s.drawList(rnd)
+			lists[i] = s.drawFaults(rnd)
 		} else {
 			lists[i] = s.mutate(rnd, best.Faults)
 		}
@@ -112,34 +112,34 @@
 	return results, err
 }
 
-func (s *Search) simulateList(list []scenario.Fault) (Result, error) {
-	result := Result{Faults: list, Reference: 1}
-	sc, _, err := s.Scenario.WithFaults(list, "")
+func (s *Search) simulateList(faults []scenario.Fault) (Result, error) {
+	result := Result{Faults: faults, ReferenceService: 1}
+	sc, _, err := s.Scenario.WithFaults(faults, "")
 	if err != nil {
 		return result, fmt.Errorf("faultsearch: scenario with drawn faults is invalid: %w", err)
 	}
-	reference := 0.0
+	referenceService := 0.0
 	for i := range uint64(replications) {
 		seed := i + 1
-		options := s.Subject(seed)
+		options := s.SubjectOptions(seed)
 		options.Audit = true
 		run, err := fleet.Run(sc, options)
 		if err != nil {
 			return result, err
 		}
-		result.Subject += run.Score.Service() / replications
+		result.SubjectService += run.Score.Service() / replications
 		for _, rule := range run.Rules {
 			result.Violations += len(rule.Violations)
 		}
-		if s.Reference != nil {
-			if run, err = fleet.Run(sc, s.Reference(seed)); err != nil {
+		if s.ReferenceOptions != nil {
+			if run, err = fleet.Run(sc, s.ReferenceOptions(seed)); err != nil {
 				return result, err
 			}
-			reference += run.Score.Service() / replications
+			referenceService += run.Score.Service() / replications
 		}
 	}
-	if s.Reference != nil {
-		result.Reference = reference
+	if s.ReferenceOptions != nil {
+		result.ReferenceService = referenceService
 	}
 	return result, nil
 }
--- a/internal/simulation/faultsearch/faultsearch_test.go
+++ b/internal/simulation/faultsearch/faultsearch_test.go
@@ -71,7 +71,8 @@
 func TestRunFindsAndReducesViolation(t *testing.T) {
 	sc := testScenario(t)
 	result, err := Run(Search{
-		Scenario: sc, Subject: newOptions(newLeakingDecider), MaxFaults: 4, Rounds: 6, Draws: 12, Seed: 1, Parallel: 4,
+		Scenario: sc, SubjectOptions: newOptions(newLeakingDecider),
+		MaxFaults: 4, Rounds: 6, ListsPerRound: 12, Seed: 1, Parallel: 4,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -95,21 +96,21 @@
 
 // The loss does not shrink over the rounds and is mostly kept by the reduction. The router violates no rule.
 func TestRunFindsLossAndKeepsItInReduction(t *testing.T) {
-	var first, last float64
+	var firstLoss, lastLoss float64
 	result, err := Run(Search{
-		Scenario: testScenario(t), Subject: newOptions(func(r fleet.Decider) fleet.Decider { return r }),
-		MaxFaults: 3, Rounds: 5, Draws: 8, Seed: 2, Parallel: 4,
+		Scenario: testScenario(t), SubjectOptions: newOptions(func(r fleet.Decider) fleet.Decider { return r }),
+		MaxFaults: 3, Rounds: 5, ListsPerRound: 8, Seed: 2, Parallel: 4,
 		OnRound: func(round int, best Result) {
-			if last = best.Loss(); round == 0 {
-				first = last
+			if lastLoss = best.Loss(); round == 0 {
+				firstLoss = lastLoss
 			}
 		},
 	})
 	if err != nil || result.Violations > 0 {
 		t.Fatalf("%v %+v", err, result)
 	}
-	if last < first || last < 0.05 || result.Loss() < minKeptLoss*last {
-		t.Errorf("lost %.3f in the first round, %.3f in the last, %.3f after reduction", first, last, result.Loss())
+	if lastLoss < firstLoss || lastLoss < 0.05 || result.Loss() < minKeptLoss*lastLoss {
+		t.Errorf("lost %.3f in the first round, %.3f in the last, %.3f after reduction", firstLoss, lastLoss, result.Loss())
 	}
 }
 
--- a/internal/simulation/forecast/bootstrap.go
+++ b/internal/simulation/forecast/bootstrap.go
@@ -15,12 +15,12 @@
 // Introduction to the Bootstrap, 12.5). With few values its coverage stays near the level, where that of the percentile
 // bootstrap falls below it. The resamples come from a fixed seed, so equal values give equal intervals.
 func Bootstrap(values []float64, level float64, resamples int) (low, high float64) {
-	mean, sd := stat.MeanStdDev(values, nil)
+	mean, standardDeviation := stat.MeanStdDev(values, nil)
 	n := float64(len(values))
 	switch {
-	case len(values) < minRuns:
+	case len(values) < minReplications:
 		return math.Inf(-1), math.Inf(1)
-	case sd == 0:
+	case standardDeviation == 0:
 		return mean, mean
 	}
 	rnd := rand.New(rand.NewPCG(1, uint64(len(values))))
@@ -39,7 +39,7 @@
 	}
 	slices.Sort(tStatistics)
 	quantile := func(p float64) float64 { return stat.Quantile(p, stat.LinInterp, tStatistics, nil) }
-	standardError := sd / math.Sqrt(n)
+	standardError := standardDeviation / math.Sqrt(n)
 	return mean - quantile(0.5+level/2)*standardError, mean - quantile(0.5-level/2)*standardError
 }
 
--- a/internal/simulation/forecast/compare.go
+++ b/internal/simulation/forecast/compare.go
@@ -33,7 +33,7 @@
 // Summary holds the results of one replication that a comparison needs.
 type Summary struct {
 	Service           float64           `json:"service"`
-	Worst             float64           `json:"worst_10s"`
+	WorstService      float64           `json:"worst_10s"`
 	Requests          int               `json:"requests"`
 	Rejected          int               `json:"refused"`
 	Attempts          int               `json:"attempts"`
@@ -46,7 +46,7 @@
 func Summarize(r *fleet.Result) *Summary {
 	s := &Summary{
 		Service:           r.Score.Service(),
-		Worst:             r.Score.WorstService(worstSeconds),
+		WorstService:      r.Score.WorstService(worstSeconds),
 		Attempts:          r.Attempts["read"] + r.Attempts["write"],
 		TransferredTokens: r.TransferredTokens,
 		Violations:        countViolations(r),
@@ -73,21 +73,21 @@
 
 // Comparison is the outcome of two fleets with the same replications of traffic. Arrays are indexed by subject.
 type Comparison struct {
-	Names             [2]string  `json:"names"`
-	Means             [2]float64 `json:"means"`
-	Worst             [2]float64 `json:"worst_10s"`          // service in the worst 10 seconds
-	Rejected          [2]float64 `json:"refused"`            // fraction of requests
-	Attempts          [2]float64 `json:"attempts_a_request"` // at engines
-	TransferredTokens [2]float64 `json:"state_tokens_a_request"`
-	Violations        [2]int     `json:"breaches"`
-	Diffs             []float64  `json:"differences"` // service of the second less that of the first, by replication
-	Mean              float64    `json:"difference"`  // mean of Diffs, with the confidence interval Low to High
-	Low               float64    `json:"low"`
-	High              float64    `json:"high"`
-	Level             float64    `json:"level"`
-	Looks             int        `json:"looks"`     // interim analyses, one after each batch
-	Bimodal           bool       `json:"two_heaps"` // Diffs form two clusters, so the mean says little
-	Verdict           Verdict    `json:"verdict"`
+	Names                       [2]string  `json:"names"`
+	MeanServices                [2]float64 `json:"means"`
+	WorstServices               [2]float64 `json:"worst_10s"`          // service in the worst 10 seconds
+	RejectedFractions           [2]float64 `json:"refused"`            // fraction of requests
+	AttemptsPerRequest          [2]float64 `json:"attempts_a_request"` // at engines
+	TransferredTokensPerRequest [2]float64 `json:"state_tokens_a_request"`
+	Violations                  [2]int     `json:"breaches"`
+	Differences                 []float64  `json:"differences"` // service of the second less the first, by replication
+	MeanDifference              float64    `json:"difference"`  // mean of Differences; confidence interval Low to High
+	Low                         float64    `json:"low"`
+	High                        float64    `json:"high"`
+	Level                       float64    `json:"level"`
+	InterimAnalyses             int        `json:"looks"`     // interim analyses, one after each batch
+	Bimodal                     bool       `json:"two_heaps"` // Differences form two clusters, so the mean says little
+	Verdict                     Verdict    `json:"verdict"`
 
 	Timelines [2][]scenario.Second `json:"-"` // summed over all replications
 }
@@ -101,8 +101,10 @@
 	Parallel        int     // simulations at once
 }
 
-// looks returns the maximum number of looks, the interim analyses after each batch of replications.
-func (r StoppingRule) looks() int { return max((r.MaxReplications+r.BatchSize-1)/r.BatchSize, 1) }
+// maxInterimAnalyses returns the maximum number of looks, the interim analyses after each batch of replications.
+func (r StoppingRule) maxInterimAnalyses() int {
+	return max((r.MaxReplications+r.BatchSize-1)/r.BatchSize, 1)
+}
 
 // ErrScenariosDiffer is returned for a comparison of scenarios that can't have the same clients.
 var ErrScenariosDiffer = errors.New(
@@ -115,12 +117,12 @@
 	if a.Scenario.Length != b.Scenario.Length || len(a.Scenario.Classes) != len(b.Scenario.Classes) {
 		return nil, ErrScenariosDiffer
 	}
-	looks := r.looks()
-	level := 1 - (1-r.Level)/float64(looks)
+	maxInterimAnalyses := r.maxInterimAnalyses()
+	level := 1 - (1-r.Level)/float64(maxInterimAnalyses)
 	c := &Comparison{Names: [2]string{a.Name, b.Name}, Level: r.Level}
 	subjects, requests := [2]Subject{a, b}, [2]float64{}
-	for c.Looks = 1; c.Looks <= looks; c.Looks++ {
-		pairs, err := simulatePairs(&subjects, len(c.Diffs), r)
+	for c.InterimAnalyses = 1; c.InterimAnalyses <= maxInterimAnalyses; c.InterimAnalyses++ {
+		pairs, err := simulatePairs(&subjects, len(c.Differences), r)
 		if err != nil {
 			return nil, err
 		}
@@ -128,10 +130,10 @@
 			for k, summary := range pair {
 				c.add(k, summary, &requests[k])
 			}
-			c.Diffs = append(c.Diffs, pair[1].Service-pair[0].Service)
+			c.Differences = append(c.Differences, pair[1].Service-pair[0].Service)
 		}
 		c.decide(level, r.MinDifference)
-		if c.Verdict != Undecided || len(c.Diffs) >= r.MaxReplications {
+		if c.Verdict != Undecided || len(c.Differences) >= r.MaxReplications {
 			break
 		}
 	}
@@ -140,11 +142,11 @@
 }
 
 // simulatePairs simulates the next batch of replications with both subjects; first is the number of earlier ones.
-func simulatePairs(subjects *[2]Subject, first int, r StoppingRule) ([][2]*Summary, error) {
-	pairs := make([][2]*Summary, min(r.BatchSize, r.MaxReplications-first))
+func simulatePairs(subjects *[2]Subject, firstIndex int, r StoppingRule) ([][2]*Summary, error) {
+	pairs := make([][2]*Summary, min(r.BatchSize, r.MaxReplications-firstIndex))
 	err := replication.Run(2*len(pairs), r.Parallel, func(i int) error {
 		subject := &subjects[i%2]
-		seed := uint64(first + i/2 + 1)
+		seed := uint64(firstIndex + i/2 + 1)
 		summary, err := subject.simulate(subject.Scenario.Replication(int(seed)), seed)
 		pairs[i/2][i%2] = summary
 		return err
@@ -154,12 +156,12 @@
 
 // add adds a replication of the k-th subject to the sums in c, and its requests to *requests.
 func (c *Comparison) add(k int, s *Summary, requests *float64) {
-	c.Means[k] += s.Service
-	c.Worst[k] += s.Worst
+	c.MeanServices[k] += s.Service
+	c.WorstServices[k] += s.WorstService
 	*requests += float64(s.Requests)
-	c.Rejected[k] += float64(s.Rejected)
-	c.Attempts[k] += float64(s.Attempts)
-	c.TransferredTokens[k] += s.TransferredTokens
+	c.RejectedFractions[k] += float64(s.Rejected)
+	c.AttemptsPerRequest[k] += float64(s.Attempts)
+	c.TransferredTokensPerRequest[k] += s.TransferredTokens
 	c.Violations[k] += s.Violations
 	for i, second := range s.Timeline {
 		if i == len(c.Timelines[k]) {
@@ -172,21 +174,21 @@
 
 // normalize turns the sums into means over replications or, with the numbers of requests by subject, over requests.
 func (c *Comparison) normalize(requests [2]float64) {
-	n := float64(len(c.Diffs))
-	for k := range c.Means {
-		c.Means[k] /= n
-		c.Worst[k] /= n
-		c.Rejected[k] /= requests[k]
-		c.Attempts[k] /= requests[k]
-		c.TransferredTokens[k] /= requests[k]
+	n := float64(len(c.Differences))
+	for k := range c.MeanServices {
+		c.MeanServices[k] /= n
+		c.WorstServices[k] /= n
+		c.RejectedFractions[k] /= requests[k]
+		c.AttemptsPerRequest[k] /= requests[k]
+		c.TransferredTokensPerRequest[k] /= requests[k]
 	}
 }
 
 // decide sets the mean difference with its confidence interval, and the verdict.
 func (c *Comparison) decide(level, minDifference float64) {
-	c.Mean = stat.Mean(c.Diffs, nil)
-	c.Low, c.High = Bootstrap(c.Diffs, level, bootstrapResamples)
-	c.Bimodal = isBimodal(c.Diffs)
+	c.MeanDifference = stat.Mean(c.Differences, nil)
+	c.Low, c.High = Bootstrap(c.Differences, level, bootstrapResamples)
+	c.Bimodal = isBimodal(c.Differences)
 	switch {
 	case c.Low > minDifference:
 		c.Verdict = SecondBetter
--- a/internal/simulation/forecast/forecast.go
+++ b/internal/simulation/forecast/forecast.go
@@ -34,38 +34,38 @@
 
 // Forecast is the predicted service of a scenario.
 type Forecast struct {
-	Scenario   string    `json:"day"`
-	Services   []float64 `json:"services"` // of the simulated replications
-	Mean       float64   `json:"mean"`
-	SD         float64   `json:"sd"`
-	Low        float64   `json:"low"` // one real run lies between Low and High with probability Level
-	High       float64   `json:"high"`
-	Level      float64   `json:"level"`
-	Worst      float64   `json:"worst_10s"` // service in the worst 10 seconds, mean over replications
-	Violations int       `json:"breaches"`  // of rules, over all replications
+	Scenario     string    `json:"day"`
+	Services     []float64 `json:"services"` // of the simulated replications
+	MeanService  float64   `json:"mean"`
+	SD           float64   `json:"sd"`
+	Low          float64   `json:"low"` // one real run lies between Low and High with probability Level
+	High         float64   `json:"high"`
+	Level        float64   `json:"level"`
+	WorstService float64   `json:"worst_10s"` // service in the worst 10 seconds, mean over replications
+	Violations   int       `json:"breaches"`  // of rules, over all replications
 }
 
-// Holds reports whether the service of a real run lies within the prediction interval.
-func (f *Forecast) Holds(service float64) bool { return service >= f.Low && service <= f.High }
+// Contains reports whether the service of a real run lies within the prediction interval.
+func (f *Forecast) Contains(service float64) bool { return service >= f.Low && service <= f.High }
 
-// minRuns is the least number of replications for an interval.
-const minRuns = 3
+// minReplications is the least number of replications for an interval.
+const minReplications = 3
 
-// ErrTooFewRuns is returned for a forecast with too few replications for a prediction interval.
-var ErrTooFewRuns = errors.New("forecast: a prediction interval needs at least 3 runs")
+// ErrTooFewReplications is returned for a forecast with too few replications for a prediction interval.
+var ErrTooFewReplications = errors.New("forecast: a prediction interval needs at least 3 runs")
 
 // worstSeconds is the length of the window over which the worst service is measured.
 const worstSeconds = 10
 
 // Predict simulates replications of a scenario, at most parallel of them at once, and forecasts its service. All have
 // the same clients; they differ in the random draws that fleet.Options.Seed determines.
-func Predict(name string, s *scenario.Scenario, runs, parallel int, level float64, m Model) (*Forecast, error) {
-	if runs < minRuns {
-		return nil, ErrTooFewRuns
+func Predict(name string, s *scenario.Scenario, replications, parallel int, level float64, m Model) (*Forecast, error) {
+	if replications < minReplications {
+		return nil, ErrTooFewReplications
 	}
-	f := &Forecast{Scenario: name, Level: level, Services: make([]float64, runs)}
-	worst, violations := make([]float64, runs), make([]int, runs)
-	err := replication.Run(runs, parallel, func(i int) error {
+	f := &Forecast{Scenario: name, Level: level, Services: make([]float64, replications)}
+	worst, violations := make([]float64, replications), make([]int, replications)
+	err := replication.Run(replications, parallel, func(i int) error {
 		result, err := fleet.Run(s, fleet.Options{Seed: uint64(i) + 1, Audit: true})
 		if err != nil {
 			return err
@@ -77,8 +77,8 @@
 	if err != nil {
 		return nil, err
 	}
-	f.Mean, f.SD = stat.MeanStdDev(f.Services, nil)
-	f.Worst = stat.Mean(worst, nil)
+	f.MeanService, f.SD = stat.MeanStdDev(f.Services, nil)
+	f.WorstService = stat.Mean(worst, nil)
 	for _, n := range violations {
 		f.Violations += n
 	}
@@ -98,10 +98,10 @@
 // central quantiles of the replications themselves.
 func (f *Forecast) setInterval(m Model) {
 	n := float64(len(f.Services))
-	deviation := m.deviation(f.Mean)
+	deviation := m.deviation(f.MeanService)
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.5 + f.Level/2)
 	halfWidth := t * math.Sqrt(f.SD*f.SD*(1+1/n)+deviation*deviation)
-	f.Low, f.High = f.Mean-halfWidth, f.Mean+halfWidth
+	f.Low, f.High = f.MeanService-halfWidth, f.MeanService+halfWidth
 	sorted := slices.Sorted(slices.Values(f.Services))
 	quantile := func(p float64) float64 { return stat.Quantile(p, stat.Empirical, sorted, nil) }
 	f.Low = min(f.Low, quantile(0.5-f.Level/2)-t*deviation)
@@ -124,8 +124,8 @@
 	m := Model{Floor: minFloor}
 	sum, n := 0.0, 0.0
 	for _, p := range pairs {
-		loss := max(1-p.Forecast.Mean, minFloor)
-		deviation := p.Real - p.Forecast.Mean
+		loss := max(1-p.Forecast.MeanService, minFloor)
+		deviation := p.Real - p.Forecast.MeanService
 		sum += max(deviation*deviation-p.Forecast.SD*p.Forecast.SD-m.Floor*m.Floor, 0) / (loss * loss)
 		n++
 	}
--- a/internal/simulation/forecast/forecast_test.go
+++ b/internal/simulation/forecast/forecast_test.go
@@ -43,7 +43,7 @@
 // Between a fleet and itself with other seeds, Compare finds a difference no more often than its level allows.
 func TestCompareFleetWithItself(t *testing.T) {
 	sc := smallScenario(t, "60/s")
-	found, undecided := 0, 0
+	foundDifferences, undecided := 0, 0
 	const trials = 40
 	for trial := range trials {
 		a, b := newSubject("a", sc, ""), newSubject("a again", sc, "")
@@ -57,21 +57,21 @@
 		}
 		switch c.Verdict {
 		case FirstBetter, SecondBetter:
-			found++
+			foundDifferences++
 		case NoDifference:
 		case Undecided:
 			undecided++
 		}
 	}
-	if found > 6 { // of 40 at 5%: more than 6 has a chance of 0.4%
-		t.Errorf("a difference between a fleet and itself in %d of %d trials", found, trials)
+	if foundDifferences > 6 { // of 40 at 5%: more than 6 has a chance of 0.4%
+		t.Errorf("a difference between a fleet and itself in %d of %d trials", foundDifferences, trials)
 	}
-	if found+undecided == 0 {
+	if foundDifferences+undecided == 0 {
 		t.Error("no difference in every trial, with MinDifference 0: the interval is too narrow")
 	}
 	rule := StoppingRule{Level: 0.95, MinDifference: 0.001, BatchSize: 4, MaxReplications: 12, Parallel: 4}
 	same, err := Compare(newSubject("a", sc, ""), newSubject("a", sc, ""), rule)
-	if err != nil || same.Verdict != NoDifference || same.Mean != 0 || same.Looks != 1 {
+	if err != nil || same.Verdict != NoDifference || same.MeanDifference != 0 || same.InterimAnalyses != 1 {
 		t.Errorf("with the same seeds: %+v %v", same, err)
 	}
 }
@@ -82,7 +82,7 @@
 	router := newSubject("routing", smallScenario(t, "110/s"), "")
 	rule := StoppingRule{Level: 0.95, MinDifference: 0.005, BatchSize: 6, MaxReplications: 36, Parallel: 4}
 	c, err := Compare(random, router, rule)
-	if err != nil || c.Verdict != SecondBetter || c.Low <= 0.005 || len(c.Diffs) >= 36 {
+	if err != nil || c.Verdict != SecondBetter || c.Low <= 0.005 || len(c.Differences) >= 36 {
 		t.Errorf("%+v %v", c, err)
 	}
 }
@@ -129,10 +129,10 @@
 		f.Services = append(f.Services, 0.95-0.4*float64(i%2)+0.001*float64(i))
 	}
 	for _, v := range f.Services {
-		f.Mean += v / 20
+		f.MeanService += v / 20
 	}
 	f.setInterval(Model{Floor: minFloor})
-	if !f.Holds(0.95) || !f.Holds(0.55) || f.High > 1 || f.Low < 0 {
+	if !f.Contains(0.95) || !f.Contains(0.55) || f.High > 1 || f.Low < 0 {
 		t.Errorf("%+v", f)
 	}
 	if !isBimodal(f.Services) {
@@ -146,23 +146,23 @@
 // Where real runs differ from forecasts by a tenth of the loss, the fitted model has a LossFraction of 0.1; where all
 // forecasts are exact, it has 0.
 func TestFitEstimatesLossFraction(t *testing.T) {
-	var inexact, exact []Pair
+	var inexactPairs, exactPairs []Pair
 	for i, mean := range []float64{0.8, 0.9, 0.95, 0.7} {
-		f := &Forecast{Mean: mean, SD: 0.001}
-		inexact = append(inexact, Pair{f, mean + float64(1-2*(i%2))*0.1*(1-mean)})
-		exact = append(exact, Pair{f, mean})
+		f := &Forecast{MeanService: mean, SD: 0.001}
+		inexactPairs = append(inexactPairs, Pair{f, mean + float64(1-2*(i%2))*0.1*(1-mean)})
+		exactPairs = append(exactPairs, Pair{f, mean})
 	}
-	if m := Fit(inexact); math.Abs(m.LossFraction-0.1) > 0.01 {
+	if m := Fit(inexactPairs); math.Abs(m.LossFraction-0.1) > 0.01 {
 		t.Errorf("%+v", m)
 	}
-	if m := Fit(exact); m.LossFraction != 0 || m.Floor != minFloor {
+	if m := Fit(exactPairs); m.LossFraction != 0 || m.Floor != minFloor {
 		t.Errorf("%+v", m)
 	}
-	f, err := Predict("x", smallScenario(t, "60/s"), 8, 4, 0.95, Fit(inexact))
-	if err != nil || f.Low >= f.Mean || f.High <= f.Mean || f.Violations > 0 {
+	f, err := Predict("x", smallScenario(t, "60/s"), 8, 4, 0.95, Fit(inexactPairs))
+	if err != nil || f.Low >= f.MeanService || f.High <= f.MeanService || f.Violations > 0 {
 		t.Errorf("%+v %v", f, err)
 	}
-	if _, err := Predict("x", smallScenario(t, "60/s"), 2, 1, 0.95, Model{}); !errors.Is(err, ErrTooFewRuns) {
+	if _, err := Predict("x", smallScenario(t, "60/s"), 2, 1, 0.95, Model{}); !errors.Is(err, ErrTooFewReplications) {
 		t.Errorf("two runs: %v", err)
 	}
 }
--- a/internal/simulation/forecast/report.go
+++ b/internal/simulation/forecast/report.go
@@ -21,11 +21,11 @@
 		return row{what, fmt.Sprintf(format, v[0]), fmt.Sprintf(format, v[1])}
 	}
 	return []row{
-		formatRow("service", "%.4f", c.Means),
-		formatRow("worst 10 s", "%.4f", c.Worst),
-		formatRow("part refused", "%.4f", c.Rejected),
-		formatRow("attempts a request", "%.2f", c.Attempts),
-		formatRow("state tokens moved a request", "%.0f", c.TransferredTokens),
+		formatRow("service", "%.4f", c.MeanServices),
+		formatRow("worst 10 s", "%.4f", c.WorstServices),
+		formatRow("part refused", "%.4f", c.RejectedFractions),
+		formatRow("attempts a request", "%.2f", c.AttemptsPerRequest),
+		formatRow("state tokens moved a request", "%.0f", c.TransferredTokensPerRequest),
 		{"rules broken", fmt.Sprint(c.Violations[0]), fmt.Sprint(c.Violations[1])},
 	}
 }
@@ -34,7 +34,7 @@
 func (c *Comparison) conclusion() string {
 	text := fmt.Sprintf(
 		"%s: service differs by %+.4f, %.0f%% confidence interval %+.4f to %+.4f, %d replications, %d interim analyses",
-		c.Verdict, c.Mean, 100*c.Level, c.Low, c.High, len(c.Diffs), c.Looks)
+		c.Verdict, c.MeanDifference, 100*c.Level, c.Low, c.High, len(c.Differences), c.InterimAnalyses)
 	if c.Bimodal {
 		text += "; the differences form two clusters, so the mean says little: see the plot of all differences"
 	}
@@ -58,7 +58,7 @@
 }
 
 //nolint:lll // the page's lines as they are served
-var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font:16px sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}td,th{padding:.3em 1em;border-bottom:1px solid #ccc;text-align:left}svg{max-width:100%;height:auto}</style>
 <h1>{{.Title}}</h1><p>{{.Answer}}</p>
@@ -82,7 +82,7 @@
 		return err
 	}
 	var b bytes.Buffer
-	err = page.Execute(&b, map[string]any{
+	err = pageTemplate.Execute(&b, map[string]any{
 		"Title": c.Names[0] + " and " + c.Names[1], "Answer": c.conclusion(), "Names": c.Names, "Rows": c.rows(),
 		// Both plots are SVG elements, in which package chart has escaped all texts.
 		"Plots": []template.HTML{template.HTML(services), template.HTML(differences)},
@@ -104,7 +104,7 @@
 }
 
 func (c *Comparison) plotDifferences() ([]byte, error) {
-	sorted := slices.Sorted(slices.Values(c.Diffs))
+	sorted := slices.Sorted(slices.Values(c.Differences))
 	x := chart.Indices(len(sorted))
 	return chart.SVG("difference of service by course, smallest first", "course", "second less first",
 		chart.Line{Name: "courses", X: x, Y: sorted},
--- a/internal/simulation/overload/measure.go
+++ b/internal/simulation/overload/measure.go
@@ -11,8 +11,8 @@
 
 // measurement is the outcome of one replication.
 type measurement struct {
-	goodputBefore, goodput, worstGoodput, recovery, clientAttempts, engineAttempts float64
-	notRecovered                                                                   bool
+	goodputBefore, goodput, worstGoodput, recoverySeconds, clientAttempts, engineAttempts float64
+	notRecovered                                                                          bool
 }
 
 const (
@@ -42,33 +42,33 @@
 func measure(r *fleet.Result, from, to time.Duration) measurement {
 	var m measurement
 	seconds := timeline(r.Score.Timeline)
-	begin, end := int(from/time.Second), int(to/time.Second)
-	served, requested := seconds.sum(1, begin)
-	m.goodputBefore = served / float64(begin-1)
+	startSecond, endSecond := int(from/time.Second), int(to/time.Second)
+	served, requested := seconds.sum(1, startSecond)
+	m.goodputBefore = served / float64(startSecond-1)
 	targetService := recoveredFraction * served / max(requested, 1e-9)
-	settled := begin + (end-begin)/settleDivisor
-	served, _ = seconds.sum(settled, end)
-	m.goodput = served / float64(end-settled)
+	settledSecond := startSecond + (endSecond-startSecond)/settleDivisor
+	served, _ = seconds.sum(settledSecond, endSecond)
+	m.goodput = served / float64(endSecond-settledSecond)
 	m.worstGoodput = m.goodput
-	for i := begin; i+worstSeconds <= end; i++ {
+	for i := startSecond; i+worstSeconds <= endSecond; i++ {
 		served, _ = seconds.sum(i, i+worstSeconds)
 		m.worstGoodput = min(m.worstGoodput, served/worstSeconds)
 	}
-	m.recovery, m.notRecovered = seconds.recovery(end, targetService)
+	m.recoverySeconds, m.notRecovered = seconds.recovery(endSecond, targetService)
 	m.clientAttempts, m.engineAttempts = attemptRatios(r)
 	return m
 }
 
 // recovery returns the seconds from the end of an overload to the first window of recoveredSeconds in which the service
 // is at least targetService. If there is none, it returns the seconds that were evaluated.
-func (t timeline) recovery(end int, targetService float64) (seconds float64, never bool) {
-	last := len(t) - recoveredSeconds
-	for i := end; i < last; i++ {
+func (t timeline) recovery(endSecond int, targetService float64) (seconds float64, notRecovered bool) {
+	lastSecond := len(t) - recoveredSeconds
+	for i := endSecond; i < lastSecond; i++ {
 		if served, requested := t.sum(i, i+recoveredSeconds); served >= targetService*requested {
-			return float64(i - end), false
+			return float64(i - endSecond), false
 		}
 	}
-	return float64(max(last-end, 0)), true
+	return float64(max(lastSecond-endSecond, 0)), true
 }
 
 // attemptRatios returns the clients' attempts per request, and the attempts at engines per served request.
@@ -78,8 +78,8 @@
 	for _, c := range classes {
 		requests, attempts, served = requests+c.Requests, attempts+c.Attempts, served+c.Served
 	}
-	sent := r.Attempts["read"] + r.Attempts["write"]
-	return float64(attempts) / float64(max(requests, 1)), float64(sent) / float64(max(served, 1))
+	engineAttemptCount := r.Attempts["read"] + r.Attempts["write"]
+	return float64(attempts) / float64(max(requests, 1)), float64(engineAttemptCount) / float64(max(served, 1))
 }
 
 // summarize returns the means over the replications at one load.
@@ -92,10 +92,10 @@
 		return stat.Mean(values, nil)
 	}
 	p := Point{
-		Before:          mean(func(m *measurement) float64 { return m.goodputBefore }),
+		GoodputBefore:   mean(func(m *measurement) float64 { return m.goodputBefore }),
 		Goodput:         mean(func(m *measurement) float64 { return m.goodput }),
-		Worst:           mean(func(m *measurement) float64 { return m.worstGoodput }),
-		RecoverySeconds: mean(func(m *measurement) float64 { return m.recovery }),
+		WorstGoodput:    mean(func(m *measurement) float64 { return m.worstGoodput }),
+		RecoverySeconds: mean(func(m *measurement) float64 { return m.recoverySeconds }),
 		ClientAttempts:  mean(func(m *measurement) float64 { return m.clientAttempts }),
 		EngineAttempts:  mean(func(m *measurement) float64 { return m.engineAttempts }),
 	}
--- a/internal/simulation/overload/overload.go
+++ b/internal/simulation/overload/overload.go
@@ -42,10 +42,10 @@
 // Plan describes an overload experiment.
 type Plan struct {
 	Scenario      *scenario.Scenario
-	Base          float64                         // load before and after, as a multiple of the scenario's rate; 0 = 1
+	BaseLoad      float64                         // load before and after, as a multiple of the scenario's rate; 0 = 1
 	Loads         []float64                       // loads during the overload, as multiples of the scenario's rate
 	Before        time.Duration                   // time at the base load before the overload
-	For           time.Duration                   // how long the overload lasts
+	Duration      time.Duration                   // how long the overload lasts
 	After         time.Duration                   // time at the base load after the overload
 	Runs          int                             // replications at each load
 	Parallel      int                             // simulations at once
@@ -55,11 +55,11 @@
 
 // Point is the outcome at one load, with one feedback loop disabled. Figures are means over replications.
 type Point struct {
-	Loop            string  `json:"loop"`
+	DisabledLoop    string  `json:"loop"`
 	Load            float64 `json:"load"`              // during the overload, as a multiple of the scenario's rate
-	Before          float64 `json:"goodput_before"`    // priority weight served per second
+	GoodputBefore   float64 `json:"goodput_before"`    // priority weight served per second
 	Goodput         float64 `json:"goodput"`           // during the overload, without its first fifth
-	Worst           float64 `json:"goodput_worst_2s"`  // during the overload, in the worst window of worstSeconds
+	WorstGoodput    float64 `json:"goodput_worst_2s"`  // during the overload, in the worst window of worstSeconds
 	RecoverySeconds float64 `json:"back_s"`            // from the end of the overload; see recoveredSeconds
 	NotRecovered    int     `json:"never_back"`        // replications in which service never recovered
 	ClientAttempts  float64 `json:"tries_a_request"`   // attempts by clients per request, over the scenario
@@ -69,9 +69,9 @@
 // The least durations of a plan. The goodput before an overload is measured without the first second, and recovery over
 // windows of recoveredSeconds.
 const (
-	minBefore = 3 * time.Second
-	minFor    = 2 * time.Second
-	minAfter  = 5 * time.Second
+	minBefore   = 3 * time.Second
+	minDuration = 2 * time.Second
+	minAfter    = 5 * time.Second
 )
 
 // ErrPlan is returned for an incomplete plan or one with too short durations.
@@ -79,7 +79,7 @@
 	"overload: a plan needs at least one load, one run, and 3 s before, 2 s during and 5 s after the overload")
 
 func (p *Plan) check() error {
-	if len(p.Loads) == 0 || p.Runs < 1 || p.Before < minBefore || p.For < minFor || p.After < minAfter {
+	if len(p.Loads) == 0 || p.Runs < 1 || p.Before < minBefore || p.Duration < minDuration || p.After < minAfter {
 		return ErrPlan
 	}
 	return nil
@@ -87,8 +87,8 @@
 
 // Run simulates each load with each feedback loop disabled. All combinations use the same replications.
 func Run(plan Plan) ([]Point, error) {
-	if plan.Base == 0 {
-		plan.Base = 1
+	if plan.BaseLoad == 0 {
+		plan.BaseLoad = 1
 	}
 	if plan.FeedbackLoops == nil {
 		plan.FeedbackLoops = FeedbackLoops[:1]
@@ -111,7 +111,7 @@
 	points := make([]Point, len(runs))
 	for i := range points {
 		points[i] = summarize(runs[i])
-		points[i].Loop, points[i].Load = plan.FeedbackLoops[i/len(plan.Loads)].Name, plan.Loads[i%len(plan.Loads)]
+		points[i].DisabledLoop, points[i].Load = plan.FeedbackLoops[i/len(plan.Loads)].Name, plan.Loads[i%len(plan.Loads)]
 	}
 	return points, nil
 }
@@ -119,11 +119,11 @@
 // simulate runs one replication at one load with one feedback loop disabled.
 func (p *Plan) simulate(loop FeedbackLoop, load float64, run int) (measurement, error) {
 	sc := p.Scenario.Replication(run + 1)
-	sc.Length = p.Before + p.For + p.After
-	from, to := p.Before, p.Before+p.For
-	surge := scenario.Fault{At: from, For: p.For, What: "surge", Factor: load / p.Base}
-	sc.Faults = append(slices.Clone(sc.Faults), surge)
-	sc.Rate *= config.Rate(p.Base)
+	sc.Length = p.Before + p.Duration + p.After
+	from, to := p.Before, p.Before+p.Duration
+	overloadFault := scenario.Fault{At: from, For: p.Duration, What: "surge", Factor: load / p.BaseLoad}
+	sc.Faults = append(slices.Clone(sc.Faults), overloadFault)
+	sc.Rate *= config.Rate(p.BaseLoad)
 	options := fleet.Options{}
 	if p.Options != nil {
 		options = p.Options(uint64(run) + 1)
--- a/internal/simulation/overload/overload_test.go
+++ b/internal/simulation/overload/overload_test.go
@@ -32,7 +32,7 @@
 
 func testPlan(sc *scenario.Scenario, loads ...float64) Plan {
 	return Plan{
-		Scenario: sc, Loads: loads, Before: 5 * time.Second, For: 8 * time.Second, After: 10 * time.Second,
+		Scenario: sc, Loads: loads, Before: 5 * time.Second, Duration: 8 * time.Second, After: 10 * time.Second,
 		Runs: 2, Parallel: 2,
 	}
 }
@@ -71,9 +71,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	asIs, withoutRetries := points[0], points[1]
-	if withoutRetries.ClientAttempts != 1 || asIs.ClientAttempts < 1.2 || withoutRetries.Goodput < 0.9*asIs.Goodput {
-		t.Errorf("with client retries %+v, without %+v", asIs, withoutRetries)
+	withRetries, withoutRetries := points[0], points[1]
+	if withoutRetries.ClientAttempts != 1 || withRetries.ClientAttempts < 1.2 ||
+		withoutRetries.Goodput < 0.9*withRetries.Goodput {
+		t.Errorf("with client retries %+v, without %+v", withRetries, withoutRetries)
 	}
 	var b strings.Builder
 	if err := Write(&b, points); err != nil || strings.Count(b.String(), "\n") != 3 {
@@ -100,7 +101,7 @@
 		t.Errorf("plan without a load: %v", err)
 	}
 	p = testPlan(testScenario(t, ""), 1)
-	p.For = time.Second
+	p.Duration = time.Second
 	if _, err := Run(p); !errors.Is(err, ErrPlan) {
 		t.Errorf("plan with an overload of one second: %v", err)
 	}
--- a/internal/simulation/overload/table.go
+++ b/internal/simulation/overload/table.go
@@ -14,8 +14,9 @@
 		return err
 	}
 	for _, p := range points {
-		_, err := fmt.Fprintf(table, "%s\t%g\t%.0f\t%.0f\t%.0f\t%.1f s\t%d\t%.2f\t%.1f\n", p.Loop, p.Load, p.Before,
-			p.Goodput, p.Worst, p.RecoverySeconds, p.NotRecovered, p.ClientAttempts, p.EngineAttempts)
+		_, err := fmt.Fprintf(table, "%s\t%g\t%.0f\t%.0f\t%.0f\t%.1f s\t%d\t%.2f\t%.1f\n",
+			p.DisabledLoop, p.Load, p.GoodputBefore, p.Goodput, p.WorstGoodput, p.RecoverySeconds, p.NotRecovered,
+			p.ClientAttempts, p.EngineAttempts)
 		if err != nil {
 			return err
 		}
