--- a/internal/fake/apiserver/apiserver_test.go
+++ b/internal/fake/apiserver/apiserver_test.go
@@ -117,11 +117,11 @@
 		cancel()
 		<-done
 	}()
-	want := audit.NotifiedReady
+	wantEvent := audit.NotifiedReady
 	if draining {
-		want = audit.NotifiedGone
+		wantEvent = audit.NotifiedGone
 	}
-	for deadline := time.Now().Add(eventuallyTimeout); countEvents(record, want) == 0; {
+	for deadline := time.Now().Add(eventuallyTimeout); countEvents(record, wantEvent) == 0; {
 		if time.Now().After(deadline) {
 			t.Fatal("the notification was never recorded")
 		}
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestSummarizeBatch(t *testing.T) {
+func TestSummarizeBatchSeparatesUsableAndUnusable(t *testing.T) {
 	ready := event{kind: eventModified, entry: Entry{Name: "e", Ready: true}}
 	notReady := event{kind: eventModified, entry: Entry{Name: "e"}}
 	removed := event{kind: eventDeleted, entry: Entry{Name: "e", Ready: true}}
--- a/internal/fake/client/answer.go
+++ b/internal/fake/client/answer.go
@@ -26,10 +26,10 @@
 
 // responseReader reads the response to an attempt.
 type responseReader struct {
-	attempt *Attempt
-	conn    net.Conn
-	reader  *bufio.Reader // of conn
-	started time.Time
+	attempt   *Attempt
+	conn      net.Conn
+	reader    *bufio.Reader // of conn
+	startedAt time.Time
 }
 
 // read reads the whole response.
@@ -76,7 +76,7 @@
 	if !json.Valid(text) {
 		return Result{Outcome: Invalid}
 	}
-	return Result{Outcome: Served, FirstToken: time.Since(r.started), Tokens: bytes.Count(text, []byte("w"))}
+	return Result{Outcome: Served, FirstToken: time.Since(r.startedAt), Tokens: bytes.Count(text, []byte("w"))}
 }
 
 // readStream reads the events of a stream to its end. The stream has no deadline, except for streamIdleTimeout or the
@@ -120,7 +120,7 @@
 		result.Outcome = Served
 	default:
 		if result.FirstToken == 0 {
-			result.FirstToken = time.Since(r.started)
+			result.FirstToken = time.Since(r.startedAt)
 		}
 		result.Tokens++
 		if r.attempt.OnToken != nil {
--- a/internal/fake/client/send.go
+++ b/internal/fake/client/send.go
@@ -19,21 +19,21 @@
 
 // Send sends the attempt to a replica, reads the response and records both. record may be nil.
 func Send(attempt *Attempt, replica, addr string, record *audit.Record) Result {
-	started := time.Now()
-	notSent := func() Result {
+	startedAt := time.Now()
+	notSentResult := func() Result {
 		record.Add(audit.Event{Kind: audit.Unsent, Attempt: attempt.ID, Replica: replica})
-		return Result{Outcome: NotSent, Elapsed: time.Since(started)}
+		return Result{Outcome: NotSent, Elapsed: time.Since(startedAt)}
 	}
 	conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
-		return notSent()
+		return notSentResult()
 	}
 	defer func() { _ = conn.Close() }() // the response has been read by then
 	request := attempt.encode(addr)
 	deadline := record.Now() + attempt.Timeout
 	readUntil := time.Now().Add(attempt.Timeout)
 	if _, err := conn.Write(request); err != nil {
-		return notSent()
+		return notSentResult()
 	}
 	record.Add(audit.Event{
 		Kind: audit.Sent, Attempt: attempt.ID, Intent: attempt.Intent, Class: attempt.Class, Replica: replica,
@@ -44,10 +44,10 @@
 	}
 	setReadDeadline(conn, readUntil)
 	reader := &responseReader{
-		attempt: attempt, conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), started: started,
+		attempt: attempt, conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), startedAt: startedAt,
 	}
 	result := reader.read()
-	result.Elapsed = time.Since(started)
+	result.Elapsed = time.Since(startedAt)
 	reader.recordOutcome(record, result)
 	return result
 }
--- a/internal/fake/engine/completion.go
+++ b/internal/fake/engine/completion.go
@@ -20,8 +20,8 @@
 	job     *enginemodel.Job
 	request *completionRequest
 	faults  Faults // those in force at its arrival
-	w       http.ResponseWriter
-	r       *http.Request
+	writer  http.ResponseWriter
+	httpReq *http.Request
 	created int64
 	wake    chan struct{} // has a buffer of one, so that a callback never blocks
 
@@ -43,8 +43,8 @@
 		job:     job,
 		request: request,
 		faults:  faults,
-		w:       w,
-		r:       r,
+		writer:  w,
+		httpReq: r,
 		created: time.Now().Unix(),
 		wake:    make(chan struct{}, 1),
 	}
@@ -54,7 +54,7 @@
 func (c *completion) serve() {
 	switch {
 	case !c.submit():
-		c.server.reject(c.w, false)
+		c.server.reject(c.writer, false)
 	case c.job.PrefillOnly:
 		c.prefill()
 	default:
@@ -131,13 +131,13 @@
 // prefill waits until the prefill has ended and writes the response.
 func (c *completion) prefill() {
 	for {
-		if !c.awaitChange(c.r.Context()) {
+		if !c.awaitChange(c.httpReq.Context()) {
 			c.abandon()
 			return
 		}
 		current := c.currentProgress()
 		if current.lost {
-			resetRequest(c.w)
+			resetRequest(c.writer)
 			return
 		}
 		if current.done {
@@ -184,7 +184,7 @@
 			"remote_tokens":     c.job.PromptTokens,
 		},
 	}
-	_ = json.NewEncoder(c.w).Encode(response) // fails only if the connection has closed
+	_ = json.NewEncoder(c.writer).Encode(response) // fails only if the connection has closed
 }
 
 // hostPort returns the address on which the engine listens.
@@ -202,9 +202,9 @@
 
 // setHeader sets the header fields of a successful response.
 func (c *completion) setHeader(contentType string) {
-	header := c.w.Header()
+	header := c.writer.Header()
 	header.Set("Content-Type", contentType)
-	if report, ok := c.server.currentLoadReport(); ok && c.r.Header.Get("endpoint-load-metrics-format") == "TEXT" {
+	if report, ok := c.server.currentLoadReport(); ok && c.httpReq.Header.Get("endpoint-load-metrics-format") == "TEXT" {
 		header.Set("endpoint-load-metrics", report)
 	}
 }
@@ -237,7 +237,7 @@
 		Intent:  metadata["effect"],
 		Class:   audit.Class(metadata["kind"]),
 	}
-	if key := c.r.Header.Get("Idempotency-Key"); key != "" && !c.server.cfg.DedupScope.firstUse(key) {
+	if key := c.httpReq.Header.Get("Idempotency-Key"); key != "" && !c.server.cfg.DedupScope.firstUse(key) {
 		event.Kind = audit.Deduplicated
 	}
 	c.server.record(event)
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -73,8 +73,8 @@
 		peerClient: &http.Client{Timeout: stateFetchTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 		conns:      map[net.Conn]struct{}{},
 		states: readStates{
-			held:     map[string]bool{},
-			released: map[string]time.Time{},
+			heldIDs:    map[string]bool{},
+			releasedAt: map[string]time.Time{},
 		},
 		role: roleChange{state: cfg.InitialState},
 	}
@@ -161,7 +161,7 @@
 	if at, ok := s.model.Next(); ok {
 		s.timer.Reset(max(at-s.now(), 0))
 	}
-	for id := range s.states.held {
+	for id := range s.states.heldIDs {
 		if !s.model.HasReadState(id) {
 			s.recordReleased(id)
 		}
--- a/internal/fake/engine/forms_test.go
+++ b/internal/fake/engine/forms_test.go
@@ -7,9 +7,9 @@
 	"brackenbend/internal/golden"
 )
 
-// TestFaultsJSONForm checks the JSON form in which POST /standin/faults takes faults. The golden file pins the
-// JSON names, which stay when Go fields are renamed, and must not be updated.
-func TestFaultsJSONForm(t *testing.T) {
+// TestFaultsJSONFormIsUnchanged checks the JSON form in which POST /standin/faults takes faults. The golden file
+// pins the JSON names, which stay when Go fields are renamed, and must not be updated.
+func TestFaultsJSONFormIsUnchanged(t *testing.T) {
 	faults := []Faults{{
 		FailFast: 0.5, FailClass: "c", Stall: true, SlowFactor: 2, ResetMidStream: 0.25, ResetAfterRequest: 0.125,
 		ResetAfterEffect: 0.75, FailAfterEffect: 0.375, StallAfterEffect: 0.625, FrozenReports: true, NoReports: true,
--- a/internal/fake/engine/lifecycle.go
+++ b/internal/fake/engine/lifecycle.go
@@ -119,7 +119,7 @@
 		closeWithReset(conn)
 	}
 	s.model.Reset()
-	for id := range s.states.held {
+	for id := range s.states.heldIDs {
 		s.recordReleased(id)
 	}
 }
--- a/internal/fake/engine/readstate.go
+++ b/internal/fake/engine/readstate.go
@@ -13,30 +13,30 @@
 
 // readStates is what the server records about read states; the model holds the states themselves.
 type readStates struct {
-	held     map[string]bool      // recorded as held
-	released map[string]time.Time // by prefill, when its state was released; the prefill may still run or arrive later
+	heldIDs    map[string]bool      // recorded as held
+	releasedAt map[string]time.Time // by prefill, when its state was released; the prefill may still run or arrive later
 }
 
 // isReleased reports whether a release of the prefill's state has arrived.
 func (r *readStates) isReleased(id string) bool {
-	_, ok := r.released[id]
+	_, ok := r.releasedAt[id]
 	return ok
 }
 
 // markReleased records a release and removes those older than ttl.
 func (r *readStates) markReleased(id string, now time.Time, ttl time.Duration) {
-	for other, at := range r.released {
+	for releasedID, at := range r.releasedAt {
 		if now.Sub(at) > ttl {
-			delete(r.released, other)
+			delete(r.releasedAt, releasedID)
 		}
 	}
-	r.released[id] = now
+	r.releasedAt[id] = now
 }
 
 // recordHeld records that the model holds the read state of a finished prefill. A state whose release arrived earlier
 // is dropped at once. s.mu is held, and the caller calls onModelChange, which records the dropped state as released.
 func (s *Server) recordHeld(id string) {
-	s.states.held[id] = true
+	s.states.heldIDs[id] = true
 	s.record(audit.Event{Kind: audit.StateHeld, Request: id})
 	if s.states.isReleased(id) {
 		s.model.DropReadState(id)
@@ -45,7 +45,7 @@
 
 // recordReleased records that the engine no longer holds a state. s.mu is held.
 func (s *Server) recordReleased(id string) {
-	delete(s.states.held, id)
+	delete(s.states.heldIDs, id)
 	s.record(audit.Event{Kind: audit.StateReleased, Request: id})
 }
 
--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -36,7 +36,7 @@
 
 // run streams the answer as the model generates it.
 func (d *decodeStream) run() {
-	ctx := d.r.Context()
+	ctx := d.httpReq.Context()
 	for {
 		if !d.awaitChange(ctx) {
 			d.abandon()
@@ -56,12 +56,12 @@
 func (d *decodeStream) advance(current progress) (ended bool) {
 	switch {
 	case current.lost:
-		resetRequest(d.w)
+		resetRequest(d.writer)
 		return true
 	case current.started && !d.stateFetched:
 		if !d.server.fetchState(d.request.KVTransfer) {
 			d.cancel()
-			d.server.reject(d.w, true)
+			d.server.reject(d.writer, true)
 			return true
 		}
 		d.stateFetched = true
@@ -84,7 +84,7 @@
 	if current.done {
 		d.writeEnd()
 	}
-	_ = http.NewResponseController(d.w).Flush() // fails only if the connection has closed
+	_ = http.NewResponseController(d.writer).Flush() // fails only if the connection has closed
 	return current.done
 }
 
@@ -93,11 +93,11 @@
 func (d *decodeStream) failAfterEffect() bool {
 	switch draw := rand.Float64(); {
 	case draw < d.faults.ResetAfterEffect:
-		resetRequest(d.w)
+		resetRequest(d.writer)
 	case draw < d.faults.FailAfterEffect:
-		http.Error(d.w, faultBody, http.StatusInternalServerError)
+		http.Error(d.writer, faultBody, http.StatusInternalServerError)
 	case draw < d.faults.StallAfterEffect:
-		<-d.r.Context().Done()
+		<-d.httpReq.Context().Done()
 	default:
 		return false
 	}
@@ -110,7 +110,7 @@
 func (d *decodeStream) writeTokens(target int) (reset bool) {
 	for ; d.tokensSent < target; d.tokensSent++ {
 		if d.resetAfterTokens == d.tokensSent {
-			resetRequest(d.w)
+			resetRequest(d.writer)
 			d.abandon()
 			return true
 		}
@@ -118,7 +118,7 @@
 	}
 	for d.server.currentHooks().endlessStreams {
 		d.writeToken()
-		if d.r.Context().Err() != nil {
+		if d.httpReq.Context().Err() != nil {
 			break
 		}
 	}
@@ -145,7 +145,7 @@
 			"total_tokens":      promptTokens + answerTokens,
 		}})
 	}
-	writeString(d.w, "data: [DONE]\n\n")
+	writeString(d.writer, "data: [DONE]\n\n")
 }
 
 // writeEvent writes one event with the given choices and the fields of extra.
@@ -166,7 +166,7 @@
 	if err != nil { // impossible: all values are plain
 		panic(err)
 	}
-	writeString(d.w, "data: "+string(encoded)+"\n\n")
+	writeString(d.writer, "data: "+string(encoded)+"\n\n")
 }
 
 // eventChoices returns the choices of one event. finishReason is nil before the end of the stream.
--- a/internal/fake/enginemodel/engine_test.go
+++ b/internal/fake/enginemodel/engine_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestSlowStartOverload(t *testing.T) {
+func TestTooMuchWorkInSlowStartCrashesEngine(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		interval time.Duration
--- a/internal/simulation/chart/chart_test.go
+++ b/internal/simulation/chart/chart_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestSplitAtGaps(t *testing.T) {
+func TestSplitAtGapsReturnsContiguousSegments(t *testing.T) {
 	nan := math.NaN()
 	got := splitAtGaps(Line{X: Indices(6), Y: []float64{1, 2, nan, 4, nan, nan}})
 	if len(got) != 2 || len(got[0]) != 2 || len(got[1]) != 1 || got[1][0].X != 3 {
--- a/internal/simulation/fleet/apiserver.go
+++ b/internal/simulation/fleet/apiserver.go
@@ -41,9 +41,9 @@
 
 // watch is the ordered stream of updates to one replica: a delayed update also delays the updates after it.
 type watch struct {
-	replicaDown bool          // the replica is stopped by a fault
-	lastSent    time.Duration // time at which the latest update is sent
-	lastArrival time.Duration // time at which the latest update arrives
+	replicaDown   bool          // the replica is stopped by a fault
+	lastSentAt    time.Duration // time at which the latest update is sent
+	lastArrivalAt time.Duration // time at which the latest update arrives
 }
 
 // Messages sent by the API server.
@@ -84,7 +84,7 @@
 	// listRequest is a replica's request for the full endpoint list.
 	listRequest struct{ replica int }
 	// scheduledTask is a function that the API server has scheduled for itself.
-	scheduledTask struct{ do func() }
+	scheduledTask struct{ run func() }
 )
 
 // faultStream is the random stream for faults. It is seeded by the scenario, so that a fault affects the same engines
@@ -124,12 +124,12 @@
 	}
 }
 
-func (s *apiServer) runTask(after time.Duration, do func()) { s.schedule(after, scheduledTask{do}) }
+func (s *apiServer) runTask(delay time.Duration, run func()) { s.schedule(delay, scheduledTask{run}) }
 
 func (s *apiServer) receive(message any) {
 	switch m := message.(type) {
 	case scheduledTask:
-		m.do()
+		m.run()
 	case engineStopped:
 		s.engines[m.engine].up = false
 		s.sendChange(m.engine)
@@ -201,16 +201,16 @@
 
 func (s *apiServer) sendUpdate(replica int, update listUpdate) {
 	r, w := s.fleet.replicas[replica], &s.watches[replica]
-	w.lastSent = max(w.lastSent, s.now()+s.updateDelay)
-	w.lastArrival = max(w.lastSent+s.fleet.linkDelay(s.linkRnd), w.lastArrival)
+	w.lastSentAt = max(w.lastSentAt, s.now()+s.updateDelay)
+	w.lastArrivalAt = max(w.lastSentAt+s.fleet.linkDelay(s.linkRnd), w.lastArrivalAt)
 	for _, entry := range update.endpoints {
 		// The audit counts a drain from the arrival of the update, and readiness from when the update is sent.
 		name := s.fleet.engines[entry.engine].name
 		if entry.state == routing.EndpointReady {
-			s.record(w.lastSent, audit.Event{Kind: audit.NotifiedReady, Replica: r.name, Engine: name})
+			s.record(w.lastSentAt, audit.Event{Kind: audit.NotifiedReady, Replica: r.name, Engine: name})
 		} else {
-			s.record(w.lastArrival, audit.Event{Kind: audit.NotifiedGone, Replica: r.name, Engine: name})
+			s.record(w.lastArrivalAt, audit.Event{Kind: audit.NotifiedGone, Replica: r.name, Engine: name})
 		}
 	}
-	s.send(r.id, w.lastArrival-s.now(), update)
+	s.send(r.id, w.lastArrivalAt-s.now(), update)
 }
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -102,8 +102,8 @@
 		job            string
 	}
 	stateFetched struct {
-		job string
-		ok  bool
+		job   string
+		found bool
 	}
 	modelWakeup struct{}
 )
@@ -262,7 +262,7 @@
 	j := e.jobs[m.job]
 	switch {
 	case j == nil || j.stateReady:
-	case !m.ok:
+	case !m.found:
 		e.model.Cancel(e.now(), &j.Job)
 		e.endJob(j, attemptResult{result: routing.Rejected, stateMissing: true})
 	default:
@@ -349,9 +349,9 @@
 // onRelease drops a read state. The ID is kept for the state TTL, so that a state is also dropped if its prefill ends
 // after the release arrived.
 func (e *engine) onRelease(id string) {
-	for other, at := range e.releasedAt {
+	for releasedID, at := range e.releasedAt {
 		if e.now()-at > e.params.StateTTL {
-			delete(e.releasedAt, other)
+			delete(e.releasedAt, releasedID)
 		}
 	}
 	e.releasedAt[id] = e.now()
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -111,7 +111,7 @@
 		f.settings = o.Settings
 	}
 	f.config = f.settings.RoutingConfig()
-	if err := o.Oracles.check(o.Shards); err != nil {
+	if err := o.Oracles.validate(o.Shards); err != nil {
 		return nil, err
 	}
 	o.Oracles.adaptConfig(&f.config)
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -140,7 +140,7 @@
 // The load shifts from long prompts to long answers, and engines change their roles. Every command must be completed by
 // the end, even if all replicas are killed, planners stop and engines are forced into a role. The roles must not depend
 // on the number of shards.
-func TestEnginesChangeRole(t *testing.T) {
+func TestRoleChangesAreCompleted(t *testing.T) {
 	for file, maxPrefill := range map[string]int{"roles-shift": 7, "roles-restart": 8, "roles-two": 1} {
 		t.Run(file, func(t *testing.T) {
 			sc, err := scenario.Load("../../../scenarios/" + file + ".xml")
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -36,7 +36,7 @@
 // ErrOracleShards is returned if oracles are enabled in a run with several shards.
 var ErrOracleShards = errors.New("fleet: oracles read the state of other actors; run the scenario with one shard")
 
-func (o Oracles) check(shards int) error {
+func (o Oracles) validate(shards int) error {
 	if o.enabled() && shards > 1 {
 		return ErrOracleShards
 	}
--- a/internal/simulation/fleet/planner.go
+++ b/internal/simulation/fleet/planner.go
@@ -38,13 +38,13 @@
 	}
 	assignmentsWritten struct {
 		assignments roles.Assignments
-		ok          bool
+		accepted    bool
 	}
 	// plannerMemory is the learned state that a planner saves, so that it survives a restart; ok = one was saved.
 	plannerMemory struct {
-		at     time.Duration
-		memory roles.Memory
-		ok     bool
+		savedAt time.Duration
+		memory  roles.Memory
+		saved   bool
 	}
 )
 
@@ -170,7 +170,7 @@
 			p.step()
 		}
 	case assignmentsWritten:
-		if p.process.up && m.ok {
+		if p.process.up && m.accepted {
 			p.sendCommands(m.assignments)
 		}
 	}
@@ -233,8 +233,8 @@
 		return
 	}
 	p.memoryRestored = true
-	if m := p.viewReply.memory; m.ok {
-		_ = p.planner.Restore(m.memory, p.now()-m.at, now) // an invalid memory is ignored, as by the real process
+	if m := p.viewReply.memory; m.saved {
+		_ = p.planner.Restore(m.memory, p.now()-m.savedAt, now) // an invalid memory is ignored, as by the real process
 	}
 }
 
--- a/internal/simulation/fleet/replica.go
+++ b/internal/simulation/fleet/replica.go
@@ -88,7 +88,7 @@
 	// processTask is a function that a process has scheduled.
 	processTask struct {
 		generation int
-		do         func()
+		run        func()
 	}
 )
 
@@ -148,7 +148,7 @@
 		r.onAnswerDue(m)
 	case processTask:
 		if m.generation == r.process.generation {
-			m.do()
+			m.run()
 		}
 	case processSignal:
 		r.onSignal(m.signal)
@@ -177,8 +177,8 @@
 }
 
 // runTask schedules a function, which is dropped if the process has ended by then.
-func (r *replica) runTask(after time.Duration, do func()) {
-	r.schedule(after, processTask{r.process.generation, do})
+func (r *replica) runTask(delay time.Duration, run func()) {
+	r.schedule(delay, processTask{r.process.generation, run})
 }
 
 func (r *replica) onSignal(signal string) {
--- a/internal/simulation/fleet/result.go
+++ b/internal/simulation/fleet/result.go
@@ -46,7 +46,7 @@
 		r.Roles = f.planners[0].roleSamples
 	}
 	for _, s := range f.scheduler.shards {
-		r.Events += s.events
+		r.Events += s.deliveredEvents
 	}
 	if f.options.Audit {
 		r.Rules = f.checkRules()
--- a/internal/simulation/fleet/scheduler.go
+++ b/internal/simulation/fleet/scheduler.go
@@ -28,10 +28,10 @@
 func (b *actorBase) now() time.Duration { return b.shard.now }
 
 // send delivers a message to another actor after a delay, which is raised to the lookahead if it is shorter.
-func (b *actorBase) send(to int32, after time.Duration, message any) {
+func (b *actorBase) send(to int32, delay time.Duration, message any) {
 	b.seq++
 	scheduler := b.shard.scheduler
-	at := b.shard.now + max(after, scheduler.lookahead)
+	at := b.shard.now + max(delay, scheduler.lookahead)
 	ev := event{at: at, to: to, from: b.id, seq: b.seq, message: message}
 	if target := scheduler.shardOf(to); target == b.shard {
 		target.push(ev)
@@ -41,9 +41,9 @@
 }
 
 // schedule delivers a message to the actor itself after a delay, which may be shorter than the lookahead.
-func (b *actorBase) schedule(after time.Duration, message any) {
+func (b *actorBase) schedule(delay time.Duration, message any) {
 	b.seq++
-	b.shard.push(event{at: b.shard.now + max(after, 0), to: b.id, from: b.id, seq: b.seq, message: message})
+	b.shard.push(event{at: b.shard.now + max(delay, 0), to: b.id, from: b.id, seq: b.seq, message: message})
 }
 
 type event struct {
@@ -67,12 +67,12 @@
 
 // shard is a subset of the actors with its own event queue. During a round, only one goroutine uses it.
 type shard struct {
-	scheduler *scheduler
-	index     int
-	now       time.Duration
-	queue     []event   // binary heap; container/heap would allocate for each event, because it stores interfaces
-	outbox    [][]event // events for other shards, indexed by shard; delivered after the round
-	events    int64     // number of events delivered
+	scheduler       *scheduler
+	index           int
+	now             time.Duration
+	queue           []event   // binary heap; container/heap would allocate for each event, because it stores interfaces
+	outbox          [][]event // events for other shards, indexed by shard; delivered after the round
+	deliveredEvents int64     // number of events delivered
 }
 
 func (s *shard) push(ev event) {
@@ -118,7 +118,7 @@
 	for len(s.queue) > 0 && s.queue[0].at < limit {
 		ev := s.pop()
 		s.now = ev.at
-		s.events++
+		s.deliveredEvents++
 		s.scheduler.actors[ev.to].receive(ev.message)
 	}
 }
--- a/internal/simulation/forecast/forecast_test.go
+++ b/internal/simulation/forecast/forecast_test.go
@@ -41,7 +41,7 @@
 }
 
 // Between a fleet and itself with other seeds, Compare finds a difference no more often than its level allows.
-func TestCompareFleetWithItself(t *testing.T) {
+func TestCompareFleetWithItselfRarelyFindsDifference(t *testing.T) {
 	sc := smallScenario(t, "60/s")
 	foundDifferences, undecided := 0, 0
 	const trials = 40
--- a/internal/simulation/overload/overload.go
+++ b/internal/simulation/overload/overload.go
@@ -78,7 +78,7 @@
 var ErrPlan = errors.New(
 	"overload: a plan needs at least one load, one run, and 3 s before, 2 s during and 5 s after the overload")
 
-func (p *Plan) check() error {
+func (p *Plan) validate() error {
 	if len(p.Loads) == 0 || p.Runs < 1 || p.Before < minBefore || p.Duration < minDuration || p.After < minAfter {
 		return ErrPlan
 	}
@@ -93,7 +93,7 @@
 	if plan.FeedbackLoops == nil {
 		plan.FeedbackLoops = FeedbackLoops[:1]
 	}
-	if err := plan.check(); err != nil {
+	if err := plan.validate(); err != nil {
 		return nil, err
 	}
 	runs := make([][]measurement, len(plan.FeedbackLoops)*len(plan.Loads)) // indexed by point and replication
