--- a/internal/simulation/forecast/compare.go
+++ b/internal/simulation/forecast/compare.go
@@ -94,14 +94,15 @@
 
 // StoppingRule determines when a comparison ends.
 type StoppingRule struct {
-	Level           float64 // of the confidence interval, over all looks together; such as 0.95
+	Level           float64 // of the confidence interval, over all interim analyses together; such as 0.95
 	MinDifference   float64 // a smaller difference counts as none
-	BatchSize       int     // replications before each look
+	BatchSize       int     // replications before each interim analysis
 	MaxReplications int     // in all
 	Parallel        int     // simulations at once
 }
 
-// maxInterimAnalyses returns the maximum number of looks, the interim analyses after each batch of replications.
+// maxInterimAnalyses returns the maximum number of interim analyses; there is one after each batch
+// of replications.
 func (r StoppingRule) maxInterimAnalyses() int {
 	return max((r.MaxReplications+r.BatchSize-1)/r.BatchSize, 1)
 }
@@ -112,7 +113,7 @@
 
 // Compare simulates batches of replications until the verdict is clear or the maximum number is reached. Each
 // replication has different clients, which are the same for both subjects. A test after each batch makes it more likely
-// to find a difference where there is none, so each look gets an equal share of the error probability (Bonferroni).
+// to find a difference where there is none, so each analysis gets an equal share of the error probability (Bonferroni).
 func Compare(a, b Subject, r StoppingRule) (*Comparison, error) {
 	if a.Scenario.Length != b.Scenario.Length || len(a.Scenario.Classes) != len(b.Scenario.Classes) {
 		return nil, ErrScenariosDiffer
