--- a/internal/fake/client/send.go
+++ b/internal/fake/client/send.go
@@ -19,21 +19,21 @@
 
 // Send sends the attempt to a replica, reads the response and records both. record may be nil.
 func Send(attempt *Attempt, replica, addr string, record *audit.Record) Result {
-	started := time.Now()
-	notSent := func() Result {
+	startedAt := time.Now()
+	notSentResult := func() Result {
 		record.Add(audit.Event{Kind: audit.Unsent, Attempt: attempt.ID, Replica: replica})
-		return Result{Kind: NotSent, Elapsed: time.Since(started)}
+		return Result{Outcome: NotSent, Elapsed: time.Since(startedAt)}
 	}
 	conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
-		return notSent()
+		return notSentResult()
 	}
 	defer func() { _ = conn.Close() }() // the response has been read by then
 	request := attempt.encode(addr)
 	deadline := record.Now() + attempt.Timeout
 	readUntil := time.Now().Add(attempt.Timeout)
 	if _, err := conn.Write(request); err != nil {
-		return notSent()
+		return notSentResult()
 	}
 	record.Add(audit.Event{
 		Kind: audit.Sent, Attempt: attempt.ID, Intent: attempt.Intent, Class: attempt.Class, Replica: replica,
@@ -43,26 +43,26 @@
 		readUntil = time.Now().Add(attempt.DisconnectAfter)
 	}
 	setReadDeadline(conn, readUntil)
-	answer := &answerReader{
-		attempt: attempt, conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), started: started,
+	reader := &responseReader{
+		attempt: attempt, conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), startedAt: startedAt,
 	}
-	result := answer.read()
-	result.Elapsed = time.Since(started)
-	answer.recordOutcome(record, result)
+	result := reader.read()
+	result.Elapsed = time.Since(startedAt)
+	reader.recordOutcome(record, result)
 	return result
 }
 
 // recordOutcome records the outcome of the attempt and, if a response ended it, whether more bytes follow.
-func (r *answerReader) recordOutcome(record *audit.Record, result Result) {
+func (r *responseReader) recordOutcome(record *audit.Record, result Result) {
 	id := r.attempt.ID
-	switch result.Kind {
+	switch result.Outcome {
 	case ConnectionLost:
 		record.Add(audit.Event{Kind: audit.ConnectionCut, Attempt: id})
 	case Disconnected:
 		record.Add(audit.Event{Kind: audit.ClientLeft, Attempt: id})
 	case TimedOut: // shown in the record by the missing answer
 	default:
-		record.Add(audit.Event{Kind: audit.Answer, Attempt: id, Result: result.Kind})
+		record.Add(audit.Event{Kind: audit.Answer, Attempt: id, Result: result.Outcome})
 		setReadDeadline(r.conn, time.Now().Add(extraBytesWait))
 		if _, err := r.reader.Peek(1); err == nil { // otherwise nothing arrives in time, or the connection is closed
 			record.Add(audit.Event{Kind: audit.ExtraBytes, Attempt: id})
--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// neverReset is the resetAt of a stream that is not reset.
+	// neverReset is the resetAfterTokens of a stream that is not reset.
 	neverReset = -1
 	// maxTokensBeforeReset bounds the tokens sent before the fault ResetMidStream resets a stream.
 	maxTokensBeforeReset = 5
@@ -20,23 +20,23 @@
 type decodeStream struct {
 	*completion
 
-	fetched    bool // the read state was fetched, or none has to be
-	tookEffect bool // the first token was generated, with which the request takes effect
-	sent       int  // tokens
-	resetAt    int  // number of tokens sent before the stream is reset
+	stateFetched     bool // the read state was fetched, or none has to be
+	tookEffect       bool // the first token was generated, with which the request takes effect
+	tokensSent       int
+	resetAfterTokens int // number of tokens sent before the stream is reset
 }
 
 func newDecodeStream(c *completion) *decodeStream {
-	d := &decodeStream{completion: c, fetched: c.job.FetchTokens == 0, resetAt: neverReset}
+	d := &decodeStream{completion: c, stateFetched: c.job.FetchTokens == 0, resetAfterTokens: neverReset}
 	if rand.Float64() < c.faults.ResetMidStream {
-		d.resetAt = 1 + rand.IntN(maxTokensBeforeReset)
+		d.resetAfterTokens = 1 + rand.IntN(maxTokensBeforeReset)
 	}
 	return d
 }
 
 // run streams the answer as the model generates it.
 func (d *decodeStream) run() {
-	ctx := d.r.Context()
+	ctx := d.httpReq.Context()
 	for {
 		if !d.awaitChange(ctx) {
 			d.abandon()
@@ -56,15 +56,15 @@
 func (d *decodeStream) advance(current progress) (ended bool) {
 	switch {
 	case current.lost:
-		resetRequest(d.w)
+		resetRequest(d.writer)
 		return true
-	case current.started && !d.fetched:
+	case current.started && !d.stateFetched:
 		if !d.server.fetchState(d.request.KVTransfer) {
 			d.cancel()
-			d.server.reject(d.w, true)
+			d.server.reject(d.writer, true)
 			return true
 		}
-		d.fetched = true
+		d.stateFetched = true
 		d.notify() // tokens may have been generated meanwhile
 		return false
 	case current.tokens == 0:
@@ -84,7 +84,7 @@
 	if current.done {
 		d.writeEnd()
 	}
-	_ = http.NewResponseController(d.w).Flush() // fails only if the connection has closed
+	_ = http.NewResponseController(d.writer).Flush() // fails only if the connection has closed
 	return current.done
 }
 
@@ -93,11 +93,11 @@
 func (d *decodeStream) failAfterEffect() bool {
 	switch draw := rand.Float64(); {
 	case draw < d.faults.ResetAfterEffect:
-		resetRequest(d.w)
+		resetRequest(d.writer)
 	case draw < d.faults.FailAfterEffect:
-		http.Error(d.w, faultBody, http.StatusInternalServerError)
+		http.Error(d.writer, faultBody, http.StatusInternalServerError)
 	case draw < d.faults.StallAfterEffect:
-		<-d.r.Context().Done()
+		<-d.httpReq.Context().Done()
 	default:
 		return false
 	}
@@ -105,12 +105,12 @@
 	return true
 }
 
-// writeTokens writes tokens until upTo have been sent, and reports whether the stream was reset before that. While
+// writeTokens writes tokens until target have been sent, and reports whether the stream was reset before that. While
 // streams are endless, it writes more tokens until the connection closes.
-func (d *decodeStream) writeTokens(upTo int) (reset bool) {
-	for ; d.sent < upTo; d.sent++ {
-		if d.resetAt == d.sent {
-			resetRequest(d.w)
+func (d *decodeStream) writeTokens(target int) (reset bool) {
+	for ; d.tokensSent < target; d.tokensSent++ {
+		if d.resetAfterTokens == d.tokensSent {
+			resetRequest(d.writer)
 			d.abandon()
 			return true
 		}
@@ -118,7 +118,7 @@
 	}
 	for d.server.currentHooks().endlessStreams {
 		d.writeToken()
-		if d.r.Context().Err() != nil {
+		if d.httpReq.Context().Err() != nil {
 			break
 		}
 	}
@@ -127,7 +127,7 @@
 
 // writeToken writes the event of the next token, which is the same in each choice.
 func (d *decodeStream) writeToken() {
-	d.writeEvent(d.eventChoices(fmt.Sprintf("w%d ", d.sent), d.sent == 0, nil), nil)
+	d.writeEvent(d.eventChoices(fmt.Sprintf("w%d ", d.tokensSent), d.tokensSent == 0, nil), nil)
 }
 
 // writeEnd writes the end of the stream. The finish reason of an answer that reaches its token limit is length.
@@ -145,7 +145,7 @@
 			"total_tokens":      promptTokens + answerTokens,
 		}})
 	}
-	writeString(d.w, "data: [DONE]\n\n")
+	writeString(d.writer, "data: [DONE]\n\n")
 }
 
 // writeEvent writes one event with the given choices and the fields of extra.
@@ -166,7 +166,7 @@
 	if err != nil { // impossible: all values are plain
 		panic(err)
 	}
-	writeString(d.w, "data: "+string(encoded)+"\n\n")
+	writeString(d.writer, "data: "+string(encoded)+"\n\n")
 }
 
 // eventChoices returns the choices of one event. finishReason is nil before the end of the stream.
