--- a/internal/api/body.go
+++ b/internal/api/body.go
@@ -32,9 +32,9 @@
 // DecodeBody returns the body for a decode, which is always streamed. kv holds the transfer parameters of the prefill's
 // reply; it is nil for a request that one engine runs as a whole. usage requests the token counts at the end of the
 // stream, because a response that is not streamed must contain them.
-func (r *Request) DecodeBody(kv json.RawMessage, usage bool) []byte {
+func (r *Request) DecodeBody(kv json.RawMessage, includeUsage bool) []byte {
 	overrides := append(make([]fieldOverride, 0, 3), fieldOverride{fieldStream, "true"})
-	if usage {
+	if includeUsage {
 		overrides = append(overrides, fieldOverride{fieldStreamOptions, `{"include_usage":true}`})
 	}
 	if kv != nil {
@@ -44,11 +44,11 @@
 }
 
 // bodyWith returns the client's body with the overrides in place of the client's fields of those names, and without the
-// fields in drop. All other fields are copied byte for byte, in their order.
-func (r *Request) bodyWith(overrides []fieldOverride, drop ...string) []byte {
+// fields in omittedNames. All other fields are copied byte for byte, in their order.
+func (r *Request) bodyWith(overrides []fieldOverride, omittedNames ...string) []byte {
 	size := len("{}")
 	for _, f := range r.fields {
-		size += len(f.key) + len(f.value) + len(":,")
+		size += len(f.rawName) + len(f.rawValue) + len(":,")
 	}
 	for _, s := range overrides {
 		size += len(s.name) + len(s.value) + len(`"":,`)
@@ -56,10 +56,10 @@
 	b := append(make([]byte, 0, size), '{')
 	for _, f := range r.fields {
 		overridden := slices.ContainsFunc(overrides, func(s fieldOverride) bool { return s.name == f.name })
-		if overridden || slices.Contains(drop, f.name) {
+		if overridden || slices.Contains(omittedNames, f.name) {
 			continue
 		}
-		b = append(append(append(append(b, f.key...), ':'), f.value...), ',')
+		b = append(append(append(append(b, f.rawName...), ':'), f.rawValue...), ',')
 	}
 	for _, s := range overrides {
 		b = append(append(append(b, '"'), s.name...), '"', ':')
--- a/internal/api/classify.go
+++ b/internal/api/classify.go
@@ -23,7 +23,7 @@
 	FromUser                         // the user field of the body
 	FromSystemMessages               // the leading system and developer messages
 	FromFirstMessage                 // all messages up to and including the first user message
-	FromOpening                      // the first bytes of the prompt or the messages
+	FromPromptPrefix                 // the first bytes of the prompt or the messages
 )
 
 // Match is a condition on the value that a source has in a request. Either Equals or Prefix is set.
@@ -44,7 +44,7 @@
 type AffinityKey struct {
 	Source Source
 	Name   string // of the header field, for FromHeader
-	Bytes  int    // length of the prefix, for FromOpening
+	Bytes  int    // length of the prefix, for FromPromptPrefix
 }
 
 // Model is a model that clients can request by its name.
@@ -57,9 +57,9 @@
 // Classifier determines the class, tenant, session, prefix and lengths of requests. Of its rules the first that matches
 // applies, and of its keys the first that has a value. It must not be modified once in use.
 type Classifier struct {
-	Classes, Tenants            []Rule
+	ClassRules, TenantRules     []Rule
 	DefaultClass, DefaultTenant int // for requests that no rule matches; -1 = reject them
-	Sessions, Prefixes          []AffinityKey
+	SessionKeys, PrefixKeys     []AffinityKey
 	Models                      []Model
 }
 
@@ -70,7 +70,7 @@
 	PromptTokens                  float64
 	PrefixTokens, MaxOutputTokens float64
 	IdempotencyKey                string
-	Retry                         bool // an automatic retry by the client's SDK
+	IsRetry                       bool // an automatic retry by the client's SDK
 }
 
 // RoutingRequest converts the classification to a request for the router. deadline is on the router's clock.
@@ -78,7 +78,7 @@
 	return routing.Request{
 		ID: id, Class: c.Class, Tenant: c.Tenant, Session: c.Session, Prefix: c.Prefix,
 		PromptTokens: c.PromptTokens, PrefixTokens: c.PrefixTokens, MaxOutputTokens: c.MaxOutputTokens,
-		Deadline: deadline, Retry: c.Retry, PossibleDuplicate: c.Retry,
+		Deadline: deadline, Retry: c.IsRetry, PossibleDuplicate: c.IsRetry,
 	}
 }
 
@@ -90,10 +90,10 @@
 		return result, modelNotFound(r.Model)
 	}
 	apiKey := hashedAPIKey(h)
-	if result.Class = matchRule(c.Classes, c.DefaultClass, r, h, apiKey); result.Class < 0 {
-		return result, invalid("", "no rule gives this request a class")
+	if result.Class = matchRule(c.ClassRules, c.DefaultClass, r, h, apiKey); result.Class < 0 {
+		return result, invalidRequest("", "no rule gives this request a class")
 	}
-	if result.Tenant = matchRule(c.Tenants, c.DefaultTenant, r, h, apiKey); result.Tenant < 0 {
+	if result.Tenant = matchRule(c.TenantRules, c.DefaultTenant, r, h, apiKey); result.Tenant < 0 {
 		return result, &Error{
 			Status: http.StatusUnauthorized, Type: TypeInvalidRequest, Code: codeInvalidAPIKey,
 			Message: "no rule gives this request a tenant",
@@ -104,11 +104,11 @@
 	if r.MaxTokens == 0 {
 		result.MaxOutputTokens = float64(model.MaxOutput)
 	}
-	result.Session, _ = affinityHash(c.Sessions, r, h)
+	result.Session, _ = affinityHash(c.SessionKeys, r, h)
 	var size int
-	result.Prefix, size = affinityHash(c.Prefixes, r, h)
+	result.Prefix, size = affinityHash(c.PrefixKeys, r, h)
 	result.PrefixTokens = min(float64(size)/model.BytesPerToken, result.PromptTokens)
-	result.IdempotencyKey, result.Retry = h.Get("Idempotency-Key"), IsRetry(h)
+	result.IdempotencyKey, result.IsRetry = h.Get("Idempotency-Key"), IsRetry(h)
 	return result, nil
 }
 
@@ -138,7 +138,7 @@
 			v = apiKey
 		case FromUser:
 			v = r.User
-		case FromSystemMessages, FromFirstMessage, FromOpening: // valid in keys only
+		case FromSystemMessages, FromFirstMessage, FromPromptPrefix: // valid in keys only
 		}
 		if m.Equals != "" && v == m.Equals || m.Prefix != "" && strings.HasPrefix(v, m.Prefix) {
 			return rule.Index
@@ -148,7 +148,7 @@
 }
 
 // affinityHash returns the hash of the first key that has a value. size is the number of bytes of the prompt that the
-// hash covers, for FromSystemMessages and FromOpening, else 0. If no key has a value, both are 0.
+// hash covers, for FromSystemMessages and FromPromptPrefix, else 0. If no key has a value, both are 0.
 func affinityHash(keys []AffinityKey, r *Request, h http1.Header) (hash uint64, size int) {
 	for _, key := range keys {
 		hash, size = 0, 0
@@ -161,7 +161,7 @@
 			hash, size = r.SystemPrefix()
 		case FromFirstMessage:
 			hash = r.FirstTurnHash()
-		case FromOpening:
+		case FromPromptPrefix:
 			hash, size = r.Prefix(key.Bytes)
 		case FromPath, FromModel, FromAPIKey: // valid in rules only
 		}
--- a/internal/api/classify_test.go
+++ b/internal/api/classify_test.go
@@ -9,20 +9,20 @@
 )
 
 func TestClassify(t *testing.T) {
-	c := Classifier{
-		Classes: []Rule{
+	classifier := Classifier{
+		ClassRules: []Rule{
 			{Match{Source: FromHeader, Name: "X-Class", Equals: "order"}, 1},
 			{Match{Source: FromModel, Prefix: "big"}, 2},
 		},
-		Tenants: []Rule{{Match{
+		TenantRules: []Rule{{Match{
 			Source: FromAPIKey, Equals: "ca978112ca1bbdcafac231b39a23dc4da786eff8147c4e72b9807785afee48bb",
 		}, 3}},
 		DefaultClass: 0, DefaultTenant: -1,
-		Sessions: []AffinityKey{{Source: FromHeader, Name: "X-Session"}, {Source: FromFirstMessage}},
-		Prefixes: []AffinityKey{{Source: FromSystemMessages}, {Source: FromOpening, Bytes: 4}},
-		Models:   []Model{{Name: "m", BytesPerToken: 4, MaxOutput: 99}},
+		SessionKeys: []AffinityKey{{Source: FromHeader, Name: "X-Session"}, {Source: FromFirstMessage}},
+		PrefixKeys:  []AffinityKey{{Source: FromSystemMessages}, {Source: FromPromptPrefix, Bytes: 4}},
+		Models:      []Model{{Name: "m", BytesPerToken: 4, MaxOutput: 99}},
 	}
-	h := http1.Header{{Name: "x-class", Value: "order"}, {Name: "Authorization", Value: "Bearer a"}}
+	header := http1.Header{{Name: "x-class", Value: "order"}, {Name: "Authorization", Value: "Bearer a"}}
 	system := `{"role":"system","content":"` + strings.Repeat("s", 394) + `"},`
 	parse := func(turns string) *Request {
 		r, err := Parse(PathChat, []byte(`{"model":"m","messages":[`+system+turns+`]}`))
@@ -31,30 +31,32 @@
 		}
 		return r
 	}
-	first := parse(`{"role":"user","content":"a"}`)
-	second := parse(`{"role":"user","content":"a"},{"role":"assistant","content":"b"},{"role":"user","content":"c"}`)
-	other := parse(`{"role":"user","content":"z"}`)
-	a, err := c.Classify(first, h)
-	if err != nil || a.Class != 1 || a.Tenant != 3 || a.MaxOutputTokens != 99 || a.PrefixTokens != 100 ||
-		a.PromptTokens != 102 {
-		t.Fatalf("%+v %v", a, err)
+	firstTurn := parse(`{"role":"user","content":"a"}`)
+	secondTurn := parse(`{"role":"user","content":"a"},{"role":"assistant","content":"b"},{"role":"user","content":"c"}`)
+	otherSession := parse(`{"role":"user","content":"z"}`)
+	firstResult, err := classifier.Classify(firstTurn, header)
+	if err != nil || firstResult.Class != 1 || firstResult.Tenant != 3 || firstResult.MaxOutputTokens != 99 ||
+		firstResult.PrefixTokens != 100 || firstResult.PromptTokens != 102 {
+		t.Fatalf("%+v %v", firstResult, err)
 	}
-	b, err := c.Classify(second, h)
+	secondResult, err := classifier.Classify(secondTurn, header)
 	if err != nil {
 		t.Fatal(err)
 	}
-	z, err := c.Classify(other, h)
+	otherResult, err := classifier.Classify(otherSession, header)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Session != a.Session || z.Session == a.Session || a.Session == 0 || a.Prefix != z.Prefix || a.Prefix == 0 {
-		t.Errorf("sessions %x %x %x, prefixes %x %x", a.Session, b.Session, z.Session, a.Prefix, z.Prefix)
+	if secondResult.Session != firstResult.Session || otherResult.Session == firstResult.Session ||
+		firstResult.Session == 0 || firstResult.Prefix != otherResult.Prefix || firstResult.Prefix == 0 {
+		t.Errorf("sessions %x %x %x, prefixes %x %x", firstResult.Session, secondResult.Session, otherResult.Session,
+			firstResult.Prefix, otherResult.Prefix)
 	}
-	if _, err := c.Classify(first, nil); err == nil || err.Status != 401 {
+	if _, err := classifier.Classify(firstTurn, nil); err == nil || err.Status != 401 {
 		t.Errorf("request without an API key: %v", err)
 	}
-	first.Model = "none"
-	if _, err := c.Classify(first, h); err == nil || err.Code != "model_not_found" {
+	firstTurn.Model = "none"
+	if _, err := classifier.Classify(firstTurn, header); err == nil || err.Code != "model_not_found" {
 		t.Errorf("unknown model: %v", err)
 	}
 }
--- a/internal/api/collector.go
+++ b/internal/api/collector.go
@@ -60,25 +60,25 @@
 
 // addChoice merges the part of a choice that one event contains.
 func (c *Collector) addChoice(choice any) error {
-	part, ok := choice.(map[string]any)
+	choiceDelta, ok := choice.(map[string]any)
 	if !ok {
 		return ErrInvalidChoice
 	}
-	if delta, ok := part["delta"]; ok {
-		part["message"] = delta
-		delete(part, "delta")
+	if delta, ok := choiceDelta["delta"]; ok {
+		choiceDelta["message"] = delta
+		delete(choiceDelta, "delta")
 	}
-	into, err := c.choice(part)
+	target, err := c.choice(choiceDelta)
 	if err != nil {
 		return err
 	}
-	merge(into, part)
+	merge(target, choiceDelta)
 	return nil
 }
 
-// choice returns the choice with the index of part and creates it if needed.
-func (c *Collector) choice(part map[string]any) (map[string]any, error) {
-	index, _ := part["index"].(float64)
+// choice returns the choice with the index of choiceDelta and creates it if needed.
+func (c *Collector) choice(choiceDelta map[string]any) (map[string]any, error) {
+	index, _ := choiceDelta["index"].(float64)
 	if index < 0 || index >= maxChoices {
 		return nil, fmt.Errorf("api: event: choice index %v is out of range", index)
 	}
@@ -95,51 +95,51 @@
 // merge adds a delta to an object. Strings are appended, except those of replacedStrings; objects are merged; elements
 // of lists are merged by their index field, or appended if they have none; null changes no value; all other values are
 // replaced.
-func merge(into, delta map[string]any) {
+func merge(target, delta map[string]any) {
 	for name, v := range delta {
-		old := into[name]
+		oldValue := target[name]
 		switch v := v.(type) {
 		case nil:
-			if old == nil {
-				into[name] = nil
+			if oldValue == nil {
+				target[name] = nil
 			}
 		case string:
-			if s, ok := old.(string); ok && !slices.Contains(replacedStrings, name) {
+			if s, ok := oldValue.(string); ok && !slices.Contains(replacedStrings, name) {
 				v = s + v
 			}
-			into[name] = v
+			target[name] = v
 		case map[string]any:
-			object, ok := old.(map[string]any)
+			object, ok := oldValue.(map[string]any)
 			if !ok {
 				object = map[string]any{}
-				into[name] = object
+				target[name] = object
 			}
 			merge(object, v)
 		case []any:
-			into[name] = mergeList(old, v)
+			target[name] = mergeList(oldValue, v)
 		default:
-			into[name] = v
+			target[name] = v
 		}
 	}
 }
 
-func mergeList(old any, delta []any) any {
-	list, _ := old.([]any)
+func mergeList(oldValue any, delta []any) any {
+	list, _ := oldValue.([]any)
 	for _, element := range delta {
-		part, ok := element.(map[string]any)
-		if _, hasIndex := part["index"]; !ok || !hasIndex {
+		elementDelta, ok := element.(map[string]any)
+		if _, hasIndex := elementDelta["index"]; !ok || !hasIndex {
 			list = append(list, element)
 			continue
 		}
 		i := slices.IndexFunc(list, func(other any) bool {
 			object, ok := other.(map[string]any)
-			return ok && object["index"] == part["index"]
+			return ok && object["index"] == elementDelta["index"]
 		})
 		if i < 0 {
 			list = append(list, map[string]any{})
 			i = len(list) - 1
 		}
-		merge(list[i].(map[string]any), part)
+		merge(list[i].(map[string]any), elementDelta)
 	}
 	return list
 }
--- a/internal/api/collector_test.go
+++ b/internal/api/collector_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestCollectorJoinsEvents(t *testing.T) {
-	c := NewCollector(true, 1<<16)
+	collector := NewCollector(true, 1<<16)
 	for _, event := range []string{
 		`{"id":"c1","object":"chat.completion.chunk","created":5,"model":"m",` +
 			`"choices":[{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]}`,
@@ -18,15 +18,15 @@
 			`[{"index":0,"function":{"arguments":":1}"}}]},"finish_reason":"tool_calls"}]}`,
 		`{"id":"c1","choices":[],"usage":{"total_tokens":9}}`,
 	} {
-		if err := c.Add([]byte(event)); err != nil {
+		if err := collector.Add([]byte(event)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b, err := c.JSON()
+	body, err := collector.JSON()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got struct {
+	var response struct {
 		Object  string
 		Choices []struct {
 			Message struct {
@@ -43,17 +43,17 @@
 			Total int `json:"total_tokens"`
 		}
 	}
-	if err := json.Unmarshal(b, &got); err != nil {
+	if err := json.Unmarshal(body, &response); err != nil {
 		t.Fatal(err)
 	}
-	first := got.Choices[0]
-	if got.Object != "chat.completion" || first.Message.Content != "Hello" || first.Finish != "tool_calls" ||
-		got.Usage.Total != 9 || got.Choices[1].Message.Role != "assistant" {
-		t.Errorf("%s", b)
+	firstChoice := response.Choices[0]
+	if response.Object != "chat.completion" || firstChoice.Message.Content != "Hello" ||
+		firstChoice.Finish != "tool_calls" || response.Usage.Total != 9 || response.Choices[1].Message.Role != "assistant" {
+		t.Errorf("%s", body)
 	}
-	call := first.Message.ToolCalls[0]
-	if call.Function.Arguments != `{"a":1}` || call.ID != "t" || call.Index != nil {
-		t.Errorf("%s", b)
+	toolCall := firstChoice.Message.ToolCalls[0]
+	if toolCall.Function.Arguments != `{"a":1}` || toolCall.ID != "t" || toolCall.Index != nil {
+		t.Errorf("%s", body)
 	}
 }
 
--- a/internal/api/error.go
+++ b/internal/api/error.go
@@ -59,8 +59,8 @@
 	return b
 }
 
-// invalid returns the error for an invalid request. param is the path of the invalid field, or empty.
-func invalid(param, format string, a ...any) *Error {
+// invalidRequest returns the error for an invalid request. param is the path of the invalid field, or empty.
+func invalidRequest(param, format string, a ...any) *Error {
 	return &Error{
 		Status: http.StatusBadRequest, Type: TypeInvalidRequest, Param: param, Message: fmt.Sprintf(format, a...),
 	}
--- a/internal/api/header.go
+++ b/internal/api/header.go
@@ -39,11 +39,11 @@
 
 // ShorterTimeout returns how long a client waits: the deadline of its class, or the client's own timeout if that is
 // shorter. A client timeout of 0 means unknown.
-func ShorterTimeout(class, client time.Duration) time.Duration {
-	if client > 0 && client < class {
-		return client
+func ShorterTimeout(classDeadline, clientTimeout time.Duration) time.Duration {
+	if clientTimeout > 0 && clientTimeout < classDeadline {
+		return clientTimeout
 	}
-	return class
+	return classDeadline
 }
 
 // SubtractMargin returns the time in which a gateway must answer so that the answer arrives within wait. The margin
--- a/internal/api/prefix.go
+++ b/internal/api/prefix.go
@@ -61,10 +61,10 @@
 // are shorter.
 func (r *Request) Prefix(n int) (hash uint64, size int) {
 	digest := r.newHash()
-	left := n
+	remainingBytes := n
 	add := func(s string) {
-		s = s[:min(len(s), left)]
-		left -= len(s)
+		s = s[:min(len(s), remainingBytes)]
+		remainingBytes -= len(s)
 		_, _ = digest.WriteString(s) // can't fail
 	}
 	add(r.Prompt)
@@ -72,7 +72,7 @@
 		add(m.Role)
 		add(m.Text)
 	}
-	if left > 0 {
+	if remainingBytes > 0 {
 		return 0, 0
 	}
 	return digest.Sum64(), n
--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -66,7 +66,7 @@
 }
 
 // field is a member of the body's JSON object: its decoded name, and the raw JSON of its name and value.
-type field struct{ name, key, value string }
+type field struct{ name, rawName, rawValue string }
 
 // fieldsCapacity is the initial capacity of Request.fields, enough for most requests.
 const fieldsCapacity = 12
@@ -98,30 +98,30 @@
 // parseFields splits the body into its fields.
 func (r *Request) parseFields(body []byte) *Error {
 	if exceedsMaxDepth(body) {
-		return invalid("", "the body nests deeper than %d levels", maxDepth)
+		return invalidRequest("", "the body nests deeper than %d levels", maxDepth)
 	}
 	if !gjson.ValidBytes(body) {
 		var v any
 		if err := json.Unmarshal(body, &v); err != nil { // its error has the position
-			return invalid("", "the body is not a JSON object: %v", err)
+			return invalidRequest("", "the body is not a JSON object: %v", err)
 		}
-		return invalid("", "the body is not a JSON object")
+		return invalidRequest("", "the body is not a JSON object")
 	}
 	object := gjson.ParseBytes(body)
 	if !object.IsObject() {
-		return invalid("", "the body is not a JSON object")
+		return invalidRequest("", "the body is not a JSON object")
 	}
-	var repeated string
+	var duplicateName string
 	r.fields = make([]field, 0, fieldsCapacity)
 	object.ForEach(func(key, value gjson.Result) bool {
 		if _, known := r.get(key.Str); known && slices.Contains(routedFields, key.Str) {
-			repeated = key.Str
+			duplicateName = key.Str
 		}
 		r.fields = append(r.fields, field{key.Str, key.Raw, value.Raw})
-		return repeated == ""
+		return duplicateName == ""
 	})
-	if repeated != "" {
-		return invalid(repeated, "%s is given twice", repeated)
+	if duplicateName != "" {
+		return invalidRequest(duplicateName, "%s is given twice", duplicateName)
 	}
 	return nil
 }
@@ -130,23 +130,23 @@
 func (r *Request) get(name string) (value string, ok bool) {
 	for i := range r.fields {
 		if r.fields[i].name == name {
-			return r.fields[i].value, true
+			return r.fields[i].rawValue, true
 		}
 	}
 	return "", false
 }
 
 // parseString reads an optional field that is a string or null.
-func (r *Request) parseString(name string, into *string) *Error {
+func (r *Request) parseString(name string, target *string) *Error {
 	raw, ok := r.get(name)
 	if !ok {
 		return nil
 	}
 	v := gjson.Parse(raw)
 	if v.Type != gjson.String && v.Type != gjson.Null {
-		return invalid(name, "%s must be a string", name)
+		return invalidRequest(name, "%s must be a string", name)
 	}
-	*into = v.Str
+	*target = v.Str
 	return nil
 }
 
@@ -155,7 +155,7 @@
 		return e
 	}
 	if r.Model == "" {
-		return invalid(fieldModel, "model is missing")
+		return invalidRequest(fieldModel, "model is missing")
 	}
 	return nil
 }
@@ -166,7 +166,7 @@
 		r.Stream = true
 	case "", "false", "null":
 	default:
-		return invalid(fieldStream, "stream must be true or false")
+		return invalidRequest(fieldStream, "stream must be true or false")
 	}
 	return nil
 }
@@ -180,7 +180,7 @@
 		}
 		n, err := strconv.ParseInt(v, 10, 32)
 		if err != nil || n < 1 {
-			return invalid(name, "%s must be a whole number from 1 to %d, it is %s", name, math.MaxInt32, quote(v))
+			return invalidRequest(name, "%s must be a whole number from 1 to %d, it is %s", name, math.MaxInt32, quote(v))
 		}
 		r.MaxTokens = int(n)
 	}
@@ -191,7 +191,7 @@
 	raw, _ := r.get(fieldMessages)
 	messages := gjson.Parse(raw)
 	if raw != "" && !messages.IsArray() && messages.Type != gjson.Null {
-		return invalid(fieldMessages, "messages must be an array")
+		return invalidRequest(fieldMessages, "messages must be an array")
 	}
 	var e *Error
 	messages.ForEach(func(_, message gjson.Result) bool {
@@ -199,14 +199,14 @@
 		return e == nil
 	})
 	if e == nil && len(r.Messages) == 0 {
-		e = invalid(fieldMessages, "messages is missing or empty")
+		e = invalidRequest(fieldMessages, "messages is missing or empty")
 	}
 	return e
 }
 
 func (r *Request) parseMessage(i int, message gjson.Result) *Error {
 	if !message.IsObject() {
-		return invalid(fmt.Sprintf("messages[%d]", i), "messages[%d] must be an object", i)
+		return invalidRequest(fmt.Sprintf("messages[%d]", i), "messages[%d] must be an object", i)
 	}
 	var role, content gjson.Result
 	message.ForEach(func(key, value gjson.Result) bool {
@@ -219,11 +219,11 @@
 		return true
 	})
 	if role.Type != gjson.String || role.Str == "" {
-		return invalid(fmt.Sprintf("messages[%d].role", i), "messages[%d] has no role", i)
+		return invalidRequest(fmt.Sprintf("messages[%d].role", i), "messages[%d] has no role", i)
 	}
 	text, err := contentText(content)
 	if err != nil {
-		return invalid(fmt.Sprintf("messages[%d].content", i), "messages[%d].content: %v", i, err)
+		return invalidRequest(fmt.Sprintf("messages[%d].content", i), "messages[%d].content: %v", i, err)
 	}
 	r.Messages = append(r.Messages, Message{role.Str, text})
 	return nil
@@ -263,7 +263,7 @@
 func (r *Request) parsePrompt() *Error {
 	raw, ok := r.get(fieldPrompt)
 	if !ok {
-		return invalid(fieldPrompt, "prompt is missing")
+		return invalidRequest(fieldPrompt, "prompt is missing")
 	}
 	prompt := gjson.Parse(raw)
 	if prompt.Type == gjson.String {
@@ -273,25 +273,25 @@
 	if !prompt.IsArray() {
 		return invalidPrompt()
 	}
-	texts, numbers, others := 0, 0, 0
+	stringCount, numberCount, otherCount := 0, 0, 0
 	prompt.ForEach(func(_, element gjson.Result) bool {
 		switch {
 		case element.Type == gjson.String:
-			texts++
+			stringCount++
 			r.Prompt = element.Str
 		case element.Type == gjson.Number && !strings.ContainsAny(element.Raw, ".eE"):
-			numbers++
+			numberCount++
 		default:
-			others++
+			otherCount++
 		}
 		return true
 	})
 	switch {
-	case texts == 1 && numbers+others == 0:
-	case numbers > 0 && texts+others == 0:
-		r.PromptTokens, r.Prompt = numbers, raw
-	case numbers+others == 0:
-		return invalid(fieldPrompt, "prompt holds %d prompts; send them as one request each", texts)
+	case stringCount == 1 && numberCount+otherCount == 0:
+	case numberCount > 0 && stringCount+otherCount == 0:
+		r.PromptTokens, r.Prompt = numberCount, raw
+	case numberCount+otherCount == 0:
+		return invalidRequest(fieldPrompt, "prompt holds %d prompts; send them as one request each", stringCount)
 	default:
 		return invalidPrompt()
 	}
@@ -299,7 +299,7 @@
 }
 
 func invalidPrompt() *Error {
-	return invalid(fieldPrompt, "prompt must be a string, an array of one string, or an array of token numbers")
+	return invalidRequest(fieldPrompt, "prompt must be a string, an array of one string, or an array of token numbers")
 }
 
 // maxDepth is the nesting limit of bodies, the same as in encoding/json. It bounds the recursion of the JSON parsers.
@@ -333,12 +333,12 @@
 	return false
 }
 
-// maxQuoted is the number of bytes of a client's text that an error message quotes.
-const maxQuoted = 60
+// maxQuotedBytes is the number of bytes of a client's text that an error message quotes.
+const maxQuotedBytes = 60
 
 func quote(s string) string {
-	if len(s) > maxQuoted {
-		s = s[:maxQuoted] + "..."
+	if len(s) > maxQuotedBytes {
+		s = s[:maxQuotedBytes] + "..."
 	}
 	return "'" + strings.ToValidUTF8(s, "?") + "'"
 }
--- a/internal/api/request_test.go
+++ b/internal/api/request_test.go
@@ -73,11 +73,11 @@
 	if kv["do_remote_decode"] != true || kv["do_remote_prefill"] != false {
 		t.Errorf("prefill: %v", kv)
 	}
-	body := unmarshalObject(t, r.DecodeBody(json.RawMessage(`{"remote_port":5}`), false))
-	kv = body["kv_transfer_params"].(map[string]any)
-	if body["max_completion_tokens"] != 50.0 || body["stream"] != true || kv["remote_port"] != 5.0 ||
-		body["stream_options"] == nil {
-		t.Errorf("decode: %v", body)
+	decode := unmarshalObject(t, r.DecodeBody(json.RawMessage(`{"remote_port":5}`), false))
+	kv = decode["kv_transfer_params"].(map[string]any)
+	if decode["max_completion_tokens"] != 50.0 || decode["stream"] != true || kv["remote_port"] != 5.0 ||
+		decode["stream_options"] == nil {
+		t.Errorf("decode: %v", decode)
 	}
 	if _, has := unmarshalObject(t, r.DecodeBody(nil, true))["kv_transfer_params"]; has {
 		t.Error("the body of a request without a prefill has transfer parameters")
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -28,7 +28,7 @@
 	for _, r := range s.Rules {
 		s.checkRule(report, r)
 	}
-	for _, k := range slices.Concat(s.Sessions, s.Prefixes) {
+	for _, k := range slices.Concat(s.SessionKeys, s.PrefixKeys) {
 		k.check(report)
 	}
 	s.checkServers(report)
@@ -91,24 +91,24 @@
 }
 
 func (s *Settings) checkService(report Reporter) {
-	v := s.Service
-	if v == nil {
+	service := s.Service
+	if service == nil {
 		return
 	}
-	if v.Replicas == 0 {
-		report(v.Pos, "write how many fronts serve together", "<service>: fronts is 0")
+	if service.Replicas == 0 {
+		report(service.Pos, "write how many fronts serve together", "<service>: fronts is 0")
 	}
-	if v.SlowStartFrom > 1 {
-		report(v.Pos, "write a part from 0 to 1", "<service>: cold-from %v", v.SlowStartFrom)
+	if service.SlowStartFrom > 1 {
+		report(service.Pos, "write a part from 0 to 1", "<service>: cold-from %v", service.SlowStartFrom)
 	}
-	if v.OverloadFactor > 0 && v.OverloadAfter == 0 {
-		report(v.Pos, "add tip-after=\"2s\"", "<service>: overload-factor without tip-after")
+	if service.OverloadFactor > 0 && service.OverloadAfter == 0 {
+		report(service.Pos, "add tip-after=\"2s\"", "<service>: overload-factor without tip-after")
 	}
-	if v.DefaultClass != "" && s.classIndex(v.DefaultClass) < 0 {
-		report(v.Pos, "name a <class>", "<service>: default-class %q is no class", v.DefaultClass)
+	if service.DefaultClass != "" && s.classIndex(service.DefaultClass) < 0 {
+		report(service.Pos, "name a <class>", "<service>: default-class %q is no class", service.DefaultClass)
 	}
-	if v.DefaultTenant != "" && s.tenantIndex(v.DefaultTenant) < 0 {
-		report(v.Pos, "name a <tenant>", "<service>: default-tenant %q is no tenant", v.DefaultTenant)
+	if service.DefaultTenant != "" && s.tenantIndex(service.DefaultTenant) < 0 {
+		report(service.Pos, "name a <tenant>", "<service>: default-tenant %q is no tenant", service.DefaultTenant)
 	}
 }
 
@@ -162,15 +162,15 @@
 	}
 }
 
-// checkUnique reports each element of list with the same name as an earlier one. Empty names are ignored. elementName
+// checkUnique reports each of the elements with the same name as an earlier one. Empty names are ignored. elementName
 // is the name of the XML element, for the message.
-func checkUnique[T any](report Reporter, elementName string, list []T, posAndName func(T) (Pos, string)) {
-	seen := map[string]int{}
-	for _, e := range list {
+func checkUnique[T any](report Reporter, elementName string, elements []T, posAndName func(T) (Pos, string)) {
+	lineByName := map[string]int{}
+	for _, e := range elements {
 		p, name := posAndName(e)
-		if line, ok := seen[name]; ok && name != "" {
+		if line, ok := lineByName[name]; ok && name != "" {
 			report(p, fmt.Sprintf("rename one; the other is on line %d", line), "<%s name=%q> stands twice", elementName, name)
 		}
-		seen[name] = p.Line
+		lineByName[name] = p.Line
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,15 +39,16 @@
 // fmt.Sprintf.
 type Reporter func(at Pos, fix, message string, args ...any)
 
-// Decode fills into, a pointer to a struct with cfg tags, from the text of a file whose root element is root. It then
-// calls check, which reports problems that the tags can't express. The error is of type Problems, ordered by position.
-func Decode(file string, text []byte, root string, into any, check func(Reporter)) error {
+// Decode fills target, a pointer to a struct with cfg tags, from the text of a file whose root element is rootName. It
+// then calls check, which reports problems that the tags can't express. The error is of type Problems, ordered by
+// position.
+func Decode(file string, text []byte, rootName string, target any, check func(Reporter)) error {
 	d := &decoder{file: file}
 	if e := parseElements(text, d.problem); e != nil {
-		if e.name != root {
-			d.problem(e.Pos, "begin with <"+root+">", "the root element is <%s>", e.name)
+		if e.name != rootName {
+			d.problem(e.Pos, "begin with <"+rootName+">", "the root element is <%s>", e.name)
 		} else {
-			d.fill(e, reflect.ValueOf(into).Elem())
+			d.fill(e, reflect.ValueOf(target).Elem())
 			check(d.problem)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,19 +21,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := s.RoutingConfig()
-	if len(c.Classes) != 3 || c.Classes[2].DedupWindow != 30*time.Second || c.Kinds[1].Memory != 180000 ||
-		c.Tenants[0].QuotaPerS != 100 ||
-		c.Replicas != 4 {
-		t.Errorf("%+v", c)
+	routingConfig := s.RoutingConfig()
+	if len(routingConfig.Classes) != 3 || routingConfig.Classes[2].DedupWindow != 30*time.Second ||
+		routingConfig.Kinds[1].Memory != 180000 ||
+		routingConfig.Tenants[0].QuotaPerS != 100 ||
+		routingConfig.Replicas != 4 {
+		t.Errorf("%+v", routingConfig)
 	}
-	if err := c.Validate(); err != nil {
+	if err := routingConfig.Validate(); err != nil {
 		t.Error(err)
 	}
-	k := s.Classifier()
-	if k.DefaultClass != 0 || k.Classes[1].Index != 2 || k.Tenants[0].Index != 1 || len(k.Sessions) != 2 ||
-		k.Prefixes[1].Bytes != 2048 {
-		t.Errorf("%+v", k)
+	classifier := s.Classifier()
+	if classifier.DefaultClass != 0 || classifier.ClassRules[1].Index != 2 || classifier.TenantRules[0].Index != 1 ||
+		len(classifier.SessionKeys) != 2 ||
+		classifier.PrefixKeys[1].Bytes != 2048 {
+		t.Errorf("%+v", classifier)
 	}
 }
 
@@ -87,16 +89,16 @@
 		if !strings.Contains(string(text), c.old) {
 			t.Fatalf("the example does not contain %s", c.old)
 		}
-		bad := strings.Replace(string(text), c.old, c.new, 1)
+		changedText := strings.Replace(string(text), c.old, c.new, 1)
 		line := strings.Count(string(text)[:strings.Index(string(text), c.old)], "\n") + 1
-		_, err := Parse("f.xml", []byte(bad))
-		var ps Problems
-		errors.As(err, &ps)
+		_, err := Parse("f.xml", []byte(changedText))
+		var problems Problems
+		errors.As(err, &problems)
 		found := false
-		for _, p := range ps {
+		for _, p := range problems {
 			onLine := p.Line == line || c.old == "</brackenbend>"
 			for l := line; l > line-3 && !onLine; l-- { // a problem with an attribute has the line of its element
-				onLine = p.Line == l && strings.Contains(strings.Split(bad, "\n")[l-1], "<")
+				onLine = p.Line == l && strings.Contains(strings.Split(changedText, "\n")[l-1], "<")
 			}
 			found = found || strings.Contains(p.Message, c.message) && strings.Contains(p.Fix, c.fix) && onLine
 		}
--- a/internal/config/convert.go
+++ b/internal/config/convert.go
@@ -29,27 +29,27 @@
 	sourcesByName = map[string]api.Source{
 		"path": api.FromPath, "model": api.FromModel, "header": api.FromHeader,
 		"api-key-sha256": api.FromAPIKey, "user": api.FromUser, "system-messages": api.FromSystemMessages,
-		"first-message": api.FromFirstMessage, "opening": api.FromOpening,
+		"first-message": api.FromFirstMessage, "opening": api.FromPromptPrefix,
 	}
 )
 
 // RoutingConfig converts the settings to the router's configuration.
 func (s *Settings) RoutingConfig() routing.Config {
-	v := s.Service
+	service := s.Service
 	c := routing.Config{
-		Replicas:         v.Replicas,
-		MaxAttempts:      v.MaxAttempts,
-		MaxRetryAfter:    v.MaxRetryAfter,
-		StateTTL:         v.StateTTL,
-		DrainGrace:       v.DrainGrace,
-		SlowStartFrom:    v.SlowStartFrom,
-		SlowStartFor:     v.SlowStartFor,
-		OverloadFactor:   v.OverloadFactor,
-		OverloadAfter:    v.OverloadAfter,
-		DecodeCanPrefill: v.DecodeCanPrefill,
-		CanCancel:        v.CanCancel,
-		OverQuotaWeight:  v.OverQuotaWeight,
-		WeightByWork:     v.WeightBy == "work",
+		Replicas:         service.Replicas,
+		MaxAttempts:      service.MaxAttempts,
+		MaxRetryAfter:    service.MaxRetryAfter,
+		StateTTL:         service.StateTTL,
+		DrainGrace:       service.DrainGrace,
+		SlowStartFrom:    service.SlowStartFrom,
+		SlowStartFor:     service.SlowStartFor,
+		OverloadFactor:   service.OverloadFactor,
+		OverloadAfter:    service.OverloadAfter,
+		DecodeCanPrefill: service.DecodeCanPrefill,
+		CanCancel:        service.CanCancel,
+		OverQuotaWeight:  service.OverQuotaWeight,
+		WeightByWork:     service.WeightBy == "work",
 	}
 	if s.Engines != nil {
 		c.LoadReportFields = strings.Fields(s.Engines.LoadReportFields)
@@ -93,13 +93,13 @@
 	for _, r := range s.Rules {
 		m := api.Match{Source: sourcesByName[r.Source], Name: r.Name, Equals: r.Equals, Prefix: r.Prefix}
 		if r.Class != "" {
-			c.Classes = append(c.Classes, api.Rule{Match: m, Index: s.classIndex(r.Class)})
+			c.ClassRules = append(c.ClassRules, api.Rule{Match: m, Index: s.classIndex(r.Class)})
 		}
 		if r.Tenant != "" {
-			c.Tenants = append(c.Tenants, api.Rule{Match: m, Index: s.tenantIndex(r.Tenant)})
+			c.TenantRules = append(c.TenantRules, api.Rule{Match: m, Index: s.tenantIndex(r.Tenant)})
 		}
 	}
-	c.Sessions, c.Prefixes = affinityKeys(s.Sessions), affinityKeys(s.Prefixes)
+	c.SessionKeys, c.PrefixKeys = affinityKeys(s.SessionKeys), affinityKeys(s.PrefixKeys)
 	for _, m := range s.Models {
 		c.Models = append(c.Models, api.Model{Name: m.Name, BytesPerToken: m.BytesPerToken, MaxOutput: int(m.MaxOutput)})
 	}
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -84,11 +84,11 @@
 }
 
 // fillAttributes sets the scalar fields and returns the names of the attributes present.
-func (d *decoder) fillAttributes(e *element, v reflect.Value, fields map[string]int) (given map[string]bool) {
-	given = map[string]bool{}
+func (d *decoder) fillAttributes(e *element, v reflect.Value, fields map[string]int) (presentNames map[string]bool) {
+	presentNames = map[string]bool{}
 	for _, attr := range e.attrs {
-		name, space := attr.Name.Local, attr.Name.Space
-		if space == "xmlns" || name == "xmlns" || space == "http://www.w3.org/2001/XMLSchema-instance" {
+		name, namespace := attr.Name.Local, attr.Name.Space
+		if namespace == "xmlns" || name == "xmlns" || namespace == "http://www.w3.org/2001/XMLSchema-instance" {
 			continue
 		}
 		i, known := fields[name]
@@ -96,19 +96,19 @@
 			d.problem(e.Pos, "use one of: "+joinNames(fields), "<%s> has no attribute %q", e.name, name)
 			continue
 		}
-		if given[name] {
+		if presentNames[name] {
 			d.problem(e.Pos, "keep one of them", "<%s> has attribute %q twice", e.name, name)
 		}
-		given[name] = true
+		presentNames[name] = true
 		tag, _ := parseTag(v.Type().Field(i))
 		d.setScalar(e, tag, attr.Value, v.Field(i))
 	}
-	return given
+	return presentNames
 }
 
 // fillElements sets the fields that are elements and returns the names of the child elements present.
-func (d *decoder) fillElements(e *element, v reflect.Value, fields map[string]int) (given map[string]bool) {
-	given = map[string]bool{}
+func (d *decoder) fillElements(e *element, v reflect.Value, fields map[string]int) (presentNames map[string]bool) {
+	presentNames = map[string]bool{}
 	for _, child := range e.children {
 		i, known := fields[child.name]
 		if !known {
@@ -125,15 +125,15 @@
 			item := reflect.New(field.Type().Elem()).Elem()
 			d.fill(child, item)
 			field.Set(reflect.Append(field, item))
-		case given[child.name]:
+		case presentNames[child.name]:
 			d.problem(child.Pos, "keep one of them", "<%s> stands twice in <%s>", child.name, e.name)
 		default:
 			field.Set(reflect.New(field.Type().Elem()))
 			d.fill(child, field.Elem())
 		}
-		given[child.name] = true
+		presentNames[child.name] = true
 	}
-	return given
+	return presentNames
 }
 
 // checkRequired reports the required attributes and child elements that an element lacks.
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -47,10 +47,10 @@
 			fmt.Fprintf(&s, "  %s: from %d name %q bytes %d\n", field, k.Source, k.Name, k.Bytes)
 		}
 	}
-	rules("class", c.Classes)
-	rules("tenant", c.Tenants)
-	keys("session", c.Sessions)
-	keys("prefix", c.Prefixes)
+	rules("class", c.ClassRules)
+	rules("tenant", c.TenantRules)
+	keys("session", c.SessionKeys)
+	keys("prefix", c.PrefixKeys)
 	for _, m := range c.Models {
 		fmt.Fprintf(&s, "  model %q bytes-per-token %v max-output %d\n", m.Name, m.BytesPerToken, m.MaxOutput)
 	}
@@ -59,9 +59,9 @@
 }
 
 const (
-	registerFull = `<register url="https://h:7000" namespace="n" label-selector="app=e" kind-label="k" cell-label="c" ` +
+	fullAPIServer = `<register url="https://h:7000" namespace="n" label-selector="app=e" kind-label="k" cell-label="c" ` +
 		`token-file="t" ca-file="ca" cache="list.json"/>`
-	registerBare = `<register url="http://h:7000" namespace="n"/>`
+	minimalAPIServer = `<register url="http://h:7000" namespace="n"/>`
 )
 
 // TestSettingsConversion compares the parsed values of every element and attribute, and the configurations of the
@@ -79,19 +79,19 @@
 	full := string(text)
 	servers := full[strings.Index(full, "<server "):strings.Index(full, "</brackenbend>")]
 	var got strings.Builder
-	for _, k := range []struct{ name, text string }{
+	for _, document := range []struct{ name, text string }{
 		{"deploy/examples/front.xml", string(example)},
 		{"full.xml", full},
-		{"full.xml with a register", strings.Replace(full, servers, registerFull, 1)},
+		{"full.xml with a register", strings.Replace(full, servers, fullAPIServer, 1)},
 		{"the least", `<brackenbend><front listen="a:1"/><service fronts="1"/>` +
 			`<class name="c" effect="safe" aim="1s" deadline="2s"/><kind name="k" role="mixed"/>` +
-			`<model name="m" bytes-per-token="4" max-output="1tokens"/>` + registerBare + `</brackenbend>`},
+			`<model name="m" bytes-per-token="4" max-output="1tokens"/>` + minimalAPIServer + `</brackenbend>`},
 	} {
-		s, err := Parse("f.xml", []byte(k.text))
+		s, err := Parse("f.xml", []byte(document.text))
 		if err != nil {
-			t.Fatalf("%s: %v", k.name, err)
+			t.Fatalf("%s: %v", document.name, err)
 		}
-		fmt.Fprintf(&got, "%s\n", k.name)
+		fmt.Fprintf(&got, "%s\n", document.name)
 		writeAttributes(&got, "", reflect.ValueOf(s).Elem())
 		got.WriteString(golden.RoutingConfigText(s.RoutingConfig()))
 		got.WriteString(classifierText(s.Classifier()))
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	for _, k := range [][2]string{
+	for _, replacement := range [][2]string{
 		{`seed="7"`, `seed="-7"`},
 		{`drain="20s"`, `drain="20"`},
 		{`drain="20s"`, `drian="20s"`},
@@ -132,7 +132,7 @@
 		{`name="X-Session-Id"`, ``},
 		{` bytes="2KiB"`, ``},
 		{`<engines `, `<engine/><engines `},
-		{`<server name="s1"`, registerBare + `<server name="s1"`},
+		{`<server name="s1"`, minimalAPIServer + `<server name="s1"`},
 		{`late-worth="0.3"`, `late-worth="3"`},
 		{`<brackenbend>`, `<day>`},
 		{`</brackenbend>`, ``},
@@ -143,11 +143,12 @@
 		{`fronts="4"`, `fronts="0"`},
 		{`aim="3s"`, `aim="30s"`},
 	} {
-		if !strings.Contains(string(text), k[0]) {
-			t.Fatalf("full.xml does not contain %s", k[0])
+		if !strings.Contains(string(text), replacement[0]) {
+			t.Fatalf("full.xml does not contain %s", replacement[0])
 		}
-		_, err := Parse("f.xml", []byte(strings.Replace(string(text), k[0], k[1], 1)))
-		fmt.Fprintf(&got, "%s -> %s\n  %s\n", k[0], k[1], strings.ReplaceAll(fmt.Sprint(err), "\n", "\n  "))
+		_, err := Parse("f.xml", []byte(strings.Replace(string(text), replacement[0], replacement[1], 1)))
+		fmt.Fprintf(&got, "%s -> %s\n  %s\n", replacement[0], replacement[1],
+			strings.ReplaceAll(fmt.Sprint(err), "\n", "\n  "))
 	}
 	golden.Check(t, "errors.txt", got.String())
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// reloadable lists the elements whose changes a running gateway can apply.
-var reloadable = []string{"model", "rule", "session", "prefix"}
+// reloadableElements lists the elements whose changes a running gateway can apply.
+var reloadableElements = []string{"model", "rule", "session", "prefix"}
 
-// CheckReload returns nil if a and b differ at most in the elements whose changes a running gateway can apply: models,
-// rules, sessions and prefixes. Otherwise the error names the first other element that differs.
-func CheckReload(a, b *Settings) error {
-	x, y := reflect.ValueOf(*a), reflect.ValueOf(*b)
-	for i := range x.NumField() {
-		tag, ok := parseTag(x.Type().Field(i))
-		if !ok || slices.Contains(reloadable, tag.name) {
+// CheckReload returns nil if the two settings differ at most in the elements whose changes a running gateway can apply:
+// models, rules, sessions and prefixes. Otherwise the error names the first other element that differs.
+func CheckReload(oldSettings, newSettings *Settings) error {
+	oldValue, newValue := reflect.ValueOf(*oldSettings), reflect.ValueOf(*newSettings)
+	for i := range oldValue.NumField() {
+		tag, ok := parseTag(oldValue.Type().Field(i))
+		if !ok || slices.Contains(reloadableElements, tag.name) {
 			continue
 		}
-		if !equalValues(x.Field(i), y.Field(i)) {
+		if !equalValues(oldValue.Field(i), newValue.Field(i)) {
 			return fmt.Errorf("<%s> has changed; restart the gateway to apply the change", tag.name)
 		}
 	}
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -38,23 +38,23 @@
 // writeSchemaElement writes the definition of an element that is decoded into a struct of type t.
 func writeSchemaElement(b *bytes.Buffer, name string, t reflect.Type, indent string) {
 	fmt.Fprintf(b, "%s<xs:element name=%q>\n%s  <xs:complexType>\n", indent, name, indent)
-	var elems, attrs []reflect.StructField
+	var elements, attributes []reflect.StructField
 	for i := range t.NumField() {
 		if _, ok := parseTag(t.Field(i)); ok && isElement(t.Field(i).Type) {
-			elems = append(elems, t.Field(i))
+			elements = append(elements, t.Field(i))
 		} else if ok {
-			attrs = append(attrs, t.Field(i))
+			attributes = append(attributes, t.Field(i))
 		}
 	}
-	if len(elems) > 0 {
+	if len(elements) > 0 {
 		fmt.Fprintf(b, "%s    <xs:choice minOccurs=\"0\" maxOccurs=\"unbounded\">\n", indent)
-		for _, f := range elems {
+		for _, f := range elements {
 			tag, _ := parseTag(f)
 			writeSchemaElement(b, tag.name, f.Type.Elem(), indent+"      ")
 		}
 		fmt.Fprintf(b, "%s    </xs:choice>\n", indent)
 	}
-	for _, f := range attrs {
+	for _, f := range attributes {
 		writeSchemaAttribute(b, f, indent+"    ")
 	}
 	fmt.Fprintf(b, "%s  </xs:complexType>\n%s</xs:element>\n", indent, indent)
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -5,20 +5,20 @@
 // Settings holds the contents of a settings file, which configures one replica.
 type Settings struct {
 	Pos
-	Replica   *Replica      `cfg:"front,required"`
-	Limits    *Limits       `cfg:"limits"`
-	Log       *Log          `cfg:"log"`
-	Service   *Service      `cfg:"service,required"`
-	Classes   []Class       `cfg:"class,required"`
-	Tenants   []Tenant      `cfg:"tenant"`
-	Kinds     []Kind        `cfg:"kind,required"`
-	Models    []Model       `cfg:"model,required"`
-	Rules     []Rule        `cfg:"rule"`
-	Sessions  []AffinityKey `cfg:"session"`
-	Prefixes  []AffinityKey `cfg:"prefix"`
-	Engines   *Engines      `cfg:"engines"`
-	Servers   []Server      `cfg:"server"`
-	APIServer *APIServer    `cfg:"register"`
+	Replica     *Replica      `cfg:"front,required"`
+	Limits      *Limits       `cfg:"limits"`
+	Log         *Log          `cfg:"log"`
+	Service     *Service      `cfg:"service,required"`
+	Classes     []Class       `cfg:"class,required"`
+	Tenants     []Tenant      `cfg:"tenant"`
+	Kinds       []Kind        `cfg:"kind,required"`
+	Models      []Model       `cfg:"model,required"`
+	Rules       []Rule        `cfg:"rule"`
+	SessionKeys []AffinityKey `cfg:"session"`
+	PrefixKeys  []AffinityKey `cfg:"prefix"`
+	Engines     *Engines      `cfg:"engines"`
+	Servers     []Server      `cfg:"server"`
+	APIServer   *APIServer    `cfg:"register"`
 }
 
 // Replica configures this replica's listeners and its shutdown.
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -86,11 +86,11 @@
 func (r *inflightRequest) countAnswer(g *Gateway) {
 	g.metrics.Answers.WithLabelValues(r.class.Name, r.result).Inc()
 	if r.reason != "" {
-		g.metrics.NotServed.WithLabelValues(r.result, r.reason).Inc()
+		g.metrics.UnservedRequests.WithLabelValues(r.result, r.reason).Inc()
 	}
 	firstToken := time.Duration(r.firstToken.Load())
 	if firstToken > 0 {
-		g.metrics.FirstToken.WithLabelValues(r.class.Name).Observe(firstToken.Seconds())
+		g.metrics.FirstTokenSeconds.WithLabelValues(r.class.Name).Observe(firstToken.Seconds())
 	}
 	if firstToken == 0 && (r.result == resultRejected || r.result == resultFailed) {
 		g.metrics.LostRequests.WithLabelValues(r.stage()).Inc()
--- a/internal/gateway/disconnect.go
+++ b/internal/gateway/disconnect.go
@@ -81,7 +81,7 @@
 		}
 	case state == answerPending && !now.Before(backstop):
 		if request.respond(failureResponse(request, reasonNoDecision)) {
-			c.gateway.metrics.Backstops.Inc()
+			c.gateway.metrics.DecisionTimeouts.Inc()
 			c.gateway.log.Error("no routing decision within the client's timeout; responding with an error",
 				zap.String("id", request.displayID()))
 			c.postDisconnected(request)
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -23,7 +23,7 @@
 func (l *eventLoop) stateHeld(request *inflightRequest, endpoint string) {
 	l.endState(request, stateMissing) // the state of an earlier prefill, which this one has replaced
 	request.release.held = readState{endpoint, time.Now()}
-	l.gateway.metrics.HeldStates.Inc()
+	l.gateway.metrics.HeldReadStates.Inc()
 }
 
 // endState records that the state held for the request, if any, is no longer held, and why.
@@ -37,6 +37,6 @@
 	if held.since.IsZero() {
 		return
 	}
-	l.gateway.metrics.HeldStates.Dec()
-	l.gateway.metrics.StateHeldSeconds.WithLabelValues(end).Observe(time.Since(held.since).Seconds())
+	l.gateway.metrics.HeldReadStates.Dec()
+	l.gateway.metrics.ReadStateHeldSeconds.WithLabelValues(end).Observe(time.Since(held.since).Seconds())
 }
--- a/internal/gateway/heldstate_test.go
+++ b/internal/gateway/heldstate_test.go
@@ -14,8 +14,8 @@
 func TestReadStateMetrics(t *testing.T) {
 	r := newRig(t, "", "reader", "writer")
 	metrics := r.gateway.metrics
-	ends := func() int { return testutil.CollectAndCount(metrics.StateHeldSeconds) }
-	held := func() float64 { return testutil.ToFloat64(metrics.HeldStates) }
+	ends := func() int { return testutil.CollectAndCount(metrics.ReadStateHeldSeconds) }
+	held := func() float64 { return testutil.ToFloat64(metrics.HeldReadStates) }
 	r.post("ask", chat(true, 3))
 	r.eventually("the state was fetched", func() bool { return held() == 0 && ends() == 1 })
 
@@ -25,7 +25,7 @@
 	closeQuietly(c)
 	r.eventually("the state was released", func() bool { return held() == 0 && ends() == 2 })
 	r.eventually("the request is counted as abandoned", func() bool {
-		return testutil.ToFloat64(metrics.NotServed.WithLabelValues("gone", reasonClientClosed)) == 1
+		return testutil.ToFloat64(metrics.UnservedRequests.WithLabelValues("gone", reasonClientClosed)) == 1
 	})
 	r.eventually("one connection was closed, by its client", func() bool {
 		return testutil.CollectAndCount(metrics.ClosedConnections) == 1 &&
--- a/internal/gateway/release_call.go
+++ b/internal/gateway/release_call.go
@@ -110,12 +110,12 @@
 			zap.String("reader", r.held.endpoint), zap.Duration("held_for", time.Since(r.held.since)))
 	}
 	if err != nil {
-		l.gateway.metrics.Releases.WithLabelValues("failed").Inc()
+		l.gateway.metrics.StateReleases.WithLabelValues("failed").Inc()
 		l.gateway.log.Warn("read state not released", append(fields, zap.Error(err))...)
 		return
 	}
 	l.observeStateEnd(r.held, stateReleased)
 	r.held = readState{}
-	l.gateway.metrics.Releases.WithLabelValues("done").Inc()
+	l.gateway.metrics.StateReleases.WithLabelValues("done").Inc()
 	l.gateway.log.Info("read state released", fields...)
 }
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -205,7 +205,7 @@
 		PromptTokens:    float64((promptBytes + bytesPerToken - 1) / bytesPerToken),
 		PrefixTokens:    float64(prefixBytes) / bytesPerToken,
 		MaxOutputTokens: float64(limit),
-		Retry:           session.MarksRetries && session.Retries > 0,
+		IsRetry:         session.MarksRetries && session.Retries > 0,
 	}
 	if prefixBytes > 0 {
 		work.prefix = fmt.Sprintf("%d.%d.%d", session.Prefix.Seed[0], session.Prefix.Seed[1], prefixBytes)
--- a/internal/telemetry/names_test.go
+++ b/internal/telemetry/names_test.go
@@ -16,7 +16,7 @@
 func TestExposedMetricsMatchGolden(t *testing.T) {
 	m := NewMetrics()
 	for i, c := range []*prometheus.CounterVec{
-		m.Answers, m.Attempts, m.EarlyRejections, m.EndpointUpdates, m.Releases, m.NotServed, m.ClosedConnections,
+		m.Answers, m.Attempts, m.EarlyRejections, m.EndpointUpdates, m.StateReleases, m.UnservedRequests, m.ClosedConnections,
 		m.LostRequests,
 	} {
 		hasTwoLabels := i == 0 || i == 1 || i == 5
@@ -27,20 +27,20 @@
 		}
 	}
 	m.Engines.WithLabelValues("first label", "second label").Set(11)
-	m.FirstToken.WithLabelValues("only label").Observe(0.1)
-	m.StateHeldSeconds.WithLabelValues("only label").Observe(0.1)
+	m.FirstTokenSeconds.WithLabelValues("only label").Observe(0.1)
+	m.ReadStateHeldSeconds.WithLabelValues("only label").Observe(0.1)
 	m.DecisionSeconds.Observe(0.1)
 	m.DecisionEvents.Observe(2)
-	m.Backstops.Add(12)
+	m.DecisionTimeouts.Add(12)
 	m.ClientConnections.Set(13)
 	m.OpenRequests.Set(14)
-	m.HeldStates.Set(15)
-	all, err := m.registry.Gather()
+	m.HeldReadStates.Set(15)
+	families, err := m.registry.Gather()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	for _, f := range all {
+	for _, f := range families {
 		if n := f.GetName(); strings.HasPrefix(n, "go_") || strings.HasPrefix(n, "process_") {
 			continue
 		}
