--- a/cmd/brackenbend/compare.go
+++ b/cmd/brackenbend/compare.go
@@ -34,17 +34,17 @@
 
 // comparison compares two subjects, as the flags say.
 type comparison struct {
-	trafficFile, otherFile string
-	recordings             recordings
-	stopping               forecast.StoppingRule
-	checkRules             bool
-	htmlFile, jsonFile     string
+	scenarioFile, otherScenarioFile string
+	recordings                      recordings
+	stoppingRule                    forecast.StoppingRule
+	checkRules                      bool
+	htmlFile, jsonFile              string
 }
 
 func compareCommand() *cobra.Command {
 	c := comparison{
-		stopping:   forecast.StoppingRule{Level: 0.95, MinDifference: 0.002, BatchSize: 8, MaxReplications: 64},
-		checkRules: true,
+		stoppingRule: forecast.StoppingRule{Level: 0.95, MinDifference: 0.002, BatchSize: 8, MaxReplications: 64},
+		checkRules:   true,
 	}
 	cmd := &cobra.Command{
 		Use:   "compare A B",
@@ -76,49 +76,52 @@
 }
 
 func (c *comparison) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&c.trafficFile, "traffic", "", "scenario `file` whose clients, engines and faults A and B run with; "+
+	f.StringVar(&c.scenarioFile, "traffic", "", "scenario `file` whose clients, engines and faults A and B run with; "+
 		"without it, the default scenario")
 	c.recordings.addFlags(f)
-	f.StringVar(&c.otherFile, "other", "", "scenario `file` that B runs instead, with the same clients")
+	f.StringVar(&c.otherScenarioFile, "other", "", "scenario `file` that B runs instead, with the same clients")
 	f.StringVar(&c.htmlFile, "html", "", "write the result as an HTML page with plots to this `file`")
 	f.StringVar(&c.jsonFile, "json", "", "write all results as JSON to this `file`")
-	f.Float64Var(&c.stopping.Level, "level", c.stopping.Level, "confidence level, between 0 and 1")
+	f.Float64Var(&c.stoppingRule.Level, "level", c.stoppingRule.Level, "confidence level, between 0 and 1")
 	f.Float64Var(
-		&c.stopping.MinDifference,
+		&c.stoppingRule.MinDifference,
 		"counts",
-		c.stopping.MinDifference,
+		c.stoppingRule.MinDifference,
 		"smallest difference of service that counts",
 	)
-	f.IntVar(&c.stopping.BatchSize, "batch", c.stopping.BatchSize, "pairs of replications between two interim analyses")
-	f.IntVar(&c.stopping.MaxReplications, "most", c.stopping.MaxReplications, "maximum number of pairs of replications")
+	f.IntVar(&c.stoppingRule.BatchSize, "batch", c.stoppingRule.BatchSize,
+		"pairs of replications between two interim analyses")
+	f.IntVar(&c.stoppingRule.MaxReplications, "most", c.stoppingRule.MaxReplications,
+		"maximum number of pairs of replications")
 	f.BoolVar(&c.checkRules, "rules", c.checkRules, "also check the rules of \"brackenbend scenario\" in each replication")
 }
 
 func (c *comparison) run(cmd *cobra.Command, args []string) error {
-	stopping := c.stopping
-	if stopping.BatchSize < 3 || stopping.MaxReplications < stopping.BatchSize || stopping.MaxReplications > 10000 ||
-		!isFraction(stopping.Level) ||
-		stopping.MinDifference < 0 {
+	stoppingRule := c.stoppingRule
+	if stoppingRule.BatchSize < 3 || stoppingRule.MaxReplications < stoppingRule.BatchSize ||
+		stoppingRule.MaxReplications > 10000 ||
+		!isFraction(stoppingRule.Level) ||
+		stoppingRule.MinDifference < 0 {
 		return usageErrorf("--batch must be at least 3, --most from --batch to 10000, --level between 0 and 1, " +
 			"--counts at least 0")
 	}
-	stopping.Parallel = runtime.GOMAXPROCS(0)
-	first, err := c.newSubject(args[0], c.trafficFile)
+	stoppingRule.Parallel = runtime.GOMAXPROCS(0)
+	firstSubject, err := c.newSubject(args[0], c.scenarioFile)
 	if err != nil {
 		return err
 	}
-	secondFile := c.trafficFile
-	if c.otherFile != "" {
-		secondFile = c.otherFile
+	secondScenarioFile := c.scenarioFile
+	if c.otherScenarioFile != "" {
+		secondScenarioFile = c.otherScenarioFile
 	}
-	second, err := c.newSubject(args[1], secondFile)
+	secondSubject, err := c.newSubject(args[1], secondScenarioFile)
 	if err != nil {
 		return err
 	}
-	if c.otherFile != "" {
-		second.Name += " on " + filepath.Base(c.otherFile)
+	if c.otherScenarioFile != "" {
+		secondSubject.Name += " on " + filepath.Base(c.otherScenarioFile)
 	}
-	result, err := forecast.Compare(first, second, stopping)
+	result, err := forecast.Compare(firstSubject, secondSubject, stoppingRule)
 	if err != nil {
 		return err
 	}
@@ -132,35 +135,35 @@
 }
 
 // newSubject returns one of the two subjects, with the scenario in file, or the default scenario if file is empty.
-func (c *comparison) newSubject(subject, file string) (forecast.Subject, error) {
+func (c *comparison) newSubject(subject, scenarioFile string) (forecast.Subject, error) {
 	var files []string
-	if file != "" {
-		files = []string{file}
+	if scenarioFile != "" {
+		files = []string{scenarioFile}
 	}
 	sc, err := loadScenario(files)
 	if err != nil {
 		return forecast.Subject{}, err
 	}
-	recorded, err := c.recordings.load(sc)
+	recordedRequests, err := c.recordings.load(sc)
 	if err != nil {
 		return forecast.Subject{}, err
 	}
-	return parseSubject(subject, sc, recorded, c.checkRules)
+	return parseSubject(subject, sc, recordedRequests, c.checkRules)
 }
 
 // parseSubject returns the subject that an argument names: the router with the scenario's settings, a baseline policy,
 // another version of this program, or the router with a settings file.
-func parseSubject(subject string, sc *scenario.Scenario, recorded []scenario.RecordedRequest, checkRules bool) (
+func parseSubject(subject string, sc *scenario.Scenario, recordedRequests []scenario.RecordedRequest, checkRules bool) (
 	forecast.Subject, error,
 ) {
-	options := fleet.Options{Audit: checkRules, Traffic: recorded}
+	options := fleet.Options{Audit: checkRules, Traffic: recordedRequests}
 	switch {
 	case subject == routerSubject || subject == formerRouterSubject:
 	case slices.Contains(baseline.Policies, baseline.Policy(subject)):
 		options.Decider = func(s routing.Config, seed uint64) (fleet.Decider, error) {
 			return baseline.New(baseline.Policy(subject), s, seed)
 		}
-	case isExecutable(subject) && recorded != nil:
+	case isExecutable(subject) && recordedRequests != nil:
 		return forecast.Subject{}, usageErrorf(
 			"%s: another version of the program can't run recordings; compare it without --trace", subject)
 	case isExecutable(subject):
@@ -202,13 +205,13 @@
 		if err != nil {
 			return nil, err
 		}
-		file, summaryFile := filepath.Join(dir, "day.xml"), filepath.Join(dir, "summary.json")
-		if err := os.WriteFile(file, text, 0o600); err != nil {
+		scenarioFile, summaryFile := filepath.Join(dir, "day.xml"), filepath.Join(dir, "summary.json")
+		if err := os.WriteFile(scenarioFile, text, 0o600); err != nil {
 			return nil, err
 		}
 		ctx, stop := context.WithTimeout(context.Background(), otherVersionTimeout)
 		defer stop()
-		out, runErr := exec.CommandContext(ctx, binary, "lab", "day", file, "--seed", fmt.Sprint(seed),
+		out, runErr := exec.CommandContext(ctx, binary, "lab", "day", scenarioFile, "--seed", fmt.Sprint(seed),
 			"--clients", fmt.Sprint(replication.Seed), fmt.Sprintf("--rules=%v", checkRules),
 			"--json", summaryFile).CombinedOutput()
 		text, err = os.ReadFile(summaryFile) // also written if a rule was violated and the program failed
--- a/cmd/brackenbend/daemon.go
+++ b/cmd/brackenbend/daemon.go
@@ -33,10 +33,10 @@
 
 // daemon is a running gateway with its endpoint list and its admin listener.
 type daemon struct {
-	gateway *gateway.Gateway
-	addr    string     // of the client listener
-	failed  chan error // receives the error of a listener that failed; buffered for both listeners
-	stop    func()     // drains and shuts down; must be called only once
+	gateway        *gateway.Gateway
+	addr           string     // of the client listener
+	listenerErrors chan error // receives the error of a listener that failed; buffered for both listeners
+	stop           func()     // drains and shuts down; must be called only once
 }
 
 // startDaemon starts a gateway with its listeners, its metrics and its endpoint list.
@@ -46,35 +46,35 @@
 	if err != nil {
 		return nil, err
 	}
-	clients, err := net.Listen("tcp", settings.Replica.Listen)
+	clientListener, err := net.Listen("tcp", settings.Replica.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	d := &daemon{gateway: g, addr: clients.Addr().String(), failed: make(chan error, 2)}
-	admin, err := d.startAdmin(settings.Replica.Admin, metrics)
+	d := &daemon{gateway: g, addr: clientListener.Addr().String(), listenerErrors: make(chan error, 2)}
+	adminListener, err := d.startAdmin(settings.Replica.Admin, metrics)
 	if err != nil {
-		return nil, errors.Join(err, clients.Close())
+		return nil, errors.Join(err, clientListener.Close())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	watchEnded, err := followEndpoints(ctx, settings, g, log)
 	if err != nil {
 		cancel()
-		return nil, errors.Join(err, clients.Close())
+		return nil, errors.Join(err, clientListener.Close())
 	}
 	go func() {
-		if err := g.Serve(clients); err != nil {
-			d.failed <- err
+		if err := g.Serve(clientListener); err != nil {
+			d.listenerErrors <- err
 		}
 	}()
 	log.Info("serving", zap.String("listen", d.addr))
 	d.stop = func() {
-		ctx, done := context.WithTimeout(context.Background(), settings.Replica.DrainTimeout)
-		defer done()
+		ctx, cancelShutdown := context.WithTimeout(context.Background(), settings.Replica.DrainTimeout)
+		defer cancelShutdown()
 		g.Shutdown(ctx)
 		cancel()
 		<-watchEnded
-		if admin != nil {
-			_ = admin.Close() // the listener only served health and metrics
+		if adminListener != nil {
+			_ = adminListener.Close() // the listener only served health and metrics
 		}
 	}
 	return d, nil
@@ -91,7 +91,7 @@
 	}
 	go func() {
 		if err := metrics.Serve(l, d.gateway.NotReady); !errors.Is(err, net.ErrClosed) {
-			d.failed <- err
+			d.listenerErrors <- err
 		}
 	}()
 	return l, nil
@@ -102,21 +102,21 @@
 func followEndpoints(
 	ctx context.Context, settings *config.Settings, g *gateway.Gateway, log *zap.Logger,
 ) (<-chan struct{}, error) {
-	ended := make(chan struct{})
+	watchEnded := make(chan struct{})
 	if settings.APIServer == nil {
 		g.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: staticEndpoints(settings)})
-		close(ended)
-		return ended, nil
+		close(watchEnded)
+		return watchEnded, nil
 	}
 	watcher, err := newWatcher(settings, g, log)
 	if err != nil {
 		return nil, err
 	}
 	go func() {
-		defer close(ended)
+		defer close(watchEnded)
 		watcher.Run(ctx)
 	}()
-	return ended, nil
+	return watchEnded, nil
 }
 
 // staticEndpoints returns the endpoints that the settings list.
@@ -133,26 +133,26 @@
 func newWatcher(
 	settings *config.Settings, g *gateway.Gateway, log *zap.Logger,
 ) (*endpointslice.Watcher, error) {
-	s := settings.APIServer
+	apiServer := settings.APIServer
 	transport := &http.Transport{
 		DialContext:           (&net.Dialer{Timeout: apiServerDialTimeout}).DialContext,
 		ResponseHeaderTimeout: apiServerHeaderTimeout,
 	}
-	if s.CAFile != "" {
-		roots, err := loadCertificates(s.CAFile)
+	if apiServer.CAFile != "" {
+		roots, err := loadCertificates(apiServer.CAFile)
 		if err != nil {
 			return nil, fmt.Errorf("register ca-file: %w", err)
 		}
 		transport.TLSClientConfig = &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS12}
 	}
 	return &endpointslice.Watcher{
-		URL:          s.URL,
-		Namespace:    s.Namespace,
-		Selector:     s.Selector,
-		KindLabel:    s.KindLabel,
-		CellLabel:    s.CellLabel,
-		TokenFile:    s.TokenFile,
-		CacheFile:    s.CacheFile,
+		URL:          apiServer.URL,
+		Namespace:    apiServer.Namespace,
+		Selector:     apiServer.Selector,
+		KindLabel:    apiServer.KindLabel,
+		CellLabel:    apiServer.CellLabel,
+		TokenFile:    apiServer.TokenFile,
+		CacheFile:    apiServer.CacheFile,
 		Client:       &http.Client{Transport: transport},
 		UserAgent:    gateway.UserAgent(settings),
 		OnUpdate:     g.UpdateEndpoints,
--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -56,8 +56,8 @@
 
 // fakeEngine runs one fake engine.
 type fakeEngine struct {
-	listen, role, name          string
-	plain, cold, canChangeRoles bool
+	listen, role, name                   string
+	plainVLLM, startCold, canChangeRoles bool
 }
 
 func engineCommand() *cobra.Command {
@@ -93,8 +93,8 @@
 	f.StringVar(&e.listen, "listen", "127.0.0.1:0", "address to listen on; port 0 = any free port")
 	f.StringVar(&e.role, "role", "mixed", "role: reader (prefill), writer (decode) or mixed (both)")
 	f.StringVar(&e.name, "name", "engine-1", "name of the engine")
-	f.BoolVar(&e.plain, "plain", false, "support only vLLM's protocol, without the extensions")
-	f.BoolVar(&e.cold, "cold", false, "start cold: slower until the engine has warmed up")
+	f.BoolVar(&e.plainVLLM, "plain", false, "support only vLLM's protocol, without the extensions")
+	f.BoolVar(&e.startCold, "cold", false, "start cold: slower until the engine has warmed up")
 	f.BoolVar(&e.canChangeRoles, "shifts", false, "accept commands to change role (POST "+planner.PathRole+")")
 }
 
@@ -104,7 +104,7 @@
 		return usageErrorf("--role %q: must be reader, writer or mixed", e.role)
 	}
 	cfg := engine.Config{
-		Name: e.name, Kind: e.role, Params: fakeEngineParams(e.role), PlainVLLM: e.plain, CanCancel: true,
+		Name: e.name, Kind: e.role, Params: fakeEngineParams(e.role), PlainVLLM: e.plainVLLM, CanCancel: true,
 	}
 	if e.canChangeRoles {
 		cfg.InitialState, cfg.SwitchTime = roles.EngineState{Role: role, Target: role}, roleSwitchTime
@@ -113,7 +113,7 @@
 			cfg.Roles[r] = fakeEngineParams(name)
 		}
 	}
-	server, err := engine.Start(cfg, e.listen, e.cold)
+	server, err := engine.Start(cfg, e.listen, e.startCold)
 	if err != nil {
 		return err
 	}
@@ -128,10 +128,10 @@
 // fakeAPIServer runs a fake API server.
 type fakeAPIServer struct {
 	listen, assignmentsFile string
-	kindOfRole              map[string]string // kinds whose engines may change role, by role
+	kindByRole              map[string]string // kinds whose engines may change role, by role
 }
 
-func registerCommand() *cobra.Command {
+func apiServerCommand() *cobra.Command {
 	var s fakeAPIServer
 	cmd := &cobra.Command{
 		Use:   "register NAME=KIND@ADDRESS...",
@@ -146,7 +146,7 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&s.listen, "listen", "127.0.0.1:0", "address to listen on; port 0 = any free port")
-	f.StringToStringVar(&s.kindOfRole, "shift", nil,
+	f.StringToStringVar(&s.kindByRole, "shift", nil,
 		"kinds whose engines may change role, by role, such as reader=prefill,writer=decode,both=mixed")
 	f.StringVar(&s.assignmentsFile, "book", "", "`file` that keeps the role assignments across restarts")
 	return cmd
@@ -159,7 +159,7 @@
 	}
 	defer server.Close()
 	kinds := map[roles.Role]string{}
-	for name, kind := range s.kindOfRole {
+	for name, kind := range s.kindByRole {
 		role, err := roles.ParseRole(name)
 		if err != nil {
 			return exitError{fmt.Errorf("--shift: %w", err), exitUsage}
--- a/cmd/brackenbend/load.go
+++ b/cmd/brackenbend/load.go
@@ -28,14 +28,14 @@
 // loadRun sends the load of a scenario's clients to running replicas.
 type loadRun struct {
 	plan               load.Plan
-	clientsFile        string
+	scenarioFile       string
 	rate               float64 // requests a second; 0 = the scenario's
 	htmlFile, jsonFile string
 	quiet              bool
 }
 
 func loadCommand() *cobra.Command {
-	run := loadRun{plan: load.Plan{Length: 30 * time.Second, MaxOpen: 2000}}
+	run := loadRun{plan: load.Plan{Length: 30 * time.Second, MaxOpenSessions: 2000}}
 	cmd := &cobra.Command{
 		Use:   "load REPLICA...",
 		Short: "Send load to running replicas and measure what clients see",
@@ -58,14 +58,14 @@
 }
 
 func (r *loadRun) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&r.clientsFile, "clients", "", "scenario `file` with the clients; without it, the default scenario")
+	f.StringVar(&r.scenarioFile, "clients", "", "scenario `file` with the clients; without it, the default scenario")
 	f.StringVar(&r.plan.Model, "model", "day", "model that the requests name")
 	f.Float64Var(&r.rate, "rate", 0, "requests a second; 0 = the rate of the scenario")
 	f.DurationVar(&r.plan.Length, "for", r.plan.Length, "time during which sessions begin, from 1s to 1h")
 	f.IntVar(
-		&r.plan.MaxOpen,
+		&r.plan.MaxOpenSessions,
 		"most",
-		r.plan.MaxOpen,
+		r.plan.MaxOpenSessions,
 		"maximum number of open sessions, up to 20000; further sessions are not begun, and the report counts them",
 	)
 	f.BoolVar(&r.plan.AllowRemote, "anywhere", false, "also send to addresses other than loopback")
@@ -81,15 +81,15 @@
 	if !r.quiet {
 		bar := newProgressBar()
 		defer func() { _ = bar.Finish() }() // an error of the bar does not affect the report
-		r.plan.Progress = func(done float64, open int) {
-			bar.Describe(fmt.Sprintf("%d open", open))
-			_ = bar.Set(int(done * progressSteps))
+		r.plan.Progress = func(fraction float64, openSessions int) {
+			bar.Describe(fmt.Sprintf("%d open", openSessions))
+			_ = bar.Set(int(fraction * progressSteps))
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	report, err := load.Run(ctx, r.plan)
-	if errors.Is(err, load.ErrPlan) {
+	if errors.Is(err, load.ErrInvalidPlan) {
 		return exitError{err, exitUsage}
 	}
 	if err != nil {
@@ -107,10 +107,10 @@
 // prepare adds the scenario and the replicas to the plan.
 func (r *loadRun) prepare(replicas []string) error {
 	var files []string
-	if r.clientsFile != "" {
-		files = []string{r.clientsFile}
+	if r.scenarioFile != "" {
+		files = []string{r.scenarioFile}
 	}
-	clients, err := loadScenario(files)
+	sc, err := loadScenario(files)
 	if err != nil {
 		return err
 	}
@@ -118,9 +118,9 @@
 		return usageErrorf("--rate must be from 0 to %d requests a second", maxLoadRate)
 	}
 	if r.rate > 0 {
-		clients.Rate = config.Rate(r.rate)
+		sc.Rate = config.Rate(r.rate)
 	}
-	r.plan.Scenario, r.plan.Replicas = clients, replicas
+	r.plan.Scenario, r.plan.Replicas = sc, replicas
 	return nil
 }
 
--- a/cmd/brackenbend/main.go
+++ b/cmd/brackenbend/main.go
@@ -77,7 +77,7 @@
 		upCommand(),
 		scenarioCommand(),
 		engineCommand(),
-		registerCommand(),
+		apiServerCommand(),
 		plannerCommand(),
 		rolesCommand(),
 		simulateCommand(),
--- a/cmd/brackenbend/planner.go
+++ b/cmd/brackenbend/planner.go
@@ -25,10 +25,10 @@
 
 // plannerRun runs a planner of engine roles.
 type plannerRun struct {
-	url, logLevel, admin string
-	replicas             []string
-	interval             time.Duration
-	config               roles.Config
+	apiServerURL, logLevel, adminAddress string
+	replicas                             []string
+	interval                             time.Duration
+	config                               roles.Config
 }
 
 func plannerCommand() *cobra.Command {
@@ -53,10 +53,10 @@
 }
 
 func (r *plannerRun) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&r.url, "register", "", "URL of the API server")
+	f.StringVar(&r.apiServerURL, "register", "", "URL of the API server")
 	f.StringSliceVar(&r.replicas, "front", nil,
 		"admin address of a replica, which is polled for the requests that it rejected; repeatable")
-	f.StringVar(&r.admin, "admin", "", "address for health and metrics; without it, they are not served")
+	f.StringVar(&r.adminAddress, "admin", "", "address for health and metrics; without it, they are not served")
 	f.StringVar(&r.logLevel, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
 	f.DurationVar(&r.interval, "every", time.Second, "interval between planning rounds")
 	f.DurationVar(&r.config.MinDwell, "min-stay", time.Minute, "minimum time between two role changes of an engine")
@@ -80,8 +80,8 @@
 		return exitError{err, exitUsage}
 	}
 	metrics := planner.NewMetrics()
-	if r.admin != "" {
-		l, err := net.Listen("tcp", r.admin)
+	if r.adminAddress != "" {
+		l, err := net.Listen("tcp", r.adminAddress)
 		if err != nil {
 			return fmt.Errorf("--admin: %w", err)
 		}
@@ -91,7 +91,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	runner := &planner.Runner{
-		APIServer: newPlannerClient(r.url), Settings: r.config, Replicas: r.replicas, Interval: r.interval, Log: log,
+		APIServer: newPlannerClient(r.apiServerURL), Settings: r.config, Replicas: r.replicas, Interval: r.interval, Log: log,
 		Metrics: metrics,
 	}
 	return runner.Run(ctx)
--- a/cmd/brackenbend/roles.go
+++ b/cmd/brackenbend/roles.go
@@ -13,7 +13,7 @@
 )
 
 // editFunc changes the assignment of the engine that args[0] names.
-type editFunc func(table roles.Assignments, args []string) (roles.Assignments, error)
+type editFunc func(assignments roles.Assignments, args []string) (roles.Assignments, error)
 
 func rolesCommand() *cobra.Command {
 	var url string
@@ -65,73 +65,73 @@
 		Args:  exactArgs(args),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			client := newPlannerClient(*url)
-			table, err := client.Update(cmd.Context(), func(table roles.Assignments) (roles.Assignments, error) {
-				return apply(table, args)
+			assignments, err := client.Update(cmd.Context(), func(assignments roles.Assignments) (roles.Assignments, error) {
+				return apply(assignments, args)
 			})
 			if err != nil {
 				return err
 			}
-			return printAssignments(cmd.OutOrStdout(), table, args[0])
+			return printAssignments(cmd.OutOrStdout(), assignments, args[0])
 		},
 	}
 }
 
 func setPinned(pinned bool) editFunc {
-	return func(table roles.Assignments, args []string) (roles.Assignments, error) {
-		return table.Edit(args[0], func(a *roles.Assignment) { a.Pinned = pinned })
+	return func(assignments roles.Assignments, args []string) (roles.Assignments, error) {
+		return assignments.Edit(args[0], func(a *roles.Assignment) { a.Pinned = pinned })
 	}
 }
 
 // withRoleArgument returns an editFunc that calls apply with the engine and the role that args name.
 func withRoleArgument(apply func(roles.Assignments, string, roles.Role) (roles.Assignments, error)) editFunc {
-	return func(table roles.Assignments, args []string) (roles.Assignments, error) {
+	return func(assignments roles.Assignments, args []string) (roles.Assignments, error) {
 		role, err := roles.ParseRole(args[1])
 		if err != nil {
-			return table, exitError{err, exitUsage}
+			return assignments, exitError{err, exitUsage}
 		}
-		return apply(table, args[0], role)
+		return apply(assignments, args[0], role)
 	}
 }
 
-func forbidRole(table roles.Assignments, id string, role roles.Role) (roles.Assignments, error) {
-	return table.Edit(id, func(a *roles.Assignment) {
+func forbidRole(assignments roles.Assignments, engine string, role roles.Role) (roles.Assignments, error) {
+	return assignments.Edit(engine, func(a *roles.Assignment) {
 		a.CanPrefill = a.CanPrefill && !role.Prefills()
 		a.CanDecode = a.CanDecode && !role.Decodes()
 	})
 }
 
-func allowRole(table roles.Assignments, id string, role roles.Role) (roles.Assignments, error) {
-	return table.Edit(id, func(a *roles.Assignment) {
+func allowRole(assignments roles.Assignments, engine string, role roles.Role) (roles.Assignments, error) {
+	return assignments.Edit(engine, func(a *roles.Assignment) {
 		a.CanPrefill = a.CanPrefill || role.Prefills()
 		a.CanDecode = a.CanDecode || role.Decodes()
 	})
 }
 
-func forceRole(table roles.Assignments, id string, role roles.Role) (roles.Assignments, error) {
-	return table.Start(id, role, "forced by an operator")
+func forceRole(assignments roles.Assignments, engine string, role roles.Role) (roles.Assignments, error) {
+	return assignments.Start(engine, role, "forced by an operator")
 }
 
-func revertChange(table roles.Assignments, args []string) (roles.Assignments, error) {
-	return table.Revert(args[0], "called off by an operator")
+func revertChange(assignments roles.Assignments, args []string) (roles.Assignments, error) {
+	return assignments.Revert(args[0], "called off by an operator")
 }
 
 // printAssignments prints all assignments, or those of the named engines.
-func printAssignments(out io.Writer, table roles.Assignments, only ...string) error {
+func printAssignments(out io.Writer, assignments roles.Assignments, engineNames ...string) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	p := printer{out: w}
 	p.printf("ENGINE\tROLE\tSTATE\tORDER\tCHANGED\tMAY\tWHY\n")
-	found := 0
-	for _, id := range table.Names() {
-		if len(only) > 0 && !slices.Contains(only, id) {
+	printedCount := 0
+	for _, engine := range assignments.Names() {
+		if len(engineNames) > 0 && !slices.Contains(engineNames, engine) {
 			continue
 		}
-		found++
-		a := table.Entries[id]
+		printedCount++
+		a := assignments.Entries[engine]
 		p.printf("%s\t%v\t%s\t%d\t%s\t%s\t%s\n",
-			id, a.Role, assignmentState(a), a.CommandNumber, assignmentAge(a), allowedStages(a), a.Reason)
+			engine, a.Role, assignmentState(a), a.CommandNumber, assignmentAge(a), allowedStages(a), a.Reason)
 	}
-	if found < len(only) {
-		return fmt.Errorf("%w: %s", roles.ErrUnknownEngine, only[0])
+	if printedCount < len(engineNames) {
+		return fmt.Errorf("%w: %s", roles.ErrUnknownEngine, engineNames[0])
 	}
 	if p.err != nil {
 		return p.err
--- a/cmd/brackenbend/scenario.go
+++ b/cmd/brackenbend/scenario.go
@@ -20,13 +20,13 @@
 
 // scenarioRun runs one scenario against real replicas and writes the files that its flags name.
 type scenarioRun struct {
-	seconds     float64 // length that the scenario is scaled to; 0 = its own
-	jsonFile    string
-	eventsFile  string
-	keepDir     string
-	plotsDir    string
-	foreseeFile string
-	quiet       bool
+	seconds            float64 // length that the scenario is scaled to; 0 = its own
+	jsonFile           string
+	eventsFile         string
+	keepDir            string
+	plotsDir           string
+	foreseenReportFile string
+	quiet              bool
 }
 
 func scenarioCommand() *cobra.Command {
@@ -61,7 +61,7 @@
 	f.StringVar(&r.jsonFile, "json", "", "write the report as JSON to this `file`")
 	f.StringVar(&r.plotsDir, "plots", "", "write plots of the service, and of roles, over time as SVG to this `directory`")
 	f.StringVar(
-		&r.foreseeFile,
+		&r.foreseenReportFile,
 		"foresee",
 		"",
 		"report `file` (--json) of an earlier run with a planner: roles follow the cheapest schedule for the demand "+
@@ -103,24 +103,24 @@
 }
 
 // options returns the options of the run. It creates the working directory: a temporary one, unless --keep names one.
-func (r *scenarioRun) options(progress io.Writer) (o scenariorun.Options, err error) {
-	if o.Binary, err = os.Executable(); err != nil {
-		return o, err
+func (r *scenarioRun) options(progress io.Writer) (options scenariorun.Options, err error) {
+	if options.Binary, err = os.Executable(); err != nil {
+		return options, err
 	}
-	if r.foreseeFile != "" {
-		if o.Foreseen, err = readForeseen(r.foreseeFile); err != nil {
-			return o, exitError{err, exitUsage}
+	if r.foreseenReportFile != "" {
+		if options.Foreseen, err = readForeseenDemand(r.foreseenReportFile); err != nil {
+			return options, exitError{err, exitUsage}
 		}
 	}
 	if !r.quiet {
-		o.Log = progress
+		options.Log = progress
 	}
 	if r.keepDir == "" {
-		o.WorkDir, err = os.MkdirTemp("", "brackenbend-scenario-")
-		return o, err
+		options.WorkDir, err = os.MkdirTemp("", "brackenbend-scenario-")
+		return options, err
 	}
-	o.WorkDir = r.keepDir
-	return o, os.MkdirAll(o.WorkDir, 0o755)
+	options.WorkDir = r.keepDir
+	return options, os.MkdirAll(options.WorkDir, 0o755)
 }
 
 // save writes the files that the flags name.
@@ -152,11 +152,11 @@
 	if len(args) == 0 {
 		return scenario.Default()
 	}
-	loaded, err := scenario.Load(args[0])
+	sc, err := scenario.Load(args[0])
 	if err != nil {
 		return nil, configError(err)
 	}
-	return loaded, nil
+	return sc, nil
 }
 
 // scaleLength scales a scenario to a length in seconds. It does nothing if seconds is 0 or negative.
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// readForeseen reads the demand over time from the report of an earlier run.
-func readForeseen(path string) ([]scenariorun.RoleSample, error) {
+// readForeseenDemand reads the demand over time from the report of an earlier run.
+func readForeseenDemand(path string) ([]scenariorun.RoleSample, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/cmd/brackenbend/serve.go
+++ b/cmd/brackenbend/serve.go
@@ -58,22 +58,22 @@
 	}
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	running, err := startDaemon(settings, log)
+	gatewayDaemon, err := startDaemon(settings, log)
 	if err != nil {
 		return err
 	}
 	for {
 		select {
-		case err := <-running.failed:
-			running.stop()
+		case err := <-gatewayDaemon.listenerErrors:
+			gatewayDaemon.stop()
 			return err
 		case sig := <-signals:
 			if sig == syscall.SIGHUP {
-				reload(running.gateway, file, log)
+				reload(gatewayDaemon.gateway, file, log)
 				continue
 			}
 			log.Info("draining", zap.String("signal", sig.String()), zap.Duration("at most", settings.Replica.DrainTimeout))
-			running.stop()
+			gatewayDaemon.stop()
 			log.Info("gateway stopped")
 			_ = log.Sync() // standard error can't be synced on every system
 			return nil
--- a/cmd/brackenbend/simulate.go
+++ b/cmd/brackenbend/simulate.go
@@ -39,13 +39,13 @@
 
 // rolesSimulation compares policies that assign engines to roles.
 type rolesSimulation struct {
-	engines, seeds int
-	config         roles.Config
-	plotsDir       string
+	engines, replications int
+	config                roles.Config
+	plotsDir              string
 }
 
 func simulateRolesCommand() *cobra.Command {
-	sim := rolesSimulation{engines: 16, seeds: 3}
+	sim := rolesSimulation{engines: 16, replications: 3}
 	cmd := &cobra.Command{
 		Use:   "roles",
 		Short: "Compare fixed roles, the role planner, and a planner that knows future demand",
@@ -63,7 +63,7 @@
 
 func (s *rolesSimulation) addFlags(f *pflag.FlagSet) {
 	f.IntVar(&s.engines, "engines", s.engines, "number of engines in the fleet")
-	f.IntVar(&s.seeds, "seeds", s.seeds, "replications of each scenario, each with different traffic")
+	f.IntVar(&s.replications, "seeds", s.replications, "replications of each scenario, each with different traffic")
 	f.StringVar(&s.plotsDir, "plots", "", "write plots of roles and lost requests over time as SVG to this `directory`")
 	f.DurationVar(&s.config.MinDwell, "min-stay", time.Minute, "minimum time between two role changes of an engine")
 	f.Float64Var(&s.config.MaxConcurrent, "at-once", 0.1,
@@ -73,13 +73,13 @@
 }
 
 func (s *rolesSimulation) run(cmd *cobra.Command, _ []string) error {
-	if s.engines < 2 || s.engines > 2000 || s.seeds < 1 || s.seeds > 100 {
+	if s.engines < 2 || s.engines > 2000 || s.replications < 1 || s.replications > 100 {
 		return exitError{errors.New("--engines must be from 2 to 2000, --seeds from 1 to 100"), exitUsage}
 	}
 	if err := s.config.Validate(); err != nil {
 		return exitError{err, exitUsage}
 	}
-	rows := rolesim.Compare(rolesim.Scenarios(s.engines), s.seeds, runtime.GOMAXPROCS(0), s.config)
+	rows := rolesim.Compare(rolesim.Scenarios(s.engines), s.replications, runtime.GOMAXPROCS(0), s.config)
 	if err := rolesim.WriteTable(cmd.OutOrStdout(), rows); err != nil {
 		return err
 	}
--- a/cmd/brackenbend/simulate_ablation.go
+++ b/cmd/brackenbend/simulate_ablation.go
@@ -57,12 +57,12 @@
 		return usageErrorf("--runs must be from 3 to 100, --level between 0 and 1")
 	}
 	s.plan.Scenario, s.plan.Parallel = sc, runtime.GOMAXPROCS(0)
-	sizes, err := ablation.Run(s.plan)
+	results, err := ablation.Run(s.plan)
 	if err != nil {
 		return err
 	}
-	if err := saveJSON(s.jsonFile, sizes); err != nil {
+	if err := saveJSON(s.jsonFile, results); err != nil {
 		return err
 	}
-	return ablation.Write(cmd.OutOrStdout(), sizes)
+	return ablation.Write(cmd.OutOrStdout(), results)
 }
--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -15,9 +15,9 @@
 
 // faultSearch searches for the faults under which a subject serves worst.
 type faultSearch struct {
-	search  faultsearch.Search
-	against string
-	outFile string
+	search        faultsearch.Search
+	referenceName string
+	outFile       string
 }
 
 func simulateFaultSearchCommand() *cobra.Command {
@@ -47,7 +47,7 @@
 }
 
 func (s *faultSearch) addFlags(f *pflag.FlagSet) {
-	f.StringVar(&s.against, "against", "",
+	f.StringVar(&s.referenceName, "against", "",
 		"subject whose service the loss is measured from: routing, a settings file, or a baseline policy; "+
 			"without it, full service")
 	f.StringVarP(&s.outFile, "out", "o", "", "write the scenario that is found to this `file`")
@@ -72,20 +72,20 @@
 	if err := s.prepare(sc, subject); err != nil {
 		return err
 	}
-	found, err := faultsearch.Run(s.search)
+	result, err := faultsearch.Run(s.search)
 	if err != nil {
 		return err
 	}
-	note := fmt.Sprintf("found by a fault search: service of %s %.3f, reference %.3f; %d violations (simulated)",
-		subject, found.Subject, found.Reference, found.Violations)
-	_, text, err := sc.WithFaults(found.Faults, note)
+	summary := fmt.Sprintf("found by a fault search: service of %s %.3f, reference %.3f; %d violations (simulated)",
+		subject, result.Subject, result.Reference, result.Violations)
+	_, text, err := sc.WithFaults(result.Faults, summary)
 	if err != nil {
 		return err
 	}
 	p := printer{out: cmd.OutOrStdout()}
-	p.printf("%s, %d lists run\n", note, found.Simulated)
-	for i := range found.Faults {
-		p.printf("  %s\n", found.Faults[i].XML())
+	p.printf("%s, %d lists run\n", summary, result.Simulated)
+	for i := range result.Faults {
+		p.printf("  %s\n", result.Faults[i].XML())
 	}
 	if p.err != nil {
 		return p.err
@@ -95,7 +95,7 @@
 			return err
 		}
 	}
-	if found.Violations > 0 {
+	if result.Violations > 0 {
 		return exitError{fmt.Errorf("simulate fault-search: a rule was violated"), exitViolation}
 	}
 	return nil
@@ -117,8 +117,8 @@
 		return err
 	}
 	s.search.Scenario, s.search.Subject, s.search.Parallel = sc, target.Options, runtime.GOMAXPROCS(0)
-	if s.against != "" {
-		reference, err := parse(s.against)
+	if s.referenceName != "" {
+		reference, err := parse(s.referenceName)
 		if err != nil {
 			return err
 		}
--- a/cmd/brackenbend/simulate_forecast.go
+++ b/cmd/brackenbend/simulate_forecast.go
@@ -20,12 +20,12 @@
 
 // forecastSimulation forecasts the service of scenarios and, with --real, runs them on sockets to check the forecasts.
 type forecastSimulation struct {
-	runs     int
-	level    float64
-	model    forecast.Model
-	real     bool
-	fit      bool
-	jsonFile string
+	runs      int
+	level     float64
+	model     forecast.Model
+	onSockets bool
+	fitModel  bool
+	jsonFile  string
 }
 
 func simulateForecastCommand() *cobra.Command {
@@ -53,8 +53,8 @@
 	f.Float64Var(&s.model.Floor, "floor", 0.002, "standard deviation of the simulation's error in any scenario")
 	f.Float64Var(&s.model.LossFraction, "part", 0.1,
 		"further standard deviation, as a fraction of the service that the scenario loses")
-	f.BoolVar(&s.real, "real", false, "also run the scenarios on sockets")
-	f.BoolVar(&s.fit, "fit", false, "with --real: estimate --floor and --part from these scenarios")
+	f.BoolVar(&s.onSockets, "real", false, "also run the scenarios on sockets")
+	f.BoolVar(&s.fitModel, "fit", false, "with --real: estimate --floor and --part from these scenarios")
 	f.StringVar(&s.jsonFile, "json", "", "with --real: write the forecasts and the runs on sockets as JSON to this `file`")
 }
 
@@ -75,7 +75,7 @@
 	inInterval := 0
 	for i, f := range forecasts {
 		p.printf("%-20s %9.4f %7.4f %7.4f-%.4f %9.3f %8d", f.Scenario, f.Mean, f.SD, f.Low, f.High, f.Worst, f.Violations)
-		if s.real {
+		if s.onSockets {
 			report, err := runOnSockets(ctx, scenarios[i])
 			if err != nil {
 				return err
@@ -90,10 +90,10 @@
 		}
 		p.printf("\n")
 	}
-	if s.real {
+	if s.onSockets {
 		p.printf("%d of %d lie within their intervals\n", inInterval, len(forecasts))
 	}
-	if s.fit {
+	if s.fitModel {
 		fitted := forecast.Fit(pairs)
 		p.printf("fitted: --floor %.4f --part %.3f\n", fitted.Floor, fitted.LossFraction)
 	}
@@ -108,16 +108,16 @@
 	scenarios []*scenario.Scenario, forecasts []*forecast.Forecast, err error,
 ) {
 	for _, file := range files {
-		loaded, err := loadScenario([]string{file})
+		sc, err := loadScenario([]string{file})
 		if err != nil {
 			return nil, nil, err
 		}
 		name := strings.TrimSuffix(filepath.Base(file), ".xml")
-		f, err := forecast.Predict(name, loaded, s.runs, runtime.GOMAXPROCS(0), s.level, s.model)
+		f, err := forecast.Predict(name, sc, s.runs, runtime.GOMAXPROCS(0), s.level, s.model)
 		if err != nil {
 			return nil, nil, err
 		}
-		scenarios, forecasts = append(scenarios, loaded), append(forecasts, f)
+		scenarios, forecasts = append(scenarios, sc), append(forecasts, f)
 	}
 	return scenarios, forecasts, nil
 }
@@ -129,9 +129,9 @@
 		return nil, err
 	}
 	defer removeTempDir(dir)
-	program, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	return scenariorun.Run(ctx, sc, scenariorun.Options{Binary: program, WorkDir: dir})
+	return scenariorun.Run(ctx, sc, scenariorun.Options{Binary: executable, WorkDir: dir})
 }
--- a/cmd/brackenbend/simulate_overload.go
+++ b/cmd/brackenbend/simulate_overload.go
@@ -15,17 +15,17 @@
 
 // overloadSimulation measures goodput against offered load, and the recovery from overload.
 type overloadSimulation struct {
-	plan     overload.Plan
-	replicas int
-	loops    bool
-	subject  string
-	jsonFile string
+	plan         overload.Plan
+	replicas     int
+	disableLoops bool
+	subjectName  string
+	jsonFile     string
 }
 
 func simulateOverloadCommand() *cobra.Command {
 	sim := overloadSimulation{
-		plan:    overload.Plan{Runs: 3, Before: 8 * time.Second, For: 10 * time.Second, After: 15 * time.Second},
-		subject: routerSubject,
+		plan:        overload.Plan{Runs: 3, Before: 8 * time.Second, For: 10 * time.Second, After: 15 * time.Second},
+		subjectName: routerSubject,
 	}
 	cmd := &cobra.Command{
 		Use:   "overload [FILE]",
@@ -59,8 +59,8 @@
 	f.DurationVar(&s.plan.For, "for", s.plan.For, "time of the overload, at least 2s")
 	f.DurationVar(&s.plan.After, "after", s.plan.After, "time at the base load after the overload, at least 5s")
 	f.IntVar(&s.plan.Runs, "runs", s.plan.Runs, "replications of each load")
-	f.BoolVar(&s.loops, "loops", false, "also run with each feedback loop disabled in turn")
-	f.StringVar(&s.subject, "way", s.subject,
+	f.BoolVar(&s.disableLoops, "loops", false, "also run with each feedback loop disabled in turn")
+	f.StringVar(&s.subjectName, "way", s.subjectName,
 		"subject to simulate: routing, a settings file, or a baseline policy (random, fewest or two-choices)")
 	f.StringVar(&s.jsonFile, "json", "", "write all results as JSON to this `file`")
 }
@@ -76,7 +76,7 @@
 	if s.replicas > 0 {
 		sc.Replicas = s.replicas
 	}
-	subject, err := parseSubject(s.subject, sc, nil, false)
+	subject, err := parseSubject(s.subjectName, sc, nil, false)
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 		return usageErrorf("--way must be routing, random, fewest, two-choices or a settings file")
 	}
 	s.plan.Scenario, s.plan.Options, s.plan.Parallel = sc, subject.Options, runtime.GOMAXPROCS(0)
-	if s.loops {
+	if s.disableLoops {
 		s.plan.FeedbackLoops = overload.FeedbackLoops
 	}
 	points, err := overload.Run(s.plan)
--- a/cmd/brackenbend/simulate_recording.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -31,9 +31,9 @@
 
 // scaledRecording is one recording and the factor by which its traffic is multiplied.
 type scaledRecording struct {
-	requests []scenario.RecordedRequest
-	scale    float64
-	begin    time.Time
+	requests  []scenario.RecordedRequest
+	scale     float64
+	beginTime time.Time
 }
 
 func (r *recordings) addFlags(f *pflag.FlagSet) {
@@ -47,56 +47,56 @@
 	if len(r.files) == 0 {
 		return nil, nil
 	}
-	var lists [][]scenario.RecordedRequest
+	var requestLists [][]scenario.RecordedRequest
 	var scales []float64
-	var begins []time.Time
+	var beginTimes []time.Time
 	for _, arg := range r.files {
 		recording, err := loadRecording(arg, sc)
 		if err != nil {
 			return nil, err
 		}
-		lists = append(lists, recording.requests)
+		requestLists = append(requestLists, recording.requests)
 		scales = append(scales, recording.scale)
-		begins = append(begins, recording.begin)
+		beginTimes = append(beginTimes, recording.beginTime)
 	}
-	alignBegins(lists, begins)
-	all := scenario.Blend(1, lists, scales)
-	if len(all) == 0 {
+	alignBeginTimes(requestLists, beginTimes)
+	mergedRequests := scenario.Blend(1, requestLists, scales)
+	if len(mergedRequests) == 0 {
 		return nil, exitError{fmt.Errorf("--trace: no requests in %s", strings.Join(r.files, ", ")), exitConfig}
 	}
-	sc.Length = max(sc.Length, all[len(all)-1].At)
-	return all, nil
+	sc.Length = max(sc.Length, mergedRequests[len(mergedRequests)-1].At)
+	return mergedRequests, nil
 }
 
 // loadRecording reads a recording given as FILE or FILE@TIMES.
 func loadRecording(arg string, sc *scenario.Scenario) (r scaledRecording, err error) {
-	file, times, scaled := strings.Cut(arg, "@")
+	file, scaleText, hasScale := strings.Cut(arg, "@")
 	r.scale = 1
-	if scaled {
-		r.scale, err = strconv.ParseFloat(times, 64)
+	if hasScale {
+		r.scale, err = strconv.ParseFloat(scaleText, 64)
 		if err != nil || !(r.scale > 0 && r.scale <= maxTrafficScale) {
 			return r, usageErrorf("--trace %s: TIMES must be a number above 0 and at most %d", arg, maxTrafficScale)
 		}
 	}
-	t, err := readTrace(file)
+	recordedTrace, err := readTrace(file)
 	if err != nil {
 		return r, err
 	}
-	t.CloseGaps()
-	r.begin = t.Begin
-	if r.requests, err = t.RecordedRequests(sc); err != nil {
+	recordedTrace.CloseGaps()
+	r.beginTime = recordedTrace.Begin
+	if r.requests, err = recordedTrace.RecordedRequests(sc); err != nil {
 		return r, exitError{fmt.Errorf("%s: %w", file, err), exitConfig}
 	}
 	return r, nil
 }
 
-// alignBegins shifts recordings of the same period, such as those of several replicas, so that their requests have the
-// same offsets to each other as when they were recorded. Recordings that began a day or more after the first are of
+// alignBeginTimes shifts recordings of the same period, such as those of several replicas, so that their requests have
+// the same offsets to each other as when they were recorded. Recordings that began a day or more after the first are of
 // another period and are not shifted: they begin with the scenario.
-func alignBegins(lists [][]scenario.RecordedRequest, begins []time.Time) {
-	first := slices.MinFunc(begins, time.Time.Compare)
-	for i, list := range lists {
-		offset := begins[i].Sub(first)
+func alignBeginTimes(requestLists [][]scenario.RecordedRequest, beginTimes []time.Time) {
+	firstBeginTime := slices.MinFunc(beginTimes, time.Time.Compare)
+	for i, list := range requestLists {
+		offset := beginTimes[i].Sub(firstBeginTime)
 		if offset >= maxConcurrentOffset {
 			continue
 		}
--- a/cmd/brackenbend/simulate_scenario.go
+++ b/cmd/brackenbend/simulate_scenario.go
@@ -80,21 +80,21 @@
 	if s.shards < 1 || s.shards > 64 {
 		return usageErrorf("--shards must be from 1 to 64")
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	result, err := fleet.Run(sc, fleet.Options{
 		Seed: s.seed, Audit: s.checkRules, Shards: s.shards, Traffic: traffic,
 	})
 	if err != nil {
 		return err
 	}
-	took := time.Since(began)
+	elapsed := time.Since(startedAt)
 	if err := saveJSON(s.jsonFile, forecast.Summarize(result)); err != nil {
 		return err
 	}
 	if err := printResult(cmd.OutOrStdout(), sc, result); err != nil {
 		return err
 	}
-	if err := printCost(cmd.ErrOrStderr(), result, took); err != nil {
+	if err := printCost(cmd.ErrOrStderr(), result, elapsed); err != nil {
 		return err
 	}
 	if n := countViolations(result.Rules); n > 0 {
@@ -151,7 +151,7 @@
 }
 
 // printCost prints the time and the memory that the simulation itself took.
-func printCost(out io.Writer, result *fleet.Result, took time.Duration) error {
+func printCost(out io.Writer, result *fleet.Result, elapsed time.Duration) error {
 	requests := 0
 	classes, _ := result.Score.Rows()
 	for _, c := range classes {
@@ -160,7 +160,7 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	p := printer{out: out}
-	p.printf("%d events in %v: %.0f a second, %.0f us a request, %d MiB\n", result.Events, took.Round(time.Millisecond),
-		float64(result.Events)/took.Seconds(), float64(took.Microseconds())/float64(max(requests, 1)), memory.Sys>>20)
+	p.printf("%d events in %v: %.0f a second, %.0f us a request, %d MiB\n", result.Events, elapsed.Round(time.Millisecond),
+		float64(result.Events)/elapsed.Seconds(), float64(elapsed.Microseconds())/float64(max(requests, 1)), memory.Sys>>20)
 	return p.err
 }
--- a/cmd/brackenbend/up.go
+++ b/cmd/brackenbend/up.go
@@ -75,20 +75,21 @@
 	if err != nil {
 		return err
 	}
-	running, err := startDaemon(settings, log)
+	gatewayDaemon, err := startDaemon(settings, log)
 	if err != nil {
 		return err
 	}
-	defer running.stop()
+	defer gatewayDaemon.stop()
 	_, err = fmt.Fprintf(cmd.OutOrStdout(),
-		"gateway on http://%s (model \"stand-in\"), metrics on http://%s/metrics; stop with Ctrl-C\n", running.addr, admin)
+		"gateway on http://%s (model \"stand-in\"), metrics on http://%s/metrics; stop with Ctrl-C\n",
+		gatewayDaemon.addr, admin)
 	if err != nil {
 		return err
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 	select {
-	case err = <-running.failed:
+	case err = <-gatewayDaemon.listenerErrors:
 		return err
 	case <-signals:
 		return nil
--- a/cmd/simadapter/exchange_test.go
+++ b/cmd/simadapter/exchange_test.go
@@ -49,7 +49,7 @@
 		{instance1, "03 00000007 00000029 00002422 0001", "05 00000008", "06 000000000000004d"},
 		{instance1, "01 00 00000000 ff", "09"},
 	}
-	var in, out bytes.Buffer
+	var input, output bytes.Buffer
 	for i, records := range batches {
 		body, err := hex.DecodeString(strings.ReplaceAll(strings.Join(records, ""), " ", ""))
 		if err != nil {
@@ -59,9 +59,9 @@
 		if i == 0 { // each start is two records, so this batch has four
 			binary.BigEndian.PutUint32(batch[4:], 4)
 		}
-		in.Write(batch)
+		input.Write(batch)
 	}
-	err = run(bytes.NewReader(in.Bytes()), &out)
+	err = run(bytes.NewReader(input.Bytes()), &output)
 	golden.Check(t, "exchange.txt",
-		fmt.Sprintf("in\n%sout\n%serror %v\n", hex.Dump(in.Bytes()), hex.Dump(out.Bytes()), err))
+		fmt.Sprintf("in\n%sout\n%serror %v\n", hex.Dump(input.Bytes()), hex.Dump(output.Bytes()), err))
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -25,11 +25,11 @@
 }
 
 // run answers batches until the input ends.
-func run(in io.Reader, out io.Writer) error {
-	decoder := simprotocol.NewDecoder(bufio.NewReaderSize(in, inputBufferSize))
-	writer := bufio.NewWriter(out)
+func run(input io.Reader, output io.Writer) error {
+	decoder := simprotocol.NewDecoder(bufio.NewReaderSize(input, inputBufferSize))
+	writer := bufio.NewWriter(output)
 	adapter := &adapter{routers: map[uint16]*routing.Router{}}
-	var buf []byte
+	var replyBuffer []byte
 	for {
 		batch, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
@@ -38,12 +38,12 @@
 		if err != nil {
 			return err
 		}
-		reply := simprotocol.NewReply(buf, batch.Seq)
-		if err := adapter.answer(batch, reply); err != nil {
+		reply := simprotocol.NewReply(replyBuffer, batch.Seq)
+		if err := adapter.handleBatch(batch, reply); err != nil {
 			return err
 		}
-		buf = reply.Bytes()
-		if _, err := writer.Write(buf); err != nil {
+		replyBuffer = reply.Bytes()
+		if _, err := writer.Write(replyBuffer); err != nil {
 			return fmt.Errorf("reply %d: %w", batch.Seq, err)
 		}
 		if err := writer.Flush(); err != nil {
@@ -59,33 +59,33 @@
 
 // instanceEvents are the routing events of a batch by instance.
 type instanceEvents struct {
-	byInstance map[uint16][]routing.Event
-	order      []uint16 // instances by first event; those restarted in the batch may be in it twice
+	byInstance    map[uint16][]routing.Event
+	instanceOrder []uint16 // instances by first event; those restarted in the batch may be in it twice
 }
 
 func (e *instanceEvents) add(instance uint16, event routing.Event) {
 	if len(e.byInstance[instance]) == 0 {
-		e.order = append(e.order, instance)
+		e.instanceOrder = append(e.instanceOrder, instance)
 	}
 	e.byInstance[instance] = append(e.byInstance[instance], event)
 }
 
-// take removes and returns the events of an instance.
-func (e *instanceEvents) take(instance uint16) []routing.Event {
+// remove deletes and returns the events of an instance.
+func (e *instanceEvents) remove(instance uint16) []routing.Event {
 	events := e.byInstance[instance]
 	delete(e.byInstance, instance)
 	return events
 }
 
-// answer steps the router of each instance that has events in the batch, once with all of these events in order, and
-// adds its actions to the reply, or a fault if the step failed.
-func (a *adapter) answer(batch *simprotocol.Batch, reply *simprotocol.Reply) error {
+// handleBatch steps the router of each instance that has events in the batch, once with all of these events in order,
+// and adds its actions to the reply, or a fault if the step failed.
+func (a *adapter) handleBatch(batch *simprotocol.Batch, reply *simprotocol.Reply) error {
 	events, err := a.collect(batch)
 	if err != nil {
 		return err
 	}
-	for _, instance := range events.order {
-		stepEvents := events.take(instance)
+	for _, instance := range events.instanceOrder {
+		stepEvents := events.remove(instance)
 		if len(stepEvents) == 0 { // stopped, or answered already
 			continue
 		}
@@ -111,10 +111,10 @@
 			if err := a.start(item.Instance, event); err != nil {
 				return nil, fmt.Errorf("instance %d: %w", item.Instance, err)
 			}
-			events.take(item.Instance)
+			events.remove(item.Instance)
 		case simprotocol.Stop:
 			delete(a.routers, item.Instance)
-			events.take(item.Instance)
+			events.remove(item.Instance)
 		case routing.Event:
 			if _, running := a.routers[item.Instance]; !running {
 				return nil, fmt.Errorf("batch %d: event for instance %d, which has not started", batch.Seq, item.Instance)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -43,12 +43,12 @@
 // TestRunSendsRequestToPrefillEndpoint starts an instance, gives it a prefill and a decode endpoint and a request, and
 // expects a send to the prefill endpoint.
 func TestRunSendsRequestToPrefillEndpoint(t *testing.T) {
-	list := []byte{11, 0, 0, 0, 0, 2}
+	endpointList := []byte{11, 0, 0, 0, 0, 2}
 	for i := range byte(2) {
-		list = append(list, 0x3f, 0x80, 0, 0, i, 1, 0, 0, 0, 40+i)
-		list = append(list, make([]byte, 12)...)
+		endpointList = append(endpointList, 0x3f, 0x80, 0, 0, i, 1, 0, 0, 0, 40+i)
+		endpointList = append(endpointList, make([]byte, 12)...)
 	}
-	body := append(encodeStart(1, settings), list...)
+	body := append(encodeStart(1, settings), endpointList...)
 	body = append(body, 1, 3, 0, 0, 0, 1, 0)
 	request := make([]byte, 52)
 	request[0], request[4] = 2, 7
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -36,8 +36,8 @@
 // Run starts sessions until the plan's length has elapsed, then waits for all of them to end. Once ctx is canceled, no
 // session starts and none sends another request.
 func Run(ctx context.Context, plan Plan) (*Report, error) {
-	if plan.MaxOpen == 0 {
-		plan.MaxOpen = defaultMaxOpen
+	if plan.MaxOpenSessions == 0 {
+		plan.MaxOpenSessions = defaultMaxOpenSessions
 	}
 	if err := plan.check(); err != nil {
 		return nil, planError{err}
@@ -81,7 +81,7 @@
 		}
 		report.MaxSenderDelay = max(report.MaxSenderDelay, time.Since(scheduledAt))
 		session := arrivals.Next(r.currentConditions())
-		if r.openSessions.Load() >= int64(r.plan.MaxOpen) {
+		if r.openSessions.Load() >= int64(r.plan.MaxOpenSessions) {
 			report.NotStarted++
 			continue
 		}
@@ -119,8 +119,8 @@
 			changes = changes[1:]
 		}
 		if r.plan.Progress != nil {
-			done := time.Since(r.startedAt).Seconds() / r.plan.Length.Seconds()
-			r.plan.Progress(min(done, 1), int(r.openSessions.Load()))
+			fraction := time.Since(r.startedAt).Seconds() / r.plan.Length.Seconds()
+			r.plan.Progress(min(fraction, 1), int(r.openSessions.Load()))
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -71,19 +71,19 @@
 	time.Sleep(s.delay)
 	if !body.Stream {
 		w.Header().Set("Content-Type", "application/json")
-		respond(w, `{"ok":true}`)
+		writeText(w, `{"ok":true}`)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	for range 3 {
-		respond(w, "data: {}\n\n")
+		writeText(w, "data: {}\n\n")
 		_ = http.NewResponseController(w).Flush() // a disconnected client is visible in the report
 	}
-	respond(w, "data: [DONE]\n\n")
+	writeText(w, "data: [DONE]\n\n")
 }
 
-// respond writes text. It ignores the error, as a disconnected client is visible in the report.
-func respond(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+// writeText writes text. It ignores the error, as a disconnected client is visible in the report.
+func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 // startServer starts a server and returns its loopback address.
 func startServer(t *testing.T, handler http.Handler) (address string) {
@@ -98,7 +98,7 @@
 	progress := 0.0
 	report, err := Run(t.Context(), Plan{
 		Scenario: newScenario(t), Replicas: []string{startServer(t, server)}, Model: "demo", Length: time.Second,
-		Progress: func(done float64, _ int) { progress = max(progress, done) },
+		Progress: func(fraction float64, _ int) { progress = max(progress, fraction) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -116,9 +116,9 @@
 			t.Errorf("%s: %+v, %d attempts", c.Name, q, c.Attempts)
 		}
 	}
-	gaps := report.Classes[0].TokenGap.TotalCount()
-	if gaps != int64(2*report.Classes[0].Requests) || report.Tokens < gaps {
-		t.Errorf("%d gaps, %d tokens", gaps, report.Tokens)
+	gapCount := report.Classes[0].TokenGap.TotalCount()
+	if gapCount != int64(2*report.Classes[0].Requests) || report.Tokens < gapCount {
+		t.Errorf("%d gaps, %d tokens", gapCount, report.Tokens)
 	}
 	checkReportFormats(t, report)
 }
@@ -140,7 +140,7 @@
 
 // TestRunCountsQueueingDelay guards against coordinated omission: sessions must keep starting while the server is
 // overloaded, and latencies must include the time that a request waits in the server's queue. The test
-// also checks that sessions beyond Plan.MaxOpen are counted.
+// also checks that sessions beyond Plan.MaxOpenSessions are counted.
 func TestRunCountsQueueingDelay(t *testing.T) {
 	var mu sync.Mutex // the server serves one request at a time
 	address := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -148,7 +148,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
-		respond(w, `{}`)
+		writeText(w, `{}`)
 	}))
 	s := newScenario(t)
 	s.Rate = 200 // twice what the server can serve
@@ -160,10 +160,10 @@
 	if q := quantiles(report.Classes[0].FirstToken); q.Max < 300 {
 		t.Errorf("longest time to the first token is %v ms at twice the server's capacity, want at least 300", q.Max)
 	}
-	plan.MaxOpen = 3
-	limited, err := Run(t.Context(), plan)
-	if err != nil || limited.NotStarted == 0 {
-		t.Errorf("%+v %v", limited, err)
+	plan.MaxOpenSessions = 3
+	limitedReport, err := Run(t.Context(), plan)
+	if err != nil || limitedReport.NotStarted == 0 {
+		t.Errorf("%+v %v", limitedReport, err)
 	}
 }
 
@@ -176,10 +176,10 @@
 		"host name":      {Scenario: s, Length: time.Second, Replicas: []string{"example.com:80"}},
 		"no port":        {Scenario: s, Length: time.Second, Replicas: []string{"127.0.0.1"}},
 		"no length":      {Scenario: s, Replicas: loopback},
-		"too many open":  {Scenario: s, Length: time.Second, Replicas: loopback, MaxOpen: 1 << 20},
+		"too many open":  {Scenario: s, Length: time.Second, Replicas: loopback, MaxOpenSessions: 1 << 20},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := Run(t.Context(), plan); !errors.Is(err, ErrPlan) {
+			if _, err := Run(t.Context(), plan); !errors.Is(err, ErrInvalidPlan) {
 				t.Errorf("%v", err)
 			}
 		})
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -11,24 +11,24 @@
 
 // Bounds on a plan's length and its number of open sessions.
 const (
-	minLength      = time.Second
-	maxLength      = time.Hour
-	defaultMaxOpen = 2000
-	maxMaxOpen     = 20000
+	minLength              = time.Second
+	maxLength              = time.Hour
+	defaultMaxOpenSessions = 2000
+	maxOpenSessionsLimit   = 20000
 )
 
 // Plan configures a run.
 type Plan struct {
-	Scenario    *scenario.Scenario
-	Replicas    []string // host:port; each attempt goes to one of them at random
-	Model       string
-	Length      time.Duration // time in which new sessions start
-	MaxOpen     int           // concurrent sessions; more are dropped and counted in Report.NotStarted; 0 = 2000
-	AllowRemote bool          // allow replicas at addresses other than loopback
+	Scenario        *scenario.Scenario
+	Replicas        []string // host:port; each attempt goes to one of them at random
+	Model           string
+	Length          time.Duration // time in which new sessions start
+	MaxOpenSessions int           // concurrent sessions; more are dropped and counted in Report.NotStarted; 0 = 2000
+	AllowRemote     bool          // allow replicas at addresses other than loopback
 
 	// Progress, if not nil, is called several times a second with the elapsed fraction of Length and the number of open
 	// sessions.
-	Progress func(done float64, open int)
+	Progress func(fraction float64, openSessions int)
 }
 
 // check returns an error if the plan is invalid.
@@ -38,8 +38,9 @@
 		return errors.New("load: no replica address; give at least one as host:port")
 	case p.Length < minLength || p.Length > maxLength:
 		return fmt.Errorf("load: length %v is out of range; use 1s to %v", p.Length, maxLength)
-	case p.MaxOpen < 1 || p.MaxOpen > maxMaxOpen:
-		return fmt.Errorf("load: limit of %d open sessions is out of range; use 1 to %d", p.MaxOpen, maxMaxOpen)
+	case p.MaxOpenSessions < 1 || p.MaxOpenSessions > maxOpenSessionsLimit:
+		return fmt.Errorf("load: limit of %d open sessions is out of range; use 1 to %d",
+			p.MaxOpenSessions, maxOpenSessionsLimit)
 	}
 	for _, replica := range p.Replicas {
 		if err := p.checkReplica(replica); err != nil {
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -23,11 +23,11 @@
 	scenario.Row
 	FirstToken *hdrhistogram.Histogram `json:"-"` // time to the first token, from when the request should have been sent
 	TokenGap   *hdrhistogram.Histogram `json:"-"` // time between two tokens of a response
-	Complete   *hdrhistogram.Histogram `json:"-"` // like FirstToken, but to the end of a served response
+	Completion *hdrhistogram.Histogram `json:"-"` // like FirstToken, but to the end of a served response
 }
 
 func newClass() Class {
-	return Class{FirstToken: newHistogram(), TokenGap: newHistogram(), Complete: newHistogram()}
+	return Class{FirstToken: newHistogram(), TokenGap: newHistogram(), Completion: newHistogram()}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -59,7 +59,7 @@
 	session     *scenario.Session
 	result      *client.Result
 	gaps        []time.Duration
-	final       bool          // the client does not retry
+	isFinal     bool          // the client does not retry
 	scheduledAt time.Time     // when the request should have been sent
 	elapsed     time.Duration // from scheduledAt to the end of the attempt
 }
@@ -75,14 +75,14 @@
 	for _, gap := range a.gaps {
 		recordTime(class.TokenGap, gap)
 	}
-	if !a.final {
+	if !a.isFinal {
 		return
 	}
 	if a.result.FirstToken > 0 {
 		recordTime(class.FirstToken, a.result.FirstToken)
 	}
 	if a.result.Kind == "served" {
-		recordTime(class.Complete, a.elapsed)
+		recordTime(class.Completion, a.elapsed)
 	}
 	r.score.Add(a.session, a.scheduledAt.Sub(r.startedAt), a.result.Kind, a.result.FirstToken)
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -28,7 +28,7 @@
 	Timeline       []scenario.Second
 	Outcomes       map[string]int // number of attempts by outcome: served, refused, failed ...
 	Tokens         int64          // received in all responses
-	NotStarted     int            // sessions dropped because Plan.MaxOpen sessions were open
+	NotStarted     int            // sessions dropped because Plan.MaxOpenSessions sessions were open
 	MaxSenderDelay time.Duration  // longest delay between the scheduled and the actual start of a session
 }
 
@@ -56,7 +56,7 @@
 }
 
 func (c *Class) histograms() []namedHistogram {
-	return []namedHistogram{{"first token", c.FirstToken}, {"between tokens", c.TokenGap}, {"whole answer", c.Complete}}
+	return []namedHistogram{{"first token", c.FirstToken}, {"between tokens", c.TokenGap}, {"whole answer", c.Completion}}
 }
 
 // WriteText writes the report as plain text.
@@ -128,11 +128,11 @@
 		Class
 		FirstToken Quantiles `json:"first_token"`
 		TokenGap   Quantiles `json:"between_tokens"`
-		Complete   Quantiles `json:"whole_answer"`
+		Completion Quantiles `json:"whole_answer"`
 	}
 	var classes []class
 	for _, c := range r.Classes {
-		classes = append(classes, class{c, quantiles(c.FirstToken), quantiles(c.TokenGap), quantiles(c.Complete)})
+		classes = append(classes, class{c, quantiles(c.FirstToken), quantiles(c.TokenGap), quantiles(c.Completion)})
 	}
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -22,11 +22,11 @@
 			request.Turns = append(request.Turns, session.Messages[len(request.Turns)].Words())
 		}
 		request.AnswerTokens = session.AnswerTokens
-		kind := r.send(ctx, session, request, scheduledAt)
+		outcome := r.send(ctx, session, request, scheduledAt)
 		lengthElapsed := time.Since(r.startedAt) > r.plan.Length
-		more, pause := session.NextTurn(kind, lengthElapsed, r.currentConditions())
+		hasNextTurn, pause := session.NextTurn(outcome, lengthElapsed, r.currentConditions())
 		scheduledAt = time.Now().Add(pause)
-		if !more || !waitUntil(ctx, scheduledAt) {
+		if !hasNextTurn || !waitUntil(ctx, scheduledAt) {
 			return
 		}
 	}
@@ -72,7 +72,7 @@
 		elapsed := time.Since(scheduledAt)
 		retry, pause := session.AfterAttempt(result.Kind, result.NoAutoRetry, result.RetryAfter, elapsed)
 		r.record(attemptResult{
-			session: session, result: &result, gaps: gaps.gaps, final: !retry, scheduledAt: scheduledAt, elapsed: elapsed,
+			session: session, result: &result, gaps: gaps.gaps, isFinal: !retry, scheduledAt: scheduledAt, elapsed: elapsed,
 		})
 		if !retry || !waitUntil(ctx, time.Now().Add(pause)) {
 			return result.Kind
