--- a/cmd/brackenbend/bench_test.go
+++ b/cmd/brackenbend/bench_test.go
@@ -19,9 +19,9 @@
 func BenchmarkAgainstProxyLatency(b *testing.B) {
 	for range b.N {
 		load := &latencyLoad{
-			targets: startTargets(b, 20, 5*time.Millisecond, nil),
-			samples: map[string][]time.Duration{},
-			idle:    map[string]chan *benchClient{},
+			targets:     startTargets(b, 20, 5*time.Millisecond, nil),
+			samples:     map[string][]time.Duration{},
+			idleClients: map[string]chan *benchClient{},
 		}
 		load.run(b)
 		for _, target := range processTargets {
@@ -38,8 +38,8 @@
 
 // latencyLoad is an open load of requests with Poisson arrivals.
 type latencyLoad struct {
-	targets *benchTargets
-	idle    map[string]chan *benchClient // clients whose connections are free, by target
+	targets     *benchTargets
+	idleClients map[string]chan *benchClient // clients whose connections are free, by target
 
 	mu      sync.Mutex
 	samples map[string][]time.Duration // times to the first token, by target
@@ -53,16 +53,16 @@
 		warmUp    = 300            // first requests, which are not measured
 	)
 	for target := range l.targets.addresses {
-		l.idle[target] = make(chan *benchClient, 200)
+		l.idleClients[target] = make(chan *benchClient, 200)
 	}
 	var wg sync.WaitGroup
 	random := rand.New(rand.NewPCG(1, 1))
-	names := append([]string{targetEngine}, processTargets...)
-	next := time.Now()
+	targetNames := append([]string{targetEngine}, processTargets...)
+	nextArrival := time.Now()
 	for i := range requests {
-		next = next.Add(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
-		time.Sleep(time.Until(next))
-		target := names[random.IntN(len(names))]
+		nextArrival = nextArrival.Add(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
+		time.Sleep(time.Until(nextArrival))
+		target := targetNames[random.IntN(len(targetNames))]
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -77,7 +77,7 @@
 	b.Helper()
 	var client *benchClient
 	select {
-	case client = <-l.idle[target]:
+	case client = <-l.idleClients[target]:
 	default:
 		client = &benchClient{}
 	}
@@ -86,7 +86,7 @@
 		reportFailure(b, target, err)
 		return
 	}
-	l.idle[target] <- client
+	l.idleClients[target] <- client
 	if !measured {
 		return
 	}
@@ -117,39 +117,39 @@
 
 func measureThroughput(b *testing.B, tokens int) {
 	b.Helper()
-	const turns = 4
+	const rounds = 4
 	targets := startTargets(b, tokens, 0, nil)
-	cpu, served := map[string]float64{}, map[string]float64{}
-	for range turns {
+	cpuByTarget, servedByTarget := map[string]float64{}, map[string]float64{}
+	for range rounds {
 		for _, target := range processTargets {
-			before := cpuSeconds(b, targets.commands[target])
-			served[target] += float64(closedLoop(b, target, targets.addresses[target], time.Second))
-			cpu[target] += cpuSeconds(b, targets.commands[target]) - before
+			cpuBefore := cpuSeconds(b, targets.commands[target])
+			servedByTarget[target] += float64(closedLoop(b, target, targets.addresses[target], time.Second))
+			cpuByTarget[target] += cpuSeconds(b, targets.commands[target]) - cpuBefore
 		}
 	}
-	gatewayRate := served[targetGateway] / cpu[targetGateway]
+	gatewayRate := servedByTarget[targetGateway] / cpuByTarget[targetGateway]
 	b.ReportMetric(gatewayRate, targetGateway+"-requests/cpu-s")
 	b.ReportMetric(gatewayRate*float64(tokens), targetGateway+"-tokens/cpu-s")
 	for _, target := range processTargets[1:] {
-		proxyRate := served[target] / cpu[target]
+		proxyRate := servedByTarget[target] / cpuByTarget[target]
 		b.ReportMetric(proxyRate, target+"-requests/cpu-s")
 		b.ReportMetric(gatewayRate/proxyRate, "ratio-to-"+target)
 	}
 }
 
 // closedLoop has 32 clients send requests for a time, each client one after another, and returns how many were served.
-func closedLoop(b *testing.B, target, address string, length time.Duration) int64 {
+func closedLoop(b *testing.B, target, address string, duration time.Duration) int64 {
 	b.Helper()
 	const clients = 32
 	var served atomic.Int64
 	var wg sync.WaitGroup
-	end := time.Now().Add(length)
+	deadline := time.Now().Add(duration)
 	for range clients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			client := &benchClient{}
-			for time.Now().Before(end) {
+			for time.Now().Before(deadline) {
 				if _, err := client.send(address, true); err != nil {
 					reportFailure(b, target, err)
 					client = &benchClient{}
@@ -170,10 +170,10 @@
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 9000 // each takes two file descriptors in each process; the usual limit is 20,000
 	for range b.N {
-		hold := make(chan struct{})
-		targets := startTargets(b, 1, 0, hold)
-		gateway := targets.commands[targetGateway]
-		before := residentKiB(b, gateway)
+		endStreams := make(chan struct{})
+		targets := startTargets(b, 1, 0, endStreams)
+		gatewayCommand := targets.commands[targetGateway]
+		residentBefore := residentKiB(b, gatewayCommand)
 		var clients []*benchClient
 		for range streams {
 			client := &benchClient{}
@@ -182,8 +182,8 @@
 			}
 			clients = append(clients, client)
 		}
-		b.ReportMetric((residentKiB(b, gateway)-before)/streams, "KiB/stream")
-		close(hold)
+		b.ReportMetric((residentKiB(b, gatewayCommand)-residentBefore)/streams, "KiB/stream")
+		close(endStreams)
 		for _, client := range clients {
 			client.conn.Close()
 		}
--- a/cmd/brackenbend/benchproxy_test.go
+++ b/cmd/brackenbend/benchproxy_test.go
@@ -20,8 +20,8 @@
 // gateway with it.
 type referenceProxy struct {
 	prefillURLs, decodeURLs []*url.URL
-	client                  *http.Client // sends prefill requests; shares its transport with forward
-	forward                 *httputil.ReverseProxy
+	client                  *http.Client // sends prefill requests; shares its transport with decodeProxy
+	decodeProxy             *httputil.ReverseProxy
 }
 
 // proxyMain is the main function of a reference proxy's process; TestMain runs it if proxyEnv is set.
@@ -37,12 +37,12 @@
 			p.decodeURLs = append(p.decodeURLs, engineURL)
 		}
 	}
-	p.forward = &httputil.ReverseProxy{
+	p.decodeProxy = &httputil.ReverseProxy{
 		FlushInterval: -1,
 		Rewrite:       func(r *httputil.ProxyRequest) { r.SetURL(randomURL(p.decodeURLs)) },
 		Transport:     transport,
 	}
-	var handler http.Handler = p.forward
+	var handler http.Handler = p.decodeProxy
 	if target == targetTwoStageProxy {
 		handler = http.HandlerFunc(p.serveTwoStages)
 	}
@@ -58,7 +58,7 @@
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	p.forward.ServeHTTP(w, r)
+	p.decodeProxy.ServeHTTP(w, r)
 }
 
 // prefill sends the prefill request of r and replaces the body of r with that of the decode request.
--- a/cmd/brackenbend/benchtargets_test.go
+++ b/cmd/brackenbend/benchtargets_test.go
@@ -29,8 +29,8 @@
 var processTargets = []string{targetGateway, targetProxy, targetTwoStageProxy}
 
 // startInstantEngine starts an engine that answers at once: prefill requests with transfer parameters, others with a
-// stream of tokens that are a pause apart. If hold is not nil, streams stay open until it is closed.
-func startInstantEngine(b *testing.B, tokens int, pause time.Duration, hold <-chan struct{}) (address string) {
+// stream of tokens that are a pause apart. If endStreams is not nil, streams stay open until it is closed.
+func startInstantEngine(b *testing.B, tokens int, pause time.Duration, endStreams <-chan struct{}) (address string) {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,9 +55,9 @@
 			_, _ = w.Write(token)
 			_ = controller.Flush()
 		}
-		if hold != nil {
+		if endStreams != nil {
 			select {
-			case <-hold:
+			case <-endStreams:
 			case <-r.Context().Done():
 			}
 		}
@@ -85,12 +85,12 @@
 		<engines connections="20000" idle-connections="1000"/>%s</brackenbend>`
 
 // startTargets starts the engines and the processes that are compared, and waits until all of them accept connections.
-func startTargets(b *testing.B, tokens int, pause time.Duration, hold <-chan struct{}) *benchTargets {
+func startTargets(b *testing.B, tokens int, pause time.Duration, endStreams <-chan struct{}) *benchTargets {
 	b.Helper()
 	targets := &benchTargets{addresses: map[string]string{}, commands: map[string]*exec.Cmd{}}
 	endpoints := ""
 	for i := range 4 {
-		address := startInstantEngine(b, tokens, pause, hold)
+		address := startInstantEngine(b, tokens, pause, endStreams)
 		targets.engines = append(targets.engines, address)
 		kind := []string{"reader", "writer"}[i%2]
 		endpoints += fmt.Sprintf("<server name=\"e%d\" kind=%q address=%q/>", i, kind, address)
@@ -161,7 +161,7 @@
 
 // send sends one request and returns the time to the first token. If untilEnd is set, it reads the whole response.
 func (c *benchClient) send(address string, untilEnd bool) (time.Duration, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -187,7 +187,7 @@
 	if _, err := resp.Body.Read(make([]byte, 1)); err != nil {
 		return 0, err
 	}
-	timeToFirstToken := time.Since(began)
+	timeToFirstToken := time.Since(startedAt)
 	if !untilEnd {
 		return timeToFirstToken, nil
 	}
--- a/cmd/brackenbend/blackholeproxy_test.go
+++ b/cmd/brackenbend/blackholeproxy_test.go
@@ -11,12 +11,12 @@
 type blackholeProxy struct {
 	net.Listener
 
-	mu              sync.Mutex
-	dropNew         bool                  // new connections are silent from the start
-	silentOnReply   bool                  // open connections become silent after the next reply of the engine
-	acceptedCount   int                   // connections that the node has made
-	silent          map[net.Conn]struct{} // connections from the node whose bytes are dropped
-	openConnections map[net.Conn]struct{} // connections from the node
+	mu                sync.Mutex
+	dropNew           bool                  // new connections are silent from the start
+	silentOnReply     bool                  // open connections become silent after the next reply of the engine
+	acceptedCount     int                   // connections that the node has made
+	silentConnections map[net.Conn]struct{} // connections from the node whose bytes are dropped
+	openConnections   map[net.Conn]struct{} // connections from the node
 }
 
 // newBlackholeProxy starts a proxy in front of an engine. It is closed when the test ends.
@@ -27,9 +27,9 @@
 		t.Fatal(err)
 	}
 	p := &blackholeProxy{
-		Listener:        l,
-		silent:          map[net.Conn]struct{}{},
-		openConnections: map[net.Conn]struct{}{},
+		Listener:          l,
+		silentConnections: map[net.Conn]struct{}{},
+		openConnections:   map[net.Conn]struct{}{},
 	}
 	t.Cleanup(func() { l.Close() })
 	go p.serve(engineAddress)
@@ -59,7 +59,7 @@
 	p.openConnections[client] = struct{}{}
 	p.acceptedCount++
 	if p.dropNew {
-		p.silent[client] = struct{}{}
+		p.silentConnections[client] = struct{}{}
 	}
 }
 
@@ -102,14 +102,14 @@
 	defer p.mu.Unlock()
 	p.dropNew = dropNew
 	for client := range p.openConnections {
-		p.silent[client] = struct{}{}
+		p.silentConnections[client] = struct{}{}
 	}
 }
 
 func (p *blackholeProxy) isSilent(client net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, silent := p.silent[client]
+	_, silent := p.silentConnections[client]
 	return silent
 }
 
--- a/cmd/brackenbend/fakeengine_test.go
+++ b/cmd/brackenbend/fakeengine_test.go
@@ -42,8 +42,8 @@
 
 // engineProcess is a fake engine of the platform that reports the requests that reach it on standard output.
 type engineProcess struct {
-	name, role string
-	delay      time.Duration // before the answer to a prefill, or the first token of a decode
+	name, role    string
+	responseDelay time.Duration // before the answer to a prefill, or the first token of a decode
 
 	mu sync.Mutex // guards standard output
 }
@@ -58,7 +58,7 @@
 	if err != nil {
 		return exitFailure
 	}
-	p := &engineProcess{name: name, role: role, delay: delay}
+	p := &engineProcess{name: name, role: role, responseDelay: delay}
 	p.report(eventListening, l.Addr().String())
 	_ = http.Serve(l, p)
 	return 0
@@ -78,14 +78,14 @@
 		p.report(eventReleased, strings.TrimPrefix(r.URL.Path, "/state/"))
 		w.WriteHeader(http.StatusNoContent)
 	case p.role == prefillEngine:
-		time.Sleep(p.delay)
+		time.Sleep(p.responseDelay)
 		p.report(eventPrefilled, id)
 		w.WriteHeader(http.StatusAccepted)
 		_, _ = fmt.Fprint(w, `{"cached_tokens":0}`)
 	default:
 		p.report(eventDecodeReceived, id)
 		select {
-		case <-time.After(p.delay):
+		case <-time.After(p.responseDelay):
 		case <-r.Context().Done():
 			return
 		}
--- a/cmd/brackenbend/fleet_test.go
+++ b/cmd/brackenbend/fleet_test.go
@@ -20,10 +20,10 @@
 type processFleet struct {
 	prefillEngines, decodeEngines []*fleetEngine
 
-	address string // of the node
-	logFile string // of the node
-	events  chan engineEvent
-	seen    []engineEvent // events received so far; used only by the test's goroutine
+	address        string // of the node
+	logFile        string // of the node
+	events         chan engineEvent
+	receivedEvents []engineEvent // events received so far; used only by the test's goroutine
 }
 
 // fleetEngine is an engine's process with the proxy in front of it.
@@ -94,9 +94,11 @@
 	return members
 }
 
-func (f *processFleet) startEngines(t *testing.T, role string, n int, delay time.Duration) (engines []*fleetEngine) {
+func (f *processFleet) startEngines(
+	t *testing.T, role string, count int, delay time.Duration,
+) (engines []*fleetEngine) {
 	t.Helper()
-	for i := range n {
+	for i := range count {
 		engines = append(engines, f.startEngine(t, fmt.Sprintf("%s%d", role, i), role, delay))
 	}
 	return engines
@@ -187,7 +189,7 @@
 	if err := e.process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	for !strings.Contains(e.status(t), ") T ") {
+	for !strings.Contains(e.processStatus(t), ") T ") {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -200,7 +202,7 @@
 	}
 }
 
-func (e *fleetEngine) status(t *testing.T) string {
+func (e *fleetEngine) processStatus(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", e.process.Pid))
 	if err != nil {
--- a/cmd/brackenbend/fleetrequests_test.go
+++ b/cmd/brackenbend/fleetrequests_test.go
@@ -73,11 +73,11 @@
 	}
 	const maxRequests = 100
 	for i := range maxRequests {
-		before := accepted()
+		acceptedBefore := accepted()
 		id := fmt.Sprintf("keep%d", i)
 		requireServed(t, id, f.send(t, id, idempotentClass))
 		time.Sleep(reuseDelayPassed)
-		if i > 0 && accepted() == before {
+		if i > 0 && accepted() == acceptedBefore {
 			return
 		}
 	}
@@ -86,31 +86,32 @@
 
 // fillPoolsWith sends n requests at once and waits until they are served. In a fleet of one prefill engine and one
 // decode engine, this leaves n pooled connections to each.
-func (f *processFleet) fillPoolsWith(t *testing.T, n int) {
+func (f *processFleet) fillPoolsWith(t *testing.T, requestCount int) {
 	t.Helper()
-	var conns []net.Conn
-	for i := range n {
-		conns = append(conns, f.send(t, fmt.Sprintf("several%d", i), idempotentClass))
+	var connections []net.Conn
+	for i := range requestCount {
+		connections = append(connections, f.send(t, fmt.Sprintf("several%d", i), idempotentClass))
 	}
-	for i, conn := range conns {
+	for i, conn := range connections {
 		requireServed(t, fmt.Sprintf("several%d", i), conn)
 	}
 	time.Sleep(reuseDelayPassed)
 	for _, e := range f.engines() {
-		if accepted := e.proxy.accepted(); accepted < n {
-			t.Fatalf("%d connections to %s, want %d", accepted, e.name, n)
+		if accepted := e.proxy.accepted(); accepted < requestCount {
+			t.Fatalf("%d connections to %s, want %d", accepted, e.name, requestCount)
 		}
 	}
 }
 
-// await waits for an event of a request that is of one of the kinds. It returns false if there is none by that time.
-func (f *processFleet) await(id string, by time.Time, kinds ...string) (engineEvent, bool) {
-	timer := time.NewTimer(time.Until(by))
+// awaitEvent waits for an event of a request that is of one of the kinds. It returns false if there is none by the
+// deadline.
+func (f *processFleet) awaitEvent(id string, deadline time.Time, kinds ...string) (engineEvent, bool) {
+	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	for {
 		select {
 		case event := <-f.events:
-			f.seen = append(f.seen, event)
+			f.receivedEvents = append(f.receivedEvents, event)
 			if event.ID == id && slices.Contains(kinds, event.Kind) {
 				return event, true
 			}
@@ -120,14 +121,15 @@
 	}
 }
 
-// awaitLog waits for a line of the node's log that has this message, names this request and contains all of the texts.
-func (f *processFleet) awaitLog(t *testing.T, message, id string, texts ...string) {
+// awaitLog waits for a line of the node's log that has this message, names this request and contains all of the
+// substrings.
+func (f *processFleet) awaitLog(t *testing.T, message, id string, substrings ...string) {
 	t.Helper()
-	texts = append(texts, `"msg":"`+message+`"`, `"`+id+`"`)
+	substrings = append(substrings, `"msg":"`+message+`"`, `"`+id+`"`)
 	containsAll := func(line string) bool {
-		return !slices.ContainsFunc(texts, func(text string) bool { return !strings.Contains(line, text) })
+		return !slices.ContainsFunc(substrings, func(text string) bool { return !strings.Contains(line, text) })
 	}
-	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		log, err := os.ReadFile(f.logFile)
 		if err != nil {
 			t.Fatal(err)
@@ -136,13 +138,13 @@
 			return
 		}
 	}
-	t.Errorf("no line of the node's log contains all of %q", texts)
+	t.Errorf("no line of the node's log contains all of %q", substrings)
 }
 
-// count returns the number of events of a kind that a request has had, after a short wait for the last of them.
-func (f *processFleet) count(id, kind string) (n int) {
-	f.await("", time.Now().Add(50*time.Millisecond))
-	for _, event := range f.seen {
+// countEvents returns the number of events of a kind that a request has had, after a short wait for the last of them.
+func (f *processFleet) countEvents(id, kind string) (n int) {
+	f.awaitEvent("", time.Now().Add(50*time.Millisecond))
+	for _, event := range f.receivedEvents {
 		if event.ID == id && event.Kind == kind {
 			n++
 		}
--- a/cmd/brackenbend/mutation_test.go
+++ b/cmd/brackenbend/mutation_test.go
@@ -24,8 +24,8 @@
 
 // mutation is a fault of the gateway that makes it violate a rule.
 type mutation struct {
-	rule  int // index in the report's rules
-	hooks gateway.TestHooks
+	ruleIndex int // index in the report's rules
+	hooks     gateway.TestHooks
 }
 
 // mutations has a fault for each row of the attempt outcome table that a rule depends on, and a fault for each
@@ -135,7 +135,7 @@
 		for name, m := range mutations {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				testMutationInDefaultScenarios(t, name, m.rule, runs)
+				testMutationInDefaultScenarios(t, name, m.ruleIndex, runs)
 			})
 		}
 		return
@@ -161,9 +161,9 @@
 
 // testMutationInDefaultScenarios runs default scenarios with different seeds, of which nine in ten must detect the
 // mutation.
-func testMutationInDefaultScenarios(t *testing.T, name string, rule, runs int) {
+func testMutationInDefaultScenarios(t *testing.T, name string, ruleIndex, runs int) {
 	t.Helper()
-	detected, violations := 0, 0
+	detectedRuns, violationCount := 0, 0
 	for i := range runs {
 		s, err := scenario.Default()
 		if err != nil {
@@ -171,19 +171,19 @@
 		}
 		s.Seed += i
 		length := s.Length
-		if override, err := time.ParseDuration(os.Getenv(mutationLengthEnv)); err == nil {
-			length = override
+		if lengthOverride, err := time.ParseDuration(os.Getenv(mutationLengthEnv)); err == nil {
+			length = lengthOverride
 		}
 		report := runScenario(t, s, length, mutationEnv+"="+name)
-		if n := len(report.Rules[rule].Violations); n > 0 {
-			detected++
-			violations += n
+		if n := len(report.Rules[ruleIndex].Violations); n > 0 {
+			detectedRuns++
+			violationCount += n
 		}
 	}
 	fmt.Printf("mutation: %-44s detected in %d of %d scenarios, %.1f violations a scenario\n",
-		name, detected, runs, float64(violations)/float64(runs))
-	if 10*detected < 9*runs {
-		t.Errorf("detected in %d of %d scenarios", detected, runs)
+		name, detectedRuns, runs, float64(violationCount)/float64(runs))
+	if 10*detectedRuns < 9*runs {
+		t.Errorf("detected in %d of %d scenarios", detectedRuns, runs)
 	}
 }
 
@@ -208,7 +208,7 @@
 		t.Fatalf("no mutation %q", name)
 	}
 	report := runScenario(t, s, s.Length, mutationEnv+"="+name)
-	if len(report.Rules[m.rule].Violations) == 0 {
-		t.Errorf("no violation of rule %d was detected", m.rule+1)
+	if len(report.Rules[m.ruleIndex].Violations) == 0 {
+		t.Errorf("no violation of rule %d was detected", m.ruleIndex+1)
 	}
 }
--- a/cmd/brackenbend/node_test.go
+++ b/cmd/brackenbend/node_test.go
@@ -50,9 +50,9 @@
 
 // blockedEngine is an engine that accepts requests and, once it is unblocked, aborts them without a response.
 type blockedEngine struct {
-	address  string
-	received chan struct{} // closed by the first request
-	unblock  chan struct{} // closed by the test
+	address   string
+	received  chan struct{} // closed by the first request
+	unblocked chan struct{} // closed by the test
 }
 
 func startBlockedEngine(t *testing.T) *blockedEngine {
@@ -61,12 +61,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &blockedEngine{address: l.Addr().String(), received: make(chan struct{}), unblock: make(chan struct{})}
+	e := &blockedEngine{address: l.Addr().String(), received: make(chan struct{}), unblocked: make(chan struct{})}
 	received := sync.OnceFunc(func() { close(e.received) })
 	server := &http.Server{
 		Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			received()
-			<-e.unblock
+			<-e.unblocked
 			panic(http.ErrAbortHandler)
 		}),
 	}
@@ -100,35 +100,35 @@
 func TestDrainingNodeReloadsAndIgnoresSecondSIGTERM(t *testing.T) {
 	oldDiscovery, _ := startSilentDiscovery(t)
 	newDiscovery, connected := startSilentDiscovery(t)
-	prefill := startBlockedEngine(t)
+	prefillEngine := startBlockedEngine(t)
 	file := filepath.Join(t.TempDir(), "config.json")
-	configure := func(discovery string) {
+	writeConfig := func(discovery string) {
 		t.Helper()
-		if err := os.WriteFile(file, fmt.Appendf(nil, nodeConfig, discovery, prefill.address), 0o600); err != nil {
+		if err := os.WriteFile(file, fmt.Appendf(nil, nodeConfig, discovery, prefillEngine.address), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	configure(oldDiscovery)
+	writeConfig(oldDiscovery)
 	n, err := node.Start(file, func(string) string { return "" }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	signals, ended := make(chan os.Signal, 8), make(chan error, 1)
-	go func() { ended <- handleSignals(n, signals, zap.NewNop()) }()
+	signals, handlerErrors := make(chan os.Signal, 8), make(chan error, 1)
+	go func() { handlerErrors <- handleSignals(n, signals, zap.NewNop()) }()
 	sendToNode(t, n.Addr())
-	<-prefill.received
+	<-prefillEngine.received
 	signals <- syscall.SIGTERM
-	configure(newDiscovery)
+	writeConfig(newDiscovery)
 	signals <- syscall.SIGHUP
 	signals <- syscall.SIGTERM
 	<-connected
 	select {
-	case err := <-ended:
+	case err := <-handlerErrors:
 		t.Fatalf("ended with an open request: %v", err)
 	default:
 	}
-	close(prefill.unblock)
-	if err := <-ended; err != nil {
+	close(prefillEngine.unblocked)
+	if err := <-handlerErrors; err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/brackenbend/readstate_test.go
+++ b/cmd/brackenbend/readstate_test.go
@@ -57,12 +57,12 @@
 			requireServed(t, "warm", f.send(t, "warm", idempotentClass))
 			c.inject(t, f)
 			client := f.send(t, "held", c.class)
-			prefilled, ok := f.await("held", time.Now().Add(8*time.Second), eventPrefilled)
+			prefillEvent, ok := f.awaitEvent("held", time.Now().Add(8*time.Second), eventPrefilled)
 			if !ok {
 				t.Fatal("not prefilled")
 			}
-			f.checkStateTTL(t, prefilled, stateTTL)
-			f.awaitLog(t, "read state released", "held", `"reader":"`+prefilled.Engine+`"`)
+			f.checkStateTTL(t, prefillEvent, stateTTL)
+			f.awaitLog(t, "read state released", "held", `"reader":"`+prefillEvent.Engine+`"`)
 			client.Close()
 			f.awaitLog(t, "answer gone", "held", `"reason":"client closed its connection"`)
 		})
@@ -78,21 +78,21 @@
 
 // checkStateTTL waits until a decode request for the read state of a prefill arrives at an engine or the state is
 // released, and fails the test if that takes longer than the state TTL.
-func (f *processFleet) checkStateTTL(t *testing.T, prefilled engineEvent, stateTTL time.Duration) {
+func (f *processFleet) checkStateTTL(t *testing.T, prefillEvent engineEvent, stateTTL time.Duration) {
 	t.Helper()
-	const extraWait = 2 * time.Second // beyond the limit, to report how late the state was released
+	const waitBeyondLimit = 2 * time.Second // beyond the limit, to report how late the state was released
 	limit := stateTTL + stateTTLSlack
-	by := time.Unix(0, prefilled.At).Add(limit + extraWait)
-	end, ok := f.await(prefilled.ID, by, eventDecodeReceived, eventReleased)
-	switch kept := time.Duration(end.At - prefilled.At); {
+	deadline := time.Unix(0, prefillEvent.At).Add(limit + waitBeyondLimit)
+	endEvent, ok := f.awaitEvent(prefillEvent.ID, deadline, eventDecodeReceived, eventReleased)
+	switch heldFor := time.Duration(endEvent.At - prefillEvent.At); {
 	case !ok:
 		t.Errorf("%s: the read state at %s was neither requested by a decode nor released within %v",
-			prefilled.ID, prefilled.Engine, limit+extraWait)
-	case kept > limit:
+			prefillEvent.ID, prefillEvent.Engine, limit+waitBeyondLimit)
+	case heldFor > limit:
 		t.Errorf("%s: the read state at %s was held for %v, then %s at %s",
-			prefilled.ID, prefilled.Engine, kept, end.Kind, end.Engine)
+			prefillEvent.ID, prefillEvent.Engine, heldFor, endEvent.Kind, endEvent.Engine)
 	default:
-		t.Logf("%s: read state held for %v, then %s at %s", prefilled.ID, kept, end.Kind, end.Engine)
+		t.Logf("%s: read state held for %v, then %s at %s", prefillEvent.ID, heldFor, endEvent.Kind, endEvent.Engine)
 	}
 }
 
@@ -100,9 +100,9 @@
 // without a reset. A request that is lost on one of them must be sent again on a new connection, and be served.
 func TestRequestLostOnPooledConnectionIsSentAgain(t *testing.T) {
 	t.Parallel()
-	const overlap = 200 * time.Millisecond
+	const engineDelay = 200 * time.Millisecond
 	f := newFleet(t, fleetPlan{
-		prefillEngines: 1, decodeEngines: 1, stateTTL: time.Second, prefillTime: overlap, timeToFirstToken: overlap,
+		prefillEngines: 1, decodeEngines: 1, stateTTL: time.Second, prefillTime: engineDelay, timeToFirstToken: engineDelay,
 	})
 	f.fillPoolsWith(t, 4)
 	for _, e := range f.engines() {
@@ -127,7 +127,7 @@
 	if status != http.StatusOK || body != engineStream {
 		t.Errorf("status %d, body %q", status, body)
 	}
-	prefills, decodes := f.count("slow", eventPrefilled), f.count("slow", eventDecodeReceived)
+	prefills, decodes := f.countEvents("slow", eventPrefilled), f.countEvents("slow", eventDecodeReceived)
 	if prefills != 1 || decodes != 1 {
 		t.Errorf("prefilled %d times, decoded %d times", prefills, decodes)
 	}
@@ -145,14 +145,14 @@
 		prefillEngines: 1, decodeEngines: 1, stateTTL: stateTTL, timeToFirstToken: 10 * time.Second,
 	})
 	client := f.send(t, "hung", idempotentClass)
-	if _, ok := f.await("hung", time.Now().Add(8*time.Second), eventDecodeReceived); !ok {
+	if _, ok := f.awaitEvent("hung", time.Now().Add(8*time.Second), eventDecodeReceived); !ok {
 		t.Fatal("the decode request did not reach the decode engine")
 	}
 	suspendDecodeEngines(t, f)
 	client.Close()
 	f.awaitLog(t, "read state released", "hung", `"rounds_before":1`) // the last release before the engine runs again
 	for {                                                             // receives the releases so far
-		if _, ok := f.await("hung", time.Now().Add(stateTTL), eventReleased); !ok {
+		if _, ok := f.awaitEvent("hung", time.Now().Add(stateTTL), eventReleased); !ok {
 			break
 		}
 	}
@@ -160,12 +160,12 @@
 	for _, e := range f.decodeEngines {
 		e.resume(t)
 	}
-	for by := resumedAt.Add(stateTTL + stateTTLSlack); ; {
-		released, ok := f.await("hung", by, eventReleased)
+	for deadline := resumedAt.Add(stateTTL + stateTTLSlack); ; {
+		releaseEvent, ok := f.awaitEvent("hung", deadline, eventReleased)
 		if !ok {
 			t.Fatalf("not released at the prefill engine within %v", stateTTL+stateTTLSlack)
 		}
-		if released.Engine == f.prefillEngines[0].name {
+		if releaseEvent.Engine == f.prefillEngines[0].name {
 			return
 		}
 	}
--- a/cmd/brackenbend/replica_test.go
+++ b/cmd/brackenbend/replica_test.go
@@ -39,11 +39,11 @@
 		_ = cmd.Process.Signal(syscall.SIGKILL)
 		_ = cmd.Wait()
 	})
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", address); err == nil {
 			conn.Close()
 			return cmd, address
-		} else if time.Now().After(end) {
+		} else if time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
@@ -69,38 +69,38 @@
 // key. The client retries at another replica, and the request must have taken effect once.
 func TestRetryAfterReplicaKillTakesEffectOnce(t *testing.T) {
 	record := audit.NewRecord()
-	scope := &engine.DedupScope{Window: time.Minute}
+	dedupScope := &engine.DedupScope{Window: time.Minute}
 	var endpoints string
 	for _, role := range []string{"reader", "writer"} {
 		address := startFakeEngine(t, engine.Config{
-			Name: role, Kind: role, Params: fakeEngineParams(role), DedupScope: scope, Record: record,
+			Name: role, Kind: role, Params: fakeEngineParams(role), DedupScope: dedupScope, Record: record,
 		})
 		endpoints += fmt.Sprintf("<server name=%q kind=%q address=%q/>", role, role, address)
 	}
-	first, firstAddress := startReplica(t, fmt.Sprintf(twoReplicaSettings, 0, endpoints))
+	firstReplica, firstAddress := startReplica(t, fmt.Sprintf(twoReplicaSettings, 0, endpoints))
 	_, secondAddress := startReplica(t, fmt.Sprintf(twoReplicaSettings, 1, endpoints))
 
-	firstAttempt := make(chan error, 1)
+	firstResult := make(chan error, 1)
 	go func() {
 		_, err := sendWithKey(firstAddress)
-		firstAttempt <- err
+		firstResult <- err
 	}()
 	for end := time.Now().Add(20 * time.Second); countEvents(record, audit.Executed) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the request did not reach a decode engine")
 		}
 	}
-	_ = first.Process.Signal(syscall.SIGKILL)
-	if err := <-firstAttempt; err == nil {
+	_ = firstReplica.Process.Signal(syscall.SIGKILL)
+	if err := <-firstResult; err == nil {
 		t.Fatal("the killed replica sent a complete answer")
 	}
 	body, err := sendWithKey(secondAddress)
 	if err != nil || !strings.Contains(body, "[DONE]") {
 		t.Fatalf("second attempt: body %q, error %v", body, err)
 	}
-	executed, deduplicated := countEvents(record, audit.Executed), countEvents(record, audit.Deduplicated)
-	if executed != 1 || deduplicated != 1 {
-		t.Errorf("executed %d times, deduplicated %d times", executed, deduplicated)
+	executedCount, deduplicatedCount := countEvents(record, audit.Executed), countEvents(record, audit.Deduplicated)
+	if executedCount != 1 || deduplicatedCount != 1 {
+		t.Errorf("executed %d times, deduplicated %d times", executedCount, deduplicatedCount)
 	}
 }
 
@@ -136,11 +136,11 @@
 // answers a request.
 func TestReplicaServesBesideTenThousandIdleConnections(t *testing.T) {
 	const (
-		connections = 10000
-		descriptors = connections + 500 // the test needs some for other purposes
+		connectionCount     = 10000
+		requiredDescriptors = connectionCount + 500 // the test needs some for other purposes
 	)
 	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur < descriptors {
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur < requiredDescriptors {
 		t.Skipf("the limit of file descriptors is %d: %v", limit.Cur, err)
 	}
 	engineAddress := startFakeEngine(t, engine.Config{Name: "e", Kind: "any", Params: fakeEngineParams("mixed")})
@@ -153,18 +153,18 @@
 			engineAddress,
 		),
 	)
-	conns := make([]net.Conn, 0, connections)
+	connections := make([]net.Conn, 0, connectionCount)
 	defer func() {
-		for _, conn := range conns {
+		for _, conn := range connections {
 			conn.Close()
 		}
 	}()
-	for end := time.Now().Add(60 * time.Second); len(conns) < connections; {
+	for deadline := time.Now().Add(60 * time.Second); len(connections) < connectionCount; {
 		conn, err := net.Dial("tcp", address)
 		if err == nil {
-			conns = append(conns, conn)
-		} else if time.Now().After(end) {
-			t.Fatalf("%d connections, then: %v", len(conns), err)
+			connections = append(connections, conn)
+		} else if time.Now().After(deadline) {
+			t.Fatalf("%d connections, then: %v", len(connections), err)
 		} else {
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/cmd/brackenbend/scenario_test.go
+++ b/cmd/brackenbend/scenario_test.go
@@ -69,15 +69,15 @@
 		t.Errorf("%d violations", report.Violations())
 	}
 	logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
-	recorded, attempts := 0, 0
+	recordedCount, attemptCount := 0, 0
 	for _, class := range report.Classes {
-		attempts += class.Attempts
+		attemptCount += class.Attempts
 	}
 	for _, name := range logs {
-		recorded += checkRecording(t, s, name)
+		recordedCount += checkRecording(t, s, name)
 	}
-	if recorded < attempts*8/10 || recorded > attempts {
-		t.Errorf("%d requests recorded, clients sent %d", recorded, attempts)
+	if recordedCount < attemptCount*8/10 || recordedCount > attemptCount {
+		t.Errorf("%d requests recorded, clients sent %d", recordedCount, attemptCount)
 	}
 }
 
@@ -91,35 +91,35 @@
 	}
 	defer log.Close()
 	var recording bytes.Buffer
-	n, _, err := trace.FromLog(log, &recording)
+	requestCount, _, err := trace.FromLog(log, &recording)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := trace.Read(&recording)
-	if err != nil || len(got.Requests) != n {
-		t.Fatalf("%s: %d of %d requests: %v", logFile, len(got.Requests), n, err)
+	recordedTrace, err := trace.Read(&recording)
+	if err != nil || len(recordedTrace.Requests) != requestCount {
+		t.Fatalf("%s: %d of %d requests: %v", logFile, len(recordedTrace.Requests), requestCount, err)
 	}
-	if requests, err := got.RecordedRequests(s); err != nil || len(requests) != n {
+	if requests, err := recordedTrace.RecordedRequests(s); err != nil || len(requests) != requestCount {
 		t.Errorf("%s: %v", logFile, err)
 	}
-	return n
+	return requestCount
 }
 
 // enginesHoldingStates returns the engines that hold a read state at the end of the events.
 func enginesHoldingStates(events []audit.Event) []string {
 	type state struct{ engine, request string }
-	held := map[state]bool{}
+	heldStates := map[state]bool{}
 	for _, event := range events {
 		switch event.Kind {
 		case audit.StateHeld:
-			held[state{event.Engine, event.Request}] = true
+			heldStates[state{event.Engine, event.Request}] = true
 		case audit.StateReleased:
-			delete(held, state{event.Engine, event.Request})
+			delete(heldStates, state{event.Engine, event.Request})
 		default:
 		}
 	}
 	engines := map[string]bool{}
-	for s := range held {
+	for s := range heldStates {
 		engines[s.engine] = true
 	}
 	return slices.Sorted(maps.Keys(engines))
@@ -137,23 +137,24 @@
 	if report.Violations() > 0 {
 		t.Errorf("%d violations", report.Violations())
 	}
-	kills, changing := 0, 0
+	killCount, maxChanging := 0, 0
 	for _, event := range report.Events {
 		if event.Kind == audit.ReplicaKilled {
-			kills++
+			killCount++
 		}
 	}
 	for _, sample := range report.Roles {
-		changing = max(changing, sample.Changing)
+		maxChanging = max(maxChanging, sample.Changing)
 	}
-	last := report.Roles[len(report.Roles)-1]
-	if kills != 8 || last.Commands < 4 || changing == 0 {
-		t.Errorf("%d replicas killed, at most %d engines changing role at once, last sample %+v", kills, changing, last)
+	lastSample := report.Roles[len(report.Roles)-1]
+	if killCount != 8 || lastSample.Commands < 4 || maxChanging == 0 {
+		t.Errorf("%d replicas killed, at most %d engines changing role at once, last sample %+v",
+			killCount, maxChanging, lastSample)
 	}
 	// An engine that drains holds the read states of a killed replica until it drops them by itself, which is after the
 	// scenario's end. So an engine that holds some may still be changing.
-	if orphaned := enginesHoldingStates(report.Events); last.Changing > len(orphaned) {
-		t.Errorf("at the end %d engines are changing role, but only %v hold read states", last.Changing, orphaned)
+	if holdingEngines := enginesHoldingStates(report.Events); lastSample.Changing > len(holdingEngines) {
+		t.Errorf("at the end %d engines are changing role, but only %v hold read states", lastSample.Changing, holdingEngines)
 	}
 	dir := t.TempDir()
 	if err := report.Plot(dir); err != nil {
