--- a/cmd/brackenbend/check.go
+++ b/cmd/brackenbend/check.go
@@ -43,11 +43,11 @@
 		ValidArgs: []string{"settings", "scenario", formerScenarioSchema},
 		Args:      cobra.MatchAll(cobra.MaximumNArgs(1), cobra.OnlyValidArgs),
 		RunE: func(_ *cobra.Command, args []string) error {
-			text := config.Schema()
+			schema := config.Schema()
 			if len(args) == 1 && args[0] != "settings" {
-				text = config.SchemaOf("day", reflect.TypeFor[scenario.Scenario]())
+				schema = config.SchemaOf("day", reflect.TypeFor[scenario.Scenario]())
 			}
-			_, err := os.Stdout.Write(text)
+			_, err := os.Stdout.Write(schema)
 			return err
 		},
 	}
--- a/cmd/brackenbend/fakes.go
+++ b/cmd/brackenbend/fakes.go
@@ -190,8 +190,8 @@
 
 // parseEngineEntry parses NAME=KIND@ADDRESS.
 func parseEngineEntry(arg string) (apiserver.Entry, error) {
-	name, rest, hasKind := strings.Cut(arg, "=")
-	kind, address, hasAddress := strings.Cut(rest, "@")
+	name, kindAndAddress, hasKind := strings.Cut(arg, "=")
+	kind, address, hasAddress := strings.Cut(kindAndAddress, "@")
 	if !hasKind || !hasAddress || !isWord(name) || !isWord(kind) || !isWord(address) {
 		return apiserver.Entry{}, usageErrorf("engine %q: must have the form NAME=KIND@ADDRESS", arg)
 	}
--- a/cmd/brackenbend/fleet_test.go
+++ b/cmd/brackenbend/fleet_test.go
@@ -73,8 +73,8 @@
 	members := append(fleetMembers(prefillEngine, f.prefillEngines), fleetMembers(decodeEngine, f.decodeEngines)...)
 	discovery, _ := startSilentDiscovery(t)
 	config := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Sprintf(fleetConfig, discovery, strings.Join(members, ","), plan.stateTTL.Microseconds())
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+	configText := fmt.Sprintf(fleetConfig, discovery, strings.Join(members, ","), plan.stateTTL.Microseconds())
+	if err := os.WriteFile(config, []byte(configText), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	f.startNode(t, config)
--- a/cmd/brackenbend/main.go
+++ b/cmd/brackenbend/main.go
@@ -52,9 +52,9 @@
 	}
 	p := printer{out: os.Stderr} // the exit code reports the failure even if standard error can't be written
 	p.printf("%v\n", err)
-	var withCode exitError
-	if errors.As(err, &withCode) {
-		return withCode.code
+	var exitErr exitError
+	if errors.As(err, &exitErr) {
+		return exitErr.code
 	}
 	return exitFailure
 }
--- a/cmd/brackenbend/main_test.go
+++ b/cmd/brackenbend/main_test.go
@@ -48,8 +48,8 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	invalid := filepath.Join(t.TempDir(), "bad.xml")
-	if err := os.WriteFile(invalid, []byte("<brackenbend/>"), 0o644); err != nil {
+	invalidFile := filepath.Join(t.TempDir(), "bad.xml")
+	if err := os.WriteFile(invalidFile, []byte("<brackenbend/>"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	const (
@@ -57,29 +57,30 @@
 		settings = "../../deploy/examples/front.xml"
 	)
 	outFile := func(name string) string { return filepath.Join(t.TempDir(), name) }
-	words := func(parts ...string) []string { return strings.Fields(strings.Join(parts, " ")) }
+	splitArgs := func(parts ...string) []string { return strings.Fields(strings.Join(parts, " ")) }
 	for _, c := range []struct {
 		args []string
 		code int
 	}{
 		{[]string{"check", settings}, 0},
-		{[]string{"check", invalid}, exitConfig},
+		{[]string{"check", invalidFile}, exitConfig},
 		{[]string{"check", "none.xml"}, exitFailure},
 		{[]string{"check"}, exitUsage},
 		{[]string{"serve", "--nonsense"}, exitUsage},
-		{[]string{"day", invalid}, exitConfig},
+		{[]string{"day", invalidFile}, exitConfig},
 		{[]string{"engine", "--role", "invalid"}, exitUsage},
 		{[]string{"lab", "day", stall, "--seconds", "5"}, 0},
-		{[]string{"lab", "day", invalid}, exitConfig},
+		{[]string{"lab", "day", invalidFile}, exitConfig},
 		{[]string{"lab", "forecast", stall, "--runs", "2"}, exitUsage},
-		{words("compare choice routing --batch 3 --most 3 --traffic", stall, "--html", outFile("x.html")), 0},
-		{words("compare choice", os.Args[0], "--batch 3 --most 3 --traffic", stall), 0}, // the other version is this program
-		{[]string{"compare", "choice", invalid}, exitConfig},
-		{words("lab hunt", stall, "--rounds 1 --draws 4 --troubles 1 -o", outFile("x.xml")), 0},
-		{words("simulate fault-search", stall, "--rounds 1 --draws 4 --troubles 1 -o", outFile("y.xml")), 0},
-		{words("simulate scenario", stall, "--seconds 5"), 0},
-		{words("scenario", invalid), exitConfig},
-		{[]string{"lab", "fit", invalid}, exitConfig},
+		{splitArgs("compare choice routing --batch 3 --most 3 --traffic", stall, "--html", outFile("x.html")), 0},
+		// the other version is this program
+		{splitArgs("compare choice", os.Args[0], "--batch 3 --most 3 --traffic", stall), 0},
+		{[]string{"compare", "choice", invalidFile}, exitConfig},
+		{splitArgs("lab hunt", stall, "--rounds 1 --draws 4 --troubles 1 -o", outFile("x.xml")), 0},
+		{splitArgs("simulate fault-search", stall, "--rounds 1 --draws 4 --troubles 1 -o", outFile("y.xml")), 0},
+		{splitArgs("simulate scenario", stall, "--seconds 5"), 0},
+		{splitArgs("scenario", invalidFile), exitConfig},
+		{[]string{"lab", "fit", invalidFile}, exitConfig},
 		{[]string{"compare", "choice", settings}, exitFailure}, // its classes are not those of the scenario
 	} {
 		t.Run(commandName(c.args), func(t *testing.T) {
--- a/cmd/brackenbend/mutation_test.go
+++ b/cmd/brackenbend/mutation_test.go
@@ -51,13 +51,13 @@
 	"ignores drains and keeps endpoints open": {
 		2, gateway.TestHooks{EndpointUpdate: ignoreDrains, AfterOpenOrClose: (*engine.Endpoint).Open},
 	},
-	"retries requests that are not idempotent": {1, gateway.TestHooks{Settings: allIdempotent}},
+	"retries requests that are not idempotent": {1, gateway.TestHooks{Settings: markAllIdempotent}},
 	"executes possible duplicates": {
 		1, gateway.TestHooks{Request: func(q *routing.Request) { q.PossibleDuplicate = false }},
 	},
 	"drops the idempotency key":  {1, gateway.TestHooks{IdempotencyKey: func(string) string { return "" }}},
 	"rejects what may have run":  {1, gateway.TestHooks{Action: rejectInsteadOfFail}},
-	"answers late":               {0, gateway.TestHooks{FirstTokenTimeout: waitLonger}},
+	"answers late":               {0, gateway.TestHooks{FirstTokenTimeout: extendTimeout}},
 	"answers twice":              {0, gateway.TestHooks{Answer: duplicateResponse}},
 	"drops every eighth answer":  {0, gateway.TestHooks{Answer: replaceEveryEighth[[]byte](nil)}},
 	"drops every eighth release": {4, gateway.TestHooks{Action: dropEveryEighthRelease}},
@@ -83,7 +83,7 @@
 	}
 }
 
-func allIdempotent(config *routing.Config) {
+func markAllIdempotent(config *routing.Config) {
 	for i := range config.Classes {
 		if config.Classes[i].Idempotency == routing.NotIdempotent {
 			config.Classes[i].Idempotency = routing.Idempotent
@@ -100,7 +100,7 @@
 	return []routing.Action{action}
 }
 
-func waitLonger(wait time.Duration) time.Duration { return wait + 3*time.Second }
+func extendTimeout(timeout time.Duration) time.Duration { return timeout + 3*time.Second }
 
 func duplicateResponse(response []byte) []byte { return append(slices.Clone(response), response...) }
 
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -80,7 +80,7 @@
 // handleBatch steps the router of each instance that has events in the batch, once with all of these events in order,
 // and adds its actions to the reply, or a fault if the step failed.
 func (a *adapter) handleBatch(batch *simprotocol.Batch, reply *simprotocol.Reply) error {
-	events, err := a.collect(batch)
+	events, err := a.collectEvents(batch)
 	if err != nil {
 		return err
 	}
@@ -101,9 +101,9 @@
 	return nil
 }
 
-// collect starts and stops instances and returns the events of those that run. It drops events that precede a start or
-// a stop of their instance in the same batch.
-func (a *adapter) collect(batch *simprotocol.Batch) (*instanceEvents, error) {
+// collectEvents starts and stops instances and returns the events of those that run. It drops events that precede a
+// start or a stop of their instance in the same batch.
+func (a *adapter) collectEvents(batch *simprotocol.Batch) (*instanceEvents, error) {
 	events := &instanceEvents{byInstance: map[uint16][]routing.Event{}}
 	for _, item := range batch.Items {
 		switch event := item.Event.(type) {
--- a/internal/api/body.go
+++ b/internal/api/body.go
@@ -8,9 +8,9 @@
 	"github.com/tidwall/gjson"
 )
 
-// keepStateForDecode is the value of kv_transfer_params that asks a vLLM engine to keep the KV cache state until
+// prefillTransferParams is the value of kv_transfer_params that asks a vLLM engine to keep the KV cache state until
 // another engine fetches it (disaggregated prefill with the NIXL connector).
-const keepStateForDecode = `{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
+const prefillTransferParams = `{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
 	`"remote_block_ids":null,"remote_host":null,"remote_port":null}`
 
 // fieldOverride is a field that bodyWith sets in a body for an engine. The value is JSON.
@@ -20,12 +20,12 @@
 // keeps the read state for the decode engine.
 func (r *Request) PrefillBody() []byte {
 	limitField := fieldMaxTokens
-	if _, ok := r.get(limitField); !ok {
-		if _, ok := r.get(fieldMaxCompletionTokens); ok {
+	if _, ok := r.rawField(limitField); !ok {
+		if _, ok := r.rawField(fieldMaxCompletionTokens); ok {
 			limitField = fieldMaxCompletionTokens
 		}
 	}
-	overrides := []fieldOverride{{limitField, "1"}, {fieldStream, "false"}, {fieldKVTransferParams, keepStateForDecode}}
+	overrides := []fieldOverride{{limitField, "1"}, {fieldStream, "false"}, {fieldKVTransferParams, prefillTransferParams}}
 	return r.bodyWith(overrides, fieldMaxTokens, fieldMaxCompletionTokens, fieldStreamOptions, fieldMinTokens)
 }
 
--- a/internal/api/classify.go
+++ b/internal/api/classify.go
@@ -28,10 +28,10 @@
 
 // Match is a condition on the value that a source has in a request. Either Equals or Prefix is set.
 type Match struct {
-	Source Source
-	Name   string // of the header field, for FromHeader
-	Equals string
-	Prefix string
+	Source     Source
+	HeaderName string // for FromHeader
+	Equals     string
+	Prefix     string
 }
 
 // Rule assigns a class or a tenant, by its index, to the requests that match.
@@ -42,16 +42,16 @@
 
 // AffinityKey selects the part of a request that identifies its session or its shared prefix.
 type AffinityKey struct {
-	Source Source
-	Name   string // of the header field, for FromHeader
-	Bytes  int    // length of the prefix, for FromPromptPrefix
+	Source      Source
+	HeaderName  string // for FromHeader
+	PrefixBytes int    // length of the prefix, for FromPromptPrefix
 }
 
 // Model is a model that clients can request by its name.
 type Model struct {
-	Name          string
-	BytesPerToken float64
-	MaxOutput     int // output tokens assumed for requests without a limit
+	Name            string
+	BytesPerToken   float64
+	MaxOutputTokens int // output tokens assumed for requests without a limit
 }
 
 // Classifier determines the class, tenant, session, prefix and lengths of requests. Of its rules the first that matches
@@ -102,7 +102,7 @@
 	result.PromptTokens = r.EstimateTokens(model.BytesPerToken)
 	result.MaxOutputTokens = float64(r.MaxTokens)
 	if r.MaxTokens == 0 {
-		result.MaxOutputTokens = float64(model.MaxOutput)
+		result.MaxOutputTokens = float64(model.MaxOutputTokens)
 	}
 	result.Session, _ = affinityHash(c.SessionKeys, r, h)
 	var size int
@@ -133,7 +133,7 @@
 		case FromModel:
 			v = r.Model
 		case FromHeader:
-			v = h.Get(m.Name)
+			v = h.Get(m.HeaderName)
 		case FromAPIKey:
 			v = apiKey
 		case FromUser:
@@ -154,7 +154,7 @@
 		hash, size = 0, 0
 		switch key.Source {
 		case FromHeader:
-			hash = hashText(h.Get(key.Name))
+			hash = hashText(h.Get(key.HeaderName))
 		case FromUser:
 			hash = hashText(r.User)
 		case FromSystemMessages:
@@ -162,7 +162,7 @@
 		case FromFirstMessage:
 			hash = r.FirstTurnHash()
 		case FromPromptPrefix:
-			hash, size = r.Prefix(key.Bytes)
+			hash, size = r.Prefix(key.PrefixBytes)
 		case FromPath, FromModel, FromAPIKey: // valid in rules only
 		}
 		if hash != 0 {
--- a/internal/api/classify_test.go
+++ b/internal/api/classify_test.go
@@ -11,16 +11,16 @@
 func TestClassify(t *testing.T) {
 	classifier := Classifier{
 		ClassRules: []Rule{
-			{Match{Source: FromHeader, Name: "X-Class", Equals: "order"}, 1},
+			{Match{Source: FromHeader, HeaderName: "X-Class", Equals: "order"}, 1},
 			{Match{Source: FromModel, Prefix: "big"}, 2},
 		},
 		TenantRules: []Rule{{Match{
 			Source: FromAPIKey, Equals: "ca978112ca1bbdcafac231b39a23dc4da786eff8147c4e72b9807785afee48bb",
 		}, 3}},
 		DefaultClass: 0, DefaultTenant: -1,
-		SessionKeys: []AffinityKey{{Source: FromHeader, Name: "X-Session"}, {Source: FromFirstMessage}},
-		PrefixKeys:  []AffinityKey{{Source: FromSystemMessages}, {Source: FromPromptPrefix, Bytes: 4}},
-		Models:      []Model{{Name: "m", BytesPerToken: 4, MaxOutput: 99}},
+		SessionKeys: []AffinityKey{{Source: FromHeader, HeaderName: "X-Session"}, {Source: FromFirstMessage}},
+		PrefixKeys:  []AffinityKey{{Source: FromSystemMessages}, {Source: FromPromptPrefix, PrefixBytes: 4}},
+		Models:      []Model{{Name: "m", BytesPerToken: 4, MaxOutputTokens: 99}},
 	}
 	header := http1.Header{{Name: "x-class", Value: "order"}, {Name: "Authorization", Value: "Bearer a"}}
 	system := `{"role":"system","content":"` + strings.Repeat("s", 394) + `"},`
--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -114,7 +114,7 @@
 	var duplicateName string
 	r.fields = make([]field, 0, fieldsCapacity)
 	object.ForEach(func(key, value gjson.Result) bool {
-		if _, known := r.get(key.Str); known && slices.Contains(routedFields, key.Str) {
+		if _, known := r.rawField(key.Str); known && slices.Contains(routedFields, key.Str) {
 			duplicateName = key.Str
 		}
 		r.fields = append(r.fields, field{key.Str, key.Raw, value.Raw})
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// get returns the raw JSON value of a field.
-func (r *Request) get(name string) (value string, ok bool) {
+// rawField returns the raw JSON value of a field.
+func (r *Request) rawField(name string) (value string, ok bool) {
 	for i := range r.fields {
 		if r.fields[i].name == name {
 			return r.fields[i].rawValue, true
@@ -138,7 +138,7 @@
 
 // parseString reads an optional field that is a string or null.
 func (r *Request) parseString(name string, target *string) *Error {
-	raw, ok := r.get(name)
+	raw, ok := r.rawField(name)
 	if !ok {
 		return nil
 	}
@@ -161,7 +161,7 @@
 }
 
 func (r *Request) parseStream() *Error {
-	switch v, _ := r.get(fieldStream); v {
+	switch v, _ := r.rawField(fieldStream); v {
 	case "true":
 		r.Stream = true
 	case "", "false", "null":
@@ -174,7 +174,7 @@
 // parseMaxTokens reads the output limit, which has two names in the API; max_completion_tokens has precedence.
 func (r *Request) parseMaxTokens() *Error {
 	for _, name := range []string{fieldMaxTokens, fieldMaxCompletionTokens} {
-		v, ok := r.get(name)
+		v, ok := r.rawField(name)
 		if !ok || v == "null" {
 			continue
 		}
@@ -188,7 +188,7 @@
 }
 
 func (r *Request) parseMessages() *Error {
-	raw, _ := r.get(fieldMessages)
+	raw, _ := r.rawField(fieldMessages)
 	messages := gjson.Parse(raw)
 	if raw != "" && !messages.IsArray() && messages.Type != gjson.Null {
 		return invalidRequest(fieldMessages, "messages must be an array")
@@ -261,7 +261,7 @@
 // parsePrompt reads a prompt, which is a string, an array of one string, or an array of token IDs. It rejects an array
 // of several prompts, each of which would need its own prefill and response.
 func (r *Request) parsePrompt() *Error {
-	raw, ok := r.get(fieldPrompt)
+	raw, ok := r.rawField(fieldPrompt)
 	if !ok {
 		return invalidRequest(fieldPrompt, "prompt is missing")
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -21,7 +21,7 @@
 		c.check(report)
 	}
 	for _, m := range s.Models {
-		if m.BytesPerToken == 0 || m.MaxOutput == 0 {
+		if m.BytesPerToken == 0 || m.MaxOutputTokens == 0 {
 			report(m.Pos, "give figures above 0", "<model name=%q>: bytes-per-token or max-output is 0", m.Name)
 		}
 	}
@@ -67,11 +67,11 @@
 }
 
 func (k *AffinityKey) check(report Reporter) {
-	if (k.Source == "header") != (k.Name != "") {
-		report(k.Pos, "give name with from=\"header\", and only there", "from=%q with name=%q", k.Source, k.Name)
+	if (k.Source == "header") != (k.HeaderName != "") {
+		report(k.Pos, "give name with from=\"header\", and only there", "from=%q with name=%q", k.Source, k.HeaderName)
 	}
-	if (k.Source == "opening") != (k.Bytes > 0) {
-		report(k.Pos, "give bytes with from=\"opening\", and only there", "from=%q with bytes=%d", k.Source, k.Bytes)
+	if (k.Source == "opening") != (k.PrefixBytes > 0) {
+		report(k.Pos, "give bytes with from=\"opening\", and only there", "from=%q with bytes=%d", k.Source, k.PrefixBytes)
 	}
 }
 
@@ -119,8 +119,8 @@
 	if (r.Class == "") == (r.Tenant == "") {
 		report(r.Pos, "give one of class and tenant", "<rule> has both or neither of class and tenant")
 	}
-	if (r.Source == "header") != (r.Name != "") {
-		report(r.Pos, "give name with when=\"header\", and only there", "<rule when=%q> with name=%q", r.Source, r.Name)
+	if (r.Source == "header") != (r.HeaderName != "") {
+		report(r.Pos, "give name with when=\"header\", and only there", "<rule when=%q> with name=%q", r.Source, r.HeaderName)
 	}
 	if r.Class != "" && s.classIndex(r.Class) < 0 {
 		report(r.Pos, "name a <class>", "<rule>: %q is no class", r.Class)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -44,12 +44,12 @@
 // position.
 func Decode(file string, text []byte, rootName string, target any, check func(Reporter)) error {
 	d := &decoder{file: file}
-	if e := parseElements(text, d.problem); e != nil {
+	if e := parseElements(text, d.addProblem); e != nil {
 		if e.name != rootName {
-			d.problem(e.Pos, "begin with <"+rootName+">", "the root element is <%s>", e.name)
+			d.addProblem(e.Pos, "begin with <"+rootName+">", "the root element is <%s>", e.name)
 		} else {
 			d.fill(e, reflect.ValueOf(target).Elem())
-			check(d.problem)
+			check(d.addProblem)
 		}
 	}
 	if len(d.problems) == 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,7 +34,7 @@
 	classifier := s.Classifier()
 	if classifier.DefaultClass != 0 || classifier.ClassRules[1].Index != 2 || classifier.TenantRules[0].Index != 1 ||
 		len(classifier.SessionKeys) != 2 ||
-		classifier.PrefixKeys[1].Bytes != 2048 {
+		classifier.PrefixKeys[1].PrefixBytes != 2048 {
 		t.Errorf("%+v", classifier)
 	}
 }
--- a/internal/config/convert.go
+++ b/internal/config/convert.go
@@ -91,7 +91,7 @@
 		c.DefaultTenant = 0
 	}
 	for _, r := range s.Rules {
-		m := api.Match{Source: sourcesByName[r.Source], Name: r.Name, Equals: r.Equals, Prefix: r.Prefix}
+		m := api.Match{Source: sourcesByName[r.Source], HeaderName: r.HeaderName, Equals: r.Equals, Prefix: r.Prefix}
 		if r.Class != "" {
 			c.ClassRules = append(c.ClassRules, api.Rule{Match: m, Index: s.classIndex(r.Class)})
 		}
@@ -101,14 +101,18 @@
 	}
 	c.SessionKeys, c.PrefixKeys = affinityKeys(s.SessionKeys), affinityKeys(s.PrefixKeys)
 	for _, m := range s.Models {
-		c.Models = append(c.Models, api.Model{Name: m.Name, BytesPerToken: m.BytesPerToken, MaxOutput: int(m.MaxOutput)})
+		c.Models = append(c.Models, api.Model{
+			Name: m.Name, BytesPerToken: m.BytesPerToken, MaxOutputTokens: int(m.MaxOutputTokens),
+		})
 	}
 	return c
 }
 
 func affinityKeys(keys []AffinityKey) (out []api.AffinityKey) {
 	for _, k := range keys {
-		out = append(out, api.AffinityKey{Source: sourcesByName[k.Source], Name: k.Name, Bytes: int(k.Bytes)})
+		out = append(out, api.AffinityKey{
+			Source: sourcesByName[k.Source], HeaderName: k.HeaderName, PrefixBytes: int(k.PrefixBytes),
+		})
 	}
 	return out
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -18,8 +18,8 @@
 	problems Problems
 }
 
-// problem implements Reporter.
-func (d *decoder) problem(at Pos, fix, format string, args ...any) {
+// addProblem implements Reporter.
+func (d *decoder) addProblem(at Pos, fix, format string, args ...any) {
 	d.problems = append(d.problems, Problem{d.file, at.Line, at.Column, fmt.Sprintf(format, args...), fix})
 }
 
@@ -93,11 +93,11 @@
 		}
 		i, known := fields[name]
 		if !known {
-			d.problem(e.Pos, "use one of: "+joinNames(fields), "<%s> has no attribute %q", e.name, name)
+			d.addProblem(e.Pos, "use one of: "+joinNames(fields), "<%s> has no attribute %q", e.name, name)
 			continue
 		}
 		if presentNames[name] {
-			d.problem(e.Pos, "keep one of them", "<%s> has attribute %q twice", e.name, name)
+			d.addProblem(e.Pos, "keep one of them", "<%s> has attribute %q twice", e.name, name)
 		}
 		presentNames[name] = true
 		tag, _ := parseTag(v.Type().Field(i))
@@ -116,7 +116,7 @@
 			if len(fields) > 0 {
 				fix = "use one of: " + joinNames(fields)
 			}
-			d.problem(child.Pos, fix, "<%s> may not stand in <%s>", child.name, e.name)
+			d.addProblem(child.Pos, fix, "<%s> may not stand in <%s>", child.name, e.name)
 			continue
 		}
 		field := v.Field(i)
@@ -126,7 +126,7 @@
 			d.fill(child, item)
 			field.Set(reflect.Append(field, item))
 		case presentNames[child.name]:
-			d.problem(child.Pos, "keep one of them", "<%s> stands twice in <%s>", child.name, e.name)
+			d.addProblem(child.Pos, "keep one of them", "<%s> stands twice in <%s>", child.name, e.name)
 		default:
 			field.Set(reflect.New(field.Type().Elem()))
 			d.fill(child, field.Elem())
@@ -143,10 +143,10 @@
 		switch fieldType := t.Field(i).Type; {
 		case !ok || !tag.required:
 		case isElement(fieldType) && !elements[tag.name]:
-			d.problem(e.Pos, "add <"+tag.name+" .../>", "<%s> lacks <%s>", e.name, tag.name)
+			d.addProblem(e.Pos, "add <"+tag.name+" .../>", "<%s> lacks <%s>", e.name, tag.name)
 		case !isElement(fieldType) && !attributes[tag.name]:
 			fix := fmt.Sprintf("add %s=%q", tag.name, exampleValue(fieldType, tag))
-			d.problem(e.Pos, fix, "<%s> lacks the attribute %q", e.name, tag.name)
+			d.addProblem(e.Pos, fix, "<%s> lacks the attribute %q", e.name, tag.name)
 		}
 	}
 }
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -39,12 +39,12 @@
 	rules := func(field string, rs []api.Rule) {
 		for _, r := range rs {
 			fmt.Fprintf(&s, "  rule for %s %d: when %d name %q equals %q begins %q\n", field, r.Index, r.Match.Source,
-				r.Match.Name, r.Match.Equals, r.Match.Prefix)
+				r.Match.HeaderName, r.Match.Equals, r.Match.Prefix)
 		}
 	}
 	keys := func(field string, ks []api.AffinityKey) {
 		for _, k := range ks {
-			fmt.Fprintf(&s, "  %s: from %d name %q bytes %d\n", field, k.Source, k.Name, k.Bytes)
+			fmt.Fprintf(&s, "  %s: from %d name %q bytes %d\n", field, k.Source, k.HeaderName, k.PrefixBytes)
 		}
 	}
 	rules("class", c.ClassRules)
@@ -52,7 +52,7 @@
 	keys("session", c.SessionKeys)
 	keys("prefix", c.PrefixKeys)
 	for _, m := range c.Models {
-		fmt.Fprintf(&s, "  model %q bytes-per-token %v max-output %d\n", m.Name, m.BytesPerToken, m.MaxOutput)
+		fmt.Fprintf(&s, "  model %q bytes-per-token %v max-output %d\n", m.Name, m.BytesPerToken, m.MaxOutputTokens)
 	}
 	fmt.Fprintf(&s, "  default-class %d default-tenant %d\n", c.DefaultClass, c.DefaultTenant)
 	return s.String()
--- a/internal/config/scalar.go
+++ b/internal/config/scalar.go
@@ -74,7 +74,7 @@
 	case int:
 		p.setInt(v)
 	case float64:
-		if number, ok := p.number(text, "write a number such as 0.25"); ok {
+		if number, ok := p.parseNumber(text, "write a number such as 0.25"); ok {
 			v.SetFloat(number)
 		}
 	case string:
@@ -82,16 +82,16 @@
 	}
 }
 
-// problem reports that the value is invalid.
-func (p *scalarParser) problem(fix, message string) {
-	p.decoder.problem(p.element.Pos, fix, "<%s> %s=%q: %s", p.element.name, p.tag.name, truncate(p.text), message)
+// addProblem reports that the value is invalid.
+func (p *scalarParser) addProblem(fix, message string) {
+	p.decoder.addProblem(p.element.Pos, fix, "<%s> %s=%q: %s", p.element.name, p.tag.name, truncate(p.text), message)
 }
 
-// number parses a number from 0 to maxNumber. It reports any other text with the given fix.
-func (p *scalarParser) number(text, fix string) (float64, bool) {
+// parseNumber parses a number from 0 to maxNumber. It reports any other text with the given fix.
+func (p *scalarParser) parseNumber(text, fix string) (float64, bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(number >= 0 && number <= maxNumber) {
-		p.problem(fix, "not a number of at least 0")
+		p.addProblem(fix, "not a number of at least 0")
 		return 0, false
 	}
 	return number, true
@@ -102,9 +102,9 @@
 	_, numberErr := strconv.ParseFloat(p.text, 64)
 	switch {
 	case numberErr == nil:
-		p.problem(fmt.Sprintf("write %sms or %ss", p.text, p.text), "a time needs its unit")
+		p.addProblem(fmt.Sprintf("write %sms or %ss", p.text, p.text), "a time needs its unit")
 	case err != nil || duration < 0:
-		p.problem("write it like 500ms, 2s or 1m30s", "not a time")
+		p.addProblem("write it like 500ms, 2s or 1m30s", "not a time")
 	default:
 		v.SetInt(int64(duration))
 	}
@@ -116,21 +116,21 @@
 		if !ok {
 			continue
 		}
-		if number, ok := p.number(text, "write it like 64KiB"); ok {
+		if number, ok := p.parseNumber(text, "write it like 64KiB"); ok {
 			v.SetInt(int64(number * float64(unit.bytes)))
 		}
 		return
 	}
-	p.problem(fmt.Sprintf("write %sB, %sKiB or %sMiB", p.text, p.text, p.text), "a size needs its unit")
+	p.addProblem(fmt.Sprintf("write %sB, %sKiB or %sMiB", p.text, p.text, p.text), "a size needs its unit")
 }
 
 func (p *scalarParser) setTokens(v reflect.Value) {
 	text, ok := strings.CutSuffix(p.text, "tokens")
 	if !ok {
-		p.problem("write "+p.text+"tokens", "a number of tokens needs its unit")
+		p.addProblem("write "+p.text+"tokens", "a number of tokens needs its unit")
 		return
 	}
-	if number, ok := p.number(strings.TrimSpace(text), "write it like 200000tokens"); ok {
+	if number, ok := p.parseNumber(strings.TrimSpace(text), "write it like 200000tokens"); ok {
 		v.SetFloat(number)
 	}
 }
@@ -138,17 +138,17 @@
 func (p *scalarParser) setRate(v reflect.Value) {
 	text, ok := strings.CutSuffix(p.text, "/s")
 	if !ok {
-		p.problem("write "+p.text+"/s", "a rate needs its unit")
+		p.addProblem("write "+p.text+"/s", "a rate needs its unit")
 		return
 	}
-	if number, ok := p.number(text, "write it like 10/s"); ok {
+	if number, ok := p.parseNumber(text, "write it like 10/s"); ok {
 		v.SetFloat(number)
 	}
 }
 
 func (p *scalarParser) setBool(v reflect.Value) {
 	if p.text != "true" && p.text != "false" {
-		p.problem("write true or false", "neither true nor false")
+		p.addProblem("write true or false", "neither true nor false")
 	}
 	v.SetBool(p.text == "true")
 }
@@ -156,7 +156,7 @@
 func (p *scalarParser) setInt(v reflect.Value) {
 	number, err := strconv.Atoi(p.text)
 	if err != nil || number < 0 {
-		p.problem("write a whole number such as 4", "not a whole number of at least 0")
+		p.addProblem("write a whole number such as 4", "not a whole number of at least 0")
 		return
 	}
 	v.SetInt(int64(number))
@@ -164,11 +164,11 @@
 
 func (p *scalarParser) setString(v reflect.Value) {
 	if len(p.tag.enum) > 0 && !slices.Contains(p.tag.enum, p.text) {
-		p.problem("write one of: "+strings.Join(p.tag.enum, ", "), "unknown value")
+		p.addProblem("write one of: "+strings.Join(p.tag.enum, ", "), "unknown value")
 		return
 	}
 	if p.tag.required && p.text == "" {
-		p.problem("give it a value", "the value is empty")
+		p.addProblem("give it a value", "the value is empty")
 	}
 	v.SetString(p.text)
 }
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -113,29 +113,29 @@
 // Model is a model that the service offers.
 type Model struct {
 	Pos
-	Name          string  `cfg:"name,required"`
-	BytesPerToken float64 `cfg:"bytes-per-token,required"`
-	MaxOutput     Tokens  `cfg:"max-output,required"`
+	Name            string  `cfg:"name,required"`
+	BytesPerToken   float64 `cfg:"bytes-per-token,required"`
+	MaxOutputTokens Tokens  `cfg:"max-output,required"`
 }
 
 // Rule assigns a class or a tenant to the requests that match it. The first rule that matches applies.
 type Rule struct {
 	Pos
-	Source string `cfg:"when,required,enum=path|model|header|api-key-sha256|user"`
-	Name   string `cfg:"name"` // of the header, for when="header"
-	Equals string `cfg:"equals"`
-	Prefix string `cfg:"begins"`
-	Class  string `cfg:"class"`
-	Tenant string `cfg:"tenant"`
+	Source     string `cfg:"when,required,enum=path|model|header|api-key-sha256|user"`
+	HeaderName string `cfg:"name"` // for when="header"
+	Equals     string `cfg:"equals"`
+	Prefix     string `cfg:"begins"`
+	Class      string `cfg:"class"`
+	Tenant     string `cfg:"tenant"`
 }
 
 // AffinityKey selects the part of a request that identifies its session or its shared prefix. The first key that has a
 // value for a request applies.
 type AffinityKey struct {
 	Pos
-	Source string `cfg:"from,required,enum=header|user|system-messages|first-message|opening"`
-	Name   string `cfg:"name"`  // of the header, for from="header"
-	Bytes  Size   `cfg:"bytes"` // length of the prefix, for from="opening"
+	Source      string `cfg:"from,required,enum=header|user|system-messages|first-message|opening"`
+	HeaderName  string `cfg:"name"`  // for from="header"
+	PrefixBytes Size   `cfg:"bytes"` // length of the prefix, for from="opening"
 }
 
 // Engines configures the connections to engines.
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -41,17 +41,17 @@
 
 // gapRecorder measures the gaps between the tokens of one attempt.
 type gapRecorder struct {
-	last time.Time
-	gaps []time.Duration
+	lastTokenAt time.Time
+	gaps        []time.Duration
 }
 
 // onToken is called when a token arrives.
 func (g *gapRecorder) onToken() {
 	now := time.Now()
-	if !g.last.IsZero() && len(g.gaps) < maxGapsPerAttempt {
-		g.gaps = append(g.gaps, now.Sub(g.last))
+	if !g.lastTokenAt.IsZero() && len(g.gaps) < maxGapsPerAttempt {
+		g.gaps = append(g.gaps, now.Sub(g.lastTokenAt))
 	}
-	g.last = now
+	g.lastTokenAt = now
 }
 
 // attemptResult holds the outcome and the latencies of one attempt.
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -64,10 +64,11 @@
 		request.ID, request.Retries = fmt.Sprintf("%s/%d", request.Intent, session.Attempts), session.Retries
 		var gaps gapRecorder
 		request.OnToken = gaps.onToken
-		delay := time.Since(scheduledAt) // includes earlier attempts and their pauses, which the client waits for too
+		// Includes earlier attempts and their pauses, which the client waits for too.
+		timeSinceScheduled := time.Since(scheduledAt)
 		result := client.Send(&request, replica, replica, nil)
 		if result.FirstToken > 0 {
-			result.FirstToken += delay
+			result.FirstToken += timeSinceScheduled
 		}
 		elapsed := time.Since(scheduledAt)
 		retry, pause := session.AfterAttempt(result.Kind, result.NoAutoRetry, result.RetryAfter, elapsed)
