--- a/cmd/brackenbend/bench_test.go
+++ b/cmd/brackenbend/bench_test.go
@@ -66,14 +66,14 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			l.request(b, target, i > warmUp)
+			l.sendRequest(b, target, i > warmUp)
 		}()
 	}
 	wg.Wait()
 }
 
-// request sends one request on an idle connection, or on a new one.
-func (l *latencyLoad) request(b *testing.B, target string, measured bool) {
+// sendRequest sends one request on an idle connection, or on a new one.
+func (l *latencyLoad) sendRequest(b *testing.B, target string, measured bool) {
 	b.Helper()
 	var client *benchClient
 	select {
--- a/cmd/brackenbend/daemon.go
+++ b/cmd/brackenbend/daemon.go
@@ -34,7 +34,7 @@
 // daemon is a running gateway with its endpoint list and its admin listener.
 type daemon struct {
 	gateway        *gateway.Gateway
-	addr           string     // of the client listener
+	clientAddress  string     // of the client listener
 	listenerErrors chan error // receives the error of a listener that failed; buffered for both listeners
 	stop           func()     // drains and shuts down; must be called only once
 }
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	d := &daemon{gateway: g, addr: clientListener.Addr().String(), listenerErrors: make(chan error, 2)}
+	d := &daemon{gateway: g, clientAddress: clientListener.Addr().String(), listenerErrors: make(chan error, 2)}
 	adminListener, err := d.startAdmin(settings.Replica.Admin, metrics)
 	if err != nil {
 		return nil, errors.Join(err, clientListener.Close())
@@ -66,7 +66,7 @@
 			d.listenerErrors <- err
 		}
 	}()
-	log.Info("serving", zap.String("listen", d.addr))
+	log.Info("serving", zap.String("listen", d.clientAddress))
 	d.stop = func() {
 		ctx, cancelShutdown := context.WithTimeout(context.Background(), settings.Replica.DrainTimeout)
 		defer cancelShutdown()
@@ -122,7 +122,7 @@
 // staticEndpoints returns the endpoints that the settings list.
 func staticEndpoints(settings *config.Settings) []endpointslice.Endpoint {
 	var list []endpointslice.Endpoint
-	for _, s := range settings.Servers {
+	for _, s := range settings.StaticEndpoints {
 		list = append(list, endpointslice.Endpoint{
 			Name: s.Name, Address: s.Address, Kind: s.Kind, Zone: s.Zone, Cell: s.Cell, State: routing.EndpointReady,
 		})
--- a/cmd/brackenbend/scenario.go
+++ b/cmd/brackenbend/scenario.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(report.WriteText(cmd.OutOrStdout()), r.save(report)); err != nil {
+	if err := errors.Join(report.WriteText(cmd.OutOrStdout()), r.writeFiles(report)); err != nil {
 		return err
 	}
 	if n := report.Violations(); n > 0 {
@@ -123,8 +123,8 @@
 	return options, os.MkdirAll(options.WorkDir, 0o755)
 }
 
-// save writes the files that the flags name.
-func (r *scenarioRun) save(report *scenariorun.Report) error {
+// writeFiles writes the files that the flags name.
+func (r *scenarioRun) writeFiles(report *scenariorun.Report) error {
 	if r.plotsDir != "" {
 		if err := os.MkdirAll(r.plotsDir, 0o755); err != nil {
 			return err
--- a/cmd/brackenbend/serve.go
+++ b/cmd/brackenbend/serve.go
@@ -18,7 +18,7 @@
 const heapFloor = 64 << 20
 
 func serveCommand() *cobra.Command {
-	var file string
+	var settingsFile string
 	cmd := &cobra.Command{
 		Use:   "serve -c FILE",
 		Short: "Run a gateway with a settings file",
@@ -29,9 +29,9 @@
 invalid, or differs in another element, the error is logged and nothing changes.`,
 		Example: "  brackenbend serve -c front.xml",
 		Args:    exactArgs(0),
-		RunE:    func(*cobra.Command, []string) error { return serve(file) },
+		RunE:    func(*cobra.Command, []string) error { return serve(settingsFile) },
 	}
-	cmd.Flags().StringVarP(&file, "config", "c", "", "settings `file`")
+	cmd.Flags().StringVarP(&settingsFile, "config", "c", "", "settings `file`")
 	mustRequire(cmd.MarkFlagRequired("config"))
 	return cmd
 }
@@ -43,8 +43,8 @@
 	}
 }
 
-func serve(file string) error {
-	settings, err := config.Load(file)
+func serve(settingsFile string) error {
+	settings, err := config.Load(settingsFile)
 	if err != nil {
 		return configError(err)
 	}
@@ -69,7 +69,7 @@
 			return err
 		case sig := <-signals:
 			if sig == syscall.SIGHUP {
-				reload(gatewayDaemon.gateway, file, log)
+				reloadSettings(gatewayDaemon.gateway, settingsFile, log)
 				continue
 			}
 			log.Info("draining", zap.String("signal", sig.String()), zap.Duration("at most", settings.Replica.DrainTimeout))
@@ -81,8 +81,8 @@
 	}
 }
 
-// reload reads the settings file again and gives the gateway what it can change while it runs.
-func reload(g *gateway.Gateway, file string, log *zap.Logger) {
+// reloadSettings reads the settings file again and gives the gateway what it can change while it runs.
+func reloadSettings(g *gateway.Gateway, file string, log *zap.Logger) {
 	settings, err := config.Load(file)
 	if err == nil {
 		err = g.Reload(settings)
--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -112,11 +112,11 @@
 // prepare sets the scenario, the subject, the reference and the progress callback of the search.
 func (s *faultSearch) prepare(sc *scenario.Scenario, subject string) error {
 	parse := func(name string) (forecast.Subject, error) { return parseSubject(name, sc, nil, false) }
-	target, err := parse(subject)
+	targetSubject, err := parse(subject)
 	if err != nil {
 		return err
 	}
-	s.search.Scenario, s.search.Subject, s.search.Parallel = sc, target.Options, runtime.GOMAXPROCS(0)
+	s.search.Scenario, s.search.Subject, s.search.Parallel = sc, targetSubject.Options, runtime.GOMAXPROCS(0)
 	if s.referenceName != "" {
 		reference, err := parse(s.referenceName)
 		if err != nil {
--- a/cmd/brackenbend/simulate_recording.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -26,7 +26,7 @@
 
 // recordings are files of recorded traffic that replaces the clients of a scenario.
 type recordings struct {
-	files []string // each FILE or FILE@TIMES
+	specs []string // each FILE or FILE@TIMES
 }
 
 // scaledRecording is one recording and the factor by which its traffic is multiplied.
@@ -37,21 +37,21 @@
 }
 
 func (r *recordings) addFlags(f *pflag.FlagSet) {
-	f.StringSliceVar(&r.files, "trace", nil, "recording whose traffic replaces the scenario's clients: FILE, or "+
+	f.StringSliceVar(&r.specs, "trace", nil, "recording whose traffic replaces the scenario's clients: FILE, or "+
 		"FILE@TIMES for TIMES the traffic, such as monday.trace@3; several are merged")
 }
 
 // load reads the recordings and returns their requests, nil if there are no recordings. It extends the scenario to the
 // length of the recordings.
 func (r *recordings) load(sc *scenario.Scenario) ([]scenario.RecordedRequest, error) {
-	if len(r.files) == 0 {
+	if len(r.specs) == 0 {
 		return nil, nil
 	}
 	var requestLists [][]scenario.RecordedRequest
 	var scales []float64
 	var beginTimes []time.Time
-	for _, arg := range r.files {
-		recording, err := loadRecording(arg, sc)
+	for _, spec := range r.specs {
+		recording, err := loadRecording(spec, sc)
 		if err != nil {
 			return nil, err
 		}
@@ -62,20 +62,20 @@
 	alignBeginTimes(requestLists, beginTimes)
 	mergedRequests := scenario.Blend(1, requestLists, scales)
 	if len(mergedRequests) == 0 {
-		return nil, exitError{fmt.Errorf("--trace: no requests in %s", strings.Join(r.files, ", ")), exitConfig}
+		return nil, exitError{fmt.Errorf("--trace: no requests in %s", strings.Join(r.specs, ", ")), exitConfig}
 	}
 	sc.Length = max(sc.Length, mergedRequests[len(mergedRequests)-1].At)
 	return mergedRequests, nil
 }
 
 // loadRecording reads a recording given as FILE or FILE@TIMES.
-func loadRecording(arg string, sc *scenario.Scenario) (r scaledRecording, err error) {
-	file, scaleText, hasScale := strings.Cut(arg, "@")
+func loadRecording(spec string, sc *scenario.Scenario) (r scaledRecording, err error) {
+	file, scaleText, hasScale := strings.Cut(spec, "@")
 	r.scale = 1
 	if hasScale {
 		r.scale, err = strconv.ParseFloat(scaleText, 64)
 		if err != nil || !(r.scale > 0 && r.scale <= maxTrafficScale) {
-			return r, usageErrorf("--trace %s: TIMES must be a number above 0 and at most %d", arg, maxTrafficScale)
+			return r, usageErrorf("--trace %s: TIMES must be a number above 0 and at most %d", spec, maxTrafficScale)
 		}
 	}
 	recordedTrace, err := readTrace(file)
@@ -156,8 +156,8 @@
 }
 
 // recordLog adds the requests of one log to a recording and prints their number.
-func recordLog(out io.Writer, recording *os.File, log string) error {
-	f, err := os.Open(log)
+func recordLog(out io.Writer, recording *os.File, logFile string) error {
+	f, err := os.Open(logFile)
 	if err != nil {
 		return err
 	}
@@ -166,9 +166,9 @@
 		err = closeErr
 	}
 	if err != nil {
-		return exitError{fmt.Errorf("%s: %w", log, err), exitConfig}
+		return exitError{fmt.Errorf("%s: %w", logFile, err), exitConfig}
 	}
-	_, err = fmt.Fprintf(out, "%s: %d requests, %d other lines\n", log, requests, skipped)
+	_, err = fmt.Fprintf(out, "%s: %d requests, %d other lines\n", logFile, requests, skipped)
 	return err
 }
 
--- a/cmd/brackenbend/up.go
+++ b/cmd/brackenbend/up.go
@@ -82,7 +82,7 @@
 	defer gatewayDaemon.stop()
 	_, err = fmt.Fprintf(cmd.OutOrStdout(),
 		"gateway on http://%s (model \"stand-in\"), metrics on http://%s/metrics; stop with Ctrl-C\n",
-		gatewayDaemon.addr, admin)
+		gatewayDaemon.clientAddress, admin)
 	if err != nil {
 		return err
 	}
--- a/internal/api/classify.go
+++ b/internal/api/classify.go
@@ -158,11 +158,11 @@
 		case FromUser:
 			hash = hashText(r.User)
 		case FromSystemMessages:
-			hash, size = r.SystemPrefix()
+			hash, size = r.SystemMessagesHash()
 		case FromFirstMessage:
 			hash = r.FirstTurnHash()
 		case FromPromptPrefix:
-			hash, size = r.Prefix(key.PrefixBytes)
+			hash, size = r.PromptPrefixHash(key.PrefixBytes)
 		case FromPath, FromModel, FromAPIKey: // valid in rules only
 		}
 		if hash != 0 {
--- a/internal/api/prefix.go
+++ b/internal/api/prefix.go
@@ -27,9 +27,9 @@
 	return digest
 }
 
-// SystemPrefix returns the hash and the size in bytes of the leading system and developer messages, which sessions can
-// share; 0, 0 if there are none, as in a text completion.
-func (r *Request) SystemPrefix() (hash uint64, size int) {
+// SystemMessagesHash returns the hash and the size in bytes of the leading system and developer messages, which
+// sessions can share; 0, 0 if there are none, as in a text completion.
+func (r *Request) SystemMessagesHash() (hash uint64, size int) {
 	digest := r.newHash()
 	for _, m := range r.Messages {
 		if m.Role != "system" && m.Role != "developer" {
@@ -57,11 +57,11 @@
 	return 0
 }
 
-// Prefix returns the hash of the first n bytes of the prompt or of the messages with their roles, and n; 0, 0 if they
-// are shorter.
-func (r *Request) Prefix(n int) (hash uint64, size int) {
+// PromptPrefixHash returns the hash of the first prefixBytes bytes of the prompt or of the messages with their roles,
+// and prefixBytes; 0, 0 if they are shorter.
+func (r *Request) PromptPrefixHash(prefixBytes int) (hash uint64, size int) {
 	digest := r.newHash()
-	remainingBytes := n
+	remainingBytes := prefixBytes
 	add := func(s string) {
 		s = s[:min(len(s), remainingBytes)]
 		remainingBytes -= len(s)
@@ -75,5 +75,5 @@
 	if remainingBytes > 0 {
 		return 0, 0
 	}
-	return digest.Sum64(), n
+	return digest.Sum64(), prefixBytes
 }
--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -97,8 +97,8 @@
 
 // parseFields splits the body into its fields.
 func (r *Request) parseFields(body []byte) *Error {
-	if exceedsMaxDepth(body) {
-		return invalidRequest("", "the body nests deeper than %d levels", maxDepth)
+	if exceedsMaxNesting(body) {
+		return invalidRequest("", "the body nests deeper than %d levels", maxNestingDepth)
 	}
 	if !gjson.ValidBytes(body) {
 		var v any
@@ -302,11 +302,12 @@
 	return invalidRequest(fieldPrompt, "prompt must be a string, an array of one string, or an array of token numbers")
 }
 
-// maxDepth is the nesting limit of bodies, the same as in encoding/json. It bounds the recursion of the JSON parsers.
-const maxDepth = 10000
+// maxNestingDepth is the nesting limit of bodies, the same as in encoding/json. It bounds the recursion of the JSON
+// parsers.
+const maxNestingDepth = 10000
 
-// exceedsMaxDepth reports whether the JSON text b is nested deeper than maxDepth.
-func exceedsMaxDepth(b []byte) bool {
+// exceedsMaxNesting reports whether the JSON text b is nested deeper than maxNestingDepth.
+func exceedsMaxNesting(b []byte) bool {
 	depth, inString := 0, false
 	for i := 0; i < len(b); i++ {
 		c := b[i]
@@ -323,7 +324,7 @@
 		case '"':
 			inString = true
 		case '{', '[':
-			if depth++; depth > maxDepth {
+			if depth++; depth > maxNestingDepth {
 				return true
 			}
 		case '}', ']':
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -14,7 +14,7 @@
 	checkUnique(report, "tenant", s.Tenants, func(t Tenant) (Pos, string) { return t.Pos, t.Name })
 	checkUnique(report, "kind", s.Kinds, func(k Kind) (Pos, string) { return k.Pos, k.Name })
 	checkUnique(report, "model", s.Models, func(m Model) (Pos, string) { return m.Pos, m.Name })
-	checkUnique(report, "server", s.Servers, func(v Server) (Pos, string) { return v.Pos, v.Name })
+	checkUnique(report, "server", s.StaticEndpoints, func(v StaticEndpoint) (Pos, string) { return v.Pos, v.Name })
 	s.checkReplica(report)
 	s.checkService(report)
 	for _, c := range s.Classes {
@@ -31,7 +31,7 @@
 	for _, k := range slices.Concat(s.SessionKeys, s.PrefixKeys) {
 		k.check(report)
 	}
-	s.checkServers(report)
+	s.checkEndpointList(report)
 }
 
 func (c *Class) check(report Reporter) {
@@ -130,14 +130,14 @@
 	}
 }
 
-func (s *Settings) checkServers(report Reporter) {
-	if s.APIServer == nil && len(s.Servers) == 0 {
+func (s *Settings) checkEndpointList(report Reporter) {
+	if s.APIServer == nil && len(s.StaticEndpoints) == 0 {
 		report(s.Pos, "add <server .../> lines or a <register .../>", "there is no list of engines")
 	}
-	if s.APIServer != nil && len(s.Servers) > 0 {
+	if s.APIServer != nil && len(s.StaticEndpoints) > 0 {
 		report(s.APIServer.Pos, "keep one of them", "both a <register> and a static list of <server>")
 	}
-	for _, v := range s.Servers {
+	for _, v := range s.StaticEndpoints {
 		checkAddress(report, v.Pos, "address", v.Address)
 		if s.KindIndex(v.Kind) < 0 {
 			report(v.Pos, "name a <kind>", "<server name=%q>: %q is no kind", v.Name, v.Kind)
--- a/internal/config/element.go
+++ b/internal/config/element.go
@@ -10,8 +10,8 @@
 
 // Limits of a settings file.
 const (
-	maxDepth = 16      // levels of nested elements
-	maxSize  = 8 << 20 // bytes
+	maxNestingDepth = 16      // levels of nested elements
+	maxFileBytes    = 8 << 20 // bytes
 )
 
 // element is an XML element with its position in the file.
@@ -32,9 +32,9 @@
 // parseElements returns the root element of a file with its children. It reports problems, and returns nil if the file
 // is not well-formed XML, has no element, or is over the limits.
 func parseElements(text []byte, report Reporter) *element {
-	if len(text) > maxSize {
+	if len(text) > maxFileBytes {
 		report(Pos{1, 1}, "remove unused elements", "the file has %d bytes; the limit is %d",
-			len(text), maxSize)
+			len(text), maxFileBytes)
 		return nil
 	}
 	p := &elementParser{report: report}
@@ -76,8 +76,9 @@
 }
 
 func (p *elementParser) startElement(e *element) bool {
-	if len(p.openElements) == maxDepth {
-		p.report(e.Pos, "see the schema for the allowed nesting", "elements are nested more than %d levels deep", maxDepth)
+	if len(p.openElements) == maxNestingDepth {
+		p.report(e.Pos, "see the schema for the allowed nesting", "elements are nested more than %d levels deep",
+			maxNestingDepth)
 		return false
 	}
 	if len(p.openElements) > 0 {
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -5,20 +5,20 @@
 // Settings holds the contents of a settings file, which configures one replica.
 type Settings struct {
 	Pos
-	Replica     *Replica      `cfg:"front,required"`
-	Limits      *Limits       `cfg:"limits"`
-	Log         *Log          `cfg:"log"`
-	Service     *Service      `cfg:"service,required"`
-	Classes     []Class       `cfg:"class,required"`
-	Tenants     []Tenant      `cfg:"tenant"`
-	Kinds       []Kind        `cfg:"kind,required"`
-	Models      []Model       `cfg:"model,required"`
-	Rules       []Rule        `cfg:"rule"`
-	SessionKeys []AffinityKey `cfg:"session"`
-	PrefixKeys  []AffinityKey `cfg:"prefix"`
-	Engines     *Engines      `cfg:"engines"`
-	Servers     []Server      `cfg:"server"`
-	APIServer   *APIServer    `cfg:"register"`
+	Replica         *Replica         `cfg:"front,required"`
+	Limits          *Limits          `cfg:"limits"`
+	Log             *Log             `cfg:"log"`
+	Service         *Service         `cfg:"service,required"`
+	Classes         []Class          `cfg:"class,required"`
+	Tenants         []Tenant         `cfg:"tenant"`
+	Kinds           []Kind           `cfg:"kind,required"`
+	Models          []Model          `cfg:"model,required"`
+	Rules           []Rule           `cfg:"rule"`
+	SessionKeys     []AffinityKey    `cfg:"session"`
+	PrefixKeys      []AffinityKey    `cfg:"prefix"`
+	Engines         *Engines         `cfg:"engines"`
+	StaticEndpoints []StaticEndpoint `cfg:"server"`
+	APIServer       *APIServer       `cfg:"register"`
 }
 
 // Replica configures this replica's listeners and its shutdown.
@@ -149,8 +149,8 @@
 	LoadReportFields  string        `cfg:"load-report"`      // names of ORCA load report fields, separated by spaces
 }
 
-// Server is an engine of the static endpoint list.
-type Server struct {
+// StaticEndpoint is an engine of the static endpoint list.
+type StaticEndpoint struct {
 	Pos
 	Name    string `cfg:"name,required"`
 	Kind    string `cfg:"kind,required"`
--- a/internal/gateway/accesslog.go
+++ b/internal/gateway/accesslog.go
@@ -84,7 +84,7 @@
 }
 
 func (r *inflightRequest) countAnswer(g *Gateway) {
-	g.metrics.Answers.WithLabelValues(r.class.Name, r.result).Inc()
+	g.metrics.FinalAnswers.WithLabelValues(r.class.Name, r.result).Inc()
 	if r.reason != "" {
 		g.metrics.UnservedRequests.WithLabelValues(r.result, r.reason).Inc()
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -11,7 +11,7 @@
 // Metrics holds the gateway's metrics.
 type Metrics struct {
 	registry             *prometheus.Registry
-	Answers              *prometheus.CounterVec   // by class and result
+	FinalAnswers         *prometheus.CounterVec   // by class and result
 	Attempts             *prometheus.CounterVec   // by stage and result
 	FirstTokenSeconds    *prometheus.HistogramVec // by class
 	ClientConnections    prometheus.Gauge
@@ -38,7 +38,7 @@
 	r := registrar{prometheus.NewRegistry()}
 	m := &Metrics{
 		registry: r.Registry,
-		Answers: r.counterVec("answers_total",
+		FinalAnswers: r.counterVec("answers_total",
 			"Final answers, by class and result (served, refused, failed, broken, gone).", "class", "result"),
 		Attempts: r.counterVec("attempts_total",
 			"Attempts that ended, by stage (read, write) and result.", "stage", "result"),
--- a/internal/telemetry/names_test.go
+++ b/internal/telemetry/names_test.go
@@ -16,8 +16,8 @@
 func TestExposedMetricsMatchGolden(t *testing.T) {
 	m := NewMetrics()
 	for i, c := range []*prometheus.CounterVec{
-		m.Answers, m.Attempts, m.EarlyRejections, m.EndpointUpdates, m.StateReleases, m.UnservedRequests, m.ClosedConnections,
-		m.LostRequests,
+		m.FinalAnswers, m.Attempts, m.EarlyRejections, m.EndpointUpdates, m.StateReleases, m.UnservedRequests,
+		m.ClosedConnections, m.LostRequests,
 	} {
 		hasTwoLabels := i == 0 || i == 1 || i == 5
 		if hasTwoLabels {
