--- a/internal/api/body.go
+++ b/internal/api/body.go
@@ -8,9 +8,9 @@
 	"github.com/tidwall/gjson"
 )
 
-// keepStateForDecode is the value of kv_transfer_params that asks a vLLM engine to keep the KV cache state until
+// prefillTransferParams is the value of kv_transfer_params that asks a vLLM engine to keep the KV cache state until
 // another engine fetches it (disaggregated prefill with the NIXL connector).
-const keepStateForDecode = `{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
+const prefillTransferParams = `{"do_remote_decode":true,"do_remote_prefill":false,"remote_engine_id":null,` +
 	`"remote_block_ids":null,"remote_host":null,"remote_port":null}`
 
 // fieldOverride is a field that bodyWith sets in a body for an engine. The value is JSON.
@@ -20,21 +20,21 @@
 // keeps the read state for the decode engine.
 func (r *Request) PrefillBody() []byte {
 	limitField := fieldMaxTokens
-	if _, ok := r.get(limitField); !ok {
-		if _, ok := r.get(fieldMaxCompletionTokens); ok {
+	if _, ok := r.rawField(limitField); !ok {
+		if _, ok := r.rawField(fieldMaxCompletionTokens); ok {
 			limitField = fieldMaxCompletionTokens
 		}
 	}
-	overrides := []fieldOverride{{limitField, "1"}, {fieldStream, "false"}, {fieldKVTransferParams, keepStateForDecode}}
+	overrides := []fieldOverride{{limitField, "1"}, {fieldStream, "false"}, {fieldKVTransferParams, prefillTransferParams}}
 	return r.bodyWith(overrides, fieldMaxTokens, fieldMaxCompletionTokens, fieldStreamOptions, fieldMinTokens)
 }
 
 // DecodeBody returns the body for a decode, which is always streamed. kv holds the transfer parameters of the prefill's
 // reply; it is nil for a request that one engine runs as a whole. usage requests the token counts at the end of the
 // stream, because a response that is not streamed must contain them.
-func (r *Request) DecodeBody(kv json.RawMessage, usage bool) []byte {
+func (r *Request) DecodeBody(kv json.RawMessage, includeUsage bool) []byte {
 	overrides := append(make([]fieldOverride, 0, 3), fieldOverride{fieldStream, "true"})
-	if usage {
+	if includeUsage {
 		overrides = append(overrides, fieldOverride{fieldStreamOptions, `{"include_usage":true}`})
 	}
 	if kv != nil {
@@ -44,11 +44,11 @@
 }
 
 // bodyWith returns the client's body with the overrides in place of the client's fields of those names, and without the
-// fields in drop. All other fields are copied byte for byte, in their order.
-func (r *Request) bodyWith(overrides []fieldOverride, drop ...string) []byte {
+// fields in omittedNames. All other fields are copied byte for byte, in their order.
+func (r *Request) bodyWith(overrides []fieldOverride, omittedNames ...string) []byte {
 	size := len("{}")
 	for _, f := range r.fields {
-		size += len(f.key) + len(f.value) + len(":,")
+		size += len(f.rawName) + len(f.rawValue) + len(":,")
 	}
 	for _, s := range overrides {
 		size += len(s.name) + len(s.value) + len(`"":,`)
@@ -56,10 +56,10 @@
 	b := append(make([]byte, 0, size), '{')
 	for _, f := range r.fields {
 		overridden := slices.ContainsFunc(overrides, func(s fieldOverride) bool { return s.name == f.name })
-		if overridden || slices.Contains(drop, f.name) {
+		if overridden || slices.Contains(omittedNames, f.name) {
 			continue
 		}
-		b = append(append(append(append(b, f.key...), ':'), f.value...), ',')
+		b = append(append(append(append(b, f.rawName...), ':'), f.rawValue...), ',')
 	}
 	for _, s := range overrides {
 		b = append(append(append(b, '"'), s.name...), '"', ':')
@@ -80,7 +80,7 @@
 
 // ParsePrefillReply parses an engine's reply to a PrefillBody.
 func ParsePrefillReply(body []byte) (PrefillReply, error) {
-	if exceedsMaxDepth(body) || !gjson.ValidBytes(body) {
+	if exceedsMaxNesting(body) || !gjson.ValidBytes(body) {
 		return PrefillReply{}, ErrInvalidReply
 	}
 	var reply PrefillReply
--- a/internal/api/request.go
+++ b/internal/api/request.go
@@ -66,7 +66,7 @@
 }
 
 // field is a member of the body's JSON object: its decoded name, and the raw JSON of its name and value.
-type field struct{ name, key, value string }
+type field struct{ name, rawName, rawValue string }
 
 // fieldsCapacity is the initial capacity of Request.fields, enough for most requests.
 const fieldsCapacity = 12
@@ -97,56 +97,56 @@
 
 // parseFields splits the body into its fields.
 func (r *Request) parseFields(body []byte) *Error {
-	if exceedsMaxDepth(body) {
-		return invalid("", "the body nests deeper than %d levels", maxDepth)
+	if exceedsMaxNesting(body) {
+		return invalidRequest("", "the body nests deeper than %d levels", maxNestingDepth)
 	}
 	if !gjson.ValidBytes(body) {
 		var v any
 		if err := json.Unmarshal(body, &v); err != nil { // its error has the position
-			return invalid("", "the body is not a JSON object: %v", err)
+			return invalidRequest("", "the body is not a JSON object: %v", err)
 		}
-		return invalid("", "the body is not a JSON object")
+		return invalidRequest("", "the body is not a JSON object")
 	}
 	object := gjson.ParseBytes(body)
 	if !object.IsObject() {
-		return invalid("", "the body is not a JSON object")
+		return invalidRequest("", "the body is not a JSON object")
 	}
-	var repeated string
+	var duplicateName string
 	r.fields = make([]field, 0, fieldsCapacity)
 	object.ForEach(func(key, value gjson.Result) bool {
-		if _, known := r.get(key.Str); known && slices.Contains(routedFields, key.Str) {
-			repeated = key.Str
+		if _, known := r.rawField(key.Str); known && slices.Contains(routedFields, key.Str) {
+			duplicateName = key.Str
 		}
 		r.fields = append(r.fields, field{key.Str, key.Raw, value.Raw})
-		return repeated == ""
+		return duplicateName == ""
 	})
-	if repeated != "" {
-		return invalid(repeated, "%s is given twice", repeated)
+	if duplicateName != "" {
+		return invalidRequest(duplicateName, "%s is given twice", duplicateName)
 	}
 	return nil
 }
 
-// get returns the raw JSON value of a field.
-func (r *Request) get(name string) (value string, ok bool) {
+// rawField returns the raw JSON value of a field.
+func (r *Request) rawField(name string) (value string, ok bool) {
 	for i := range r.fields {
 		if r.fields[i].name == name {
-			return r.fields[i].value, true
+			return r.fields[i].rawValue, true
 		}
 	}
 	return "", false
 }
 
 // parseString reads an optional field that is a string or null.
-func (r *Request) parseString(name string, into *string) *Error {
-	raw, ok := r.get(name)
+func (r *Request) parseString(name string, target *string) *Error {
+	raw, ok := r.rawField(name)
 	if !ok {
 		return nil
 	}
 	v := gjson.Parse(raw)
 	if v.Type != gjson.String && v.Type != gjson.Null {
-		return invalid(name, "%s must be a string", name)
+		return invalidRequest(name, "%s must be a string", name)
 	}
-	*into = v.Str
+	*target = v.Str
 	return nil
 }
 
@@ -155,18 +155,18 @@
 		return e
 	}
 	if r.Model == "" {
-		return invalid(fieldModel, "model is missing")
+		return invalidRequest(fieldModel, "model is missing")
 	}
 	return nil
 }
 
 func (r *Request) parseStream() *Error {
-	switch v, _ := r.get(fieldStream); v {
+	switch v, _ := r.rawField(fieldStream); v {
 	case "true":
 		r.Stream = true
 	case "", "false", "null":
 	default:
-		return invalid(fieldStream, "stream must be true or false")
+		return invalidRequest(fieldStream, "stream must be true or false")
 	}
 	return nil
 }
@@ -174,13 +174,13 @@
 // parseMaxTokens reads the output limit, which has two names in the API; max_completion_tokens has precedence.
 func (r *Request) parseMaxTokens() *Error {
 	for _, name := range []string{fieldMaxTokens, fieldMaxCompletionTokens} {
-		v, ok := r.get(name)
+		v, ok := r.rawField(name)
 		if !ok || v == "null" {
 			continue
 		}
 		n, err := strconv.ParseInt(v, 10, 32)
 		if err != nil || n < 1 {
-			return invalid(name, "%s must be a whole number from 1 to %d, it is %s", name, math.MaxInt32, quote(v))
+			return invalidRequest(name, "%s must be a whole number from 1 to %d, it is %s", name, math.MaxInt32, quote(v))
 		}
 		r.MaxTokens = int(n)
 	}
@@ -188,10 +188,10 @@
 }
 
 func (r *Request) parseMessages() *Error {
-	raw, _ := r.get(fieldMessages)
+	raw, _ := r.rawField(fieldMessages)
 	messages := gjson.Parse(raw)
 	if raw != "" && !messages.IsArray() && messages.Type != gjson.Null {
-		return invalid(fieldMessages, "messages must be an array")
+		return invalidRequest(fieldMessages, "messages must be an array")
 	}
 	var e *Error
 	messages.ForEach(func(_, message gjson.Result) bool {
@@ -199,14 +199,14 @@
 		return e == nil
 	})
 	if e == nil && len(r.Messages) == 0 {
-		e = invalid(fieldMessages, "messages is missing or empty")
+		e = invalidRequest(fieldMessages, "messages is missing or empty")
 	}
 	return e
 }
 
 func (r *Request) parseMessage(i int, message gjson.Result) *Error {
 	if !message.IsObject() {
-		return invalid(fmt.Sprintf("messages[%d]", i), "messages[%d] must be an object", i)
+		return invalidRequest(fmt.Sprintf("messages[%d]", i), "messages[%d] must be an object", i)
 	}
 	var role, content gjson.Result
 	message.ForEach(func(key, value gjson.Result) bool {
@@ -219,11 +219,11 @@
 		return true
 	})
 	if role.Type != gjson.String || role.Str == "" {
-		return invalid(fmt.Sprintf("messages[%d].role", i), "messages[%d] has no role", i)
+		return invalidRequest(fmt.Sprintf("messages[%d].role", i), "messages[%d] has no role", i)
 	}
 	text, err := contentText(content)
 	if err != nil {
-		return invalid(fmt.Sprintf("messages[%d].content", i), "messages[%d].content: %v", i, err)
+		return invalidRequest(fmt.Sprintf("messages[%d].content", i), "messages[%d].content: %v", i, err)
 	}
 	r.Messages = append(r.Messages, Message{role.Str, text})
 	return nil
@@ -261,9 +261,9 @@
 // parsePrompt reads a prompt, which is a string, an array of one string, or an array of token IDs. It rejects an array
 // of several prompts, each of which would need its own prefill and response.
 func (r *Request) parsePrompt() *Error {
-	raw, ok := r.get(fieldPrompt)
+	raw, ok := r.rawField(fieldPrompt)
 	if !ok {
-		return invalid(fieldPrompt, "prompt is missing")
+		return invalidRequest(fieldPrompt, "prompt is missing")
 	}
 	prompt := gjson.Parse(raw)
 	if prompt.Type == gjson.String {
@@ -273,25 +273,25 @@
 	if !prompt.IsArray() {
 		return invalidPrompt()
 	}
-	texts, numbers, others := 0, 0, 0
+	stringCount, numberCount, otherCount := 0, 0, 0
 	prompt.ForEach(func(_, element gjson.Result) bool {
 		switch {
 		case element.Type == gjson.String:
-			texts++
+			stringCount++
 			r.Prompt = element.Str
 		case element.Type == gjson.Number && !strings.ContainsAny(element.Raw, ".eE"):
-			numbers++
+			numberCount++
 		default:
-			others++
+			otherCount++
 		}
 		return true
 	})
 	switch {
-	case texts == 1 && numbers+others == 0:
-	case numbers > 0 && texts+others == 0:
-		r.PromptTokens, r.Prompt = numbers, raw
-	case numbers+others == 0:
-		return invalid(fieldPrompt, "prompt holds %d prompts; send them as one request each", texts)
+	case stringCount == 1 && numberCount+otherCount == 0:
+	case numberCount > 0 && stringCount+otherCount == 0:
+		r.PromptTokens, r.Prompt = numberCount, raw
+	case numberCount+otherCount == 0:
+		return invalidRequest(fieldPrompt, "prompt holds %d prompts; send them as one request each", stringCount)
 	default:
 		return invalidPrompt()
 	}
@@ -299,14 +299,15 @@
 }
 
 func invalidPrompt() *Error {
-	return invalid(fieldPrompt, "prompt must be a string, an array of one string, or an array of token numbers")
+	return invalidRequest(fieldPrompt, "prompt must be a string, an array of one string, or an array of token numbers")
 }
 
-// maxDepth is the nesting limit of bodies, the same as in encoding/json. It bounds the recursion of the JSON parsers.
-const maxDepth = 10000
+// maxNestingDepth is the nesting limit of bodies, the same as in encoding/json. It bounds the recursion of the JSON
+// parsers.
+const maxNestingDepth = 10000
 
-// exceedsMaxDepth reports whether the JSON text b is nested deeper than maxDepth.
-func exceedsMaxDepth(b []byte) bool {
+// exceedsMaxNesting reports whether the JSON text b is nested deeper than maxNestingDepth.
+func exceedsMaxNesting(b []byte) bool {
 	depth, inString := 0, false
 	for i := 0; i < len(b); i++ {
 		c := b[i]
@@ -323,7 +324,7 @@
 		case '"':
 			inString = true
 		case '{', '[':
-			if depth++; depth > maxDepth {
+			if depth++; depth > maxNestingDepth {
 				return true
 			}
 		case '}', ']':
@@ -333,12 +334,12 @@
 	return false
 }
 
-// maxQuoted is the number of bytes of a client's text that an error message quotes.
-const maxQuoted = 60
+// maxQuotedBytes is the number of bytes of a client's text that an error message quotes.
+const maxQuotedBytes = 60
 
 func quote(s string) string {
-	if len(s) > maxQuoted {
-		s = s[:maxQuoted] + "..."
+	if len(s) > maxQuotedBytes {
+		s = s[:maxQuotedBytes] + "..."
 	}
 	return "'" + strings.ToValidUTF8(s, "?") + "'"
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -14,24 +14,24 @@
 	checkUnique(report, "tenant", s.Tenants, func(t Tenant) (Pos, string) { return t.Pos, t.Name })
 	checkUnique(report, "kind", s.Kinds, func(k Kind) (Pos, string) { return k.Pos, k.Name })
 	checkUnique(report, "model", s.Models, func(m Model) (Pos, string) { return m.Pos, m.Name })
-	checkUnique(report, "server", s.Servers, func(v Server) (Pos, string) { return v.Pos, v.Name })
+	checkUnique(report, "server", s.StaticEndpoints, func(v StaticEndpoint) (Pos, string) { return v.Pos, v.Name })
 	s.checkReplica(report)
 	s.checkService(report)
 	for _, c := range s.Classes {
 		c.check(report)
 	}
 	for _, m := range s.Models {
-		if m.BytesPerToken == 0 || m.MaxOutput == 0 {
+		if m.BytesPerToken == 0 || m.MaxOutputTokens == 0 {
 			report(m.Pos, "give figures above 0", "<model name=%q>: bytes-per-token or max-output is 0", m.Name)
 		}
 	}
 	for _, r := range s.Rules {
 		s.checkRule(report, r)
 	}
-	for _, k := range slices.Concat(s.Sessions, s.Prefixes) {
+	for _, k := range slices.Concat(s.SessionKeys, s.PrefixKeys) {
 		k.check(report)
 	}
-	s.checkServers(report)
+	s.checkEndpointList(report)
 }
 
 func (c *Class) check(report Reporter) {
@@ -67,11 +67,11 @@
 }
 
 func (k *AffinityKey) check(report Reporter) {
-	if (k.Source == "header") != (k.Name != "") {
-		report(k.Pos, "give name with from=\"header\", and only there", "from=%q with name=%q", k.Source, k.Name)
+	if (k.Source == "header") != (k.HeaderName != "") {
+		report(k.Pos, "give name with from=\"header\", and only there", "from=%q with name=%q", k.Source, k.HeaderName)
 	}
-	if (k.Source == "opening") != (k.Bytes > 0) {
-		report(k.Pos, "give bytes with from=\"opening\", and only there", "from=%q with bytes=%d", k.Source, k.Bytes)
+	if (k.Source == "opening") != (k.PrefixBytes > 0) {
+		report(k.Pos, "give bytes with from=\"opening\", and only there", "from=%q with bytes=%d", k.Source, k.PrefixBytes)
 	}
 }
 
@@ -91,24 +91,24 @@
 }
 
 func (s *Settings) checkService(report Reporter) {
-	v := s.Service
-	if v == nil {
+	service := s.Service
+	if service == nil {
 		return
 	}
-	if v.Replicas == 0 {
-		report(v.Pos, "write how many fronts serve together", "<service>: fronts is 0")
+	if service.Replicas == 0 {
+		report(service.Pos, "write how many fronts serve together", "<service>: fronts is 0")
 	}
-	if v.SlowStartFrom > 1 {
-		report(v.Pos, "write a part from 0 to 1", "<service>: cold-from %v", v.SlowStartFrom)
+	if service.SlowStartFrom > 1 {
+		report(service.Pos, "write a part from 0 to 1", "<service>: cold-from %v", service.SlowStartFrom)
 	}
-	if v.OverloadFactor > 0 && v.OverloadAfter == 0 {
-		report(v.Pos, "add tip-after=\"2s\"", "<service>: overload-factor without tip-after")
+	if service.OverloadFactor > 0 && service.OverloadAfter == 0 {
+		report(service.Pos, "add tip-after=\"2s\"", "<service>: overload-factor without tip-after")
 	}
-	if v.DefaultClass != "" && s.classIndex(v.DefaultClass) < 0 {
-		report(v.Pos, "name a <class>", "<service>: default-class %q is no class", v.DefaultClass)
+	if service.DefaultClass != "" && s.classIndex(service.DefaultClass) < 0 {
+		report(service.Pos, "name a <class>", "<service>: default-class %q is no class", service.DefaultClass)
 	}
-	if v.DefaultTenant != "" && s.tenantIndex(v.DefaultTenant) < 0 {
-		report(v.Pos, "name a <tenant>", "<service>: default-tenant %q is no tenant", v.DefaultTenant)
+	if service.DefaultTenant != "" && s.tenantIndex(service.DefaultTenant) < 0 {
+		report(service.Pos, "name a <tenant>", "<service>: default-tenant %q is no tenant", service.DefaultTenant)
 	}
 }
 
@@ -119,8 +119,8 @@
 	if (r.Class == "") == (r.Tenant == "") {
 		report(r.Pos, "give one of class and tenant", "<rule> has both or neither of class and tenant")
 	}
-	if (r.Source == "header") != (r.Name != "") {
-		report(r.Pos, "give name with when=\"header\", and only there", "<rule when=%q> with name=%q", r.Source, r.Name)
+	if (r.Source == "header") != (r.HeaderName != "") {
+		report(r.Pos, "give name with when=\"header\", and only there", "<rule when=%q> with name=%q", r.Source, r.HeaderName)
 	}
 	if r.Class != "" && s.classIndex(r.Class) < 0 {
 		report(r.Pos, "name a <class>", "<rule>: %q is no class", r.Class)
@@ -130,14 +130,14 @@
 	}
 }
 
-func (s *Settings) checkServers(report Reporter) {
-	if s.APIServer == nil && len(s.Servers) == 0 {
+func (s *Settings) checkEndpointList(report Reporter) {
+	if s.APIServer == nil && len(s.StaticEndpoints) == 0 {
 		report(s.Pos, "add <server .../> lines or a <register .../>", "there is no list of engines")
 	}
-	if s.APIServer != nil && len(s.Servers) > 0 {
+	if s.APIServer != nil && len(s.StaticEndpoints) > 0 {
 		report(s.APIServer.Pos, "keep one of them", "both a <register> and a static list of <server>")
 	}
-	for _, v := range s.Servers {
+	for _, v := range s.StaticEndpoints {
 		checkAddress(report, v.Pos, "address", v.Address)
 		if s.KindIndex(v.Kind) < 0 {
 			report(v.Pos, "name a <kind>", "<server name=%q>: %q is no kind", v.Name, v.Kind)
@@ -162,15 +162,15 @@
 	}
 }
 
-// checkUnique reports each element of list with the same name as an earlier one. Empty names are ignored. elementName
+// checkUnique reports each of the elements with the same name as an earlier one. Empty names are ignored. elementName
 // is the name of the XML element, for the message.
-func checkUnique[T any](report Reporter, elementName string, list []T, posAndName func(T) (Pos, string)) {
-	seen := map[string]int{}
-	for _, e := range list {
+func checkUnique[T any](report Reporter, elementName string, elements []T, posAndName func(T) (Pos, string)) {
+	lineByName := map[string]int{}
+	for _, e := range elements {
 		p, name := posAndName(e)
-		if line, ok := seen[name]; ok && name != "" {
+		if line, ok := lineByName[name]; ok && name != "" {
 			report(p, fmt.Sprintf("rename one; the other is on line %d", line), "<%s name=%q> stands twice", elementName, name)
 		}
-		seen[name] = p.Line
+		lineByName[name] = p.Line
 	}
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -18,8 +18,8 @@
 	problems Problems
 }
 
-// problem implements Reporter.
-func (d *decoder) problem(at Pos, fix, format string, args ...any) {
+// addProblem implements Reporter.
+func (d *decoder) addProblem(at Pos, fix, format string, args ...any) {
 	d.problems = append(d.problems, Problem{d.file, at.Line, at.Column, fmt.Sprintf(format, args...), fix})
 }
 
@@ -84,31 +84,31 @@
 }
 
 // fillAttributes sets the scalar fields and returns the names of the attributes present.
-func (d *decoder) fillAttributes(e *element, v reflect.Value, fields map[string]int) (given map[string]bool) {
-	given = map[string]bool{}
+func (d *decoder) fillAttributes(e *element, v reflect.Value, fields map[string]int) (presentNames map[string]bool) {
+	presentNames = map[string]bool{}
 	for _, attr := range e.attrs {
-		name, space := attr.Name.Local, attr.Name.Space
-		if space == "xmlns" || name == "xmlns" || space == "http://www.w3.org/2001/XMLSchema-instance" {
+		name, namespace := attr.Name.Local, attr.Name.Space
+		if namespace == "xmlns" || name == "xmlns" || namespace == "http://www.w3.org/2001/XMLSchema-instance" {
 			continue
 		}
 		i, known := fields[name]
 		if !known {
-			d.problem(e.Pos, "use one of: "+joinNames(fields), "<%s> has no attribute %q", e.name, name)
+			d.addProblem(e.Pos, "use one of: "+joinNames(fields), "<%s> has no attribute %q", e.name, name)
 			continue
 		}
-		if given[name] {
-			d.problem(e.Pos, "keep one of them", "<%s> has attribute %q twice", e.name, name)
+		if presentNames[name] {
+			d.addProblem(e.Pos, "keep one of them", "<%s> has attribute %q twice", e.name, name)
 		}
-		given[name] = true
+		presentNames[name] = true
 		tag, _ := parseTag(v.Type().Field(i))
 		d.setScalar(e, tag, attr.Value, v.Field(i))
 	}
-	return given
+	return presentNames
 }
 
 // fillElements sets the fields that are elements and returns the names of the child elements present.
-func (d *decoder) fillElements(e *element, v reflect.Value, fields map[string]int) (given map[string]bool) {
-	given = map[string]bool{}
+func (d *decoder) fillElements(e *element, v reflect.Value, fields map[string]int) (presentNames map[string]bool) {
+	presentNames = map[string]bool{}
 	for _, child := range e.children {
 		i, known := fields[child.name]
 		if !known {
@@ -116,7 +116,7 @@
 			if len(fields) > 0 {
 				fix = "use one of: " + joinNames(fields)
 			}
-			d.problem(child.Pos, fix, "<%s> may not stand in <%s>", child.name, e.name)
+			d.addProblem(child.Pos, fix, "<%s> may not stand in <%s>", child.name, e.name)
 			continue
 		}
 		field := v.Field(i)
@@ -125,15 +125,15 @@
 			item := reflect.New(field.Type().Elem()).Elem()
 			d.fill(child, item)
 			field.Set(reflect.Append(field, item))
-		case given[child.name]:
-			d.problem(child.Pos, "keep one of them", "<%s> stands twice in <%s>", child.name, e.name)
+		case presentNames[child.name]:
+			d.addProblem(child.Pos, "keep one of them", "<%s> stands twice in <%s>", child.name, e.name)
 		default:
 			field.Set(reflect.New(field.Type().Elem()))
 			d.fill(child, field.Elem())
 		}
-		given[child.name] = true
+		presentNames[child.name] = true
 	}
-	return given
+	return presentNames
 }
 
 // checkRequired reports the required attributes and child elements that an element lacks.
@@ -143,10 +143,10 @@
 		switch fieldType := t.Field(i).Type; {
 		case !ok || !tag.required:
 		case isElement(fieldType) && !elements[tag.name]:
-			d.problem(e.Pos, "add <"+tag.name+" .../>", "<%s> lacks <%s>", e.name, tag.name)
+			d.addProblem(e.Pos, "add <"+tag.name+" .../>", "<%s> lacks <%s>", e.name, tag.name)
 		case !isElement(fieldType) && !attributes[tag.name]:
 			fix := fmt.Sprintf("add %s=%q", tag.name, exampleValue(fieldType, tag))
-			d.problem(e.Pos, fix, "<%s> lacks the attribute %q", e.name, tag.name)
+			d.addProblem(e.Pos, fix, "<%s> lacks the attribute %q", e.name, tag.name)
 		}
 	}
 }
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -5,20 +5,20 @@
 // Settings holds the contents of a settings file, which configures one replica.
 type Settings struct {
 	Pos
-	Replica   *Replica      `cfg:"front,required"`
-	Limits    *Limits       `cfg:"limits"`
-	Log       *Log          `cfg:"log"`
-	Service   *Service      `cfg:"service,required"`
-	Classes   []Class       `cfg:"class,required"`
-	Tenants   []Tenant      `cfg:"tenant"`
-	Kinds     []Kind        `cfg:"kind,required"`
-	Models    []Model       `cfg:"model,required"`
-	Rules     []Rule        `cfg:"rule"`
-	Sessions  []AffinityKey `cfg:"session"`
-	Prefixes  []AffinityKey `cfg:"prefix"`
-	Engines   *Engines      `cfg:"engines"`
-	Servers   []Server      `cfg:"server"`
-	APIServer *APIServer    `cfg:"register"`
+	Replica         *Replica         `cfg:"front,required"`
+	Limits          *Limits          `cfg:"limits"`
+	Log             *Log             `cfg:"log"`
+	Service         *Service         `cfg:"service,required"`
+	Classes         []Class          `cfg:"class,required"`
+	Tenants         []Tenant         `cfg:"tenant"`
+	Kinds           []Kind           `cfg:"kind,required"`
+	Models          []Model          `cfg:"model,required"`
+	Rules           []Rule           `cfg:"rule"`
+	SessionKeys     []AffinityKey    `cfg:"session"`
+	PrefixKeys      []AffinityKey    `cfg:"prefix"`
+	Engines         *Engines         `cfg:"engines"`
+	StaticEndpoints []StaticEndpoint `cfg:"server"`
+	APIServer       *APIServer       `cfg:"register"`
 }
 
 // Replica configures this replica's listeners and its shutdown.
@@ -113,29 +113,29 @@
 // Model is a model that the service offers.
 type Model struct {
 	Pos
-	Name          string  `cfg:"name,required"`
-	BytesPerToken float64 `cfg:"bytes-per-token,required"`
-	MaxOutput     Tokens  `cfg:"max-output,required"`
+	Name            string  `cfg:"name,required"`
+	BytesPerToken   float64 `cfg:"bytes-per-token,required"`
+	MaxOutputTokens Tokens  `cfg:"max-output,required"`
 }
 
 // Rule assigns a class or a tenant to the requests that match it. The first rule that matches applies.
 type Rule struct {
 	Pos
-	Source string `cfg:"when,required,enum=path|model|header|api-key-sha256|user"`
-	Name   string `cfg:"name"` // of the header, for when="header"
-	Equals string `cfg:"equals"`
-	Prefix string `cfg:"begins"`
-	Class  string `cfg:"class"`
-	Tenant string `cfg:"tenant"`
+	Source     string `cfg:"when,required,enum=path|model|header|api-key-sha256|user"`
+	HeaderName string `cfg:"name"` // for when="header"
+	Equals     string `cfg:"equals"`
+	Prefix     string `cfg:"begins"`
+	Class      string `cfg:"class"`
+	Tenant     string `cfg:"tenant"`
 }
 
 // AffinityKey selects the part of a request that identifies its session or its shared prefix. The first key that has a
 // value for a request applies.
 type AffinityKey struct {
 	Pos
-	Source string `cfg:"from,required,enum=header|user|system-messages|first-message|opening"`
-	Name   string `cfg:"name"`  // of the header, for from="header"
-	Bytes  Size   `cfg:"bytes"` // length of the prefix, for from="opening"
+	Source      string `cfg:"from,required,enum=header|user|system-messages|first-message|opening"`
+	HeaderName  string `cfg:"name"`  // for from="header"
+	PrefixBytes Size   `cfg:"bytes"` // length of the prefix, for from="opening"
 }
 
 // Engines configures the connections to engines.
@@ -149,8 +149,8 @@
 	LoadReportFields  string        `cfg:"load-report"`      // names of ORCA load report fields, separated by spaces
 }
 
-// Server is an engine of the static endpoint list.
-type Server struct {
+// StaticEndpoint is an engine of the static endpoint list.
+type StaticEndpoint struct {
 	Pos
 	Name    string `cfg:"name,required"`
 	Kind    string `cfg:"kind,required"`
