--- a/cmd/brackenbend/scenario.go
+++ b/cmd/brackenbend/scenario.go
@@ -108,7 +108,7 @@
 		return o, err
 	}
 	if r.foreseeFile != "" {
-		if o.Foreseen, err = readForeseen(r.foreseeFile); err != nil {
+		if o.RecordedDemand, err = readForeseen(r.foreseeFile); err != nil {
 			return o, exitError{err, exitUsage}
 		}
 	}
@@ -180,9 +180,9 @@
 	if err := json.Unmarshal(text, &report); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(report.Roles) == 0 {
+	if len(report.RoleSamples) == 0 {
 		return nil, fmt.Errorf("%s: the report has no roles; write it with --json in a run of a scenario that has a planner",
 			path)
 	}
-	return report.Roles, nil
+	return report.RoleSamples, nil
 }
--- a/cmd/brackenbend/scenario_test.go
+++ b/cmd/brackenbend/scenario_test.go
@@ -143,10 +143,10 @@
 			kills++
 		}
 	}
-	for _, sample := range report.Roles {
+	for _, sample := range report.RoleSamples {
 		changing = max(changing, sample.Changing)
 	}
-	last := report.Roles[len(report.Roles)-1]
+	last := report.RoleSamples[len(report.RoleSamples)-1]
 	if kills != 8 || last.Commands < 4 || changing == 0 {
 		t.Errorf("%d replicas killed, at most %d engines changing role at once, last sample %+v", kills, changing, last)
 	}
--- a/internal/scenariorun/enginefaults.go
+++ b/internal/scenariorun/enginefaults.go
@@ -31,34 +31,35 @@
 // fraction returns the fraction of requests that a fault affects: all where it states none.
 func fraction(fault *scenario.Fault) float64 { return cmp.Or(fault.Fraction, 1) }
 
-// beginOnEngines draws the engines that a fault affects, begins the fault on them and returns the function that undoes
-// it.
-func (s *faultScript) beginOnEngines(fault *scenario.Fault) (undo func()) {
-	picked := s.pick(fault)
+// injectOnEngines draws the engines that a fault affects, injects the fault into them and returns the function that
+// undoes it.
+func (s *faultInjector) injectOnEngines(fault *scenario.Fault) (undo func()) {
+	targets := s.drawEngines(fault)
 	var names []string
-	for _, server := range picked {
+	for _, server := range targets {
 		names = append(names, server.Info().Name)
-		s.engines.addFaults(server, 1)
+		s.engines.addActiveFaults(server, 1)
 	}
 	s.logf("fault %s for %v on engines %v", fault.What, fault.For, names)
-	var undos []func()
-	for _, server := range picked {
-		if undo := s.beginOnEngine(fault, server); undo != nil {
-			undos = append(undos, undo)
+	var undoFuncs []func()
+	for _, server := range targets {
+		if undo := s.injectOnEngine(fault, server); undo != nil {
+			undoFuncs = append(undoFuncs, undo)
 		}
 	}
 	return func() {
-		for _, undo := range undos {
+		for _, undo := range undoFuncs {
 			undo()
 		}
-		for _, server := range picked {
-			s.engines.addFaults(server, -1)
+		for _, server := range targets {
+			s.engines.addActiveFaults(server, -1)
 		}
 	}
 }
 
-// beginOnEngine begins a fault on one engine and returns the function that undoes it, nil for a fault that needs none.
-func (s *faultScript) beginOnEngine(fault *scenario.Fault, server *engine.Server) (undo func()) {
+// injectOnEngine injects a fault into one engine and returns the function that undoes it, nil for a fault that needs
+// none.
+func (s *faultInjector) injectOnEngine(fault *scenario.Fault, server *engine.Server) (undo func()) {
 	if settings, ok := engineFaults[fault.What]; ok {
 		server.SetFaults(settings(fault))
 		return func() { server.SetFaults(engine.Faults{}) }
@@ -84,12 +85,12 @@
 		s.engines.setDraining(server, true)
 		return func() { s.engines.setDraining(server, false) }
 	case "remove":
-		s.engines.setHidden(server, true)
-		return func() { s.engines.setHidden(server, false) }
+		s.engines.setUnlisted(server, true)
+		return func() { s.engines.setUnlisted(server, false) }
 	case "register-stale":
-		s.engines.setHidden(server, true)
+		s.engines.setUnlisted(server, true)
 		s.api.SendStaleEvent(server.Info().Name)
-		return func() { s.engines.setHidden(server, false) }
+		return func() { s.engines.setUnlisted(server, false) }
 	case "register-flap":
 		return s.engines.flap(server)
 	}
@@ -98,14 +99,14 @@
 
 // flap removes an engine from the endpoint list and adds it again, every scenario.FlapInterval in turn, until undone.
 func (f *engineFleet) flap(server *engine.Server) (undo func()) {
-	stop, done := make(chan struct{}), make(chan struct{})
+	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(done)
-		for hidden := true; ; hidden = !hidden {
-			f.setHidden(server, hidden)
+		defer close(stopped)
+		for unlisted := true; ; unlisted = !unlisted {
+			f.setUnlisted(server, unlisted)
 			select {
 			case <-stop:
-				f.setHidden(server, false)
+				f.setUnlisted(server, false)
 				return
 			case <-time.After(scenario.FlapInterval):
 			}
@@ -113,6 +114,6 @@
 	}()
 	return func() {
 		close(stop)
-		<-done
+		<-stopped
 	}
 }
--- a/internal/scenariorun/engines.go
+++ b/internal/scenariorun/engines.go
@@ -19,28 +19,28 @@
 	api     *apiserver.Server
 	engines []*engine.Server // complete before the first fault
 
-	mu       sync.Mutex
-	hidden   map[string]bool        // engines that the API server doesn't list
-	draining map[string]bool        // engines that it lists as draining
-	faults   map[*engine.Server]int // number of faults in force
+	mu           sync.Mutex
+	unlisted     map[string]bool        // engines that the API server doesn't list
+	draining     map[string]bool        // engines that it lists as draining
+	activeFaults map[*engine.Server]int // number of faults in force
 }
 
 func newEngineFleet(api *apiserver.Server) *engineFleet {
 	return &engineFleet{
-		api:      api,
-		hidden:   map[string]bool{},
-		draining: map[string]bool{},
-		faults:   map[*engine.Server]int{},
+		api:          api,
+		unlisted:     map[string]bool{},
+		draining:     map[string]bool{},
+		activeFaults: map[*engine.Server]int{},
 	}
 }
 
 // startEngines starts the engines of all kinds in the scenario.
-func (r *run) startEngines(changing *changingEngines) error {
-	window := minDedupWindow
+func (r *run) startEngines(roleChange *roleChangeConfig) error {
+	dedupWindow := minDedupWindow
 	for _, class := range r.scenario.Classes {
-		window = max(window, class.DedupWindow)
+		dedupWindow = max(dedupWindow, class.DedupWindow)
 	}
-	scope := &engine.DedupScope{Window: window}
+	dedupScope := &engine.DedupScope{Window: dedupWindow}
 	for _, kind := range r.scenario.Kinds {
 		for i := range kind.Count {
 			cfg := engine.Config{
@@ -51,12 +51,12 @@
 				Params:          r.scenario.EngineParams(&kind),
 				PlainVLLM:       r.scenario.EngineProtocol == "vllm",
 				CanCancel:       r.scenario.Service.CanCancel,
-				DedupScope:      scope,
+				DedupScope:      dedupScope,
 				Record:          r.record,
-				OnProcessChange: r.engines.list,
+				OnProcessChange: r.engines.updateEntry,
 			}
 			if kind.ChangesRole {
-				changing.add(&cfg, kind.InitialRole())
+				roleChange.configure(&cfg, kind.InitialRole())
 			}
 			if err := r.engines.start(cfg); err != nil {
 				return err
@@ -85,14 +85,14 @@
 	}
 }
 
-// list updates the API server's entry of an engine to its present state. It is also called when an engine's process
-// starts or ends.
-func (f *engineFleet) list(server *engine.Server) {
+// updateEntry updates the API server's entry of an engine to its present state. It is also called when an engine's
+// process starts or ends.
+func (f *engineFleet) updateEntry(server *engine.Server) {
 	info := server.Info()
 	f.mu.Lock()
-	hidden, draining := f.hidden[info.Name], f.draining[info.Name]
+	unlisted, draining := f.unlisted[info.Name], f.draining[info.Name]
 	f.mu.Unlock()
-	if hidden {
+	if unlisted {
 		f.api.Remove(info.Name)
 		return
 	}
@@ -102,30 +102,30 @@
 	})
 }
 
-// setHidden removes an engine from the API server's list, or adds it again.
-func (f *engineFleet) setHidden(server *engine.Server, hidden bool) {
-	f.setListing(server, f.hidden, hidden)
+// setUnlisted removes an engine from the API server's list, or adds it again.
+func (f *engineFleet) setUnlisted(server *engine.Server, unlisted bool) {
+	f.setFlag(server, f.unlisted, unlisted)
 }
 
 // setDraining sets whether the API server lists an engine as draining.
 func (f *engineFleet) setDraining(server *engine.Server, draining bool) {
-	f.setListing(server, f.draining, draining)
+	f.setFlag(server, f.draining, draining)
 }
 
-// setListing sets the value of an engine in f.hidden or f.draining and updates its entry at the API server.
-func (f *engineFleet) setListing(server *engine.Server, listing map[string]bool, value bool) {
+// setFlag sets the value of an engine in f.unlisted or f.draining and updates its entry at the API server.
+func (f *engineFleet) setFlag(server *engine.Server, flags map[string]bool, value bool) {
 	name := server.Info().Name
 	f.mu.Lock()
-	listing[name] = value
+	flags[name] = value
 	f.mu.Unlock()
-	f.list(server)
+	f.updateEntry(server)
 }
 
-// addFaults adds n to the number of faults in force on an engine; n is negative when they end.
-func (f *engineFleet) addFaults(server *engine.Server, n int) {
+// addActiveFaults adds n to the number of faults in force on an engine; n is negative when they end.
+func (f *engineFleet) addActiveFaults(server *engine.Server, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.faults[server] += n
+	f.activeFaults[server] += n
 }
 
 // healthy returns the engines of a kind ("" = any) that run, have no fault in force and don't drain.
@@ -134,9 +134,9 @@
 	for _, server := range f.engines {
 		info := server.Info()
 		f.mu.Lock()
-		free := f.faults[server] == 0 && !f.draining[info.Name]
+		available := f.activeFaults[server] == 0 && !f.draining[info.Name]
 		f.mu.Unlock()
-		if (kind == "" || info.Kind == kind) && info.Up && free {
+		if (kind == "" || info.Kind == kind) && info.Up && available {
 			healthy = append(healthy, server)
 		}
 	}
--- a/internal/scenariorun/faults.go
+++ b/internal/scenariorun/faults.go
@@ -13,32 +13,32 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// faultScript plays the faults of a scenario. Only the goroutine of play uses random.
-type faultScript struct {
+// faultInjector injects the faults of a scenario. Only the goroutine of injectAll uses random.
+type faultInjector struct {
 	*run
 	random *rand.Rand // the clients' draws use other generators
 }
 
-func newFaultScript(r *run) *faultScript {
-	return &faultScript{run: r, random: rand.New(rand.NewPCG(uint64(r.scenario.Seed), 1))}
+func newFaultInjector(r *run) *faultInjector {
+	return &faultInjector{run: r, random: rand.New(rand.NewPCG(uint64(r.scenario.Seed), 1))}
 }
 
-// play begins each fault at its time, undoes it after its duration, and waits until all have ended.
-func (s *faultScript) play(ctx context.Context, began time.Time) {
-	var pending sync.WaitGroup
-	defer pending.Wait()
+// injectAll injects each fault at its time, undoes it after its duration, and waits until all have ended.
+func (s *faultInjector) injectAll(ctx context.Context, start time.Time) {
+	var activeFaults sync.WaitGroup
+	defer activeFaults.Wait()
 	faults := slices.Clone(s.scenario.Faults)
 	slices.SortStableFunc(faults, func(a, b scenario.Fault) int { return cmp.Compare(a.At, b.At) })
 	for _, fault := range faults {
-		if !sleepUntil(ctx, began.Add(fault.At)) {
+		if !sleepUntil(ctx, start.Add(fault.At)) {
 			return
 		}
-		undo := s.begin(&fault)
+		undo := s.inject(&fault)
 		if undo == nil {
 			continue
 		}
-		pending.Go(func() {
-			sleepUntil(ctx, began.Add(fault.At+fault.For))
+		activeFaults.Go(func() {
+			sleepUntil(ctx, start.Add(fault.At+fault.For))
 			undo()
 			s.logf("fault %s ended", fault.What)
 		})
@@ -55,8 +55,8 @@
 	}
 }
 
-// begin begins a fault and returns the function that undoes it, nil for a fault that needs none.
-func (s *faultScript) begin(fault *scenario.Fault) (undo func()) {
+// inject injects a fault and returns the function that undoes it, nil for a fault that needs none.
+func (s *faultInjector) inject(fault *scenario.Fault) (undo func()) {
 	switch fault.What {
 	case "front-kill":
 		return s.stopReplicas(fault, syscall.SIGKILL)
@@ -77,7 +77,7 @@
 	case "planner-stop":
 		return s.stopPlanners(fault)
 	case "role-force":
-		for _, server := range s.pick(fault) {
+		for _, server := range s.drawEngines(fault) {
 			s.forceRole(server.Info().Name)
 		}
 		return nil
@@ -85,10 +85,10 @@
 	if undo := s.changeConditions(fault); undo != nil {
 		return undo
 	}
-	return s.beginOnEngines(fault)
+	return s.injectOnEngines(fault)
 }
 
-func (s *faultScript) stopPlanners(fault *scenario.Fault) (undo func()) {
+func (s *faultInjector) stopPlanners(fault *scenario.Fault) (undo func()) {
 	if s.planners == nil {
 		return nil
 	}
@@ -98,22 +98,22 @@
 }
 
 // stopReplicas sends a signal to replicas that it draws from those that run; undo starts them again.
-func (s *faultScript) stopReplicas(fault *scenario.Fault, signal syscall.Signal) (undo func()) {
-	var stopped []*replica
+func (s *faultInjector) stopReplicas(fault *scenario.Fault, signal syscall.Signal) (undo func()) {
+	var targets []*replica
 	for _, i := range s.random.Perm(len(s.replicas.members)) {
 		p := s.replicas.members[i]
-		if p.isUp() && len(stopped) < max(fault.Count, 1) {
-			stopped = append(stopped, p)
+		if p.isRunning() && len(targets) < max(fault.Count, 1) {
+			targets = append(targets, p)
 		}
 	}
-	var stopping sync.WaitGroup
-	for _, p := range stopped {
+	var wg sync.WaitGroup
+	for _, p := range targets {
 		s.logf("fault %s on replica %s", fault.What, p.name)
-		stopping.Go(func() { s.replicas.stop(p, signal) })
+		wg.Go(func() { s.replicas.stop(p, signal) })
 	}
 	return func() {
-		stopping.Wait()
-		for _, p := range stopped {
+		wg.Wait()
+		for _, p := range targets {
 			if err := s.replicas.start(p); err != nil {
 				s.logf("replica %s not restarted: %v", p.name, err)
 			}
@@ -131,13 +131,13 @@
 func (c *clientConditions) snapshot() *scenario.Conditions {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	current := c.current
-	return &current
+	conditions := c.current
+	return &conditions
 }
 
 // changeConditions applies a fault to the clients' conditions and returns the function that undoes it, nil for a fault
 // that does not concern clients.
-func (s *faultScript) changeConditions(fault *scenario.Fault) func() {
+func (s *faultInjector) changeConditions(fault *scenario.Fault) func() {
 	c := &s.conditions
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,8 +153,8 @@
 	}
 }
 
-// pick draws the engines that a fault affects. It leaves out engines that have a fault in force, so that the fleet
-// doesn't lose more capacity than the scenario says.
-func (s *faultScript) pick(fault *scenario.Fault) []*engine.Server {
+// drawEngines draws the engines that a fault affects. It leaves out engines that have a fault in force, so that the
+// fleet doesn't lose more capacity than the scenario says.
+func (s *faultInjector) drawEngines(fault *scenario.Fault) []*engine.Server {
 	return scenario.DrawTargets(fault, s.random, s.engines.healthy(fault.Kind))
 }
--- a/internal/scenariorun/forms_test.go
+++ b/internal/scenariorun/forms_test.go
@@ -10,11 +10,12 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// TestReportJSONForm checks that the JSON form of a report does not change, since later runs read the demand over time
-// from reports of earlier ones. The golden file must stay as recorded: its names are not those of the Go fields.
-func TestReportJSONForm(t *testing.T) {
+// TestReportJSONIsUnchanged checks that the JSON form of a report does not change, since later runs read the demand
+// over time from reports of earlier ones. The golden file must stay as recorded: its names are not those of the Go
+// fields.
+func TestReportJSONIsUnchanged(t *testing.T) {
 	report := &Report{
-		Seconds: 1.5, LagMS: 2.5, Service: 0.5, Expected: 0.25,
+		Seconds: 1.5, WorstLagMS: 2.5, Service: 0.5, ExpectedService: 0.25,
 		Classes:  []scenario.Row{{Service: 1}},
 		Tenants:  []scenario.Row{{Service: 0.5}},
 		Attempts: map[string]int{"write": 2, "read": 1},
@@ -23,12 +24,12 @@
 			{Rule: "r", Checks: 3, Violations: []string{"b"}, WorstCase: "w"},
 			{Rule: "none"},
 		},
-		Roles: []RoleSample{{
+		RoleSamples: []RoleSample{{
 			At: 1.25, PrefillEngines: 2, DecodeEngines: 3, MixedEngines: 4, Changing: 5, Commands: 6,
 			PrefillDemand: 7.5, DecodeDemand: 8.5,
 		}, {}},
 	}
-	var encoded, again bytes.Buffer
+	var encoded, reencoded bytes.Buffer
 	if err := report.WriteJSON(&encoded); err != nil {
 		t.Fatal(err)
 	}
@@ -37,14 +38,14 @@
 	if err := json.Unmarshal(encoded.Bytes(), &decoded); err != nil {
 		t.Fatal(err)
 	}
-	if err := decoded.WriteJSON(&again); err != nil || again.String() != encoded.String() {
-		t.Errorf("after decoding and encoding again (%v):\n%s", err, again.String())
+	if err := decoded.WriteJSON(&reencoded); err != nil || reencoded.String() != encoded.String() {
+		t.Errorf("after decoding and encoding again (%v):\n%s", err, reencoded.String())
 	}
 }
 
-// TestEventJSONForm checks that the JSON form of the events that a scenario records (--record) and the value of every
-// kind of event do not change.
-func TestEventJSONForm(t *testing.T) {
+// TestEventJSONIsUnchanged checks that the JSON form of the events that a scenario records (--record) and the value of
+// every kind of event do not change.
+func TestEventJSONIsUnchanged(t *testing.T) {
 	var encoded bytes.Buffer
 	encoder := json.NewEncoder(&encoded)
 	for _, event := range []audit.Event{{
--- a/internal/scenariorun/lag.go
+++ b/internal/scenariorun/lag.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// lagProbe is the length of the sleeps by which scheduling lag is measured. They are short so that a lag of a few
-// milliseconds is detected.
-const lagProbe = 5 * time.Millisecond
+// lagProbeInterval is the length of the sleeps by which scheduling lag is measured. They are short so that a lag of a
+// few milliseconds is detected.
+const lagProbeInterval = 5 * time.Millisecond
 
 // lagMeter measures the worst scheduling lag of this process: by how much a short sleep exceeds its duration. On a
 // machine without idle CPUs, events on sockets are recorded late by as much, so that times between two sockets can't be
@@ -29,9 +29,9 @@
 			return
 		default:
 		}
-		at := time.Now()
-		time.Sleep(lagProbe)
-		worst = max(worst, time.Since(at)-lagProbe)
+		start := time.Now()
+		time.Sleep(lagProbeInterval)
+		worst = max(worst, time.Since(start)-lagProbeInterval)
 	}
 }
 
--- a/internal/scenariorun/planners.go
+++ b/internal/scenariorun/planners.go
@@ -21,16 +21,16 @@
 	forceTimeout = 5 * time.Second
 )
 
-// changingEngines holds what the engines that change role have in common.
-type changingEngines struct {
+// roleChangeConfig holds the configuration that the engines that change role have in common.
+type roleChangeConfig struct {
 	run        *run
 	params     map[roles.Role]enginemodel.Params
 	kinds      map[roles.Role]string // nil where no engine changes role
 	switchTime time.Duration
 }
 
-func (r *run) newChangingEngines() *changingEngines {
-	c := &changingEngines{run: r, switchTime: defaultSwitchTime}
+func (r *run) newRoleChangeConfig() *roleChangeConfig {
+	c := &roleChangeConfig{run: r, switchTime: defaultSwitchTime}
 	if p := r.scenario.Planner; p != nil && p.SwitchTime > 0 {
 		c.switchTime = p.SwitchTime
 	}
@@ -38,9 +38,9 @@
 	return c
 }
 
-// add sets the role configuration of an engine that changes role, and adds the engine to the API server's assignment
-// table.
-func (c *changingEngines) add(cfg *engine.Config, role roles.Role) {
+// configure sets the role configuration of an engine that changes role, and adds the engine to the API server's
+// assignment table.
+func (c *roleChangeConfig) configure(cfg *engine.Config, role roles.Role) {
 	cfg.Roles = c.params
 	cfg.InitialState = roles.EngineState{Role: role, Target: role}
 	cfg.SwitchTime = c.switchTime
@@ -68,7 +68,7 @@
 // planners runs the planners of the scenario, each with its own client of the API server.
 type planners struct {
 	run     *run
-	running sync.WaitGroup
+	runners sync.WaitGroup
 
 	mu      sync.Mutex
 	cancel  context.CancelFunc // ends the running planners
@@ -84,7 +84,7 @@
 	p.mu.Unlock()
 	for i := range max(p.run.scenario.Planner.Count, 1) {
 		runner := p.newRunner(i == 0)
-		p.running.Go(func() {
+		p.runners.Go(func() {
 			_ = runner.Run(ctx) // its settings were checked with the scenario
 		})
 	}
@@ -94,7 +94,7 @@
 func (p *planners) newRunner(first bool) *planner.Runner {
 	var replicas []string
 	for _, replica := range p.run.replicas.members {
-		replicas = append(replicas, replica.admin)
+		replicas = append(replicas, replica.adminAddr)
 	}
 	settings := p.run.scenario.Planner
 	runner := &planner.Runner{
@@ -105,10 +105,10 @@
 		Log:       zap.NewNop(),
 	}
 	if first {
-		runner.OnPlan = p.sample
+		runner.OnPlan = p.recordSample
 	}
-	if foreseen := p.run.options.Foreseen; len(foreseen) > 0 {
-		runner.Policy = newForeseenPolicy(p.run, foreseen)
+	if samples := p.run.options.RecordedDemand; len(samples) > 0 {
+		runner.Policy = newClairvoyantPolicy(p.run, samples)
 	}
 	return runner
 }
@@ -124,11 +124,11 @@
 	cancel := p.cancel
 	p.mu.Unlock()
 	cancel()
-	p.running.Wait()
+	p.runners.Wait()
 }
 
-// sample records the roles and the demand when a plan is made, and logs the changes of the plan.
-func (p *planners) sample(plan roles.Plan) {
+// recordSample records the roles and the demand when a plan is made, and logs the changes of the plan.
+func (p *planners) recordSample(plan roles.Plan) {
 	assignments := p.run.api.Assignments()
 	serving, changing := assignments.CountServing()
 	sample := RoleSample{
--- a/internal/scenariorun/plot.go
+++ b/internal/scenariorun/plot.go
@@ -6,15 +6,15 @@
 	"brackenbend/internal/simulation/chart"
 )
 
-// serviceSmoothing is how many seconds before and after each point of the service chart go into its mean.
-const serviceSmoothing = 2
+// serviceSmoothingRadius is how many seconds before and after each point of the service chart go into its mean.
+const serviceSmoothingRadius = 2
 
 // Plot writes charts to dir as SVG files: service over time and, where engines change role, the engines of each role.
 func (r *Report) Plot(dir string) error {
 	if err := r.plotService(filepath.Join(dir, "service.svg")); err != nil {
 		return err
 	}
-	if len(r.Roles) == 0 {
+	if len(r.RoleSamples) == 0 {
 		return nil
 	}
 	return r.plotRoles(filepath.Join(dir, "roles.svg"))
@@ -26,7 +26,7 @@
 		service[i] = second.ServedWeight / second.RequestedWeight // NaN for a second without requests
 	}
 	return chart.Save(file, "service by the time of asking, mean of 5 s", "seconds", "service",
-		chart.Line{Name: "service", X: chart.Indices(len(service)), Y: chart.Smooth(service, serviceSmoothing)})
+		chart.Line{Name: "service", X: chart.Indices(len(service)), Y: chart.Smooth(service, serviceSmoothingRadius)})
 }
 
 func (r *Report) plotRoles(file string) error {
@@ -41,13 +41,13 @@
 		{"writing asked for", func(s RoleSample) float64 { return s.DecodeDemand }},
 	}
 	var times []float64
-	for _, sample := range r.Roles {
-		times = append(times, sample.At-r.Roles[0].At)
+	for _, sample := range r.RoleSamples {
+		times = append(times, sample.At-r.RoleSamples[0].At)
 	}
 	var lines []chart.Line
 	for _, curve := range curves {
 		line := chart.Line{Name: curve.name, X: times}
-		for _, sample := range r.Roles {
+		for _, sample := range r.RoleSamples {
 			line.Y = append(line.Y, curve.value(sample))
 		}
 		lines = append(lines, line)
--- a/internal/scenariorun/replicas.go
+++ b/internal/scenariorun/replicas.go
@@ -24,15 +24,15 @@
 	// two attempts.
 	connectTimeout  = time.Second
 	connectInterval = 20 * time.Millisecond
-	// firstListWait is how long a run waits for the first endpoint list, which a replica fetches once it accepts
+	// firstEndpointListWait is how long a run waits for the first endpoint list, which a replica fetches once it accepts
 	// connections.
-	firstListWait = 300 * time.Millisecond
+	firstEndpointListWait = 300 * time.Millisecond
 	// stopTimeout is how long a replica may take to stop before it is killed: longer than any shutdown in a scenario.
 	stopTimeout = 20 * time.Second
-	// A report quotes the last logTail bytes of a crashed replica's log. If the log has a panic or a fatal error, it
-	// quotes up to maxCrashText characters from there instead.
-	logTail      = 1000
-	maxCrashText = 3000
+	// A report quotes the last logTailBytes bytes of a crashed replica's log. If the log has a panic or a fatal error, it
+	// quotes up to maxLogExcerpt characters from there instead.
+	logTailBytes  = 1000
+	maxLogExcerpt = 3000
 )
 
 var (
@@ -45,16 +45,16 @@
 // replica is a replica of the gateway, in a process of its own.
 type replica struct {
 	name, addr   string
-	admin        string // address of the metrics that planners poll; "" = none
+	adminAddr    string // address of the metrics that planners poll; "" = none
 	settingsFile string
 	logFile      string
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd // nil while it is stopped
-	ended chan struct{}
+	mu     sync.Mutex
+	cmd    *exec.Cmd // nil while it is stopped
+	exited chan struct{}
 }
 
-func (p *replica) isUp() bool {
+func (p *replica) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
@@ -88,14 +88,14 @@
 		return err
 	}
 	name := fmt.Sprintf("front-%d", i+1)
-	base := filepath.Join(r.options.WorkDir, name)
-	p := &replica{name: name, addr: addr, settingsFile: base + ".xml", logFile: base + ".log"}
+	pathPrefix := filepath.Join(r.options.WorkDir, name)
+	p := &replica{name: name, addr: addr, settingsFile: pathPrefix + ".xml", logFile: pathPrefix + ".log"}
 	if r.planners != nil {
-		if p.admin, err = loopback.Address(); err != nil {
+		if p.adminAddr, err = loopback.Address(); err != nil {
 			return err
 		}
 	}
-	settings := r.scenario.ReplicaXML(i, p.name, p.addr, p.admin, r.api.URL(), base+".list.json")
+	settings := r.scenario.ReplicaXML(i, p.name, p.addr, p.adminAddr, r.api.URL(), pathPrefix+".list.json")
 	if err := os.WriteFile(p.settingsFile, []byte(settings), 0o644); err != nil {
 		return err
 	}
@@ -118,51 +118,51 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.ended = cmd, make(chan struct{})
+	p.cmd, p.exited = cmd, make(chan struct{})
 	s.record.Add(audit.Event{Kind: audit.ReplicaStarted, Replica: p.name})
-	go s.await(p, cmd, p.ended)
+	go s.waitForExit(p, cmd, p.exited)
 	return nil
 }
 
-// await waits for the end of a replica's process, records a crash unless stop ended it, and closes ended.
-func (s *replicaSet) await(p *replica, cmd *exec.Cmd, ended chan struct{}) {
-	defer close(ended)
+// waitForExit waits for the end of a replica's process, records a crash unless stop ended it, and closes exited.
+func (s *replicaSet) waitForExit(p *replica, cmd *exec.Cmd, exited chan struct{}) {
+	defer close(exited)
 	err := cmd.Wait()
 	p.mu.Lock()
-	byItself := p.cmd == cmd
+	crashed := p.cmd == cmd
 	p.mu.Unlock()
-	if byItself {
+	if crashed {
 		s.addCrash(p, err)
 	}
 }
 
 // addCrash records that a replica's process ended by itself, with the end of its log.
 func (s *replicaSet) addCrash(p *replica, err error) {
-	text := crashText(p.logFile)
+	excerpt := logExcerpt(p.logFile)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashes = append(s.crashes,
 		fmt.Sprintf("%.3fs: replica %s ended by itself (%v): %.*s",
-			s.record.Now().Seconds(), p.name, err, maxCrashText, text))
+			s.record.Now().Seconds(), p.name, err, maxLogExcerpt, excerpt))
 }
 
-// crashText returns the end of a log: from the last panic or fatal error on, or the last logTail bytes where there is
-// none.
-func crashText(logFile string) string {
+// logExcerpt returns the end of a log: from the last panic or fatal error on, or the last logTailBytes bytes where
+// there is none.
+func logExcerpt(logFile string) string {
 	content, err := os.ReadFile(logFile)
 	if err != nil {
 		return err.Error()
 	}
 	text := string(content)
-	crash := max(strings.LastIndex(text, "\npanic:"), strings.LastIndex(text, "\nfatal error:"))
-	if crash >= 0 {
-		return text[crash+1:]
+	crashStart := max(strings.LastIndex(text, "\npanic:"), strings.LastIndex(text, "\nfatal error:"))
+	if crashStart >= 0 {
+		return text[crashStart+1:]
 	}
-	return text[max(0, len(text)-logTail):]
+	return text[max(0, len(text)-logTailBytes):]
 }
 
-// crashed returns a copy of the crashes recorded so far.
-func (s *replicaSet) crashed() []string {
+// crashViolations returns a copy of the crashes recorded so far.
+func (s *replicaSet) crashViolations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.crashes...)
@@ -171,7 +171,7 @@
 // stop sends a signal to a replica's process, waits for its end, and kills it after stopTimeout.
 func (s *replicaSet) stop(p *replica, signal syscall.Signal) {
 	p.mu.Lock()
-	cmd, ended := p.cmd, p.ended
+	cmd, exited := p.cmd, p.exited
 	p.cmd = nil
 	p.mu.Unlock()
 	if cmd == nil {
@@ -182,16 +182,17 @@
 	}
 	_ = cmd.Process.Signal(signal) // fails only when the process has ended
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(stopTimeout):
 		s.logf("replica %s did not stop in time: killed", p.name)
 		s.record.Add(audit.Event{Kind: audit.ReplicaKilled, Replica: p.name})
 		_ = cmd.Process.Kill() // fails only when the process has ended
-		<-ended
+		<-exited
 	}
 }
 
-// awaitReady waits until every replica accepts connections, and then firstListWait for their first endpoint lists.
+// awaitReady waits until every replica accepts connections, and then firstEndpointListWait for their first endpoint
+// lists.
 func (s *replicaSet) awaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for _, p := range s.members {
@@ -199,7 +200,7 @@
 			return err
 		}
 	}
-	time.Sleep(firstListWait)
+	time.Sleep(firstEndpointListWait)
 	return nil
 }
 
@@ -212,7 +213,7 @@
 			return nil
 		}
 		select {
-		case <-p.ended:
+		case <-p.exited:
 			return fmt.Errorf("%w: %s; see %s", ErrReplicaExited, p.name, p.logFile)
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/scenariorun/report.go
+++ b/internal/scenariorun/report.go
@@ -30,27 +30,27 @@
 
 // Report is the outcome of a scenario.
 type Report struct {
-	Seconds  float64            `json:"seconds"`
-	LagMS    float64            `json:"worst_lag_ms"` // scheduling lag of this process, part of the slack of the audit
-	Service  float64            `json:"service"`      // priority weight served over that requested
-	Classes  []scenario.Row     `json:"classes"`
-	Tenants  []scenario.Row     `json:"tenants"`
-	Attempts map[string]int     `json:"attempts"` // by the keys above; counted from the events of engines
-	Rules    []audit.RuleResult `json:"rules"`
-	Expected float64            `json:"expected_service,omitempty"`
-	Roles    []RoleSample       `json:"roles,omitempty"` // none where engines keep their roles
-	Timeline []scenario.Second  `json:"course"`          // by the second in which requests were first sent
-	Events   []audit.Event      `json:"-"`
+	Seconds         float64            `json:"seconds"`
+	WorstLagMS      float64            `json:"worst_lag_ms"` // scheduling lag of this process; part of the audit's slack
+	Service         float64            `json:"service"`      // priority weight served over that requested
+	Classes         []scenario.Row     `json:"classes"`
+	Tenants         []scenario.Row     `json:"tenants"`
+	Attempts        map[string]int     `json:"attempts"` // by the keys above; counted from the events of engines
+	Rules           []audit.RuleResult `json:"rules"`
+	ExpectedService float64            `json:"expected_service,omitempty"`
+	RoleSamples     []RoleSample       `json:"roles,omitempty"` // none where engines keep their roles
+	Timeline        []scenario.Second  `json:"course"`          // by the second in which requests were first sent
+	Events          []audit.Event      `json:"-"`
 }
 
 // report creates the report of a scenario that has ended.
-func (r *run) report(clients *traffic, lag time.Duration) *Report {
+func (r *run) report(clients *loadGenerator, lag time.Duration) *Report {
 	report := &Report{
-		Seconds:  r.scenario.Length.Seconds(),
-		LagMS:    float64(lag.Microseconds()) / 1000,
-		Service:  clients.score.Service(),
-		Timeline: clients.score.Timeline,
-		Events:   r.record.Events(),
+		Seconds:    r.scenario.Length.Seconds(),
+		WorstLagMS: float64(lag.Microseconds()) / 1000,
+		Service:    clients.score.Service(),
+		Timeline:   clients.score.Timeline,
+		Events:     r.record.Events(),
 	}
 	report.Classes, report.Tenants = clients.score.Rows()
 	report.Attempts = countAttempts(report.Events)
@@ -60,12 +60,12 @@
 		Slack:      socketSlack + lagFactor*lag,
 	})
 	// A crashed replica leaves requests without an answer, which is what the first rule forbids.
-	report.Rules[0].Violations = append(report.Rules[0].Violations, r.replicas.crashed()...)
+	report.Rules[0].Violations = append(report.Rules[0].Violations, r.replicas.crashViolations()...)
 	if r.planners != nil {
-		report.Roles = r.planners.samples
+		report.RoleSamples = r.planners.samples
 	}
 	if r.scenario.Expected != nil {
-		report.Expected = r.scenario.Expected.Service
+		report.ExpectedService = r.scenario.Expected.Service
 	}
 	return report
 }
@@ -91,20 +91,20 @@
 // Violations is the number of violations of the rules. A rule that was never checked counts as one, and so does a
 // service below what the scenario expects.
 func (r *Report) Violations() int {
-	n := 0
+	count := 0
 	for _, rule := range r.Rules {
-		n += len(rule.Violations)
+		count += len(rule.Violations)
 		if rule.Checks == 0 {
-			n++
+			count++
 		}
 	}
-	if r.belowExpected() {
-		n++
+	if r.belowExpectedService() {
+		count++
 	}
-	return n
+	return count
 }
 
-func (r *Report) belowExpected() bool { return r.Service < r.Expected }
+func (r *Report) belowExpectedService() bool { return r.Service < r.ExpectedService }
 
 // WriteText writes the report as text.
 func (r *Report) WriteText(w io.Writer) error {
@@ -117,24 +117,24 @@
 		r.Attempts[attemptsExecuted], r.Attempts[attemptsDeduplicated])
 	r.writeRoles(&b)
 	fmt.Fprintf(&b, "worst scheduling lag of this process %.0f ms; "+
-		"the time limits for drains and read states are extended by 50 ms and twice this lag\n", r.LagMS)
+		"the time limits for drains and read states are extended by 50 ms and twice this lag\n", r.WorstLagMS)
 	for i, rule := range r.Rules {
 		writeRule(&b, i+1, rule)
 	}
-	if r.belowExpected() {
-		fmt.Fprintf(&b, "service %.3f is below the %.3f that this scenario expects\n", r.Service, r.Expected)
+	if r.belowExpectedService() {
+		fmt.Fprintf(&b, "service %.3f is below the %.3f that this scenario expects\n", r.Service, r.ExpectedService)
 	}
 	_, err := w.Write(b.Bytes())
 	return err
 }
 
 // writeRows writes the table of classes or tenants.
-func writeRows(b *bytes.Buffer, title string, rows []scenario.Row) {
+func writeRows(b *bytes.Buffer, column string, rows []scenario.Row) {
 	const (
 		head = "%-12s %8s %7s %7s %5s %8s %7s %7s %5s %5s %6s %9s %9s\n"
 		line = "%-12s %8d %7.3f %7d %5d %8d %7d %7d %5d %5d %6d %7.0fms %7.0fms\n"
 	)
-	fmt.Fprintf(b, head, title, "requests", "service", "served", "late", "refused", "failed", "broken", "left", "lost",
+	fmt.Fprintf(b, head, column, "requests", "service", "served", "late", "refused", "failed", "broken", "left", "lost",
 		"tries", "first p50", "p99")
 	for _, row := range rows {
 		fmt.Fprintf(b, line, row.Name, row.Requests, row.Service, row.Served, row.Late, row.Rejected, row.Failed,
@@ -145,18 +145,18 @@
 
 // writeRoles writes how the roles of engines changed, where engines change role.
 func (r *Report) writeRoles(b *bytes.Buffer) {
-	if len(r.Roles) == 0 {
+	if len(r.RoleSamples) == 0 {
 		return
 	}
-	first, last := r.Roles[0], r.Roles[len(r.Roles)-1]
-	mostChanging := 0
-	for _, sample := range r.Roles {
-		mostChanging = max(mostChanging, sample.Changing)
+	first, last := r.RoleSamples[0], r.RoleSamples[len(r.RoleSamples)-1]
+	maxChanging := 0
+	for _, sample := range r.RoleSamples {
+		maxChanging = max(maxChanging, sample.Changing)
 	}
 	fmt.Fprintf(b, "roles: %d prefill and %d decode engines at the start, %d and %d at the end; "+
 		"%d commands, at most %d engines changing role at once\n\n",
 		first.PrefillEngines, first.DecodeEngines, last.PrefillEngines, last.DecodeEngines,
-		last.Commands, mostChanging)
+		last.Commands, maxChanging)
 }
 
 // writeRule writes the outcome of one rule.
--- a/internal/scenariorun/scenariorun.go
+++ b/internal/scenariorun/scenariorun.go
@@ -2,10 +2,10 @@
 // (fakes in this process), replicas (processes of their own), clients, and faults. The fakes and the clients record
 // what passes on their sockets, and internal/audit checks the record; the replicas' own view is not used.
 //
-// Run ends all that it starts before it returns. It starts a goroutine that plays the faults, one for each fault that
+// Run ends all that it starts before it returns. It starts a goroutine that injects the faults, one for each fault that
 // is undone later, for each engine that flaps and for each replica that a fault stops, one for each client session, one
 // that waits for each replica's process, one that measures scheduling lag, and those of the planners. The state that
-// they share is in engineFleet, replicaSet, clientConditions, planners and traffic, each with its own mutex.
+// they share is in engineFleet, replicaSet, clientConditions, planners and loadGenerator, each with its own mutex.
 package scenariorun
 
 import (
@@ -30,10 +30,10 @@
 	Env     []string  // of the replicas, in addition to this process's environment
 	WorkDir string    // folder for the replicas' settings, cached endpoint lists and logs
 	Log     io.Writer // receives a line for each fault, role change or problem; nil = no log
-	// Foreseen is the demand that an earlier run of the scenario recorded. Where it is set, roles follow the cheapest
-	// schedule for this demand in place of the planner's decisions. Each change of role begins before it is needed, by
-	// the time that the scenario states for a change.
-	Foreseen []RoleSample
+	// RecordedDemand is the demand that an earlier run of the scenario recorded. Where it is set, roles follow the
+	// cheapest schedule for this demand in place of the planner's decisions. Each change of role begins before it is
+	// needed, by the time that the scenario states for a change.
+	RecordedDemand []RoleSample
 }
 
 // run is the state of a scenario while it is played.
@@ -49,12 +49,12 @@
 }
 
 // Run plays a scenario and audits its record.
-func Run(ctx context.Context, played *scenario.Scenario, options Options) (*Report, error) {
-	if err := played.CheckRunnable(); err != nil {
+func Run(ctx context.Context, sc *scenario.Scenario, options Options) (*Report, error) {
+	if err := sc.CheckRunnable(); err != nil {
 		return nil, err
 	}
 	r := &run{
-		scenario:   played,
+		scenario:   sc,
 		options:    options,
 		record:     audit.NewRecord(),
 		conditions: clientConditions{current: scenario.NormalConditions()},
@@ -71,12 +71,12 @@
 		defer r.planners.stop()
 	}
 	lag := startLagMeter()
-	clients := newTraffic(r)
-	if err := r.playFaultsAndClients(ctx, clients); err != nil {
+	clients := newLoadGenerator(r)
+	if err := r.runFaultsAndClients(ctx, clients); err != nil {
 		lag.stop()
 		return nil, err
 	}
-	time.Sleep(played.Service.StateTTL + releaseMargin)
+	time.Sleep(sc.Service.StateTTL + releaseMargin)
 	if r.planners != nil {
 		r.planners.stop()
 	}
@@ -86,15 +86,15 @@
 	return r.report(clients, lag.stop()), nil
 }
 
-// playFaultsAndClients plays the faults while the clients send requests, and waits until both have ended.
-func (r *run) playFaultsAndClients(ctx context.Context, clients *traffic) error {
-	began := time.Now()
+// runFaultsAndClients injects the faults while the clients send requests, and waits until both have ended.
+func (r *run) runFaultsAndClients(ctx context.Context, clients *loadGenerator) error {
+	start := time.Now()
 	faultsDone := make(chan struct{})
 	go func() {
 		defer close(faultsDone)
-		newFaultScript(r).play(ctx, began)
+		newFaultInjector(r).injectAll(ctx, start)
 	}()
-	clients.play(ctx, began)
+	clients.generate(ctx, start)
 	<-faultsDone
 	return ctx.Err()
 }
@@ -106,11 +106,11 @@
 	}
 	r.engines = newEngineFleet(r.api)
 	r.replicas = newReplicaSet(r)
-	changing := r.newChangingEngines()
-	if err := r.startEngines(changing); err != nil {
+	roleChange := r.newRoleChangeConfig()
+	if err := r.startEngines(roleChange); err != nil {
 		return err
 	}
-	if changing.kinds != nil && r.scenario.Planner != nil {
+	if roleChange.kinds != nil && r.scenario.Planner != nil {
 		r.planners = newPlanners(r)
 	}
 	for i := range r.scenario.Replicas {
--- a/internal/scenariorun/traffic.go
+++ b/internal/scenariorun/traffic.go
@@ -18,56 +18,56 @@
 	maxTokensFactor = 3
 )
 
-// traffic plays the clients of the scenario. Each session has a goroutine, which owns it.
-type traffic struct {
-	run      *run
-	began    time.Time
-	end      time.Time     // after this no session starts and none draws another turn
-	slots    chan struct{} // one element for each session in progress; bounds their number
-	sessions sync.WaitGroup
+// loadGenerator plays the clients of the scenario. Each session has a goroutine, which owns it.
+type loadGenerator struct {
+	run            *run
+	start          time.Time
+	end            time.Time     // after this no session starts and none draws another turn
+	sessionSlots   chan struct{} // one element for each session in progress; bounds their number
+	activeSessions sync.WaitGroup
 
 	mu    sync.Mutex
 	score *scenario.Score
 }
 
-func newTraffic(r *run) *traffic {
-	return &traffic{run: r, slots: make(chan struct{}, maxClients), score: r.scenario.Score()}
+func newLoadGenerator(r *run) *loadGenerator {
+	return &loadGenerator{run: r, sessionSlots: make(chan struct{}, maxClients), score: r.scenario.Score()}
 }
 
-// play starts sessions at the scenario's rate until its end, and waits until all have ended.
-func (t *traffic) play(ctx context.Context, began time.Time) {
-	t.began, t.end = began, began.Add(t.run.scenario.Length)
+// generate starts sessions at the scenario's rate until its end, and waits until all have ended.
+func (t *loadGenerator) generate(ctx context.Context, start time.Time) {
+	t.start, t.end = start, start.Add(t.run.scenario.Length)
 	conditions := &t.run.conditions
 	arrivals := t.run.scenario.Arrivals()
-	for now := began; ; {
-		now = now.Add(arrivals.Gap(conditions.snapshot()))
-		if now.After(t.end) || !sleepUntil(ctx, now) {
+	for arrivalTime := start; ; {
+		arrivalTime = arrivalTime.Add(arrivals.Gap(conditions.snapshot()))
+		if arrivalTime.After(t.end) || !sleepUntil(ctx, arrivalTime) {
 			break
 		}
 		session := arrivals.Next(conditions.snapshot())
 		select {
-		case t.slots <- struct{}{}:
+		case t.sessionSlots <- struct{}{}:
 		default: // there are maxClients already: the session is dropped
 			continue
 		}
-		t.sessions.Go(func() {
-			defer func() { <-t.slots }()
+		t.activeSessions.Go(func() {
+			defer func() { <-t.sessionSlots }()
 			t.runSession(session)
 		})
 	}
-	t.sessions.Wait()
+	t.activeSessions.Wait()
 }
 
 // runSession plays the turns of one session.
-func (t *traffic) runSession(session *scenario.Session) {
+func (t *loadGenerator) runSession(session *scenario.Session) {
 	request := t.newRequest(session)
 	for {
 		for len(request.Turns) < len(session.Messages) {
 			request.Turns = append(request.Turns, session.Messages[len(request.Turns)].Words())
 		}
 		request.AnswerTokens = session.AnswerTokens
-		kind := t.send(session, request, fmt.Sprintf("%d.%d", session.ID, session.Turn))
-		more, pause := session.NextTurn(kind, time.Now().After(t.end), t.run.conditions.snapshot())
+		outcome := t.send(session, request, fmt.Sprintf("%d.%d", session.ID, session.Turn))
+		more, pause := session.NextTurn(outcome, time.Now().After(t.end), t.run.conditions.snapshot())
 		if !more {
 			return
 		}
@@ -76,7 +76,7 @@
 }
 
 // newRequest returns an attempt with the fields that all requests of a session share.
-func (t *traffic) newRequest(session *scenario.Session) client.Attempt {
+func (t *loadGenerator) newRequest(session *scenario.Session) client.Attempt {
 	class := &t.run.scenario.Classes[session.Class]
 	request := client.Attempt{
 		Class:        audit.Class(class.Idempotency),
@@ -94,7 +94,7 @@
 }
 
 // send sends a request, retries it as its client does, and returns how the last attempt ended.
-func (t *traffic) send(session *scenario.Session, request client.Attempt, intent string) string {
+func (t *loadGenerator) send(session *scenario.Session, request client.Attempt, intent string) string {
 	request.Intent = intent
 	request.DisconnectAfter, request.MarksRetries = session.DisconnectAfter, session.MarksRetries
 	if request.Class == audit.IdempotentWithKey {
@@ -104,20 +104,20 @@
 		request.ReadDelay = scenario.SlowReadDelay
 	}
 	replicas := t.run.replicas.members
-	began := time.Now()
+	start := time.Now()
 	for {
 		replica := replicas[session.PickReplica(len(replicas))]
 		request.ID, request.Retries = fmt.Sprintf("%s/%d", intent, session.Attempts), session.Retries
-		before := time.Since(began)
+		elapsed := time.Since(start)
 		result := client.Send(&request, replica.name, replica.addr, t.run.record)
 		if result.FirstToken > 0 {
-			result.FirstToken += before
+			result.FirstToken += elapsed
 		}
-		again, pause := session.AfterAttempt(result.Kind, result.NoAutoRetry, result.RetryAfter, time.Since(began))
-		if !again {
+		retry, pause := session.AfterAttempt(result.Kind, result.NoAutoRetry, result.RetryAfter, time.Since(start))
+		if !retry {
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.score.Add(session, began.Sub(t.began), result.Kind, result.FirstToken)
+			t.score.Add(session, start.Sub(t.start), result.Kind, result.FirstToken)
 			return result.Kind
 		}
 		time.Sleep(pause)
