--- a/cmd/brackenbend/replica_test.go
+++ b/cmd/brackenbend/replica_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-func countEvents(record *audit.Record, kind audit.Kind) (n int) {
+func countEvents(record *audit.Record, kind audit.EventKind) (n int) {
 	for _, event := range record.Events() {
 		if event.Kind == kind {
 			n++
--- a/internal/audit/answers.go
+++ b/internal/audit/answers.go
@@ -24,41 +24,41 @@
 	return kills
 }
 
-// near reports whether the replica was killed between from and to, or within killMargin of them.
-func (k replicaKills) near(replica string, from, to time.Duration) bool {
+// killedNear reports whether the replica was killed between from and to, or within killMargin of them.
+func (k replicaKills) killedNear(replica string, from, to time.Duration) bool {
 	return slices.ContainsFunc(k[replica], func(at time.Duration) bool {
 		return at >= from-killMargin && at <= to+killMargin
 	})
 }
 
-// attemptAnswers holds how an attempt was sent and how it ended.
-type attemptAnswers struct {
-	sent    Event
-	ended   Event // the first answer, connection cut or disconnect of the client; Kind is "" while there is none
-	answers int   // number of final answers
+// attemptRecord holds how an attempt was sent and how it ended.
+type attemptRecord struct {
+	sentEvent   Event
+	endEvent    Event // the first answer, connection cut or disconnect of the client; Kind is "" while there is none
+	answerCount int   // number of final answers
 }
 
 // answerCheck checks that each attempt gets exactly one final answer and no bytes after it. The answer may be missing
 // only where the client disconnected or the replica was killed. Every final answer except a served or broken one must
 // come before the client's deadline.
 type answerCheck struct {
-	result   RuleResult
-	attempts map[string]*attemptAnswers
-	kills    replicaKills
-	slowest  time.Duration // longest time from an attempt to its rejection or failure
+	result           RuleResult
+	attempts         map[string]*attemptRecord
+	kills            replicaKills
+	slowestRejection time.Duration // longest time from an attempt to its rejection or failure
 }
 
 func checkAnswers(events []Event) RuleResult {
 	c := answerCheck{
 		result:   RuleResult{Rule: "one final answer in time, nothing after it"},
-		attempts: map[string]*attemptAnswers{},
+		attempts: map[string]*attemptRecord{},
 		kills:    findReplicaKills(events),
 	}
 	for _, e := range events {
 		switch e.Kind {
-		case Sent:
-			c.attempts[e.Attempt] = &attemptAnswers{sent: e}
-		case Answer, ConnectionCut, ClientLeft, ExtraBytes:
+		case AttemptSent:
+			c.attempts[e.Attempt] = &attemptRecord{sentEvent: e}
+		case Answer, ConnectionCut, ClientDisconnected, ExtraBytes:
 			c.observe(e)
 		default:
 		}
@@ -67,7 +67,8 @@
 		c.result.Checks++
 		c.checkEnd(id, c.attempts[id])
 	}
-	c.result.WorstCase = fmt.Sprintf("slowest refusal or failure %v after the request", c.slowest.Round(time.Millisecond))
+	c.result.WorstCase = fmt.Sprintf("slowest refusal or failure %v after the request",
+		c.slowestRejection.Round(time.Millisecond))
 	return c.result
 }
 
@@ -75,46 +76,46 @@
 func (c *answerCheck) observe(e Event) {
 	attempt := c.attempts[e.Attempt]
 	if attempt == nil { // never recorded as sent: the answer came before the whole request was written
-		attempt = &attemptAnswers{sent: Event{At: e.At, Deadline: e.At, Replica: e.Replica}}
+		attempt = &attemptRecord{sentEvent: Event{At: e.At, Deadline: e.At, Replica: e.Replica}}
 		c.attempts[e.Attempt] = attempt
 	}
 	if e.Kind == ExtraBytes {
-		c.result.violated(e.At, "try %s: bytes after the final answer", e.Attempt)
+		c.result.addViolation(e.At, "try %s: bytes after the final answer", e.Attempt)
 		return
 	}
 	if e.Kind == Answer {
-		attempt.answers++
-		if attempt.answers > 1 {
-			c.result.violated(e.At, "try %s: a second final answer (%s)", e.Attempt, e.Result)
+		attempt.answerCount++
+		if attempt.answerCount > 1 {
+			c.result.addViolation(e.At, "try %s: a second final answer (%s)", e.Attempt, e.Result)
 		}
 	}
-	if attempt.ended.Kind == "" {
-		attempt.ended = e
+	if attempt.endEvent.Kind == "" {
+		attempt.endEvent = e
 	}
 }
 
 // checkEnd checks how an attempt ended, after all events were observed.
-func (c *answerCheck) checkEnd(id string, attempt *attemptAnswers) {
-	sent, ended := attempt.sent, attempt.ended
-	switch ended.Kind {
-	case ClientLeft:
+func (c *answerCheck) checkEnd(id string, attempt *attemptRecord) {
+	sent, end := attempt.sentEvent, attempt.endEvent
+	switch end.Kind {
+	case ClientDisconnected:
 	case Answer:
-		if ended.Result == resultServed || ended.Result == resultBroken {
+		if end.Result == resultServed || end.Result == resultBroken {
 			return
 		}
-		c.slowest = max(c.slowest, ended.At-sent.At)
-		if sent.Deadline > 0 && ended.At > sent.Deadline {
-			c.result.violated(ended.At, "try %s: the final answer (%s) came %v after the client's time limit",
-				id, ended.Result, ended.At-sent.Deadline)
+		c.slowestRejection = max(c.slowestRejection, end.At-sent.At)
+		if sent.Deadline > 0 && end.At > sent.Deadline {
+			c.result.addViolation(end.At, "try %s: the final answer (%s) came %v after the client's time limit",
+				id, end.Result, end.At-sent.Deadline)
 		}
 	case ConnectionCut:
-		if !c.kills.near(sent.Replica, sent.At, ended.At) {
-			c.result.violated(ended.At, "try %s: the connection ended without an answer, but replica %s was not killed",
+		if !c.kills.killedNear(sent.Replica, sent.At, end.At) {
+			c.result.addViolation(end.At, "try %s: the connection ended without an answer, but replica %s was not killed",
 				id, sent.Replica)
 		}
 	default:
-		if !c.kills.near(sent.Replica, sent.At, sent.Deadline) {
-			c.result.violated(sent.At, "try %s: no answer at all", id)
+		if !c.kills.killedNear(sent.Replica, sent.At, sent.Deadline) {
+			c.result.addViolation(sent.At, "try %s: no answer at all", id)
 		}
 	}
 }
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -29,7 +29,7 @@
 	WorstCase  string   `json:"worst,omitempty"` // the worst time measured, for rules about times
 }
 
-func (r *RuleResult) violated(at time.Duration, format string, args ...any) {
+func (r *RuleResult) addViolation(at time.Duration, format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf("%.3fs: ", at.Seconds())+fmt.Sprintf(format, args...))
 }
 
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -26,30 +26,39 @@
 		{At: 0, Kind: EngineStarted, Engine: "r"},
 		{At: 1 * ms, Kind: ReplicaStarted, Replica: "f"},
 		{
-			At: 10 * ms, Kind: Sent, Attempt: "t1", Intent: "o1", Class: NotIdempotent, Replica: "f",
+			At: 10 * ms, Kind: AttemptSent, Attempt: "t1", Intent: "o1", Class: NotIdempotent, Replica: "f",
 			Deadline: 5 * time.Second,
 		},
-		{At: 12 * ms, Kind: Arrived, Engine: "r", Replica: "f", Request: "x-1-0"},
+		{At: 12 * ms, Kind: RequestArrived, Engine: "r", Replica: "f", Request: "x-1-0"},
 		{At: 50 * ms, Kind: StateHeld, Engine: "r", Request: "x-1-0"},
-		{At: 51 * ms, Kind: Ended, Engine: "r", Request: "x-1-0"},
-		{At: 53 * ms, Kind: Arrived, Engine: "w", Replica: "f", Request: "x-1-1", Decode: true},
+		{At: 51 * ms, Kind: RequestEnded, Engine: "r", Request: "x-1-0"},
+		{At: 53 * ms, Kind: RequestArrived, Engine: "w", Replica: "f", Request: "x-1-1", Decode: true},
 		{At: 60 * ms, Kind: StateReleased, Engine: "r", Request: "x-1-0"},
-		{At: 61 * ms, Kind: Executed, Engine: "w", Request: "x-1-1", Attempt: "t1", Intent: "o1", Class: NotIdempotent},
-		{At: 99 * ms, Kind: Ended, Engine: "w", Request: "x-1-1"},
+		{
+			At: 61 * ms, Kind: Executed, Engine: "w", Request: "x-1-1", Attempt: "t1", Intent: "o1",
+			Class: NotIdempotent,
+		},
+		{At: 99 * ms, Kind: RequestEnded, Engine: "w", Request: "x-1-1"},
 		{At: 100 * ms, Kind: Answer, Attempt: "t1", Result: "served"},
 		{At: 200 * ms, Kind: NotifiedGone, Replica: "f", Engine: "r"},
-		{At: 600 * ms, Kind: Arrived, Engine: "r", Replica: "f", Request: "x-2-0"},
-		{At: 610 * ms, Kind: Ended, Engine: "r", Request: "x-2-0"},
-		{At: 700 * ms, Kind: Sent, Attempt: "t2", Intent: "o2", Class: NotIdempotent, Replica: "f", Deadline: deadline},
+		{At: 600 * ms, Kind: RequestArrived, Engine: "r", Replica: "f", Request: "x-2-0"},
+		{At: 610 * ms, Kind: RequestEnded, Engine: "r", Request: "x-2-0"},
+		{
+			At: 700 * ms, Kind: AttemptSent, Attempt: "t2", Intent: "o2", Class: NotIdempotent, Replica: "f",
+			Deadline: deadline,
+		},
 		{At: 800 * ms, Kind: Answer, Attempt: "t2", Result: "refused"},
-		{At: 900 * ms, Kind: Sent, Attempt: "t3", Intent: "o3", Class: NotIdempotent, Replica: "f", Deadline: deadline},
+		{
+			At: 900 * ms, Kind: AttemptSent, Attempt: "t3", Intent: "o3", Class: NotIdempotent, Replica: "f",
+			Deadline: deadline,
+		},
 		{At: 950 * ms, Kind: ReplicaKilled, Replica: "f"},
 		{At: 960 * ms, Kind: ConnectionCut, Attempt: "t3"},
 	}
 }
 
 // without returns all events except those of the given kind and attempt.
-func without(events []Event, kind Kind, attempt string) (rest []Event) {
+func without(events []Event, kind EventKind, attempt string) (rest []Event) {
 	for _, e := range events {
 		if e.Kind != kind || e.Attempt != attempt {
 			rest = append(rest, e)
@@ -109,7 +118,7 @@
 			return events
 		}},
 		{"engine overloaded", ruleSlowStart, "fell over", func(events []Event) []Event {
-			return append(events, Event{At: time.Second, Kind: Overloaded, Engine: "r"})
+			return append(events, Event{At: time.Second, Kind: EngineOverloaded, Engine: "r"})
 		}},
 		{"state held too long", ruleReadStates, "was held", func(events []Event) []Event {
 			events[6].At, events[7].At, events[9].At = 560*ms, 561*ms, 600*ms
@@ -117,7 +126,7 @@
 		}},
 		{"state never released", ruleReadStates, "was held", func(events []Event) []Event {
 			return append(events[:5:5], events[5], events[6],
-				Event{At: 70 * ms, Kind: Ended, Request: "x-1-1"}, events[11], events[12])
+				Event{At: 70 * ms, Kind: RequestEnded, Request: "x-1-1"}, events[11], events[12])
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -144,16 +153,16 @@
 		{
 			"a read state of a request that a killed replica had just sent", ruleReadStates,
 			append(compliantEvents(),
-				Event{At: 970 * ms, Kind: Arrived, Engine: "r", Replica: "f", Request: "x-7-0"},
+				Event{At: 970 * ms, Kind: RequestArrived, Engine: "r", Replica: "f", Request: "x-7-0"},
 				Event{At: 980 * ms, Kind: StateHeld, Request: "x-7-0"},
-				Event{At: 981 * ms, Kind: Ended, Request: "x-7-0"},
+				Event{At: 981 * ms, Kind: RequestEnded, Request: "x-7-0"},
 				Event{At: 9 * time.Second, Kind: StateReleased, Request: "x-7-0"}),
 		},
 		{
 			"the next process of a replica was not notified yet", ruleDrains,
 			append(compliantEvents(),
-				Event{At: 960 * ms, Kind: Arrived, Engine: "r", Replica: "f", Request: "y-1-0"},
-				Event{At: 970 * ms, Kind: Ended, Request: "y-1-0"}),
+				Event{At: 960 * ms, Kind: RequestArrived, Engine: "r", Replica: "f", Request: "y-1-0"},
+				Event{At: 970 * ms, Kind: RequestEnded, Request: "y-1-0"}),
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/audit/drains.go
+++ b/internal/audit/drains.go
@@ -12,39 +12,39 @@
 // the engine within the drain grace after the API server notified the replica.
 func checkDrains(events []Event, limits Limits) RuleResult {
 	result := RuleResult{Rule: "drains are kept"}
-	notified := map[replicaEngine]time.Duration{}
-	var latest time.Duration
+	notifiedAt := map[replicaEngine]time.Duration{}
+	var longestDelay time.Duration
 	for _, e := range events {
 		key := replicaEngine{e.Replica, e.Engine}
 		switch e.Kind {
 		case NotifiedGone:
-			if _, ok := notified[key]; !ok {
-				notified[key] = e.At
+			if _, ok := notifiedAt[key]; !ok {
+				notifiedAt[key] = e.At
 			}
 		case NotifiedReady:
-			delete(notified, key)
+			delete(notifiedAt, key)
 		case ReplicaKilled: // its next process has not been notified yet
-			for k := range notified {
+			for k := range notifiedAt {
 				if k.replica == e.Replica {
-					delete(notified, k)
+					delete(notifiedAt, k)
 				}
 			}
-		case Arrived:
+		case RequestArrived:
 			result.Checks++
-			at, ok := notified[key]
+			at, ok := notifiedAt[key]
 			if !ok {
 				continue
 			}
 			delay := e.At - at
-			latest = max(latest, delay)
+			longestDelay = max(longestDelay, delay)
 			if delay > limits.DrainGrace+limits.Slack {
-				result.violated(e.At, "%s sent request %s to engine %s %v after it was told that the engine drains or is gone",
+				result.addViolation(e.At, "%s sent request %s to engine %s %v after it was told that the engine drains or is gone",
 					e.Replica, e.Request, e.Engine, delay)
 			}
 		default:
 		}
 	}
 	result.WorstCase = fmt.Sprintf("latest arrival %v after the replica was told of a drain or removal, %v allowed",
-		latest.Round(time.Millisecond), limits.DrainGrace)
+		longestDelay.Round(time.Millisecond), limits.DrainGrace)
 	return result
 }
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-// Kind is the kind of an event. Its values are part of stored records and must not change.
-type Kind string
+// EventKind is the kind of an event. Its values are part of stored records and must not change.
+type EventKind string
 
 // The kinds of events. Brackets list the relevant fields besides At.
 const (
-	// Sent: the client wrote a whole request [Attempt, Intent, Class, Replica, Deadline].
-	Sent Kind = "sent"
-	// Unsent: the client could not write the whole request, which therefore was not accepted [Attempt].
-	Unsent Kind = "unsent"
+	// AttemptSent: the client wrote a whole request [Attempt, Intent, Class, Replica, Deadline].
+	AttemptSent EventKind = "sent"
+	// AttemptUnsent: the client could not write the whole request, which therefore was not accepted [Attempt].
+	AttemptUnsent EventKind = "unsent"
 	// Answer: the client received its whole final answer [Attempt, Result].
-	Answer Kind = "answer"
+	Answer EventKind = "answer"
 	// ConnectionCut: the connection ended before a final answer [Attempt].
-	ConnectionCut Kind = "cut"
+	ConnectionCut EventKind = "cut"
 	// ExtraBytes: bytes came after the final answer [Attempt].
-	ExtraBytes Kind = "extra"
-	// ClientLeft: the client disconnected of its own accord [Attempt].
-	ClientLeft Kind = "hung up"
+	ExtraBytes EventKind = "extra"
+	// ClientDisconnected: the client disconnected of its own accord [Attempt].
+	ClientDisconnected EventKind = "hung up"
 
 	// ReplicaStarted: a replica's process was started [Replica].
-	ReplicaStarted Kind = "front up"
+	ReplicaStarted EventKind = "front up"
 	// ReplicaKilled: a replica's process was killed [Replica].
-	ReplicaKilled Kind = "front killed"
+	ReplicaKilled EventKind = "front killed"
 	// NotifiedGone: the API server notified a replica that an engine drains or is gone [Replica, Engine].
-	NotifiedGone Kind = "told"
+	NotifiedGone EventKind = "told"
 	// NotifiedReady: the API server notified a replica that an engine is ready [Replica, Engine].
-	NotifiedReady Kind = "told ready"
+	NotifiedReady EventKind = "told ready"
 
-	// Arrived: a prefill or decode request reached an engine [Engine, Replica, Request, Decode].
-	Arrived Kind = "arrive"
-	// Ended: the engine ended a request that had arrived, with or without an answer [Engine, Request].
-	Ended Kind = "end"
+	// RequestArrived: a prefill or decode request reached an engine [Engine, Replica, Request, Decode].
+	RequestArrived EventKind = "arrive"
+	// RequestEnded: the engine ended a request that had arrived, with or without an answer [Engine, Request].
+	RequestEnded EventKind = "end"
 	// Executed: a request took effect at an engine [Engine, Request, Attempt, Intent, Class].
-	Executed Kind = "run"
+	Executed EventKind = "run"
 	// Deduplicated: the dedup scope of the engines dropped a repeated request [the fields of Executed].
-	Deduplicated Kind = "repeat"
+	Deduplicated EventKind = "repeat"
 	// StateHeld: a read state waits at a prefill engine [Engine, Request].
-	StateHeld Kind = "held"
+	StateHeld EventKind = "held"
 	// StateReleased: a read state was fetched, released, expired or lost with its engine [Engine, Request].
-	StateReleased Kind = "let go"
-	// Overloaded: an engine in slow start was overloaded and crashed [Engine].
-	Overloaded Kind = "fell over"
+	StateReleased EventKind = "let go"
+	// EngineOverloaded: an engine in slow start was overloaded and crashed [Engine].
+	EngineOverloaded EventKind = "fell over"
 	// EngineStarted: an engine's process was started [Engine].
-	EngineStarted Kind = "engine up"
+	EngineStarted EventKind = "engine up"
 	// EngineStopped: an engine's process has ended [Engine].
-	EngineStopped Kind = "engine off"
+	EngineStopped EventKind = "engine off"
 )
 
 // Class is the idempotency of the requests of a class.
@@ -74,7 +74,7 @@
 // Event is one event of the record. The names of its JSON fields are those of stored records.
 type Event struct {
 	At       time.Duration `json:"at"`
-	Kind     Kind          `json:"kind"`
+	Kind     EventKind     `json:"kind"`
 	Replica  string        `json:"front,omitempty"`
 	Engine   string        `json:"engine,omitempty"`
 	Request  string        `json:"request,omitempty"` // ID sent to engines: replica's process, number, attempt
--- a/internal/audit/readstates.go
+++ b/internal/audit/readstates.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// requestWithoutAttempt returns the ID of a request without the number of the attempt at its end.
-func requestWithoutAttempt(id string) string {
+// requestID returns the ID of a request without the number of the attempt at its end.
+func requestID(id string) string {
 	if i := strings.LastIndexByte(id, '-'); i >= 0 {
 		return id[:i]
 	}
@@ -17,8 +17,8 @@
 
 // processID returns the part of a request's ID that identifies the replica's process.
 func processID(id string) string {
-	run, _, _ := strings.Cut(id, "-")
-	return run
+	process, _, _ := strings.Cut(id, "-")
+	return process
 }
 
 // noUnclaimedState is the value of unclaimedSince for a request that has an attempt in flight or no read state.
@@ -27,23 +27,23 @@
 // requestStates tracks the read states of a request and its attempts in flight.
 type requestStates struct {
 	inFlight       int             // number of attempts in flight
-	held           map[string]bool // prefill attempts whose read state is held at an engine
+	heldStates     map[string]bool // prefill attempts whose read state is held at an engine
 	unclaimedSince time.Duration   // since when a read state is held with no attempt in flight
 }
 
-func (q *requestStates) unclaimed() bool { return q.inFlight == 0 && len(q.held) > 0 }
+func (q *requestStates) hasUnclaimedState() bool { return q.inFlight == 0 && len(q.heldStates) > 0 }
 
 // update applies an event of the request.
 func (q *requestStates) update(e Event) {
 	switch e.Kind {
-	case Arrived:
+	case RequestArrived:
 		q.inFlight++
-	case Ended:
+	case RequestEnded:
 		q.inFlight--
 	case StateHeld:
-		q.held[e.Request] = true
+		q.heldStates[e.Request] = true
 	case StateReleased:
-		delete(q.held, e.Request)
+		delete(q.heldStates, e.Request)
 	default:
 	}
 }
@@ -51,28 +51,28 @@
 // replicaProcesses tracks which processes of replicas were killed. The rule exempts their read states, since a killed
 // process can't release them.
 type replicaProcesses struct {
-	replica map[string]string // by process ID
-	killed  map[string]bool   // by process ID
-	down    map[string]bool   // by replica: killed and not started again yet
+	replicaByProcess map[string]string // by process ID
+	killedProcesses  map[string]bool   // by process ID
+	downReplicas     map[string]bool   // by replica: killed and not started again yet
 }
 
 func (r *replicaProcesses) update(e Event) {
 	switch e.Kind {
 	case ReplicaStarted:
-		r.down[e.Replica] = false
+		r.downReplicas[e.Replica] = false
 	case ReplicaKilled:
-		r.down[e.Replica] = true
-		for id, replica := range r.replica {
-			r.killed[id] = r.killed[id] || replica == e.Replica
+		r.downReplicas[e.Replica] = true
+		for id, replica := range r.replicaByProcess {
+			r.killedProcesses[id] = r.killedProcesses[id] || replica == e.Replica
 		}
-	case Arrived:
+	case RequestArrived:
 		if e.Request == "" {
 			return
 		}
 		id := processID(e.Request)
-		r.replica[id] = e.Replica
+		r.replicaByProcess[id] = e.Replica
 		// A request that arrives from a replica that is down was sent before the replica was killed.
-		r.killed[id] = r.killed[id] || r.down[e.Replica]
+		r.killedProcesses[id] = r.killedProcesses[id] || r.downReplicas[e.Replica]
 	default:
 	}
 }
@@ -80,24 +80,26 @@
 // readStateCheck checks that a read state of a request with no attempt in flight is fetched or released within the
 // state TTL.
 type readStateCheck struct {
-	result    RuleResult
-	limits    Limits
-	requests  map[string]*requestStates
-	processes replicaProcesses
-	longest   time.Duration
+	result      RuleResult
+	limits      Limits
+	requests    map[string]*requestStates
+	processes   replicaProcesses
+	longestHeld time.Duration
 }
 
 func checkReadStates(events []Event, limits Limits) RuleResult {
 	c := readStateCheck{
-		result:    RuleResult{Rule: "nothing stays pinned"},
-		limits:    limits,
-		requests:  map[string]*requestStates{},
-		processes: replicaProcesses{replica: map[string]string{}, killed: map[string]bool{}, down: map[string]bool{}},
+		result:   RuleResult{Rule: "nothing stays pinned"},
+		limits:   limits,
+		requests: map[string]*requestStates{},
+		processes: replicaProcesses{
+			replicaByProcess: map[string]string{}, killedProcesses: map[string]bool{}, downReplicas: map[string]bool{},
+		},
 	}
 	for _, e := range events {
 		c.processes.update(e)
 		switch e.Kind {
-		case Arrived, Ended, StateHeld, StateReleased:
+		case RequestArrived, RequestEnded, StateHeld, StateReleased:
 			if e.Request != "" {
 				c.observe(e)
 			}
@@ -107,35 +109,35 @@
 	if len(events) > 0 {
 		end := events[len(events)-1].At
 		for id, request := range c.requests {
-			if request.unclaimed() {
+			if request.hasUnclaimedState() {
 				c.checkHeld(id, request, end)
 			}
 		}
 	}
 	slices.Sort(c.result.Violations)
 	c.result.WorstCase = fmt.Sprintf("longest time held without an attempt in flight %v, %v allowed",
-		c.longest.Round(time.Millisecond), limits.StateTTL)
+		c.longestHeld.Round(time.Millisecond), limits.StateTTL)
 	return c.result
 }
 
 // observe processes an event of a request.
 func (c *readStateCheck) observe(e Event) {
-	id := requestWithoutAttempt(e.Request)
+	id := requestID(e.Request)
 	request := c.requests[id]
 	if request == nil {
-		request = &requestStates{held: map[string]bool{}, unclaimedSince: noUnclaimedState}
+		request = &requestStates{heldStates: map[string]bool{}, unclaimedSince: noUnclaimedState}
 		c.requests[id] = request
 	}
 	if e.Kind == StateHeld {
 		c.result.Checks++
 	}
-	before := request.unclaimed()
+	wasUnclaimed := request.hasUnclaimedState()
 	request.update(e)
-	after := request.unclaimed()
+	isUnclaimed := request.hasUnclaimedState()
 	switch {
-	case after && !before:
+	case isUnclaimed && !wasUnclaimed:
 		request.unclaimedSince = e.At
-	case before && !after:
+	case wasUnclaimed && !isUnclaimed:
 		c.checkHeld(id, request, e.At)
 		request.unclaimedSince = noUnclaimedState
 	}
@@ -143,13 +145,13 @@
 
 // checkHeld checks how long a request has had read states but no attempt in flight.
 func (c *readStateCheck) checkHeld(id string, request *requestStates, now time.Duration) {
-	if request.unclaimedSince < 0 || c.processes.killed[processID(id)] {
+	if request.unclaimedSince < 0 || c.processes.killedProcesses[processID(id)] {
 		return
 	}
 	held := now - request.unclaimedSince
-	c.longest = max(c.longest, held)
+	c.longestHeld = max(c.longestHeld, held)
 	if held > c.limits.StateTTL+c.limits.Slack {
-		c.result.violated(now, "read state of request %s was held %v without an attempt in flight",
+		c.result.addViolation(now, "read state of request %s was held %v without an attempt in flight",
 			id, held.Round(time.Millisecond))
 	}
 }
--- a/internal/audit/slowstart.go
+++ b/internal/audit/slowstart.go
@@ -7,8 +7,8 @@
 		switch e.Kind {
 		case EngineStarted:
 			result.Checks++
-		case Overloaded:
-			result.violated(e.At, "engine %s fell over: it was overloaded in slow start", e.Engine)
+		case EngineOverloaded:
+			result.addViolation(e.At, "engine %s fell over: it was overloaded in slow start", e.Engine)
 		default:
 		}
 	}
--- a/internal/fake/apiserver/apiserver_test.go
+++ b/internal/fake/apiserver/apiserver_test.go
@@ -74,7 +74,7 @@
 }
 
 // countEvents counts the events of a kind for the engine e.
-func countEvents(record *audit.Record, kind audit.Kind) (n int) {
+func countEvents(record *audit.Record, kind audit.EventKind) (n int) {
 	for _, e := range record.Events() {
 		if e.Kind == kind && e.Engine == "e" {
 			n++
--- a/internal/fake/apiserver/list.go
+++ b/internal/fake/apiserver/list.go
@@ -101,7 +101,7 @@
 // recordNotified records what a replica is notified of. It is called before the bytes are sent for engines that are
 // ready, since the replica may use them before this process runs again, and after the bytes are sent for engines that
 // are not usable, since the replica cannot know it before.
-func (s *Server) recordNotified(kind audit.Kind, replica string, engines []string) {
+func (s *Server) recordNotified(kind audit.EventKind, replica string, engines []string) {
 	if s.Record == nil {
 		return
 	}
--- a/internal/fake/client/client_test.go
+++ b/internal/fake/client/client_test.go
@@ -56,7 +56,7 @@
 		answer   func(net.Conn)
 		attempt  Attempt
 		want     string
-		recorded audit.Kind
+		recorded audit.EventKind
 	}{
 		{"not streamed", respond(200, "", `{"x":"w0 "}`), Attempt{}, Served, audit.Answer},
 		{"not JSON", respond(200, "", `{`), Attempt{}, Invalid, audit.Answer},
@@ -70,12 +70,12 @@
 		{
 			"no response before the timeout", func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) },
 			Attempt{Timeout: 30 * time.Millisecond},
-			TimedOut, audit.Sent,
+			TimedOut, audit.AttemptSent,
 		},
 		{
 			"client disconnects", func(conn net.Conn) { _, _ = conn.Read(make([]byte, 1)) },
 			Attempt{DisconnectAfter: 30 * time.Millisecond},
-			Disconnected, audit.ClientLeft,
+			Disconnected, audit.ClientDisconnected,
 		},
 		{
 			"extra bytes", func(conn net.Conn) {
@@ -125,7 +125,7 @@
 	if result := Send(&attempt, "replica", addr, record); result.Kind != NotSent {
 		t.Errorf("got %q", result.Kind)
 	}
-	if events := record.Events(); len(events) != 1 || events[0].Kind != audit.Unsent {
+	if events := record.Events(); len(events) != 1 || events[0].Kind != audit.AttemptUnsent {
 		t.Errorf("recorded %+v", events)
 	}
 }
--- a/internal/fake/client/send.go
+++ b/internal/fake/client/send.go
@@ -21,7 +21,7 @@
 func Send(attempt *Attempt, replica, addr string, record *audit.Record) Result {
 	started := time.Now()
 	notSent := func() Result {
-		record.Add(audit.Event{Kind: audit.Unsent, Attempt: attempt.ID, Replica: replica})
+		record.Add(audit.Event{Kind: audit.AttemptUnsent, Attempt: attempt.ID, Replica: replica})
 		return Result{Kind: NotSent, Elapsed: time.Since(started)}
 	}
 	conn, err := net.DialTimeout("tcp", addr, connectTimeout)
@@ -36,7 +36,7 @@
 		return notSent()
 	}
 	record.Add(audit.Event{
-		Kind: audit.Sent, Attempt: attempt.ID, Intent: attempt.Intent, Class: attempt.Class, Replica: replica,
+		Kind: audit.AttemptSent, Attempt: attempt.ID, Intent: attempt.Intent, Class: attempt.Class, Replica: replica,
 		Deadline: deadline,
 	})
 	if attempt.DisconnectAfter > 0 {
@@ -59,7 +59,7 @@
 	case ConnectionLost:
 		record.Add(audit.Event{Kind: audit.ConnectionCut, Attempt: id})
 	case Disconnected:
-		record.Add(audit.Event{Kind: audit.ClientLeft, Attempt: id})
+		record.Add(audit.Event{Kind: audit.ClientDisconnected, Attempt: id})
 	case TimedOut: // shown in the record by the missing answer
 	default:
 		record.Add(audit.Event{Kind: audit.Answer, Attempt: id, Result: result.Kind})
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -168,7 +168,7 @@
 	}
 	s.switchIfDrained()
 	if s.model.Overloaded() && s.process.up {
-		s.record(audit.Event{Kind: audit.Overloaded})
+		s.record(audit.Event{Kind: audit.EngineOverloaded})
 		s.goroutines.Go(s.Crash)
 	}
 }
--- a/internal/fake/engine/handlers.go
+++ b/internal/fake/engine/handlers.go
@@ -70,9 +70,9 @@
 		return
 	}
 	s.record(audit.Event{
-		Kind: audit.Arrived, Replica: replica, Request: id, Decode: !job.PrefillOnly, Attempt: request.Metadata["try"],
+		Kind: audit.RequestArrived, Replica: replica, Request: id, Decode: !job.PrefillOnly, Attempt: request.Metadata["try"],
 	})
-	defer s.record(audit.Event{Kind: audit.Ended, Request: id})
+	defer s.record(audit.Event{Kind: audit.RequestEnded, Request: id})
 	s.mu.Lock()
 	faults, params := s.faults, s.roleParams()
 	s.arrivals++
--- a/internal/scenariorun/forms_test.go
+++ b/internal/scenariorun/forms_test.go
@@ -56,11 +56,11 @@
 			t.Fatal(err)
 		}
 	}
-	for _, kind := range []audit.Kind{
-		audit.Sent, audit.Unsent, audit.Answer, audit.ConnectionCut, audit.ExtraBytes, audit.ClientLeft,
-		audit.ReplicaStarted, audit.ReplicaKilled, audit.NotifiedGone, audit.NotifiedReady, audit.Arrived,
-		audit.Ended, audit.Executed, audit.Deduplicated, audit.StateHeld, audit.StateReleased, audit.Overloaded,
-		audit.EngineStarted, audit.EngineStopped,
+	for _, kind := range []audit.EventKind{
+		audit.AttemptSent, audit.AttemptUnsent, audit.Answer, audit.ConnectionCut, audit.ExtraBytes,
+		audit.ClientDisconnected, audit.ReplicaStarted, audit.ReplicaKilled, audit.NotifiedGone, audit.NotifiedReady,
+		audit.RequestArrived, audit.RequestEnded, audit.Executed, audit.Deduplicated, audit.StateHeld,
+		audit.StateReleased, audit.EngineOverloaded, audit.EngineStarted, audit.EngineStopped,
 	} {
 		if err := encoder.Encode(kind); err != nil {
 			t.Fatal(err)
--- a/internal/scenariorun/report.go
+++ b/internal/scenariorun/report.go
@@ -75,9 +75,9 @@
 	attempts := map[string]int{}
 	for _, e := range events {
 		switch {
-		case e.Kind == audit.Arrived && e.Decode:
+		case e.Kind == audit.RequestArrived && e.Decode:
 			attempts[attemptsDecode]++
-		case e.Kind == audit.Arrived:
+		case e.Kind == audit.RequestArrived:
 			attempts[attemptsPrefill]++
 		case e.Kind == audit.Executed:
 			attempts[attemptsExecuted]++
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -222,7 +222,7 @@
 func (c *clients) recordSent(a *clientAttempt) {
 	class := &c.fleet.scenario.Classes[a.request.session.Class]
 	c.record(a.sent, audit.Event{
-		Kind: audit.Sent, Attempt: a.id, Intent: a.intent(), Class: audit.Class(class.Idempotency),
+		Kind: audit.AttemptSent, Attempt: a.id, Intent: a.intent(), Class: audit.Class(class.Idempotency),
 		Replica: c.fleet.replicas[a.replica].name, Deadline: a.sent + class.Deadline,
 	})
 }
@@ -234,7 +234,7 @@
 	switch {
 	case a == nil:
 	case a.disconnectsEarly:
-		c.record(c.now(), audit.Event{Kind: audit.ClientLeft, Attempt: a.id})
+		c.record(c.now(), audit.Event{Kind: audit.ClientDisconnected, Attempt: a.id})
 		c.send(c.fleet.replicas[a.replica].id, c.fleet.linkDelay(c.rnd), clientDisconnected{number})
 		c.endAttempt(a, answer{attempt: number, result: resultDisconnected})
 	case a.firstToken == 0 || !a.request.session.Stream:
@@ -257,7 +257,7 @@
 	switch m.result {
 	case resultNotConnected:
 		replica := c.fleet.replicas[a.replica].name
-		c.record(c.now(), audit.Event{Kind: audit.Unsent, Attempt: a.id, Replica: replica})
+		c.record(c.now(), audit.Event{Kind: audit.AttemptUnsent, Attempt: a.id, Replica: replica})
 	case resultConnectionLost:
 		c.record(c.now(), audit.Event{Kind: audit.ConnectionCut, Attempt: a.id})
 	default:
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -172,7 +172,7 @@
 		}
 	}
 	if e.model.Overloaded() && e.up {
-		e.record(e.now(), audit.Event{Kind: audit.Overloaded, Engine: e.name})
+		e.record(e.now(), audit.Event{Kind: audit.EngineOverloaded, Engine: e.name})
 		e.stop()
 		e.send(e.fleet.apiServer.id, e.fleet.linkDelay(e.rnd), engineStopped{e.index})
 	}
@@ -194,7 +194,7 @@
 	}
 	delete(e.jobs, j.ID)
 	if !j.disconnected {
-		e.record(e.now(), audit.Event{Kind: audit.Ended, Engine: e.name, Request: j.ID})
+		e.record(e.now(), audit.Event{Kind: audit.RequestEnded, Engine: e.name, Request: j.ID})
 		e.reply(&j.request, result)
 	}
 }
@@ -213,7 +213,8 @@
 		return
 	}
 	e.record(e.now(), audit.Event{
-		Kind: audit.Arrived, Engine: e.name, Replica: m.replicaName, Request: m.id, Decode: m.decode, Attempt: m.work.attempt,
+		Kind: audit.RequestArrived, Engine: e.name, Replica: m.replicaName, Request: m.id, Decode: m.decode,
+		Attempt: m.work.attempt,
 	})
 	if m.decode {
 		e.decodes++
@@ -337,7 +338,7 @@
 		return
 	}
 	if !j.disconnected {
-		e.record(e.now(), audit.Event{Kind: audit.Ended, Engine: e.name, Request: id})
+		e.record(e.now(), audit.Event{Kind: audit.RequestEnded, Engine: e.name, Request: id})
 	}
 	j.disconnected = true
 	if e.fleet.scenario.Service.CanCancel || !j.started {
