--- a/cmd/brackenbend/simulate_recording.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -60,7 +60,7 @@
 		begins = append(begins, recording.begin)
 	}
 	alignBegins(lists, begins)
-	all := scenario.Blend(1, lists, scales)
+	all := scenario.Merge(1, lists, scales)
 	if len(all) == 0 {
 		return nil, exitError{fmt.Errorf("--trace: no requests in %s", strings.Join(r.files, ", ")), exitConfig}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -75,12 +75,12 @@
 	defer sessions.Wait()
 	arrivals := r.plan.Scenario.Arrivals()
 	for scheduledAt := r.startedAt; ; {
-		scheduledAt = scheduledAt.Add(arrivals.Gap(r.currentConditions()))
+		scheduledAt = scheduledAt.Add(arrivals.NextGap(r.currentConditions()))
 		if scheduledAt.Sub(r.startedAt) > r.plan.Length || !waitUntil(ctx, scheduledAt) {
 			return
 		}
 		report.MaxSenderDelay = max(report.MaxSenderDelay, time.Since(scheduledAt))
-		session := arrivals.Next(r.currentConditions())
+		session := arrivals.NextSession(r.currentConditions())
 		if r.openSessions.Load() >= int64(r.plan.MaxOpen) {
 			report.NotStarted++
 			continue
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -25,7 +25,7 @@
 	Classes        []Class
 	Tenants        []scenario.Row
 	Service        float64 // fraction of the requested priority weight that was served
-	Timeline       []scenario.Second
+	Timeline       []scenario.SecondTotals
 	Outcomes       map[string]int // number of attempts by outcome: served, refused, failed ...
 	Tokens         int64          // received in all responses
 	NotStarted     int            // sessions dropped because Plan.MaxOpen sessions were open
--- a/internal/scenariorun/enginefaults.go
+++ b/internal/scenariorun/enginefaults.go
@@ -40,7 +40,7 @@
 		names = append(names, server.Info().Name)
 		s.engines.addActiveFaults(server, 1)
 	}
-	s.logf("fault %s for %v on engines %v", fault.What, fault.For, names)
+	s.logf("fault %s for %v on engines %v", fault.Type, fault.Duration, names)
 	var undoFuncs []func()
 	for _, server := range targets {
 		if undo := s.injectOnEngine(fault, server); undo != nil {
@@ -60,11 +60,11 @@
 // injectOnEngine injects a fault into one engine and returns the function that undoes it, nil for a fault that needs
 // none.
 func (s *faultInjector) injectOnEngine(fault *scenario.Fault, server *engine.Server) (undo func()) {
-	if settings, ok := engineFaults[fault.What]; ok {
+	if settings, ok := engineFaults[fault.Type]; ok {
 		server.SetFaults(settings(fault))
 		return func() { server.SetFaults(engine.Faults{}) }
 	}
-	switch fault.What {
+	switch fault.Type {
 	case "crash":
 		server.Crash()
 		return func() {
@@ -80,7 +80,7 @@
 	case "silent-restart":
 		server.SilentRestart()
 	case "refuse-connects":
-		server.RefuseConnections(fault.For)
+		server.RefuseConnections(fault.Duration)
 	case "drain":
 		s.engines.setDraining(server, true)
 		return func() { s.engines.setDraining(server, false) }
--- a/internal/scenariorun/engines.go
+++ b/internal/scenariorun/engines.go
@@ -41,7 +41,7 @@
 		dedupWindow = max(dedupWindow, class.DedupWindow)
 	}
 	dedupScope := &engine.DedupScope{Window: dedupWindow}
-	for _, kind := range r.scenario.Kinds {
+	for _, kind := range r.scenario.EngineKinds {
 		for i := range kind.Count {
 			cfg := engine.Config{
 				Name:            fmt.Sprintf("%s-%d", kind.Name, i+1),
--- a/internal/scenariorun/faults.go
+++ b/internal/scenariorun/faults.go
@@ -38,9 +38,9 @@
 			continue
 		}
 		activeFaults.Go(func() {
-			sleepUntil(ctx, start.Add(fault.At+fault.For))
+			sleepUntil(ctx, start.Add(fault.At+fault.Duration))
 			undo()
-			s.logf("fault %s ended", fault.What)
+			s.logf("fault %s ended", fault.Type)
 		})
 	}
 }
@@ -57,18 +57,18 @@
 
 // inject injects a fault and returns the function that undoes it, nil for a fault that needs none.
 func (s *faultInjector) inject(fault *scenario.Fault) (undo func()) {
-	switch fault.What {
+	switch fault.Type {
 	case "front-kill":
 		return s.stopReplicas(fault, syscall.SIGKILL)
 	case "front-stop":
 		return s.stopReplicas(fault, syscall.SIGTERM)
 	case "register-cut":
-		s.logf("API server unreachable for %v", fault.For)
+		s.logf("API server unreachable for %v", fault.Duration)
 		s.api.SetUnreachable(true)
 		return func() { s.api.SetUnreachable(false) }
 	case "register-late":
-		s.logf("events of the API server delayed by %v for %v", fault.Late, fault.For)
-		s.api.SetDelay(fault.Late)
+		s.logf("events of the API server delayed by %v for %v", fault.EventDelay, fault.Duration)
+		s.api.SetDelay(fault.EventDelay)
 		return func() { s.api.SetDelay(0) }
 	case "register-compact":
 		s.logf("API server compacts its history")
@@ -92,7 +92,7 @@
 	if s.planners == nil {
 		return nil
 	}
-	s.logf("planners stopped for %v", fault.For)
+	s.logf("planners stopped for %v", fault.Duration)
 	s.planners.stop()
 	return s.planners.start
 }
@@ -108,7 +108,7 @@
 	}
 	var wg sync.WaitGroup
 	for _, p := range targets {
-		s.logf("fault %s on replica %s", fault.What, p.name)
+		s.logf("fault %s on replica %s", fault.Type, p.name)
 		wg.Go(func() { s.replicas.stop(p, signal) })
 	}
 	return func() {
@@ -145,7 +145,7 @@
 	if undo == nil {
 		return nil
 	}
-	s.logf("fault %s on clients for %v", fault.What, fault.For)
+	s.logf("fault %s on clients for %v", fault.Type, fault.Duration)
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -156,5 +156,5 @@
 // drawEngines draws the engines that a fault affects. It leaves out engines that have a fault in force, so that the
 // fleet doesn't lose more capacity than the scenario says.
 func (s *faultInjector) drawEngines(fault *scenario.Fault) []*engine.Server {
-	return scenario.DrawTargets(fault, s.random, s.engines.healthy(fault.Kind))
+	return scenario.DrawTargets(fault, s.random, s.engines.healthy(fault.EngineKind))
 }
--- a/internal/scenariorun/forms_test.go
+++ b/internal/scenariorun/forms_test.go
@@ -19,7 +19,7 @@
 		Classes:  []scenario.Row{{Service: 1}},
 		Tenants:  []scenario.Row{{Service: 0.5}},
 		Attempts: map[string]int{"write": 2, "read": 1},
-		Timeline: []scenario.Second{{ServedWeight: 1, RequestedWeight: 2}},
+		Timeline: []scenario.SecondTotals{{ServedWeight: 1, RequestedWeight: 2}},
 		Rules: []audit.RuleResult{
 			{Rule: "r", Checks: 3, Violations: []string{"b"}, WorstCase: "w"},
 			{Rule: "none"},
--- a/internal/scenariorun/planners.go
+++ b/internal/scenariorun/planners.go
@@ -34,7 +34,7 @@
 	if p := r.scenario.Planner; p != nil && p.SwitchTime > 0 {
 		c.switchTime = p.SwitchTime
 	}
-	c.params, c.kinds = r.scenario.ChangingRoles()
+	c.params, c.kinds = r.scenario.RoleChangeParams()
 	return c
 }
 
--- a/internal/scenariorun/report.go
+++ b/internal/scenariorun/report.go
@@ -30,17 +30,17 @@
 
 // Report is the outcome of a scenario.
 type Report struct {
-	Seconds         float64            `json:"seconds"`
-	WorstLagMS      float64            `json:"worst_lag_ms"` // scheduling lag of this process; part of the audit's slack
-	Service         float64            `json:"service"`      // priority weight served over that requested
-	Classes         []scenario.Row     `json:"classes"`
-	Tenants         []scenario.Row     `json:"tenants"`
-	Attempts        map[string]int     `json:"attempts"` // by the keys above; counted from the events of engines
-	Rules           []audit.RuleResult `json:"rules"`
-	ExpectedService float64            `json:"expected_service,omitempty"`
-	RoleSamples     []RoleSample       `json:"roles,omitempty"` // none where engines keep their roles
-	Timeline        []scenario.Second  `json:"course"`          // by the second in which requests were first sent
-	Events          []audit.Event      `json:"-"`
+	Seconds         float64                 `json:"seconds"`
+	WorstLagMS      float64                 `json:"worst_lag_ms"` // scheduling lag of this process; part of the slack
+	Service         float64                 `json:"service"`      // priority weight served over that requested
+	Classes         []scenario.Row          `json:"classes"`
+	Tenants         []scenario.Row          `json:"tenants"`
+	Attempts        map[string]int          `json:"attempts"` // by the keys above; counted from the events of engines
+	Rules           []audit.RuleResult      `json:"rules"`
+	ExpectedService float64                 `json:"expected_service,omitempty"`
+	RoleSamples     []RoleSample            `json:"roles,omitempty"` // none where engines keep their roles
+	Timeline        []scenario.SecondTotals `json:"course"`          // by the second in which requests were first sent
+	Events          []audit.Event           `json:"-"`
 }
 
 // report creates the report of a scenario that has ended.
--- a/internal/scenariorun/traffic.go
+++ b/internal/scenariorun/traffic.go
@@ -40,11 +40,11 @@
 	conditions := &t.run.conditions
 	arrivals := t.run.scenario.Arrivals()
 	for arrivalTime := start; ; {
-		arrivalTime = arrivalTime.Add(arrivals.Gap(conditions.snapshot()))
+		arrivalTime = arrivalTime.Add(arrivals.NextGap(conditions.snapshot()))
 		if arrivalTime.After(t.end) || !sleepUntil(ctx, arrivalTime) {
 			break
 		}
-		session := arrivals.Next(conditions.snapshot())
+		session := arrivals.NextSession(conditions.snapshot())
 		select {
 		case t.sessionSlots <- struct{}{}:
 		default: // there are maxClients already: the session is dropped
--- a/internal/simulation/faultsearch/draw.go
+++ b/internal/simulation/faultsearch/draw.go
@@ -66,17 +66,17 @@
 func (s *Search) drawFault(rnd *rand.Rand) scenario.Fault {
 	kind := faultKinds[rnd.IntN(len(faultKinds))]
 	fault := scenario.Fault{
-		What: kind.name, Fraction: drawNumber(rnd, kind.fraction), Factor: drawNumber(rnd, kind.factor),
+		Type: kind.name, Fraction: drawNumber(rnd, kind.fraction), Factor: drawNumber(rnd, kind.factor),
 	}
 	s.drawTime(rnd, &fault)
 	switch {
 	case kind.onEngines:
-		engines := &s.Scenario.Kinds[rnd.IntN(len(s.Scenario.Kinds))]
-		fault.Kind, fault.Count = engines.Name, 1+rnd.IntN(max(min(engines.Count/maxEnginesDivisor, maxEngines), 1))
+		engines := &s.Scenario.EngineKinds[rnd.IntN(len(s.Scenario.EngineKinds))]
+		fault.EngineKind, fault.Count = engines.Name, 1+rnd.IntN(max(min(engines.Count/maxEnginesDivisor, maxEngines), 1))
 	case kind.name == "front-kill" || kind.name == "front-stop":
 		fault.Count = 1 + rnd.IntN(max(s.Scenario.Replicas/2, 1))
 	case kind.name == "register-late":
-		fault.Late = time.Duration(minLateMillis+rnd.IntN(lateSpreadMillis)) * time.Millisecond
+		fault.EventDelay = time.Duration(minLateMillis+rnd.IntN(lateSpreadMillis)) * time.Millisecond
 	case kind.name == "mix":
 		fault.Class = s.Scenario.Classes[rnd.IntN(len(s.Scenario.Classes))].Name
 	}
@@ -96,8 +96,9 @@
 
 // drawTime draws the time at which a fault begins, and its duration.
 func (s *Search) drawTime(rnd *rand.Rand, f *scenario.Fault) {
-	f.For = (minFaultDuration + time.Duration(rnd.Float64()*maxExtraFraction*float64(s.Scenario.Length))).Round(timeStep)
-	latest := max(s.latestEnd()-f.For, 0)
+	f.Duration = (minFaultDuration +
+		time.Duration(rnd.Float64()*maxExtraFraction*float64(s.Scenario.Length))).Round(timeStep)
+	latest := max(s.latestEnd()-f.Duration, 0)
 	f.At = time.Duration(rnd.Float64() * float64(latest)).Round(timeStep)
 }
 
@@ -117,7 +118,7 @@
 			}
 		default: // move the fault to the time of another one, so that both coincide
 			j := rnd.IntN(len(list))
-			list[i].At = min(list[j].At, s.latestEnd()-list[i].For)
+			list[i].At = min(list[j].At, s.latestEnd()-list[i].Duration)
 			list[i].At = max(list[i].At, 0)
 		}
 	}
--- a/internal/simulation/faultsearch/reduce.go
+++ b/internal/simulation/faultsearch/reduce.go
@@ -46,9 +46,9 @@
 		}
 	}
 	for i, f := range faults {
-		if f.For >= minHalvedDuration {
+		if f.Duration >= minHalvedDuration {
 			list := slices.Clone(faults)
-			list[i].For = (f.For / 2).Round(timeStep)
+			list[i].Duration = (f.Duration / 2).Round(timeStep)
 			lists = append(lists, list)
 		}
 		if f.Count > 1 {
--- a/internal/simulation/fleet/apiserver.go
+++ b/internal/simulation/fleet/apiserver.go
@@ -118,7 +118,7 @@
 		}
 		s.runTask(fault.At, func() {
 			if undo := s.applyFault(fault); undo != nil {
-				s.runTask(fault.For, undo)
+				s.runTask(fault.Duration, undo)
 			}
 		})
 	}
--- a/internal/simulation/fleet/apiserver_faults.go
+++ b/internal/simulation/fleet/apiserver_faults.go
@@ -11,7 +11,7 @@
 	var candidates []int
 	for i, e := range s.fleet.engines {
 		listed := &s.engines[i]
-		if (f.Kind == "" || e.kind.Name == f.Kind) && listed.up && listed.activeFaults == 0 && !listed.draining {
+		if (f.EngineKind == "" || e.kind.Name == f.EngineKind) && listed.up && listed.activeFaults == 0 && !listed.draining {
 			candidates = append(candidates, i)
 		}
 	}
@@ -20,14 +20,14 @@
 
 // applyFault starts a fault. undo ends it; nil means that the fault has no end.
 func (s *apiServer) applyFault(f *scenario.Fault) (undo func()) {
-	switch f.What {
+	switch f.Type {
 	case "front-kill", "front-stop":
 		return s.stopReplicas(f)
 	case "register-cut":
 		s.partitioned = true
-		return func() { s.reconnect(f.For) }
+		return func() { s.reconnect(f.Duration) }
 	case "register-late":
-		s.updateDelay = f.Late
+		s.updateDelay = f.EventDelay
 		return func() { s.updateDelay = 0 }
 	case "register-compact": // the watches end, and each replica fetches the full list again
 		for i := range s.fleet.replicas {
@@ -86,7 +86,7 @@
 // applyToEngine starts or ends a fault on one engine.
 func (s *apiServer) applyToEngine(i int, f *scenario.Fault, active bool) {
 	listed := &s.engines[i]
-	switch f.What {
+	switch f.Type {
 	case "drain":
 		listed.draining = active
 		s.sendChange(i)
@@ -107,7 +107,7 @@
 			s.sendChange(i)
 		}
 	}
-	fault := engineFault{f.What, active, f.Fraction, f.Factor, f.Class}
+	fault := engineFault{f.Type, active, f.Fraction, f.Factor, f.Class}
 	s.send(s.fleet.engines[i].id, s.fleet.linkDelay(s.linkRnd), fault)
 }
 
@@ -134,7 +134,7 @@
 		if !s.watches[i].down && len(picked) < max(f.Count, 1) {
 			picked = append(picked, i)
 			s.watches[i].down = true
-			s.send(s.fleet.replicas[i].id, s.fleet.linkDelay(s.linkRnd), processSignal{f.What})
+			s.send(s.fleet.replicas[i].id, s.fleet.linkDelay(s.linkRnd), processSignal{f.Type})
 		}
 	}
 	return func() {
--- a/internal/simulation/fleet/clients.go
+++ b/internal/simulation/fleet/clients.go
@@ -120,7 +120,7 @@
 	for _, change := range c.fleet.scenario.ConditionChanges() {
 		c.schedule(change.At, conditionsChange{change.Apply})
 	}
-	c.schedule(c.arrivals.Gap(&c.conditions), sessionArrival{})
+	c.schedule(c.arrivals.NextGap(&c.conditions), sessionArrival{})
 }
 
 func (c *clients) receive(message any) {
@@ -148,8 +148,8 @@
 	if c.now() > c.fleet.scenario.Length {
 		return
 	}
-	session := c.arrivals.Next(&c.conditions)
-	c.schedule(c.arrivals.Gap(&c.conditions), sessionArrival{})
+	session := c.arrivals.NextSession(&c.conditions)
+	c.schedule(c.arrivals.NextGap(&c.conditions), sessionArrival{})
 	c.openSessions++
 	c.sendAttempt(&clientRequest{session: session, sessionKey: session.Key, sent: c.now()})
 }
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -23,7 +23,7 @@
 	rnd    *rand.Rand
 	index  int
 	name   string
-	kind   *scenario.Kind // as configured; the engine's role may change later
+	kind   *scenario.EngineKind // as configured; the engine's role may change later
 	cell   int
 	params enginemodel.Params
 
@@ -111,7 +111,7 @@
 // cells is the number of cells over which the engines of each kind are distributed.
 const cells = 2
 
-func newEngine(f *fleet, k *scenario.Kind, n int) *engine {
+func newEngine(f *fleet, k *scenario.EngineKind, n int) *engine {
 	e := &engine{
 		recorder: recorder{enabled: f.options.Audit}, fleet: f, rnd: f.newRand(firstEngineStream + uint64(len(f.engines))),
 		index: len(f.engines), name: fmt.Sprintf("%s-%d", k.Name, n+1), kind: k, cell: 1 + n%cells,
--- a/internal/simulation/fleet/engine_roles.go
+++ b/internal/simulation/fleet/engine_roles.go
@@ -41,7 +41,7 @@
 
 // allowRoleChanges sets up the engines of the kinds that can change role, and assigns their initial roles.
 func (f *fleet) allowRoleChanges() {
-	params, names := f.scenario.ChangingRoles()
+	params, names := f.scenario.RoleChangeParams()
 	if names == nil {
 		return
 	}
--- a/internal/simulation/fleet/fleet.go
+++ b/internal/simulation/fleet/fleet.go
@@ -125,9 +125,9 @@
 	f.scheduler.add(f.clients)
 	f.apiServer = newAPIServer(f)
 	f.scheduler.add(f.apiServer)
-	for i := range f.scenario.Kinds {
-		for n := range f.scenario.Kinds[i].Count {
-			e := newEngine(f, &f.scenario.Kinds[i], n)
+	for i := range f.scenario.EngineKinds {
+		for n := range f.scenario.EngineKinds[i].Count {
+			e := newEngine(f, &f.scenario.EngineKinds[i], n)
 			f.scheduler.add(e)
 			f.engines = append(f.engines, e)
 		}
--- a/internal/simulation/fleet/fleet_test.go
+++ b/internal/simulation/fleet/fleet_test.go
@@ -179,7 +179,7 @@
 	f := fleet{scheduler: newScheduler(1, time.Millisecond)}
 	server := &apiServer{fleet: &f, engines: make([]listedEngine, 1)}
 	f.scheduler.add(server)
-	f.engines = []*engine{{kind: &flap.Kinds[0]}}
+	f.engines = []*engine{{kind: &flap.EngineKinds[0]}}
 	shard := f.scheduler.shards[0]
 	unlisted := []bool{}
 	server.engines[0].flapGeneration = 1
@@ -215,7 +215,7 @@
 	f := &fleet{scenario: sc, scheduler: newScheduler(1, time.Millisecond), replicas: []*replica{{}}}
 	c := &clients{fleet: f, score: sc.Score(), attempts: map[uint64]*clientAttempt{}}
 	f.scheduler.add(c)
-	session := sc.Arrivals().Next(&scenario.Conditions{RateFactor: 1})
+	session := sc.Arrivals().NextSession(&scenario.Conditions{RateFactor: 1})
 	session.ReadsSlowly, session.Stream = true, true
 	c.openSessions = 1
 	c.attempts[1] = &clientAttempt{number: 1, request: &clientRequest{session: session}, outputTokens: 40, firstToken: 1}
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -180,13 +180,13 @@
 	if !s.fleet.options.Oracles.KnowHealth {
 		return false
 	}
-	switch f.What {
+	switch f.Type {
 	case "drain", "remove", "crash", "forget", "silent-restart", "role-force":
 		return false
 	}
 	left := 0
 	for i, e := range s.fleet.engines {
-		if listed := &s.engines[i]; (f.Kind == "" || e.kind.Name == f.Kind) && listed.up && !listed.unhealthy {
+		if listed := &s.engines[i]; (f.EngineKind == "" || e.kind.Name == f.EngineKind) && listed.up && !listed.unhealthy {
 			left++
 		}
 	}
--- a/internal/simulation/forecast/compare.go
+++ b/internal/simulation/forecast/compare.go
@@ -32,14 +32,14 @@
 
 // Summary holds the results of one replication that a comparison needs.
 type Summary struct {
-	Service           float64           `json:"service"`
-	Worst             float64           `json:"worst_10s"`
-	Requests          int               `json:"requests"`
-	Rejected          int               `json:"refused"`
-	Attempts          int               `json:"attempts"`
-	TransferredTokens float64           `json:"state_tokens"`
-	Violations        int               `json:"breaches"`
-	Timeline          []scenario.Second `json:"course"`
+	Service           float64                 `json:"service"`
+	Worst             float64                 `json:"worst_10s"`
+	Requests          int                     `json:"requests"`
+	Rejected          int                     `json:"refused"`
+	Attempts          int                     `json:"attempts"`
+	TransferredTokens float64                 `json:"state_tokens"`
+	Violations        int                     `json:"breaches"`
+	Timeline          []scenario.SecondTotals `json:"course"`
 }
 
 // Summarize returns the summary of a replication.
@@ -89,7 +89,7 @@
 	Bimodal           bool       `json:"two_heaps"` // Diffs form two clusters, so the mean says little
 	Verdict           Verdict    `json:"verdict"`
 
-	Timelines [2][]scenario.Second `json:"-"` // summed over all replications
+	Timelines [2][]scenario.SecondTotals `json:"-"` // summed over all replications
 }
 
 // StoppingRule determines when a comparison ends.
@@ -163,7 +163,7 @@
 	c.Violations[k] += s.Violations
 	for i, second := range s.Timeline {
 		if i == len(c.Timelines[k]) {
-			c.Timelines[k] = append(c.Timelines[k], scenario.Second{})
+			c.Timelines[k] = append(c.Timelines[k], scenario.SecondTotals{})
 		}
 		c.Timelines[k][i].ServedWeight += second.ServedWeight
 		c.Timelines[k][i].RequestedWeight += second.RequestedWeight
--- a/internal/simulation/forecast/golden_test.go
+++ b/internal/simulation/forecast/golden_test.go
@@ -34,7 +34,7 @@
 func TestStoredJSONIsUnchanged(t *testing.T) {
 	checkStored(t, "summary.json", Summary{
 		Service: 0.5, Worst: 0.25, Requests: 3, Rejected: 4, Attempts: 5, TransferredTokens: 6.5, Violations: 7,
-		Timeline: []scenario.Second{{ServedWeight: 1.5, RequestedWeight: 2.5}, {}},
+		Timeline: []scenario.SecondTotals{{ServedWeight: 1.5, RequestedWeight: 2.5}, {}},
 	})
 	checkStored(t, "forecast.json", Forecast{
 		Scenario: "bad.xml", Services: []float64{0.5, 0.75}, Mean: 0.625, SD: 0.125, Low: 0.5, High: 0.875,
@@ -45,7 +45,7 @@
 		Names: [2]string{"a", "b"}, Means: [2]float64{1, 2}, Worst: [2]float64{3, 4},
 		Rejected: [2]float64{5, 6}, Attempts: [2]float64{7, 8}, TransferredTokens: [2]float64{9, 10},
 		Violations: [2]int{11, 12}, Diffs: []float64{13, 14}, Mean: 15, Low: 16, High: 17, Level: 18, Looks: 19,
-		Bimodal: true, Verdict: SecondBetter, Timelines: [2][]scenario.Second{{{ServedWeight: 1}}, nil},
+		Bimodal: true, Verdict: SecondBetter, Timelines: [2][]scenario.SecondTotals{{{ServedWeight: 1}}, nil},
 	})
 	checkStored(t, "verdicts.json", []Verdict{FirstBetter, SecondBetter, NoDifference, Undecided})
 }
--- a/internal/simulation/forecast/report.go
+++ b/internal/simulation/forecast/report.go
@@ -113,7 +113,7 @@
 }
 
 // serviceBySecond returns the service of each second; it is NaN where nothing was requested.
-func serviceBySecond(timeline []scenario.Second) []float64 {
+func serviceBySecond(timeline []scenario.SecondTotals) []float64 {
 	services := make([]float64, len(timeline))
 	for i, second := range timeline {
 		services[i] = math.NaN()
--- a/internal/simulation/overload/measure.go
+++ b/internal/simulation/overload/measure.go
@@ -28,7 +28,7 @@
 )
 
 // timeline is the outcome of a run for each second.
-type timeline []scenario.Second
+type timeline []scenario.SecondTotals
 
 // sum returns the priority weight that was served and requested from second from to before second to.
 func (t timeline) sum(from, to int) (served, requested float64) {
--- a/internal/simulation/overload/overload.go
+++ b/internal/simulation/overload/overload.go
@@ -121,7 +121,7 @@
 	sc := p.Scenario.Replication(run + 1)
 	sc.Length = p.Before + p.For + p.After
 	from, to := p.Before, p.Before+p.For
-	surge := scenario.Fault{At: from, For: p.For, What: "surge", Factor: load / p.Base}
+	surge := scenario.Fault{At: from, Duration: p.For, Type: "surge", Factor: load / p.Base}
 	sc.Faults = append(slices.Clone(sc.Faults), surge)
 	sc.Rate *= config.Rate(p.Base)
 	options := fleet.Options{}
--- a/internal/simulation/scenario/arrivals.go
+++ b/internal/simulation/scenario/arrivals.go
@@ -11,16 +11,16 @@
 const (
 	arrivalsStream = 2
 	sessionStream  = 3
-	blendStream    = 5
+	mergeStream    = 5
 )
 
 // Arrivals generates the sessions of a scenario in the order of their arrival. It is not safe for concurrent use.
 type Arrivals struct {
-	scenario  *Scenario
-	rnd       *rand.Rand
-	meanTurns float64 // mean number of turns of a session
-	count     int64   // sessions generated so far
-	replay    replayState
+	scenario     *Scenario
+	rnd          *rand.Rand
+	meanTurns    float64 // mean number of turns of a session
+	sessionCount int64   // sessions generated so far
+	replayed     replayQueue
 }
 
 // Arrivals returns a generator of the scenario's sessions, from the start of the scenario.
@@ -32,25 +32,25 @@
 	return a
 }
 
-// Gap returns the time from the arrival of the previous session, or the start of the scenario, to that of the next.
-func (a *Arrivals) Gap(c *Conditions) time.Duration {
-	if a.replay.active {
-		return a.replay.nextGap()
+// NextGap returns the time from the arrival of the previous session, or the start of the scenario, to that of the next.
+func (a *Arrivals) NextGap(c *Conditions) time.Duration {
+	if a.replayed.active {
+		return a.replayed.nextGap()
 	}
 	rate := float64(a.scenario.Rate) / a.meanTurns * c.RateFactor
 	return time.Duration(a.rnd.ExpFloat64() / rate * float64(time.Second))
 }
 
-// Next returns the next session.
-func (a *Arrivals) Next(c *Conditions) *Session {
-	a.count++
+// NextSession returns the next session.
+func (a *Arrivals) NextSession(c *Conditions) *Session {
+	a.sessionCount++
 	seed := a.rnd.Uint64()
 	session := &Session{
-		ID: a.count, Key: fmt.Sprint("s", a.count), Tenant: -1,
+		ID: a.sessionCount, Key: fmt.Sprint("s", a.sessionCount), Tenant: -1,
 		scenario: a.scenario, seed: seed, rnd: rand.New(rand.NewPCG(seed, sessionStream)),
 	}
-	if a.replay.active {
-		a.replay.next(session, c)
+	if a.replayed.active {
+		a.replayed.fillSession(session, c)
 		return session
 	}
 	a.drawClass(session, c)
@@ -58,7 +58,7 @@
 		share := func(i int) float64 { return tenants[i].Share }
 		session.Tenant = drawIndex(session.rnd.Float64(), len(tenants), share)
 	}
-	session.begin(c)
+	session.drawFirstRequest(c)
 	return session
 }
 
--- a/internal/simulation/scenario/check.go
+++ b/internal/simulation/scenario/check.go
@@ -25,7 +25,7 @@
 
 func (s *Scenario) check(report config.Reporter) {
 	s.checkSize(report)
-	s.checkKinds(report)
+	s.checkEngineKinds(report)
 	s.checkPlanner(report)
 	s.checkStages(report)
 	s.checkClasses(report)
@@ -44,8 +44,8 @@
 	}
 }
 
-func (s *Scenario) checkKinds(report config.Reporter) {
-	for _, k := range s.Kinds {
+func (s *Scenario) checkEngineKinds(report config.Reporter) {
+	for _, k := range s.EngineKinds {
 		if k.Role != roleDecode && k.ReadRate == 0 {
 			report(k.Pos, `add read-rate="20000/s"`, "<engines kind=%q>: engines that prefill need a read-rate", k.Name)
 		}
@@ -59,21 +59,21 @@
 // checkPlanner requires that the kinds that change role, if any, are one prefill and one decode kind, and that a
 // planner has such kinds to assign.
 func (s *Scenario) checkPlanner(report config.Reporter) {
-	changing := map[string]int{} // kinds that change role, by initial role
-	for _, k := range s.Kinds {
+	changingKinds := map[string]int{} // kinds that change role, by initial role
+	for _, k := range s.EngineKinds {
 		if k.ChangesRole {
-			changing[k.Role]++
+			changingKinds[k.Role]++
 		}
 	}
-	onePair := len(changing) == 2 && changing[rolePrefill] == 1 && changing[roleDecode] == 1
-	if len(changing) > 0 && !onePair {
+	onePair := len(changingKinds) == 2 && changingKinds[rolePrefill] == 1 && changingKinds[roleDecode] == 1
+	if len(changingKinds) > 0 && !onePair {
 		report(s.Pos, `set shifts="true" on one kind with role="reader" and one with role="writer"`,
-			"kinds with shifts=\"true\", by role: %v", changing)
+			"kinds with shifts=\"true\", by role: %v", changingKinds)
 	}
 	if s.Planner == nil {
 		return
 	}
-	if len(changing) == 0 {
+	if len(changingKinds) == 0 {
 		report(s.Planner.Pos, `set shifts="true" on the kinds whose engines may change role`,
 			"<planner>: no kind of <engines> may change role")
 	}
@@ -89,34 +89,35 @@
 	if n := s.Engines(); n > maxEngines {
 		report(s.Pos, "reduce the counts of <engines>", "%d engines, at most %d are allowed", n, maxEngines)
 	}
-	prefills := slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Role != roleDecode })
-	decodes := slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Role != rolePrefill })
-	if !prefills || !decodes {
+	canPrefill := slices.ContainsFunc(s.EngineKinds, func(k EngineKind) bool { return k.Role != roleDecode })
+	canDecode := slices.ContainsFunc(s.EngineKinds, func(k EngineKind) bool { return k.Role != rolePrefill })
+	if !canPrefill || !canDecode {
 		report(s.Pos, "add engines of the missing role", "no <engines> can prefill, or none can decode")
 	}
 }
 
 func (s *Scenario) checkClasses(report config.Reporter) {
-	share := 0.0
+	shareSum := 0.0
 	for _, c := range s.Classes {
-		share += c.Share
+		shareSum += c.Share
 		if (c.Idempotency == idempotentWithKey) != (c.DedupWindow > 0) {
 			report(c.Pos, `set window with effect="keyed", and only then`,
 				"<class name=%q> has effect %s and a window of %v", c.Name, c.Idempotency, c.DedupWindow)
 		}
 	}
-	if len(s.Classes) > 0 && math.Abs(share-1) > shareTolerance {
-		report(s.Pos, "change the shares to add up to 1", "the shares of the classes add up to %v", share)
+	if len(s.Classes) > 0 && math.Abs(shareSum-1) > shareTolerance {
+		report(s.Pos, "change the shares to add up to 1", "the shares of the classes add up to %v", shareSum)
 	}
 }
 
 func (s *Scenario) checkFaults(report config.Reporter) {
 	for _, f := range s.Faults {
-		if f.At+f.For > s.Length {
-			report(f.Pos, "set an earlier at, a shorter for or a longer <day>", "<happen what=%q> ends after the <day>", f.What)
+		if f.At+f.Duration > s.Length {
+			report(f.Pos, "set an earlier at, a shorter for or a longer <day>", "<happen what=%q> ends after the <day>", f.Type)
 		}
-		if f.Kind != "" && !slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == f.Kind }) {
-			report(f.Pos, "use the kind of an <engines> element", "<happen kind=%q>: no engines are of this kind", f.Kind)
+		if f.EngineKind != "" &&
+			!slices.ContainsFunc(s.EngineKinds, func(k EngineKind) bool { return k.Name == f.EngineKind }) {
+			report(f.Pos, "use the kind of an <engines> element", "<happen kind=%q>: no engines are of this kind", f.EngineKind)
 		}
 		if f.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == f.Class }) {
 			report(f.Pos, "use the name of a <class>", "<happen class=%q>: no class has this name", f.Class)
@@ -136,13 +137,13 @@
 
 // SizeError is the error for a scenario that is too large to run on the sockets of one machine.
 type SizeError struct {
-	What string // replicas, engines or requests a second
-	Got  float64
-	Max  int
+	Quantity string // replicas, engines or requests a second
+	Value    float64
+	Max      int
 }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("scenario: %v %s; a run on sockets may have at most %d", e.Got, e.What, e.Max)
+	return fmt.Sprintf("scenario: %v %s; a run on sockets may have at most %d", e.Value, e.Quantity, e.Max)
 }
 
 // CheckRunnable returns a *SizeError if the scenario is too large to run on the sockets of one machine.
--- a/internal/simulation/scenario/conditions.go
+++ b/internal/simulation/scenario/conditions.go
@@ -30,7 +30,7 @@
 // Apply applies a fault to the conditions. undo resets the parameters that the fault changed to their normal values; it
 // is nil for a fault that does not concern clients.
 func (c *Conditions) Apply(f *Fault) (undo func(*Conditions)) {
-	switch f.What {
+	switch f.Type {
 	case "surge":
 		c.RateFactor = cmp.Or(f.Factor, 2)
 		return func(c *Conditions) { c.RateFactor = 1 }
@@ -74,7 +74,7 @@
 }
 
 // ConditionChanges returns the changes that the scenario's faults make, sorted by time.
-func (s *Scenario) ConditionChanges() (all []ConditionChange) {
+func (s *Scenario) ConditionChanges() (changes []ConditionChange) {
 	for i := range s.Faults {
 		fault := &s.Faults[i]
 		scratch := NormalConditions()
@@ -82,10 +82,10 @@
 			continue
 		}
 		var undo func(*Conditions)
-		all = append(all,
+		changes = append(changes,
 			ConditionChange{fault.At, func(c *Conditions) { undo = c.Apply(fault) }},
-			ConditionChange{fault.At + fault.For, func(c *Conditions) { undo(c) }})
+			ConditionChange{fault.At + fault.Duration, func(c *Conditions) { undo(c) }})
 	}
-	slices.SortStableFunc(all, func(a, b ConditionChange) int { return cmp.Compare(a.At, b.At) })
-	return all
+	slices.SortStableFunc(changes, func(a, b ConditionChange) int { return cmp.Compare(a.At, b.At) })
+	return changes
 }
--- a/internal/simulation/scenario/fault.go
+++ b/internal/simulation/scenario/fault.go
@@ -19,16 +19,16 @@
 // Fault is a failure, or a change of the traffic, that lasts for a while.
 type Fault struct {
 	config.Pos
-	At  time.Duration `cfg:"at,required"`
-	For time.Duration `cfg:"for"`
+	At       time.Duration `cfg:"at,required"`
+	Duration time.Duration `cfg:"for"`
 	//nolint:lll // a struct tag can't be split
-	What     string        `cfg:"what,required,enum=front-kill|front-stop|crash|fail-fast|fail-class|stall|slow|refuse-connects|reset-mid-stream|reset-after-request|reset-after-effect|fail-after-effect|stall-after-effect|forget|silent-restart|drain|remove|register-cut|register-late|register-flap|register-compact|register-stale|reports-frozen|reports-none|surge|overlong|hot-prefix|hang-ups|slow-readers|mix|planner-stop|role-force|liar"`
-	Kind     string        `cfg:"kind"`   // of the engines that it affects; "" = any
-	Class    string        `cfg:"class"`  // for fail-class, overlong and mix
-	Count    int           `cfg:"count"`  // of engines or replicas; 0 = by Fraction, see DrawTargets
-	Fraction float64       `cfg:"part"`   // of the engines, requests or sessions that it affects
-	Factor   float64       `cfg:"factor"` // for slow, surge, overlong, and mix (of the class's share)
-	Late     time.Duration `cfg:"late"`   // for register-late
+	Type       string        `cfg:"what,required,enum=front-kill|front-stop|crash|fail-fast|fail-class|stall|slow|refuse-connects|reset-mid-stream|reset-after-request|reset-after-effect|fail-after-effect|stall-after-effect|forget|silent-restart|drain|remove|register-cut|register-late|register-flap|register-compact|register-stale|reports-frozen|reports-none|surge|overlong|hot-prefix|hang-ups|slow-readers|mix|planner-stop|role-force|liar"`
+	EngineKind string        `cfg:"kind"`   // of the engines that it affects; "" = any
+	Class      string        `cfg:"class"`  // for fail-class, overlong and mix
+	Count      int           `cfg:"count"`  // of engines or replicas; 0 = by Fraction, see DrawTargets
+	Fraction   float64       `cfg:"part"`   // of the engines, requests or sessions that it affects
+	Factor     float64       `cfg:"factor"` // for slow, surge, overlong, and mix (of the class's share)
+	EventDelay time.Duration `cfg:"late"`   // for register-late
 }
 
 // requestFaults are the engine faults whose Fraction is a fraction of each engine's requests. That of the other engine
@@ -42,7 +42,7 @@
 // candidates, rounded up, or 1 if there is no Fraction or it applies to requests. DrawTargets reorders the candidates.
 func DrawTargets[E any](f *Fault, rnd *rand.Rand, candidates []E) []E {
 	n := max(f.Count, 1)
-	if f.Count == 0 && f.Fraction > 0 && !slices.Contains(requestFaults, f.What) {
+	if f.Count == 0 && f.Fraction > 0 && !slices.Contains(requestFaults, f.Type) {
 		n = int(math.Ceil(f.Fraction * float64(len(candidates))))
 	}
 	rnd.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
@@ -59,7 +59,7 @@
 
 // WithFaults returns the scenario with other faults, and the text of its file, which has the note as a comment. The
 // expected service is left out, since it was set for the original faults.
-func (s *Scenario) WithFaults(faults []Fault, note string) (*Scenario, []byte, error) {
+func (s *Scenario) WithFaults(faults []Fault, comment string) (*Scenario, []byte, error) {
 	text := faultElement.ReplaceAll(s.text, nil)
 	text = expectedElement.ReplaceAll(text, nil)
 	end := bytes.LastIndex(text, []byte("</day>"))
@@ -68,8 +68,8 @@
 	}
 	var b bytes.Buffer
 	b.Write(text[:end])
-	if note != "" {
-		fmt.Fprintf(&b, "  <!-- %s -->\n", strings.ReplaceAll(note, "--", "- -"))
+	if comment != "" {
+		fmt.Fprintf(&b, "  <!-- %s -->\n", strings.ReplaceAll(comment, "--", "- -"))
 	}
 	for i := range faults {
 		b.WriteString("  " + faults[i].XML() + "\n")
@@ -82,19 +82,19 @@
 // XML returns the fault as an element of a scenario file.
 func (f *Fault) XML() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "<happen at=%q what=%q", formatDuration(f.At), f.What)
-	add := func(name, value string, given bool) {
-		if given {
+	fmt.Fprintf(&b, "<happen at=%q what=%q", formatDuration(f.At), f.Type)
+	add := func(name, value string, isSet bool) {
+		if isSet {
 			b.WriteString(" " + name + `="` + escapeXML(value) + `"`)
 		}
 	}
-	add("kind", f.Kind, f.Kind != "")
+	add("kind", f.EngineKind, f.EngineKind != "")
 	add("class", f.Class, f.Class != "")
 	add("count", strconv.Itoa(f.Count), f.Count != 0)
 	add("part", strconv.FormatFloat(f.Fraction, 'f', -1, 64), f.Fraction != 0)
 	add("factor", strconv.FormatFloat(f.Factor, 'f', -1, 64), f.Factor != 0)
-	add("late", formatDuration(f.Late), f.Late != 0)
-	add("for", formatDuration(f.For), f.For != 0)
+	add("late", formatDuration(f.EventDelay), f.EventDelay != 0)
+	add("for", formatDuration(f.Duration), f.Duration != 0)
 	return b.String() + "/>"
 }
 
--- a/internal/simulation/scenario/golden_test.go
+++ b/internal/simulation/scenario/golden_test.go
@@ -27,22 +27,22 @@
 		t.Fatal(err)
 	}
 	faults := []Fault{
-		{At: time.Second, What: "crash", Kind: "decode", Count: 2, For: 1500 * time.Millisecond},
-		{At: 2 * time.Second, What: "fail-class", Class: "order", Fraction: 0.125, For: time.Second},
-		{At: 3 * time.Second, What: "register-late", Late: 250 * time.Millisecond, For: time.Second},
-		{At: 4 * time.Second, What: "surge", Factor: 2.5, For: time.Second},
-		{At: 5 * time.Second, What: "front-kill"},
+		{At: time.Second, Type: "crash", EngineKind: "decode", Count: 2, Duration: 1500 * time.Millisecond},
+		{At: 2 * time.Second, Type: "fail-class", Class: "order", Fraction: 0.125, Duration: time.Second},
+		{At: 3 * time.Second, Type: "register-late", EventDelay: 250 * time.Millisecond, Duration: time.Second},
+		{At: 4 * time.Second, Type: "surge", Factor: 2.5, Duration: time.Second},
+		{At: 5 * time.Second, Type: "front-kill"},
 	}
-	again, text, err := sc.WithFaults(faults, "found by a hunt: -- a note")
+	reparsed, text, err := sc.WithFaults(faults, "found by a hunt: -- a note")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "written.xml", string(text))
-	read, err := Load(filepath.Join("testdata", "written.xml"))
+	loaded, err := Load(filepath.Join("testdata", "written.xml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, parsed := range []*Scenario{again, read} {
+	for _, parsed := range []*Scenario{reparsed, loaded} {
 		_, text, err = parsed.WithFaults(parsed.Faults, "found by a hunt: -- a note")
 		if err != nil {
 			t.Fatal(err)
@@ -72,7 +72,7 @@
 
 // Compares the parsed fields of the default scenario, and of scenarios with the elements that it lacks.
 func TestParsedFieldsAreUnchanged(t *testing.T) {
-	var got strings.Builder
+	var fields strings.Builder
 	files := []string{
 		"bad.xml", "testdata/written.xml", "../../../scenarios/roles-swing.xml", "../../../scenarios/roles-two.xml",
 	}
@@ -81,10 +81,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&got, "%s\n", filepath.Base(file))
-		formatFields(&got, "day", reflect.ValueOf(sc).Elem())
+		fmt.Fprintf(&fields, "%s\n", filepath.Base(file))
+		formatFields(&fields, "day", reflect.ValueOf(sc).Elem())
 	}
-	golden.Check(t, "days.txt", got.String())
+	golden.Check(t, "days.txt", fields.String())
 }
 
 // Reports contain rows and timelines as JSON that is read again: the keys must stay, and decoding must lose nothing.
@@ -103,22 +103,22 @@
 		}
 	}
 	text, err := json.MarshalIndent(struct {
-		Rows   []Row    `json:"rows"`
-		Course []Second `json:"course"`
-	}{[]Row{r}, []Second{{ServedWeight: 1.5, RequestedWeight: 2.5}}}, "", " ")
+		Rows   []Row          `json:"rows"`
+		Course []SecondTotals `json:"course"`
+	}{[]Row{r}, []SecondTotals{{ServedWeight: 1.5, RequestedWeight: 2.5}}}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "rows.json", string(text))
-	var back struct {
-		Rows   []Row    `json:"rows"`
-		Course []Second `json:"course"`
+	var decoded struct {
+		Rows   []Row          `json:"rows"`
+		Course []SecondTotals `json:"course"`
 	}
-	if err := json.Unmarshal(text, &back); err != nil {
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	twice, err := json.MarshalIndent(back, "", " ")
-	if err != nil || !slices.Equal(text, twice) {
-		t.Errorf("decoded and encoded again (%v):\n%s", err, twice)
+	reencoded, err := json.MarshalIndent(decoded, "", " ")
+	if err != nil || !slices.Equal(text, reencoded) {
+		t.Errorf("decoded and encoded again (%v):\n%s", err, reencoded)
 	}
 }
--- a/internal/simulation/scenario/replay.go
+++ b/internal/simulation/scenario/replay.go
@@ -24,46 +24,46 @@
 // arriving at the same times.
 const maxCopyOffset = 2 * time.Second
 
-// Blend merges recordings, with as many copies of each as its scale says. All copies but the first of a recording are
+// Merge merges recordings, with as many copies of each as its scale says. All copies but the first of a recording are
 // delayed by up to maxCopyOffset. Each copy has its own sessions, but prefixes stay shared between copies. If a scale
 // is not a whole number, its fractional part is the probability with which a request is in the last copy.
-func Blend(seed uint64, recordings [][]RecordedRequest, scales []float64) []RecordedRequest {
-	rnd := rand.New(rand.NewPCG(seed, blendStream))
-	var out []RecordedRequest
+func Merge(seed uint64, recordings [][]RecordedRequest, scales []float64) []RecordedRequest {
+	rnd := rand.New(rand.NewPCG(seed, mergeStream))
+	var merged []RecordedRequest
 	for i, recording := range recordings {
 		for copyIndex := 0; float64(copyIndex) < scales[i]; copyIndex++ {
-			keep := min(scales[i]-float64(copyIndex), 1)
+			keepProbability := min(scales[i]-float64(copyIndex), 1)
 			offset := time.Duration(0)
 			if copyIndex > 0 {
 				offset = time.Duration(rnd.Float64() * float64(maxCopyOffset))
 			}
 			for _, request := range recording {
-				if keep < 1 && rnd.Float64() >= keep {
+				if keepProbability < 1 && rnd.Float64() >= keepProbability {
 					continue
 				}
 				request.At += offset
 				if request.Session != "" && copyIndex+i > 0 {
 					request.Session = fmt.Sprintf("%s of %d.%d", request.Session, i, copyIndex)
 				}
-				out = append(out, request)
+				merged = append(merged, request)
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b RecordedRequest) int { return cmp.Compare(a.At, b.At) })
-	return out
+	slices.SortStableFunc(merged, func(a, b RecordedRequest) int { return cmp.Compare(a.At, b.At) })
+	return merged
 }
 
 // Replay returns arrivals that replay recorded requests instead of drawing sessions. Each request is a session of one
 // turn, so that it arrives at its recorded time. How its client retries, reads and disconnects is drawn as for other
 // sessions.
-func (s *Scenario) Replay(list []RecordedRequest) *Arrivals {
+func (s *Scenario) Replay(requests []RecordedRequest) *Arrivals {
 	a := s.Arrivals()
-	a.replay = replayState{active: true, pending: list}
+	a.replayed = replayQueue{active: true, pending: requests}
 	return a
 }
 
-// replayState is the state of Arrivals that replay a recording.
-type replayState struct {
+// replayQueue is the state of Arrivals that replay a recording.
+type replayQueue struct {
 	active      bool
 	pending     []RecordedRequest
 	lastArrival time.Duration // time of the latest arrival
@@ -72,7 +72,7 @@
 // noMoreArrivals is the gap after the last recorded request. It is longer than any scenario.
 const noMoreArrivals = 1000 * time.Hour
 
-func (r *replayState) nextGap() time.Duration {
+func (r *replayQueue) nextGap() time.Duration {
 	if len(r.pending) == 0 {
 		return noMoreArrivals
 	}
@@ -84,11 +84,11 @@
 // recordedPrefixStream is the PCG stream of the generated texts that stand for recorded prefixes.
 const recordedPrefixStream = 7
 
-// next fills in a session from the next recorded request.
-func (r *replayState) next(s *Session, c *Conditions) {
+// fillSession fills in a session from the next recorded request.
+func (r *replayQueue) fillSession(s *Session, c *Conditions) {
 	request := &r.pending[0]
 	r.pending = r.pending[1:]
-	s.Class, s.Tenant, s.singleTurn = request.Class, request.Tenant, true
+	s.Class, s.Tenant, s.isSingleTurn = request.Class, request.Tenant, true
 	if request.Session != "" {
 		s.Key = request.Session
 	}
@@ -96,7 +96,7 @@
 	if request.Prefix != "" && request.PrefixTokens > 0 {
 		s.Prefix = Text{[2]uint64{xxhash.Sum64String(request.Prefix), recordedPrefixStream}, request.PrefixTokens}
 	}
-	s.nextRequest(c)
+	s.drawNextRequest(c)
 	s.Messages = []Text{{[2]uint64{s.seed, firstMessageStream}, max(request.PromptTokens-request.PrefixTokens, 1)}}
 	s.AnswerTokens = request.AnswerTokens
 }
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -28,7 +28,7 @@
 	EngineProtocol string        `cfg:"dialect,enum=vllm|extended"` // of the engines; "" = extended
 	Service        *Service      `cfg:"service,required"`
 	Planner        *Planner      `cfg:"planner"` // nil = engines keep their roles
-	Kinds          []Kind        `cfg:"engines,required"`
+	EngineKinds    []EngineKind  `cfg:"engines,required"`
 	Classes        []Class       `cfg:"class,required"`
 	Tenants        []Tenant      `cfg:"tenant"`
 	Faults         []Fault       `cfg:"happen"`
@@ -73,8 +73,8 @@
 	}
 }
 
-// Kind is a group of identical engines.
-type Kind struct {
+// EngineKind is a group of identical engines.
+type EngineKind struct {
 	config.Pos
 	Name          string        `cfg:"kind,required"`
 	ChangesRole   bool          `cfg:"shifts"` // engines may take the role of the other kind that changes role
@@ -89,7 +89,7 @@
 	FetchRate     config.Rate   `cfg:"fetch-rate"`      // tokens of read state a second
 }
 
-// Values of Kind.Role, besides "mixed".
+// Values of EngineKind.Role, besides "mixed".
 const (
 	rolePrefill = "reader"
 	roleDecode  = "writer"
@@ -175,7 +175,7 @@
 
 // Engines returns the number of engines of all kinds.
 func (s *Scenario) Engines() (n int) {
-	for _, k := range s.Kinds {
+	for _, k := range s.EngineKinds {
 		n += k.Count
 	}
 	return n
@@ -188,9 +188,9 @@
 // Replication returns the scenario with the seed of its n-th replication, counted from 1. Variants of a fleet are
 // compared on the same replications, and so with the same clients.
 func (s *Scenario) Replication(n int) *Scenario {
-	copied := *s
-	copied.Seed += replicationSeedStride * n
-	return &copied
+	replication := *s
+	replication.Seed += replicationSeedStride * n
+	return &replication
 }
 
 // Scale sets the length of the scenario and scales the starts and durations of its faults in proportion.
@@ -203,7 +203,7 @@
 	for i := range s.Faults {
 		fault := &s.Faults[i]
 		fault.At = time.Duration(float64(fault.At) * factor)
-		fault.For = time.Duration(float64(fault.For) * factor)
+		fault.Duration = time.Duration(float64(fault.Duration) * factor)
 	}
 	return nil
 }
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -31,19 +31,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			again, text, err := sc.WithFaults(sc.Faults, "a note -- with dashes")
+			reparsed, text, err := sc.WithFaults(sc.Faults, "a note -- with dashes")
 			if err != nil {
 				t.Fatalf("%v\n%s", err, text)
 			}
-			for i := range again.Faults {
-				a, b := sc.Faults[i], again.Faults[i]
+			for i := range reparsed.Faults {
+				a, b := sc.Faults[i], reparsed.Faults[i]
 				a.Pos = b.Pos
 				if a != b {
 					t.Errorf("%+v was parsed back as %+v", a, b)
 				}
 			}
-			if len(again.Faults) != len(sc.Faults) || !reflect.DeepEqual(again.Service.StateTTL, sc.Service.StateTTL) {
-				t.Errorf("%d faults, want %d; or another state TTL", len(again.Faults), len(sc.Faults))
+			if len(reparsed.Faults) != len(sc.Faults) || !reflect.DeepEqual(reparsed.Service.StateTTL, sc.Service.StateTTL) {
+				t.Errorf("%d faults, want %d; or another state TTL", len(reparsed.Faults), len(sc.Faults))
 			}
 		})
 	}
@@ -51,10 +51,10 @@
 
 // Each fault that concerns clients changes their conditions, and undoing it restores them.
 func TestConditionsAreRestored(t *testing.T) {
-	for _, what := range []string{"surge", "mix", "overlong", "hot-prefix", "hang-ups", "slow-readers"} {
-		t.Run(what, func(t *testing.T) {
+	for _, faultType := range []string{"surge", "mix", "overlong", "hot-prefix", "hang-ups", "slow-readers"} {
+		t.Run(faultType, func(t *testing.T) {
 			conditions := NormalConditions()
-			fault := &Fault{What: what, Class: "order", Factor: 3, Fraction: 0.5}
+			fault := &Fault{Type: faultType, Class: "order", Factor: 3, Fraction: 0.5}
 			undo := conditions.Apply(fault)
 			if undo == nil || reflect.DeepEqual(conditions, NormalConditions()) {
 				t.Fatal("the fault changes no condition")
@@ -63,7 +63,7 @@
 			if conditions.RateFactor != 1 ||
 				conditions.HotPrefixFraction+conditions.DisconnectFraction+conditions.SlowReadFraction+
 					conditions.LongPromptFraction != 0 ||
-				what == "mix" && conditions.ShareFactors["order"] != 1 {
+				faultType == "mix" && conditions.ShareFactors["order"] != 1 {
 				t.Errorf("not undone: %+v", conditions)
 			}
 		})
@@ -73,13 +73,13 @@
 // While two faults overlap, undoing one leaves the other in effect.
 func TestOverlappingConditionsAreRestored(t *testing.T) {
 	conditions := NormalConditions()
-	first := conditions.Apply(&Fault{What: "mix", Class: "a", Factor: 2})
-	second := conditions.Apply(&Fault{What: "mix", Class: "b", Factor: 3})
-	first(&conditions)
+	undoFirst := conditions.Apply(&Fault{Type: "mix", Class: "a", Factor: 2})
+	undoSecond := conditions.Apply(&Fault{Type: "mix", Class: "b", Factor: 3})
+	undoFirst(&conditions)
 	if conditions.ShareFactors["a"] != 1 || conditions.ShareFactors["b"] != 3 {
 		t.Errorf("%v", conditions.ShareFactors)
 	}
-	second(&conditions)
+	undoSecond(&conditions)
 	if conditions.ShareFactors["a"] != 1 || conditions.ShareFactors["b"] != 1 {
 		t.Errorf("%v", conditions.ShareFactors)
 	}
@@ -87,7 +87,7 @@
 
 func TestEngineFaultsChangeNoConditions(t *testing.T) {
 	conditions := NormalConditions()
-	if conditions.Apply(&Fault{What: "crash"}) != nil {
+	if conditions.Apply(&Fault{Type: "crash"}) != nil {
 		t.Error("a crash changes the clients' conditions")
 	}
 }
@@ -95,11 +95,11 @@
 // Whether requests are served or fail must not influence when other sessions arrive and how long their prompts are.
 func TestRequestOutcomesDoNotChangeDraws(t *testing.T) {
 	conditions := NormalConditions()
-	play := func(kind string) (lengths []int, gaps []time.Duration) {
+	drawSessions := func(kind string) (lengths []int, gaps []time.Duration) {
 		a := defaultScenario(t).Arrivals()
 		for range 300 {
-			gaps = append(gaps, a.Gap(&conditions))
-			s := a.Next(&conditions)
+			gaps = append(gaps, a.NextGap(&conditions))
+			s := a.NextSession(&conditions)
 			n, prefix := s.PromptBytes()
 			if prefix > n || n == 0 || len(s.Prefix.Words()) != s.Prefix.Bytes() {
 				t.Fatalf("%d bytes, %d shared", n, prefix)
@@ -110,8 +110,8 @@
 		}
 		return lengths, gaps
 	}
-	lengths1, gaps1 := play("served")
-	lengths2, gaps2 := play("failed")
+	lengths1, gaps1 := drawSessions("served")
+	lengths2, gaps2 := drawSessions("failed")
 	if !reflect.DeepEqual(lengths1, lengths2) || !reflect.DeepEqual(gaps1, gaps2) {
 		t.Error("the outcome of requests changes which requests arrive")
 	}
@@ -119,11 +119,11 @@
 
 // newSession draws sessions until one has the given idempotency and a client that marks its retries or not, as given,
 // and counts its first attempt.
-func newSession(sc *Scenario, idempotency string, marks bool) *Session {
+func newSession(sc *Scenario, idempotency string, marksRetries bool) *Session {
 	conditions, arrivals := NormalConditions(), sc.Arrivals()
 	for {
-		s := arrivals.Next(&conditions)
-		if sc.Classes[s.Class].Idempotency == idempotency && s.MarksRetries == marks {
+		s := arrivals.NextSession(&conditions)
+		if sc.Classes[s.Class].Idempotency == idempotency && s.MarksRetries == marksRetries {
 			s.PickReplica(4)
 			return s
 		}
@@ -179,13 +179,13 @@
 	score, a := sc.Score(), sc.Arrivals()
 	served, requested := 0.0, 0.0
 	for i, kind := range []string{"served", "refused", "hung up", "broken", "served"} {
-		s := a.Next(&conditions)
+		s := a.NextSession(&conditions)
 		s.Stream = true
-		first := time.Millisecond
+		firstToken := time.Millisecond
 		if i == 4 {
-			first = time.Hour
+			firstToken = time.Hour
 		}
-		score.Add(s, time.Duration(i)*time.Second, kind, first)
+		score.Add(s, time.Duration(i)*time.Second, kind, firstToken)
 		c := sc.Classes[s.Class]
 		if kind != "hung up" {
 			requested += c.PriorityWeight
@@ -208,7 +208,7 @@
 	sc.Replicas = 300
 	err := sc.CheckRunnable()
 	var size *SizeError
-	if !errors.As(err, &size) || size.Got != 300 || !strings.Contains(err.Error(), "300") {
+	if !errors.As(err, &size) || size.Value != 300 || !strings.Contains(err.Error(), "300") {
 		t.Errorf("300 replicas on sockets: %v", err)
 	}
 	settings, err := sc.Settings(7)
--- a/internal/simulation/scenario/score.go
+++ b/internal/simulation/scenario/score.go
@@ -23,18 +23,18 @@
 	firstTokens []time.Duration // latencies of the first token of the served requests
 }
 
-// kindDisconnected is the outcome of a request whose client disconnected. Its weight counts neither as requested nor as
-// served.
-const kindDisconnected = "hung up"
+// outcomeDisconnected is the outcome of a request whose client disconnected. Its weight counts neither as requested nor
+// as served.
+const outcomeDisconnected = "hung up"
 
-// add counts a request with its kind of outcome; firstToken is the latency of its first token, 0 if there was none.
-func (t *Tally) add(c *Class, s *Session, kind string, firstToken time.Duration) {
+// add counts a request with its outcome; firstToken is the latency of its first token, 0 if there was none.
+func (t *Tally) add(c *Class, s *Session, outcome string, firstToken time.Duration) {
 	t.Requests++
 	t.Attempts += s.Attempts
-	if kind != kindDisconnected {
+	if outcome != outcomeDisconnected {
 		t.RequestedWeight += c.PriorityWeight
 	}
-	switch kind {
+	switch outcome {
 	case "served":
 		t.Served++
 		t.firstTokens = append(t.firstTokens, firstToken)
@@ -50,7 +50,7 @@
 		t.Failed++
 	case "broken":
 		t.Broken++
-	case kindDisconnected:
+	case outcomeDisconnected:
 		t.Disconnected++
 	default:
 		t.Lost++
@@ -67,8 +67,8 @@
 	return c.LatencyObjective + time.Duration(thousands*float64(c.LatencyObjectivePer1000))
 }
 
-// Second is the outcome of the requests whose first attempt was sent in one second of the scenario.
-type Second struct {
+// SecondTotals is the outcome of the requests whose first attempt was sent in one second of the scenario.
+type SecondTotals struct {
 	ServedWeight    float64 `json:"worth"`
 	RequestedWeight float64 `json:"asked"`
 }
@@ -78,7 +78,7 @@
 	scenario *Scenario
 	classes  []Tally
 	tenants  []Tally
-	Timeline []Second // by second of the scenario
+	Timeline []SecondTotals // by second of the scenario
 }
 
 // Score returns an empty score.
@@ -94,20 +94,20 @@
 }
 
 // Add counts a request; at is the time of the scenario at which its first attempt was sent.
-func (s *Score) Add(session *Session, at time.Duration, kind string, firstToken time.Duration) {
+func (s *Score) Add(session *Session, at time.Duration, outcome string, firstToken time.Duration) {
 	class := &s.scenario.Classes[session.Class]
 	tally := &s.classes[session.Class]
 	servedBefore := tally.ServedWeight
-	tally.add(class, session, kind, firstToken)
+	tally.add(class, session, outcome, firstToken)
 	if session.Tenant >= 0 {
-		s.tenants[session.Tenant].add(class, session, kind, firstToken)
+		s.tenants[session.Tenant].add(class, session, outcome, firstToken)
 	}
 	i := max(int(at.Seconds()), 0)
 	for len(s.Timeline) <= i {
-		s.Timeline = append(s.Timeline, Second{})
+		s.Timeline = append(s.Timeline, SecondTotals{})
 	}
 	s.Timeline[i].ServedWeight += tally.ServedWeight - servedBefore
-	if kind != kindDisconnected {
+	if outcome != outcomeDisconnected {
 		s.Timeline[i].RequestedWeight += class.PriorityWeight
 	}
 }
--- a/internal/simulation/scenario/session.go
+++ b/internal/simulation/scenario/session.go
@@ -60,17 +60,17 @@
 	seed           uint64
 	rnd            *rand.Rand
 	failedConnects int  // of the current request
-	singleTurn     bool // of a replayed request: no further turn follows
+	isSingleTurn   bool // of a replayed request: no further turn follows
 }
 
 // Parameters of the clients that scenarios do not vary.
 const (
 	hotPrefixExtraTokens   = 2000 // added to the length of the class's prefix for that of the fault hot-prefix
 	sharedPrefixesPerClass = 5
-	prefixChoiceScale      = 1.5 // mean of the exponential draw that selects a shared prefix: the first is most frequent
+	meanPrefixChoice       = 1.5 // mean of the exponential draw that selects a shared prefix: the first is most frequent
 	minLengthFactor        = 0.3 // shortest text, as a multiple of the mean
 	lengthFactorRange      = 1.4 // longest text less the shortest, as a multiple of the mean
-	markingFraction        = 0.5 // fraction of requests whose client marks its retries
+	markedRetryFraction    = 0.5 // fraction of requests whose client marks its retries
 	maxDisconnectAfter     = time.Second
 	meanThinkTime          = 500 * time.Millisecond // between two turns
 	maxMessages            = 20                     // of a session; it ends with the turn that exceeds this
@@ -82,24 +82,24 @@
 
 func (s *Session) class() *Class { return &s.scenario.Classes[s.Class] }
 
-func (s *Session) begin(c *Conditions) {
+func (s *Session) drawFirstRequest(c *Conditions) {
 	class := s.class()
 	s.Stream = s.rnd.Float64() >= class.NotStreamedFraction
 	switch {
 	case s.rnd.Float64() < c.HotPrefixFraction:
 		s.Prefix = Text{[2]uint64{hotPrefixSeed, hotPrefixSeed}, float64(class.PrefixTokens) + hotPrefixExtraTokens}
 	case s.rnd.Float64() < class.PrefixShare:
-		choice := uint64(s.rnd.ExpFloat64()*prefixChoiceScale) % sharedPrefixesPerClass
+		choice := uint64(s.rnd.ExpFloat64()*meanPrefixChoice) % sharedPrefixesPerClass
 		s.Prefix = Text{[2]uint64{uint64(s.Class), choice}, float64(class.PrefixTokens)}
 	}
-	s.nextRequest(c)
+	s.drawNextRequest(c)
 }
 
-// nextRequest draws the next request. For about half of the requests the client behaves like a published SDK, which
+// drawNextRequest draws the next request. For about half of the requests the client behaves like a published SDK, which
 // marks its retries: it retries without regard to idempotency if there is no answer, or on 429 and 5xx, unless the
 // answer forbids it. For the others it is careful and does not mark retries: after a rejection it retries any request,
 // but after an unknown outcome only one that is idempotent, with or without a key.
-func (s *Session) nextRequest(c *Conditions) {
+func (s *Session) drawNextRequest(c *Conditions) {
 	class := s.class()
 	tokens := float64(class.PromptTokens) * s.lengthFactor()
 	if long := s.rnd.Float64() < c.LongPromptFraction; long &&
@@ -113,7 +113,7 @@
 		s.DisconnectAfter = time.Duration(s.rnd.Float64() * float64(maxDisconnectAfter))
 	}
 	s.ReadsSlowly = s.rnd.Float64() < c.SlowReadFraction
-	s.MarksRetries = s.rnd.Float64() < markingFraction
+	s.MarksRetries = s.rnd.Float64() < markedRetryFraction
 	s.Attempts, s.Retries, s.failedConnects = 0, 0, 0
 }
 
@@ -130,27 +130,27 @@
 }
 
 // PromptBytes returns the lengths of the whole prompt and of its shared prefix, with the names of the messages' roles.
-func (s *Session) PromptBytes() (all, prefix int) {
+func (s *Session) PromptBytes() (total, prefix int) {
 	if n := s.Prefix.Bytes(); n > 0 {
 		prefix = len("system") + n
 	}
-	all = prefix
+	total = prefix
 	for i, t := range s.Messages {
-		all += len([]string{"user", "assistant"}[i%2]) + t.Bytes()
+		total += len([]string{"user", "assistant"}[i%2]) + t.Bytes()
 	}
-	return all, prefix
+	return total, prefix
 }
 
-// AfterAttempt returns whether the client retries after an attempt with the given kind of outcome, and after which
+// AfterAttempt returns whether the client retries after an attempt with the given outcome, and after which
 // delay. noAutoRetry and retryAfter are what the answer says about retries; elapsed is the time since the request's
 // first attempt.
 func (s *Session) AfterAttempt(
-	kind string,
+	outcome string,
 	noAutoRetry bool,
 	retryAfter, elapsed time.Duration,
 ) (retry bool, delay time.Duration) {
 	class := s.class()
-	switch kind {
+	switch outcome {
 	case "unconnected":
 		s.failedConnects++
 		s.Attempts--
@@ -167,9 +167,9 @@
 	return retry && s.Attempts <= s.scenario.Service.ClientRetries && elapsed <= class.Deadline, delay
 }
 
-// NextTurn draws whether the session continues after a request with the given kind of outcome, and after which pause.
-func (s *Session) NextTurn(kind string, scenarioOver bool, c *Conditions) (more bool, pause time.Duration) {
-	if s.singleTurn || scenarioOver || kind != "served" {
+// NextTurn draws whether the session continues after a request with the given outcome, and after which pause.
+func (s *Session) NextTurn(outcome string, scenarioOver bool, c *Conditions) (more bool, pause time.Duration) {
+	if s.isSingleTurn || scenarioOver || outcome != "served" {
 		return false, 0
 	}
 	if s.rnd.Float64()*s.class().Turns < 1 || len(s.Messages) > maxMessages {
@@ -178,6 +178,6 @@
 	s.addMessage(float64(s.AnswerTokens))
 	pause = time.Duration(s.rnd.ExpFloat64() * float64(meanThinkTime))
 	s.Turn++
-	s.nextRequest(c)
+	s.drawNextRequest(c)
 	return true, pause
 }
--- a/internal/simulation/scenario/settings.go
+++ b/internal/simulation/scenario/settings.go
@@ -25,7 +25,7 @@
 )
 
 // EngineParams returns the parameters of the engines of a kind.
-func (s *Scenario) EngineParams(k *Kind) enginemodel.Params {
+func (s *Scenario) EngineParams(k *EngineKind) enginemodel.Params {
 	service := s.Service
 	return enginemodel.Params{
 		CanPrefill:        k.Role != roleDecode || service.DecodeCanPrefill,
@@ -113,7 +113,7 @@
 }
 
 func (s *Scenario) writeKinds(b *strings.Builder) {
-	for _, k := range s.Kinds {
+	for _, k := range s.EngineKinds {
 		fmt.Fprintf(b, "  <kind name=%q role=%q memory=\"%vtokens\"/>\n", escapeXML(k.Name), k.Role, float64(k.Memory))
 		if k.ChangesRole && k.Role == roleDecode {
 			fmt.Fprintf(b, "  <kind name=%q role=\"mixed\" memory=\"%vtokens\"/>\n", KindBoth, float64(k.Memory))
@@ -121,11 +121,11 @@
 	}
 }
 
-// ChangingRoles returns, by role, the parameters of the engines that change role and the kind under which they are
+// RoleChangeParams returns, by role, the parameters of the engines that change role and the kind under which they are
 // listed; nil if no engine changes role.
-func (s *Scenario) ChangingRoles() (params map[roles.Role]enginemodel.Params, kinds map[roles.Role]string) {
-	for i := range s.Kinds {
-		k := &s.Kinds[i]
+func (s *Scenario) RoleChangeParams() (params map[roles.Role]enginemodel.Params, kinds map[roles.Role]string) {
+	for i := range s.EngineKinds {
+		k := &s.EngineKinds[i]
 		if !k.ChangesRole {
 			continue
 		}
@@ -147,7 +147,7 @@
 }
 
 // InitialRole returns the role in which engines of the kind start.
-func (k *Kind) InitialRole() roles.Role {
+func (k *EngineKind) InitialRole() roles.Role {
 	switch k.Role {
 	case rolePrefill:
 		return roles.Prefill
--- a/internal/simulation/trace/trace_test.go
+++ b/internal/simulation/trace/trace_test.go
@@ -229,8 +229,8 @@
 	var all []Request
 	a, normal, now := sc.Arrivals(), scenario.NormalConditions(), time.Duration(0)
 	for now < sc.Length {
-		now += a.Gap(&normal)
-		s := a.Next(&normal)
+		now += a.NextGap(&normal)
+		s := a.NextSession(&normal)
 		for at := now; ; {
 			bytes, prefix := s.PromptBytes()
 			q := Request{
@@ -336,12 +336,12 @@
 	if n := count(list); n != within {
 		t.Errorf("%d requests were replayed, %d were recorded within the length of the scenario", n, within)
 	}
-	three := scenario.Blend(1, [][]scenario.RecordedRequest{list}, []float64{3})
+	three := scenario.Merge(1, [][]scenario.RecordedRequest{list}, []float64{3})
 	sc.Length = three[len(three)-1].At
 	if n := count(three); n != 3*len(list) {
 		t.Errorf("three times: %d of %d", n, 3*len(list))
 	}
-	half := scenario.Blend(1, [][]scenario.RecordedRequest{list, list}, []float64{1, 0.5})
+	half := scenario.Merge(1, [][]scenario.RecordedRequest{list, list}, []float64{1, 0.5})
 	if n := float64(len(half)) / float64(len(list)); n < 1.4 || n > 1.6 {
 		t.Errorf("one and a half: %v", n)
 	}
