--- a/internal/simulation/rolesim/compare.go
+++ b/internal/simulation/rolesim/compare.go
@@ -8,15 +8,16 @@
 	"brackenbend/roles"
 )
 
-// Row compares the policies on one scenario, over several seeds. Services are means over the seeds.
-type Row struct {
-	Scenario                                   string
-	BestFixedPrefill                           int // prefill engines of the best fixed split, found with the first seed
-	BestFixed, EvenSplit, Planned, Clairvoyant float64
-	StandardError                              float64       // of Planned-BestFixed
-	Changes                                    float64       // of roles by the planner, mean over the seeds
-	MinDwell                                   time.Duration // shortest in the planner's runs; see Result.MinDwell
-	Requests                                   int           // of all seeds
+// ComparisonRow compares the policies on one scenario, over several seeds. Services are means over the seeds.
+type ComparisonRow struct {
+	Scenario         string
+	BestFixedPrefill int // prefill engines of the best fixed split, found with the first seed
+	BestFixedService, EvenSplitService,
+	PlannedService, ClairvoyantService float64
+	StandardError float64       // of PlannedService-BestFixedService
+	RoleChanges   float64       // of roles by the planner, mean over the seeds
+	MinDwell      time.Duration // shortest in the planner's runs; see Result.MinDwell
+	Requests      int           // of all seeds
 
 	// Results of the first seed, for plots.
 	BestFixedResult, PlannedResult, ClairvoyantResult *Result
@@ -28,16 +29,16 @@
 
 // GapClosed returns the fraction of the gap between the best fixed split and the clairvoyant policy that the planner
 // closes; NaN if the gap is too small.
-func (r *Row) GapClosed() float64 {
-	if r.Clairvoyant-r.BestFixed < minMeaningfulGap {
+func (r *ComparisonRow) GapClosed() float64 {
+	if r.ClairvoyantService-r.BestFixedService < minMeaningfulGap {
 		return math.NaN()
 	}
-	return (r.Planned - r.BestFixed) / (r.Clairvoyant - r.BestFixed)
+	return (r.PlannedService - r.BestFixedService) / (r.ClairvoyantService - r.BestFixedService)
 }
 
 // Compare runs each scenario with every policy on the same traffic, up to parallel scenarios at the same time.
-func Compare(scenarios []Scenario, seeds, parallel int, c roles.Config) []Row {
-	rows := make([]Row, len(scenarios))
+func Compare(scenarios []Scenario, seeds, parallel int, c roles.Config) []ComparisonRow {
+	rows := make([]ComparisonRow, len(scenarios))
 	_ = replication.Run(len(scenarios), parallel, func(i int) error { // compare returns no error
 		rows[i] = compare(scenarios[i], seeds, c)
 		return nil
@@ -45,29 +46,29 @@
 	return rows
 }
 
-func compare(s Scenario, seeds int, c roles.Config) Row {
-	row := Row{Scenario: s.Name}
+func compare(s Scenario, seeds int, c roles.Config) ComparisonRow {
+	row := ComparisonRow{Scenario: s.Name}
 	var gains []float64
 	for seed := range seeds {
 		s.Seed = uint64(seed + 1)
 		var best *Result
 		if seed == 0 {
-			row.BestFixedPrefill, best = BestFixed(s)
+			row.BestFixedPrefill, best = BestFixedSplit(s)
 		} else {
-			best = Run(s, Fixed(row.BestFixedPrefill))
+			best = Run(s, FixedPolicy(row.BestFixedPrefill))
 		}
-		evenSplit := Run(s, Fixed(s.Engines/2))
-		planned := Run(s, &Planned{Prefill: s.Engines / 2, Config: c})
+		evenSplit := Run(s, FixedPolicy(s.Engines/2))
+		planned := Run(s, &PlannerPolicy{PrefillEngines: s.Engines / 2, Config: c})
 		clairvoyant := bestClairvoyant(s, best)
 		if seed == 0 {
 			row.BestFixedResult, row.PlannedResult, row.ClairvoyantResult = best, planned, clairvoyant
 		}
 		n := float64(seeds)
-		row.BestFixed += best.Service() / n
-		row.EvenSplit += evenSplit.Service() / n
-		row.Planned += planned.Service() / n
-		row.Clairvoyant += clairvoyant.Service() / n
-		row.Changes += float64(planned.Changes) / n
+		row.BestFixedService += best.Service() / n
+		row.EvenSplitService += evenSplit.Service() / n
+		row.PlannedService += planned.Service() / n
+		row.ClairvoyantService += clairvoyant.Service() / n
+		row.RoleChanges += float64(planned.RoleChanges) / n
 		if planned.MinDwell > 0 && (row.MinDwell == 0 || planned.MinDwell < row.MinDwell) {
 			row.MinDwell = planned.MinDwell
 		}
@@ -102,7 +103,7 @@
 func bestClairvoyant(s Scenario, fixed *Result) *Result {
 	best := fixed
 	for _, price := range clairvoyantPrices {
-		if r := Run(s, &Clairvoyant{ChangePrice: price}); r.Service() > best.Service() {
+		if r := Run(s, &ClairvoyantPolicy{ChangePrice: price}); r.Service() > best.Service() {
 			best = r
 		}
 	}
--- a/internal/simulation/rolesim/engine.go
+++ b/internal/simulation/rolesim/engine.go
@@ -9,21 +9,21 @@
 type engineState uint8
 
 const (
-	up engineState = iota
-	draining
-	switching
-	down
+	stateUp engineState = iota
+	stateDraining
+	stateSwitching
+	stateDown
 )
 
 type engine struct {
-	id           string
-	role, target roles.Role
-	state        engineState
-	start        float64 // time at which it started in its current role, or after an outage; -inf = long ago
-	changed      float64 // time at which a change of its role last ended or was reverted; -inf = never
-	requests     int     // being processed
-	incarnation  int     // raised by an outage, which loses the engine's requests
-	positions    [2]int  // in the pools, by stage
+	id            string
+	role, target  roles.Role
+	state         engineState
+	startedAt     float64 // time at which it started in its current role, or after an outage; -inf = long ago
+	roleChangedAt float64 // time at which a change of its role last ended or was reverted; -inf = never
+	requestCount  int     // being processed
+	incarnation   int     // raised by an outage, which loses the engine's requests
+	poolPositions [2]int  // in the pools, by stage
 
 	prefillTotal float64 // prefill work done until totalsAt, in engine seconds
 	decodeTotal  float64 // the same for decode work
@@ -32,7 +32,7 @@
 }
 
 // isPrefill reports whether the engine is up and prefills.
-func (e *engine) isPrefill() bool { return e.state == up && e.role == roles.Prefill }
+func (e *engine) isPrefill() bool { return e.state == stateUp && e.role == roles.Prefill }
 
 // engineID returns an ID of three letters.
 func engineID(i int) string {
@@ -41,7 +41,7 @@
 
 // capacity returns the fraction of its full capacity that an engine has now, which is below 1 during slow start.
 func (x *sim) capacity(e *engine) float64 {
-	age := (x.now - e.start) / x.scenario.SlowStartFor.Seconds()
+	age := (x.now - e.startedAt) / x.scenario.SlowStartFor.Seconds()
 	if age >= 1 {
 		return 1
 	}
@@ -53,21 +53,21 @@
 func (x *sim) updateTotals(e *engine) {
 	elapsed := x.now - e.totalsAt
 	e.totalsAt = x.now
-	if e.state == switching || e.state == down {
+	if e.state == stateSwitching || e.state == stateDown {
 		return
 	}
 	if e.role == roles.Prefill {
-		e.prefillTotal += elapsed * float64(e.requests)
+		e.prefillTotal += elapsed * float64(e.requestCount)
 	} else {
-		e.decodeTotal += elapsed * float64(e.requests) / float64(x.scenario.Slots)
+		e.decodeTotal += elapsed * float64(e.requestCount) / float64(x.scenario.Slots)
 	}
 }
 
-// addRequests adds requests to an engine; n may be negative.
-func (x *sim) addRequests(e *engine, n int) {
+// addRequests adds requests to an engine; delta may be negative.
+func (x *sim) addRequests(e *engine, delta int) {
 	x.updateTotals(e)
 	x.removeFromPools(e)
-	e.requests += n
+	e.requestCount += delta
 	x.addToPools(e)
 }
 
@@ -78,25 +78,25 @@
 }
 
 func (p *pool) add(e *engine, stage int) {
-	for len(p.byRequests) <= e.requests {
+	for len(p.byRequests) <= e.requestCount {
 		p.byRequests = append(p.byRequests, nil)
 	}
-	e.positions[stage] = len(p.byRequests[e.requests])
-	p.byRequests[e.requests] = append(p.byRequests[e.requests], e)
+	e.poolPositions[stage] = len(p.byRequests[e.requestCount])
+	p.byRequests[e.requestCount] = append(p.byRequests[e.requestCount], e)
 }
 
 func (p *pool) remove(e *engine, stage int) {
-	row := p.byRequests[e.requests]
-	last := row[len(row)-1]
-	row[e.positions[stage]] = last
-	last.positions[stage] = e.positions[stage]
-	p.byRequests[e.requests] = row[:len(row)-1]
+	bucket := p.byRequests[e.requestCount]
+	last := bucket[len(bucket)-1]
+	bucket[e.poolPositions[stage]] = last
+	last.poolPositions[stage] = e.poolPositions[stage]
+	p.byRequests[e.requestCount] = bucket[:len(bucket)-1]
 }
 
 // addToPools adds an engine to the pools of its stages if it is up, and removeFromPools removes it from them. An engine
 // must be removed before its state, role or number of requests changes, and added again afterwards.
 func (x *sim) addToPools(e *engine) {
-	if e.state != up {
+	if e.state != stateUp {
 		return
 	}
 	for stage, serves := range [2]bool{e.role.Prefills(), e.role.Decodes()} {
@@ -107,7 +107,7 @@
 }
 
 func (x *sim) removeFromPools(e *engine) {
-	if e.state != up {
+	if e.state != stateUp {
 		return
 	}
 	for stage, serves := range [2]bool{e.role.Prefills(), e.role.Decodes()} {
@@ -129,11 +129,11 @@
 // During slow start an engine has fewer slots.
 func (x *sim) pickDecode() *engine {
 	slots := x.scenario.Slots
-	for requests, row := range x.pools[stageDecode].byRequests {
+	for requests, bucket := range x.pools[stageDecode].byRequests {
 		if requests >= slots {
 			return nil
 		}
-		for _, e := range row {
+		for _, e := range bucket {
 			if float64(requests) < math.Floor(float64(slots)*x.capacity(e)) {
 				return e
 			}
--- a/internal/simulation/rolesim/events.go
+++ b/internal/simulation/rolesim/events.go
@@ -8,9 +8,9 @@
 type eventKind uint8
 
 const (
-	prefillDone eventKind = iota
-	decodeDone
-	roleSwitched
+	prefillEnds eventKind = iota
+	decodeEnds
+	roleSwitchEnds
 	outageEnds
 	outageBegins
 )
@@ -52,25 +52,25 @@
 	}
 	e := ev.engine
 	if ev.incarnation != e.incarnation {
-		if ev.kind == prefillDone { // lost in an outage: it is repeated, unless it is too late
+		if ev.kind == prefillEnds { // lost in an outage: it is repeated, unless it is too late
 			x.prefills.push(ev.request)
 			x.dispatch()
 		}
 		return
 	}
 	switch ev.kind {
-	case prefillDone:
+	case prefillEnds:
 		x.addRequests(e, -1)
 		x.decodes.push(ev.request)
-	case decodeDone:
+	case decodeEnds:
 		x.addRequests(e, -1)
-	case roleSwitched:
+	case roleSwitchEnds:
 		x.updateTotals(e)
-		e.role, e.state, e.start, e.changed = e.target, up, x.now, x.now
+		e.role, e.state, e.startedAt, e.roleChangedAt = e.target, stateUp, x.now, x.now
 		x.addToPools(e)
 	case outageEnds:
 		x.updateTotals(e)
-		e.state, e.start = up, x.now
+		e.state, e.startedAt = stateUp, x.now
 		x.addToPools(e)
 	case outageBegins: // handled above
 	}
@@ -80,16 +80,16 @@
 
 // switchIfDrained begins the role switch of an engine that is draining and has no requests left.
 func (x *sim) switchIfDrained(e *engine) {
-	if e.state == draining && e.requests == 0 {
-		e.state = switching
-		x.schedule(event{at: x.now + x.scenario.SwitchTime.Seconds(), kind: roleSwitched, engine: e})
+	if e.state == stateDraining && e.requestCount == 0 {
+		e.state = stateSwitching
+		x.schedule(event{at: x.now + x.scenario.SwitchTime.Seconds(), kind: roleSwitchEnds, engine: e})
 	}
 }
 
 func (x *sim) beginOutage(outage Outage) {
 	var candidates []*engine
 	for _, e := range x.engines {
-		if e.state != down && e.role == outage.Role {
+		if e.state != stateDown && e.role == outage.Role {
 			candidates = append(candidates, e)
 		}
 	}
@@ -97,7 +97,7 @@
 		x.updateTotals(e)
 		x.removeFromPools(e)
 		e.incarnation++
-		e.requests, e.state, e.target = 0, down, e.role
-		x.schedule(event{at: x.now + outage.For.Seconds(), kind: outageEnds, engine: e})
+		e.requestCount, e.state, e.target = 0, stateDown, e.role
+		x.schedule(event{at: x.now + outage.Duration.Seconds(), kind: outageEnds, engine: e})
 	}
 }
--- a/internal/simulation/rolesim/planning.go
+++ b/internal/simulation/rolesim/planning.go
@@ -21,17 +21,17 @@
 // plan gets a plan from the policy and carries it out.
 func (x *sim) plan(p Policy) {
 	now := time.Duration(x.now * float64(time.Second))
-	engines := x.report(now)
+	engines := x.reportEngines(now)
 	plan := p.Step(now, engines, x.replicaReports(now))
 	byID := make(map[string]*engine, len(x.engines))
 	for _, e := range x.engines {
 		byID[e.id] = e
 	}
 	for _, id := range plan.Reverts {
-		x.revert(byID[id])
+		x.revertChange(byID[id])
 	}
 	for _, change := range plan.Changes {
-		x.change(byID[change.ID], change.Target)
+		x.beginChange(byID[change.ID], change.Target)
 	}
 	prefill := 0
 	for _, e := range x.engines {
@@ -39,16 +39,16 @@
 			prefill++
 		}
 	}
-	x.result.Prefill = append(x.result.Prefill, prefill)
+	x.result.PrefillEngines = append(x.result.PrefillEngines, prefill)
 }
 
-// waiting returns the queued work that each engine of a stage reports, in seconds.
-func (x *sim) waiting() (prefill, decode float64) {
+// queuedWork returns the queued work that each engine of a stage reports, in seconds.
+func (x *sim) queuedWork() (prefill, decode float64) {
 	prefills, decodes := 0, 0
 	for _, e := range x.engines {
 		if e.isPrefill() {
 			prefills++
-		} else if e.state == up {
+		} else if e.state == stateUp {
 			decodes++
 		}
 	}
@@ -57,9 +57,9 @@
 	return prefill, min(perEngine, maxReportedDecodeWait*x.scenario.MeanStream.Seconds())
 }
 
-// report adds a report to each engine and returns the planner's view of the engines.
-func (x *sim) report(now time.Duration) []roles.Engine {
-	prefillWait, decodeWait := x.waiting()
+// reportEngines adds a report to each engine and returns the planner's view of the engines.
+func (x *sim) reportEngines(now time.Duration) []roles.Engine {
+	prefillWait, decodeWait := x.queuedWork()
 	engines := make([]roles.Engine, 0, len(x.engines))
 	for _, e := range x.engines {
 		x.updateTotals(e)
@@ -68,25 +68,25 @@
 		}
 		if e.isPrefill() {
 			report.Prefill.Waiting = prefillWait
-		} else if e.state == up {
+		} else if e.state == stateUp {
 			report.Decode.Waiting = decodeWait
 		}
 		e.reports = append(e.reports, report)
-		engines = append(engines, x.view(e))
+		engines = append(engines, x.plannerView(e))
 	}
 	return engines
 }
 
-// view returns the planner's view of one engine. Its report is ReportDelay old.
-func (x *sim) view(e *engine) roles.Engine {
+// plannerView returns the planner's view of one engine. Its report is ReportDelay old.
+func (x *sim) plannerView(e *engine) roles.Engine {
 	view := roles.Engine{
-		ID: e.id, Role: e.role, Target: e.target, Ready: e.state == up, CanPrefill: true, CanDecode: true,
-		Outstanding: e.requests,
+		ID: e.id, Role: e.role, Target: e.target, Ready: e.state == stateUp, CanPrefill: true, CanDecode: true,
+		Outstanding: e.requestCount,
 	}
-	if !math.IsInf(e.changed, -1) {
-		view.ChangedAt = time.Duration(e.changed * float64(time.Second))
+	if !math.IsInf(e.roleChangedAt, -1) {
+		view.ChangedAt = time.Duration(e.roleChangedAt * float64(time.Second))
 	}
-	if i := len(e.reports) - 1 - int(x.scenario.ReportDelay.Seconds()); i >= 0 && e.state != down {
+	if i := len(e.reports) - 1 - int(x.scenario.ReportDelay.Seconds()); i >= 0 && e.state != stateDown {
 		view.Report = &e.reports[i]
 	}
 	if len(e.reports) > maxKeptReports {
@@ -101,32 +101,34 @@
 		return nil
 	}
 	report := &roles.Report{
-		At: now, Prefill: roles.StageLoad{Lost: x.result.LostPrefill}, Decode: roles.StageLoad{Lost: x.result.LostDecode},
+		At:      now,
+		Prefill: roles.StageLoad{Lost: x.result.LostPrefillWork},
+		Decode:  roles.StageLoad{Lost: x.result.LostDecodeWork},
 	}
 	return []roles.Replica{{ID: "f", Report: report}}
 }
 
-// revert cancels the change of role of an engine that is still draining.
-func (x *sim) revert(e *engine) {
-	if e.state == draining {
-		e.state, e.target, e.changed = up, e.role, x.now
+// revertChange cancels the change of role of an engine that is still draining.
+func (x *sim) revertChange(e *engine) {
+	if e.state == stateDraining {
+		e.state, e.target, e.roleChangedAt = stateUp, e.role, x.now
 		x.addToPools(e)
 	}
 }
 
-// change begins a change of role if the engine is up and has another role.
-func (x *sim) change(e *engine, target roles.Role) {
-	if e.state != up || e.target == target {
+// beginChange begins a change of role if the engine is up and has another role.
+func (x *sim) beginChange(e *engine, target roles.Role) {
+	if e.state != stateUp || e.target == target {
 		return
 	}
-	x.result.Changes++
-	if !math.IsInf(e.changed, -1) {
-		dwell := time.Duration((x.now - e.changed) * float64(time.Second))
+	x.result.RoleChanges++
+	if !math.IsInf(e.roleChangedAt, -1) {
+		dwell := time.Duration((x.now - e.roleChangedAt) * float64(time.Second))
 		if x.result.MinDwell == 0 || dwell < x.result.MinDwell {
 			x.result.MinDwell = dwell
 		}
 	}
 	x.removeFromPools(e)
-	e.target, e.state = target, draining
+	e.target, e.state = target, stateDraining
 	x.switchIfDrained(e)
 }
--- a/internal/simulation/rolesim/policy.go
+++ b/internal/simulation/rolesim/policy.go
@@ -7,24 +7,26 @@
 	"brackenbend/roles"
 )
 
-// Fixed is a policy that never changes roles. Its value is the number of prefill engines.
-type Fixed int
+// FixedPolicy is a policy that never changes roles. Its value is the number of prefill engines.
+type FixedPolicy int
 
 // Start implements Policy.
-func (f Fixed) Start(*Scenario) int { return int(f) }
+func (f FixedPolicy) Start(*Scenario) int { return int(f) }
 
 // Step implements Policy.
-func (Fixed) Step(time.Duration, []roles.Engine, []roles.Replica) roles.Plan { return roles.Plan{} }
+func (FixedPolicy) Step(time.Duration, []roles.Engine, []roles.Replica) roles.Plan {
+	return roles.Plan{}
+}
 
-// BestFixed searches for the fixed split with the best service.
-func BestFixed(s Scenario) (prefill int, best *Result) {
+// BestFixedSplit searches for the fixed split with the best service.
+func BestFixedSplit(s Scenario) (prefill int, best *Result) {
 	// As a function of the number of prefill engines, service has roughly a single maximum. A coarse search is therefore
 	// refined around the best split so far.
 	step := max(s.Engines/8, 1)
 	results := map[int]*Result{}
 	run := func(n int) {
 		if n >= 1 && n < s.Engines && results[n] == nil {
-			results[n] = Run(s, Fixed(n))
+			results[n] = Run(s, FixedPolicy(n))
 			if best == nil || results[n].Service() > best.Service() {
 				prefill, best = n, results[n]
 			}
@@ -42,9 +44,9 @@
 	return prefill, best
 }
 
-// Planned is a policy that runs the planner of package roles, from a given initial number of prefill engines.
-type Planned struct {
-	Prefill         int
+// PlannerPolicy is a policy that runs the planner of package roles, from a given initial number of prefill engines.
+type PlannerPolicy struct {
+	PrefillEngines  int
 	Config          roles.Config
 	RestartInterval time.Duration // of the planner; 0 = no restarts
 	LoseMemory      bool          // a restarted planner does not restore the memory of the previous one
@@ -53,12 +55,12 @@
 }
 
 // Start implements Policy.
-func (p *Planned) Start(*Scenario) int {
+func (p *PlannerPolicy) Start(*Scenario) int {
 	p.planner = p.newPlanner()
-	return p.Prefill
+	return p.PrefillEngines
 }
 
-func (p *Planned) newPlanner() *roles.Planner {
+func (p *PlannerPolicy) newPlanner() *roles.Planner {
 	planner, err := roles.New(p.Config)
 	if err != nil {
 		panic(err) // callers validate the configuration beforehand
@@ -66,8 +68,8 @@
 	return planner
 }
 
-// restart replaces the planner with a new one.
-func (p *Planned) restart(now time.Duration) {
+// restartPlanner replaces the planner with a new one.
+func (p *PlannerPolicy) restartPlanner(now time.Duration) {
 	next := p.newPlanner()
 	if memory, ok := p.planner.Memory(); ok && !p.LoseMemory {
 		if err := next.Restore(memory, 0, now); err != nil {
@@ -78,17 +80,17 @@
 }
 
 // Step implements Policy.
-func (p *Planned) Step(now time.Duration, engines []roles.Engine, replicas []roles.Replica) roles.Plan {
+func (p *PlannerPolicy) Step(now time.Duration, engines []roles.Engine, replicas []roles.Replica) roles.Plan {
 	if p.RestartInterval > 0 && now%p.RestartInterval == 0 {
-		p.restart(now)
+		p.restartPlanner(now)
 	}
 	return p.planner.Step(now, engines, replicas)
 }
 
-// Clairvoyant is a policy that knows the demand of every second in advance. It follows the cheapest schedule by the
-// planner's cost function and begins each change LeadTime early. The number and the frequency of changes are not
+// ClairvoyantPolicy is a policy that knows the demand of every second in advance. It follows the cheapest schedule by
+// the planner's cost function and begins each change LeadTime early. The number and the frequency of changes are not
 // limited.
-type Clairvoyant struct {
+type ClairvoyantPolicy struct {
 	LeadTime    time.Duration // duration of a change; 0 = 8 s
 	ChangePrice float64       // of a change; 0 = 10 engine seconds
 	schedule    Schedule
@@ -100,7 +102,7 @@
 )
 
 // Start implements Policy.
-func (c *Clairvoyant) Start(s *Scenario) int {
+func (c *ClairvoyantPolicy) Start(s *Scenario) int {
 	c.LeadTime = cmp.Or(c.LeadTime, defaultLeadTime)
 	c.ChangePrice = cmp.Or(c.ChangePrice, defaultChangePrice)
 	engines := float64(s.Engines)
@@ -113,6 +115,6 @@
 }
 
 // Step implements Policy.
-func (c *Clairvoyant) Step(now time.Duration, engines []roles.Engine, _ []roles.Replica) roles.Plan {
+func (c *ClairvoyantPolicy) Step(now time.Duration, engines []roles.Engine, _ []roles.Replica) roles.Plan {
 	return c.schedule.Step(now+c.LeadTime, engines)
 }
--- a/internal/simulation/rolesim/scenario.go
+++ b/internal/simulation/rolesim/scenario.go
@@ -34,9 +34,9 @@
 
 // Outage takes a fraction of the engines of a role down for a while. They come back in slow start.
 type Outage struct {
-	At, For  time.Duration
-	Role     roles.Role
-	Fraction float64
+	At, Duration time.Duration
+	Role         roles.Role
+	Fraction     float64
 }
 
 const (
@@ -112,7 +112,7 @@
 	shift := 5 * time.Minute
 	return Scenario{
 		Name: "half of the readers lost as the mix shifts", Engines: engines, Length: 10 * time.Minute,
-		Outages: []Outage{{At: shift, For: 90 * time.Second, Role: roles.Prefill, Fraction: 0.5}},
+		Outages: []Outage{{At: shift, Duration: 90 * time.Second, Role: roles.Prefill, Fraction: 0.5}},
 		Demand: func(at time.Duration) (float64, float64) {
 			if at > shift {
 				return splitLoad(load, 0.6)
--- a/internal/simulation/rolesim/schedule.go
+++ b/internal/simulation/rolesim/schedule.go
@@ -59,35 +59,35 @@
 
 // Step returns the changes that reach the schedule's number of prefill engines at a time.
 func (s Schedule) Step(at time.Duration, engines []roles.Engine) roles.Plan {
-	missing := s[min(max(int(math.Ceil(at.Seconds())), 0), len(s)-1)]
+	changes := s[min(max(int(math.Ceil(at.Seconds())), 0), len(s)-1)]
 	for _, e := range engines {
 		if e.Target == roles.Prefill {
-			missing--
+			changes--
 		}
 	}
 	from, to := roles.Decode, roles.Prefill
-	if missing < 0 {
-		from, to, missing = roles.Prefill, roles.Decode, -missing
+	if changes < 0 {
+		from, to, changes = roles.Prefill, roles.Decode, -changes
 	}
 	var plan roles.Plan
-	changed := map[string]bool{}
-	for range missing {
-		e := leastBusy(engines, from, changed)
+	selected := map[string]bool{}
+	for range changes {
+		e := leastBusy(engines, from, selected)
 		if e == nil {
 			break
 		}
-		changed[e.ID] = true
+		selected[e.ID] = true
 		plan.Changes = append(plan.Changes, roles.Change{ID: e.ID, Target: to})
 	}
 	return plan
 }
 
 // leastBusy returns the engine with the fewest outstanding requests among those that are ready in a role, have no
-// change pending and are not in changed; nil if there is none.
-func leastBusy(engines []roles.Engine, role roles.Role, changed map[string]bool) (best *roles.Engine) {
+// change pending and are not in selected; nil if there is none.
+func leastBusy(engines []roles.Engine, role roles.Role, selected map[string]bool) (best *roles.Engine) {
 	for i := range engines {
 		e := &engines[i]
-		if e.Role != role || e.Target != role || !e.Ready || changed[e.ID] {
+		if e.Role != role || e.Target != role || !e.Ready || selected[e.ID] {
 			continue
 		}
 		if best == nil || e.Outstanding < best.Outstanding {
--- a/internal/simulation/rolesim/sim.go
+++ b/internal/simulation/rolesim/sim.go
@@ -19,12 +19,12 @@
 // Result is the outcome of a run.
 type Result struct {
 	Requests, Served int
-	Changes          int           // of roles that were begun
+	RoleChanges      int           // of roles that were begun
 	MinDwell         time.Duration // shortest time from the end of an engine's change to its next; 0 = none changed twice
-	Prefill          []int         // engines that prefill or are changing to it, by second
-	Lost             []float64     // fraction of the requests of each second that were not served in time
-	LostPrefill      float64       // work dropped before its prefill, in engine seconds
-	LostDecode       float64       // work dropped between prefill and decode, in engine seconds
+	PrefillEngines   []int         // engines that prefill or are changing to it, by second
+	LostFractions    []float64     // fraction of the requests of each second that were not served in time
+	LostPrefillWork  float64       // work dropped before its prefill, in engine seconds
+	LostDecodeWork   float64       // work dropped between prefill and decode, in engine seconds
 }
 
 // Service returns the fraction of requests whose first token was in time.
@@ -81,7 +81,7 @@
 	prefills queue
 	decodes  queue
 	result   *Result
-	bySecond []secondTally
+	bySecond []secondCounts
 }
 
 // Indices of the stages.
@@ -90,8 +90,8 @@
 	stageDecode  = 1
 )
 
-// secondTally counts the requests that arrived in one second.
-type secondTally struct{ requests, lost float64 }
+// secondCounts counts the requests that arrived in one second.
+type secondCounts struct{ requests, lost float64 }
 
 // trafficStream is the PCG stream of the random generator of requests.
 const trafficStream = 7
@@ -101,10 +101,10 @@
 	s.setDefaults()
 	x := newSim(&s, p.Start(&s))
 	end := s.Length.Seconds()
-	arrival, r := x.nextRequest(0)
-	planning := 1.0
+	nextArrival, r := x.nextRequest(0)
+	nextPlan := 1.0
 	for {
-		at := min(arrival, planning)
+		at := min(nextArrival, nextPlan)
 		if len(x.events) > 0 {
 			at = min(at, x.events[0].at)
 		}
@@ -113,12 +113,12 @@
 		}
 		x.now = at
 		switch at {
-		case arrival:
+		case nextArrival:
 			x.arrive(r)
-			arrival, r = x.nextRequest(at)
-		case planning:
+			nextArrival, r = x.nextRequest(at)
+		case nextPlan:
 			x.plan(p)
-			planning++
+			nextPlan++
 		default:
 			x.handle(heap.Pop(&x.events).(event))
 		}
@@ -130,14 +130,14 @@
 	x := &sim{
 		scenario: s, rnd: rand.New(rand.NewPCG(s.Seed, trafficStream)), result: &Result{},
 		prefills: queue{workOf: prefillWork}, decodes: queue{workOf: decodeWork},
-		bySecond: make([]secondTally, int(s.Length.Seconds())+2),
+		bySecond: make([]secondCounts, int(s.Length.Seconds())+2),
 	}
 	for i := range s.Engines {
 		role := roles.Decode
 		if i < prefill {
 			role = roles.Prefill
 		}
-		e := &engine{id: engineID(i), role: role, target: role, start: math.Inf(-1), changed: math.Inf(-1)}
+		e := &engine{id: engineID(i), role: role, target: role, startedAt: math.Inf(-1), roleChangedAt: math.Inf(-1)}
 		x.engines = append(x.engines, e)
 		x.addToPools(e)
 	}
@@ -148,10 +148,10 @@
 }
 
 func (x *sim) finish() *Result {
-	x.result.Lost = make([]float64, len(x.bySecond))
+	x.result.LostFractions = make([]float64, len(x.bySecond))
 	for i, second := range x.bySecond {
-		if x.result.Lost[i] = second.lost; second.requests > 0 {
-			x.result.Lost[i] /= second.requests
+		if x.result.LostFractions[i] = second.lost; second.requests > 0 {
+			x.result.LostFractions[i] /= second.requests
 		}
 	}
 	return x.result
@@ -185,14 +185,14 @@
 	}
 }
 
-func (x *sim) losePrefill(r request) {
+func (x *sim) dropPrefill(r request) {
 	x.bySecond[r.second].lost++
-	x.result.LostPrefill += r.prefill
+	x.result.LostPrefillWork += r.prefill
 }
 
-func (x *sim) loseDecode(r request) {
+func (x *sim) dropDecode(r request) {
 	x.bySecond[r.second].lost++
-	x.result.LostDecode += r.decode / float64(x.scenario.Slots)
+	x.result.LostDecodeWork += r.decode / float64(x.scenario.Slots)
 }
 
 // dispatch sends queued requests to engines with capacity.
@@ -200,7 +200,7 @@
 	oldestArrival := x.now - x.scenario.LatencyObjective.Seconds()
 	for x.prefills.len() > 0 {
 		if x.prefills.first().at < oldestArrival {
-			x.losePrefill(x.prefills.pop())
+			x.dropPrefill(x.prefills.pop())
 			continue
 		}
 		e := x.pickPrefill()
@@ -209,11 +209,11 @@
 		}
 		r := x.prefills.pop()
 		x.addRequests(e, 1)
-		x.schedule(event{at: x.now + r.prefill/x.capacity(e), kind: prefillDone, engine: e, request: r})
+		x.schedule(event{at: x.now + r.prefill/x.capacity(e), kind: prefillEnds, engine: e, request: r})
 	}
 	for x.decodes.len() > 0 {
 		if x.decodes.first().at < oldestArrival {
-			x.loseDecode(x.decodes.pop())
+			x.dropDecode(x.decodes.pop())
 			continue
 		}
 		e := x.pickDecode()
@@ -223,6 +223,6 @@
 		r := x.decodes.pop()
 		x.addRequests(e, 1)
 		x.result.Served++
-		x.schedule(event{at: x.now + r.decode/math.Sqrt(x.capacity(e)), kind: decodeDone, engine: e, request: r})
+		x.schedule(event{at: x.now + r.decode/math.Sqrt(x.capacity(e)), kind: decodeEnds, engine: e, request: r})
 	}
 }
--- a/internal/simulation/rolesim/sim_test.go
+++ b/internal/simulation/rolesim/sim_test.go
@@ -25,11 +25,11 @@
 	} {
 		t.Run(c.scenario.Name, func(t *testing.T) {
 			c.scenario.Seed = 3
-			_, fixed := BestFixed(c.scenario)
-			planned := Run(c.scenario, &Planned{Prefill: c.scenario.Engines / 2})
+			_, fixed := BestFixedSplit(c.scenario)
+			planned := Run(c.scenario, &PlannerPolicy{PrefillEngines: c.scenario.Engines / 2})
 			minService := fixed.Service() - c.lag
 			if c.gapClosed > 0 {
-				clairvoyant := Run(c.scenario, &Clairvoyant{})
+				clairvoyant := Run(c.scenario, &ClairvoyantPolicy{})
 				minService += c.gapClosed * (clairvoyant.Service() - fixed.Service())
 			}
 			if planned.Service() < minService {
@@ -47,7 +47,7 @@
 	s := MassRestart(8)
 	s.Length = 2 * time.Minute
 	s.Outages[0].At = time.Minute
-	a, b := Run(s, &Planned{Prefill: 4}), Run(s, &Planned{Prefill: 4})
+	a, b := Run(s, &PlannerPolicy{PrefillEngines: 4}), Run(s, &PlannerPolicy{PrefillEngines: 4})
 	if !reflect.DeepEqual(a, b) || a.Requests == 0 || a.Served == 0 {
 		t.Errorf("%+v\n%+v", a, b)
 	}
@@ -57,13 +57,13 @@
 func TestInsufficientCapacityLosesRequests(t *testing.T) {
 	s := Steady(8)
 	s.Length = 30 * time.Second
-	s.Outages = []Outage{{At: 0, For: time.Hour, Role: roles.Decode, Fraction: 1}}
-	if r := Run(s, Fixed(4)); r.Served != 0 || r.Requests == 0 {
+	s.Outages = []Outage{{At: 0, Duration: time.Hour, Role: roles.Decode, Fraction: 1}}
+	if r := Run(s, FixedPolicy(4)); r.Served != 0 || r.Requests == 0 {
 		t.Errorf("%d of %d were served without a decode engine", r.Served, r.Requests)
 	}
 	s.Outages = nil
 	s.Demand = func(time.Duration) (float64, float64) { return 1.5, 0.2 }
-	if r := Run(s, Fixed(4)); r.Service() > 0.6 || r.LostPrefill == 0 {
+	if r := Run(s, FixedPolicy(4)); r.Service() > 0.6 || r.LostPrefillWork == 0 {
 		t.Errorf("service %.2f with three times what four prefill engines can do", r.Service())
 	}
 }
