--- a/cmd/brackenbend/simulate_recording.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -83,7 +83,7 @@
 		return r, err
 	}
 	t.CloseGaps()
-	r.begin = t.Begin
+	r.begin = t.Start
 	if r.requests, err = t.RecordedRequests(sc); err != nil {
 		return r, exitError{fmt.Errorf("%s: %w", file, err), exitConfig}
 	}
--- a/internal/simulation/trace/fit.go
+++ b/internal/simulation/trace/fit.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fitted holds the parameters of synthetic clients, estimated from a recording, and how well they fit it.
-type Fitted struct {
+// FitResult holds the parameters of synthetic clients, estimated from a recording, and how well they fit it.
+type FitResult struct {
 	Rate            float64 // requests a second
 	Classes         []ClassFit
 	DispersionIndex float64 // variance over mean of the requests in a second; a Poisson process has 1
@@ -45,62 +45,62 @@
 var ErrTooShort = errors.New("too short to fit; at least 20 requests over 1s are needed")
 
 // Fit estimates the parameters of the synthetic clients that come nearest to a recording.
-func Fit(t *Trace) (*Fitted, error) {
+func Fit(t *Trace) (*FitResult, error) {
 	if len(t.Requests) < minFitRequests || t.Length() < minFitLength {
 		return nil, fmt.Errorf("trace: %d requests over %v: %w", len(t.Requests), t.Length(), ErrTooShort)
 	}
-	f := &Fitted{Rate: float64(len(t.Requests)) / t.Length().Seconds(), DispersionIndex: dispersionIndex(t)}
+	f := &FitResult{Rate: float64(len(t.Requests)) / t.Length().Seconds(), DispersionIndex: dispersionIndex(t)}
 	byClass := map[string][]Request{}
-	prefixes := map[prefixKey]int{}
+	requestsByPrefix := map[prefixKey]int{}
 	for _, r := range t.Requests {
 		byClass[r.Class] = append(byClass[r.Class], r)
 		if r.Prefix != "" {
-			prefixes[prefixKey{r.Class, r.Prefix}]++
+			requestsByPrefix[prefixKey{r.Class, r.Prefix}]++
 		}
 	}
-	sessions := 0
+	sessionCount := 0
 	for _, name := range slices.Sorted(maps.Keys(byClass)) {
-		observed := observe(byClass[name], prefixes)
-		sessions += len(observed.sessions)
-		f.Classes = append(f.Classes, observed.fit(name, len(byClass[name])))
+		stats := collectClassStats(byClass[name], requestsByPrefix)
+		sessionCount += len(stats.sessions)
+		f.Classes = append(f.Classes, stats.fit(name, len(byClass[name])))
 	}
 	for i := range f.Classes {
-		f.Classes[i].Share /= float64(sessions)
+		f.Classes[i].Share /= float64(sessionCount)
 	}
 	return f, nil
 }
 
 type prefixKey struct{ class, prefix string }
 
-// observation collects the statistics of one class's requests.
-type observation struct {
-	sessions         map[string]*session
-	prompts, answers []float64 // tokens
-	prefixTokens     []float64 // length of the prefix, by session with a shared prefix
-	prefixes         map[string]bool
-	notStreamed      int
+// classStats collects the statistics of one class's requests.
+type classStats struct {
+	sessions                   map[string]*session
+	promptTokens, answerTokens []float64 // tokens
+	prefixTokens               []float64 // length of the prefix, by session with a shared prefix
+	sharedPrefixes             map[string]bool
+	notStreamedCount           int
 }
 
 type session struct {
-	turns         int
+	turnCount     int
 	contextTokens float64 // tokens of its latest prompt and answer
 }
 
-// observe collects the statistics of one class's requests; prefixes counts the requests with each prefix. A prefix is
-// shared if several requests have it.
-func observe(requests []Request, prefixes map[prefixKey]int) *observation {
-	o := &observation{sessions: map[string]*session{}, prefixes: map[string]bool{}}
+// collectClassStats collects the statistics of one class's requests; requestsByPrefix counts the requests with each
+// prefix. A prefix is shared if several requests have it.
+func collectClassStats(requests []Request, requestsByPrefix map[prefixKey]int) *classStats {
+	o := &classStats{sessions: map[string]*session{}, sharedPrefixes: map[string]bool{}}
 	for i, r := range requests {
 		key := r.Session
 		if key == "" {
 			key = fmt.Sprint("alone ", i)
 		}
-		o.add(key, &r, r.Prefix != "" && prefixes[prefixKey{r.Class, r.Prefix}] > 1)
+		o.add(key, &r, r.Prefix != "" && requestsByPrefix[prefixKey{r.Class, r.Prefix}] > 1)
 	}
 	return o
 }
 
-func (o *observation) add(key string, r *Request, sharesPrefix bool) {
+func (o *classStats) add(key string, r *Request, sharesPrefix bool) {
 	s := o.sessions[key]
 	if s == nil {
 		s = &session{}
@@ -108,23 +108,23 @@
 		if sharesPrefix {
 			s.contextTokens = r.PrefixTokens
 			o.prefixTokens = append(o.prefixTokens, r.PrefixTokens)
-			o.prefixes[r.Prefix] = true
+			o.sharedPrefixes[r.Prefix] = true
 		}
 	}
-	o.prompts = append(o.prompts, max(r.PromptTokens-s.contextTokens, 1))
+	o.promptTokens = append(o.promptTokens, max(r.PromptTokens-s.contextTokens, 1))
 	if r.Result == "served" && r.AnswerTokens > 0 {
-		o.answers = append(o.answers, float64(r.AnswerTokens))
+		o.answerTokens = append(o.answerTokens, float64(r.AnswerTokens))
 	}
 	if !r.Stream {
-		o.notStreamed++
+		o.notStreamedCount++
 	}
-	s.turns++
+	s.turnCount++
 	s.contextTokens = r.PromptTokens + float64(r.AnswerTokens)
 }
 
 // fit returns the parameters of the class. Its Share is the number of its sessions, which the caller divides by that of
 // all classes.
-func (o *observation) fit(name string, requests int) ClassFit {
+func (o *classStats) fit(name string, requests int) ClassFit {
 	sessions := float64(len(o.sessions))
 	c := ClassFit{
 		Name:                name,
@@ -132,23 +132,23 @@
 		Share:               sessions,
 		Turns:               float64(requests) / sessions,
 		PrefixShare:         float64(len(o.prefixTokens)) / sessions,
-		SharedPrefixes:      len(o.prefixes),
-		NotStreamedFraction: float64(o.notStreamed) / float64(requests),
+		SharedPrefixes:      len(o.sharedPrefixes),
+		NotStreamedFraction: float64(o.notStreamedCount) / float64(requests),
 	}
 	if len(o.prefixTokens) > 0 {
 		c.PrefixTokens = stat.Mean(o.prefixTokens, nil)
 	}
-	c.PromptTokens, c.PromptDistance = fitMean(o.prompts)
-	c.AnswerTokens, c.AnswerDistance = fitMean(o.answers)
+	c.PromptTokens, c.PromptDistance = fitMean(o.promptTokens)
+	c.AnswerTokens, c.AnswerDistance = fitMean(o.answerTokens)
 	return c
 }
 
 // Synthetic lengths are distributed uniformly: from minLengthFactor to minLengthFactor+lengthFactorRange times the
 // mean, as package scenario draws them.
 const (
-	minLengthFactor   = 0.3
-	lengthFactorRange = 1.4
-	syntheticDraws    = 4000 // sample size to which recorded lengths are compared
+	minLengthFactor     = 0.3
+	lengthFactorRange   = 1.4
+	syntheticSampleSize = 4000 // sample size to which recorded lengths are compared
 )
 
 // fitMean returns the mean of lengths, and the Kolmogorov-Smirnov distance of their distribution from the synthetic one
@@ -159,12 +159,12 @@
 	}
 	mean = stat.Mean(lengths, nil)
 	rnd := rand.New(rand.NewPCG(1, 1))
-	draws := make([]float64, syntheticDraws)
-	for i := range draws {
-		draws[i] = mean * (minLengthFactor + lengthFactorRange*rnd.Float64())
+	syntheticLengths := make([]float64, syntheticSampleSize)
+	for i := range syntheticLengths {
+		syntheticLengths[i] = mean * (minLengthFactor + lengthFactorRange*rnd.Float64())
 	}
-	slices.Sort(draws)
-	return mean, stat.KolmogorovSmirnov(slices.Sorted(slices.Values(lengths)), nil, draws, nil)
+	slices.Sort(syntheticLengths)
+	return mean, stat.KolmogorovSmirnov(slices.Sorted(slices.Values(lengths)), nil, syntheticLengths, nil)
 }
 
 // dispersionIndex returns the variance over the mean of the requests in a second. It ignores the last second, which is
--- a/internal/simulation/trace/golden_test.go
+++ b/internal/simulation/trace/golden_test.go
@@ -18,7 +18,7 @@
 func formatTrace(tr *Trace) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "begin %s parts %d torn %t steps %d gaps %d\n",
-		tr.Begin.UTC().Format(time.RFC3339Nano), tr.Parts, tr.Truncated, tr.ClockSteps, len(tr.Gaps))
+		tr.Start.UTC().Format(time.RFC3339Nano), tr.Segments, tr.Truncated, tr.ClockSteps, len(tr.Gaps))
 	for _, q := range tr.Requests {
 		fmt.Fprintf(&s, "at=%d class=%q tenant=%q session=%q prefix=%q prompt=%v prefix_len=%v max_out=%v out=%d "+
 			"stream=%t result=%q first=%d took=%d\n",
@@ -42,7 +42,7 @@
 	return string(text)
 }
 
-// Writes a recording of two parts, which must equal the stored one byte for byte, and reads the stored one.
+// Writes a recording of two segments, which must equal the stored one byte for byte, and reads the stored one.
 func TestRecordingFormatIsUnchanged(t *testing.T) {
 	full := Request{
 		At: 3, Class: "c", Tenant: "t", Session: "s", Prefix: "p", PromptTokens: 100.5, PrefixTokens: 50.25,
@@ -50,8 +50,8 @@
 		FirstToken: 123456789, Duration: 2 * time.Second,
 	}
 	var b bytes.Buffer
-	writePart(t, &b, begin, full, requestAt(1), Request{At: 5, Class: "<&>", Result: "refused"})
-	writePart(t, &b, begin.Add(10*time.Second), requestAt(0), full)
+	writeSegment(t, &b, startTime, full, requestAt(1), Request{At: 5, Class: "<&>", Result: "refused"})
+	writeSegment(t, &b, startTime.Add(10*time.Second), requestAt(0), full)
 	golden.Check(t, "recording.zst", b.String())
 	golden.Check(t, "recording.jsonl", decompress(t, b.Bytes()))
 	stored, err := os.ReadFile(filepath.Join("testdata", "recording.zst"))
--- a/internal/simulation/trace/log.go
+++ b/internal/simulation/trace/log.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// finalAnswerLine is the JSON line that a replica logs at level info for the final answer of a request.
-type finalAnswerLine struct {
+// finalAnswerLogLine is the JSON line that a replica logs at level info for the final answer of a request.
+type finalAnswerLogLine struct {
 	Timestamp       string  `json:"ts"`
 	Message         string  `json:"msg"`
 	Replica         string  `json:"front"`
@@ -48,33 +48,33 @@
 var ErrNoAnswers = errors.New(
 	`trace: the log holds no final answers: it must be JSON lines at level info (<log level="info"/>)`)
 
-// maxLogLine is the longest accepted line of a log, in bytes.
-const maxLogLine = 1 << 20
+// maxLogLineBytes is the longest accepted line of a log, in bytes.
+const maxLogLineBytes = 1 << 20
 
 // FromLog writes a trace of the requests in a replica's log. Lines that are not of a final answer are skipped and
 // counted; a final answer with an invalid time is a *FieldError.
 func FromLog(log io.Reader, out io.Writer) (requests, skipped int, err error) {
 	lines := bufio.NewScanner(log)
-	lines.Buffer(make([]byte, 64<<10), maxLogLine)
+	lines.Buffer(make([]byte, 64<<10), maxLogLineBytes)
 	var w *Writer
-	var begin time.Time
-	for n := 1; lines.Scan(); n++ {
-		var line finalAnswerLine
+	var start time.Time
+	for lineNumber := 1; lines.Scan(); lineNumber++ {
+		var line finalAnswerLogLine
 		if json.Unmarshal(lines.Bytes(), &line) != nil || !strings.HasPrefix(line.Message, answerMessagePrefix) {
 			skipped++
 			continue
 		}
-		r, accepted, err := line.request(n)
+		r, acceptedAt, err := line.request(lineNumber)
 		if err != nil {
 			return requests, skipped, err
 		}
 		if w == nil {
-			begin = accepted
-			if w, err = NewWriter(out, Header{Begin: begin, Source: line.Replica}); err != nil {
+			start = acceptedAt
+			if w, err = NewWriter(out, Header{Start: start, Source: line.Replica}); err != nil {
 				return 0, skipped, err
 			}
 		}
-		r.At = accepted.Sub(begin)
+		r.At = acceptedAt.Sub(start)
 		if err := w.Add(&r); err != nil {
 			return requests, skipped, err
 		}
@@ -90,10 +90,10 @@
 }
 
 // request returns the request of the line, which is the n-th of the log, and when it was accepted.
-func (l *finalAnswerLine) request(n int) (r Request, accepted time.Time, err error) {
-	ended, err := time.Parse(time.RFC3339Nano, l.Timestamp)
+func (l *finalAnswerLogLine) request(lineNumber int) (r Request, acceptedAt time.Time, err error) {
+	endedAt, err := time.Parse(time.RFC3339Nano, l.Timestamp)
 	if err != nil {
-		return r, accepted, &FieldError{n, "ts", err}
+		return r, acceptedAt, &FieldError{lineNumber, "ts", err}
 	}
 	r = Request{
 		Class: l.Class, Tenant: l.Tenant, Session: l.Session, Prefix: l.Prefix, PromptTokens: l.PromptTokens,
@@ -101,12 +101,12 @@
 		Result: strings.TrimPrefix(l.Message, answerMessagePrefix),
 	}
 	if r.Duration, err = time.ParseDuration(l.Duration); err != nil {
-		return r, accepted, &FieldError{n, "took", err}
+		return r, acceptedAt, &FieldError{lineNumber, "took", err}
 	}
 	if l.FirstToken != "" {
 		if r.FirstToken, err = time.ParseDuration(l.FirstToken); err != nil {
-			return r, accepted, &FieldError{n, "first_token", err}
+			return r, acceptedAt, &FieldError{lineNumber, "first_token", err}
 		}
 	}
-	return r, ended.Add(-r.Duration), nil
+	return r, endedAt.Add(-r.Duration), nil
 }
--- a/internal/simulation/trace/read.go
+++ b/internal/simulation/trace/read.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	maxLine               = 1 << 16     // bytes
-	maxDecompressorMemory = 256 << 20   // bytes
-	minClockStep          = time.Second // smaller steps back are ignored
+	maxLineBytes         = 1 << 16     // bytes
+	maxDecompressorBytes = 256 << 20   // bytes
+	minClockStep         = time.Second // smaller steps back are ignored
 )
 
 // LineError is the error for an invalid line.
@@ -30,7 +30,7 @@
 
 func (e *LineError) Unwrap() error { return e.Err }
 
-// VersionError is the error for a part of an unsupported format version.
+// VersionError is the error for a segment of an unsupported format version.
 type VersionError struct{ Version int }
 
 func (e VersionError) Error() string {
@@ -39,7 +39,7 @@
 
 // Other errors that a LineError wraps.
 var (
-	ErrLongLine       = fmt.Errorf("longer than %d bytes", maxLine)
+	ErrLongLine       = fmt.Errorf("longer than %d bytes", maxLineBytes)
 	ErrNoHeader       = errors.New("not a trace: the first line is not a header")
 	ErrInvalidRequest = errors.New("invalid request: class is missing, or prompt, out or took is negative")
 )
@@ -48,23 +48,23 @@
 // *LineError.
 func Read(r io.Reader) (*Trace, error) {
 	decompressor, err := zstd.NewReader(
-		r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressorMemory))
+		r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressorBytes))
 	if err != nil {
 		return nil, err
 	}
 	defer decompressor.Close()
-	lines := bufio.NewReaderSize(decompressor, maxLine)
+	lines := bufio.NewReaderSize(decompressor, maxLineBytes)
 	p := parser{trace: &Trace{}}
-	for n := 1; ; n++ {
+	for lineNumber := 1; ; lineNumber++ {
 		line, err := lines.ReadSlice('\n')
 		if err != nil {
-			if err := p.handleReadError(n, line, err); err != nil {
+			if err := p.handleReadError(lineNumber, line, err); err != nil {
 				return nil, err
 			}
 			break
 		}
 		if err := p.parse(line); err != nil {
-			return nil, &LineError{n, err}
+			return nil, &LineError{lineNumber, err}
 		}
 	}
 	t := p.trace
@@ -75,20 +75,20 @@
 
 // parser builds a trace line by line.
 type parser struct {
-	trace   *Trace
-	offset  time.Duration // added to the times of the current part
-	lastEnd time.Duration // the latest end of a request so far
+	trace         *Trace
+	segmentOffset time.Duration // added to the times of the current segment
+	lastEnd       time.Duration // the latest end of a request so far
 }
 
 // handleReadError handles an error from reading the n-th line. It returns nil at the end of the file, and also where
 // the rest of the file can't be read; the trace is then marked as truncated.
-func (p *parser) handleReadError(n int, line []byte, err error) error {
+func (p *parser) handleReadError(lineNumber int, line []byte, err error) error {
 	switch {
-	case errors.Is(err, io.EOF) && len(line) == 0 && p.trace.Parts > 0:
+	case errors.Is(err, io.EOF) && len(line) == 0 && p.trace.Segments > 0:
 		return nil
 	case errors.Is(err, bufio.ErrBufferFull):
-		return &LineError{n, ErrLongLine}
-	case p.trace.Parts == 0:
+		return &LineError{lineNumber, ErrLongLine}
+	case p.trace.Segments == 0:
 		return fmt.Errorf("trace: no header: %w", err)
 	}
 	p.trace.Truncated = true // the file ends within a frame or a line, or a frame is damaged
@@ -99,7 +99,7 @@
 	if bytes.HasPrefix(line, []byte(`{"trace"`)) {
 		return p.parseHeader(line)
 	}
-	if p.trace.Parts == 0 {
+	if p.trace.Segments == 0 {
 		return ErrNoHeader
 	}
 	return p.parseRequest(line)
@@ -110,15 +110,15 @@
 	if err := json.Unmarshal(line, &h); err != nil || h.Version != Version {
 		return VersionError{h.Version}
 	}
-	if p.trace.Parts == 0 {
-		p.trace.Begin = h.Begin
+	if p.trace.Segments == 0 {
+		p.trace.Start = h.Start
 	}
-	p.trace.Parts++
-	p.offset = h.Begin.Sub(p.trace.Begin)
-	if p.lastEnd-p.offset > minClockStep {
-		// The part begins before the previous one ended: its clock is another one, or was set back in between.
+	p.trace.Segments++
+	p.segmentOffset = h.Start.Sub(p.trace.Start)
+	if p.lastEnd-p.segmentOffset > minClockStep {
+		// The segment begins before the previous one ended: its clock is another one, or was set back in between.
 		p.trace.ClockSteps++
-		p.offset = p.lastEnd
+		p.segmentOffset = p.lastEnd
 	}
 	return nil
 }
@@ -132,11 +132,11 @@
 	if r.Class == "" || !validPrompt || r.Duration < 0 || r.AnswerTokens < 0 {
 		return ErrInvalidRequest
 	}
-	r.At += p.offset
+	r.At += p.segmentOffset
 	if end := r.At + r.Duration; end < p.lastEnd-minClockStep {
 		// Requests are written in the order in which they end, so the clock was set back.
 		p.trace.ClockSteps++
-		p.offset += p.lastEnd - end
+		p.segmentOffset += p.lastEnd - end
 		r.At += p.lastEnd - end
 	} else {
 		p.lastEnd = max(p.lastEnd, end)
--- a/internal/simulation/trace/replay.go
+++ b/internal/simulation/trace/replay.go
@@ -7,16 +7,16 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// NameError is the error for a recorded request whose class or tenant the scenario does not have.
-type NameError struct {
+// UnknownNameError is the error for a recorded request whose class or tenant the scenario does not have.
+type UnknownNameError struct {
 	Request int    // counted from 1
-	What    string // class or tenant
+	Element string // class or tenant
 	Name    string
 }
 
-func (e *NameError) Error() string {
+func (e *UnknownNameError) Error() string {
 	return fmt.Sprintf("trace: request %d has %s %q, which is not a <%s> of the scenario",
-		e.Request, e.What, e.Name, e.What)
+		e.Request, e.Element, e.Name, e.Element)
 }
 
 // RecordedRequests assigns the requests to the classes and tenants of a scenario, by name, for a replay.
@@ -25,11 +25,11 @@
 	for i, r := range t.Requests {
 		class := slices.IndexFunc(s.Classes, func(c scenario.Class) bool { return c.Name == r.Class })
 		if class < 0 {
-			return nil, &NameError{i + 1, "class", r.Class}
+			return nil, &UnknownNameError{i + 1, "class", r.Class}
 		}
 		tenant := slices.IndexFunc(s.Tenants, func(x scenario.Tenant) bool { return x.Name == r.Tenant })
 		if tenant < 0 && len(s.Tenants) > 0 {
-			return nil, &NameError{i + 1, "tenant", r.Tenant}
+			return nil, &UnknownNameError{i + 1, "tenant", r.Tenant}
 		}
 		answerTokens := r.AnswerTokens
 		if answerTokens == 0 { // rejected or failed: the length of its answer is unknown, so the mean is used
--- a/internal/simulation/trace/report.go
+++ b/internal/simulation/trace/report.go
@@ -7,7 +7,7 @@
 )
 
 // WriteText prints the parameters as elements of a scenario file, followed by a table of how well they fit.
-func (f *Fitted) WriteText(out io.Writer) error {
+func (f *FitResult) WriteText(out io.Writer) error {
 	if _, err := fmt.Fprintf(out, "<day rate=\"%.1f/s\" ...>\n", f.Rate); err != nil {
 		return err
 	}
--- a/internal/simulation/trace/trace.go
+++ b/internal/simulation/trace/trace.go
@@ -3,9 +3,9 @@
 // reports the damage.
 //
 // Version 1 of the format is a sequence of Zstandard frames (RFC 8878) that contain JSON lines. A line that starts with
-// the key "trace" is a header and begins a part, as written by one process of a replica or one append to the file. All
-// other lines are requests of the part, in the order in which they ended. Times are in nanoseconds; at counts from the
-// start of the part.
+// the key "trace" is a header and begins a segment, as written by one process of a replica or one append to the file.
+// All other lines are requests of the segment, in the order in which they ended. Times are in nanoseconds; at counts
+// from the start of the segment.
 package trace
 
 import (
@@ -21,10 +21,10 @@
 // Version is the version of the format that is written, and the only one that is read.
 const Version = 1
 
-// Header is the first line of a part.
+// Header is the first line of a segment.
 type Header struct {
 	Version int       `json:"trace"`
-	Begin   time.Time `json:"begin"`
+	Start   time.Time `json:"begin"`
 	Source  string    `json:"source,omitempty"` // the replica's name
 }
 
@@ -45,13 +45,14 @@
 	Duration        time.Duration `json:"took"`
 }
 
-// Writer writes one part. It is not safe for concurrent use.
+// Writer writes one segment. It is not safe for concurrent use.
 type Writer struct {
 	compressor *zstd.Encoder
 	encoder    *json.Encoder
 }
 
-// NewWriter begins a part by writing its header. Close ends the part; a file may contain several, one after the other.
+// NewWriter begins a segment by writing its header. Close ends the segment; a file may contain several, one after the
+// other.
 func NewWriter(w io.Writer, h Header) (*Writer, error) {
 	compressor, err := zstd.NewWriter(w, zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -68,15 +69,15 @@
 // Flush writes out the requests added so far, so that they can be read even if the process ends without Close.
 func (w *Writer) Flush() error { return w.compressor.Flush() }
 
-// Close ends the part. It does not close the underlying writer.
+// Close ends the segment. It does not close the underlying writer.
 func (w *Writer) Close() error { return w.compressor.Close() }
 
-// Trace is the content of a file: the requests of all parts, sorted by their times, which count from the start of the
-// first part.
+// Trace is the content of a file: the requests of all segments, sorted by their times, which count from the start of
+// the first segment.
 type Trace struct {
-	Begin      time.Time
+	Start      time.Time
 	Requests   []Request
-	Parts      int
+	Segments   int
 	Truncated  bool  // the end of the file is missing or can't be decompressed
 	ClockSteps int   // how often a clock was set back by more than a second; later requests were shifted
 	Gaps       []Gap // in order
@@ -87,8 +88,8 @@
 
 // A span without requests is a gap if it is longer than both limits.
 const (
-	minGap        = 30 * time.Second
-	minGapMedians = 100 // times the median time between requests
+	minGap          = 30 * time.Second
+	minGapIntervals = 100 // times the median time between requests
 )
 
 func (t *Trace) findGaps() {
@@ -97,12 +98,12 @@
 		return
 	}
 	// The limit is based on the median, since the gaps themselves would raise a mean.
-	var between []time.Duration
+	var intervals []time.Duration
 	for i := 1; i < n; i++ {
-		between = append(between, t.Requests[i].At-t.Requests[i-1].At)
+		intervals = append(intervals, t.Requests[i].At-t.Requests[i-1].At)
 	}
-	slices.Sort(between)
-	limit := max(minGap, minGapMedians*between[len(between)/2])
+	slices.Sort(intervals)
+	limit := max(minGap, minGapIntervals*intervals[len(intervals)/2])
 	for i := 1; i < n; i++ {
 		if from, to := t.Requests[i-1].At, t.Requests[i].At; to-from > limit {
 			t.Gaps = append(t.Gaps, Gap{from, to})
@@ -123,7 +124,7 @@
 	}
 }
 
-// Length returns the time from the start of the first part to the last request.
+// Length returns the time from the start of the first segment to the last request.
 func (t *Trace) Length() time.Duration {
 	if len(t.Requests) == 0 {
 		return 0
--- a/internal/simulation/trace/trace_test.go
+++ b/internal/simulation/trace/trace_test.go
@@ -18,11 +18,11 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-var begin = time.Date(2026, 11, 2, 6, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 11, 2, 6, 0, 0, 0, time.UTC)
 
-func writePart(t *testing.T, w *bytes.Buffer, from time.Time, requests ...Request) {
+func writeSegment(t *testing.T, w *bytes.Buffer, start time.Time, requests ...Request) {
 	t.Helper()
-	p, err := NewWriter(w, Header{Begin: from, Source: "front-1"})
+	p, err := NewWriter(w, Header{Start: start, Source: "front-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,18 +52,18 @@
 	return tr
 }
 
-// Reads recordings with two parts, with hours without requests, and with a clock that was set back within a part and
-// between two.
+// Reads recordings with two segments, with hours without requests, and with a clock that was set back within a segment
+// and between two.
 func TestReadDetectsGapsAndClockSteps(t *testing.T) {
 	var b bytes.Buffer
-	writePart(t, &b, begin, requestAt(0), requestAt(1), requestAt(2), requestAt(3))
-	writePart(t, &b, begin.Add(10*time.Second), requestAt(0), requestAt(1))
+	writeSegment(t, &b, startTime, requestAt(0), requestAt(1), requestAt(2), requestAt(3))
+	writeSegment(t, &b, startTime.Add(10*time.Second), requestAt(0), requestAt(1))
 	tr := readTrace(t, b.Bytes())
-	if tr.Parts != 2 || len(tr.Requests) != 6 || tr.Requests[4].At != 10*time.Second || tr.ClockSteps != 0 ||
+	if tr.Segments != 2 || len(tr.Requests) != 6 || tr.Requests[4].At != 10*time.Second || tr.ClockSteps != 0 ||
 		len(tr.Gaps) != 0 {
 		t.Errorf("%+v", tr)
 	}
-	writePart(t, &b, begin.Add(10*time.Hour), requestAt(0), requestAt(1))
+	writeSegment(t, &b, startTime.Add(10*time.Hour), requestAt(0), requestAt(1))
 	tr = readTrace(t, b.Bytes())
 	if len(tr.Gaps) != 1 || tr.Gaps[0].To != 10*time.Hour || len(tr.Warnings()) != 1 {
 		t.Errorf("%+v", tr.Gaps)
@@ -74,9 +74,9 @@
 	}
 	b.Reset()
 	// The clock is set back by 15 s after the third request.
-	back := []Request{requestAt(0), requestAt(10), requestAt(20), requestAt(5), requestAt(6)}
-	writePart(t, &b, begin, back...)
-	writePart(t, &b, begin.Add(-time.Hour), requestAt(0))
+	steppedBack := []Request{requestAt(0), requestAt(10), requestAt(20), requestAt(5), requestAt(6)}
+	writeSegment(t, &b, startTime, steppedBack...)
+	writeSegment(t, &b, startTime.Add(-time.Hour), requestAt(0))
 	tr = readTrace(t, b.Bytes())
 	if tr.ClockSteps != 2 || tr.Length() < 20*time.Second || tr.Length() > time.Minute ||
 		tr.Requests[4].At-tr.Requests[3].At != time.Second {
@@ -86,7 +86,7 @@
 	b.Reset()
 	long := requestAt(0)
 	long.Duration = 20 * time.Second
-	writePart(t, &b, begin, requestAt(1), requestAt(5), long, requestAt(21))
+	writeSegment(t, &b, startTime, requestAt(1), requestAt(5), long, requestAt(21))
 	if tr = readTrace(t, b.Bytes()); tr.ClockSteps != 0 || tr.Requests[0].Duration != 20*time.Second {
 		t.Errorf("%+v", tr)
 	}
@@ -96,11 +96,11 @@
 // error is acceptable only if there are none.
 func TestReadTruncatedFile(t *testing.T) {
 	var b bytes.Buffer
-	w, err := NewWriter(&b, Header{Begin: begin})
+	w, err := NewWriter(&b, Header{Start: startTime})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var flushed []int
+	var flushedSizes []int
 	for i := range 200 {
 		q := requestAt(float64(i))
 		q.Session = fmt.Sprint("session ", i*7919)
@@ -111,42 +111,43 @@
 			if err := w.Flush(); err != nil {
 				t.Fatal(err)
 			}
-			flushed = append(flushed, b.Len())
+			flushedSizes = append(flushedSizes, b.Len())
 		}
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	whole := b.Bytes()
-	for cut := range whole {
-		tr, err := Read(bytes.NewReader(whole[:cut]))
+	complete := b.Bytes()
+	for size := range complete {
+		tr, err := Read(bytes.NewReader(complete[:size]))
 		minRequests := 0
-		for i, at := range flushed {
-			if at <= cut {
+		for i, at := range flushedSizes {
+			if at <= size {
 				minRequests = 20 * (i + 1)
 			}
 		}
 		if err != nil {
 			if minRequests > 0 {
-				t.Fatalf("truncated at %d of %d: %v, %d requests were flushed", cut, len(whole), err, minRequests)
+				t.Fatalf("truncated at %d of %d: %v, %d requests were flushed", size, len(complete), err, minRequests)
 			}
 			continue
 		}
 		if len(tr.Requests) < minRequests || !tr.Truncated && len(tr.Requests) < 200 {
 			t.Fatalf("truncated at %d of %d: %d requests, %d were flushed, reported as truncated: %v",
-				cut, len(whole), len(tr.Requests), minRequests, tr.Truncated)
+				size, len(complete), len(tr.Requests), minRequests, tr.Truncated)
 		}
 	}
-	if tr := readTrace(t, whole); tr.Truncated || len(tr.Requests) != 200 {
+	if tr := readTrace(t, complete); tr.Truncated || len(tr.Requests) != 200 {
 		t.Errorf("whole: %+v", tr)
 	}
 }
 
 func TestReadRejectsInvalidFiles(t *testing.T) {
-	var other, bad, line bytes.Buffer
-	writePart(t, &bad, begin, Request{Class: "", PromptTokens: 1})
-	writePart(t, &line, begin, Request{Class: "c", PromptTokens: 1, Session: strings.Repeat("x", 2*maxLine)})
-	w, _ := NewWriter(&other, Header{Begin: begin})
+	var otherVersion, noClass, longLine bytes.Buffer
+	writeSegment(t, &noClass, startTime, Request{Class: "", PromptTokens: 1})
+	writeSegment(t, &longLine, startTime,
+		Request{Class: "c", PromptTokens: 1, Session: strings.Repeat("x", 2*maxLineBytes)})
+	w, _ := NewWriter(&otherVersion, Header{Start: startTime})
 	_ = w.encoder.Encode(map[string]int{"trace": 9})
 	w.Close()
 	for _, c := range []struct {
@@ -156,9 +157,9 @@
 	}{
 		{"nothing", nil, io.EOF},
 		{"text", []byte("hello\n"), zstd.ErrMagicMismatch},
-		{"another version", other.Bytes(), VersionError{9}},
-		{"no class", bad.Bytes(), ErrInvalidRequest},
-		{"long line", line.Bytes(), ErrLongLine},
+		{"another version", otherVersion.Bytes(), VersionError{9}},
+		{"no class", noClass.Bytes(), ErrInvalidRequest},
+		{"long line", longLine.Bytes(), ErrLongLine},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := Read(bytes.NewReader(c.file)); !errors.Is(err, c.want) {
@@ -189,7 +190,7 @@
 		Result: "served", FirstToken: 200 * time.Millisecond, Duration: 500 * time.Millisecond,
 	}
 	if tr.Requests[0] != want || tr.Requests[1].At != 990*time.Millisecond || tr.Requests[1].Result != "refused" ||
-		!tr.Begin.Equal(begin.Add(2*time.Second)) {
+		!tr.Start.Equal(startTime.Add(2*time.Second)) {
 		t.Errorf("%+v", tr)
 	}
 	if _, _, err := FromLog(strings.NewReader("nothing\n"), &b); !errors.Is(err, ErrNoAnswers) {
@@ -222,11 +223,11 @@
 		t.Fatal(err)
 	}
 	var b bytes.Buffer
-	w, err := NewWriter(&b, Header{Begin: begin})
+	w, err := NewWriter(&b, Header{Start: startTime})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []Request
+	var requests []Request
 	a, normal, now := sc.Arrivals(), scenario.NormalConditions(), time.Duration(0)
 	for now < sc.Length {
 		now += a.NextGap(&normal)
@@ -240,7 +241,7 @@
 			if prefix > 0 {
 				q.Prefix = fmt.Sprint(s.Prefix.Seed)
 			}
-			all = append(all, q)
+			requests = append(requests, q)
 			more, pause := s.NextTurn("served", false, &normal)
 			if !more {
 				break
@@ -248,9 +249,9 @@
 			at += pause
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Request) int { return cmp.Compare(a.At, b.At) })
-	for i := range all {
-		if err := w.Add(&all[i]); err != nil {
+	slices.SortStableFunc(requests, func(a, b Request) int { return cmp.Compare(a.At, b.At) })
+	for i := range requests {
+		if err := w.Add(&requests[i]); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -268,25 +269,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	near := func(what string, got, want, by float64) {
-		if math.Abs(got-want) > by*want {
-			t.Errorf("%s: %v, want %v", what, got, want)
+	checkNear := func(name string, got, want, tolerance float64) {
+		if math.Abs(got-want) > tolerance*want {
+			t.Errorf("%s: %v, want %v", name, got, want)
 		}
 	}
-	near("rate", f.Rate, 40, 0.15)
+	checkNear("rate", f.Rate, 40, 0.15)
 	for i, c := range f.Classes {
 		k := sc.Classes[i]
-		near(c.Name+" share", c.Share, k.Share, 0.1)
-		near(c.Name+" turns", c.Turns, k.Turns, 0.12)
-		near(c.Name+" prompt", c.PromptTokens, float64(k.PromptTokens), 0.1)
-		near(c.Name+" answer", c.AnswerTokens, float64(k.AnswerTokens), 0.1)
+		checkNear(c.Name+" share", c.Share, k.Share, 0.1)
+		checkNear(c.Name+" turns", c.Turns, k.Turns, 0.12)
+		checkNear(c.Name+" prompt", c.PromptTokens, float64(k.PromptTokens), 0.1)
+		checkNear(c.Name+" answer", c.AnswerTokens, float64(k.AnswerTokens), 0.1)
 		if c.PromptDistance > 0.12 || c.AnswerDistance > 0.12 {
 			t.Errorf("%s: distances of %v and %v", c.Name, c.PromptDistance, c.AnswerDistance)
 		}
 	}
-	near("prefix", f.Classes[0].PrefixTokens, 800, 0.05)
-	near("shared", f.Classes[0].PrefixShare, 0.7, 0.1)
-	near("not streamed", f.Classes[1].NotStreamedFraction, 0.5, 0.15)
+	checkNear("prefix", f.Classes[0].PrefixTokens, 800, 0.05)
+	checkNear("shared", f.Classes[0].PrefixShare, 0.7, 0.1)
+	checkNear("not streamed", f.Classes[1].NotStreamedFraction, 0.5, 0.15)
 	for i := range tr.Requests {
 		tr.Requests[i].PromptTokens *= math.Exp(2 * math.Sin(float64(i)))
 	}
@@ -302,16 +303,16 @@
 	}
 }
 
-// A replay contains every request recorded within the length of the scenario, and keeps the rules of the audit. Blend
+// A replay contains every request recorded within the length of the scenario, and keeps the rules of the audit. Merge
 // with scale 3 triples a recording; with scales 1 and 0.5 it merges one recording with about half of another.
-func TestReplayAndBlendRequestCounts(t *testing.T) {
+func TestReplayAndMergeRequestCounts(t *testing.T) {
 	sc, tr := recordSynthetic(t)
-	list, err := tr.RecordedRequests(sc)
+	recorded, err := tr.RecordedRequests(sc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	count := func(list []scenario.RecordedRequest) int {
-		r, err := fleet.Run(sc, fleet.Options{Traffic: list, Audit: true})
+	replayedRequests := func(recorded []scenario.RecordedRequest) int {
+		r, err := fleet.Run(sc, fleet.Options{Traffic: recorded, Audit: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -327,27 +328,27 @@
 		}
 		return n
 	}
-	within := 0
-	for _, q := range list {
+	wantRequests := 0
+	for _, q := range recorded {
 		if q.At <= sc.Length {
-			within++
+			wantRequests++
 		}
 	}
-	if n := count(list); n != within {
-		t.Errorf("%d requests were replayed, %d were recorded within the length of the scenario", n, within)
+	if n := replayedRequests(recorded); n != wantRequests {
+		t.Errorf("%d requests were replayed, %d were recorded within the length of the scenario", n, wantRequests)
 	}
-	three := scenario.Merge(1, [][]scenario.RecordedRequest{list}, []float64{3})
-	sc.Length = three[len(three)-1].At
-	if n := count(three); n != 3*len(list) {
-		t.Errorf("three times: %d of %d", n, 3*len(list))
+	tripled := scenario.Merge(1, [][]scenario.RecordedRequest{recorded}, []float64{3})
+	sc.Length = tripled[len(tripled)-1].At
+	if n := replayedRequests(tripled); n != 3*len(recorded) {
+		t.Errorf("three times: %d of %d", n, 3*len(recorded))
 	}
-	half := scenario.Merge(1, [][]scenario.RecordedRequest{list, list}, []float64{1, 0.5})
-	if n := float64(len(half)) / float64(len(list)); n < 1.4 || n > 1.6 {
+	merged := scenario.Merge(1, [][]scenario.RecordedRequest{recorded, recorded}, []float64{1, 0.5})
+	if n := float64(len(merged)) / float64(len(recorded)); n < 1.4 || n > 1.6 {
 		t.Errorf("one and a half: %v", n)
 	}
 	tr.Requests[3].Class = "unknown"
 	_, err = tr.RecordedRequests(sc)
-	var name *NameError
+	var name *UnknownNameError
 	if !errors.As(err, &name) || name.Name != "unknown" || !strings.Contains(err.Error(), "unknown") {
 		t.Errorf("an unknown class: %v", err)
 	}
