--- a/internal/audit/answers.go
+++ b/internal/audit/answers.go
@@ -59,7 +59,7 @@
 		case AttemptSent:
 			c.attempts[e.Attempt] = &attemptRecord{sentEvent: e}
 		case Answer, ConnectionCut, ClientDisconnected, ExtraBytes:
-			c.observe(e)
+			c.addEvent(e)
 		default:
 		}
 	}
@@ -72,8 +72,8 @@
 	return c.result
 }
 
-// observe processes an event that ends an attempt or follows its end.
-func (c *answerCheck) observe(e Event) {
+// addEvent processes an event that ends an attempt or follows its end.
+func (c *answerCheck) addEvent(e Event) {
 	attempt := c.attempts[e.Attempt]
 	if attempt == nil { // never recorded as sent: the answer came before the whole request was written
 		attempt = &attemptRecord{sentEvent: Event{At: e.At, Deadline: e.At, Replica: e.Replica}}
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -88,21 +88,21 @@
 
 // Record collects events from many goroutines. A nil Record discards them.
 type Record struct {
-	start time.Time
+	startTime time.Time
 
 	mu     sync.Mutex
 	events []Event
 }
 
 // NewRecord returns an empty record whose clock starts now.
-func NewRecord() *Record { return &Record{start: time.Now()} }
+func NewRecord() *Record { return &Record{startTime: time.Now()} }
 
 // Now is the time since the record began; 0 for a nil record.
 func (r *Record) Now() time.Duration {
 	if r == nil {
 		return 0
 	}
-	return time.Since(r.start)
+	return time.Since(r.startTime)
 }
 
 // Add sets the time of an event to the present and records it.
@@ -112,7 +112,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.At = time.Since(r.start)
+	e.At = time.Since(r.startTime)
 	r.events = append(r.events, e)
 }
 
--- a/internal/audit/readstates.go
+++ b/internal/audit/readstates.go
@@ -101,7 +101,7 @@
 		switch e.Kind {
 		case RequestArrived, RequestEnded, StateHeld, StateReleased:
 			if e.Request != "" {
-				c.observe(e)
+				c.addEvent(e)
 			}
 		default:
 		}
@@ -120,8 +120,8 @@
 	return c.result
 }
 
-// observe processes an event of a request.
-func (c *readStateCheck) observe(e Event) {
+// addEvent processes an event of a request.
+func (c *readStateCheck) addEvent(e Event) {
 	id := requestID(e.Request)
 	request := c.requests[id]
 	if request == nil {
--- a/internal/scenariorun/enginefaults.go
+++ b/internal/scenariorun/enginefaults.go
@@ -11,8 +11,8 @@
 // defaultSlowFactor is how many times slower the fault "slow" makes engines where it states no factor.
 const defaultSlowFactor = 4
 
-// engineFaults holds the faults that are settings of a fake engine, by their names in scenarios.
-var engineFaults = map[string]func(*scenario.Fault) engine.Faults{
+// engineFaultSettings holds the faults that are settings of a fake engine, by their names in scenarios.
+var engineFaultSettings = map[string]func(*scenario.Fault) engine.Faults{
 	"fail-fast":  func(f *scenario.Fault) engine.Faults { return engine.Faults{FailFast: fraction(f)} },
 	"fail-class": func(f *scenario.Fault) engine.Faults { return engine.Faults{FailClass: f.Class} },
 	"stall":      func(*scenario.Fault) engine.Faults { return engine.Faults{Stall: true} },
@@ -60,7 +60,7 @@
 // injectOnEngine injects a fault into one engine and returns the function that undoes it, nil for a fault that needs
 // none.
 func (s *faultInjector) injectOnEngine(fault *scenario.Fault, server *engine.Server) (undo func()) {
-	if settings, ok := engineFaults[fault.Type]; ok {
+	if settings, ok := engineFaultSettings[fault.Type]; ok {
 		server.SetFaults(settings(fault))
 		return func() { server.SetFaults(engine.Faults{}) }
 	}
--- a/internal/scenariorun/faults.go
+++ b/internal/scenariorun/faults.go
@@ -13,14 +13,14 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// faultInjector injects the faults of a scenario. Only the goroutine of injectAll uses random.
+// faultInjector injects the faults of a scenario. Only the goroutine of injectAll uses rnd.
 type faultInjector struct {
 	*run
-	random *rand.Rand // the clients' draws use other generators
+	rnd *rand.Rand // the clients' draws use other generators
 }
 
 func newFaultInjector(r *run) *faultInjector {
-	return &faultInjector{run: r, random: rand.New(rand.NewPCG(uint64(r.scenario.Seed), 1))}
+	return &faultInjector{run: r, rnd: rand.New(rand.NewPCG(uint64(r.scenario.Seed), 1))}
 }
 
 // injectAll injects each fault at its time, undoes it after its duration, and waits until all have ended.
@@ -100,22 +100,22 @@
 // stopReplicas sends a signal to replicas that it draws from those that run; undo starts them again.
 func (s *faultInjector) stopReplicas(fault *scenario.Fault, signal syscall.Signal) (undo func()) {
 	var targets []*replica
-	for _, i := range s.random.Perm(len(s.replicas.members)) {
-		p := s.replicas.members[i]
-		if p.isRunning() && len(targets) < max(fault.Count, 1) {
-			targets = append(targets, p)
+	for _, i := range s.rnd.Perm(len(s.replicas.members)) {
+		member := s.replicas.members[i]
+		if member.isRunning() && len(targets) < max(fault.Count, 1) {
+			targets = append(targets, member)
 		}
 	}
 	var wg sync.WaitGroup
-	for _, p := range targets {
-		s.logf("fault %s on replica %s", fault.Type, p.name)
-		wg.Go(func() { s.replicas.stop(p, signal) })
+	for _, member := range targets {
+		s.logf("fault %s on replica %s", fault.Type, member.name)
+		wg.Go(func() { s.replicas.stop(member, signal) })
 	}
 	return func() {
 		wg.Wait()
-		for _, p := range targets {
-			if err := s.replicas.start(p); err != nil {
-				s.logf("replica %s not restarted: %v", p.name, err)
+		for _, member := range targets {
+			if err := s.replicas.start(member); err != nil {
+				s.logf("replica %s not restarted: %v", member.name, err)
 			}
 		}
 	}
@@ -156,5 +156,5 @@
 // drawEngines draws the engines that a fault affects. It leaves out engines that have a fault in force, so that the
 // fleet doesn't lose more capacity than the scenario says.
 func (s *faultInjector) drawEngines(fault *scenario.Fault) []*engine.Server {
-	return scenario.DrawTargets(fault, s.random, s.engines.healthy(fault.EngineKind))
+	return scenario.DrawTargets(fault, s.rnd, s.engines.healthy(fault.EngineKind))
 }
--- a/internal/scenariorun/replicas.go
+++ b/internal/scenariorun/replicas.go
@@ -54,10 +54,10 @@
 	exited chan struct{}
 }
 
-func (p *replica) isRunning() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.cmd != nil
+func (r *replica) isRunning() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.cmd != nil
 }
 
 // replicaSet holds the replicas of a scenario.
@@ -89,61 +89,61 @@
 	}
 	name := fmt.Sprintf("front-%d", i+1)
 	pathPrefix := filepath.Join(r.options.WorkDir, name)
-	p := &replica{name: name, addr: addr, settingsFile: pathPrefix + ".xml", logFile: pathPrefix + ".log"}
+	member := &replica{name: name, addr: addr, settingsFile: pathPrefix + ".xml", logFile: pathPrefix + ".log"}
 	if r.planners != nil {
-		if p.adminAddr, err = loopback.Address(); err != nil {
+		if member.adminAddr, err = loopback.Address(); err != nil {
 			return err
 		}
 	}
-	settings := r.scenario.ReplicaXML(i, p.name, p.addr, p.adminAddr, r.api.URL(), pathPrefix+".list.json")
-	if err := os.WriteFile(p.settingsFile, []byte(settings), 0o644); err != nil {
+	settings := r.scenario.ReplicaXML(i, member.name, member.addr, member.adminAddr, r.api.URL(), pathPrefix+".list.json")
+	if err := os.WriteFile(member.settingsFile, []byte(settings), 0o644); err != nil {
 		return err
 	}
-	r.replicas.members = append(r.replicas.members, p)
-	return r.replicas.start(p)
+	r.replicas.members = append(r.replicas.members, member)
+	return r.replicas.start(member)
 }
 
 // start starts a replica's process; its log goes to a file beside its settings.
-func (s *replicaSet) start(p *replica) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	log, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (s *replicaSet) start(member *replica) error {
+	member.mu.Lock()
+	defer member.mu.Unlock()
+	log, err := os.OpenFile(member.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Close() }() // the process has the file open itself
-	cmd := exec.Command(s.binary, "serve", "-c", p.settingsFile)
+	cmd := exec.Command(s.binary, "serve", "-c", member.settingsFile)
 	cmd.Env = s.env
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.exited = cmd, make(chan struct{})
-	s.record.Add(audit.Event{Kind: audit.ReplicaStarted, Replica: p.name})
-	go s.waitForExit(p, cmd, p.exited)
+	member.cmd, member.exited = cmd, make(chan struct{})
+	s.record.Add(audit.Event{Kind: audit.ReplicaStarted, Replica: member.name})
+	go s.waitForExit(member, cmd, member.exited)
 	return nil
 }
 
 // waitForExit waits for the end of a replica's process, records a crash unless stop ended it, and closes exited.
-func (s *replicaSet) waitForExit(p *replica, cmd *exec.Cmd, exited chan struct{}) {
+func (s *replicaSet) waitForExit(member *replica, cmd *exec.Cmd, exited chan struct{}) {
 	defer close(exited)
 	err := cmd.Wait()
-	p.mu.Lock()
-	crashed := p.cmd == cmd
-	p.mu.Unlock()
+	member.mu.Lock()
+	crashed := member.cmd == cmd
+	member.mu.Unlock()
 	if crashed {
-		s.addCrash(p, err)
+		s.addCrash(member, err)
 	}
 }
 
 // addCrash records that a replica's process ended by itself, with the end of its log.
-func (s *replicaSet) addCrash(p *replica, err error) {
-	excerpt := logExcerpt(p.logFile)
+func (s *replicaSet) addCrash(member *replica, err error) {
+	excerpt := logExcerpt(member.logFile)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashes = append(s.crashes,
 		fmt.Sprintf("%.3fs: replica %s ended by itself (%v): %.*s",
-			s.record.Now().Seconds(), p.name, err, maxLogExcerpt, excerpt))
+			s.record.Now().Seconds(), member.name, err, maxLogExcerpt, excerpt))
 }
 
 // logExcerpt returns the end of a log: from the last panic or fatal error on, or the last logTailBytes bytes where
@@ -169,23 +169,23 @@
 }
 
 // stop sends a signal to a replica's process, waits for its end, and kills it after stopTimeout.
-func (s *replicaSet) stop(p *replica, signal syscall.Signal) {
-	p.mu.Lock()
-	cmd, exited := p.cmd, p.exited
-	p.cmd = nil
-	p.mu.Unlock()
+func (s *replicaSet) stop(member *replica, signal syscall.Signal) {
+	member.mu.Lock()
+	cmd, exited := member.cmd, member.exited
+	member.cmd = nil
+	member.mu.Unlock()
 	if cmd == nil {
 		return
 	}
 	if signal == syscall.SIGKILL {
-		s.record.Add(audit.Event{Kind: audit.ReplicaKilled, Replica: p.name})
+		s.record.Add(audit.Event{Kind: audit.ReplicaKilled, Replica: member.name})
 	}
 	_ = cmd.Process.Signal(signal) // fails only when the process has ended
 	select {
 	case <-exited:
 	case <-time.After(stopTimeout):
-		s.logf("replica %s did not stop in time: killed", p.name)
-		s.record.Add(audit.Event{Kind: audit.ReplicaKilled, Replica: p.name})
+		s.logf("replica %s did not stop in time: killed", member.name)
+		s.record.Add(audit.Event{Kind: audit.ReplicaKilled, Replica: member.name})
 		_ = cmd.Process.Kill() // fails only when the process has ended
 		<-exited
 	}
@@ -195,8 +195,8 @@
 // lists.
 func (s *replicaSet) awaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
-	for _, p := range s.members {
-		if err := p.awaitAccepting(ctx, deadline); err != nil {
+	for _, member := range s.members {
+		if err := member.awaitAccepting(ctx, deadline); err != nil {
 			return err
 		}
 	}
@@ -205,28 +205,28 @@
 }
 
 // awaitAccepting waits until the replica accepts a connection, its process ends or the deadline passes.
-func (p *replica) awaitAccepting(ctx context.Context, deadline time.Time) error {
+func (r *replica) awaitAccepting(ctx context.Context, deadline time.Time) error {
 	for {
-		conn, err := net.DialTimeout("tcp", p.addr, connectTimeout)
+		conn, err := net.DialTimeout("tcp", r.addr, connectTimeout)
 		if err == nil {
 			_ = conn.Close() // it only shows that the replica accepts connections
 			return nil
 		}
 		select {
-		case <-p.exited:
-			return fmt.Errorf("%w: %s; see %s", ErrReplicaExited, p.name, p.logFile)
+		case <-r.exited:
+			return fmt.Errorf("%w: %s; see %s", ErrReplicaExited, r.name, r.logFile)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(connectInterval):
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%w: %s", ErrReplicaNotReady, p.name)
+			return fmt.Errorf("%w: %s", ErrReplicaNotReady, r.name)
 		}
 	}
 }
 
 func (s *replicaSet) close() {
-	for _, p := range s.members {
-		s.stop(p, syscall.SIGKILL)
+	for _, member := range s.members {
+		s.stop(member, syscall.SIGKILL)
 	}
 }
--- a/internal/simulation/rolesim/policy.go
+++ b/internal/simulation/rolesim/policy.go
@@ -49,7 +49,7 @@
 	PrefillEngines  int
 	Config          roles.Config
 	RestartInterval time.Duration // of the planner; 0 = no restarts
-	LoseMemory      bool          // a restarted planner does not restore the memory of the previous one
+	DiscardMemory   bool          // a restarted planner does not restore the memory of the previous one
 
 	planner *roles.Planner
 }
@@ -71,7 +71,7 @@
 // restartPlanner replaces the planner with a new one.
 func (p *PlannerPolicy) restartPlanner(now time.Duration) {
 	next := p.newPlanner()
-	if memory, ok := p.planner.Memory(); ok && !p.LoseMemory {
+	if memory, ok := p.planner.Memory(); ok && !p.DiscardMemory {
 		if err := next.Restore(memory, 0, now); err != nil {
 			panic(err) // a planner's memory is valid for any other planner
 		}
--- a/internal/simulation/rolesim/sim.go
+++ b/internal/simulation/rolesim/sim.go
@@ -41,10 +41,10 @@
 
 // queue is the FIFO queue of a stage. Requests that are too old are dropped when they reach its head, see dispatch.
 type queue struct {
-	requests []request
-	head     int
-	work     float64 // of all queued requests
-	workOf   func(request) float64
+	requests    []request
+	head        int
+	work        float64 // of all queued requests
+	requestWork func(request) float64
 }
 
 // compactAfter is how many removed requests a queue keeps before it moves the others to the front of its slice.
@@ -52,7 +52,7 @@
 
 func (q *queue) push(r request) {
 	q.requests = append(q.requests, r)
-	q.work += q.workOf(r)
+	q.work += q.requestWork(r)
 }
 
 func (q *queue) len() int { return len(q.requests) - q.head }
@@ -62,7 +62,7 @@
 func (q *queue) pop() request {
 	r := q.requests[q.head]
 	q.head++
-	q.work -= q.workOf(r)
+	q.work -= q.requestWork(r)
 	if q.head > compactAfter && q.head*2 > len(q.requests) {
 		q.requests = append(q.requests[:0], q.requests[q.head:]...)
 		q.head = 0
@@ -72,16 +72,16 @@
 
 // sim is the state of a run.
 type sim struct {
-	scenario *Scenario
-	now      float64 // seconds
-	rnd      *rand.Rand
-	events   eventQueue
-	engines  []*engine
-	pools    [2]pool // by stage
-	prefills queue
-	decodes  queue
-	result   *Result
-	bySecond []secondCounts
+	scenario       *Scenario
+	now            float64 // seconds
+	rnd            *rand.Rand
+	events         eventQueue
+	engines        []*engine
+	pools          [2]pool // by stage
+	prefills       queue
+	decodes        queue
+	result         *Result
+	countsBySecond []secondCounts
 }
 
 // Indices of the stages.
@@ -101,7 +101,7 @@
 	s.setDefaults()
 	x := newSim(&s, p.Start(&s))
 	end := s.Length.Seconds()
-	nextArrival, r := x.nextRequest(0)
+	nextArrival, nextRequest := x.nextRequest(0)
 	nextPlan := 1.0
 	for {
 		at := min(nextArrival, nextPlan)
@@ -114,8 +114,8 @@
 		x.now = at
 		switch at {
 		case nextArrival:
-			x.arrive(r)
-			nextArrival, r = x.nextRequest(at)
+			x.arrive(nextRequest)
+			nextArrival, nextRequest = x.nextRequest(at)
 		case nextPlan:
 			x.plan(p)
 			nextPlan++
@@ -129,8 +129,8 @@
 func newSim(s *Scenario, prefill int) *sim {
 	x := &sim{
 		scenario: s, rnd: rand.New(rand.NewPCG(s.Seed, trafficStream)), result: &Result{},
-		prefills: queue{workOf: prefillWork}, decodes: queue{workOf: decodeWork},
-		bySecond: make([]secondCounts, int(s.Length.Seconds())+2),
+		prefills: queue{requestWork: prefillWork}, decodes: queue{requestWork: decodeWork},
+		countsBySecond: make([]secondCounts, int(s.Length.Seconds())+2),
 	}
 	for i := range s.Engines {
 		role := roles.Decode
@@ -148,8 +148,8 @@
 }
 
 func (x *sim) finish() *Result {
-	x.result.LostFractions = make([]float64, len(x.bySecond))
-	for i, second := range x.bySecond {
+	x.result.LostFractions = make([]float64, len(x.countsBySecond))
+	for i, second := range x.countsBySecond {
 		if x.result.LostFractions[i] = second.lost; second.requests > 0 {
 			x.result.LostFractions[i] /= second.requests
 		}
@@ -160,7 +160,7 @@
 func (x *sim) arrive(r request) {
 	r.at, r.second = x.now, int(x.now)
 	x.result.Requests++
-	x.bySecond[r.second].requests++
+	x.countsBySecond[r.second].requests++
 	x.prefills.push(r)
 	x.dispatch()
 }
@@ -186,12 +186,12 @@
 }
 
 func (x *sim) dropPrefill(r request) {
-	x.bySecond[r.second].lost++
+	x.countsBySecond[r.second].lost++
 	x.result.LostPrefillWork += r.prefill
 }
 
 func (x *sim) dropDecode(r request) {
-	x.bySecond[r.second].lost++
+	x.countsBySecond[r.second].lost++
 	x.result.LostDecodeWork += r.decode / float64(x.scenario.Slots)
 }
 
--- a/internal/simulation/scenario/arrivals.go
+++ b/internal/simulation/scenario/arrivals.go
@@ -64,15 +64,15 @@
 
 func (a *Arrivals) drawClass(session *Session, c *Conditions) {
 	classes := a.scenario.Classes
-	shares, sum := make([]float64, len(classes)), 0.0
+	shares, shareSum := make([]float64, len(classes)), 0.0
 	for i, class := range classes {
 		shares[i] = class.Share
 		if factor, ok := c.ShareFactors[class.Name]; ok {
 			shares[i] *= factor
 		}
-		sum += shares[i]
+		shareSum += shares[i]
 	}
-	session.Class = drawIndex(session.rnd.Float64()*sum, len(shares), func(i int) float64 { return shares[i] })
+	session.Class = drawIndex(session.rnd.Float64()*shareSum, len(shares), func(i int) float64 { return shares[i] })
 }
 
 // drawIndex maps u, drawn uniformly between 0 and the sum of the shares, to an index: each is as likely as its share.
--- a/internal/simulation/scenario/fault.go
+++ b/internal/simulation/scenario/fault.go
@@ -54,8 +54,8 @@
 	expectedElement = regexp.MustCompile(`[ \t]*<expect\s[^>]*/>[ \t]*\n?`)
 )
 
-// ErrNotAScenario is returned for a file without the closing tag of a scenario.
-var ErrNotAScenario = errors.New("scenario: the file has no </day>")
+// ErrNoClosingTag is returned for a file without the closing tag of a scenario.
+var ErrNoClosingTag = errors.New("scenario: the file has no </day>")
 
 // WithFaults returns the scenario with other faults, and the text of its file, which has the note as a comment. The
 // expected service is left out, since it was set for the original faults.
@@ -64,7 +64,7 @@
 	text = expectedElement.ReplaceAll(text, nil)
 	end := bytes.LastIndex(text, []byte("</day>"))
 	if end < 0 {
-		return nil, nil, ErrNotAScenario
+		return nil, nil, ErrNoClosingTag
 	}
 	var b bytes.Buffer
 	b.Write(text[:end])
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -95,7 +95,7 @@
 // Whether requests are served or fail must not influence when other sessions arrive and how long their prompts are.
 func TestRequestOutcomesDoNotChangeDraws(t *testing.T) {
 	conditions := NormalConditions()
-	drawSessions := func(kind string) (lengths []int, gaps []time.Duration) {
+	drawSessions := func(outcome string) (lengths []int, gaps []time.Duration) {
 		a := defaultScenario(t).Arrivals()
 		for range 300 {
 			gaps = append(gaps, a.NextGap(&conditions))
@@ -106,7 +106,7 @@
 			}
 			lengths = append(lengths, n)
 			s.PickReplica(4)
-			s.AfterAttempt(kind, false, time.Second, 0)
+			s.AfterAttempt(outcome, false, time.Second, 0)
 		}
 		return lengths, gaps
 	}
@@ -135,10 +135,10 @@
 func TestClientRetryPolicy(t *testing.T) {
 	sc := defaultScenario(t)
 	for _, c := range []struct {
-		name               string
-		idempotency, kind  string
-		marks, noAutoRetry bool
-		again              bool
+		name                      string
+		idempotency, outcome      string
+		marksRetries, noAutoRetry bool
+		wantRetry                 bool
 	}{
 		{"careful, not idempotent, cut", "unsafe", "cut", false, false, false},
 		{"careful, idempotent, cut", "safe", "cut", false, false, true},
@@ -152,9 +152,9 @@
 		{"marking, idempotent, broken", "safe", "broken", true, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			session := newSession(sc, c.idempotency, c.marks)
-			retry, _ := session.AfterAttempt(c.kind, c.noAutoRetry, time.Second, time.Second)
-			if retry != c.again {
+			session := newSession(sc, c.idempotency, c.marksRetries)
+			retry, _ := session.AfterAttempt(c.outcome, c.noAutoRetry, time.Second, time.Second)
+			if retry != c.wantRetry {
 				t.Errorf("retries: %v", retry)
 			}
 		})
@@ -178,19 +178,19 @@
 	sc, conditions := defaultScenario(t), NormalConditions()
 	score, a := sc.Score(), sc.Arrivals()
 	served, requested := 0.0, 0.0
-	for i, kind := range []string{"served", "refused", "hung up", "broken", "served"} {
+	for i, outcome := range []string{"served", "refused", "hung up", "broken", "served"} {
 		s := a.NextSession(&conditions)
 		s.Stream = true
 		firstToken := time.Millisecond
 		if i == 4 {
 			firstToken = time.Hour
 		}
-		score.Add(s, time.Duration(i)*time.Second, kind, firstToken)
+		score.Add(s, time.Duration(i)*time.Second, outcome, firstToken)
 		c := sc.Classes[s.Class]
-		if kind != "hung up" {
+		if outcome != "hung up" {
 			requested += c.PriorityWeight
 		}
-		if kind == "served" {
+		if outcome == "served" {
 			served += c.PriorityWeight * map[bool]float64{true: c.LateWeight, false: 1}[i == 4]
 		}
 	}
