--- a/cmd/brackenbend/scenario.go
+++ b/cmd/brackenbend/scenario.go
@@ -108,7 +108,7 @@
 		return options, err
 	}
 	if r.foreseenReportFile != "" {
-		if options.Foreseen, err = readForeseenDemand(r.foreseenReportFile); err != nil {
+		if options.RecordedDemand, err = readForeseenDemand(r.foreseenReportFile); err != nil {
 			return options, exitError{err, exitUsage}
 		}
 	}
@@ -180,9 +180,9 @@
 	if err := json.Unmarshal(text, &report); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(report.Roles) == 0 {
+	if len(report.RoleSamples) == 0 {
 		return nil, fmt.Errorf("%s: the report has no roles; write it with --json in a run of a scenario that has a planner",
 			path)
 	}
-	return report.Roles, nil
+	return report.RoleSamples, nil
 }
--- a/cmd/brackenbend/scenario_test.go
+++ b/cmd/brackenbend/scenario_test.go
@@ -143,10 +143,10 @@
 			killCount++
 		}
 	}
-	for _, sample := range report.Roles {
+	for _, sample := range report.RoleSamples {
 		maxChanging = max(maxChanging, sample.Changing)
 	}
-	lastSample := report.Roles[len(report.Roles)-1]
+	lastSample := report.RoleSamples[len(report.RoleSamples)-1]
 	if killCount != 8 || lastSample.Commands < 4 || maxChanging == 0 {
 		t.Errorf("%d replicas killed, at most %d engines changing role at once, last sample %+v",
 			killCount, maxChanging, lastSample)
--- a/cmd/brackenbend/simulate_recording.go
+++ b/cmd/brackenbend/simulate_recording.go
@@ -60,7 +60,7 @@
 		beginTimes = append(beginTimes, recording.beginTime)
 	}
 	alignBeginTimes(requestLists, beginTimes)
-	mergedRequests := scenario.Blend(1, requestLists, scales)
+	mergedRequests := scenario.Merge(1, requestLists, scales)
 	if len(mergedRequests) == 0 {
 		return nil, exitError{fmt.Errorf("--trace: no requests in %s", strings.Join(r.specs, ", ")), exitConfig}
 	}
@@ -83,7 +83,7 @@
 		return r, err
 	}
 	recordedTrace.CloseGaps()
-	r.beginTime = recordedTrace.Begin
+	r.beginTime = recordedTrace.Start
 	if r.requests, err = recordedTrace.RecordedRequests(sc); err != nil {
 		return r, exitError{fmt.Errorf("%s: %w", file, err), exitConfig}
 	}
--- a/internal/scenariorun/faults.go
+++ b/internal/scenariorun/faults.go
@@ -13,34 +13,34 @@
 	"brackenbend/internal/simulation/scenario"
 )
 
-// faultScript plays the faults of a scenario. Only the goroutine of play uses random.
-type faultScript struct {
+// faultInjector injects the faults of a scenario. Only the goroutine of injectAll uses rnd.
+type faultInjector struct {
 	*run
-	random *rand.Rand // the clients' draws use other generators
+	rnd *rand.Rand // the clients' draws use other generators
 }
 
-func newFaultScript(r *run) *faultScript {
-	return &faultScript{run: r, random: rand.New(rand.NewPCG(uint64(r.scenario.Seed), 1))}
+func newFaultInjector(r *run) *faultInjector {
+	return &faultInjector{run: r, rnd: rand.New(rand.NewPCG(uint64(r.scenario.Seed), 1))}
 }
 
-// play begins each fault at its time, undoes it after its duration, and waits until all have ended.
-func (s *faultScript) play(ctx context.Context, began time.Time) {
-	var pending sync.WaitGroup
-	defer pending.Wait()
+// injectAll injects each fault at its time, undoes it after its duration, and waits until all have ended.
+func (s *faultInjector) injectAll(ctx context.Context, start time.Time) {
+	var activeFaults sync.WaitGroup
+	defer activeFaults.Wait()
 	faults := slices.Clone(s.scenario.Faults)
 	slices.SortStableFunc(faults, func(a, b scenario.Fault) int { return cmp.Compare(a.At, b.At) })
 	for _, fault := range faults {
-		if !sleepUntil(ctx, began.Add(fault.At)) {
+		if !sleepUntil(ctx, start.Add(fault.At)) {
 			return
 		}
-		undo := s.begin(&fault)
+		undo := s.inject(&fault)
 		if undo == nil {
 			continue
 		}
-		pending.Go(func() {
-			sleepUntil(ctx, began.Add(fault.At+fault.For))
+		activeFaults.Go(func() {
+			sleepUntil(ctx, start.Add(fault.At+fault.Duration))
 			undo()
-			s.logf("fault %s ended", fault.What)
+			s.logf("fault %s ended", fault.Type)
 		})
 	}
 }
@@ -55,20 +55,20 @@
 	}
 }
 
-// begin begins a fault and returns the function that undoes it, nil for a fault that needs none.
-func (s *faultScript) begin(fault *scenario.Fault) (undo func()) {
-	switch fault.What {
+// inject injects a fault and returns the function that undoes it, nil for a fault that needs none.
+func (s *faultInjector) inject(fault *scenario.Fault) (undo func()) {
+	switch fault.Type {
 	case "front-kill":
 		return s.stopReplicas(fault, syscall.SIGKILL)
 	case "front-stop":
 		return s.stopReplicas(fault, syscall.SIGTERM)
 	case "register-cut":
-		s.logf("API server unreachable for %v", fault.For)
+		s.logf("API server unreachable for %v", fault.Duration)
 		s.api.SetUnreachable(true)
 		return func() { s.api.SetUnreachable(false) }
 	case "register-late":
-		s.logf("events of the API server delayed by %v for %v", fault.Late, fault.For)
-		s.api.SetDelay(fault.Late)
+		s.logf("events of the API server delayed by %v for %v", fault.EventDelay, fault.Duration)
+		s.api.SetDelay(fault.EventDelay)
 		return func() { s.api.SetDelay(0) }
 	case "register-compact":
 		s.logf("API server compacts its history")
@@ -77,7 +77,7 @@
 	case "planner-stop":
 		return s.stopPlanners(fault)
 	case "role-force":
-		for _, server := range s.pick(fault) {
+		for _, server := range s.drawEngines(fault) {
 			s.forceRole(server.Info().Name)
 		}
 		return nil
@@ -85,37 +85,37 @@
 	if undo := s.changeConditions(fault); undo != nil {
 		return undo
 	}
-	return s.beginOnEngines(fault)
+	return s.injectOnEngines(fault)
 }
 
-func (s *faultScript) stopPlanners(fault *scenario.Fault) (undo func()) {
+func (s *faultInjector) stopPlanners(fault *scenario.Fault) (undo func()) {
 	if s.planners == nil {
 		return nil
 	}
-	s.logf("planners stopped for %v", fault.For)
+	s.logf("planners stopped for %v", fault.Duration)
 	s.planners.stop()
 	return s.planners.start
 }
 
 // stopReplicas sends a signal to replicas that it draws from those that run; undo starts them again.
-func (s *faultScript) stopReplicas(fault *scenario.Fault, signal syscall.Signal) (undo func()) {
-	var stopped []*replica
-	for _, i := range s.random.Perm(len(s.replicas.members)) {
-		p := s.replicas.members[i]
-		if p.isUp() && len(stopped) < max(fault.Count, 1) {
-			stopped = append(stopped, p)
+func (s *faultInjector) stopReplicas(fault *scenario.Fault, signal syscall.Signal) (undo func()) {
+	var targets []*replica
+	for _, i := range s.rnd.Perm(len(s.replicas.members)) {
+		member := s.replicas.members[i]
+		if member.isRunning() && len(targets) < max(fault.Count, 1) {
+			targets = append(targets, member)
 		}
 	}
-	var stopping sync.WaitGroup
-	for _, p := range stopped {
-		s.logf("fault %s on replica %s", fault.What, p.name)
-		stopping.Go(func() { s.replicas.stop(p, signal) })
+	var wg sync.WaitGroup
+	for _, member := range targets {
+		s.logf("fault %s on replica %s", fault.Type, member.name)
+		wg.Go(func() { s.replicas.stop(member, signal) })
 	}
 	return func() {
-		stopping.Wait()
-		for _, p := range stopped {
-			if err := s.replicas.start(p); err != nil {
-				s.logf("replica %s not restarted: %v", p.name, err)
+		wg.Wait()
+		for _, member := range targets {
+			if err := s.replicas.start(member); err != nil {
+				s.logf("replica %s not restarted: %v", member.name, err)
 			}
 		}
 	}
@@ -131,13 +131,13 @@
 func (c *clientConditions) snapshot() *scenario.Conditions {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	current := c.current
-	return &current
+	conditions := c.current
+	return &conditions
 }
 
 // changeConditions applies a fault to the clients' conditions and returns the function that undoes it, nil for a fault
 // that does not concern clients.
-func (s *faultScript) changeConditions(fault *scenario.Fault) func() {
+func (s *faultInjector) changeConditions(fault *scenario.Fault) func() {
 	c := &s.conditions
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +145,7 @@
 	if undo == nil {
 		return nil
 	}
-	s.logf("fault %s on clients for %v", fault.What, fault.For)
+	s.logf("fault %s on clients for %v", fault.Type, fault.Duration)
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -153,8 +153,8 @@
 	}
 }
 
-// pick draws the engines that a fault affects. It leaves out engines that have a fault in force, so that the fleet
-// doesn't lose more capacity than the scenario says.
-func (s *faultScript) pick(fault *scenario.Fault) []*engine.Server {
-	return scenario.DrawTargets(fault, s.random, s.engines.healthy(fault.Kind))
+// drawEngines draws the engines that a fault affects. It leaves out engines that have a fault in force, so that the
+// fleet doesn't lose more capacity than the scenario says.
+func (s *faultInjector) drawEngines(fault *scenario.Fault) []*engine.Server {
+	return scenario.DrawTargets(fault, s.rnd, s.engines.healthy(fault.EngineKind))
 }
--- a/internal/simulation/fleet/oracle.go
+++ b/internal/simulation/fleet/oracle.go
@@ -180,13 +180,13 @@
 	if !s.fleet.options.Oracles.KnowHealth {
 		return false
 	}
-	switch f.What {
+	switch f.Type {
 	case "drain", "remove", "crash", "forget", "silent-restart", "role-force":
 		return false
 	}
 	healthyCount := 0
 	for i, e := range s.fleet.engines {
-		if entry := &s.engines[i]; (f.Kind == "" || e.kind.Name == f.Kind) && entry.up && !entry.unhealthy {
+		if entry := &s.engines[i]; (f.EngineKind == "" || e.kind.Name == f.EngineKind) && entry.up && !entry.unhealthy {
 			healthyCount++
 		}
 	}
--- a/internal/simulation/forecast/golden_test.go
+++ b/internal/simulation/forecast/golden_test.go
@@ -34,7 +34,7 @@
 func TestStoredJSONIsUnchanged(t *testing.T) {
 	checkStored(t, "summary.json", Summary{
 		Service: 0.5, WorstService: 0.25, Requests: 3, Rejected: 4, Attempts: 5, TransferredTokens: 6.5, Violations: 7,
-		Timeline: []scenario.Second{{ServedWeight: 1.5, RequestedWeight: 2.5}, {}},
+		Timeline: []scenario.SecondTotals{{ServedWeight: 1.5, RequestedWeight: 2.5}, {}},
 	})
 	checkStored(t, "forecast.json", Forecast{
 		Scenario: "bad.xml", Services: []float64{0.5, 0.75}, MeanService: 0.625, SD: 0.125, Low: 0.5, High: 0.875,
@@ -48,7 +48,7 @@
 		Violations:                  [2]int{11, 12}, Differences: []float64{13, 14},
 		MeanDifference: 15, Low: 16, High: 17, Level: 18,
 		InterimAnalyses: 19,
-		Bimodal:         true, Verdict: SecondBetter, Timelines: [2][]scenario.Second{{{ServedWeight: 1}}, nil},
+		Bimodal:         true, Verdict: SecondBetter, Timelines: [2][]scenario.SecondTotals{{{ServedWeight: 1}}, nil},
 	})
 	checkStored(t, "verdicts.json", []Verdict{FirstBetter, SecondBetter, NoDifference, Undecided})
 }
--- a/internal/simulation/overload/overload.go
+++ b/internal/simulation/overload/overload.go
@@ -121,7 +121,7 @@
 	sc := p.Scenario.Replication(run + 1)
 	sc.Length = p.Before + p.Duration + p.After
 	from, to := p.Before, p.Before+p.Duration
-	overloadFault := scenario.Fault{At: from, For: p.Duration, What: "surge", Factor: load / p.BaseLoad}
+	overloadFault := scenario.Fault{At: from, Duration: p.Duration, Type: "surge", Factor: load / p.BaseLoad}
 	sc.Faults = append(slices.Clone(sc.Faults), overloadFault)
 	sc.Rate *= config.Rate(p.BaseLoad)
 	options := fleet.Options{}
