--- a/internal/endpointslice/store.go
+++ b/internal/endpointslice/store.go
@@ -60,11 +60,11 @@
 // version of their slice, since a resumed watch may report a slice that has been removed in the meantime.
 func (s *store) apply(eventType string, slice *EndpointSlice) []Endpoint {
 	meta := &slice.Metadata
-	last, known := s.versions[meta.Name]
+	lastVersion, known := s.versions[meta.Name]
 	if !known {
-		last = s.maxPrunedVersion
+		lastVersion = s.maxPrunedVersion
 	}
-	if last != "" && !isNewer(last, meta.ResourceVersion) {
+	if lastVersion != "" && !isNewer(lastVersion, meta.ResourceVersion) {
 		return nil
 	}
 	s.versions[meta.Name] = meta.ResourceVersion
@@ -114,8 +114,8 @@
 	}
 }
 
-// live returns the endpoints whose state is not EndpointGone, in no particular order.
-func (s *store) live() []Endpoint {
+// liveEndpoints returns the endpoints whose state is not EndpointGone, in no particular order.
+func (s *store) liveEndpoints() []Endpoint {
 	list := make([]Endpoint, 0, len(s.endpoints))
 	for _, endpoint := range s.endpoints {
 		if endpoint.State != routing.EndpointGone {
@@ -173,20 +173,21 @@
 // already known, else the present time if the endpoint becomes ready after the first list. Zero means long ago.
 func (s *store) startTime(endpoint *Endpoint, annotated map[string]time.Time, previous map[string]Endpoint) time.Time {
 	now := s.now()
-	old, known := previous[endpoint.Name]
-	sameProcess := known && old.UID == endpoint.UID
+	previousEndpoint, known := previous[endpoint.Name]
+	sameProcess := known && previousEndpoint.UID == endpoint.UID
 	if started, ok := annotated[endpoint.Name]; ok {
 		if started.After(now) { // the clock of the annotation's author is ahead
 			started = now
 		}
-		if sameProcess && !old.Started.IsZero() && started.Sub(old.Started).Abs() < startTimeTolerance {
-			return old.Started
+		if sameProcess && !previousEndpoint.Started.IsZero() &&
+			started.Sub(previousEndpoint.Started).Abs() < startTimeTolerance {
+			return previousEndpoint.Started
 		}
 		return started
 	}
 	switch {
-	case sameProcess && (old.State != routing.EndpointGone || endpoint.State == routing.EndpointGone):
-		return old.Started
+	case sameProcess && (previousEndpoint.State != routing.EndpointGone || endpoint.State == routing.EndpointGone):
+		return previousEndpoint.Started
 	case s.listed && endpoint.State != routing.EndpointGone:
 		return now
 	}
--- a/internal/endpointslice/store_test.go
+++ b/internal/endpointslice/store_test.go
@@ -13,7 +13,7 @@
 	*store
 }
 
-func (h *storeHarness) event(eventType, name string, version int) []Endpoint {
+func (h *storeHarness) applyEvent(eventType, name string, version int) []Endpoint {
 	h.t.Helper()
 	slice := &EndpointSlice{}
 	slice.Metadata.Name, slice.Metadata.ResourceVersion = name, fmt.Sprint(version)
@@ -28,22 +28,22 @@
 // bounded, and a late event about a pruned slice must still be ignored.
 func TestStorePrunesVersionsOfDeletedSlices(t *testing.T) {
 	h := &storeHarness{t, newStore("", "")}
-	h.event(eventAdded, "stays", 1)
+	h.applyEvent(eventAdded, "stays", 1)
 	for i := range 20000 {
 		name := fmt.Sprint("pod-", i)
-		h.event(eventAdded, name, 2*i+2)
-		h.event(eventDeleted, name, 2*i+3)
+		h.applyEvent(eventAdded, name, 2*i+2)
+		h.applyEvent(eventDeleted, name, 2*i+3)
 		if n := len(h.versions); n > minDeletedVersions+2*2+1 {
 			t.Fatalf("the versions of %d names are stored", n)
 		}
 	}
-	if got := h.event(eventAdded, "pod-0", 2); got != nil {
+	if got := h.applyEvent(eventAdded, "pod-0", 2); got != nil {
 		t.Errorf("a late event about a pruned slice was applied: %v", got)
 	}
-	if got := h.event(eventAdded, "pod-0", 50000); len(got) != 1 || got[0].State != routing.EndpointReady {
+	if got := h.applyEvent(eventAdded, "pod-0", 50000); len(got) != 1 || got[0].State != routing.EndpointReady {
 		t.Errorf("a new slice with the name of a deleted one was not added: %v", got)
 	}
-	if got := h.event(eventDeleted, "stays", 50001); len(got) != 1 || got[0].State != routing.EndpointGone {
+	if got := h.applyEvent(eventDeleted, "stays", 50001); len(got) != 1 || got[0].State != routing.EndpointGone {
 		t.Errorf("changes after the slice was deleted: %v", got)
 	}
 }
--- a/internal/endpointslice/watch.go
+++ b/internal/endpointslice/watch.go
@@ -134,6 +134,6 @@
 
 func (w *Watcher) saveCache() {
 	if w.cache != nil {
-		w.cache.write(w.store.live())
+		w.cache.write(w.store.liveEndpoints())
 	}
 }
--- a/internal/endpointslice/watch_test.go
+++ b/internal/endpointslice/watch_test.go
@@ -74,7 +74,7 @@
 }
 
 // eventually waits until condition holds for the endpoints and the scopes of the updates so far.
-func (r *updateRecorder) eventually(what string, condition func(endpoints, []routing.ListScope) bool) {
+func (r *updateRecorder) eventually(description string, condition func(endpoints, []routing.ListScope) bool) {
 	r.t.Helper()
 	for end := time.Now().Add(eventuallyTimeout); ; time.Sleep(2 * time.Millisecond) {
 		r.mu.Lock()
@@ -86,15 +86,15 @@
 		if time.Now().After(end) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.t.Fatalf("not within %v: %s; endpoints %+v, scopes %v", eventuallyTimeout, what, r.endpoints, r.scopes)
+			r.t.Fatalf("not within %v: %s; endpoints %+v, scopes %v", eventuallyTimeout, description, r.endpoints, r.scopes)
 		}
 	}
 }
 
 // eventuallyState waits until the named endpoint has the wanted state.
-func (r *updateRecorder) eventuallyState(what, name string, want routing.EndpointState) {
+func (r *updateRecorder) eventuallyState(description, name string, want routing.EndpointState) {
 	r.t.Helper()
-	r.eventually(what, func(m endpoints, _ []routing.ListScope) bool {
+	r.eventually(description, func(m endpoints, _ []routing.ListScope) bool {
 		e, ok := m[name]
 		return ok && e.State == want
 	})
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -33,11 +33,11 @@
 
 // streamState records what was received of the response stream.
 type streamState struct {
-	begun         bool // the first token arrived and Sink.Begin accepted the stream
-	lastEventSeen bool
-	events        int // events with data, without the last one (sse.Done); used as the token count
-	cachedTokens  float64
-	loadReport    []float64 // from a comment in the stream; nil = none
+	begun             bool // the first token arrived and Sink.Begin accepted the stream
+	lastEventReceived bool
+	events            int // events with data, without the last one (sse.Done); used as the token count
+	cachedTokens      float64
+	loadReport        []float64 // from a comment in the stream; nil = none
 }
 
 // Cancel aborts the attempt. Prefill or Decode still returns its outcome.
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -19,10 +19,10 @@
 	closed       atomic.Bool          // draining or removed: no new request is sent
 	lastResponse monotonic.AtomicTime // 0 = never
 
-	mu        sync.Mutex
-	idle      []*persistConn // the connection that has been idle longest comes first
-	open      int            // connections open or being dialed
-	totalOpen *atomic.Int64  // shared by all endpoints of the client; set before the first connection is counted
+	mu             sync.Mutex
+	idleConns      []*persistConn // the connection that has been idle longest comes first
+	openConns      int            // connections open or being dialed
+	totalOpenConns *atomic.Int64  // shared by all endpoints of the client; set before the first connection is counted
 }
 
 // Close keeps requests from being sent to the engine, also those of attempts in progress that have not yet written the
@@ -53,7 +53,7 @@
 func (e *Endpoint) discardIdle(match func(*persistConn) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.idle = slices.DeleteFunc(e.idle, func(pc *persistConn) bool {
+	e.idleConns = slices.DeleteFunc(e.idleConns, func(pc *persistConn) bool {
 		if !match(pc) {
 			return false
 		}
@@ -69,19 +69,19 @@
 	e.uncountConn()
 }
 
-// countConn counts a connection that is about to be dialed; dialWithinLimit adds it to totalOpen. The caller holds
+// countConn counts a connection that is about to be dialed; dialWithinLimit adds it to totalOpenConns. The caller holds
 // e.mu.
-func (e *Endpoint) countConn() { e.open++ }
+func (e *Endpoint) countConn() { e.openConns++ }
 
 // uncountConn removes a connection that was closed or whose dial failed from both counts. The caller holds e.mu.
 func (e *Endpoint) uncountConn() {
-	e.open--
-	e.totalOpen.Add(-1)
+	e.openConns--
+	e.totalOpenConns.Add(-1)
 }
 
 // Conns is the number of connections that are open or being dialed.
 func (e *Endpoint) Conns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.open
+	return e.openConns
 }
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -74,7 +74,7 @@
 // captureStages returns the requests of both stages for request bodies of all kinds.
 func captureStages(t *testing.T, client *Client, key string) string {
 	t.Helper()
-	var all strings.Builder
+	var requests strings.Builder
 	for _, c := range []struct{ name, path, body string }{
 		{"chat, stream", api.PathChat, strings.ReplaceAll(chatBody, "STREAM", "true")},
 		{"chat, whole", api.PathChat, strings.ReplaceAll(chatBody, "STREAM", "false")},
@@ -88,18 +88,18 @@
 		}
 		call := newCall(time.Minute)
 		call.Path, call.ID, call.IdempotencyKey = c.path, "run-1-2", key
-		add := func(what, message string) {
-			fmt.Fprintf(&all, "== %s: %s\n%s", c.name, what, visibleLineEnds(message))
+		addMessage := func(label, message string) {
+			fmt.Fprintf(&requests, "== %s: %s\n%s", c.name, label, visibleLineEnds(message))
 		}
-		add("read", captureRequest(t, prefillReply, func(e *Endpoint) {
+		addMessage("read", captureRequest(t, prefillReply, func(e *Endpoint) {
 			call.Body = req.PrefillBody()
 			if out := client.Prefill(&Attempt{}, e, call); out.Result != routing.PrefillDone {
 				t.Errorf("result %d, %v", out.Result, out.Err)
 			}
 		}))
 		for _, kv := range []json.RawMessage{nil, json.RawMessage(`{"remote_block_ids":[1, 2],"port":7}`)} {
-			what := fmt.Sprintf("write, usage %v, kv_transfer_params %q", !req.Stream, kv)
-			add(what, captureRequest(t, decodeStream, func(e *Endpoint) {
+			label := fmt.Sprintf("write, usage %v, kv_transfer_params %q", !req.Stream, kv)
+			addMessage(label, captureRequest(t, decodeStream, func(e *Endpoint) {
 				call.Body = req.DecodeBody(kv, !req.Stream)
 				if out := client.Decode(&Attempt{}, e, call, &testSink{}); out.Result != routing.Served {
 					t.Errorf("result %d, %v", out.Result, out.Err)
@@ -107,7 +107,7 @@
 			}))
 		}
 	}
-	return all.String()
+	return requests.String()
 }
 
 func captureRelease(t *testing.T, client *Client) string {
@@ -119,9 +119,9 @@
 	})
 }
 
-// suffixIf returns suffix, a part of a golden file's name, if on is set, else an empty string.
-func suffixIf(on bool, suffix string) string {
-	if on {
+// suffixIf returns suffix, a part of a golden file's name, if condition is true, else an empty string.
+func suffixIf(condition bool, suffix string) string {
+	if condition {
 		return suffix
 	}
 	return ""
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -17,8 +17,8 @@
 // TestDecodeOutcomeTable checks the results of decodes whose connections and responses end in different ways.
 func TestDecodeOutcomeTable(t *testing.T) {
 	const events = "data: {}\n\ndata: [DONE]\n\n"
-	whole := streamHeader + chunk("data: {}\n\n") + chunk("data: [DONE]\n\n") + http1.LastChunk
-	reply := func(text string) func(*net.TCPConn, *bufio.Reader) {
+	completeResponse := streamHeader + chunk("data: {}\n\n") + chunk("data: [DONE]\n\n") + http1.LastChunk
+	replyWith := func(text string) func(*net.TCPConn, *bufio.Reader) {
 		return func(conn *net.TCPConn, br *bufio.Reader) {
 			readRequest(br)
 			respond(conn, text)
@@ -29,11 +29,11 @@
 		want       routing.Result
 		beginCalls int
 	}{
-		"served": {reply(whole), routing.Served, 1},
+		"served": {replyWith(completeResponse), routing.Served, 1},
 		"served a byte at a time": {func(conn *net.TCPConn, br *bufio.Reader) {
 			readRequest(br)
-			for i := range whole {
-				respond(conn, whole[i:i+1])
+			for i := range completeResponse {
+				respond(conn, completeResponse[i:i+1])
 			}
 		}, routing.Served, 1},
 		"closed after accept": {func(*net.TCPConn, *bufio.Reader) {}, routing.ConnectionReset, 0},
@@ -41,28 +41,28 @@
 			readRequest(br)
 			resetOnClose(conn)
 		}, routing.ConnectionReset, 0},
-		"closed after request": {reply(""), routing.ConnectionReset, 0},
-		"closed within header": {reply(whole[:30]), routing.ConnectionReset, 0},
-		"closed within stream": {reply(whole[:len(streamHeader)+20]), routing.ConnectionReset, 1},
+		"closed after request": {replyWith(""), routing.ConnectionReset, 0},
+		"closed within header": {replyWith(completeResponse[:30]), routing.ConnectionReset, 0},
+		"closed within stream": {replyWith(completeResponse[:len(streamHeader)+20]), routing.ConnectionReset, 1},
 		"ended without [DONE]": {
-			reply(streamHeader + chunk("data: {}\n\n") + http1.LastChunk), routing.ConnectionReset, 1,
+			replyWith(streamHeader + chunk("data: {}\n\n") + http1.LastChunk), routing.ConnectionReset, 1,
 		},
-		"garbage": {reply("SSH-2.0-x\r\n\r\n"), routing.EngineError, 0},
+		"garbage": {replyWith("SSH-2.0-x\r\n\r\n"), routing.EngineError, 0},
 		"header too large": {
-			reply("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 9000) + "\r\n\r\n"), routing.EngineError, 0,
+			replyWith("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 9000) + "\r\n\r\n"), routing.EngineError, 0,
 		},
-		"broken chunk": {reply(streamHeader + chunk("data: {}\n\n") + "zz\r\n"), routing.EngineError, 1},
+		"broken chunk": {replyWith(streamHeader + chunk("data: {}\n\n") + "zz\r\n"), routing.EngineError, 1},
 		"event too large": {
-			reply(streamHeader + chunk("data: "+strings.Repeat("x", 20000))), routing.EngineError, 0,
+			replyWith(streamHeader + chunk("data: "+strings.Repeat("x", 20000))), routing.EngineError, 0,
 		},
-		"error event": {reply(streamHeader + chunk("data: {\"error\":{}}\n\n")), routing.EngineError, 0},
+		"error event": {replyWith(streamHeader + chunk("data: {\"error\":{}}\n\n")), routing.EngineError, 0},
 		"error event in stream": {
-			reply(streamHeader + chunk("data: {}\n\ndata: {\"error\":{}}\n\n")), routing.EngineError, 1,
+			replyWith(streamHeader + chunk("data: {}\n\ndata: {\"error\":{}}\n\n")), routing.EngineError, 1,
 		},
-		"500":               {reply("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"), routing.EngineError, 0},
-		"503, may have run": {reply("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"), routing.EngineError, 0},
+		"500":               {replyWith("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"), routing.EngineError, 0},
+		"503, may have run": {replyWith("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"), routing.EngineError, 0},
 		"503, never ran": {
-			reply("HTTP/1.1 503 x\r\nContent-Length: 0\r\nX-Brackenbend-Never-Ran: 1\r\n\r\n"), routing.Rejected, 0,
+			replyWith("HTTP/1.1 503 x\r\nContent-Length: 0\r\nX-Brackenbend-Never-Ran: 1\r\n\r\n"), routing.Rejected, 0,
 		},
 		"no response in time": {func(conn *net.TCPConn, br *bufio.Reader) {
 			readRequest(br)
@@ -72,7 +72,7 @@
 			respond(conn, "HTTP/1.1 413 x\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}")
 			readRequest(br)
 		}, routing.Served, 0},
-		"too many 100 responses": {reply(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)), routing.EngineError, 0},
+		"too many 100 responses": {replyWith(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)), routing.EngineError, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -190,7 +190,7 @@
 		},
 		"a stream": {decodeStream, nil, outcomeRow{1, false}, outcomeRow{0, false}},
 	} {
-		endpoint := func(t *testing.T) *Endpoint {
+		newEndpoint := func(t *testing.T) *Endpoint {
 			t.Helper()
 			return startPeer(t, func(_ int, conn *net.TCPConn) {
 				readRequest(bufio.NewReader(conn))
@@ -209,10 +209,10 @@
 			}
 		}
 		t.Run("prefill, "+name, func(t *testing.T) {
-			check(t, newTestClient().Prefill(&Attempt{}, endpoint(t), call), c.prefill)
+			check(t, newTestClient().Prefill(&Attempt{}, newEndpoint(t), call), c.prefill)
 		})
 		t.Run("decode, "+name, func(t *testing.T) {
-			check(t, newTestClient().Decode(&Attempt{}, endpoint(t), call, &testSink{}), c.decode)
+			check(t, newTestClient().Decode(&Attempt{}, newEndpoint(t), call, &testSink{}), c.decode)
 		})
 	}
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -15,15 +15,15 @@
 
 // poolState holds what a client tracks about the connections to all its endpoints.
 type poolState struct {
-	open          atomic.Int64         // connections open or being dialed
+	openConns     atomic.Int64         // connections open or being dialed
 	reuseFailedAt monotonic.AtomicTime // when a reused connection last failed; 0 = never
 
-	mu       sync.Mutex             // locked before Endpoint.mu
-	withIdle map[*Endpoint]struct{} // endpoints that may have idle connections
+	mu                sync.Mutex             // locked before Endpoint.mu
+	endpointsWithIdle map[*Endpoint]struct{} // endpoints that may have idle connections
 }
 
 // OpenConns is the number of connections to all engines that are open or being dialed.
-func (c *Client) OpenConns() int64 { return c.pool.open.Load() }
+func (c *Client) OpenConns() int64 { return c.pool.openConns.Load() }
 
 // getConn returns a usable idle connection, or dials a new one if there is none, newConn is set or reuse is suspended.
 // The dial ends after DialTimeout, at deadline (zero = none) or when a is canceled; a may be nil.
@@ -48,19 +48,19 @@
 func (c *Client) reuseOrReserve(e *Endpoint, newConn bool) (*persistConn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.totalOpen = &c.pool.open
+	e.totalOpenConns = &c.pool.openConns
 	if !newConn {
 		if pc := c.takeIdle(e); pc != nil {
 			pc.reused = true
 			return pc, nil
 		}
 	}
-	if e.open >= c.MaxConnsPerEndpoint {
-		if len(e.idle) == 0 {
+	if e.openConns >= c.MaxConnsPerEndpoint {
+		if len(e.idleConns) == 0 {
 			return nil, errConnLimit
 		}
-		e.removeConn(e.idle[0]) // makes room for the new connection
-		e.idle = e.idle[1:]
+		e.removeConn(e.idleConns[0]) // makes room for the new connection
+		e.idleConns = e.idleConns[1:]
 	}
 	e.countConn()
 	return nil, nil
@@ -69,12 +69,12 @@
 // takeIdle removes and returns the most recently used idle connection that has been idle for ReuseDelay and is usable.
 // On the way it closes those that have expired, were closed by the peer or have unread data. The caller holds e.mu.
 func (c *Client) takeIdle(e *Endpoint) *persistConn {
-	for i := len(e.idle) - 1; i >= 0; i-- {
-		pc := e.idle[i]
+	for i := len(e.idleConns) - 1; i >= 0; i-- {
+		pc := e.idleConns[i]
 		if pc.idleFor() < c.ReuseDelay {
 			continue
 		}
-		e.idle = slices.Delete(e.idle, i, i+1)
+		e.idleConns = slices.Delete(e.idleConns, i, i+1)
 		if pc.idleFor() < c.IdleTimeout && pc.peerIdle() {
 			return pc
 		}
@@ -86,8 +86,8 @@
 // dialWithinLimit dials a connection that its endpoint has already counted. At the limit MaxConns it first closes an
 // idle connection of any endpoint, and fails if there is none.
 func (c *Client) dialWithinLimit(a *Attempt, e *Endpoint, deadline time.Time) (net.Conn, error) {
-	open := c.pool.open.Add(1)
-	if c.MaxConns > 0 && open > int64(c.MaxConns) && !c.evictLongestIdle() {
+	openConns := c.pool.openConns.Add(1)
+	if c.MaxConns > 0 && openConns > int64(c.MaxConns) && !c.evictLongestIdle() {
 		return nil, errConnLimit
 	}
 	return c.dial(a, e, deadline)
@@ -104,30 +104,30 @@
 }
 
 // putConn returns a connection after use. It keeps the connection idle if it may be reused, and closes it otherwise.
-// clean means that the last response was read to its end and allows reuse.
-func (c *Client) putConn(e *Endpoint, pc *persistConn, clean bool) {
-	if !c.keepIdle(e, pc, clean) {
+// reusable means that the last response was read to its end and allows reuse.
+func (c *Client) putConn(e *Endpoint, pc *persistConn, reusable bool) {
+	if !c.keepIdle(e, pc, reusable) {
 		return
 	}
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if c.pool.withIdle == nil {
-		c.pool.withIdle = map[*Endpoint]struct{}{}
+	if c.pool.endpointsWithIdle == nil {
+		c.pool.endpointsWithIdle = map[*Endpoint]struct{}{}
 	}
-	c.pool.withIdle[e] = struct{}{}
+	c.pool.endpointsWithIdle[e] = struct{}{}
 }
 
 // keepIdle adds a connection to the idle connections of its endpoint and returns true, or closes it.
-func (c *Client) keepIdle(e *Endpoint, pc *persistConn, clean bool) bool {
+func (c *Client) keepIdle(e *Endpoint, pc *persistConn, reusable bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	keep := clean && e.IsOpen() && !c.reuseSuspended() && len(e.idle) < c.MaxIdlePerEndpoint && pc.prepareReuse()
+	keep := reusable && e.IsOpen() && !c.reuseSuspended() && len(e.idleConns) < c.MaxIdlePerEndpoint && pc.prepareReuse()
 	if !keep {
 		e.removeConn(pc)
 		return false
 	}
 	pc.idleSince = time.Now()
-	e.idle = append(e.idle, pc)
+	e.idleConns = append(e.idleConns, pc)
 	return true
 }
 
@@ -137,11 +137,11 @@
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	var oldest *Endpoint
-	var since time.Time
-	for e := range c.pool.withIdle {
+	var idleSince time.Time
+	for e := range c.pool.endpointsWithIdle {
 		e.mu.Lock()
-		if len(e.idle) > 0 && (oldest == nil || e.idle[0].idleSince.Before(since)) {
-			oldest, since = e, e.idle[0].idleSince
+		if len(e.idleConns) > 0 && (oldest == nil || e.idleConns[0].idleSince.Before(idleSince)) {
+			oldest, idleSince = e, e.idleConns[0].idleSince
 		}
 		e.mu.Unlock()
 	}
@@ -150,11 +150,11 @@
 	}
 	oldest.mu.Lock()
 	defer oldest.mu.Unlock()
-	if len(oldest.idle) == 0 { // another goroutine has taken it
+	if len(oldest.idleConns) == 0 { // another goroutine has taken it
 		return false
 	}
-	oldest.removeConn(oldest.idle[0])
-	oldest.idle = oldest.idle[1:]
+	oldest.removeConn(oldest.idleConns[0])
+	oldest.idleConns = oldest.idleConns[1:]
 	return true
 }
 
@@ -162,11 +162,11 @@
 func (c *Client) CloseExpiredIdle() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	for e := range c.pool.withIdle {
+	for e := range c.pool.endpointsWithIdle {
 		e.discardIdle(func(pc *persistConn) bool { return pc.idleFor() >= c.IdleTimeout })
 		e.mu.Lock()
-		if len(e.idle) == 0 {
-			delete(c.pool.withIdle, e)
+		if len(e.idleConns) == 0 {
+			delete(c.pool.endpointsWithIdle, e)
 		}
 		e.mu.Unlock()
 	}
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -60,17 +60,17 @@
 			t.Fatalf("%+v", out)
 		}
 		<-closed
-		awaitCloseSeen(endpoint)
+		awaitPeerClose(endpoint)
 	}
 }
 
-// awaitCloseSeen waits until the peer's close of the endpoint's only connection is visible on this side.
-func awaitCloseSeen(e *Endpoint) {
+// awaitPeerClose waits until the peer's close of the endpoint's only connection is visible on this side.
+func awaitPeerClose(e *Endpoint) {
 	for e.Conns() == 1 {
 		e.mu.Lock()
-		seen := len(e.idle) == 1 && !e.idle[0].peerIdle()
+		closed := len(e.idleConns) == 1 && !e.idleConns[0].peerIdle()
 		e.mu.Unlock()
-		if seen {
+		if closed {
 			return
 		}
 	}
@@ -118,8 +118,9 @@
 	}
 	client.IdleTimeout = 0 // all idle connections have expired
 	client.CloseExpiredIdle()
-	if n := client.OpenConns(); n != 0 || len(client.pool.withIdle) != 0 {
-		t.Errorf("after CloseExpiredIdle: %d connections, %d endpoints with idle connections", n, len(client.pool.withIdle))
+	if n := client.OpenConns(); n != 0 || len(client.pool.endpointsWithIdle) != 0 {
+		t.Errorf("after CloseExpiredIdle: %d connections, %d endpoints with idle connections",
+			n, len(client.pool.endpointsWithIdle))
 	}
 }
 
@@ -196,11 +197,11 @@
 	}
 }
 
-// serveRequestIDs responds to each request with a stream that contains the request's ID. If second is set, it sends
+// serveRequestIDs responds to each request with a stream that contains the request's ID. If repeat is set, it sends
 // each response a second time, just before the next one.
-func serveRequestIDs(conn net.Conn, second bool) {
+func serveRequestIDs(conn net.Conn, repeat bool) {
 	br := bufio.NewReader(conn)
-	late := ""
+	delayedResponse := ""
 	for {
 		req, err := http.ReadRequest(br)
 		if err != nil {
@@ -211,9 +212,9 @@
 			req.Header.Get(HeaderRequestID))
 		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n",
 			len(events), events)
-		respond(conn, late+response)
-		if second {
-			late = response
+		respond(conn, delayedResponse+response)
+		if repeat {
+			delayedResponse = response
 		}
 	}
 }
--- a/internal/engine/relay.go
+++ b/internal/engine/relay.go
@@ -38,10 +38,10 @@
 	body    http1.Body // not a pointer, which would move it to the heap
 	sink    Sink
 
-	pooled        *[]byte // the buffer taken from relayBuffers; nil = none
-	buf           []byte  // *pooled, or a larger buffer after growBuffer
+	pooledBuffer  *[]byte // the buffer taken from relayBuffers; nil = none
+	buf           []byte  // *pooledBuffer, or a larger buffer after growBuffer
 	filled        int     // bytes in buf that were read and not yet passed on
-	total         int64   // bytes read
+	bytesRead     int64   // bytes read
 	deadlineSetAt time.Time
 }
 
@@ -78,7 +78,7 @@
 			}
 		}
 		readErr := r.read()
-		if limit := r.client.MaxStreamBytes; limit > 0 && r.total > limit {
+		if limit := r.client.MaxStreamBytes; limit > 0 && r.bytesRead > limit {
 			return fmt.Errorf("%w: over %d bytes", errStreamTooLarge, limit)
 		}
 		done, err := r.forward(readErr)
@@ -109,14 +109,14 @@
 }
 
 func (r *streamRelay) acquireBuffer() {
-	r.pooled = relayBuffers.Get().(*[]byte)
-	r.buf = *r.pooled
+	r.pooledBuffer = relayBuffers.Get().(*[]byte)
+	r.buf = *r.pooledBuffer
 }
 
 func (r *streamRelay) releaseBuffer() {
-	if r.pooled != nil {
-		relayBuffers.Put(r.pooled)
-		r.pooled, r.buf = nil, nil
+	if r.pooledBuffer != nil {
+		relayBuffers.Put(r.pooledBuffer)
+		r.pooledBuffer, r.buf = nil, nil
 	}
 }
 
@@ -132,10 +132,10 @@
 // read reads all data that has arrived and fits the buffer, so that its events are passed on in one write.
 func (r *streamRelay) read() error {
 	n, err := r.body.Read(r.buf[r.filled:])
-	r.filled, r.total = r.filled+n, r.total+int64(n)
+	r.filled, r.bytesRead = r.filled+n, r.bytesRead+int64(n)
 	for err == nil && r.filled < len(r.buf) && r.body.Buffered() {
 		n, err = r.body.Read(r.buf[r.filled:])
-		r.filled, r.total = r.filled+n, r.total+int64(n)
+		r.filled, r.bytesRead = r.filled+n, r.bytesRead+int64(n)
 	}
 	return err
 }
@@ -160,7 +160,7 @@
 
 // bodyComplete reports whether the body has ended after the last event. Without RequireLastChunk it is always false.
 func (r *streamRelay) bodyComplete(readErr error) bool {
-	return r.client.RequireLastChunk && r.attempt.stream.lastEventSeen && errors.Is(readErr, io.EOF)
+	return r.client.RequireLastChunk && r.attempt.stream.lastEventReceived && errors.Is(readErr, io.EOF)
 }
 
 // scan returns the range of the buffer to pass on: complete events, starting with the first token. It returns done
@@ -185,7 +185,7 @@
 			start = end + n
 		}
 		end += n
-		if stream.lastEventSeen && !r.client.RequireLastChunk {
+		if stream.lastEventReceived && !r.client.RequireLastChunk {
 			return start, end, true, nil
 		}
 	}
@@ -204,7 +204,7 @@
 		stream.begun = true
 	}
 	if string(data) == sse.Done {
-		stream.lastEventSeen = true
+		stream.lastEventReceived = true
 		return nil
 	}
 	stream.events++
--- a/internal/engine/relay_test.go
+++ b/internal/engine/relay_test.go
@@ -14,14 +14,14 @@
 	"brackenbend/routing"
 )
 
-// scriptedConn is a connection whose incoming data comes from a reader.
-type scriptedConn struct {
+// readerConn is a connection whose incoming data comes from a reader.
+type readerConn struct {
 	net.Conn
 	io.Reader
 }
 
-func (c scriptedConn) Read(p []byte) (int, error)      { return c.Reader.Read(p) }
-func (c scriptedConn) SetReadDeadline(time.Time) error { return nil }
+func (c readerConn) Read(p []byte) (int, error)      { return c.Reader.Read(p) }
+func (c readerConn) SetReadDeadline(time.Time) error { return nil }
 
 func TestRelayAllocatesNothingPerToken(t *testing.T) {
 	client := newTestClient()
@@ -29,7 +29,7 @@
 	allocations := func(tokens int) float64 {
 		response := streamHeader + strings.Repeat(token, tokens) + chunk("data: [DONE]\n\n") + http1.LastChunk
 		return testing.AllocsPerRun(20, func() {
-			conn := newPersistConn(scriptedConn{Reader: strings.NewReader(response)})
+			conn := newPersistConn(readerConn{Reader: strings.NewReader(response)})
 			resp, err := http1.ReadResponse(conn.br, client.Limits)
 			if err != nil {
 				t.Fatal(err)
@@ -97,7 +97,7 @@
 // and the load report are read.
 func checkRelayed(t *testing.T, client *Client, name, want string, source io.Reader) {
 	t.Helper()
-	conn := newPersistConn(scriptedConn{Reader: source})
+	conn := newPersistConn(readerConn{Reader: source})
 	resp, err := client.readResponseHeader(conn, time.Now().Add(time.Minute))
 	if err != nil || resp.Status != 200 {
 		t.Fatalf("%s: %v", name, err)
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -39,8 +39,8 @@
 	if err != nil {
 		return err
 	}
-	clean := false
-	defer func() { c.putConn(e, pc, a.detachConn() && clean) }()
+	reusable := false
+	defer func() { c.putConn(e, pc, a.detachConn() && reusable) }()
 	if !a.attachConn(pc.Conn) {
 		return errNotSent
 	}
@@ -58,7 +58,7 @@
 	var body http1.Body
 	body.Reset(pc.br, &resp.Message, c.Limits)
 	_, err = http1.ReadAll(&body, c.MaxReplyBytes)
-	clean = err == nil && body.AtEOF() && !resp.Close
+	reusable = err == nil && body.AtEOF() && !resp.Close
 	if !c.Protocol.ReleaseAccepted(resp.Status) {
 		return fmt.Errorf("engine: release failed with status %d", resp.Status)
 	}
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -56,9 +56,9 @@
 	var body http1.Body
 	body.Reset(pc.br, &resp.Message, c.Limits)
 	text, err := http1.ReadAll(&body, c.MaxReplyBytes)
-	alive := a.detachConn()
-	c.putConn(e, pc, alive && err == nil && body.AtEOF() && !resp.Close)
-	if resp.Status < http.StatusMultipleChoices && (err != nil || !alive) {
+	connOpen := a.detachConn()
+	c.putConn(e, pc, connOpen && err == nil && body.AtEOF() && !resp.Close)
+	if resp.Status < http.StatusMultipleChoices && (err != nil || !connOpen) {
 		return a.failureOutcome(err)
 	}
 	out := c.Protocol.ParseReply(prefill, resp, text, err)
--- a/internal/engine/roundtrip.go
+++ b/internal/engine/roundtrip.go
@@ -20,9 +20,9 @@
 
 // Prefill runs the prefill stage at e.
 func (c *Client) Prefill(a *Attempt, e *Endpoint, call Call) Outcome {
-	pc, resp, failed := c.roundTrip(a, e, &call)
-	if failed != nil {
-		return *failed
+	pc, resp, failedOutcome := c.roundTrip(a, e, &call)
+	if failedOutcome != nil {
+		return *failedOutcome
 	}
 	return c.readReply(a, e, pc, resp, true)
 }
@@ -102,11 +102,11 @@
 // send writes a call's request and returns how many bytes of it the kernel accepted. It withholds the last byte of a
 // request that is not idempotent until the connection has stayed open for SettleDelay after all other bytes.
 func (c *Client) send(a *Attempt, e *Endpoint, pc *persistConn, call *Call) (int64, error) {
-	message, last := c.requestMessage(e, call), len(call.Body)-1
-	if !call.NotIdempotent || c.SettleDelay <= 0 || !c.RunsWhenComplete || last < 0 {
+	message, lastByte := c.requestMessage(e, call), len(call.Body)-1
+	if !call.NotIdempotent || c.SettleDelay <= 0 || !c.RunsWhenComplete || lastByte < 0 {
 		return message.WriteTo(pc.Conn)
 	}
-	(*message)[1] = call.Body[:last]
+	(*message)[1] = call.Body[:lastByte]
 	written, err := message.WriteTo(pc.Conn)
 	if err != nil {
 		return written, err
@@ -114,7 +114,7 @@
 	if err := c.awaitStable(a, e, pc, call); err != nil {
 		return written, err
 	}
-	n, err := pc.Write(call.Body[last:])
+	n, err := pc.Write(call.Body[lastByte:])
 	return written + int64(n), err
 }
 
--- a/internal/engine/send_test.go
+++ b/internal/engine/send_test.go
@@ -98,10 +98,10 @@
 // run. The delay is long in cases that end it early, and short in cases that wait for its end.
 func TestSettleDelayWithholdsLastByte(t *testing.T) {
 	body := []byte(`{"model":"chat"}`)
-	allButLast := body[:len(body)-1]
+	bodyWithoutLastByte := body[:len(body)-1]
 	respondEarly := func(response string) func(*testing.T, *net.TCPConn, *Endpoint) {
 		return func(_ *testing.T, conn *net.TCPConn, _ *Endpoint) {
-			readUntil(conn, allButLast)
+			readUntil(conn, bodyWithoutLastByte)
 			respond(conn, response)
 			readUntilClosed(conn)
 		}
@@ -116,11 +116,11 @@
 			resetOnClose(conn)
 		}, routing.RequestIncomplete},
 		"reset before the last byte": {time.Minute, func(_ *testing.T, conn *net.TCPConn, _ *Endpoint) {
-			readUntil(conn, allButLast)
+			readUntil(conn, bodyWithoutLastByte)
 			resetOnClose(conn)
 		}, routing.RequestIncomplete},
 		"closed before the last byte": {time.Minute, func(_ *testing.T, conn *net.TCPConn, _ *Endpoint) {
-			readUntil(conn, allButLast)
+			readUntil(conn, bodyWithoutLastByte)
 		}, routing.RequestIncomplete},
 		"503 before the last byte": {
 			time.Minute, respondEarly("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
@@ -130,7 +130,7 @@
 			time.Minute, respondEarly("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), routing.RequestIncomplete,
 		},
 		"drain before the last byte": {50 * time.Millisecond, func(t *testing.T, conn *net.TCPConn, e *Endpoint) {
-			readUntil(conn, allButLast)
+			readUntil(conn, bodyWithoutLastByte)
 			e.Close()
 			if n, _ := conn.Read(make([]byte, 1)); n > 0 {
 				t.Error("the last byte was sent to a draining engine")
@@ -217,15 +217,15 @@
 // between the dial and the first byte, or during the body, which the engine does not read. The result is NotSent, which
 // does not count as a failure of the engine.
 func TestNothingIsSentAfterSendBy(t *testing.T) {
-	stalled := make(chan struct{})
-	complete := make(chan bool, 10) // for each connection, whether a complete request arrived
+	resume := make(chan struct{})
+	receivedComplete := make(chan bool, 10) // for each connection, whether a complete request arrived
 	endpoint := startPeer(t, func(_ int, conn *net.TCPConn) {
-		<-stalled
+		<-resume
 		req, err := http.ReadRequest(bufio.NewReader(conn))
 		if err == nil {
 			_, err = io.ReadAll(req.Body)
 		}
-		complete <- err == nil
+		receivedComplete <- err == nil
 	})
 	for name, c := range map[string]struct {
 		bodySize  int
@@ -258,9 +258,9 @@
 			t.Errorf("%+v", out)
 		}
 	})
-	close(stalled)
+	close(resume)
 	for range 2 { // the case before the call and the one past the deadline dial no connection
-		if <-complete {
+		if <-receivedComplete {
 			t.Error("an engine received a complete request")
 		}
 	}
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -26,9 +26,9 @@
 
 // Decode runs the decode stage, or the whole request, at e and passes the events of its stream to sink.
 func (c *Client) Decode(a *Attempt, e *Endpoint, call Call, sink Sink) Outcome {
-	pc, resp, failed := c.roundTrip(a, e, &call)
-	if failed != nil {
-		return *failed
+	pc, resp, failedOutcome := c.roundTrip(a, e, &call)
+	if failedOutcome != nil {
+		return *failedOutcome
 	}
 	if resp.Status != http.StatusOK {
 		return c.readReply(a, e, pc, resp, false)
@@ -42,8 +42,8 @@
 	if out.LoadReport == nil {
 		out.LoadReport = c.loadMetrics(resp.Header.Get(c.LoadReportHeader))
 	}
-	clean := out.Result == routing.Served && !resp.Close && readLastChunk(pc, &stream.body)
-	c.putConn(e, pc, a.detachConn() && clean)
+	reusable := out.Result == routing.Served && !resp.Close && readLastChunk(pc, &stream.body)
+	c.putConn(e, pc, a.detachConn() && reusable)
 	return out
 }
 
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -77,9 +77,9 @@
 	if request != nil {
 		a := &attempt{
 			request: request, index: len(request.attempts), endpoint: &engine.Endpoint{}, neverExecuted: true,
-			ended: make(chan struct{}), pending: true,
+			done: make(chan struct{}), pending: true,
 		}
-		close(a.ended)
+		close(a.done)
 		outcome.Attempt = a.index
 		request.addAttempt(a)
 		request.pendingAttempts++
@@ -93,7 +93,7 @@
 		decode: entry.engine.Role != routing.RolePrefill, id: request.clientID,
 		deadline: request.deadline, connectTimeout: send.ConnectTimeout,
 		newConn:    slices.ContainsFunc(request.attempts, (*attempt).lostOnReusedConn),
-		startAfter: request.release.done, ended: make(chan struct{}), pending: true,
+		startAfter: request.release.done, done: make(chan struct{}), pending: true,
 	}
 	if a.id == "" {
 		a.id = l.gateway.attemptID(request.id, a.index)
@@ -144,7 +144,7 @@
 
 // dispatch hands an attempt to an idle worker, or starts a new worker if none is idle.
 func (l *eventLoop) dispatch(a *attempt) {
-	l.work.Add(1)
+	l.tasks.Add(1)
 	select {
 	case l.handoff <- a:
 	default:
@@ -156,7 +156,7 @@
 func (l *eventLoop) worker(a *attempt) {
 	for {
 		a.run(l)
-		l.work.Done()
+		l.tasks.Done()
 		a = nil // so that an idle worker doesn't keep the attempt from being garbage collected
 		if l.idleWorkers.Add(1) > maxIdleWorkers {
 			l.idleWorkers.Add(-1)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -29,9 +29,9 @@
 	kvParams json.RawMessage
 
 	handle engine.Attempt // safe for concurrent use
-	ended  chan struct{}  // closed when the attempt has ended
+	done   chan struct{}  // closed when the attempt has ended
 
-	// Set by the worker before ended is closed.
+	// Set by the worker before done is closed.
 	neverExecuted bool
 	mayHoldState  bool // a prefill that may have left a read state, though no reply confirmed it
 	decodeAborted bool // a decode that the gateway ended; its engine may not have noticed yet
@@ -116,11 +116,11 @@
 		a.kvParams = out.KVTransferParams
 	}
 	a.endedAt = monotonic.Now()
-	close(a.ended)
+	close(a.done)
 	if !a.decode && !prefilled && !l.engines.StateByRequestID {
-		l.work.Add(1)
+		l.tasks.Add(1)
 		go func() {
-			defer l.work.Done()
+			defer l.tasks.Done()
 			a.releaseState(l, readState{})
 		}()
 	}
@@ -135,7 +135,7 @@
 	if a.neverExecuted || !l.releasesState {
 		return
 	}
-	r := &release{id: a.id, endpoints: []*engine.Endpoint{a.endpoint}, held: held}
+	r := &release{id: a.id, endpoints: []*engine.Endpoint{a.endpoint}, heldState: held}
 	if l.callRelease(r) != nil {
 		l.observeStateEnd(held, stateReleaseFailed)
 	}
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -15,12 +15,12 @@
 // stream. While a request is in flight, the goroutine blocks in a read, which returns when the client closes the
 // connection or when interruptRead moves the read deadline into the past.
 type clientConn struct {
-	gateway    *Gateway
-	conn       net.Conn
-	acceptedAt time.Time
-	idleSince  monotonic.AtomicTime            // 0 = not idle, idleEvicted = closed by eviction
-	current    atomic.Pointer[inflightRequest] // the request in flight, or nil
-	hadRequest bool                            // a completion request was read; guarded by gateway.mu
+	gateway        *Gateway
+	conn           net.Conn
+	acceptedAt     time.Time
+	idleSince      monotonic.AtomicTime            // 0 = not idle, idleEvicted = closed by eviction
+	currentRequest atomic.Pointer[inflightRequest] // the request in flight, or nil
+	hadRequest     bool                            // a completion request was read; guarded by gateway.mu
 
 	// Owned by the connection's goroutine.
 	reader      *bufio.Reader
@@ -131,7 +131,7 @@
 	c.aborted = true
 	c.interruptRead()
 	c.readDeadlineMu.Unlock()
-	if request := c.current.Load(); request != nil && request.state.Load() == answerStreaming {
+	if request := c.currentRequest.Load(); request != nil && request.state.Load() == answerStreaming {
 		_ = c.conn.Close() // the attempt's next write fails
 	}
 }
--- a/internal/gateway/conn_request.go
+++ b/internal/gateway/conn_request.go
@@ -45,16 +45,16 @@
 
 // bodyReservation is the part of the limit on buffered body bytes that is reserved for a body while it is read.
 type bodyReservation struct {
-	total *atomic.Int64
-	bytes int64
+	totalBytes *atomic.Int64
+	bytes      int64
 }
 
-func (b *bodyReservation) release() { b.total.Add(-b.bytes) }
+func (b *bodyReservation) release() { b.totalBytes.Add(-b.bytes) }
 
 // transferTo replaces the reservation by the body's actual size, which the request holds from then on.
 func (b *bodyReservation) transferTo(request *inflightRequest, size int64) {
 	request.bodyBytes.Store(size)
-	b.total.Add(size - b.bytes)
+	b.totalBytes.Add(size - b.bytes)
 	b.bytes = 0
 }
 
@@ -75,18 +75,18 @@
 	if size < 0 {
 		size = maxSize
 	}
-	fits := size <= maxSize
-	if !fits {
+	withinLimit := size <= maxSize
+	if !withinLimit {
 		size = 0 // readBody rejects it
 	}
-	if g.bodyBytes.Add(size) > int64(g.Limits.MaxBufferedBodyBytes) && fits {
+	if g.bodyBytes.Add(size) > int64(g.Limits.MaxBufferedBodyBytes) && withinLimit {
 		g.bodyBytes.Add(-size)
 		return c.shed(req, body, "body memory", "too many bytes of requests are held at this front; nothing was done")
 	}
 	reservation := bodyReservation{&g.bodyBytes, size}
 	defer reservation.release()
 
-	content, ok := c.readBody(req, body, fits)
+	content, ok := c.readBody(req, body, withinLimit)
 	if !ok {
 		return false
 	}
@@ -95,8 +95,8 @@
 
 // readBody reads the whole body. On failure it returns false, after an error response where one can be sent, and the
 // connection has to be closed.
-func (c *clientConn) readBody(req *http1.Request, body *http1.Body, fits bool) (content []byte, ok bool) {
-	if req.ExpectContinue && fits && c.write([]byte(continueResponse)) != nil {
+func (c *clientConn) readBody(req *http1.Request, body *http1.Body, withinLimit bool) (content []byte, ok bool) {
+	if req.ExpectContinue && withinLimit && c.write([]byte(continueResponse)) != nil {
 		return nil, false
 	}
 	if req.Chunked || req.ContentLength > int64(c.reader.Buffered()) {
@@ -162,8 +162,8 @@
 	request := &inflightRequest{
 		id: routing.RequestID(id), clientID: parsed.ClientID, routing: parsed.Routing, bodies: parsed.Bodies,
 		path: parsed.Path, idempotencyKey: parsed.IdempotencyKey, class: &g.classes[parsed.Routing.Class],
-		conn: c, collector: parsed.Collector, chunked: req.Minor == 1,
-		keepAlive:  !req.Close && req.Minor == 1 && !g.drain.deadlinePassed(),
+		conn: c, collector: parsed.Collector, chunked: req.ProtoMinor == 1,
+		keepAlive:  !req.Close && req.ProtoMinor == 1 && !g.drain.deadlinePassed(),
 		acceptedAt: now, done: make(chan struct{}),
 	}
 	timeout := parsed.FirstTokenTimeout
@@ -185,8 +185,8 @@
 	if c.setReadDeadline(backstop) != nil {
 		return false
 	}
-	c.current.Store(request)
-	defer c.current.Store(nil)
+	c.currentRequest.Store(request)
+	defer c.currentRequest.Store(nil)
 	g.loop.startRequest(request)
 	disconnected := c.awaitAnswer(request, backstop)
 	if disconnected {
--- a/internal/gateway/conn_test.go
+++ b/internal/gateway/conn_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestMalformedRequestIsAnsweredAndConnectionClosed(t *testing.T) {
-	r := newRig(t, `head="2KiB" body="1KiB" head-time="200ms" body-time="200ms"`, "reader", "writer")
+	tg := newTestGateway(t, `head="2KiB" body="1KiB" head-time="200ms" body-time="200ms"`, "reader", "writer")
 	const post = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n"
 	for _, c := range []struct{ name, send, status string }{
 		{"smuggling: two lengths", post + "Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}", "400"},
@@ -29,11 +29,11 @@
 			"chunked body too large",
 			post + "Transfer-Encoding: chunked\r\n\r\n800\r\n" + strings.Repeat("x", 2048) + "\r\n0\r\n\r\n", "413",
 		},
-		{"partial body", strings.TrimSuffix(chatRequest(chat(true, 2), "Connection: close\r\n"), "]}"), "408"},
+		{"partial body", strings.TrimSuffix(chatRequest(chatBody(true, 2), "Connection: close\r\n"), "]}"), "408"},
 		{"partial head", "GET /v1/models HTTP/1.1\r\n", "408"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := r.sendRaw(c.send)
+			got := tg.sendRaw(c.send)
 			if !strings.HasPrefix(got, "HTTP/1.1 "+c.status) || strings.Count(got, "HTTP/1.1 ") != 1 {
 				t.Errorf("%.200q", got)
 			}
@@ -42,29 +42,29 @@
 }
 
 func TestRequestFraming(t *testing.T) {
-	r := newRig(t, "", "reader", "writer")
+	tg := newTestGateway(t, "", "reader", "writer")
 	const lastRequest = "Connection: close\r\n"
 	t.Run("pipelined", func(t *testing.T) {
-		got := r.sendRaw(chatRequest(chat(true, 3), "") + chatRequest(chat(true, 4), lastRequest))
+		got := tg.sendRaw(chatRequest(chatBody(true, 3), "") + chatRequest(chatBody(true, 4), lastRequest))
 		if strings.Count(got, "HTTP/1.1 200") != 2 || strings.Count(got, "[DONE]") != 2 ||
 			strings.Index(got, "w3") < strings.Index(got, "[DONE]") {
 			t.Errorf("%q", got)
 		}
 	})
 	t.Run("a byte at a time", func(t *testing.T) {
-		got := r.sendRaw(strings.Split(chatRequest(chat(true, 3), lastRequest), "")...)
+		got := tg.sendRaw(strings.Split(chatRequest(chatBody(true, 3), lastRequest), "")...)
 		if strings.Count(got, "[DONE]") != 1 {
 			t.Errorf("%q", got)
 		}
 	})
 	t.Run("100-continue", func(t *testing.T) {
-		got := r.sendRaw(chatRequest(chat(true, 1), lastRequest+"Expect: 100-continue\r\n"))
+		got := tg.sendRaw(chatRequest(chatBody(true, 1), lastRequest+"Expect: 100-continue\r\n"))
 		if !strings.HasPrefix(got, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200") {
 			t.Errorf("%q", got)
 		}
 	})
 	t.Run("HTTP/1.0", func(t *testing.T) {
-		got := r.sendRaw(strings.Replace(chatRequest(chat(true, 3), ""), "HTTP/1.1", "HTTP/1.0", 1))
+		got := tg.sendRaw(strings.Replace(chatRequest(chatBody(true, 3), ""), "HTTP/1.1", "HTTP/1.0", 1))
 		if strings.Contains(got, "chunked") || !strings.HasSuffix(got, "data: [DONE]\n\n") {
 			t.Errorf("%q", got)
 		}
@@ -72,16 +72,16 @@
 }
 
 func TestLimitsShedRequestsAndConnections(t *testing.T) {
-	r := newRig(t, `open-requests="1" connections="3"`, "reader", "writer")
-	r.dial(chatRequest(chat(true, 100000), ""))
-	r.awaitOpenRequests(1)
-	if resp, text := r.post("ask", chat(true, 1)); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "1" {
+	tg := newTestGateway(t, `open-requests="1" connections="3"`, "reader", "writer")
+	tg.dial(chatRequest(chatBody(true, 100000), ""))
+	tg.awaitOpenRequests(1)
+	if resp, text := tg.post("ask", chatBody(true, 1)); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "1" {
 		t.Errorf("%d %q", resp.StatusCode, text)
 	}
 	http.DefaultClient.CloseIdleConnections()
 	var last net.Conn
 	for range 5 {
-		last = r.dial("")
+		last = tg.dial("")
 	}
 	_ = last.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := last.Read(make([]byte, 1)); err == nil || errors.Is(err, context.DeadlineExceeded) {
@@ -166,23 +166,23 @@
 
 // connectHooked connects a client to the gateway and returns the client's end. It calls the functions of beforeAccept
 // with the client's end before it passes gatewayEnd to the gateway.
-func (r *rig) connectHooked(gatewayEnd *hookedConn, beforeAccept ...func(*net.TCPConn)) *net.TCPConn {
-	r.t.Helper()
-	l := listen(r.t)
+func (tg *testGateway) connectHooked(gatewayEnd *hookedConn, beforeAccept ...func(*net.TCPConn)) *net.TCPConn {
+	tg.t.Helper()
+	l := listen(tg.t)
 	defer closeQuietly(l)
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
-		r.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { closeQuietly(client) })
+	tg.t.Cleanup(func() { closeQuietly(client) })
 	gatewayEnd.TCPConn, err = l.AcceptTCP()
 	if err != nil {
-		r.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
 	for _, f := range beforeAccept {
 		f(client.(*net.TCPConn))
 	}
-	r.gateway.accept(gatewayEnd)
+	tg.gateway.accept(gatewayEnd)
 	return client.(*net.TCPConn)
 }
 
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -21,23 +21,23 @@
 
 // TestDisconnectCancelsAttempts: the client disconnects while an engine works on the request.
 func TestDisconnectCancelsAttempts(t *testing.T) {
-	r := newRig(t, "", "reader", "writer")
+	tg := newTestGateway(t, "", "reader", "writer")
 	for _, phase := range []string{"waiting", "streaming"} {
 		t.Run(phase, func(t *testing.T) {
-			for name, e := range r.engines {
+			for name, e := range tg.engines {
 				e.SetFaults(fakeengine.Faults{Stall: phase == "waiting" && strings.HasPrefix(name, "reader")})
 			}
-			c := r.dial(chatRequest(chat(true, 100000), "X-Class: order\r\n"))
+			c := tg.dial(chatRequest(chatBody(true, 100000), "X-Class: order\r\n"))
 			if phase == "streaming" {
 				if _, err := bufio.NewReader(c).ReadString('}'); err != nil {
 					t.Fatal(err)
 				}
 			}
-			r.awaitOpenRequests(1)
+			tg.awaitOpenRequests(1)
 			closeQuietly(c)
-			r.awaitOpenRequests(0)
-			r.eventually("no engine works on the request", func() bool {
-				for _, e := range r.engines {
+			tg.awaitOpenRequests(0)
+			tg.eventually("no engine works on the request", func() bool {
+				for _, e := range tg.engines {
 					if e.InFlight() > 0 {
 						return false
 					}
@@ -51,22 +51,22 @@
 // TestClientThatStopsReadingIsCanceled: the client reads nothing of an endless stream. Its request ends once a write
 // has timed out, and the heap stays bounded.
 func TestClientThatStopsReadingIsCanceled(t *testing.T) {
-	r := newRig(t, `stall-time="300ms"`, "reader", "writer")
-	c := r.dial("")
+	tg := newTestGateway(t, `stall-time="300ms"`, "reader", "writer")
+	c := tg.dial("")
 	_ = c.(*net.TCPConn).SetReadBuffer(4096)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	send(t, c, chatRequest(chat(true, 10_000_000), ""))
-	for _, e := range r.engines {
+	send(t, c, chatRequest(chatBody(true, 10_000_000), ""))
+	for _, e := range tg.engines {
 		e.SetEndlessStreams(true) // tokens as fast as the sockets accept them
 	}
-	r.awaitOpenRequests(1)
-	r.awaitOpenRequests(0)
+	tg.awaitOpenRequests(1)
+	tg.awaitOpenRequests(0)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 8<<20 {
-		t.Errorf("the heap grew by %d bytes", grown)
+	if growth := int64(after.HeapAlloc) - int64(before.HeapAlloc); growth > 8<<20 {
+		t.Errorf("the heap grew by %d bytes", growth)
 	}
 }
 
@@ -82,31 +82,31 @@
 		}
 		a := &attempt{request: request, endpoint: &engine.Endpoint{}, post: func(routing.Event, localEvent) {}}
 		go func() { _, _ = io.Copy(io.Discard, clientEnd) }() // ends with the pipe
-		var wait sync.WaitGroup
-		var won [3]bool
+		var wg sync.WaitGroup
+		var claimed [3]bool
 		start := make(chan struct{})
 		for i, claim := range []func() bool{
 			func() bool { return request.respond(rejectionResponse(routing.Reject{RetryAfter: time.Second})) },
 			a.Begin,
 			func() bool { return request.state.CompareAndSwap(answerPending, answerAbandoned) },
 		} {
-			wait.Add(1)
+			wg.Add(1)
 			go func() {
-				defer wait.Done()
+				defer wg.Done()
 				<-start
-				won[i] = claim()
+				claimed[i] = claim()
 			}()
 		}
 		close(start)
-		wait.Wait()
-		winners := 0
-		for _, w := range won {
+		wg.Wait()
+		owners := 0
+		for _, w := range claimed {
 			if w {
-				winners++
+				owners++
 			}
 		}
-		if winners != 1 {
-			t.Fatalf("%d of a rejection, a first token and a disconnect won: %v", winners, won)
+		if owners != 1 {
+			t.Fatalf("%d of a rejection, a first token and a disconnect won: %v", owners, claimed)
 		}
 		closeQuietly(gatewayEnd)
 		closeQuietly(clientEnd)
@@ -117,11 +117,11 @@
 // gateway reads it before the write of that chunk has returned. It must not be taken for a request pipelined behind the
 // first.
 func TestRequestAfterLastChunkIsNotPipelined(t *testing.T) {
-	r := newRig(t, "", "reader", "writer")
-	r.gateway.Pipelining = RejectPipelining
+	tg := newTestGateway(t, "", "reader", "writer")
+	tg.gateway.Pipelining = RejectPipelining
 	nextRequestRead, lastChunkWritten := make(chan struct{}), make(chan struct{})
 	requests, streams := 0, 0
-	c := r.connectHooked(&hookedConn{
+	c := tg.connectHooked(&hookedConn{
 		afterRead: func(p []byte) {
 			if bytes.HasPrefix(p, []byte("POST")) {
 				if requests++; requests == 2 {
@@ -138,9 +138,9 @@
 			}
 		},
 	})
-	send(t, c, chatRequest(chat(true, 3), ""))
+	send(t, c, chatRequest(chatBody(true, 3), ""))
 	<-lastChunkWritten
-	send(t, c, chatRequest(chat(true, 4), "Connection: close\r\n"))
+	send(t, c, chatRequest(chatBody(true, 4), "Connection: close\r\n"))
 	got, err := readAll(c)
 	if err != nil || strings.Count(got, "HTTP/1.1 200") != 2 || strings.Count(got, "[DONE]") != 2 {
 		t.Errorf("%v: %q", err, got)
@@ -150,12 +150,12 @@
 // TestNoAttemptIsSentAfterUnreadClose: a client has disconnected, but its connection's goroutine has not read the close
 // when the first attempt is about to be sent. The operating system reports the close, and nothing is sent.
 func TestNoAttemptIsSentAfterUnreadClose(t *testing.T) {
-	r := newRig(t, "", "reader", "writer")
+	tg := newTestGateway(t, "", "reader", "writer")
 	reads, secondReadStarted := 0, make(chan struct{})
 	readResumed := make(chan struct{})
 	resumeRead := sync.OnceFunc(func() { close(readResumed) })
 	defer resumeRead()
-	r.connectHooked(&hookedConn{
+	tg.connectHooked(&hookedConn{
 		beforeRead: func() {
 			if reads++; reads == 2 { // the read that would see the close
 				close(secondReadStarted)
@@ -163,16 +163,17 @@
 			}
 		},
 	}, func(c *net.TCPConn) {
-		send(t, c, chatRequest(chat(true, 3), ""))
+		send(t, c, chatRequest(chatBody(true, 3), ""))
 		closeQuietly(c)
 	})
 	<-secondReadStarted
-	r.eventually("an attempt ended as not sent", func() bool {
-		return testutil.ToFloat64(r.gateway.metrics.Attempts.WithLabelValues("read", attemptResultNames[routing.NotSent])) > 0
+	tg.eventually("an attempt ended as not sent", func() bool {
+		return testutil.ToFloat64(tg.gateway.metrics.Attempts.WithLabelValues(
+			"read", attemptResultNames[routing.NotSent])) > 0
 	})
 	resumeRead()
-	r.eventually("the connection has ended", func() bool {
-		return testutil.ToFloat64(r.gateway.metrics.ClientConnections) == 0
+	tg.eventually("the connection has ended", func() bool {
+		return testutil.ToFloat64(tg.gateway.metrics.ClientConnections) == 0
 	})
-	r.requireNoArrivals()
+	tg.requireNoArrivals()
 }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -22,8 +22,8 @@
 }
 
 type endpointEntry struct {
-	listed endpointslice.Endpoint // as in the last update that lists it
-	engine *engine.Endpoint
+	listedEndpoint endpointslice.Endpoint // as in the last update that lists it
+	engine         *engine.Endpoint
 }
 
 func newEndpointTable() endpointTable {
@@ -61,7 +61,7 @@
 	if hook := l.gateway.hooks.EndpointUpdate; hook != nil {
 		hook(update)
 	}
-	listed := map[string]bool{}
+	listedNames := map[string]bool{}
 	for _, endpoint := range update.Endpoints {
 		kind := slices.Index(l.gateway.Kinds, endpoint.Kind)
 		if kind < 0 {
@@ -69,11 +69,11 @@
 				zap.String("engine", endpoint.Name), zap.String("kind", endpoint.Kind))
 			continue
 		}
-		listed[endpoint.Name] = true
+		listedNames[endpoint.Name] = true
 		event.Endpoints = append(event.Endpoints, l.applyEndpoint(endpoint, kind))
 	}
 	if update.Scope != routing.ListChanges {
-		l.table.closeUnlisted(listed)
+		l.table.closeUnlisted(listedNames)
 	}
 	l.table.changed = true
 	l.hasEndpoints.Store(true)
@@ -103,8 +103,8 @@
 func (l *eventLoop) updateEngineMetrics() {
 	l.gateway.metrics.Engines.Reset()
 	for _, entry := range l.table.byName {
-		if entry.listed.State != routing.EndpointGone {
-			role, state := roleNames[entry.engine.Role], stateNames[entry.listed.State]
+		if entry.listedEndpoint.State != routing.EndpointGone {
+			role, state := roleNames[entry.engine.Role], stateNames[entry.listedEndpoint.State]
 			l.gateway.metrics.Engines.WithLabelValues(role, state).Inc()
 		}
 	}
@@ -125,10 +125,10 @@
 		}
 		t.byName[endpoint.Name], t.byID[id] = entry, entry
 	}
-	if !endpoint.Started.Equal(entry.listed.Started) {
+	if !endpoint.Started.Equal(entry.listedEndpoint.Started) {
 		entry.engine.DiscardIdleConns()
 	}
-	entry.listed = endpoint
+	entry.listedEndpoint = endpoint
 	if endpoint.State == routing.EndpointReady {
 		entry.engine.Open()
 	} else {
@@ -139,7 +139,7 @@
 
 // isReplacedBy reports whether the endpoint is a different process than that of the entry.
 func (e *endpointEntry) isReplacedBy(endpoint *endpointslice.Endpoint, role routing.Role) bool {
-	return e.listed.UID != endpoint.UID || e.listed.Address != endpoint.Address || e.engine.Role != role
+	return e.listedEndpoint.UID != endpoint.UID || e.listedEndpoint.Address != endpoint.Address || e.engine.Role != role
 }
 
 func (t *endpointTable) unusedID(name string) routing.EndpointID {
@@ -147,10 +147,10 @@
 }
 
 // closeUnlisted marks the endpoints that a full list doesn't name as gone, and closes them.
-func (t *endpointTable) closeUnlisted(listed map[string]bool) {
+func (t *endpointTable) closeUnlisted(listedNames map[string]bool) {
 	for name, entry := range t.byName {
-		if !listed[name] && entry.listed.State != routing.EndpointGone {
-			entry.listed.State = routing.EndpointGone
+		if !listedNames[name] && entry.listedEndpoint.State != routing.EndpointGone {
+			entry.listedEndpoint.State = routing.EndpointGone
 			entry.engine.Close()
 		}
 	}
@@ -164,16 +164,16 @@
 		return
 	}
 	t.changed = false
-	used := map[string]bool{}
+	usedLocalities := map[string]bool{}
 	for name, entry := range t.byName {
-		if entry.listed.State == routing.EndpointGone && entry.engine.Conns() == 0 {
+		if entry.listedEndpoint.State == routing.EndpointGone && entry.engine.Conns() == 0 {
 			delete(t.byName, name)
 			delete(t.byID, entry.engine.ID)
 			continue
 		}
-		used[zoneKey(entry.listed.Zone)], used[cellKey(entry.listed.Cell)] = true, true
+		usedLocalities[zoneKey(entry.listedEndpoint.Zone)], usedLocalities[cellKey(entry.listedEndpoint.Cell)] = true, true
 	}
-	maps.DeleteFunc(t.localities, func(key string, _ int) bool { return !used[key] })
+	maps.DeleteFunc(t.localities, func(key string, _ int) bool { return !usedLocalities[key] })
 }
 
 // localityNumber returns the number of a zone or cell, and assigns one if it has none yet.
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -12,19 +12,19 @@
 )
 
 // stopLoop shuts the gateway down, after which the test owns the event loop's state.
-func (r *rig) stopLoop() *eventLoop {
-	r.t.Helper()
+func (tg *testGateway) stopLoop() *eventLoop {
+	tg.t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), waitTimeout)
 	defer stop()
-	r.gateway.Shutdown(ctx)
-	return r.gateway.loop
+	tg.gateway.Shutdown(ctx)
+	return tg.gateway.loop
 }
 
 // TestGoneEndpointsAreRemoved lists thousands of endpoints that then go away. The endpoint table must only keep those
 // that are listed or still have a connection, and requests must be served. Otherwise the table would grow without
 // bound.
 func TestGoneEndpointsAreRemoved(t *testing.T) {
-	r := newRig(t, "", "reader", "writer")
+	tg := newTestGateway(t, "", "reader", "writer")
 	for i := range 3000 {
 		pod := endpointslice.Endpoint{
 			Name: fmt.Sprintf("pod-%d", i), Kind: "writer", Zone: fmt.Sprintf("z%d", i), Cell: fmt.Sprintf("c%d", i),
@@ -32,16 +32,16 @@
 		}
 		for _, state := range []routing.EndpointState{routing.EndpointDraining, routing.EndpointGone} {
 			pod.State = state
-			r.gateway.UpdateEndpoints(endpointslice.Update{
+			tg.gateway.UpdateEndpoints(endpointslice.Update{
 				Scope: routing.ListChanges, Endpoints: []endpointslice.Endpoint{pod},
 			})
 		}
 	}
-	resp, text := r.post("ask", `{"model":"m","messages":[{"role":"user","content":"x"}]}`)
+	resp, text := tg.post("ask", `{"model":"m","messages":[{"role":"user","content":"x"}]}`)
 	if resp.StatusCode != http.StatusOK {
 		t.Fatalf("%d %s", resp.StatusCode, text)
 	}
-	table := &r.stopLoop().table
+	table := &tg.stopLoop().table
 	if len(table.byName) != 2 || len(table.byID) != 2 || len(table.localities) > 2 {
 		t.Errorf("%d names, %d ids, %d localities are kept for 2 endpoints",
 			len(table.byName), len(table.byID), len(table.localities))
@@ -51,8 +51,8 @@
 	}
 }
 
-// updateOne applies an update of one endpoint and returns the endpoint as the router gets it.
-func updateOne(t *testing.T, l *eventLoop, address string, started time.Time) routing.Endpoint {
+// updateEndpoint applies an update of one endpoint and returns the endpoint as the router gets it.
+func updateEndpoint(t *testing.T, l *eventLoop, address string, started time.Time) routing.Endpoint {
 	t.Helper()
 	event, ok := l.applyUpdate(&endpointslice.Update{
 		Scope: routing.ListChanges,
@@ -70,8 +70,8 @@
 // TestStartTimesConvertedToLoopClock checks that the router gets start times, which are listed as wall-clock times, as
 // exact times of the loop's clock. From them it knows which endpoints are in slow start and which were restarted.
 func TestStartTimesConvertedToLoopClock(t *testing.T) {
-	l := newRig(t, "", "reader", "writer").stopLoop()
-	first := updateOne(t, l, "127.0.0.1:1", time.Time{})
+	l := newTestGateway(t, "", "reader", "writer").stopLoop()
+	first := updateEndpoint(t, l, "127.0.0.1:1", time.Time{})
 	for _, c := range []struct {
 		name    string
 		started time.Time
@@ -82,7 +82,7 @@
 		{"after the gateway", l.start.Add(7 * time.Second), epoch + 7*time.Second},
 		{"days before the gateway", l.start.Add(-72 * time.Hour), 0},
 	} {
-		got := updateOne(t, l, "127.0.0.1:1", c.started)
+		got := updateEndpoint(t, l, "127.0.0.1:1", c.started)
 		if got.StartedAt != c.want || got.ID != first.ID {
 			t.Errorf("%s: %+v, want it started at %v", c.name, got, c.want)
 		}
@@ -92,10 +92,10 @@
 // TestMovedEndpointKeepsItsID checks that an endpoint with a new address keeps its id, and that its old address is
 // closed.
 func TestMovedEndpointKeepsItsID(t *testing.T) {
-	l := newRig(t, "", "reader", "writer").stopLoop()
-	first := updateOne(t, l, "127.0.0.1:1", time.Time{})
+	l := newTestGateway(t, "", "reader", "writer").stopLoop()
+	first := updateEndpoint(t, l, "127.0.0.1:1", time.Time{})
 	before := l.table.byID[first.ID].engine
-	if moved := updateOne(t, l, "127.0.0.1:2", time.Time{}); moved.ID != first.ID {
+	if moved := updateEndpoint(t, l, "127.0.0.1:2", time.Time{}); moved.ID != first.ID {
 		t.Errorf("the moved endpoint has id %d, want %d", moved.ID, first.ID)
 	}
 	after := l.table.byID[first.ID].engine
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,12 +66,12 @@
 
 // New creates a gateway and starts its event loop, which runs until Shutdown.
 func New(options Options, log *zap.Logger, metrics *telemetry.Metrics) (*Gateway, error) {
-	var random [16]byte
-	if _, err := rand.Read(random[:]); err != nil {
+	var randomBytes [16]byte
+	if _, err := rand.Read(randomBytes[:]); err != nil {
 		return nil, err
 	}
 	if options.Seed == 0 {
-		options.Seed = binary.LittleEndian.Uint64(random[:8])
+		options.Seed = binary.LittleEndian.Uint64(randomBytes[:8])
 	}
 	hooks := Hooks
 	if hooks.Settings != nil {
@@ -83,7 +83,7 @@
 	}
 	g := &Gateway{
 		Options: options, hooks: hooks, classes: options.Routing.Classes, kinds: options.Routing.Kinds,
-		log: log, metrics: metrics, runID: fmt.Sprintf("%x", random[8:]), drain: drainState{grace: defaultDrainGrace},
+		log: log, metrics: metrics, runID: fmt.Sprintf("%x", randomBytes[8:]), drain: drainState{grace: defaultDrainGrace},
 		limits: http1.Limits{
 			MaxHeaderBytes:  int(options.Limits.MaxHeaderBytes),
 			MaxHeaderFields: options.Limits.MaxHeaderFields,
@@ -134,7 +134,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, taken := g.clientIDs[id]; taken {
+	if _, inUse := g.clientIDs[id]; inUse {
 		return false
 	}
 	g.clientIDs[id] = struct{}{}
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -6,8 +6,8 @@
 
 // readState is the KV cache state that a prefill endpoint holds for a request.
 type readState struct {
-	endpoint string
-	since    time.Time // when the event loop received the prefill's outcome; zero = no state is held
+	endpoint  string
+	heldSince time.Time // when the event loop received the prefill's outcome; zero = no state is held
 }
 
 // Reasons why a read state is no longer held, as metric label values.
@@ -22,21 +22,21 @@
 // stateHeld records that a successful prefill left a state at the endpoint.
 func (l *eventLoop) stateHeld(request *inflightRequest, endpoint string) {
 	l.endState(request, stateMissing) // the state of an earlier prefill, which this one has replaced
-	request.release.held = readState{endpoint, time.Now()}
+	request.release.heldState = readState{endpoint, time.Now()}
 	l.gateway.metrics.HeldStates.Inc()
 }
 
 // endState records that the state held for the request, if any, is no longer held, and why.
-func (l *eventLoop) endState(request *inflightRequest, end string) {
-	l.observeStateEnd(request.release.held, end)
-	request.release.held = readState{}
+func (l *eventLoop) endState(request *inflightRequest, reason string) {
+	l.observeStateEnd(request.release.heldState, reason)
+	request.release.heldState = readState{}
 }
 
 // observeStateEnd updates the metrics of held states. It is safe for concurrent use.
-func (l *eventLoop) observeStateEnd(held readState, end string) {
-	if held.since.IsZero() {
+func (l *eventLoop) observeStateEnd(held readState, reason string) {
+	if held.heldSince.IsZero() {
 		return
 	}
 	l.gateway.metrics.HeldStates.Dec()
-	l.gateway.metrics.StateHeldSeconds.WithLabelValues(end).Observe(time.Since(held.since).Seconds())
+	l.gateway.metrics.StateHeldSeconds.WithLabelValues(reason).Observe(time.Since(held.heldSince).Seconds())
 }
--- a/internal/gateway/heldstate_test.go
+++ b/internal/gateway/heldstate_test.go
@@ -12,22 +12,22 @@
 // is accepted, and that each end is counted once. It also checks the counts of why a request was not served and of why
 // a connection was closed.
 func TestReadStateMetrics(t *testing.T) {
-	r := newRig(t, "", "reader", "writer")
-	metrics := r.gateway.metrics
-	ends := func() int { return testutil.CollectAndCount(metrics.StateHeldSeconds) }
-	held := func() float64 { return testutil.ToFloat64(metrics.HeldStates) }
-	r.post("ask", chat(true, 3))
-	r.eventually("the state was fetched", func() bool { return held() == 0 && ends() == 1 })
+	tg := newTestGateway(t, "", "reader", "writer")
+	metrics := tg.gateway.metrics
+	endCount := func() int { return testutil.CollectAndCount(metrics.StateHeldSeconds) }
+	heldCount := func() float64 { return testutil.ToFloat64(metrics.HeldStates) }
+	tg.post("ask", chatBody(true, 3))
+	tg.eventually("the state was fetched", func() bool { return heldCount() == 0 && endCount() == 1 })
 
-	r.engines["writer-1"].SetFaults(fakeengine.Faults{Stall: true})
-	c := r.dial(chatRequest(chat(true, 3), ""))
-	r.eventually("a state is held while the decode does not reply", func() bool { return held() == 1 })
+	tg.engines["writer-1"].SetFaults(fakeengine.Faults{Stall: true})
+	c := tg.dial(chatRequest(chatBody(true, 3), ""))
+	tg.eventually("a state is held while the decode does not reply", func() bool { return heldCount() == 1 })
 	closeQuietly(c)
-	r.eventually("the state was released", func() bool { return held() == 0 && ends() == 2 })
-	r.eventually("the request is counted as abandoned", func() bool {
+	tg.eventually("the state was released", func() bool { return heldCount() == 0 && endCount() == 2 })
+	tg.eventually("the request is counted as abandoned", func() bool {
 		return testutil.ToFloat64(metrics.NotServed.WithLabelValues("gone", reasonClientClosed)) == 1
 	})
-	r.eventually("one connection was closed, by its client", func() bool {
+	tg.eventually("one connection was closed, by its client", func() bool {
 		return testutil.CollectAndCount(metrics.ClosedConnections) == 1 &&
 			testutil.ToFloat64(metrics.ClosedConnections.WithLabelValues(closeReasonClient)) == 1
 	})
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/helpers_test.go
@@ -27,8 +27,8 @@
 // waitTimeout bounds each wait of a test for an expected event.
 const waitTimeout = 20 * time.Second
 
-// rig is a test rig: a gateway with fake engines.
-type rig struct {
+// testGateway is a gateway with fake engines.
+type testGateway struct {
 	t         *testing.T
 	gateway   *Gateway
 	address   string
@@ -67,10 +67,10 @@
 	return parsed
 }
 
-// newRig starts a gateway with the given attributes of <limits>, and one engine for each of the roles.
-func newRig(t *testing.T, limits string, roles ...string) *rig {
+// newTestGateway starts a gateway with the given attributes of <limits>, and one engine for each of the roles.
+func newTestGateway(t *testing.T, limits string, roles ...string) *testGateway {
 	t.Helper()
-	return newRigOn(t, listen(t), limits, roles...)
+	return newTestGatewayOn(t, listen(t), limits, roles...)
 }
 
 func listen(t *testing.T) *net.TCPListener {
@@ -82,39 +82,39 @@
 	return l.(*net.TCPListener)
 }
 
-// newRigOn is like newRig, but the gateway serves on l.
-func newRigOn(t *testing.T, l net.Listener, limits string, roles ...string) *rig {
+// newTestGatewayOn is like newTestGateway, but the gateway serves on l.
+func newTestGatewayOn(t *testing.T, l net.Listener, limits string, roles ...string) *testGateway {
 	t.Helper()
-	r := &rig{t: t, engines: map[string]*fakeengine.Server{}, address: l.Addr().String()}
+	tg := &testGateway{t: t, engines: map[string]*fakeengine.Server{}, address: l.Addr().String()}
 	var err error
-	r.gateway, err = NewFromSettings(
+	tg.gateway, err = NewFromSettings(
 		parseSettings(t, fmt.Sprintf(settingsTemplate, limits)), zap.NewNop(), telemetry.NewMetrics())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, role := range roles {
-		r.startEngine(fmt.Sprintf("%s-%d", role, i), role)
+		tg.startEngine(fmt.Sprintf("%s-%d", role, i), role)
 	}
-	r.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: r.endpoints})
+	tg.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: tg.endpoints})
 	served := make(chan error, 1)
-	go func() { served <- r.gateway.Serve(l) }()
+	go func() { served <- tg.gateway.Serve(l) }()
 	t.Cleanup(func() {
 		ctx, stop := context.WithTimeout(context.Background(), 3*time.Second)
 		defer stop()
-		r.gateway.Shutdown(ctx)
+		tg.gateway.Shutdown(ctx)
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
-		for _, e := range r.engines {
+		for _, e := range tg.engines {
 			e.Close()
 		}
 		http.DefaultClient.CloseIdleConnections()
 	})
-	return r
+	return tg
 }
 
-func (r *rig) startEngine(name, role string) {
-	r.t.Helper()
+func (tg *testGateway) startEngine(name, role string) {
+	tg.t.Helper()
 	e, err := fakeengine.Start(fakeengine.Config{
 		Name: name, Kind: role, CanCancel: true,
 		Params: enginemodel.Params{
@@ -132,17 +132,17 @@
 		},
 	}, "127.0.0.1:0", false)
 	if err != nil {
-		r.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
-	r.engines[name] = e
-	r.endpoints = append(r.endpoints, endpointslice.Endpoint{
+	tg.engines[name] = e
+	tg.endpoints = append(tg.endpoints, endpointslice.Endpoint{
 		Name: name, Kind: role, Address: e.Info().Address, State: routing.EndpointReady,
 	})
 }
 
 // enginesOf returns the engines that have the role.
-func (r *rig) enginesOf(role string) (engines []*fakeengine.Server) {
-	for name, e := range r.engines {
+func (tg *testGateway) enginesOf(role string) (engines []*fakeengine.Server) {
+	for name, e := range tg.engines {
 		if strings.HasPrefix(name, role) {
 			engines = append(engines, e)
 		}
@@ -151,28 +151,28 @@
 }
 
 // requireNoArrivals checks that no engine has received a request.
-func (r *rig) requireNoArrivals() {
-	r.t.Helper()
-	for name, e := range r.engines {
+func (tg *testGateway) requireNoArrivals() {
+	tg.t.Helper()
+	for name, e := range tg.engines {
 		if n := e.Arrivals(); n > 0 {
-			r.t.Errorf("%s received %d requests", name, n)
+			tg.t.Errorf("%s received %d requests", name, n)
 		}
 	}
 }
 
 // post sends a request of the class with an http.Client and returns the response and its whole body.
-func (r *rig) post(class, body string) (*http.Response, string) {
-	r.t.Helper()
-	req, err := http.NewRequest(http.MethodPost, "http://"+r.address+"/v1/chat/completions", strings.NewReader(body))
+func (tg *testGateway) post(class, body string) (*http.Response, string) {
+	tg.t.Helper()
+	req, err := http.NewRequest(http.MethodPost, "http://"+tg.address+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		r.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
 	req.Header.Set("X-Class", class)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		r.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
-	return resp, readBody(r.t, resp)
+	return resp, readBody(tg.t, resp)
 }
 
 func readBody(t *testing.T, resp *http.Response) string {
@@ -186,14 +186,14 @@
 }
 
 // dial opens a connection to the gateway and sends text on it.
-func (r *rig) dial(text string) net.Conn {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.address)
+func (tg *testGateway) dial(text string) net.Conn {
+	tg.t.Helper()
+	c, err := net.Dial("tcp", tg.address)
 	if err != nil {
-		r.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { closeQuietly(c) })
-	send(r.t, c, text)
+	tg.t.Cleanup(func() { closeQuietly(c) })
+	send(tg.t, c, text)
 	return c
 }
 
@@ -204,16 +204,16 @@
 	}
 }
 
-// sendRaw sends the parts as they are, and returns all bytes received until the connection ends.
-func (r *rig) sendRaw(parts ...string) string {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.address)
+// sendRaw sends the segments as they are, and returns all bytes received until the connection ends.
+func (tg *testGateway) sendRaw(segments ...string) string {
+	tg.t.Helper()
+	c, err := net.Dial("tcp", tg.address)
 	if err != nil {
-		r.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
 	defer closeQuietly(c)
-	for _, part := range parts {
-		if _, err := io.WriteString(c, part); err != nil {
+	for _, segment := range segments {
+		if _, err := io.WriteString(c, segment); err != nil {
 			break // the gateway may answer and close the connection before it has read everything
 		}
 	}
@@ -223,33 +223,33 @@
 }
 
 // eventually waits until ok returns true, and fails the test after waitTimeout.
-func (r *rig) eventually(what string, ok func() bool) {
-	r.t.Helper()
+func (tg *testGateway) eventually(description string, ok func() bool) {
+	tg.t.Helper()
 	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("not within %v: %s", waitTimeout, what)
+			tg.t.Fatalf("not within %v: %s", waitTimeout, description)
 		}
 	}
 }
 
-func (r *rig) awaitOpenRequests(n int64) {
-	r.t.Helper()
-	r.eventually(fmt.Sprintf("%d requests are open", n), func() bool { return r.gateway.openRequests.Load() == n })
+func (tg *testGateway) awaitOpenRequests(n int64) {
+	tg.t.Helper()
+	tg.eventually(fmt.Sprintf("%d requests are open", n), func() bool { return tg.gateway.openRequests.Load() == n })
 }
 
 // closeQuietly closes c and ignores errors: c may be closed or broken already.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// chat returns the body of a chat completion request.
-func chat(stream bool, tokens int) string {
+// chatBody returns the body of a chat completion request.
+func chatBody(stream bool, tokens int) string {
 	return fmt.Sprintf(`{"model":"m","stream":%v,"max_tokens":%d,"messages":[`+
 		`{"role":"system","content":"You help."},{"role":"user","content":"hello there"}]}`, stream, tokens)
 }
 
-// chatRequest returns a whole HTTP request with the body, and with more header fields.
-func chatRequest(body, more string) string {
+// chatRequest returns a whole HTTP request with the body, and with extra header fields.
+func chatRequest(body, extraFields string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n%sContent-Length: %d\r\n\r\n%s",
-		more, len(body), body)
+		extraFields, len(body), body)
 }
 
 // readUntil reads from br until the bytes read end with end, and returns them.
--- a/internal/gateway/hungengine.go
+++ b/internal/gateway/hungengine.go
@@ -54,9 +54,9 @@
 	if hung == nil {
 		hung = &hungEngine{endpoint: endpoint, since: monotonic.Now(), stop: make(chan struct{})}
 		l.hungEngines[endpoint] = hung
-		l.work.Add(1)
+		l.tasks.Add(1)
 		go func() {
-			defer l.work.Done()
+			defer l.tasks.Done()
 			l.probeHungEngine(hung, request.clientID)
 			l.post(nil, hungEngineDone{hung})
 		}()
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -74,10 +74,10 @@
 
 // releaseProgress is what the gateway knows about the read state that engines may hold for a request, and its release.
 type releaseProgress struct {
-	held   readState       // the state confirmed by the last prefill, if it is still held
-	wanted bool            // the router asked to release any state that may be held
-	last   *release        // the release started last
-	done   <-chan struct{} // the next attempt starts once this is closed; nil = at once
+	heldState   readState       // the state confirmed by the last prefill, if it is still held
+	requested   bool            // the router asked to release any state that may be held
+	lastRelease *release        // the release started last
+	done        <-chan struct{} // the next attempt starts once this is closed; nil = at once
 }
 
 // Results of requests, as metric label values and in log lines.
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -30,7 +30,7 @@
 	wake   chan struct{} // capacity 1; holds an element while the queue may have messages
 	done   chan struct{} // closed when the loop has ended
 
-	work        sync.WaitGroup // counts running attempts, releases and waits for hung engines
+	tasks       sync.WaitGroup // counts running attempts, releases and waits for hung engines
 	handoff     chan *attempt  // passes attempts to idle workers
 	idleWorkers atomic.Int64   // number of idle workers
 
@@ -70,7 +70,7 @@
 	// releaseDue is posted when the retry interval of a release has passed.
 	releaseDue struct{ release *release }
 	// hungEngineDone is posted when a hung engine has responded, or the wait for it has ended otherwise.
-	hungEngineDone struct{ hung *hungEngine }
+	hungEngineDone struct{ engine *hungEngine }
 	// statusDue is posted once a second.
 	statusDue struct{}
 	// stepAwaited asks for done to be closed once the router has run and its actions were started.
@@ -139,7 +139,7 @@
 func (l *eventLoop) close() {
 	l.post(nil, stopRequested{})
 	<-l.done
-	l.work.Wait()
+	l.tasks.Wait()
 	for _, entry := range l.table.byName {
 		entry.engine.Close()
 	}
@@ -171,7 +171,7 @@
 // step handles a batch of messages with one step of the router. It returns the events slice, so that its capacity is
 // reused.
 func (l *eventLoop) step(batch []message, events []routing.Event) []routing.Event {
-	began := time.Now()
+	startedAt := time.Now()
 	l.completionCandidates = l.completionCandidates[:0]
 	for i := range batch {
 		if event := l.handleMessage(&batch[i]); event != nil {
@@ -191,7 +191,7 @@
 		close(done)
 	}
 	l.stepWaiters = nil
-	l.gateway.metrics.DecisionSeconds.Observe(time.Since(began).Seconds())
+	l.gateway.metrics.DecisionSeconds.Observe(time.Since(startedAt).Seconds())
 	l.gateway.metrics.DecisionEvents.Observe(float64(len(batch)))
 	clear(l.completionCandidates)
 	return events
@@ -210,7 +210,7 @@
 	case routing.FirstToken:
 		if request := l.requests[event.Request]; request != nil {
 			l.endState(request, stateFetched)
-			request.release.wanted = false // engines drop the state when the stream begins
+			request.release.requested = false // engines drop the state when the stream begins
 		}
 	case routing.Outcome:
 		if request := l.completionCandidate(event.Request); request != nil {
@@ -234,7 +234,7 @@
 }
 
 func (e hungEngineDone) handle(l *eventLoop) routing.Event {
-	l.hungEngineWaitEnded(e.hung)
+	l.hungEngineWaitEnded(e.engine)
 	return nil
 }
 
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -36,7 +36,7 @@
 type release struct {
 	id        string             // of the request, or of the attempt
 	endpoints []*engine.Endpoint // in the order in which they are asked
-	held      readState          // the state, if a prefill confirmed it
+	heldState readState          // the state, if a prefill confirmed it
 	request   *inflightRequest   // whose state it is; nil where states are identified by attempt
 	rounds    int                // completed rounds of calls; each failed, or is to be repeated
 	sendTwice bool               // sent again later: it may arrive before an engine notices the abort of a decode
@@ -69,7 +69,7 @@
 	if !l.releasesState {
 		return
 	}
-	request.release.wanted = true
+	request.release.requested = true
 	if l.engines.StateByRequestID {
 		if !request.willReleaseLater() {
 			l.releaseNow(request, 0)
@@ -90,13 +90,13 @@
 func (l *eventLoop) releaseAttempt(request *inflightRequest, a *attempt) {
 	a.releaseStarted = true
 	held := readState{}
-	if a.endpoint.Name == request.release.held.endpoint {
-		held, request.release.held = request.release.held, held
+	if a.endpoint.Name == request.release.heldState.endpoint {
+		held, request.release.heldState = request.release.heldState, held
 	}
-	l.work.Add(1)
+	l.tasks.Add(1)
 	go func() {
-		defer l.work.Done()
-		<-a.ended
+		defer l.tasks.Done()
+		<-a.done
 		a.releaseState(l, held)
 	}()
 }
@@ -131,10 +131,10 @@
 // the request, accounts for the held state.
 func (l *eventLoop) newRelease(request *inflightRequest, rounds int) *release {
 	r := &release{
-		id: request.clientID, endpoints: l.releaseOrder(request), held: request.release.held, request: request,
+		id: request.clientID, endpoints: l.releaseOrder(request), heldState: request.release.heldState, request: request,
 		rounds: rounds,
 	}
-	request.release.held = readState{}
+	request.release.heldState = readState{}
 	return r
 }
 
@@ -165,9 +165,9 @@
 	prefillExecuted := false
 	for _, a := range request.attempts {
 		prefillExecuted = prefillExecuted || !a.decode && !a.neverExecuted
-		request.release.wanted = request.release.wanted || a.mayHoldState && !a.releaseStarted
+		request.release.requested = request.release.requested || a.mayHoldState && !a.releaseStarted
 	}
-	if request.release.wanted && prefillExecuted {
+	if request.release.requested && prefillExecuted {
 		l.startRelease(l.newRelease(request, 0), func() {})
 		return
 	}
--- a/internal/gateway/release_call.go
+++ b/internal/gateway/release_call.go
@@ -19,12 +19,12 @@
 // connection is closed, but the engine may process the release, which comes on another connection, before it notices
 // that. So the first round waits for the settle delay, and the release is sent again later.
 func (l *eventLoop) startRelease(r *release, done func()) {
-	r.request.release.last = r
+	r.request.release.lastRelease = r
 	last := r.request.attempts[len(r.request.attempts)-1]
 	r.sendTwice = r.rounds == 0 && !last.pending && last.decodeAborted
-	l.work.Add(1)
+	l.tasks.Add(1)
 	go func() {
-		defer l.work.Done()
+		defer l.tasks.Done()
 		if r.sendTwice {
 			time.Sleep(l.engines.SettleDelay)
 		}
@@ -43,20 +43,20 @@
 func (l *eventLoop) retryRelease(r *release) {
 	request := r.request
 	switch isOpen := l.requests[request.id] == request; {
-	case request.release.last != r: // a later release has been started
-		l.observeStateEnd(r.held, stateReleaseFailed)
+	case request.release.lastRelease != r: // a later release has been started
+		l.observeStateEnd(r.heldState, stateReleaseFailed)
 	case l.stopping || r.rounds > maxReleaseRetries:
 		l.gateway.log.Error("giving up on the release of a read state",
 			zap.String("request", r.id), zap.Int("rounds", r.rounds))
-		l.observeStateEnd(r.held, stateReleaseFailed)
+		l.observeStateEnd(r.heldState, stateReleaseFailed)
 	case !isOpen:
 		r.endpoints = l.releaseOrder(request)
 		l.startRelease(r, func() {})
 	case request.willReleaseLater():
-		request.release.wanted = true
-		l.observeStateEnd(r.held, stateReleaseFailed)
+		request.release.requested = true
+		l.observeStateEnd(r.heldState, stateReleaseFailed)
 	default:
-		request.release.held = r.held
+		request.release.heldState = r.heldState
 		l.releaseNow(request, r.rounds)
 	}
 }
@@ -69,33 +69,33 @@
 	deadline := startedAt.Add(l.stateTTL())
 	results := make(chan error, len(calls))
 	attempts := make([]engine.Attempt, len(calls))
-	err, started, pending := errNoReleaseEngine, 0, 0
-	for released := false; !released && (started < len(calls) || pending > 0); {
-		if started < len(calls) {
-			a, call := &attempts[started], calls[started]
-			started, pending = started+1, pending+1
+	err, startedCalls, pendingCalls := errNoReleaseEngine, 0, 0
+	for released := false; !released && (startedCalls < len(calls) || pendingCalls > 0); {
+		if startedCalls < len(calls) {
+			a, call := &attempts[startedCalls], calls[startedCalls]
+			startedCalls, pendingCalls = startedCalls+1, pendingCalls+1
 			go func() { results <- l.engines.ReleaseState(a, call.endpoint, r.id, call.newConn, deadline) }()
 		}
 		wait := time.Until(deadline) + time.Second // the margin lets ReleaseState return at the deadline by itself
-		if started < len(calls) {
+		if startedCalls < len(calls) {
 			wait = l.stateTTL() / releaseHedgeDivisor
 		}
 		timer := time.NewTimer(wait)
 		select {
 		case err = <-results:
-			pending--
+			pendingCalls--
 			released = err == nil
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
-	for i := range started {
+	for i := range startedCalls {
 		attempts[i].Cancel()
 	}
-	for ; pending > 0; pending-- {
+	for ; pendingCalls > 0; pendingCalls-- {
 		<-results //nolint:errcheck // the result of a canceled call
 	}
-	l.logRelease(r, started, time.Since(startedAt), err)
+	l.logRelease(r, startedCalls, time.Since(startedAt), err)
 	return err
 }
 
@@ -105,17 +105,17 @@
 		zap.String("request", r.id), zap.Int("calls", calls), zap.Int("rounds_before", r.rounds),
 		zap.Duration("took", elapsed),
 	}
-	if !r.held.since.IsZero() {
+	if !r.heldState.heldSince.IsZero() {
 		fields = append(fields,
-			zap.String("reader", r.held.endpoint), zap.Duration("held_for", time.Since(r.held.since)))
+			zap.String("reader", r.heldState.endpoint), zap.Duration("held_for", time.Since(r.heldState.heldSince)))
 	}
 	if err != nil {
 		l.gateway.metrics.Releases.WithLabelValues("failed").Inc()
 		l.gateway.log.Warn("read state not released", append(fields, zap.Error(err))...)
 		return
 	}
-	l.observeStateEnd(r.held, stateReleased)
-	r.held = readState{}
+	l.observeStateEnd(r.heldState, stateReleased)
+	r.heldState = readState{}
 	l.gateway.metrics.Releases.WithLabelValues("done").Inc()
 	l.gateway.log.Info("read state released", fields...)
 }
--- a/internal/gateway/release_test.go
+++ b/internal/gateway/release_test.go
@@ -15,10 +15,10 @@
 		"canceled": func(decode *attempt) { decode.handle.Cancel() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newRig(t, "", "reader", "writer").gateway.loop
-			prefill := &attempt{endpoint: &engine.Endpoint{}, neverExecuted: true, ended: make(chan struct{})}
+			l := newTestGateway(t, "", "reader", "writer").gateway.loop
+			prefill := &attempt{endpoint: &engine.Endpoint{}, neverExecuted: true, done: make(chan struct{})}
 			decode := &attempt{decode: true, pending: true}
-			close(prefill.ended)
+			close(prefill.done)
 			request := &inflightRequest{attempts: []*attempt{prefill, decode}, pendingAttempts: 1}
 			if l.releaseRequested(request); prefill.releaseStarted {
 				t.Error("released while the decode was pending")
--- a/internal/gateway/sdk_test.go
+++ b/internal/gateway/sdk_test.go
@@ -19,10 +19,10 @@
 // retries.
 
 // newSDK makes an SDK client for the gateway, or for a proxy to it, at address.
-func newSDK(address string, more ...option.RequestOption) openai.Client {
+func newSDK(address string, extraOptions ...option.RequestOption) openai.Client {
 	return openai.NewClient(append([]option.RequestOption{
 		option.WithBaseURL("http://" + address + "/v1"), option.WithAPIKey("k"),
-	}, more...)...)
+	}, extraOptions...)...)
 }
 
 // countRequests counts the requests that an SDK client sends, including its automatic retries.
@@ -34,18 +34,19 @@
 }
 
 func TestSDKRequestsStreamsAndErrors(t *testing.T) {
-	r := newRig(t, "", "reader", "writer")
-	sdk := newSDK(r.address, option.WithMaxRetries(0))
+	tg := newTestGateway(t, "", "reader", "writer")
+	sdk := newSDK(tg.address, option.WithMaxRetries(0))
 	params := openai.ChatCompletionNewParams{
 		Model: "m", MaxCompletionTokens: openai.Int(4),
 		Messages: []openai.ChatCompletionMessageParamUnion{
 			openai.SystemMessage("You help."), openai.UserMessage("hello"),
 		},
 	}
-	whole, err := sdk.Chat.Completions.New(t.Context(), params)
-	if err != nil || whole.Choices[0].Message.Content != "w0 w1 w2 w3 " || whole.Usage.CompletionTokens != 4 ||
-		whole.Choices[0].FinishReason != "length" {
-		t.Fatalf("%+v %v", whole, err)
+	chatCompletion, err := sdk.Chat.Completions.New(t.Context(), params)
+	if err != nil || chatCompletion.Choices[0].Message.Content != "w0 w1 w2 w3 " ||
+		chatCompletion.Usage.CompletionTokens != 4 ||
+		chatCompletion.Choices[0].FinishReason != "length" {
+		t.Fatalf("%+v %v", chatCompletion, err)
 	}
 
 	stream := sdk.Chat.Completions.NewStreaming(t.Context(), params)
@@ -80,7 +81,7 @@
 	}
 
 	// The SDK must report a broken stream as an error, not as the end of the stream.
-	for _, e := range r.enginesOf("writer") {
+	for _, e := range tg.enginesOf("writer") {
 		e.SetFaults(fakeengine.Faults{ResetMidStream: 1})
 	}
 	params.Model, params.MaxCompletionTokens = "m", openai.Int(50)
@@ -95,12 +96,12 @@
 // TestSDKDoesNotRetryFailureOfNonIdempotentRequest: the SDK retries 5xx responses automatically. For a failed request
 // that is not idempotent, the gateway's response makes it send the request only once.
 func TestSDKDoesNotRetryFailureOfNonIdempotentRequest(t *testing.T) {
-	r := newRig(t, "", "reader", "writer")
-	for _, e := range r.enginesOf("writer") {
+	tg := newTestGateway(t, "", "reader", "writer")
+	for _, e := range tg.enginesOf("writer") {
 		e.SetFaults(fakeengine.Faults{FailFast: 1})
 	}
 	requests := 0
-	sdk := newSDK(r.address, option.WithHeader("X-Class", "order"), countRequests(&requests))
+	sdk := newSDK(tg.address, option.WithHeader("X-Class", "order"), countRequests(&requests))
 	_, err := sdk.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{
 		Model: "m", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("order")},
 	})
@@ -163,9 +164,9 @@
 		{class: "ask", requests: 2, served: true, decodes: 2},
 	} {
 		t.Run(c.class, func(t *testing.T) {
-			r := newRig(t, "", "reader", "writer")
+			tg := newTestGateway(t, "", "reader", "writer")
 			requests := 0
-			proxyAddress := startLossyProxy(t, r.address, 1)
+			proxyAddress := startLossyProxy(t, tg.address, 1)
 			sdk := newSDK(proxyAddress, option.WithHeader("X-Class", c.class), countRequests(&requests))
 			_, err := sdk.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{
 				Model: "m", MaxCompletionTokens: openai.Int(4),
@@ -180,7 +181,7 @@
 				t.Errorf("the SDK returned %v", err)
 			}
 			decodes := 0
-			for _, e := range r.enginesOf("writer") {
+			for _, e := range tg.enginesOf("writer") {
 				decodes += e.Arrivals()
 			}
 			if decodes != c.decodes {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -15,29 +15,29 @@
 )
 
 func TestShutdownAnswersOpenRequests(t *testing.T) {
-	r := newRig(t, "", "reader", "writer")
-	got := make(chan string, 1)
-	go func() { got <- r.sendRaw(chatRequest(chat(true, 200), "")) }()
-	r.awaitOpenRequests(1)
-	idle := r.dial("")
-	r.gateway.drain.grace = 2 * time.Second // the client below may be scheduled late
+	tg := newTestGateway(t, "", "reader", "writer")
+	response := make(chan string, 1)
+	go func() { response <- tg.sendRaw(chatRequest(chatBody(true, 200), "")) }()
+	tg.awaitOpenRequests(1)
+	idleConn := tg.dial("")
+	tg.gateway.drain.grace = 2 * time.Second // the client below may be scheduled late
 	lateResponse := make(chan string, 1)
 	go func() { // sends on an idle connection just as the gateway starts to drain
-		for !r.gateway.drain.started.Load() {
+		for !tg.gateway.drain.started.Load() {
 			runtime.Gosched()
 		}
-		_, _ = io.WriteString(idle, chatRequest(chat(true, 1), "")) // the answer shows whether it failed
-		text, _ := io.ReadAll(idle)
+		_, _ = io.WriteString(idleConn, chatRequest(chatBody(true, 1), "")) // the answer shows whether it failed
+		text, _ := io.ReadAll(idleConn)
 		lateResponse <- string(text)
 	}()
-	r.gateway.Shutdown(t.Context())
-	if text := <-got; !strings.Contains(text, "[DONE]") {
+	tg.gateway.Shutdown(t.Context())
+	if text := <-response; !strings.Contains(text, "[DONE]") {
 		t.Errorf("%q", text)
 	}
 	if text := <-lateResponse; !strings.HasPrefix(text, "HTTP/1.1 503") || !strings.Contains(text, "Retry-After: 1") {
 		t.Errorf("response to a request sent at the start of the drain: %q", text)
 	}
-	if _, err := net.Dial("tcp", r.address); err == nil {
+	if _, err := net.Dial("tcp", tg.address); err == nil {
 		t.Error("the gateway still accepts connections")
 	}
 }
@@ -45,17 +45,17 @@
 // TestShutdownRejectsPendingPrefill: when the time for the shutdown is over, only a prefill is pending. A prefill has
 // no effect, so the router rejects the request instead of failing it.
 func TestShutdownRejectsPendingPrefill(t *testing.T) {
-	r := newRig(t, "", "reader", "writer")
-	for _, e := range r.engines {
+	tg := newTestGateway(t, "", "reader", "writer")
+	for _, e := range tg.engines {
 		e.SetFaults(fakeengine.Faults{Stall: true})
 	}
-	got := make(chan string, 1)
-	go func() { got <- r.sendRaw(chatRequest(chat(true, 200), "X-Class: order\r\n")) }()
-	r.awaitOpenRequests(1)
+	response := make(chan string, 1)
+	go func() { response <- tg.sendRaw(chatRequest(chatBody(true, 200), "X-Class: order\r\n")) }()
+	tg.awaitOpenRequests(1)
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	r.gateway.Shutdown(ctx)
-	text := <-got
+	tg.gateway.Shutdown(ctx)
+	text := <-response
 	if !strings.HasPrefix(text, "HTTP/1.1 429") || !strings.Contains(text, "x-should-retry: false") ||
 		strings.Count(text, "HTTP/1.1") != 1 {
 		t.Errorf("%q", text)
@@ -74,24 +74,24 @@
 		{name: "a partial request", want: "HTTP/1.1 408", missing: 9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, "", "reader", "writer")
+			tg := newTestGateway(t, "", "reader", "writer")
 			readDone, aborted := make(chan struct{}), make(chan struct{})
-			client := r.connectHooked(&hookedConn{afterRead: func([]byte) { close(readDone); <-aborted }})
-			text := chatRequest(chat(true, 3), "X-Class: order\r\n")
+			client := tg.connectHooked(&hookedConn{afterRead: func([]byte) { close(readDone); <-aborted }})
+			text := chatRequest(chatBody(true, 3), "X-Class: order\r\n")
 			send(t, client, text[:len(text)-c.missing])
 			<-readDone
-			r.gateway.loop.shutdownRouter()
-			r.gateway.mu.Lock()
-			for conn := range r.gateway.conns {
+			tg.gateway.loop.shutdownRouter()
+			tg.gateway.mu.Lock()
+			for conn := range tg.gateway.conns {
 				conn.abort()
 			}
-			r.gateway.mu.Unlock()
+			tg.gateway.mu.Unlock()
 			close(aborted)
 			got, err := readAll(client)
 			if err != nil || !strings.HasPrefix(got, c.want) {
 				t.Errorf("%v: %q", err, got)
 			}
-			r.requireNoArrivals()
+			tg.requireNoArrivals()
 		})
 	}
 }
@@ -117,25 +117,25 @@
 // Clients that connect afterwards must still be accepted.
 func TestAcceptErrorWhileDrainingIsRetried(t *testing.T) {
 	l := &failingListener{TCPListener: listen(t), failed: make(chan struct{})}
-	r := newRigOn(t, l, "", "reader", "writer")
-	r.eventually("the gateway has a listener", func() bool {
-		r.gateway.mu.Lock()
-		defer r.gateway.mu.Unlock()
-		return r.gateway.listener != nil
+	tg := newTestGatewayOn(t, l, "", "reader", "writer")
+	tg.eventually("the gateway has a listener", func() bool {
+		tg.gateway.mu.Lock()
+		defer tg.gateway.mu.Unlock()
+		return tg.gateway.listener != nil
 	})
-	r.gateway.AcceptWhileDraining = 20 * time.Second
+	tg.gateway.AcceptWhileDraining = 20 * time.Second
 	l.fail.Store(true)
-	ended := make(chan struct{})
+	shutdownDone := make(chan struct{})
 	go func() {
-		r.gateway.Shutdown(t.Context())
-		close(ended)
+		tg.gateway.Shutdown(t.Context())
+		close(shutdownDone)
 	}()
-	r.eventually("the gateway is draining", r.gateway.drain.started.Load)
-	r.dial("")
+	tg.eventually("the gateway is draining", tg.gateway.drain.started.Load)
+	tg.dial("")
 	<-l.failed
-	if got := r.sendRaw(chatRequest(chat(true, 3), "Connection: close\r\n")); !strings.Contains(got, "[DONE]") {
+	if got := tg.sendRaw(chatRequest(chatBody(true, 3), "Connection: close\r\n")); !strings.Contains(got, "[DONE]") {
 		t.Errorf("%q", got)
 	}
 	_ = l.SetDeadline(time.Now()) // ends Serve: no further client connects
-	<-ended
+	<-shutdownDone
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -33,11 +33,11 @@
 	held, pendingAttempts, overdue := 0, 0, 0
 	for _, request := range l.requests {
 		pendingAttempts += request.pendingAttempts
-		if request.release.held.since.IsZero() {
+		if request.release.heldState.heldSince.IsZero() {
 			continue
 		}
 		held++
-		age := time.Since(request.release.held.since)
+		age := time.Since(request.release.heldState.heldSince)
 		oldest = max(oldest, age)
 		if age > l.stateTTL() && overdue < maxOverdueLogs {
 			overdue++
@@ -62,7 +62,7 @@
 	last := request.attempts[len(request.attempts)-1]
 	l.gateway.log.Warn("read state overdue",
 		zap.String("id", request.displayID()),
-		zap.String("reader", request.release.held.endpoint),
+		zap.String("reader", request.release.heldState.endpoint),
 		zap.Duration("held_for", age),
 		zap.String("last_attempt", last.endpoint.Name),
 		zap.Object("progress", last.handle.Progress()),
--- a/internal/gateway/scripted_engine_test.go
+++ b/internal/gateway/stub_engine_test.go
@@ -14,41 +14,41 @@
 	"brackenbend/routing"
 )
 
-// scriptedEngine is a deterministic engine. It gives the same answer to each prefill and release, and to decodes the
-// answer that the test has set.
-type scriptedEngine struct {
-	mu     sync.Mutex
-	answer func(c net.Conn)
+// stubEngine is a deterministic engine. It gives the same reply to each prefill and release, and to decodes the reply
+// that the test has set.
+type stubEngine struct {
+	mu          sync.Mutex
+	decodeReply func(c net.Conn)
 }
 
-// setAnswer sets the answer to all decodes from now on.
-func (e *scriptedEngine) setAnswer(answer func(c net.Conn)) {
+// setDecodeReply sets the reply to all decodes from now on.
+func (e *stubEngine) setDecodeReply(reply func(c net.Conn)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.answer = answer
+	e.decodeReply = reply
 }
 
-// writeText returns an answer that writes text. It ignores errors, since tests see a broken connection at the client.
+// writeText returns a reply that writes text. It ignores errors, since tests see a broken connection at the client.
 func writeText(text string) func(net.Conn) {
 	return func(c net.Conn) { _, _ = io.WriteString(c, text) }
 }
 
 // start serves on a new address until the test ends, and returns the address.
-func (e *scriptedEngine) start(t *testing.T) string {
+func (e *stubEngine) start(t *testing.T) string {
 	t.Helper()
 	l := listen(t)
-	var wait sync.WaitGroup
-	wait.Add(1)
+	var wg sync.WaitGroup
+	wg.Add(1)
 	go func() {
-		defer wait.Done()
+		defer wg.Done()
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			wait.Add(1)
+			wg.Add(1)
 			go func() {
-				defer wait.Done()
+				defer wg.Done()
 				defer closeQuietly(c)
 				e.serve(c)
 			}()
@@ -56,12 +56,12 @@
 	}()
 	t.Cleanup(func() {
 		closeQuietly(l)
-		wait.Wait()
+		wg.Wait()
 	})
 	return l.Addr().String()
 }
 
-func (e *scriptedEngine) serve(c net.Conn) {
+func (e *stubEngine) serve(c net.Conn) {
 	br := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(br)
@@ -78,25 +78,25 @@
 			writeText("HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n" + `{"kv_transfer_params":{"a":1}}`)(c)
 		default:
 			e.mu.Lock()
-			answer := e.answer
+			reply := e.decodeReply
 			e.mu.Unlock()
-			answer(c)
+			reply(c)
 		}
 	}
 }
 
-// newScriptedRig starts a gateway with one scripted engine, which serves at two addresses: those of a prefill and of a
-// decode endpoint.
-func newScriptedRig(t *testing.T, limits string) (*rig, *scriptedEngine) {
+// newTestGatewayWithStub starts a gateway with one stub engine, which serves at two addresses: those of a prefill and
+// of a decode endpoint.
+func newTestGatewayWithStub(t *testing.T, limits string) (*testGateway, *stubEngine) {
 	t.Helper()
-	e := &scriptedEngine{}
+	e := &stubEngine{}
 	prefill, decode := e.start(t), e.start(t) // started before the gateway, so that they end after it
-	r := newRig(t, limits)
-	r.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: []endpointslice.Endpoint{
+	tg := newTestGateway(t, limits)
+	tg.gateway.UpdateEndpoints(endpointslice.Update{Scope: routing.ListFull, Endpoints: []endpointslice.Endpoint{
 		{Name: "reader-0", Kind: "reader", Address: prefill, State: routing.EndpointReady},
 		{Name: "writer-0", Kind: "writer", Address: decode, State: routing.EndpointReady},
 	}})
-	return r, e
+	return tg, e
 }
 
 const (
@@ -115,4 +115,4 @@
 // chunk returns s as one chunk of a chunked body.
 func chunk(s string) string { return string(http1.AppendChunk(nil, []byte(s))) }
 
-var wholeStream = streamHead + chunk(": a comment\n\n"+event1+event2) + chunk(eventUsage+eventDone) + "0\r\n\r\n"
+var completeStream = streamHead + chunk(": a comment\n\n"+event1+event2) + chunk(eventUsage+eventDone) + "0\r\n\r\n"
--- a/internal/gateway/unknownendpoint_test.go
+++ b/internal/gateway/unknownendpoint_test.go
@@ -22,14 +22,16 @@
 // not sent. The router should never decide such a send. When the gateway didn't add the attempt to the request, its
 // outcome referred to a missing attempt, and the event loop panicked, which ended all requests of the gateway.
 func TestSendToUnknownEndpoint(t *testing.T) {
-	r := newRig(t, "") // no engine is listed, so the request waits
-	got := make(chan string, 1)
-	go func() { got <- r.sendRaw(chatRequest(chat(true, 5), "X-Class: brief\r\nConnection: close\r\n")) }()
-	r.awaitOpenRequests(1)
+	tg := newTestGateway(t, "") // no engine is listed, so the request waits
+	response := make(chan string, 1)
+	go func() {
+		response <- tg.sendRaw(chatRequest(chatBody(true, 5), "X-Class: brief\r\nConnection: close\r\n"))
+	}()
+	tg.awaitOpenRequests(1)
 	e := sendToUnknown{make(chan struct{})}
-	r.gateway.loop.post(nil, e)
+	tg.gateway.loop.post(nil, e)
 	<-e.done
-	if text := <-got; !strings.HasPrefix(text, "HTTP/1.1 429") && !strings.HasPrefix(text, "HTTP/1.1 503") {
+	if text := <-response; !strings.HasPrefix(text, "HTTP/1.1 429") && !strings.HasPrefix(text, "HTTP/1.1 503") {
 		t.Errorf("%q", text)
 	}
 }
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -34,58 +34,68 @@
 
 // TestClientResponseBytes compares the responses to clients of OpenAI's API, byte by byte, with golden files.
 func TestClientResponseBytes(t *testing.T) {
-	r, engine := newScriptedRig(t, `head="2KiB" body="1KiB"`)
+	tg, engine := newTestGatewayWithStub(t, `head="2KiB" body="1KiB"`)
 	post := func(body, more string) string { return chatRequest(body, more+connectionClose) }
-	text := strings.Replace(post(`{"model":"m","prompt":"hello"}`, ""), "/v1/chat/completions", "/v1/completions", 1)
-	plain := func(line string) string { return line + " HTTP/1.1\r\nHost: a\r\n" + connectionClose + "\r\n" }
+	completionRequest := strings.Replace(
+		post(`{"model":"m","prompt":"hello"}`, ""), "/v1/chat/completions", "/v1/completions", 1)
+	requestWithoutBody := func(line string) string { return line + " HTTP/1.1\r\nHost: a\r\n" + connectionClose + "\r\n" }
 	error400 := "HTTP/1.1 400 x\r\nContent-Length: 26\r\n\r\n" + `{"error":{"message":"no"}}`
 	for _, c := range []struct{ name, answer, send string }{
-		{"stream", wholeStream, post(chat(true, 5), "")},
-		{"stream, unsafe", wholeStream, post(chat(true, 5), "X-Class: order\r\n")},
-		{"stream, keyed", wholeStream, post(chat(true, 5), "X-Class: book\r\nIdempotency-Key: k\r\n")},
-		{"stream, HTTP/1.0", wholeStream, strings.Replace(chatRequest(chat(true, 5), ""), "HTTP/1.1", "HTTP/1.0", 1)},
-		{"stream, 100-continue", wholeStream, post(chat(true, 5), "Expect: 100-continue\r\n")},
-		{"whole", wholeStream, post(chat(false, 5), "")},
-		{"whole, HTTP/1.0", wholeStream, strings.Replace(chatRequest(chat(false, 5), ""), "HTTP/1.1", "HTTP/1.0", 1)},
-		{"whole, completion", streamHead + chunk(textEvent+eventDone) + "0\r\n\r\n", text},
+		{"stream", completeStream, post(chatBody(true, 5), "")},
+		{"stream, unsafe", completeStream, post(chatBody(true, 5), "X-Class: order\r\n")},
+		{"stream, keyed", completeStream, post(chatBody(true, 5), "X-Class: book\r\nIdempotency-Key: k\r\n")},
+		{"stream, HTTP/1.0", completeStream, strings.Replace(chatRequest(chatBody(true, 5), ""), "HTTP/1.1", "HTTP/1.0", 1)},
+		{"stream, 100-continue", completeStream, post(chatBody(true, 5), "Expect: 100-continue\r\n")},
+		{"whole", completeStream, post(chatBody(false, 5), "")},
+		{"whole, HTTP/1.0", completeStream, strings.Replace(chatRequest(chatBody(false, 5), ""), "HTTP/1.1", "HTTP/1.0", 1)},
+		{"whole, completion", streamHead + chunk(textEvent+eventDone) + "0\r\n\r\n", completionRequest},
 		{
-			"keep-alive, then close", wholeStream,
-			chatRequest(chat(false, 5), "") + chatRequest(chat(true, 5), "") + post(chat(false, 5), ""),
+			"keep-alive, then close", completeStream,
+			chatRequest(chatBody(false, 5), "") + chatRequest(chatBody(true, 5), "") + post(chatBody(false, 5), ""),
 		},
-		{"engine's 400", error400, post(chat(true, 5), "")},
-		{"engine's 400, whole", error400, post(chat(false, 5), "X-Class: order\r\n")},
-		{"failure, unsafe", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", post(chat(true, 5), "X-Class: order\r\n")},
-		{"failure, unsafe, whole", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", post(chat(false, 5), "X-Class: order\r\n")},
-		{"failure, repeat by an SDK", wholeStream, post(chat(true, 5), "X-Class: order\r\nX-Stainless-Retry-Count: 1\r\n")},
-		{"stream that breaks", streamHead + chunk(event1) + "0\r\n\r\n", post(chat(true, 5), "X-Class: order\r\n")},
+		{"engine's 400", error400, post(chatBody(true, 5), "")},
+		{"engine's 400, whole", error400, post(chatBody(false, 5), "X-Class: order\r\n")},
+		{"failure, unsafe", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", post(chatBody(true, 5), "X-Class: order\r\n")},
+		{
+			"failure, unsafe, whole", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n",
+			post(chatBody(false, 5), "X-Class: order\r\n"),
+		},
+		{
+			"failure, repeat by an SDK", completeStream,
+			post(chatBody(true, 5), "X-Class: order\r\nX-Stainless-Retry-Count: 1\r\n"),
+		},
+		{"stream that breaks", streamHead + chunk(event1) + "0\r\n\r\n", post(chatBody(true, 5), "X-Class: order\r\n")},
 		{
 			"stream that breaks, HTTP/1.0", streamHead + chunk(event1) + "0\r\n\r\n",
-			strings.Replace(chatRequest(chat(true, 5), ""), "HTTP/1.1", "HTTP/1.0", 1),
+			strings.Replace(chatRequest(chatBody(true, 5), ""), "HTTP/1.1", "HTTP/1.0", 1),
+		},
+		{
+			"stream that breaks, whole", streamHead + chunk(event1) + "0\r\n\r\n",
+			post(chatBody(false, 5), "X-Class: order\r\n"),
 		},
-		{"stream that breaks, whole", streamHead + chunk(event1) + "0\r\n\r\n", post(chat(false, 5), "X-Class: order\r\n")},
-		{"stream that breaks, whole, safe", streamHead + chunk(event1) + "0\r\n\r\n", post(chat(false, 5), "")},
-		{"no key", "", post(chat(true, 5), "X-Class: book\r\n")},
+		{"stream that breaks, whole, safe", streamHead + chunk(event1) + "0\r\n\r\n", post(chatBody(false, 5), "")},
+		{"no key", "", post(chatBody(true, 5), "X-Class: book\r\n")},
 		{"not JSON", "", post("{", "")},
-		{"not JSON, keep-alive", "", chatRequest("{", "") + plain("GET /v1/models")},
+		{"not JSON, keep-alive", "", chatRequest("{", "") + requestWithoutBody("GET /v1/models")},
 		{"not an object", "", post("[]", "")},
 		{"no model", "", post(`{"messages":[]}`, "")},
-		{"unknown model", "", post(strings.Replace(chat(true, 5), `"m"`, `"x"`, 1), "")},
+		{"unknown model", "", post(strings.Replace(chatBody(true, 5), `"m"`, `"x"`, 1), "")},
 		{"model twice", "", post(`{"model":"m","model":"m"}`, "")},
 		{"stream no boolean", "", post(`{"model":"m","stream":1}`, "")},
 		{"max_tokens 0", "", post(`{"model":"m","max_tokens":0}`, "")},
 		{"no messages", "", post(`{"model":"m"}`, "")},
 		{"content a number", "", post(`{"model":"m","messages":[{"role":"user","content":7}]}`, "")},
 		{"no role", "", post(`{"model":"m","messages":[{"content":"a"}]}`, "")},
-		{"models", "", plain("GET /v1/models")},
-		{"model", "", plain("GET /v1/models/m")},
-		{"model unknown", "", plain("GET /v1/models/x")},
+		{"models", "", requestWithoutBody("GET /v1/models")},
+		{"model", "", requestWithoutBody("GET /v1/models/m")},
+		{"model unknown", "", requestWithoutBody("GET /v1/models/x")},
 		{"models, HTTP/1.0", "", "GET /v1/models HTTP/1.0\r\nHost: a\r\n\r\n"},
-		{"models, keep-alive", "", "GET /v1/models HTTP/1.1\r\nHost: a\r\n\r\n" + plain("GET /v1/models")},
-		{"404", "", plain("GET /v1/other")},
-		{"404, HEAD", "", plain("HEAD /")},
-		{"405", "", plain("GET /v1/chat/completions")},
-		{"405, completions", "", plain("DELETE /v1/completions")},
-		{"405, models", "", plain("POST /v1/models")},
+		{"models, keep-alive", "", "GET /v1/models HTTP/1.1\r\nHost: a\r\n\r\n" + requestWithoutBody("GET /v1/models")},
+		{"404", "", requestWithoutBody("GET /v1/other")},
+		{"404, HEAD", "", requestWithoutBody("HEAD /")},
+		{"405", "", requestWithoutBody("GET /v1/chat/completions")},
+		{"405, completions", "", requestWithoutBody("DELETE /v1/completions")},
+		{"405, models", "", requestWithoutBody("POST /v1/models")},
 		{"405 with a body", "", "PUT /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}"},
 		{"413", "", chatRequest(strings.Repeat("x", 2000), "")},
 		{"413, chunked", "", "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n800\r\n" +
@@ -96,8 +106,8 @@
 		{"417", "", chatRequest("{}", "Expect: a miracle\r\n")},
 		{"505", "", "GET /v1/models HTTP/2.0\r\nHost: a\r\n\r\n"},
 	} {
-		engine.setAnswer(writeText(c.answer))
-		got := r.sendRaw(c.send)
+		engine.setDecodeReply(writeText(c.answer))
+		got := tg.sendRaw(c.send)
 		name := strings.NewReplacer(", ", "-", " ", "-", "/", "", "'", "").Replace(c.name)
 		golden.Check(t, "client-"+name+".golden", normalizeMessage(got))
 	}
@@ -106,16 +116,16 @@
 // TestStreamChunkBytes compares with a golden file the chunks of a stream whose events arrive one by one, on a
 // connection that stays open.
 func TestStreamChunkBytes(t *testing.T) {
-	r, engine := newScriptedRig(t, "")
+	tg, engine := newTestGatewayWithStub(t, "")
 	next := make(chan struct{})
-	engine.setAnswer(func(c net.Conn) {
+	engine.setDecodeReply(func(c net.Conn) {
 		last := chunk(eventDone) + "0\r\n\r\n"
-		for _, part := range []string{streamHead + chunk(event1), chunk(event2), chunk(eventUsage), last} {
-			writeText(part)(c)
+		for _, segment := range []string{streamHead + chunk(event1), chunk(event2), chunk(eventUsage), last} {
+			writeText(segment)(c)
 			<-next
 		}
 	})
-	c := r.dial(chatRequest(chat(true, 5), ""))
+	c := tg.dial(chatRequest(chatBody(true, 5), ""))
 	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	br := bufio.NewReader(c)
 	all := ""
@@ -130,9 +140,9 @@
 // TestRejectionBytes: without a decode endpoint every request is rejected. The router chooses the time to wait before a
 // retry, so the comparison leaves it out.
 func TestRejectionBytes(t *testing.T) {
-	r := newRig(t, "", "reader")
+	tg := newTestGateway(t, "", "reader")
 	for _, class := range []string{"brief", "quick"} {
-		got := r.sendRaw(chatRequest(chat(true, 5), "X-Class: "+class+"\r\n"+connectionClose))
+		got := tg.sendRaw(chatRequest(chatBody(true, 5), "X-Class: "+class+"\r\n"+connectionClose))
 		got = retryAfterField.ReplaceAllString(got, "Retry-After: S\r")
 		golden.Check(t, "refusal-"+class+".golden",
 			normalizeMessage(retryAfterMsField.ReplaceAllString(got, "retry-after-ms: MS\r")))
@@ -144,9 +154,9 @@
 	for _, stream := range []bool{true, false} {
 		// Each case has its own gateway, which has seen no timeout yet.
 		t.Run(fmt.Sprintf("stream %v", stream), func(t *testing.T) {
-			r, engine := newScriptedRig(t, "")
-			engine.setAnswer(func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // ends with the connection
-			got := r.sendRaw(chatRequest(chat(stream, 5), "X-Class: quick\r\n"+connectionClose))
+			tg, engine := newTestGatewayWithStub(t, "")
+			engine.setDecodeReply(func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // ends with the connection
+			got := tg.sendRaw(chatRequest(chatBody(stream, 5), "X-Class: quick\r\n"+connectionClose))
 			golden.Check(t, fmt.Sprintf("timeout-stream-%v.golden", stream), normalizeMessage(got))
 		})
 	}
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -26,8 +26,8 @@
 	return ""
 }
 
-// Has reports whether the comma-separated list in the fields with the given name contains token. Case is ignored.
-func (h Header) Has(name, token string) bool {
+// HasToken reports whether the comma-separated list in the fields with the given name contains token. Case is ignored.
+func (h Header) HasToken(name, token string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
 			continue
@@ -107,11 +107,11 @@
 	var buf []byte
 	lineStart := 0
 	for {
-		part, err := br.ReadSlice('\n')
-		if len(buf)+len(part) > maxBytes {
+		segment, err := br.ReadSlice('\n')
+		if len(buf)+len(segment) > maxBytes {
 			return "", &Error{http.StatusRequestHeaderFieldsTooLarge, fmt.Sprintf("head over %d bytes", maxBytes)}
 		}
-		buf = append(buf, part...)
+		buf = append(buf, segment...)
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -130,26 +130,26 @@
 	}
 }
 
-// scriptedReader returns one of its pieces per read and counts the reads.
-type scriptedReader struct {
-	pieces []string
-	reads  int
+// segmentReader returns one of its segments per read and counts the reads.
+type segmentReader struct {
+	segments []string
+	reads    int
 }
 
-func (r *scriptedReader) Read(p []byte) (int, error) {
+func (r *segmentReader) Read(p []byte) (int, error) {
 	r.reads++
-	if len(r.pieces) == 0 {
+	if len(r.segments) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, r.pieces[0])
-	r.pieces = r.pieces[1:]
+	n := copy(p, r.segments[0])
+	r.segments = r.segments[1:]
 	return n, nil
 }
 
 // TestWaitReadableSkipsLineEndAfterChunk checks that the CRLF after a chunk's data does not end WaitReadable. Otherwise
 // a stream would hold a buffer for as long as it waits for the next chunk.
 func TestWaitReadableSkipsLineEndAfterChunk(t *testing.T) {
-	source := &scriptedReader{pieces: []string{"2\r\nab\r\n", "2\r\ncd\r", "\n", "0\r\n\r\n"}}
+	source := &segmentReader{segments: []string{"2\r\nab\r\n", "2\r\ncd\r", "\n", "0\r\n\r\n"}}
 	var b Body
 	b.Reset(bufio.NewReader(source), &Message{ContentLength: -1, Chunked: true}, testLimits)
 	p := make([]byte, 10)
@@ -193,11 +193,12 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		whole, err := ReadRequest(bufio.NewReaderSize(bytes.NewReader(data), 8192), testLimits)
-		byBytes, byBytesErr := ReadRequest(bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(data)), 8192), testLimits)
-		if (err == nil) != (byBytesErr == nil) || err != nil && err.Error() != byBytesErr.Error() ||
-			!reflect.DeepEqual(whole, byBytes) {
-			t.Fatalf("%+v %v, by bytes %+v %v", whole, err, byBytes, byBytesErr)
+		request, err := ReadRequest(bufio.NewReaderSize(bytes.NewReader(data), 8192), testLimits)
+		bytewiseRequest, bytewiseErr := ReadRequest(
+			bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(data)), 8192), testLimits)
+		if (err == nil) != (bytewiseErr == nil) || err != nil && err.Error() != bytewiseErr.Error() ||
+			!reflect.DeepEqual(request, bytewiseRequest) {
+			t.Fatalf("%+v %v, by bytes %+v %v", request, err, bytewiseRequest, bytewiseErr)
 		}
 	})
 }
@@ -219,11 +220,11 @@
 		if err != nil {
 			return
 		}
-		peer, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(data)))
+		reference, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(data)))
 		if err != nil {
 			return // net/http rejects more targets and host names, which does not affect the framing
 		}
-		want, err := io.ReadAll(peer.Body)
+		want, err := io.ReadAll(reference.Body)
 		if err == nil && !bytes.Equal(got, want) {
 			t.Fatalf("bodies differ: %q, net/http has %q", got, want)
 		}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -8,7 +8,7 @@
 
 // Message is the part that requests and responses have in common.
 type Message struct {
-	Minor         int // minor protocol version: HTTP/1.Minor
+	ProtoMinor    int // minor protocol version: HTTP/1.ProtoMinor
 	Header        Header
 	ContentLength int64 // body length; -1 = unknown (chunked, or until the connection closes)
 	Chunked       bool
@@ -47,10 +47,11 @@
 	if m.Chunked && m.ContentLength >= 0 {
 		return badMessage("Content-Length beside Transfer-Encoding")
 	}
-	if m.Chunked && m.Minor == 0 {
+	if m.Chunked && m.ProtoMinor == 0 {
 		return badMessage("Transfer-Encoding in HTTP/1.0")
 	}
-	m.Close = m.Header.Has("Connection", "close") || m.Minor == 0 && !m.Header.Has("Connection", "keep-alive")
+	m.Close = m.Header.HasToken("Connection", "close") ||
+		m.ProtoMinor == 0 && !m.Header.HasToken("Connection", "keep-alive")
 	return nil
 }
 
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	r.Method, r.Target, r.Minor = method, target, minor
+	r.Method, r.Target, r.ProtoMinor = method, target, minor
 	return nil
 }
 
@@ -74,7 +74,7 @@
 			hosts++
 		}
 	}
-	if hosts > 1 || hosts == 0 && r.Minor == 1 {
+	if hosts > 1 || hosts == 0 && r.ProtoMinor == 1 {
 		return badMessage("%d Host fields, one is required", hosts)
 	}
 	return nil
@@ -88,6 +88,6 @@
 	if !strings.EqualFold(expect, "100-continue") {
 		return &Error{http.StatusExpectationFailed, "unknown expectation"}
 	}
-	r.ExpectContinue = r.Minor == 1 && (r.Chunked || r.ContentLength > 0)
+	r.ExpectContinue = r.ProtoMinor == 1 && (r.Chunked || r.ContentLength > 0)
 	return nil
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -66,6 +66,6 @@
 		return badMessage("malformed status line")
 	}
 	r.Status = status
-	r.Minor, err = parseVersion(proto)
+	r.ProtoMinor, err = parseVersion(proto)
 	return err
 }
--- a/internal/node/client_disconnect_test.go
+++ b/internal/node/client_disconnect_test.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// disconnects records when clients closed their connections, and the attempts that reached engines after that.
-type disconnects struct {
-	mu           sync.Mutex
-	times        map[string]time.Time // when each client closed, by request id
-	lateAttempts int                  // attempts that reached an engine after their client had closed its connection
-	longestDelay time.Duration
-	served       int
+// disconnectRecorder records when clients closed their connections, and the attempts that reached engines after that.
+type disconnectRecorder struct {
+	mu              sync.Mutex
+	disconnectTimes map[string]time.Time // when each client closed, by request id
+	lateAttempts    int                  // attempts that reached an engine after their client had closed its connection
+	longestDelay    time.Duration
+	servedClients   int
 }
 
-func (d *disconnects) recordDisconnect(id string) {
+func (d *disconnectRecorder) recordDisconnect(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.times[id] = time.Now()
+	d.disconnectTimes[id] = time.Now()
 }
 
-func (d *disconnects) recordAttempt(id string) {
+func (d *disconnectRecorder) recordAttempt(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if disconnected, ok := d.times[id]; ok {
+	if disconnectedAt, ok := d.disconnectTimes[id]; ok {
 		d.lateAttempts++
-		d.longestDelay = max(d.longestDelay, time.Since(disconnected))
+		d.longestDelay = max(d.longestDelay, time.Since(disconnectedAt))
 	}
 }
 
 // withRandomDelay returns a handler that records the attempt and waits for a random time before it calls handle.
-func (d *disconnects) withRandomDelay(handle engineHandler) engineHandler {
+func (d *disconnectRecorder) withRandomDelay(handle engineHandler) engineHandler {
 	return func(e *fakeEngine, w http.ResponseWriter, r *http.Request) {
 		d.recordAttempt(r.Header.Get("Req-Id"))
 		time.Sleep(rand.N(8 * time.Millisecond))
@@ -43,16 +43,16 @@
 	}
 }
 
-// runClient sends one request and then closes the connection: after the response if waits is set, otherwise after a
-// random time, whether or not a response has arrived.
-func (d *disconnects) runClient(t *testing.T, n *Node, id, class string, waits bool) {
+// runClient sends one request and then closes the connection: after the response if waits is set, otherwise
+// after a random time, whether or not a response has arrived.
+func (d *disconnectRecorder) runClient(t *testing.T, n *Node, id, class string, waits bool) {
 	c := dialNode(t, n)
 	c.send(t, chatRequest(id, class, "prompt_len=20", "prompt_len=1500"))
 	if waits {
 		resp, body, complete := c.receive(t)
 		if resp.StatusCode == http.StatusOK && complete && body == completeStream {
 			d.mu.Lock()
-			d.served++
+			d.servedClients++
 			d.mu.Unlock()
 		}
 	} else {
@@ -68,18 +68,19 @@
 func TestNoAttemptStartsAfterClientDisconnects(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const clients, rounds, maxDelay = 16, 190, 100 * time.Millisecond
-	d := &disconnects{times: map[string]time.Time{}}
+	d := &disconnectRecorder{disconnectTimes: map[string]time.Time{}}
 	engines := []*fakeEngine{
-		newPrefillEngine(t, d.withRandomDelay(replyPrefill)), newDecodeEngine(t, d.withRandomDelay(replyDecode)),
+		newPrefillEngine(t, d.withRandomDelay(replyPrefill)),
+		newDecodeEngine(t, d.withRandomDelay(replyDecode)),
 	}
 	for _, e := range engines {
 		go func() { // keeps the channel from filling up, since this test does not wait for requests
-			for range e.requestSeen {
+			for range e.requestReceived {
 			}
 		}()
-		defer close(e.requestSeen)
+		defer close(e.requestReceived)
 	}
-	n, _ := startNode(t, nodeSetup{sockets: 512}, engines...)
+	n, _ := startNode(t, nodeOptions{sockets: 512}, engines...)
 	var running sync.WaitGroup
 	for client := range clients {
 		running.Go(func() {
@@ -95,11 +96,11 @@
 	defer d.mu.Unlock()
 	t.Logf("%d clients disconnected early: %d attempts reached an engine after that, the latest %v after it; "+
 		"%d of %d clients that waited were served",
-		clients*rounds*3/4, d.lateAttempts, d.longestDelay, d.served, clients*rounds/4)
+		clients*rounds*3/4, d.lateAttempts, d.longestDelay, d.servedClients, clients*rounds/4)
 	if d.longestDelay > maxDelay {
 		t.Errorf("an attempt reached an engine %v after its client had disconnected", d.longestDelay)
 	}
-	if d.served == 0 {
+	if d.servedClients == 0 {
 		t.Error("none of the clients that waited was served")
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -52,13 +52,13 @@
 
 // configFile is the JSON structure of the configuration file.
 type configFile struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"` // hexadecimal
-	Limits    configLimits    `json:"limits"`
-	Known     json.RawMessage `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
+	Name       string          `json:"name"`
+	Listen     string          `json:"listen"`
+	Discovery  string          `json:"discovery"`
+	Seed       string          `json:"seed"` // hexadecimal
+	Limits     configLimits    `json:"limits"`
+	CachedList json.RawMessage `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
 }
 
 type configLimits struct {
@@ -121,7 +121,7 @@
 	if config.Seed, err = parseSeed(file.Seed); err != nil {
 		return nil, &FieldError{"seed", err}
 	}
-	if config.CachedList, err = parseCachedList(file.Known); err != nil {
+	if config.CachedList, err = parseCachedList(file.CachedList); err != nil {
 		return nil, &FieldError{"known", err}
 	}
 	if len(file.Settings) == 0 {
--- a/internal/node/discovery/bytes_test.go
+++ b/internal/node/discovery/bytes_test.go
@@ -12,19 +12,19 @@
 	"brackenbend/internal/golden"
 )
 
-// recordTimeout bounds the exchange of requests and replies that is compared with a golden file.
-const recordTimeout = 20 * time.Second
+// exchangeTimeout bounds the exchange of requests and replies that is compared with a golden file.
+const exchangeTimeout = 20 * time.Second
 
 // recordedReply is one reply of a recordingServer. A reply with a header closes its connection.
 type recordedReply struct{ header, list string }
 
 // recordingServer records each connection and the heads of all requests.
 type recordingServer struct {
-	listener net.Listener
-	replies  []recordedReply
-	replied  int
-	requests strings.Builder // may be read once done is closed
-	done     chan struct{}   // closed when the server ends, usually after a request for which no reply is left
+	listener    net.Listener
+	replies     []recordedReply
+	repliesSent int
+	requests    strings.Builder // may be read once done is closed
+	done        chan struct{}   // closed when the server ends, usually after a request for which no reply is left
 }
 
 func newRecordingServer(t *testing.T, replies ...recordedReply) *recordingServer {
@@ -63,11 +63,11 @@
 			return false
 		}
 		fmt.Fprintf(&s.requests, "%q\n", strings.ReplaceAll(head, s.listener.Addr().String(), "HOST:PORT"))
-		if s.replied == len(s.replies) {
+		if s.repliesSent == len(s.replies) {
 			return true
 		}
-		reply := s.replies[s.replied]
-		s.replied++
+		reply := s.replies[s.repliesSent]
+		s.repliesSent++
 		send(conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", reply.header, len(reply.list), reply.list)
 		if reply.header != "" {
 			return false
@@ -112,8 +112,8 @@
 	stop := runWatcher(t, w)
 	select {
 	case <-server.done:
-	case <-time.After(recordTimeout):
-		t.Errorf("not all requests arrived within %v", recordTimeout)
+	case <-time.After(exchangeTimeout):
+		t.Errorf("not all requests arrived within %v", exchangeTimeout)
 		server.close()
 	}
 	stop()
--- a/internal/node/discovery/conn.go
+++ b/internal/node/discovery/conn.go
@@ -40,11 +40,11 @@
 // listAttempts is a series of attempts to get the complete list, each on its own connection. The first connection on
 // which a reply begins is used.
 type listAttempts struct {
-	attempt func(ctx context.Context) (*conn, error)
-	results chan attemptResult
-	pending int // number of attempts without a result
-	started int
-	cancels [MaxListRequests]context.CancelFunc
+	attempt      func(ctx context.Context) (*conn, error)
+	results      chan attemptResult
+	pending      int // number of attempts without a result
+	startedCount int
+	cancels      [MaxListRequests]context.CancelFunc
 }
 
 // requestList requests the complete list and returns the connection on which a reply begins. It repeats the request on
@@ -60,11 +60,11 @@
 		cancel()
 		attempts.discard()
 	}()
-	repeat := time.NewTicker(w.FirstByteTimeout)
-	defer repeat.Stop()
+	repeatTicker := time.NewTicker(w.FirstByteTimeout)
+	defer repeatTicker.Stop()
 	for {
 		attempts.start(ctx)
-		if c, err := attempts.await(repeat.C); c != nil || err != nil {
+		if c, err := attempts.await(repeatTicker.C); c != nil || err != nil {
 			return c, err
 		}
 	}
@@ -72,12 +72,12 @@
 
 // start starts an attempt. If MaxListRequests attempts are in flight, it cancels the oldest one.
 func (a *listAttempts) start(ctx context.Context) {
-	slot := &a.cancels[a.started%MaxListRequests]
-	a.started++
-	if *slot != nil {
-		(*slot)()
+	cancelSlot := &a.cancels[a.startedCount%MaxListRequests]
+	a.startedCount++
+	if *cancelSlot != nil {
+		(*cancelSlot)()
 	}
-	ctx, *slot = context.WithCancel(ctx)
+	ctx, *cancelSlot = context.WithCancel(ctx)
 	a.pending++
 	go func() {
 		c, err := a.attempt(ctx)
@@ -87,7 +87,7 @@
 
 // await returns the first connection on which a reply begins, or an error once all attempts have failed. It returns
 // neither when repeat fires.
-func (a *listAttempts) await(repeat <-chan time.Time) (*conn, error) {
+func (a *listAttempts) await(repeatTimer <-chan time.Time) (*conn, error) {
 	for {
 		select {
 		case result := <-a.results:
@@ -98,7 +98,7 @@
 			if result.err != nil && a.pending == 0 {
 				return nil, result.err
 			}
-		case <-repeat:
+		case <-repeatTimer:
 			return nil, nil
 		}
 	}
--- a/internal/node/discovery/discovery.go
+++ b/internal/node/discovery/discovery.go
@@ -29,7 +29,7 @@
 	MaxListBytes     int64         // of the body of a reply
 	Seed             uint64        // of the backoff's jitter: nodes that lost one agent must not reconnect together
 
-	position position // owned by Run's goroutine
+	revisions revisionTracker // owned by Run's goroutine
 
 	dial func(ctx context.Context, address string) (net.Conn, error) // nil = TCP
 
--- a/internal/node/discovery/server_test.go
+++ b/internal/node/discovery/server_test.go
@@ -9,23 +9,23 @@
 	"testing"
 )
 
-// scriptedServer is a fake discovery agent that runs one step per request, in order and across connections. A step that
+// stubServer is a fake discovery agent that runs one step per request, in order and across connections. A step that
 // writes no reply leaves the request open or closes the connection itself; requests after the last step get no reply.
-type scriptedServer struct {
+type stubServer struct {
 	listener net.Listener
 	steps    []func(conn net.Conn)
 	requests chan string // query of each request, prefixed by "+" if the connection is new
 	nextStep chan int    // index of the next step; empty while a request updates it
 }
 
-func newScriptedServer(t *testing.T, steps ...func(conn net.Conn)) *scriptedServer {
+func newStubServer(t *testing.T, steps ...func(conn net.Conn)) *stubServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() }) // an error does not affect the test
-	s := &scriptedServer{
+	s := &stubServer{
 		listener: listener, steps: steps, requests: make(chan string, 100), nextStep: make(chan int, 1),
 	}
 	s.nextStep <- 0
@@ -41,7 +41,7 @@
 	return s
 }
 
-func (s *scriptedServer) serve(conn net.Conn) {
+func (s *stubServer) serve(conn net.Conn) {
 	defer closeConn(conn)
 	reader, newConn := bufio.NewReader(conn), "+"
 	for {
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -81,10 +81,10 @@
 	}
 }
 
-// deliver passes a list to OnUpdate. complete says that the complete list was requested. After an error, the complete
-// list must be requested again.
-func (w *Watcher) deliver(list *List, address string, complete bool) error {
-	if err := w.position.check(list, address); err != nil {
+// deliver passes a list to OnUpdate. completeRequested says that the complete list was requested. After an error, the
+// complete list must be requested again.
+func (w *Watcher) deliver(list *List, address string, completeRequested bool) error {
+	if err := w.revisions.check(list, address); err != nil {
 		return err
 	}
 	update, err := list.Update()
@@ -94,24 +94,24 @@
 	if list.Complete || len(list.Members) > 0 {
 		w.OnUpdate(update)
 	}
-	if complete && !list.Complete { // the changes are valid, but others may be missing
+	if completeRequested && !list.Complete { // the changes are valid, but others may be missing
 		return errPartialList
 	}
-	w.position.advance(list)
+	w.revisions.advance(list)
 	return nil
 }
 
-// position tracks the revision up to which the list is known.
-type position struct {
+// revisionTracker tracks the revision up to which the list is known.
+type revisionTracker struct {
 	address      string // of the agent that sent the revision
 	revision     int64  // of the last delivered list
 	staleReplies int    // consecutive replies with a lower revision
 }
 
 // check rejects a list that is older than the one delivered last from the same address.
-func (p *position) check(list *List, address string) error {
+func (p *revisionTracker) check(list *List, address string) error {
 	if address != p.address {
-		*p = position{address: address}
+		*p = revisionTracker{address: address}
 	}
 	if list.Revision >= p.revision {
 		return nil
@@ -124,4 +124,4 @@
 }
 
 // advance records the revision of a delivered list.
-func (p *position) advance(list *List) { p.revision, p.staleReplies = list.Revision, 0 }
+func (p *revisionTracker) advance(list *List) { p.revision, p.staleReplies = list.Revision, 0 }
--- a/internal/node/discovery/watch_test.go
+++ b/internal/node/discovery/watch_test.go
@@ -44,19 +44,19 @@
 		{"from=43&hold_ms=5000", `{"revision":44,"complete":false,"members":[` + invalid + `]}`},
 		{"", `{"revision":45,"complete":true,"members":[]}`},
 	}
-	queries, quit, next := make(chan string, 100), make(chan struct{}), 0
+	queries, serverDone, nextReply := make(chan string, 100), make(chan struct{}), 0
 	handler := func(w http.ResponseWriter, r *http.Request) { // requests are sequential
 		queries <- r.URL.RawQuery
-		if next == len(replies) {
-			<-quit
+		if nextReply == len(replies) {
+			<-serverDone
 			return
 		}
-		_, _ = fmt.Fprint(w, replies[next].text) // after a failed write, the next expected query does not arrive
-		next++
+		_, _ = fmt.Fprint(w, replies[nextReply].text) // after a failed write, the next expected query does not arrive
+		nextReply++
 	}
 	srv := httptest.NewServer(http.HandlerFunc(handler))
 	defer srv.Close()
-	defer close(quit)
+	defer close(serverDone)
 	updates, logs := make(chan endpointslice.Update, 100), make(chan string, 100)
 	w := &Watcher{
 		OnUpdate:         func(u endpointslice.Update) { updates <- u },
@@ -193,7 +193,7 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newScriptedServer(t, tc.steps...)
+			s := newStubServer(t, tc.steps...)
 			endpoints := make(chan int, 100)
 			// The timeouts are short in the cases that wait for them, but long enough for a complete list in chunks.
 			w := &Watcher{
@@ -218,12 +218,12 @@
 				}
 			}
 			stop()
-			last := 0
+			lastCount := 0
 			for len(endpoints) > 0 {
-				last = <-endpoints
+				lastCount = <-endpoints
 			}
-			if last != tc.endpoints {
-				t.Errorf("the last update had %d endpoints, want %d", last, tc.endpoints)
+			if lastCount != tc.endpoints {
+				t.Errorf("the last update had %d endpoints, want %d", lastCount, tc.endpoints)
 			}
 		})
 	}
@@ -325,7 +325,7 @@
 		<-secondRequest
 		replyWith(listJSON(2, 41))(conn)
 	}
-	s := newScriptedServer(t, slowReply, func(net.Conn) { close(secondRequest) })
+	s := newStubServer(t, slowReply, func(net.Conn) { close(secondRequest) })
 	endpoints := make(chan int, 10)
 	w := &Watcher{
 		OnUpdate:         func(u endpointslice.Update) { endpoints <- len(u.Endpoints) },
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -27,17 +27,17 @@
 // fakeEngine is an engine of the platform whose replies are set by the test.
 type fakeEngine struct {
 	*httptest.Server
-	id, flavor  string
-	mu          sync.Mutex
-	requests    []string      // method and request id, in order
-	requestSeen chan struct{} // receives one value per request
-	handle      engineHandler
-	onRelease   func(r *http.Request) // called before a release is answered; may be nil
+	id, flavor      string
+	mu              sync.Mutex
+	requests        []string      // method and request id, in order
+	requestReceived chan struct{} // receives one value per request
+	handle          engineHandler
+	onRelease       func(r *http.Request) // called before a release is answered; may be nil
 }
 
 func newFakeEngine(t *testing.T, id, flavor string, handle engineHandler) *fakeEngine {
 	t.Helper()
-	e := &fakeEngine{id: id, flavor: flavor, handle: handle, requestSeen: make(chan struct{}, 1000)}
+	e := &fakeEngine{id: id, flavor: flavor, handle: handle, requestReceived: make(chan struct{}, 1000)}
 	e.Server = httptest.NewServer(http.HandlerFunc(e.serveHTTP))
 	t.Cleanup(e.Close)
 	return e
@@ -65,7 +65,7 @@
 	e.mu.Lock()
 	e.requests = append(e.requests, r.Method+" "+id)
 	e.mu.Unlock()
-	e.requestSeen <- struct{}{}
+	e.requestReceived <- struct{}{}
 	if !release {
 		e.handle(e, w, r)
 		return
@@ -86,7 +86,7 @@
 // waitForRequest waits until the engine has received a request.
 func (e *fakeEngine) waitForRequest(request string) {
 	for !slices.Contains(e.received(), request) {
-		<-e.requestSeen
+		<-e.requestReceived
 	}
 }
 
@@ -214,22 +214,22 @@
 	return strings.ReplaceAll(settingsTemplate, "DEADLINE", fmt.Sprint(deadline.Microseconds()))
 }
 
-// nodeSetup holds the values in which the configurations of tests differ.
-type nodeSetup struct {
-	known, discovery string
-	sockets          int
-	deadline         time.Duration // of all classes; it determines the drain windows; 0 = 1 s
-	replace          []string      // pairs of an old and a new text, replaced in the settings
+// nodeOptions holds the values in which the configurations of tests differ.
+type nodeOptions struct {
+	cachedList, discovery string
+	sockets               int
+	deadline              time.Duration // of all classes; it determines the drain windows; 0 = 1 s
+	replacements          []string      // pairs of an old and a new text, replaced in the settings
 }
 
 // writeConfig writes a configuration file.
-func (s nodeSetup) writeConfig(t *testing.T, file string) {
+func (s nodeOptions) writeConfig(t *testing.T, file string) {
 	t.Helper()
 	settings := settingsWith(cmp.Or(s.deadline, time.Second))
-	settings = strings.NewReplacer(s.replace...).Replace(settings)
+	settings = strings.NewReplacer(s.replacements...).Replace(settings)
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":64,"sockets":%d},"known":%s,"settings":%s}`,
-		s.discovery, cmp.Or(s.sockets, 256), cmp.Or(s.known, "null"), settings)
+		s.discovery, cmp.Or(s.sockets, 256), cmp.Or(s.cachedList, "null"), settings)
 	if err := os.WriteFile(file+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -243,14 +243,14 @@
 
 // startNode starts a node and returns it with the path of its configuration file. The engines, if any, form its cached
 // list. Without an address of a discovery agent, the node uses one that accepts connections and never replies.
-func startNode(t *testing.T, s nodeSetup, engines ...*fakeEngine) (*Node, string) {
+func startNode(t *testing.T, s nodeOptions, engines ...*fakeEngine) (*Node, string) {
 	t.Helper()
 	if len(engines) > 0 {
 		var members []string
 		for _, e := range engines {
 			members = append(members, member(e, "Ready"))
 		}
-		s.known = memberList(1, true, members...)
+		s.cachedList = memberList(1, true, members...)
 	}
 	if s.discovery == "" {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -267,7 +267,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Stop)
-	for !isReady(t, n) && s.known != "null" && s.known != "" {
+	for !isReady(t, n) && s.cachedList != "null" && s.cachedList != "" {
 	}
 	http.DefaultClient.CloseIdleConnections()
 	return n, file
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -11,9 +11,9 @@
 
 func TestMalformedRequestsReachNoEngine(t *testing.T) {
 	prefill, decode := newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyDecode)
-	n, _ := startNode(t, nodeSetup{}, prefill, decode)
-	length := fmt.Sprintf("Content-Length: %d", len(chatBody))
-	chunked := "Transfer-Encoding: chunked"
+	n, _ := startNode(t, nodeOptions{}, prefill, decode)
+	lengthField := fmt.Sprintf("Content-Length: %d", len(chatBody))
+	chunkedField := "Transfer-Encoding: chunked"
 	megabyte := strings.Repeat("x", 1<<20)
 	for _, tc := range []struct {
 		name, text string
@@ -21,25 +21,25 @@
 	}{
 		{"not HTTP", "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", false},
 		{"head too long", "GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("a", 20<<10), false},
-		{"negative length", chatRequest("b1", "order", length, "Content-Length: -5"), false},
-		{"huge length", chatRequest("b1", "order", length, "Content-Length: 62914560"), false},
-		{"length not a number", chatRequest("b1", "order", length, "Content-Length: ten"), false},
-		{"length and chunked", chatRequest("b1", "order", length, length+"\r\n"+chunked), false},
-		{"two lengths", chatRequest("b1", "order", length, length+"\r\n"+length), false},
-		{"invalid chunk", chatRequest("b1", "order", length, chunked), false},
+		{"negative length", chatRequest("b1", "order", lengthField, "Content-Length: -5"), false},
+		{"huge length", chatRequest("b1", "order", lengthField, "Content-Length: 62914560"), false},
+		{"length not a number", chatRequest("b1", "order", lengthField, "Content-Length: ten"), false},
+		{"length and chunked", chatRequest("b1", "order", lengthField, lengthField+"\r\n"+chunkedField), false},
+		{"two lengths", chatRequest("b1", "order", lengthField, lengthField+"\r\n"+lengthField), false},
+		{"invalid chunk", chatRequest("b1", "order", lengthField, chunkedField), false},
 		{"unknown class", chatRequest("b1", "nothing"), false},
 		{"deadline not a number", chatRequest("b1", "order", "4800", "soon"), false},
 		{"no id", chatRequest("", "order"), false},
-		{"not JSON", chatRequest("b1", "order", length, "Content-Length: 3"), false},
+		{"not JSON", chatRequest("b1", "order", lengthField, "Content-Length: 3"), false},
 		{"pipelined requests", chatRequest("b1", "order") + chatRequest("b2", "order"), false},
-		{"a body of 1 MB", chatRequest("b1", "order", length, "Content-Length: 1048576") + megabyte, true},
+		{"a body of 1 MB", chatRequest("b1", "order", lengthField, "Content-Length: 1048576") + megabyte, true},
 		{
 			"a chunk of 1 MB",
-			chatRequest("b1", "order", length+"\r\n\r\n", chunked+"\r\n\r\n100000\r\n") + megabyte, true,
+			chatRequest("b1", "order", lengthField+"\r\n\r\n", chunkedField+"\r\n\r\n100000\r\n") + megabyte, true,
 		},
 		{"HTTP/1.0", chatRequest("b1", "order", "HTTP/1.1", "HTTP/1.0"), false},
 		{"another path", chatRequest("b1", "order", "/v1/chat/completions", "/v1/embeddings"), false},
-		{"unknown expectation", chatRequest("b1", "order", length, length+"\r\nExpect: a miracle"), false},
+		{"unknown expectation", chatRequest("b1", "order", lengthField, lengthField+"\r\nExpect: a miracle"), false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := dialNode(t, n)
@@ -86,7 +86,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			decode := newDecodeEngine(t, replyRaw(chunkedStreamHead+chunk(streamEvents[0])+tc.rest))
-			n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), decode)
+			n, _ := startNode(t, nodeOptions{}, newPrefillEngine(t, replyPrefill), decode)
 			c := dialNode(t, n)
 			c.send(t, chatRequest("aa01", "order"))
 			resp, body, complete := c.receive(t)
@@ -122,16 +122,16 @@
 				reply(e, w, r)
 			}
 			decode, decode2 := newDecodeEngine(t, handle), newFakeEngine(t, "w2", "decode", handle)
-			n, _ := startNode(t, nodeSetup{}, prefill, decode, decode2)
+			n, _ := startNode(t, nodeOptions{}, prefill, decode, decode2)
 			c := dialNode(t, n)
 			c.send(t, chatRequest("aa01", "enquiry"))
 			c.expectStream(t, "idempotent request")
 			attempts := func() int { return len(decode.received()) + len(decode2.received()) }
-			before := attempts()
+			attemptsBefore := attempts()
 			malformedOnce = sync.Once{}
 			c.send(t, chatRequest("aa02", "order"))
 			resp, _, _ := c.receive(t)
-			if resp.StatusCode < 500 || resp.StatusCode == http.StatusServiceUnavailable || attempts() != before+1 {
+			if resp.StatusCode < 500 || resp.StatusCode == http.StatusServiceUnavailable || attempts() != attemptsBefore+1 {
 				t.Errorf("request that is not idempotent: status %d, the decode engines got %q and %q",
 					resp.StatusCode, decode.received(), decode2.received())
 			}
@@ -156,7 +156,7 @@
 		{"second reply after the first", stream + stream},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyRaw(tc.reply)))
+			n, _ := startNode(t, nodeOptions{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyRaw(tc.reply)))
 			c := dialNode(t, n)
 			for _, id := range []string{"aa01", "aa02"} {
 				c.send(t, chatRequest(id, "order"))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,7 +33,7 @@
 	watcher      *discovery.Watcher
 	address      string // listen address
 	drainTimeout time.Duration
-	failed       chan error
+	serveErr     chan error
 
 	stopOnce       sync.Once
 	stopWatcher    context.CancelFunc
@@ -55,7 +55,7 @@
 		env:            env,
 		log:            log,
 		drainTimeout:   config.drainTimeout(),
-		failed:         make(chan error, 1),
+		serveErr:       make(chan error, 1),
 		restoreRuntime: limits.apply(),
 	}
 	if err := n.createGateway(config, limits); err != nil {
@@ -70,7 +70,7 @@
 	n.startWatcher(config)
 	go func() { // ends when the gateway is shut down
 		if err := n.gateway.Serve(listener); err != nil {
-			n.failed <- err
+			n.serveErr <- err
 		}
 	}()
 	log.Info("serving",
@@ -81,13 +81,13 @@
 // createGateway creates the gateway and gives it the cached list, even an empty one. Without any list, the node would
 // not be ready and would get no clients for as long as the discovery agent is down.
 func (n *Node) createGateway(config *Config, limits ResourceLimits) error {
-	clients := &protocol.ClientProtocol{
+	clientProtocol := &protocol.ClientProtocol{
 		Classes:        config.Site.Routing.Classes,
 		Tenants:        config.Site.Tenants,
 		NotReadyReason: func() string { return n.gateway.NotReady() },
 	}
 	var err error
-	n.gateway, err = gateway.New(config.gatewayOptions(limits, clients), n.log, telemetry.NewMetrics())
+	n.gateway, err = gateway.New(config.gatewayOptions(limits, clientProtocol), n.log, telemetry.NewMetrics())
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 }
 
 // Failed returns a channel that receives an error if the node can no longer accept clients.
-func (n *Node) Failed() <-chan error { return n.failed }
+func (n *Node) Failed() <-chan error { return n.serveErr }
 
 // Addr returns the address on which the node listens.
 func (n *Node) Addr() string { return n.address }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,7 +17,7 @@
 
 func TestRequestsReachCachedEndpointsUnchanged(t *testing.T) {
 	prefill, decode := newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyDecode)
-	n, _ := startNode(t, nodeSetup{}, prefill, decode)
+	n, _ := startNode(t, nodeOptions{}, prefill, decode)
 	c := dialNode(t, n)
 	for _, id := range []string{"aa01", "aa02"} {
 		c.send(t, chatRequest(id, "order"))
@@ -32,7 +32,7 @@
 func TestNodeRejectsIDOfOpenRequest(t *testing.T) {
 	released := make(chan struct{})
 	prefill := newPrefillEngine(t, replyPrefillAfter(released))
-	n, _ := startNode(t, nodeSetup{}, prefill, newDecodeEngine(t, replyDecode))
+	n, _ := startNode(t, nodeOptions{}, prefill, newDecodeEngine(t, replyDecode))
 	first, second := dialNode(t, n), dialNode(t, n)
 	first.send(t, chatRequest("aa01", "order"))
 	prefill.waitForRequest("POST aa01")
@@ -50,22 +50,22 @@
 
 func TestReloadSwitchesDiscoveryAddress(t *testing.T) {
 	prefill, decode := newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyDecode)
-	old := newFakeDiscovery(t, memberList(1, true, member(prefill, "Ready")))
-	n, file := startNode(t, nodeSetup{discovery: old.address()})
-	<-old.listRequests
-	next := newFakeDiscovery(t, memberList(5, true, member(prefill, "Ready"), member(decode, "Ready")))
+	oldAgent := newFakeDiscovery(t, memberList(1, true, member(prefill, "Ready")))
+	n, file := startNode(t, nodeOptions{discovery: oldAgent.address()})
+	<-oldAgent.listRequests
+	newAgent := newFakeDiscovery(t, memberList(5, true, member(prefill, "Ready"), member(decode, "Ready")))
 	if err := os.WriteFile(file, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	n.Reload() // an invalid file changes nothing
-	old.updates <- memberList(2, false)
-	nodeSetup{discovery: next.address()}.writeConfig(t, file)
+	oldAgent.updates <- memberList(2, false)
+	nodeOptions{discovery: newAgent.address()}.writeConfig(t, file)
 	n.Reload()
-	<-next.listRequests
-	next.updates <- memberList(6, false, member(decode, "Terminating"))
+	<-newAgent.listRequests
+	newAgent.updates <- memberList(6, false, member(decode, "Terminating"))
 	decode2 := newFakeEngine(t, "w2", "decode", replyDecode)
-	next.updates <- memberList(7, false, member(decode2, "Ready"))
-	next.updates <- memberList(8, false) // answers a watch that was sent after the previous update was applied
+	newAgent.updates <- memberList(7, false, member(decode2, "Ready"))
+	newAgent.updates <- memberList(8, false) // answers a watch that was sent after the previous update was applied
 	c := dialNode(t, n)
 	c.send(t, chatRequest("aa01", "order"))
 	if resp, _, complete := c.receive(t); resp.StatusCode != http.StatusOK || !complete {
@@ -79,10 +79,10 @@
 func TestStopAnswersOpenRequests(t *testing.T) {
 	released := make(chan struct{})
 	prefill := newPrefillEngine(t, replyPrefillAfter(released))
-	n, _ := startNode(t, nodeSetup{deadline: time.Hour}, prefill, newDecodeEngine(t, replyDecode))
+	n, _ := startNode(t, nodeOptions{deadline: time.Hour}, prefill, newDecodeEngine(t, replyDecode))
 	n.gateway.AcceptWhileDraining = 2 * time.Second // longer than configured, since the clients below may be delayed
-	open, idle := dialNode(t, n), dialNode(t, n)
-	open.send(t, chatRequest("aa01", "order"))
+	openConn, idleConn := dialNode(t, n), dialNode(t, n)
+	openConn.send(t, chatRequest("aa01", "order"))
 	prefill.waitForRequest("POST aa01")
 	stopped := make(chan struct{})
 	go func() {
@@ -92,16 +92,16 @@
 	for n.gateway.NotReady() != "draining" {
 		time.Sleep(time.Millisecond)
 	}
-	late := dialNode(t, n) // new connections are still accepted for some time
-	late.send(t, chatRequest("aa02", "order"))
-	idle.send(t, chatRequest("aa03", "order"))
+	lateConn := dialNode(t, n) // new connections are still accepted for some time
+	lateConn.send(t, chatRequest("aa02", "order"))
+	idleConn.send(t, chatRequest("aa03", "order"))
 	prefill.waitForRequest("POST aa02")
 	prefill.waitForRequest("POST aa03")
 	close(released)
-	for id, c := range map[string]*clientConn{"aa01": open, "aa02": late, "aa03": idle} {
+	for id, c := range map[string]*clientConn{"aa01": openConn, "aa02": lateConn, "aa03": idleConn} {
 		c.expectStream(t, id)
 	}
-	for _, c := range []*clientConn{open, late, idle} {
+	for _, c := range []*clientConn{openConn, lateConn, idleConn} {
 		if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("an idle connection was not closed: %v", err)
 		}
@@ -113,7 +113,7 @@
 // gets its final answer before that, and that a stream is broken off.
 func TestStopEndsUnfinishedRequestsBeforeKill(t *testing.T) {
 	prefill := newPrefillEngine(t, waitForCancel)
-	n, _ := startNode(t, nodeSetup{}, prefill, newDecodeEngine(t, replyDecode))
+	n, _ := startNode(t, nodeOptions{}, prefill, newDecodeEngine(t, replyDecode))
 	prefilling := dialNode(t, n)
 	prefilling.send(t, chatRequest("aa01", "order"))
 	prefill.waitForRequest("POST aa01")
@@ -128,7 +128,7 @@
 		flush(w)
 		<-r.Context().Done()
 	})
-	n, _ = startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), decode)
+	n, _ = startNode(t, nodeOptions{}, newPrefillEngine(t, replyPrefill), decode)
 	streaming := dialNode(t, n)
 	streaming.send(t, chatRequest("aa02", "order"))
 	decode.waitForRequest("POST aa02")
@@ -142,7 +142,7 @@
 // TestIdleConnectionsAreClosedForNewRequests checks that connections without a request are closed in favor of one with
 // a request, and otherwise within a short time.
 func TestIdleConnectionsAreClosedForNewRequests(t *testing.T) {
-	n, _ := startNode(t, nodeSetup{sockets: 64}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyDecode))
+	n, _ := startNode(t, nodeOptions{sockets: 64}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, replyDecode))
 	var idle []*clientConn
 	for range 60 {
 		idle = append(idle, dialNode(t, n))
@@ -168,7 +168,7 @@
 		{"invalid", memberList(1, true, `{"id":"s-1","host_port":"nowhere","flavor":"decode","phase":"Ready"}`)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			n, _ := startNode(t, nodeSetup{known: tc.known})
+			n, _ := startNode(t, nodeOptions{cachedList: tc.known})
 			for !isReady(t, n) {
 			}
 			http.DefaultClient.CloseIdleConnections()
@@ -188,23 +188,23 @@
 func TestFinalResponseIsNotReset(t *testing.T) {
 	for _, outcome := range []string{"broken", "served"} {
 		t.Run(outcome, func(t *testing.T) {
-			started, released := make(chan struct{}), make(chan struct{})
+			decodeStarted, released := make(chan struct{}), make(chan struct{})
 			decode := newDecodeEngine(t, func(_ *fakeEngine, w http.ResponseWriter, _ *http.Request) {
 				if outcome == "broken" {
-					close(started)
+					close(decodeStarted)
 					<-released
 					panic(http.ErrAbortHandler)
 				}
 				write(w, streamEvents[0])
 				flush(w)
-				close(started)
+				close(decodeStarted)
 				<-released
 				write(w, strings.Join(streamEvents[1:], ""))
 			})
-			n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), decode)
+			n, _ := startNode(t, nodeOptions{}, newPrefillEngine(t, replyPrefill), decode)
 			c := dialNode(t, n)
 			c.send(t, chatRequest("aa01", "order", "Host: backend.local", "Host: backend.local\r\nConnection: close"))
-			<-started
+			<-decodeStarted
 			if outcome == "served" { // the node reads no more requests while it relays the stream
 				c.send(t, strings.Repeat("x", 8192))
 			}
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -42,7 +42,7 @@
 )
 
 // gatewayOptions returns the options of the node's gateway.
-func (c *Config) gatewayOptions(limits ResourceLimits, clients gateway.ClientProtocol) gateway.Options {
+func (c *Config) gatewayOptions(limits ResourceLimits, clientProtocol gateway.ClientProtocol) gateway.Options {
 	site := &c.Site
 	retryAfter := gateway.NoRetryAfter
 	if site.RetryAfter {
@@ -53,7 +53,7 @@
 		Kinds:               site.Kinds,
 		Tenants:             site.Tenants,
 		Seed:                c.Seed,
-		Protocol:            clients,
+		Protocol:            clientProtocol,
 		Engines:             c.engineClient(limits),
 		Limits:              limits.gatewayLimits(),
 		AnswerMargin:        answerMargin,
--- a/internal/node/protocol/client.go
+++ b/internal/node/protocol/client.go
@@ -34,20 +34,20 @@
 func (c *ClientProtocol) RespondDirectly(req *http1.Request) *gateway.Response {
 	switch path := req.Path(); {
 	case path == pathHealth && (req.Method == http.MethodGet || req.Method == http.MethodHead):
-		return c.health(req.Method)
+		return c.respondHealth(req.Method)
 	case path != api.PathChat:
 		return errorResponse(invalidRequest(http.StatusNotFound, "nothing is served at this path"))
 	case req.Method != http.MethodPost:
 		return errorResponse(invalidRequest(http.StatusMethodNotAllowed, "use POST"))
-	case req.Minor == 0:
+	case req.ProtoMinor == 0:
 		return errorResponse(invalidRequest(http.StatusHTTPVersionNotSupported,
 			"HTTP/1.1 is spoken here: a stream's end could not be told from a break"))
 	}
 	return nil
 }
 
-// health returns the response to a health check.
-func (c *ClientProtocol) health(method string) *gateway.Response {
+// respondHealth returns the response to a health check.
+func (c *ClientProtocol) respondHealth(method string) *gateway.Response {
 	if reason := c.NotReadyReason(); reason != "" {
 		return errorResponse(&api.Error{Status: http.StatusServiceUnavailable, Type: "server_error", Message: reason})
 	}
@@ -159,22 +159,22 @@
 // parseHints parses the hints on a request's prompt and output, such as "prefix=5c0f,prompt_len=5120,...". It ignores
 // unknown names.
 func parseHints(request *routing.Request, value string) *api.Error {
-	seen := map[string]bool{}
+	hintNames := map[string]bool{}
 	for hint := range strings.SplitSeq(value, ",") {
 		hint = strings.TrimSpace(hint)
 		if hint == "" {
 			continue
 		}
 		name, text, hasValue := strings.Cut(hint, "=")
-		if !hasValue || seen[name] {
+		if !hasValue || hintNames[name] {
 			return invalidRequest(http.StatusBadRequest, "%s: %.64q is given twice or has no value", headerHints, hint)
 		}
-		seen[name] = true
+		hintNames[name] = true
 		if apiErr := parseHint(request, name, text); apiErr != nil {
 			return apiErr
 		}
 	}
-	if !seen["prompt_len"] || !seen["max_out"] {
+	if !hintNames["prompt_len"] || !hintNames["max_out"] {
 		return invalidRequest(http.StatusBadRequest, "%s must give prompt_len and max_out", headerHints)
 	}
 	return nil
@@ -208,7 +208,7 @@
 
 // routingKey hashes the name of a session or a prefix to its routing key. It never returns 0, which stands for no
 // session or prefix.
-func routingKey(s string) uint64 { return max(xxhash.Sum64String(s), 1) }
+func routingKey(name string) uint64 { return max(xxhash.Sum64String(name), 1) }
 
 // validRequestID reports whether an id can be used in a path and a header field without escaping.
 func validRequestID(id string) bool {
--- a/internal/node/protocol/wire_test.go
+++ b/internal/node/protocol/wire_test.go
@@ -33,7 +33,7 @@
 	}
 	defer func() { _ = listener.Close() }() // an error does not affect the test
 	received := make(chan string, 1)
-	go func() { received <- serveOne(listener, reply) }()
+	go func() { received <- serveOneRequest(listener, reply) }()
 	endpoint := &engine.Endpoint{ID: 1, Name: "e", Address: listener.Addr().String()}
 	send(endpoint)
 	endpoint.DiscardIdleConns()
@@ -41,8 +41,8 @@
 	return regexp.MustCompile(`Req-Deadline-Ms: [3-5]\d{4}\r`).ReplaceAllString(text, "Req-Deadline-Ms: MS\r")
 }
 
-// serveOne answers one request on one connection and returns all bytes that it received.
-func serveOne(listener net.Listener, reply string) string {
+// serveOneRequest answers one request on one connection and returns all bytes that it received.
+func serveOneRequest(listener net.Listener, reply string) string {
 	var raw bytes.Buffer
 	conn, err := listener.Accept()
 	if err != nil {
@@ -50,19 +50,19 @@
 	}
 	defer func() { _ = conn.Close() }() // the client has already closed it
 	br := bufio.NewReader(io.TeeReader(conn, &raw))
-	req, err := http1.ReadRequest(br, smallLimits)
+	req, err := http1.ReadRequest(br, testLimits)
 	if err != nil {
 		return raw.String()
 	}
 	var body http1.Body
-	body.Reset(br, &req.Message, smallLimits)
+	body.Reset(br, &req.Message, testLimits)
 	_, _ = http1.ReadAll(&body, 1<<20) // raw holds what was received
 	_, _ = io.WriteString(conn, reply) // after a failed write, the client's outcome is wrong
 	_, _ = io.Copy(io.Discard, br)     // until the client closes
 	return raw.String()
 }
 
-var smallLimits = http1.Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 30}
+var testLimits = http1.Limits{MaxHeaderBytes: 4096, MaxHeaderFields: 30}
 
 const (
 	prefillReply = "HTTP/1.1 202 OK\r\nContent-Length: 0\r\n\r\n"
@@ -72,11 +72,11 @@
 var decodeReply = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 	string(http1.AppendChunk(nil, []byte("data: {\"a\":1}\n\ndata: [DONE]\n\n"))) + "0\r\n\r\n"
 
-// discardEvents is a client that accepts all events.
-type discardEvents struct{}
+// discardSink is a client that accepts all events.
+type discardSink struct{}
 
-func (discardEvents) Begin() bool               { return true }
-func (discardEvents) Events([]byte, bool) error { return nil }
+func (discardSink) Begin() bool               { return true }
+func (discardSink) Events([]byte, bool) error { return nil }
 
 func newEngineClient() *engine.Client {
 	return &engine.Client{
@@ -94,7 +94,7 @@
 		StreamIdleTimeout:   time.Minute,
 		MaxEventBytes:       16 << 10,
 		MaxReplyBytes:       1 << 16,
-		Limits:              smallLimits,
+		Limits:              testLimits,
 	}
 }
 
@@ -140,7 +140,7 @@
 		})
 		decode := captureRequest(t, decodeReply, func(endpoint *engine.Endpoint) {
 			decodeCall := call(body.DecodeBody([]byte(`{"b":2}`), true))
-			out := client.Decode(&engine.Attempt{}, endpoint, decodeCall, discardEvents{})
+			out := client.Decode(&engine.Attempt{}, endpoint, decodeCall, discardSink{})
 			if out.Result != routing.Served {
 				t.Errorf("result %d, %v", out.Result, out.Err)
 			}
--- a/internal/node/state_release_test.go
+++ b/internal/node/state_release_test.go
@@ -36,24 +36,24 @@
 		prefill.CloseClientConnections()
 		decodeUntilCancel(started)(e, w, r)
 	})
-	n, _ := startNode(t, nodeSetup{}, prefill, decode)
+	n, _ := startNode(t, nodeOptions{}, prefill, decode)
 	disconnectDuringDecode(t, n, started)
 	decode.waitForRequest("DELETE aa01")
 }
 
 // barrier blocks requests until a certain number of them are open at the same time.
 type barrier struct {
-	mu       sync.Mutex
-	open     int
-	want     int
-	full     chan struct{} // closed when want requests are open
-	canceled chan struct{} // receives one value per request that was canceled before that
+	mu           sync.Mutex
+	openRequests int
+	wantOpen     int
+	full         chan struct{} // closed when wantOpen requests are open
+	canceled     chan struct{} // receives one value per request that was canceled before that
 }
 
 // enter waits until the barrier is full or the request is canceled.
 func (b *barrier) enter(r *http.Request) {
 	b.mu.Lock()
-	if b.open++; b.open == b.want {
+	if b.openRequests++; b.openRequests == b.wantOpen {
 		close(b.full)
 	}
 	b.mu.Unlock()
@@ -61,7 +61,7 @@
 	case <-b.full:
 	case <-r.Context().Done():
 		b.mu.Lock()
-		b.open--
+		b.openRequests--
 		b.mu.Unlock()
 		b.canceled <- struct{}{}
 	}
@@ -70,7 +70,7 @@
 // TestReleaseIsNotDelayedByUnresponsiveEngines checks that releases are sent to further engines in parallel, not after
 // the timeout of each, if the engine that holds the state and two others do not answer.
 func TestReleaseIsNotDelayedByUnresponsiveEngines(t *testing.T) {
-	b := &barrier{want: 4, full: make(chan struct{}), canceled: make(chan struct{}, 100)}
+	b := &barrier{wantOpen: 4, full: make(chan struct{}), canceled: make(chan struct{}, 100)}
 	started := make(chan struct{})
 	engines := []*fakeEngine{newPrefillEngine(t, replyPrefill)}
 	for _, id := range []string{"w1", "w2", "w3"} {
@@ -79,7 +79,7 @@
 	for _, e := range engines {
 		e.onRelease = b.enter
 	}
-	n, _ := startNode(t, nodeSetup{}, engines...)
+	n, _ := startNode(t, nodeOptions{}, engines...)
 	disconnectDuringDecode(t, n, started)
 	select {
 	case <-b.full:
@@ -106,7 +106,7 @@
 			}
 		}
 	}
-	n, _ := startNode(t, nodeSetup{replace: []string{`"Release":1000000`, `"Release":100000`}}, engines...)
+	n, _ := startNode(t, nodeOptions{replacements: []string{`"Release":1000000`, `"Release":100000`}}, engines...)
 	disconnectDuringDecode(t, n, started)
 	select {
 	case <-accepted:
@@ -125,16 +125,17 @@
 		<-firstRelease // only now notices the canceled decode
 	})
 	prefill := newPrefillEngine(t, replyPrefill)
-	first, second := sync.OnceFunc(func() { close(firstRelease) }), sync.OnceFunc(func() { close(secondRelease) })
+	closeFirst, closeSecond := sync.OnceFunc(func() { close(firstRelease) }),
+		sync.OnceFunc(func() { close(secondRelease) })
 	prefill.onRelease = func(*http.Request) {
 		select {
 		case <-firstRelease:
-			second()
+			closeSecond()
 		default:
-			first()
+			closeFirst()
 		}
 	}
-	n, _ := startNode(t, nodeSetup{}, prefill, decode)
+	n, _ := startNode(t, nodeOptions{}, prefill, decode)
 	disconnectDuringDecode(t, n, started)
 	<-firstRelease
 	select {
@@ -160,8 +161,8 @@
 		d.updates <- memberList(3, false) // answers a watch that was sent after the previous update was applied
 		panic(http.ErrAbortHandler)
 	}
-	n, _ := startNode(t, nodeSetup{
-		discovery: d.address(), replace: []string{`"LocalRead":true`, `"LocalRead":false`},
+	n, _ := startNode(t, nodeOptions{
+		discovery: d.address(), replacements: []string{`"LocalRead":true`, `"LocalRead":false`},
 	})
 	d.updates <- memberList(1, false)
 	c := dialNode(t, n)
@@ -187,7 +188,7 @@
 		}
 		replyPrefill(e, w, r)
 	})
-	n, _ := startNode(t, nodeSetup{}, prefill, newDecodeEngine(t, replyDecode))
+	n, _ := startNode(t, nodeOptions{}, prefill, newDecodeEngine(t, replyDecode))
 	c := dialNode(t, n)
 	c.send(t, chatRequest("aa01", "order"))
 	if resp, body, complete := c.receive(t); resp.StatusCode != http.StatusOK || !complete {
@@ -211,7 +212,7 @@
 		replyPrefill(e, w, r)
 	}
 	d := newFakeDiscovery(t, memberList(1, true, member(prefill, "Ready"), member(decode, "Ready")))
-	n, _ := startNode(t, nodeSetup{discovery: d.address()})
+	n, _ := startNode(t, nodeOptions{discovery: d.address()})
 	d.updates <- memberList(1, false)
 	c := dialNode(t, n)
 	for i, id := range []string{"aa01", "aa02", "aa03"} {
--- a/internal/node/stream_delay_test.go
+++ b/internal/node/stream_delay_test.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// streamDelays measures the time from the writing of an event by an engine to its arrival at the client. Engines write
+// delayRecorder measures the time from the writing of an event by an engine to its arrival at the client. Engines write
 // the time since start as the content of each event.
-type streamDelays struct {
+type delayRecorder struct {
 	start time.Time
 
-	mu      sync.Mutex
-	longest time.Duration
-	events  int
-	served  int // complete streams
+	mu              sync.Mutex
+	longestDelay    time.Duration
+	events          int
+	completeStreams int // complete streams
 }
 
 // writeStream returns a handler that writes a stream of events at an interval, or of one event for requests whose id
 // begins with "short".
-func (d *streamDelays) writeStream(events int, interval time.Duration) engineHandler {
+func (d *delayRecorder) writeStream(events int, interval time.Duration) engineHandler {
 	return func(_ *fakeEngine, w http.ResponseWriter, r *http.Request) {
 		n := events
 		if strings.HasPrefix(r.Header.Get("Req-Id"), "short") {
@@ -44,24 +44,24 @@
 }
 
 // readStream reads a stream and records the delays of its events.
-func (d *streamDelays) readStream(body io.Reader) {
+func (d *delayRecorder) readStream(body io.Reader) {
 	buf, pending := make([]byte, 4096), ""
 	var err error
 	for err == nil {
 		var n int
 		n, err = body.Read(buf)
 		now := time.Since(d.start)
-		pending = d.record(pending+string(buf[:n]), now)
+		pending = d.recordEvents(pending+string(buf[:n]), now)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if errors.Is(err, io.EOF) {
-		d.served++
+		d.completeStreams++
 	}
 }
 
-// record records the complete events in text and returns the rest.
-func (d *streamDelays) record(text string, now time.Duration) (rest string) {
+// recordEvents records the delays of the complete events in text and returns the rest.
+func (d *delayRecorder) recordEvents(text string, now time.Duration) (rest string) {
 	for {
 		event, rest, complete := strings.Cut(text, "\n\n")
 		if !complete {
@@ -76,7 +76,7 @@
 		}
 		d.mu.Lock()
 		d.events++
-		d.longest = max(d.longest, now-time.Duration(written))
+		d.longestDelay = max(d.longestDelay, now-time.Duration(written))
 		d.mu.Unlock()
 	}
 }
@@ -103,37 +103,37 @@
 func TestEventsAreRelayedInTime(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const streams, events, interval, maxDelay = 200, 15, 200 * time.Millisecond, 300 * time.Millisecond
-	d := &streamDelays{start: time.Now()}
-	decode := newDecodeEngine(t, d.writeStream(events, interval))
+	recorder := &delayRecorder{start: time.Now()}
+	decode := newDecodeEngine(t, recorder.writeStream(events, interval))
 	prefill := newPrefillEngine(t, replyPrefill)
-	decode.requestSeen, prefill.requestSeen = make(chan struct{}, 10000), make(chan struct{}, 10000)
-	n, _ := startNode(t, nodeSetup{sockets: 1024}, prefill, decode)
+	decode.requestReceived, prefill.requestReceived = make(chan struct{}, 10000), make(chan struct{}, 10000)
+	n, _ := startNode(t, nodeOptions{sockets: 1024}, prefill, decode)
 	stop := make(chan struct{})
-	var background, clients sync.WaitGroup
-	background.Go(func() { runClientsAndGC(t, n, stop) })
+	var backgroundGroup, clientGroup sync.WaitGroup
+	backgroundGroup.Go(func() { runClientsAndGC(t, n, stop) })
 	for i := range 5 { // clients that never read
 		dialNode(t, n).send(t, chatRequest(fmt.Sprintf("unread%d", i), "order"))
 	}
 	for i := range streams {
-		clients.Go(func() {
+		clientGroup.Go(func() {
 			c := dialNode(t, n)
 			c.send(t, chatRequest(fmt.Sprintf("long%d", i), "order", "4800", "30000"))
 			resp, err := http.ReadResponse(c.reader, nil)
 			if err != nil || resp.StatusCode != http.StatusOK {
 				return // for example if the request was rejected
 			}
-			d.readStream(resp.Body)
+			recorder.readStream(resp.Body)
 		})
 	}
-	clients.Wait()
+	clientGroup.Wait()
 	close(stop)
-	background.Wait()
+	backgroundGroup.Wait()
 	t.Logf("%d of %d streams served, %d events, the longest delay %v",
-		d.served, streams, d.events, d.longest)
-	if d.longest > maxDelay {
-		t.Errorf("an event arrived %v after it was written", d.longest)
+		recorder.completeStreams, streams, recorder.events, recorder.longestDelay)
+	if recorder.longestDelay > maxDelay {
+		t.Errorf("an event arrived %v after it was written", recorder.longestDelay)
 	}
-	if d.served < streams/2 || d.events < d.served*events {
-		t.Errorf("%d of %d streams served, %d events", d.served, streams, d.events)
+	if recorder.completeStreams < streams/2 || recorder.events < recorder.completeStreams*events {
+		t.Errorf("%d of %d streams served, %d events", recorder.completeStreams, streams, recorder.events)
 	}
 }
--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -13,8 +13,8 @@
 	"brackenbend/internal/golden"
 )
 
-// recordTimeout bounds an exchange that is compared with a golden file.
-const recordTimeout = 20 * time.Second
+// exchangeTimeout bounds an exchange that is compared with a golden file.
+const exchangeTimeout = 20 * time.Second
 
 // retryAfterFields matches the header fields with the measured wait before a retry.
 var retryAfterFields = regexp.MustCompile(`Retry-After: [0-9]+\.[0-9]{3}\r\nretry-after-ms: [0-9]+\r`)
@@ -32,7 +32,7 @@
 	t.Helper()
 	c := dialNode(t, n)
 	defer closeConn(c)
-	_ = c.SetDeadline(time.Now().Add(recordTimeout)) // if this fails, a failing test only takes longer
+	_ = c.SetDeadline(time.Now().Add(exchangeTimeout)) // if this fails, a failing test only takes longer
 	c.send(t, text)
 	received, err := io.ReadAll(c.reader)
 	if err != nil {
@@ -58,16 +58,16 @@
 
 // TestClientResponseBytes compares the responses to clients byte for byte with golden files.
 func TestClientResponseBytes(t *testing.T) {
-	complete := replyRaw(chunkedStreamHead + chunk(completeStream) + "0\r\n\r\n")
-	broken := replyRaw(chunkedStreamHead + chunk(streamEvents[0]) + "0\r\n\r\n")
-	failing := replyRaw("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
-	length := fmt.Sprintf("Content-Length: %d", len(chatBody))
-	for _, group := range []struct {
+	completeReply := replyRaw(chunkedStreamHead + chunk(completeStream) + "0\r\n\r\n")
+	brokenReply := replyRaw(chunkedStreamHead + chunk(streamEvents[0]) + "0\r\n\r\n")
+	failureReply := replyRaw("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
+	lengthField := fmt.Sprintf("Content-Length: %d", len(chatBody))
+	for _, tc := range []struct {
 		name     string
 		handle   engineHandler
 		requests map[string]string // by name
 	}{
-		{"served", complete, map[string]string{
+		{"served", completeReply, map[string]string{
 			"stream":             closingRequest("a1", "enquiry"),
 			"stream-unsafe":      closingRequest("a2", "order"),
 			"health":             bodylessRequest("GET", "/healthz"),
@@ -78,14 +78,14 @@
 			"404":                closingRequest("b1", "order", "/v1/chat/completions", "/v1/embeddings"),
 			"404-state":          bodylessRequest("DELETE", "/state/a1"),
 			"405":                bodylessRequest("GET", "/v1/chat/completions"),
-			"413":                chatRequest("b1", "order", length, "Content-Length: 62914560"),
-			"417":                chatRequest("b1", "order", length, length+"\r\nExpect: a miracle"),
+			"413":                chatRequest("b1", "order", lengthField, "Content-Length: 62914560"),
+			"417":                chatRequest("b1", "order", lengthField, lengthField+"\r\nExpect: a miracle"),
 			"431":                "GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("a", 20<<10) + "\r\n\r\n",
 			"505":                chatRequest("b1", "order", "HTTP/1.1", "HTTP/1.0"),
 			"two-at-once":        chatRequest("b1", "order") + chatRequest("b2", "order"),
-			"negative-length":    chatRequest("b1", "order", length, "Content-Length: -5"),
-			"two-lengths":        chatRequest("b1", "order", length, length+"\r\n"+length),
-			"both-lengths":       chatRequest("b1", "order", length, length+"\r\nTransfer-Encoding: chunked"),
+			"negative-length":    chatRequest("b1", "order", lengthField, "Content-Length: -5"),
+			"two-lengths":        chatRequest("b1", "order", lengthField, lengthField+"\r\n"+lengthField),
+			"both-lengths":       chatRequest("b1", "order", lengthField, lengthField+"\r\nTransfer-Encoding: chunked"),
 			"unknown-class":      closingRequest("b1", "nothing"),
 			"unknown-tenant":     closingRequest("b1", "order", "acme", "other"),
 			"deadline-in-words":  closingRequest("b1", "order", "4800", "soon"),
@@ -97,18 +97,18 @@
 			"no-prompt-length":   closingRequest("b1", "order", "prompt_len=20,", ""),
 			"bad-prompt-length":  closingRequest("b1", "order", "prompt_len=20", "prompt_len=many"),
 			"prompt-given-twice": closingRequest("b1", "order", "prompt_len=20", "prompt_len=20,prompt_len=20"),
-			"not-json":           truncateBody(closingRequest("b1", "order", length, "Content-Length: 3")),
+			"not-json":           truncateBody(closingRequest("b1", "order", lengthField, "Content-Length: 3")),
 		}},
-		{"failing", failing, map[string]string{"unsafe": closingRequest("a1", "order")}},
-		{"broken", broken, map[string]string{
+		{"failing", failureReply, map[string]string{"unsafe": closingRequest("a1", "order")}},
+		{"broken", brokenReply, map[string]string{
 			"stream":            closingRequest("a1", "order"),
 			"stream-keep-alive": chatRequest("a1", "order"),
 		}},
 	} {
-		n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, group.handle))
-		for _, name := range slices.Sorted(maps.Keys(group.requests)) {
-			file := "client-" + group.name + "-" + name + ".golden"
-			golden.Check(t, file, showLineEndings(exchange(t, n, group.requests[name])))
+		n, _ := startNode(t, nodeOptions{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, tc.handle))
+		for _, name := range slices.Sorted(maps.Keys(tc.requests)) {
+			file := "client-" + tc.name + "-" + name + ".golden"
+			golden.Check(t, file, showLineEndings(exchange(t, n, tc.requests[name])))
 		}
 	}
 }
@@ -116,9 +116,9 @@
 // TestKeepAliveBytes compares two consecutive streams on one connection with a golden file.
 func TestKeepAliveBytes(t *testing.T) {
 	complete := replyRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(completeStream) + "0\r\n\r\n")
-	n, _ := startNode(t, nodeSetup{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, complete))
+	n, _ := startNode(t, nodeOptions{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, complete))
 	c := dialNode(t, n)
-	_ = c.SetDeadline(time.Now().Add(recordTimeout)) // if this fails, a failing test only takes longer
+	_ = c.SetDeadline(time.Now().Add(exchangeTimeout)) // if this fails, a failing test only takes longer
 	all := ""
 	for _, id := range []string{"a1", "a2"} {
 		c.send(t, chatRequest(id, "order"))
@@ -136,7 +136,7 @@
 // TestHealthBytesWithoutEngines compares the health response of a node that starts without an endpoint list with a
 // golden file. The node is ready.
 func TestHealthBytesWithoutEngines(t *testing.T) {
-	n, _ := startNode(t, nodeSetup{})
+	n, _ := startNode(t, nodeOptions{})
 	for _, method := range []string{"GET", "HEAD"} {
 		received := exchange(t, n, bodylessRequest(method, "/healthz"))
 		golden.Check(t, "health-without-engines-"+strings.ToLower(method)+".golden", showLineEndings(received))
@@ -146,7 +146,7 @@
 // TestRejectionBytes compares the rejections by a node without a decode engine with golden files. The wait before a
 // retry is chosen by the router and replaced by a placeholder.
 func TestRejectionBytes(t *testing.T) {
-	n, _ := startNode(t, nodeSetup{deadline: time.Second}, newPrefillEngine(t, replyPrefill))
+	n, _ := startNode(t, nodeOptions{deadline: time.Second}, newPrefillEngine(t, replyPrefill))
 	for _, class := range []string{"enquiry", "order"} {
 		golden.Check(t, "refusal-"+class+".golden", showLineEndings(exchange(t, n, closingRequest("a1", class))))
 	}
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -23,11 +23,11 @@
 	}
 }
 
-// splitAll returns the data of all events in a stream that is received in parts.
-func splitAll(parts ...[]byte) (data []string) {
+// splitAll returns the data of all events in a stream that is received in segments.
+func splitAll(segments ...[]byte) (data []string) {
 	var buf []byte
-	for _, part := range parts {
-		buf = append(buf, part...)
+	for _, segment := range segments {
+		buf = append(buf, segment...)
 		for n := Split(buf); n > 0; n = Split(buf) {
 			data = append(data, string(Data(buf[:n])))
 			buf = buf[n:]
