--- a/internal/endpointslice/client.go
+++ b/internal/endpointslice/client.go
@@ -38,7 +38,7 @@
 func (w *Watcher) list(ctx context.Context) ([]*EndpointSlice, string, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.WatchTimeout)
 	defer cancel()
-	var all []*EndpointSlice
+	var endpointSlices []*EndpointSlice
 	continueToken := ""
 	for {
 		page, err := w.listPage(ctx, continueToken)
@@ -49,7 +49,7 @@
 			if err := slice.validate(); err != nil {
 				return nil, "", err
 			}
-			all = append(all, slice)
+			endpointSlices = append(endpointSlices, slice)
 		}
 		if continueToken = page.Metadata.Continue; continueToken != "" {
 			continue
@@ -57,7 +57,7 @@
 		if page.Metadata.ResourceVersion == "" {
 			return nil, "", errors.New("endpointslice: list response without a resourceVersion")
 		}
-		return all, page.Metadata.ResourceVersion, nil
+		return endpointSlices, page.Metadata.ResourceVersion, nil
 	}
 }
 
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -47,8 +47,8 @@
 
 // earlierDeadline is the time at which a wait that starts now ends, but no later than deadline (zero = none).
 func earlierDeadline(wait time.Duration, deadline time.Time) time.Time {
-	if at := time.Now().Add(wait); deadline.IsZero() || at.Before(deadline) {
-		return at
+	if end := time.Now().Add(wait); deadline.IsZero() || end.Before(deadline) {
+		return end
 	}
 	return deadline
 }
--- a/internal/engine/outcome_test.go
+++ b/internal/engine/outcome_test.go
@@ -262,7 +262,7 @@
 
 // TestOutcomeByStatus compares the outcomes of all response statuses, for prefills and decodes, with a golden file.
 func TestOutcomeByStatus(t *testing.T) {
-	var all strings.Builder
+	var outcomes strings.Builder
 	for _, extended := range []bool{false, true} {
 		for _, prefill := range []bool{true, false} {
 			for _, status := range []int{
@@ -280,7 +280,7 @@
 					if out.Reply != nil {
 						reply = fmt.Sprintf("%d %s", out.Reply.Status, out.Reply.Body)
 					}
-					fmt.Fprintf(&all,
+					fmt.Fprintf(&outcomes,
 						"extended %v, read %v, %d, %q: result %d, never ran %v, no state %v, kv %q, reply %s\n",
 						extended, prefill, status, fields, int(out.Result), out.Result.NeverExecuted(),
 						out.StateMissing, out.KVTransferParams, reply)
@@ -288,7 +288,7 @@
 			}
 		}
 	}
-	golden.Check(t, "outcome-by-status.golden", all.String())
+	golden.Check(t, "outcome-by-status.golden", outcomes.String())
 }
 
 // statusWithFields reports whether the header fields of the extension are tested with a status.
@@ -320,7 +320,7 @@
 
 // TestOutcomeByPrefillReply compares the outcomes of prefill replies with status 200, by body, with a golden file.
 func TestOutcomeByPrefillReply(t *testing.T) {
-	var all strings.Builder
+	var outcomes strings.Builder
 	for _, text := range []string{
 		`{"kv_transfer_params":{"a": 1}}`, `{"kv_transfer_params":null}`, `{}`, `garbage`, ``,
 		`{"kv_transfer_params":{"a":1},"usage":{"prompt_tokens_details":{"cached_tokens":64}}}`,
@@ -333,8 +333,8 @@
 		})
 		out := newTestClient().Prefill(&Attempt{}, endpoint, newCallWithBody(time.Minute))
 		endpoint.DiscardIdleConns()
-		fmt.Fprintf(&all, "%q: result %d, kv %q, kept %v\n",
+		fmt.Fprintf(&outcomes, "%q: result %d, kv %q, kept %v\n",
 			text, int(out.Result), out.KVTransferParams, out.CachedTokens)
 	}
-	golden.Check(t, "outcome-read-answers.golden", all.String())
+	golden.Check(t, "outcome-read-answers.golden", outcomes.String())
 }
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -83,9 +83,9 @@
 	})
 	client := newTestClient()
 	client.MaxConnsPerEndpoint = 1
-	first := &Attempt{}
+	firstAttempt := &Attempt{}
 	done := make(chan Outcome)
-	go func() { done <- client.Prefill(first, endpoint, Call{Path: "/v1/x", ID: "a"}) }()
+	go func() { done <- client.Prefill(firstAttempt, endpoint, Call{Path: "/v1/x", ID: "a"}) }()
 	for endpoint.Conns() == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -93,7 +93,7 @@
 	if out.Result != routing.NotSent || !errors.Is(out.Err, errConnLimit) {
 		t.Errorf("%+v", out)
 	}
-	first.Cancel()
+	firstAttempt.Cancel()
 	<-done
 	if endpoint.Conns() != 0 {
 		t.Errorf("%d connections left", endpoint.Conns())
@@ -240,9 +240,9 @@
 	prefill := func(timeout time.Duration) Outcome {
 		return client.Prefill(&Attempt{}, endpoint, newCallWithBody(timeout))
 	}
-	first := make(chan Outcome)
-	go func() { first <- prefill(20 * time.Second) }()
-	a, b := prefill(20*time.Second), <-first
+	firstOutcome := make(chan Outcome)
+	go func() { firstOutcome <- prefill(20 * time.Second) }()
+	a, b := prefill(20*time.Second), <-firstOutcome
 	if a.Result != routing.Rejected || b.Result != routing.Rejected || endpoint.Conns() != 2 {
 		t.Fatalf("%+v, %+v, %d connections", a, b, endpoint.Conns())
 	}
--- a/internal/engine/relay_test.go
+++ b/internal/engine/relay_test.go
@@ -83,9 +83,9 @@
 				response := []byte(header + frameInChunks(text, size))
 				t.Run(fmt.Sprintf("line ends %q, header %d, chunks of %d", lineEnd, h, size), func(t *testing.T) {
 					checkRelayed(t, client, "a byte at a time", text, iotest.OneByteReader(bytes.NewReader(response)))
-					for at := 1; at < len(response); at++ {
-						halves := io.MultiReader(bytes.NewReader(response[:at]), bytes.NewReader(response[at:]))
-						checkRelayed(t, client, fmt.Sprintf("split at %d", at), text, halves)
+					for offset := 1; offset < len(response); offset++ {
+						halves := io.MultiReader(bytes.NewReader(response[:offset]), bytes.NewReader(response[offset:]))
+						checkRelayed(t, client, fmt.Sprintf("split at %d", offset), text, halves)
 					}
 				})
 			}
--- a/internal/engine/reply.go
+++ b/internal/engine/reply.go
@@ -55,13 +55,13 @@
 func (c *Client) readReply(a *Attempt, e *Endpoint, pc *persistConn, resp *http1.Response, prefill bool) Outcome {
 	var body http1.Body
 	body.Reset(pc.br, &resp.Message, c.Limits)
-	text, err := http1.ReadAll(&body, c.MaxReplyBytes)
+	content, err := http1.ReadAll(&body, c.MaxReplyBytes)
 	connOpen := a.detachConn()
 	c.putConn(e, pc, connOpen && err == nil && body.AtEOF() && !resp.Close)
 	if resp.Status < http.StatusMultipleChoices && (err != nil || !connOpen) {
 		return a.failureOutcome(err)
 	}
-	out := c.Protocol.ParseReply(prefill, resp, text, err)
+	out := c.Protocol.ParseReply(prefill, resp, content, err)
 	if out.Result == routing.EngineError && !a.delivery.mayHaveRun {
 		out.Result = routing.RequestIncomplete // the engine has not received the whole request
 	}
--- a/internal/gateway/conn_read.go
+++ b/internal/gateway/conn_read.go
@@ -94,8 +94,8 @@
 func (c *clientConn) readDeadline(timeout time.Duration) time.Time {
 	deadline := time.Now().Add(timeout)
 	if c.gateway.FirstRequestTimeout > 0 && !c.hadRequest {
-		if first := c.acceptedAt.Add(c.gateway.FirstRequestTimeout); first.Before(deadline) {
-			return first
+		if firstRequestDeadline := c.acceptedAt.Add(c.gateway.FirstRequestTimeout); firstRequestDeadline.Before(deadline) {
+			return firstRequestDeadline
 		}
 	}
 	return deadline
--- a/internal/gateway/release_call.go
+++ b/internal/gateway/release_call.go
@@ -76,11 +76,11 @@
 			startedCalls, pendingCalls = startedCalls+1, pendingCalls+1
 			go func() { results <- l.engines.ReleaseState(a, call.endpoint, r.id, call.newConn, deadline) }()
 		}
-		wait := time.Until(deadline) + time.Second // the margin lets ReleaseState return at the deadline by itself
+		timeout := time.Until(deadline) + time.Second // the margin lets ReleaseState return at the deadline by itself
 		if startedCalls < len(calls) {
-			wait = l.stateTTL() / releaseHedgeDivisor
+			timeout = l.stateTTL() / releaseHedgeDivisor
 		}
-		timer := time.NewTimer(wait)
+		timer := time.NewTimer(timeout)
 		select {
 		case err = <-results:
 			pendingCalls--
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -128,13 +128,13 @@
 	c := tg.dial(chatRequest(chatBody(true, 5), ""))
 	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	br := bufio.NewReader(c)
-	all := ""
+	stream := ""
 	for _, end := range []string{event1, event2, eventUsage, eventDone} {
-		all += readUntil(t, br, end+"\r\n")
+		stream += readUntil(t, br, end+"\r\n")
 		next <- struct{}{}
 	}
-	all += readUntil(t, br, "0\r\n\r\n")
-	golden.Check(t, "stream-chunks.golden", normalizeMessage(all))
+	stream += readUntil(t, br, "0\r\n\r\n")
+	golden.Check(t, "stream-chunks.golden", normalizeMessage(stream))
 }
 
 // TestRejectionBytes: without a decode endpoint every request is rejected. The router chooses the time to wait before a
@@ -183,25 +183,25 @@
 // TestRejectionAndFailureFormats compares every form of a rejection and of a failure with a golden file. The times to
 // wait before a retry are fixed here, not the router's.
 func TestRejectionAndFailureFormats(t *testing.T) {
-	var all strings.Builder
+	var responses strings.Builder
 	newGateway := func(format RetryAfterFormat) *Gateway {
 		return &Gateway{Options: Options{
 			Limits: config.Limits{WriteTimeout: time.Minute}, RetryAfter: format,
 		}}
 	}
-	for _, form := range []struct {
+	for _, tc := range []struct {
 		name   string
 		format RetryAfterFormat
 	}{{"no waits", NoRetryAfter}, {"whole seconds", RetryAfterSeconds}, {"fractions", RetryAfterFractional}} {
-		g := newGateway(form.format)
+		g := newGateway(tc.format)
 		for _, wait := range []time.Duration{
 			0, time.Millisecond, time.Second, 1500 * time.Millisecond, 61 * time.Second,
 		} {
 			for _, noAutoRetry := range []bool{false, true} {
 				response := rejectionResponse(routing.Reject{RetryAfter: wait, NoAutoRetry: noAutoRetry})
 				response.requestID = "an-id"
-				fmt.Fprintf(&all, "== refusal, %s, wait %d ms, not to be repeated %v\n%s",
-					form.name, wait.Milliseconds(), noAutoRetry, responseBytes(t, g, response, noAutoRetry))
+				fmt.Fprintf(&responses, "== refusal, %s, wait %d ms, not to be repeated %v\n%s",
+					tc.name, wait.Milliseconds(), noAutoRetry, responseBytes(t, g, response, noAutoRetry))
 			}
 		}
 	}
@@ -217,12 +217,12 @@
 				request.deadline = now
 			}
 			for _, reason := range []string{reasonStreamBroke, reasonNoDecision, reasonAnswerTimeout} {
-				fmt.Fprintf(&all, "== failure, %s, time is up %v, %s\n%s",
+				fmt.Fprintf(&responses, "== failure, %s, time is up %v, %s\n%s",
 					class.name, deadlinePassed, reason, responseBytes(t, g, failureResponse(request, reason), true))
 			}
 		}
 	}
-	fmt.Fprintf(&all, "== failure of a repeat\n%s", responseBytes(t, g, possibleDuplicateResponse(), false))
-	fmt.Fprintf(&all, "== two at once\n%s", responseBytes(t, g, errorResponse(errPipelined), false))
-	golden.Check(t, "refusal-and-failure.golden", all.String())
+	fmt.Fprintf(&responses, "== failure of a repeat\n%s", responseBytes(t, g, possibleDuplicateResponse(), false))
+	fmt.Fprintf(&responses, "== two at once\n%s", responseBytes(t, g, errorResponse(errPipelined), false))
+	golden.Check(t, "refusal-and-failure.golden", responses.String())
 }
--- a/internal/http1/chunk.go
+++ b/internal/http1/chunk.go
@@ -99,8 +99,8 @@
 		}
 		size = size<<4 | int64(value)
 	}
-	rest := line[digits:]
-	if digits == 0 || len(rest) > 0 && rest[0] != ';' && rest[0] != ' ' && rest[0] != '\t' {
+	suffix := line[digits:]
+	if digits == 0 || len(suffix) > 0 && suffix[0] != ';' && suffix[0] != ' ' && suffix[0] != '\t' {
 		return 0, badMessage("malformed chunk size")
 	}
 	return size, nil
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -55,9 +55,9 @@
 }
 
 func TestReadRequestPipelinedOneByteAtATime(t *testing.T) {
-	msg := "\r\nPOST /v1/x?q=1 HTTP/1.1\r\nhost: a\r\nExpect: 100-Continue\r\nTransfer-Encoding: Chunked\r\n\r\n" +
+	messages := "\r\nPOST /v1/x?q=1 HTTP/1.1\r\nhost: a\r\nExpect: 100-Continue\r\nTransfer-Encoding: Chunked\r\n\r\n" +
 		"3;ext=1\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: x\r\n\r\nGET /next HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-	br := bufio.NewReader(iotest.OneByteReader(strings.NewReader(msg)))
+	br := bufio.NewReader(iotest.OneByteReader(strings.NewReader(messages)))
 	r, err := ReadRequest(br, testLimits)
 	if err != nil || r.Path() != "/v1/x" || !r.ExpectContinue || !r.Chunked || r.Close || r.Header.Get("HOST") != "a" {
 		t.Fatalf("%+v %v", r, err)
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -49,9 +49,9 @@
 }
 
 func (r *Request) parseRequestLine(line string) error {
-	method, line, ok := strings.Cut(line, " ")
-	target, proto, ok2 := strings.Cut(line, " ")
-	if !ok || !ok2 || !isToken(method) || !isTarget(target) {
+	method, line, hasTarget := strings.Cut(line, " ")
+	target, proto, hasProto := strings.Cut(line, " ")
+	if !hasTarget || !hasProto || !isToken(method) || !isTarget(target) {
 		return badMessage("malformed request line")
 	}
 	minor, err := parseVersion(proto)
--- a/internal/node/discovery/conn.go
+++ b/internal/node/discovery/conn.go
@@ -167,7 +167,7 @@
 
 // readReply reads a reply whose first byte has arrived. reusable reports whether the connection may be used for another
 // request.
-func (w *Watcher) readReply(c *conn) (text []byte, reusable bool, err error) {
+func (w *Watcher) readReply(c *conn) (content []byte, reusable bool, err error) {
 	if err := c.SetReadDeadline(time.Now().Add(w.ResponseTimeout)); err != nil {
 		return nil, false, err
 	}
@@ -180,6 +180,6 @@
 	}
 	var body http1.Body
 	body.Reset(c.reader, &resp.Message, responseLimits)
-	text, err = http1.ReadAll(&body, w.MaxListBytes)
-	return text, !resp.Close, err
+	content, err = http1.ReadAll(&body, w.MaxListBytes)
+	return content, !resp.Close, err
 }
--- a/internal/node/discovery/list_test.go
+++ b/internal/node/discovery/list_test.go
@@ -30,8 +30,8 @@
 	if got := update.Endpoints[0]; got != want {
 		t.Errorf("endpoint %+v, want %+v", got, want)
 	}
-	if gone := update.Endpoints[1]; gone.State != routing.EndpointGone || !gone.Started.IsZero() {
-		t.Errorf("removed endpoint %+v", gone)
+	if removed := update.Endpoints[1]; removed.State != routing.EndpointGone || !removed.Started.IsZero() {
+		t.Errorf("removed endpoint %+v", removed)
 	}
 }
 
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -60,11 +60,11 @@
 	defer c.close()
 	defer context.AfterFunc(ctx, c.close)()
 	for complete := true; ; complete = false {
-		text, reusable, err := w.readReply(c)
+		content, reusable, err := w.readReply(c)
 		if err != nil {
 			return err
 		}
-		list, err := Parse(text)
+		list, err := Parse(content)
 		if err != nil {
 			return err
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -33,17 +33,17 @@
 	released := make(chan struct{})
 	prefill := newPrefillEngine(t, replyPrefillAfter(released))
 	n, _ := startNode(t, nodeOptions{}, prefill, newDecodeEngine(t, replyDecode))
-	first, second := dialNode(t, n), dialNode(t, n)
-	first.send(t, chatRequest("aa01", "order"))
+	firstConn, secondConn := dialNode(t, n), dialNode(t, n)
+	firstConn.send(t, chatRequest("aa01", "order"))
 	prefill.waitForRequest("POST aa01")
-	second.send(t, chatRequest("aa01", "enquiry"))
-	if resp, _, _ := second.receive(t); resp.StatusCode != http.StatusConflict {
+	secondConn.send(t, chatRequest("aa01", "enquiry"))
+	if resp, _, _ := secondConn.receive(t); resp.StatusCode != http.StatusConflict {
 		t.Errorf("second request with the same id: status %d, want 409", resp.StatusCode)
 	}
 	close(released)
-	first.expectStream(t, "first request")
-	second.send(t, chatRequest("aa01", "enquiry"))
-	if resp, _, complete := second.receive(t); resp.StatusCode != http.StatusOK || !complete {
+	firstConn.expectStream(t, "first request")
+	secondConn.send(t, chatRequest("aa01", "enquiry"))
+	if resp, _, complete := secondConn.receive(t); resp.StatusCode != http.StatusOK || !complete {
 		t.Errorf("same id after the first request has ended: status %d", resp.StatusCode)
 	}
 }
--- a/internal/node/protocol/wire_test.go
+++ b/internal/node/protocol/wire_test.go
@@ -126,7 +126,7 @@
 // captureAllRequests returns the bytes of a prefill and a decode of two bodies each, and of a release.
 func captureAllRequests(t *testing.T, client *engine.Client, call func(body []byte) engine.Call) string {
 	t.Helper()
-	var all strings.Builder
+	var requests strings.Builder
 	for _, text := range []string{
 		`{"model":"chat","stream":true}`,
 		`{ "stream":false, "model":"chat","kv_transfer_params":{"a":1} }`,
@@ -145,7 +145,7 @@
 				t.Errorf("result %d, %v", out.Result, out.Err)
 			}
 		})
-		fmt.Fprintf(&all, "== read\n%s== write\n%s", showLineEndings(prefill), showLineEndings(decode))
+		fmt.Fprintf(&requests, "== read\n%s== write\n%s", showLineEndings(prefill), showLineEndings(decode))
 	}
 	release := captureRequest(t, releaseReply, func(endpoint *engine.Endpoint) {
 		deadline := time.Now().Add(time.Minute)
@@ -153,8 +153,8 @@
 			t.Error(err)
 		}
 	})
-	fmt.Fprintf(&all, "== release\n%s", showLineEndings(release))
-	return all.String()
+	fmt.Fprintf(&requests, "== release\n%s", showLineEndings(release))
+	return requests.String()
 }
 
 // TestRequestHeadBytesAfterDeadline compares a whole head. The deadline has passed, so that the remaining time is
--- a/internal/node/wire_test.go
+++ b/internal/node/wire_test.go
@@ -119,18 +119,18 @@
 	n, _ := startNode(t, nodeOptions{}, newPrefillEngine(t, replyPrefill), newDecodeEngine(t, complete))
 	c := dialNode(t, n)
 	_ = c.SetDeadline(time.Now().Add(exchangeTimeout)) // if this fails, a failing test only takes longer
-	all := ""
+	responses := ""
 	for _, id := range []string{"a1", "a2"} {
 		c.send(t, chatRequest(id, "order"))
 		for received := ""; !strings.HasSuffix(received, "0\r\n\r\n"); {
 			line, err := c.reader.ReadString('\n')
 			if err != nil {
-				t.Fatalf("%v after %q", err, all)
+				t.Fatalf("%v after %q", err, responses)
 			}
-			received, all = received+line, all+line
+			received, responses = received+line, responses+line
 		}
 	}
-	golden.Check(t, "client-keep-alive.golden", showLineEndings(all))
+	golden.Check(t, "client-keep-alive.golden", showLineEndings(responses))
 }
 
 // TestHealthBytesWithoutEngines compares the health response of a node that starts without an endpoint list with a
