--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -131,12 +131,12 @@
 }
 
 // releaseState releases the read state that this attempt, a prefill that has ended, may have left at its endpoint.
-func (a *attempt) releaseState(l *eventLoop, held readState) {
+func (a *attempt) releaseState(l *eventLoop, heldState readState) {
 	if a.neverExecuted || !l.releasesState {
 		return
 	}
-	r := &release{id: a.id, endpoints: []*engine.Endpoint{a.endpoint}, heldState: held}
+	r := &release{id: a.id, endpoints: []*engine.Endpoint{a.endpoint}, heldState: heldState}
 	if l.callRelease(r) != nil {
-		l.observeStateEnd(held, stateReleaseFailed)
+		l.observeStateEnd(heldState, stateReleaseFailed)
 	}
 }
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -6,8 +6,8 @@
 
 // readState is the KV cache state that a prefill endpoint holds for a request.
 type readState struct {
-	endpoint  string
-	heldSince time.Time // when the event loop received the prefill's outcome; zero = no state is held
+	endpoint string
+	since    time.Time // when the event loop received the prefill's outcome; zero = no state is held
 }
 
 // Reasons why a read state is no longer held, as metric label values.
@@ -33,10 +33,10 @@
 }
 
 // observeStateEnd updates the metrics of held states. It is safe for concurrent use.
-func (l *eventLoop) observeStateEnd(held readState, reason string) {
-	if held.heldSince.IsZero() {
+func (l *eventLoop) observeStateEnd(heldState readState, reason string) {
+	if heldState.since.IsZero() {
 		return
 	}
 	l.gateway.metrics.HeldStates.Dec()
-	l.gateway.metrics.StateHeldSeconds.WithLabelValues(reason).Observe(time.Since(held.heldSince).Seconds())
+	l.gateway.metrics.StateHeldSeconds.WithLabelValues(reason).Observe(time.Since(heldState.since).Seconds())
 }
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -89,15 +89,15 @@
 // releaseAttempt releases the state of one prefill, once the attempt has ended.
 func (l *eventLoop) releaseAttempt(request *inflightRequest, a *attempt) {
 	a.releaseStarted = true
-	held := readState{}
+	heldState := readState{}
 	if a.endpoint.Name == request.release.heldState.endpoint {
-		held, request.release.heldState = request.release.heldState, held
+		heldState, request.release.heldState = request.release.heldState, heldState
 	}
 	l.tasks.Add(1)
 	go func() {
 		defer l.tasks.Done()
 		<-a.done
-		a.releaseState(l, held)
+		a.releaseState(l, heldState)
 	}()
 }
 
--- a/internal/gateway/release_call.go
+++ b/internal/gateway/release_call.go
@@ -105,9 +105,9 @@
 		zap.String("request", r.id), zap.Int("calls", calls), zap.Int("rounds_before", r.rounds),
 		zap.Duration("took", elapsed),
 	}
-	if !r.heldState.heldSince.IsZero() {
+	if !r.heldState.since.IsZero() {
 		fields = append(fields,
-			zap.String("reader", r.heldState.endpoint), zap.Duration("held_for", time.Since(r.heldState.heldSince)))
+			zap.String("reader", r.heldState.endpoint), zap.Duration("held_for", time.Since(r.heldState.since)))
 	}
 	if err != nil {
 		l.gateway.metrics.Releases.WithLabelValues("failed").Inc()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -29,18 +29,18 @@
 
 // reportStatus logs the states that are still held after their TTL, and a status line every statusInterval.
 func (l *eventLoop) reportStatus() {
-	var oldest time.Duration
-	held, pendingAttempts, overdue := 0, 0, 0
+	var oldestAge time.Duration
+	heldCount, pendingAttempts, overdueCount := 0, 0, 0
 	for _, request := range l.requests {
 		pendingAttempts += request.pendingAttempts
-		if request.release.heldState.heldSince.IsZero() {
+		if request.release.heldState.since.IsZero() {
 			continue
 		}
-		held++
-		age := time.Since(request.release.heldState.heldSince)
-		oldest = max(oldest, age)
-		if age > l.stateTTL() && overdue < maxOverdueLogs {
-			overdue++
+		heldCount++
+		age := time.Since(request.release.heldState.since)
+		oldestAge = max(oldestAge, age)
+		if age > l.stateTTL() && overdueCount < maxOverdueLogs {
+			overdueCount++
 			l.logOverdueState(request, age)
 		}
 	}
@@ -51,8 +51,8 @@
 	l.gateway.log.Info("status",
 		zap.Int("open_requests", len(l.requests)),
 		zap.Int("attempts_out", pendingAttempts),
-		zap.Int("states_held", held),
-		zap.Duration("oldest_state", oldest),
+		zap.Int("states_held", heldCount),
+		zap.Duration("oldest_state", oldestAge),
 		zap.Int("client_connections", l.gateway.connections()),
 		zap.Int64("engine_connections", l.engines.OpenConns()),
 	)
