--- a/cmd/brackenbend/simulate_faultsearch.go
+++ b/cmd/brackenbend/simulate_faultsearch.go
@@ -103,7 +103,8 @@
 
 func (s *faultSearch) check() error {
 	inRange := func(v, low, high int) bool { return low <= v && v <= high }
-	if !inRange(s.search.MaxFaults, 1, 20) || !inRange(s.search.Rounds, 1, 10000) || !inRange(s.search.ListsPerRound, 4, 1000) {
+	if !inRange(s.search.MaxFaults, 1, 20) || !inRange(s.search.Rounds, 1, 10000) ||
+		!inRange(s.search.ListsPerRound, 4, 1000) {
 		return usageErrorf("--troubles must be from 1 to 20, --rounds from 1 to 10000, --draws from 4 to 1000")
 	}
 	return nil
--- a/internal/engine/relay_test.go
+++ b/internal/engine/relay_test.go
@@ -14,14 +14,14 @@
 	"brackenbend/routing"
 )
 
-// scriptedConn is a connection whose incoming data comes from a reader.
-type scriptedConn struct {
+// readerConn is a connection whose incoming data comes from a reader.
+type readerConn struct {
 	net.Conn
 	io.Reader
 }
 
-func (c scriptedConn) Read(p []byte) (int, error)      { return c.Reader.Read(p) }
-func (c scriptedConn) SetReadDeadline(time.Time) error { return nil }
+func (c readerConn) Read(p []byte) (int, error)      { return c.Reader.Read(p) }
+func (c readerConn) SetReadDeadline(time.Time) error { return nil }
 
 func TestRelayAllocatesNothingPerToken(t *testing.T) {
 	client := newTestClient()
@@ -29,7 +29,7 @@
 	allocations := func(tokens int) float64 {
 		response := streamHeader + strings.Repeat(token, tokens) + chunk("data: [DONE]\n\n") + http1.LastChunk
 		return testing.AllocsPerRun(20, func() {
-			conn := newPersistConn(scriptedConn{Reader: strings.NewReader(response)})
+			conn := newPersistConn(readerConn{Reader: strings.NewReader(response)})
 			resp, err := http1.ReadResponse(conn.br, client.Limits)
 			if err != nil {
 				t.Fatal(err)
@@ -83,9 +83,9 @@
 				response := []byte(header + frameInChunks(text, size))
 				t.Run(fmt.Sprintf("line ends %q, header %d, chunks of %d", lineEnd, h, size), func(t *testing.T) {
 					checkRelayed(t, client, "a byte at a time", text, iotest.OneByteReader(bytes.NewReader(response)))
-					for at := 1; at < len(response); at++ {
-						halves := io.MultiReader(bytes.NewReader(response[:at]), bytes.NewReader(response[at:]))
-						checkRelayed(t, client, fmt.Sprintf("split at %d", at), text, halves)
+					for offset := 1; offset < len(response); offset++ {
+						halves := io.MultiReader(bytes.NewReader(response[:offset]), bytes.NewReader(response[offset:]))
+						checkRelayed(t, client, fmt.Sprintf("split at %d", offset), text, halves)
 					}
 				})
 			}
@@ -97,7 +97,7 @@
 // and the load report are read.
 func checkRelayed(t *testing.T, client *Client, name, want string, source io.Reader) {
 	t.Helper()
-	conn := newPersistConn(scriptedConn{Reader: source})
+	conn := newPersistConn(readerConn{Reader: source})
 	resp, err := client.readResponseHeader(conn, time.Now().Add(time.Minute))
 	if err != nil || resp.Status != 200 {
 		t.Fatalf("%s: %v", name, err)
--- a/internal/gateway/heldstate.go
+++ b/internal/gateway/heldstate.go
@@ -22,21 +22,21 @@
 // stateHeld records that a successful prefill left a state at the endpoint.
 func (l *eventLoop) stateHeld(request *inflightRequest, endpoint string) {
 	l.endState(request, stateMissing) // the state of an earlier prefill, which this one has replaced
-	request.release.held = readState{endpoint, time.Now()}
+	request.release.heldState = readState{endpoint, time.Now()}
 	l.gateway.metrics.HeldReadStates.Inc()
 }
 
 // endState records that the state held for the request, if any, is no longer held, and why.
-func (l *eventLoop) endState(request *inflightRequest, end string) {
-	l.observeStateEnd(request.release.held, end)
-	request.release.held = readState{}
+func (l *eventLoop) endState(request *inflightRequest, reason string) {
+	l.observeStateEnd(request.release.heldState, reason)
+	request.release.heldState = readState{}
 }
 
 // observeStateEnd updates the metrics of held states. It is safe for concurrent use.
-func (l *eventLoop) observeStateEnd(held readState, end string) {
-	if held.since.IsZero() {
+func (l *eventLoop) observeStateEnd(heldState readState, reason string) {
+	if heldState.since.IsZero() {
 		return
 	}
 	l.gateway.metrics.HeldReadStates.Dec()
-	l.gateway.metrics.ReadStateHeldSeconds.WithLabelValues(end).Observe(time.Since(held.since).Seconds())
+	l.gateway.metrics.ReadStateHeldSeconds.WithLabelValues(reason).Observe(time.Since(heldState.since).Seconds())
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -49,16 +49,16 @@
 }
 
 func (r *Request) parseRequestLine(line string) error {
-	method, line, ok := strings.Cut(line, " ")
-	target, proto, ok2 := strings.Cut(line, " ")
-	if !ok || !ok2 || !isToken(method) || !isTarget(target) {
+	method, line, hasTarget := strings.Cut(line, " ")
+	target, proto, hasProto := strings.Cut(line, " ")
+	if !hasTarget || !hasProto || !isToken(method) || !isTarget(target) {
 		return badMessage("malformed request line")
 	}
 	minor, err := parseVersion(proto)
 	if err != nil {
 		return err
 	}
-	r.Method, r.Target, r.Minor = method, target, minor
+	r.Method, r.Target, r.ProtoMinor = method, target, minor
 	return nil
 }
 
@@ -74,7 +74,7 @@
 			hosts++
 		}
 	}
-	if hosts > 1 || hosts == 0 && r.Minor == 1 {
+	if hosts > 1 || hosts == 0 && r.ProtoMinor == 1 {
 		return badMessage("%d Host fields, one is required", hosts)
 	}
 	return nil
@@ -88,6 +88,6 @@
 	if !strings.EqualFold(expect, "100-continue") {
 		return &Error{http.StatusExpectationFailed, "unknown expectation"}
 	}
-	r.ExpectContinue = r.Minor == 1 && (r.Chunked || r.ContentLength > 0)
+	r.ExpectContinue = r.ProtoMinor == 1 && (r.Chunked || r.ContentLength > 0)
 	return nil
 }
--- a/internal/simulation/faultsearch/draw.go
+++ b/internal/simulation/faultsearch/draw.go
@@ -96,7 +96,8 @@
 
 // drawTime draws the time at which a fault begins, and its duration.
 func (s *Search) drawTime(rnd *rand.Rand, f *scenario.Fault) {
-	f.Duration = (minFaultDuration + time.Duration(rnd.Float64()*maxExtraFraction*float64(s.Scenario.Length))).Round(timeStep)
+	f.Duration = (minFaultDuration +
+		time.Duration(rnd.Float64()*maxExtraFraction*float64(s.Scenario.Length))).Round(timeStep)
 	latest := max(s.latestEnd()-f.Duration, 0)
 	f.At = time.Duration(rnd.Float64() * float64(latest)).Round(timeStep)
 }
--- a/internal/simulation/fleet/engine.go
+++ b/internal/simulation/fleet/engine.go
@@ -213,7 +213,8 @@
 		return
 	}
 	e.record(e.now(), audit.Event{
-		Kind: audit.RequestArrived, Engine: e.name, Replica: m.replicaName, Request: m.id, Decode: m.decode, Attempt: m.work.attempt,
+		Kind: audit.RequestArrived, Engine: e.name, Replica: m.replicaName, Request: m.id, Decode: m.decode,
+		Attempt: m.work.attempt,
 	})
 	if m.decode {
 		e.decodeCount++
